--- /dev/null
+++ b/decision_trace_test.go
@@ -0,0 +1,565 @@
+package cresspass
+
+import (
+	"bytes"
+	"compress/gzip"
+	"crypto/sha256"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+)
+
+// The decision trace: scripted runs of gateways against simulated engines, with every action written bit for
+// bit. A change that is to keep behaviour keeps the trace.
+
+const traceStep = 5 * time.Millisecond
+
+// traceScenario is one scripted run.
+type traceScenario struct {
+	name      string
+	cfg       Config
+	instances int // gateways that are played; the settings may count more
+	engines   []EngineInfo
+	perSecond float64 // queries a second at each gateway
+	seconds   int
+	lost      float64 // share of answers that never arrive
+	restore   bool    // the first gateway starts from the golden snapshot
+}
+
+func traceScenarios() []traceScenario {
+	peers := testConfig()
+	peers.Gateways, peers.MayTell, peers.MayProbe = 6, true, true
+	peers.TakesGrants, peers.TakesPriority, peers.KindMemoryMB = true, true, []float64{4096, 8192}
+	peers.MaxGrantShare, peers.WhenShort = 0.25, ShortageWait
+	peers.ProgressEvery, peers.MaxSessions = 300*ms, 6
+	peers.Tenants = []Tenant{{Name: "t1", Quota: 12, Share: 0.3}, {Name: "t2", Quota: 60}}
+	five := []EngineInfo{std("e1"), std("e2"), std("e3"), {ID: "e4", Kind: "big", Zone: "b", Cell: 1},
+		{ID: "e5", Kind: "big", Zone: "b", Cell: 1}}
+
+	reporting := testConfig()
+	reporting.Seed, reporting.Gateways, reporting.MayProbe, reporting.AskList = 5, 40, true, true
+	reporting.ReportFields = []string{"concurrent", "depth", "load_share", "x0"}
+	reporting.WhenShort, reporting.KindMemoryMB = ShortagePage, []float64{8192, 16384}
+	reporting.TellsCost, reporting.TakesGrants, reporting.MayComeBack = true, true, false
+	reporting.ProgressEvery, reporting.Rules.AskWithin = 0, 4*time.Second
+
+	single := plainConfig()
+	single.Seed, single.Gateways, single.ProgressEvery = 9, 1, 0
+	single.WhenShort = ShortageShrink
+
+	large := testConfig()
+	large.Seed, large.Gateways, large.MayTell, large.ProgressEvery = 3, 200, true, 0
+	large.Rules.HasBudget = false
+	var many []EngineInfo
+	for i := range 24 {
+		e := EngineInfo{ID: EngineID(fmt.Sprintf("n%02d", i)), Kind: "std", Zone: "a", Cell: i % 3}
+		if i%4 == 0 {
+			e.Kind, e.Zone = "big", "b"
+		}
+		if i < 3 {
+			e.Started = time.Hour - time.Second
+		}
+		many = append(many, e)
+	}
+	return []traceScenario{
+		{name: "peers", cfg: peers, instances: 6, engines: five, perSecond: 11, seconds: 22},
+		{name: "reports", cfg: reporting, instances: 2, engines: five, perSecond: 14, seconds: 22, lost: 0.05},
+		{name: "single", cfg: single, instances: 1, engines: []EngineInfo{std("e1"), std("e2"), std("e3")},
+			perSecond: 40, seconds: 22, lost: 0.1},
+		{name: "large", cfg: large, instances: 4, engines: many, perSecond: 9, seconds: 22, restore: true},
+	}
+}
+
+type traceTimer struct {
+	at    time.Duration
+	label uint64
+}
+
+type traceQuery struct {
+	tries int
+	ended bool
+	opens bool
+}
+
+type traceAttempt struct {
+	gateway  int
+	query    QueryID
+	number   int
+	engine   int
+	at, ends time.Duration
+	noted    time.Duration
+	work     time.Duration
+	outcome  Outcome
+}
+
+// traceEngine is a simulated engine: it slows down by what runs on it.
+type traceEngine struct {
+	info                   EngineInfo
+	running                float64
+	failing, hanging, full bool
+	slowness               float64
+}
+
+type traceSession struct {
+	gateway, engine int
+}
+
+type traceRun struct {
+	t        *testing.T
+	s        traceScenario
+	random   *rand.Rand
+	now      time.Duration
+	gateways []*Gateway
+	inbox    [][]Event
+	timers   [][]traceTimer
+	engines  []*traceEngine
+	running  []*traceAttempt
+	queries  map[QueryID]*traceQuery // for look-up alone: its order is not used
+	sessions []traceSession
+	next     QueryID
+	rate     float64
+	out      *bytes.Buffer
+}
+
+func playTrace(t *testing.T, s traceScenario, stored []byte, out *bytes.Buffer) {
+	t.Helper()
+	r := &traceRun{t: t, s: s, random: rand.New(rand.NewPCG(21, s.cfg.Seed)), now: time.Hour,
+		queries: map[QueryID]*traceQuery{}, next: 1, rate: s.perSecond, out: out}
+	fmt.Fprintf(out, "scenario %s\n", s.name)
+	for _, info := range s.engines {
+		r.engines = append(r.engines, &traceEngine{info: info, slowness: 1})
+	}
+	for i := range s.instances {
+		cfg := s.cfg
+		cfg.Ordinal = i
+		g, err := New(cfg)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if s.restore && i == 0 {
+			if err := g.Restore(stored, 5*time.Minute); err != nil {
+				t.Fatal(err)
+			}
+		}
+		r.gateways = append(r.gateways, g)
+		r.inbox = append(r.inbox, []Event{{Type: EngineList, Listing: ListCached, Engines: r.list()}})
+		r.timers = append(r.timers, nil)
+	}
+	for step := range s.seconds * int(time.Second/traceStep) {
+		r.now = time.Hour + time.Duration(step)*traceStep
+		r.script(step)
+		r.step()
+		if step%200 == 199 {
+			for i, g := range r.gateways {
+				fmt.Fprintf(out, "snapshot g%d %x\n", i, sha256.Sum256(g.Snapshot()))
+			}
+		}
+	}
+}
+
+func (r *traceRun) list() (all []EngineInfo) {
+	for _, e := range r.engines {
+		if e.info.State != EngineGone {
+			all = append(all, e.info)
+		}
+	}
+	return all
+}
+
+func (r *traceRun) tellAll(ev Event) {
+	for i := range r.inbox {
+		r.inbox[i] = append(r.inbox[i], ev)
+	}
+}
+
+// script is the same list of troubles in each run, by the tenth of a second.
+func (r *traceRun) script(step int) {
+	tenth := step / 20
+	if step%20 != 0 {
+		return
+	}
+	e := func(i int) *traceEngine { return r.engines[i%len(r.engines)] }
+	change := func(i int, state EngineState, started time.Duration) {
+		e(i).info.State, e(i).info.Started = state, started
+		r.tellAll(Event{Type: EngineList, Listing: ListChanges, Engines: []EngineInfo{e(i).info}})
+	}
+	switch tenth {
+	case 30:
+		e(1).failing = true
+	case 50:
+		e(2).hanging = true
+	case 60:
+		e(1).failing = false
+	case 70:
+		r.tellAll(Event{Type: EngineList, Listing: ListFailed})
+	case 75:
+		e(2).hanging = false
+	case 80:
+		change(3, EngineDraining, 0)
+	case 88:
+		change(3, EngineGone, 0)
+	case 95:
+		change(3, EngineOn, r.now)
+	case 110:
+		e(0).full = true
+	case 115:
+		e(0).full = false
+	case 120:
+		e(4).slowness = 5
+	case 125:
+		r.tellAll(Event{Type: EngineDown, Engine: e(4).info.ID})
+		r.tellAll(Event{Type: EngineDown, Engine: "nobody"})
+	case 130:
+		r.tellAll(Event{Type: EngineList, Listing: ListFull, Engines: r.list()})
+	case 140:
+		r.membership(r.s.cfg.Gateways+1, 250*time.Millisecond)
+	case 150:
+		e(4).slowness = 1
+		r.rate = 6 * r.s.perSecond
+	case 175:
+		r.rate = r.s.perSecond
+	case 180:
+		r.membership(r.s.cfg.Gateways, -400*time.Millisecond)
+	case 190:
+		for _, it := range r.engines {
+			it.slowness = 3
+		}
+	case 200:
+		for _, it := range r.engines {
+			it.slowness = 1
+		}
+	case 205:
+		r.inbox[0] = append(r.inbox[0], Event{Type: Ending, TimeLeft: 900 * ms})
+	}
+}
+
+func (r *traceRun) membership(count int, ahead time.Duration) {
+	for i := range r.inbox {
+		r.inbox[i] = append(r.inbox[i], Event{Type: FleetCount, Peer: i, Value: float64(count), Took: r.now + ahead})
+	}
+}
+
+func (r *traceRun) step() {
+	for i := range r.gateways {
+		r.ring(i)
+	}
+	r.endAttempts()
+	for i := range r.gateways {
+		if r.random.Float64() < r.rate*traceStep.Seconds() {
+			r.newQuery(i)
+		}
+		r.stray(i)
+	}
+	for i, g := range r.gateways {
+		if len(r.inbox[i]) == 0 {
+			continue
+		}
+		events := r.inbox[i]
+		r.inbox[i] = nil
+		for j, a := range g.Handle(r.now, events, nil) {
+			r.write(i, j, &a)
+			r.act(i, &a)
+		}
+	}
+}
+
+// ring delivers the timers that are due.
+func (r *traceRun) ring(i int) {
+	var later []traceTimer
+	for _, timer := range r.timers[i] {
+		if timer.at > r.now {
+			later = append(later, timer)
+			continue
+		}
+		r.inbox[i] = append(r.inbox[i], Event{Type: TimerDue, Label: timer.label})
+	}
+	r.timers[i] = later
+}
+
+func (r *traceRun) endAttempts() {
+	var later []*traceAttempt
+	for _, a := range r.running {
+		switch {
+		case a.ends <= r.now:
+			r.endAttempt(a)
+			continue
+		case r.s.cfg.ProgressEvery > 0 && r.now >= a.noted+r.s.cfg.ProgressEvery && !r.engines[a.engine].hanging:
+			a.noted = r.now
+			note := Event{Type: Progress, Query: a.query, Attempt: a.number, Engine: r.engines[a.engine].info.ID,
+				Note: NoteShareDone, Value: (r.now - a.at).Seconds() / (a.ends - a.at).Seconds()}
+			if r.random.IntN(12) == 0 {
+				note.Note, note.Value = NoteSpills, 50
+			}
+			r.inbox[a.gateway] = append(r.inbox[a.gateway], note)
+		}
+		later = append(later, a)
+	}
+	r.running = later
+}
+
+func (r *traceRun) endAttempt(a *traceAttempt) {
+	q, e := r.queries[a.query], r.engines[a.engine]
+	e.running--
+	ev := Event{Type: AttemptDone, Query: a.query, Attempt: a.number, Engine: e.info.ID, Outcome: a.outcome, Took: r.now - a.at}
+	if a.outcome == OK && !q.ended {
+		q.ended, ev.Finished = true, true
+		if r.s.cfg.TellsCost {
+			ev.WorkDone, ev.NeededMB = a.work, float64(r.random.IntN(300))
+		}
+		if q.opens {
+			r.sessions = append(r.sessions, traceSession{a.gateway, a.engine})
+			r.inbox[a.gateway] = append(r.inbox[a.gateway], Event{Type: SessionKept, Engine: e.info.ID, Value: 1})
+		}
+	}
+	ev.Report, ev.HasReport = r.report(e)
+	r.inbox[a.gateway] = append(r.inbox[a.gateway], ev)
+}
+
+func (r *traceRun) report(e *traceEngine) ([]float64, bool) {
+	if len(r.s.cfg.ReportFields) == 0 {
+		return nil, false
+	}
+	seen := e.running * float64(1+r.random.IntN(3))
+	return []float64{seen, float64(r.random.IntN(4)), min(1, seen/8), 0.1 * seen * (0.5 + r.random.Float64())}, true
+}
+
+func (r *traceRun) newQuery(i int) {
+	k := r.s.cfg.Classes[0]
+	if n := r.random.IntN(10); n >= 5 {
+		k = r.s.cfg.Classes[r.random.IntN(len(r.s.cfg.Classes))]
+	}
+	id := r.next
+	r.next++
+	q := &traceQuery{}
+	r.queries[id] = q
+	ev := Event{Type: QueryTaken, Query: id, Class: k.Name, TimeLeft: k.Deadline, Tables: float64(r.random.IntN(3)),
+		MemoryMB: float64(r.random.IntN(3) * 150), Tenant: []string{"", "t1", "t2"}[r.random.IntN(3)]}
+	if r.random.IntN(10) < 7 {
+		ev.HasCost, ev.Cost = true, time.Duration(20+r.random.IntN(700))*ms
+		if r.random.IntN(12) == 0 {
+			ev.Cost *= 8
+		}
+	}
+	if k.InOrder {
+		ev.Key = fmt.Sprint("k", r.random.IntN(3))
+	}
+	switch r.random.IntN(20) {
+	case 0:
+		ev.IsRepeat, ev.TimeLeft = true, k.Deadline/2
+	case 1:
+		ev.Uncounted = true
+	case 2:
+		ev.TimeLeft = time.Duration(r.random.IntN(500)) * ms
+	case 3, 4:
+		ev.Stays, q.opens = true, true
+	case 5, 6:
+		if n := len(r.sessions); n > 0 {
+			if s := r.sessions[r.random.IntN(n)]; s.gateway == i {
+				ev.Only = r.engines[s.engine].info.ID
+			}
+		}
+	case 7:
+		if r.random.IntN(3) == 0 {
+			ev.Class, q.ended = "unknown", true
+		}
+	}
+	r.inbox[i] = append(r.inbox[i], ev)
+	if r.random.IntN(15) == 0 && id > 20 {
+		left := id - QueryID(r.random.IntN(20))
+		if old := r.queries[left]; !old.ended {
+			old.ended = true
+			r.tellAll(Event{Type: ClientGone, Query: left})
+		}
+	}
+}
+
+// stray events of all kinds: forged messages, sessions that end, what no gateway knows.
+func (r *traceRun) stray(i int) {
+	switch r.random.IntN(400) {
+	case 0:
+		data := make([]byte, r.random.IntN(40))
+		for j := range data {
+			data[j] = byte(r.random.IntN(256))
+		}
+		r.inbox[i] = append(r.inbox[i], Event{Type: PeerMessage, Peer: r.random.IntN(8) - 1, Data: data})
+	case 1:
+		r.inbox[i] = append(r.inbox[i], Event{Type: AttemptDone, Query: 1 << 40}, Event{Type: ProbeDone, Engine: "nobody"})
+	case 2:
+		if n := len(r.sessions); n > 4 {
+			s := r.sessions[0]
+			r.sessions = r.sessions[1:]
+			r.inbox[s.gateway] = append(r.inbox[s.gateway],
+				Event{Type: SessionKept, Engine: r.engines[s.engine].info.ID, Value: -1})
+		}
+	}
+}
+
+func (r *traceRun) engine(id EngineID) int {
+	for i, e := range r.engines {
+		if e.info.ID == id {
+			return i
+		}
+	}
+	r.t.Fatalf("unknown engine %q", id)
+	return 0
+}
+
+// act carries out one action of a gateway.
+func (r *traceRun) act(i int, a *Action) {
+	switch a.Type {
+	case SetTimer:
+		r.timers[i] = append(r.timers[i], traceTimer{r.now + a.Wait, a.Label})
+	case Send:
+		r.send(i, a)
+	case Tell:
+		for to := range r.gateways {
+			if to != i && (a.Peer == -1 || a.Peer == to) && r.random.IntN(30) > 0 {
+				r.inbox[to] = append(r.inbox[to], Event{Type: PeerMessage, Peer: i, Data: bytes.Clone(a.Data)})
+			}
+		}
+	case Refuse, Fail:
+		r.queries[a.Query].ended = true
+	case Probe:
+		e := r.engines[r.engine(a.Engine)]
+		ev := Event{Type: ProbeDone, Engine: a.Engine, Outcome: OK, Took: 2 * ms}
+		if e.failing || e.hanging {
+			ev.Outcome = TimedOut
+		}
+		ev.Report, ev.HasReport = r.report(e)
+		r.inbox[i] = append(r.inbox[i], ev)
+	case Cancel:
+		for _, running := range r.running {
+			if running.gateway == i && running.query == a.Query && running.number == a.Attempt {
+				running.ends, running.outcome = r.now+10*ms, Cancelled
+			}
+		}
+	case Subscribe:
+		r.inbox[i] = append(r.inbox[i], Event{Type: EngineList, Listing: ListFull, Engines: r.list()})
+	}
+}
+
+func (r *traceRun) send(i int, a *Action) {
+	q, n := r.queries[a.Query], r.engine(a.Engine)
+	e := r.engines[n]
+	work := time.Duration((0.03 + 0.5*r.random.Float64()*r.random.Float64()) * float64(time.Second))
+	if r.random.IntN(40) == 0 {
+		work *= 10 // a bad plan
+	}
+	took := time.Duration(float64(work) * e.slowness * (1 + e.running/8))
+	it := &traceAttempt{gateway: i, query: a.Query, number: q.tries, engine: n, at: r.now, noted: r.now,
+		ends: r.now + took, work: work, outcome: OK}
+	q.tries++
+	switch chance := r.random.Float64(); {
+	case e.info.State == EngineGone:
+		it.ends, it.outcome = r.now+traceStep, ConnectFailed
+	case e.full:
+		it.ends, it.outcome = r.now+traceStep, Full
+	case e.failing:
+		it.ends, it.outcome = r.now+2*traceStep, Failed
+	case e.hanging || chance < r.s.lost:
+		it.ends, it.outcome = r.now+5*time.Second, TimedOut
+	case chance > 0.99:
+		it.ends, it.outcome = r.now+took/2, Reset
+	case chance > 0.985:
+		it.ends, it.outcome = r.now+traceStep, Moot
+	}
+	e.running++
+	r.running = append(r.running, it)
+}
+
+// write adds one action to the trace: the number of the step and gateway, and all fields that are not zero.
+func (r *traceRun) write(i, j int, a *Action) {
+	w := r.out
+	if j == 0 {
+		fmt.Fprintf(w, "%d g%d\n", (r.now - time.Hour).Milliseconds(), i)
+	}
+	fmt.Fprint(w, int(a.Type))
+	field := func(name, value string) {
+		if value != "" && value != "0" && value != "0x0p+00" && value != "false" {
+			fmt.Fprint(w, " ", name, value)
+		}
+	}
+	field("q", fmt.Sprint(uint64(a.Query)))
+	field("n", fmt.Sprint(a.Attempt))
+	field("e", string(a.Engine))
+	field("w", fmt.Sprint(int64(a.Wait)))
+	field("l", fmt.Sprint(a.Label))
+	field("p", fmt.Sprint(a.Peer))
+	field("d", fmt.Sprintf("%x", a.Data))
+	field("r", fmt.Sprint(a.Priority))
+	field("m", strconv.FormatFloat(a.MemoryMB, 'x', -1, 64))
+	field("t", a.Text)
+	field("o", fmt.Sprint(a.On))
+	field("y", string(a.Reason))
+	field("s", fmt.Sprint(int64(a.Within)))
+	fmt.Fprintln(w)
+}
+
+// TestGoldenDecisionTrace: the scripted runs give the same actions, bit for bit, as when the trace was written.
+func TestGoldenDecisionTrace(t *testing.T) {
+	stored := golden(t, "snapshot.json", trainedGateway(t).Snapshot())
+	var current bytes.Buffer
+	for _, s := range traceScenarios() {
+		playTrace(t, s, stored, &current)
+	}
+	var packed bytes.Buffer
+	z, _ := gzip.NewWriterLevel(&packed, gzip.BestCompression)
+	if _, err := z.Write(current.Bytes()); err != nil {
+		t.Fatal(err)
+	}
+	if err := z.Close(); err != nil {
+		t.Fatal(err)
+	}
+	unpack, err := gzip.NewReader(bytes.NewReader(golden(t, "decision_trace.txt.gz", packed.Bytes())))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want, err := io.ReadAll(unpack)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkTraceCoverage(t, string(want))
+	if bytes.Equal(current.Bytes(), want) {
+		return
+	}
+	got, old := strings.Split(current.String(), "\n"), strings.Split(string(want), "\n")
+	for i := range min(len(got), len(old)) {
+		if got[i] != old[i] {
+			t.Fatalf("line %d of the trace:\n%s\nwant\n%s", i+1, got[i], old[i])
+		}
+	}
+	t.Fatalf("the trace has %d lines, want %d", len(got), len(old))
+}
+
+// checkTraceCoverage: each scenario shows the actions that it is for, so that the trace proves something.
+func checkTraceCoverage(t *testing.T, trace string) {
+	t.Helper()
+	counts := map[string]int{}
+	scenario := ""
+	for line := range strings.Lines(trace) {
+		fields := strings.Fields(line)
+		if fields[0] == "scenario" {
+			scenario = fields[1]
+		}
+		counts[scenario+" "+fields[0]]++
+	}
+	for _, c := range []struct {
+		scenario string
+		types    []ActionType
+	}{
+		{"peers", []ActionType{Send, SetTimer, Tell, Refuse, Fail, Probe, Cancel, SetTerms}},
+		{"reports", []ActionType{Send, SetTimer, Refuse, Fail, Probe, Cancel, SetTerms, Subscribe}},
+		{"single", []ActionType{Send, SetTimer, Refuse, Cancel}},
+		{"large", []ActionType{Send, SetTimer, Tell, Refuse, Fail, Cancel}},
+	} {
+		for _, a := range c.types {
+			if n := counts[fmt.Sprint(c.scenario, " ", int(a))]; n < 3 {
+				t.Errorf("scenario %s: action type %d occurs %d times", c.scenario, int(a), n)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/golden_test.go
@@ -0,0 +1,172 @@
+package cresspass
+
+import (
+	"bytes"
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+)
+
+// Snapshots are stored and peer messages are sent between processes of different versions, so bytes that
+// an earlier version wrote stand under testdata and must be read, and written, as they were.
+
+var updateGolden = flag.Bool("update", false, "write the golden files under testdata anew")
+
+// golden returns the bytes of a golden file; with -update it writes them first.
+func golden(t *testing.T, name string, current []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *updateGolden {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, current, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	data, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
+}
+
+// trainedGateway has learnt from a fixed sequence of outcomes.
+func trainedGateway(t *testing.T) *Gateway {
+	t.Helper()
+	cfg := testConfig()
+	cfg.TakesGrants, cfg.KindMemoryMB, cfg.TellsCost = true, []float64{8192, 16384}, true
+	b := newBench(t, cfg, std("e1"), std("e2"), EngineInfo{ID: "e3", Kind: "big", Zone: "b"})
+	random := rand.New(rand.NewPCG(11, 13))
+	for id := range QueryID(400) {
+		class := []string{"short", "load", "bound", "cell"}[random.IntN(4)]
+		ev := Event{Type: QueryTaken, Query: id + 1, Class: class, TimeLeft: b.g.classes[class].Deadline,
+			HasCost: random.IntN(3) > 0, Cost: time.Duration(50+random.IntN(400)) * ms,
+			MemoryMB: float64(100 + random.IntN(300))}
+		for _, a := range append([]Action(nil), b.at(20*ms, ev)...) {
+			if a.Type == Send {
+				took := time.Duration(100+random.IntN(900)) * ms
+				done := ended(a, 0, OK, took)
+				done.WorkDone, done.NeededMB = took, float64(random.IntN(500))
+				b.at(20*ms, done)
+			}
+		}
+	}
+	return b.g
+}
+
+// TestGoldenSnapshot: a snapshot written by an earlier version is read with its values, and the same outcomes
+// are written as the same bytes.
+func TestGoldenSnapshot(t *testing.T) {
+	trained := trainedGateway(t)
+	data := golden(t, "snapshot.json", trained.Snapshot())
+	if got := trained.Snapshot(); !bytes.Equal(got, data) {
+		t.Errorf("the snapshot of the same outcomes is\n%s\nwant\n%s", got, data)
+	}
+	g, err := New(testConfig())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := g.Restore(data, 0); err != nil {
+		t.Fatal(err)
+	}
+	near := func(what string, got, want float64) {
+		if math.Abs(got-want) > 1e-12*math.Max(1, math.Abs(want)) {
+			t.Errorf("%s: %v restored, want %v", what, got, want)
+		}
+	}
+	for i, c := range g.order {
+		was := trained.order[i]
+		near(c.Name+" scale", c.scale, was.scale)
+		near(c.Name+" seen", c.seen, was.seen)
+		near(c.Name+" work", c.work, was.work)
+		near(c.Name+" grant", c.grant, was.grant)
+	}
+	for name, k := range g.kinds {
+		for i, row := range k.weights {
+			for j, v := range row {
+				near(fmt.Sprintf("kind %s weight %d,%d", name, i, j), v, trained.kinds[name].weights[i][j])
+			}
+		}
+	}
+	if trained.kinds["std"].weights[0][0] == 0 || trained.order[0].scale == 1 {
+		t.Error("the golden snapshot holds nothing that was learnt")
+	}
+}
+
+// goldenPeerMessages are the four types of message with entries at, between and beyond their limits.
+func goldenPeerMessages() (all []struct {
+	m       peerMessage
+	entries []peerEntry
+}) {
+	var many []peerEntry
+	for i := range 90 {
+		many = append(many, peerEntry{tag: uint16(i * 727), load: float64(i * 3), good: i % 18, bad: i % 5})
+	}
+	few := []peerEntry{{tag: 0, load: 0}, {tag: 0xffff, load: 254.9, good: 15, bad: 15},
+		{tag: engineTag("10.0.0.1:7000"), load: 1e9, good: 99, bad: 99}, {tag: 0x1234, load: -3, good: 1}}
+	for _, m := range []peerMessage{1, 2, 3, 4} {
+		for _, entries := range [][]peerEntry{nil, few, many} {
+			all = append(all, struct {
+				m       peerMessage
+				entries []peerEntry
+			}{m, entries})
+		}
+	}
+	return all
+}
+
+// TestGoldenPeerMessages: what gateways of an earlier version send is read, and written, byte for byte.
+func TestGoldenPeerMessages(t *testing.T) {
+	var current bytes.Buffer
+	var read []string
+	for _, c := range goldenPeerMessages() {
+		for _, data := range encodePeer(c.m, c.entries) {
+			fmt.Fprintln(&current, hex.EncodeToString(data))
+		}
+		if len(c.entries) == 0 {
+			read = append(read, fmt.Sprint(int(c.m)))
+		}
+		for _, e := range c.entries {
+			good, bad := min(e.good, 15), min(e.bad, 15)
+			if c.m != 1 {
+				good, bad = 0, 0
+			}
+			load := math.Floor(math.Min(math.Max(e.load, 0), 255))
+			read = append(read, fmt.Sprint(int(c.m), " ", e.tag, " ", load, " ", good, " ", bad))
+		}
+	}
+	data := golden(t, "peer_messages.txt", current.Bytes())
+	if !bytes.Equal(current.Bytes(), data) {
+		t.Errorf("messages are written as\n%s\nwant\n%s", current.Bytes(), data)
+	}
+	var got []string
+	for _, line := range bytes.Fields(data) {
+		message, err := hex.DecodeString(string(line))
+		if err != nil {
+			t.Fatal(err)
+		}
+		m, entries := decodePeer(message)
+		if len(entries) == 0 {
+			got = append(got, fmt.Sprint(int(m)))
+		}
+		for _, e := range entries {
+			got = append(got, fmt.Sprint(int(m), " ", e.tag, " ", e.load, " ", e.good, " ", e.bad))
+		}
+	}
+	if fmt.Sprint(got) != fmt.Sprint(read) {
+		t.Errorf("messages are read as\n%v\nwant\n%v", got, read)
+	}
+	if got := EngineTag("10.0.0.1:7000"); got != engineTag("10.0.0.1:7000") || got != goldenTag {
+		t.Errorf("tag of an engine is %#x, want %#x", got, goldenTag)
+	}
+}
+
+// goldenTag stands for the engine 10.0.0.1:7000 in messages.
+const goldenTag = 0x53fa
