--- /dev/null
+++ b/internal/platform/golden_test.go
@@ -0,0 +1,216 @@
+package platform
+
+import (
+	"bytes"
+	"encoding/hex"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"cresspass/internal/thrift"
+)
+
+// The files under testdata hold what other processes write to a dispatcher or read from it. They keep their
+// form whatever the code is called. UPDATE_GOLDEN=1 writes them anew.
+
+// compareGolden compares bytes with those of a file under testdata.
+func compareGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if os.Getenv("UPDATE_GOLDEN") != "" {
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s: got\n%s\nwant\n%s", path, got, want)
+	}
+}
+
+// TestGoldenConfig: a configuration as the platform writes it keeps its keys and what they mean.
+func TestGoldenConfig(t *testing.T) {
+	r := &rig{t: t, board: &notices{}, sockets: 256}
+	r.board.add(true, "s-1", "127.0.0.1:1", "up")
+	compareGolden(t, "config.json", r.config("127.0.0.1:2"))
+	cfg, err := Load(filepath.Join("testdata", "config.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	got := fmt.Sprintln(cfg.Name, cfg.Listen, cfg.Seed, cfg.Limits.Cores, cfg.Limits.MemoryMB,
+		cfg.Limits.Sockets, cfg.Board, cfg.Known.Rev, cfg.ConnectTimeout, cfg.ConnIdle, cfg.Module.Seed,
+		cfg.Module.ReportFields)
+	want := fmt.Sprintln("n0", "127.0.0.1:0", "8c1f30d27a5be964", 1, 64, 256, "127.0.0.1:2", 1,
+		250*time.Millisecond, 15*time.Second, uint64(0x8c1f30d27a5be964)>>1, []string{"load_share", "depth"})
+	if got != want {
+		t.Errorf("got  %swant %s", got, want)
+	}
+	if n := cfg.Known.Notices; len(n) != 1 || n[0].Rev != 1 || n[0].Pool == nil || !n[0].Pool.Full ||
+		len(n[0].Pool.Servers) != 1 || n[0].Pool.Servers[0].ID != "s-1" ||
+		n[0].Pool.Servers[0].Addr != "127.0.0.1:1" || n[0].Pool.Servers[0].State != "up" {
+		t.Errorf("known: %+v", n)
+	}
+	var classes []string
+	for _, c := range cfg.Module.Classes {
+		classes = append(classes, c.Name+" "+c.Deadline.String())
+	}
+	if want := []string{"quick 2s", "load 8s", "turn 8s"}; !slices.Equal(classes, want) {
+		t.Errorf("classes %q, want %q", classes, want)
+	}
+}
+
+// recorder passes connections on to a server and keeps the bytes that came on each.
+type recorder struct {
+	mu    sync.Mutex
+	conns []*bytes.Buffer
+}
+
+// newRecorder returns a recorder before a server, and its address.
+func newRecorder(t *testing.T, server string) (*recorder, string) {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	r := &recorder{}
+	go func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			r.forward(c, server)
+		}
+	}()
+	return r, ln.Addr().String()
+}
+
+func (r *recorder) forward(c net.Conn, server string) {
+	to, err := net.Dial("tcp", server)
+	if err != nil {
+		c.Close()
+		return
+	}
+	received := &bytes.Buffer{}
+	r.mu.Lock()
+	r.conns = append(r.conns, received)
+	r.mu.Unlock()
+	go func() {
+		defer c.Close()
+		io.Copy(c, to)
+	}()
+	go func() {
+		defer to.Close()
+		b := make([]byte, 4096)
+		for {
+			n, err := c.Read(b)
+			r.mu.Lock()
+			received.Write(b[:n])
+			r.mu.Unlock()
+			if _, failed := to.Write(b[:n]); err != nil || failed != nil {
+				return
+			}
+		}
+	}()
+}
+
+var (
+	contentLength = regexp.MustCompile(`(?i)\r\ncontent-length: (\d+)`)
+	varying       = regexp.MustCompile(`(?i)\r\n(host|x-max-ms): [^\r]*`)
+)
+
+// requests returns the requests that came, sorted, each once, with its host and deadline left out.
+func (r *recorder) requests() (list []string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, received := range r.conns {
+		rest := received.String()
+		for {
+			head, body, found := strings.Cut(rest, "\r\n\r\n")
+			length := 0
+			if m := contentLength.FindStringSubmatch(head); m != nil {
+				length, _ = strconv.Atoi(m[1])
+			}
+			if !found || len(body) < length {
+				break
+			}
+			list = append(list, varying.ReplaceAllString(head, "\r\n$1: *")+"\r\n\r\n"+body[:length])
+			rest = body[length:]
+		}
+	}
+	slices.Sort(list)
+	return slices.Compact(list)
+}
+
+// TestGoldenRequests: what compute nodes and the notice board are sent keeps its bytes.
+func TestGoldenRequests(t *testing.T) {
+	r := &rig{t: t, node: newNode(t), board: newNotices(t), sockets: 256,
+		path: filepath.Join(t.TempDir(), "config.json")}
+	r.node.pages = 2
+	toNode, nodeAddr := newRecorder(t, address(r.node.Server))
+	toBoard, boardAddr := newRecorder(t, address(r.board.Server))
+	r.board.add(true, "s-1", nodeAddr, "up")
+	if err := os.WriteFile(r.path, r.config(boardAddr), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	r.serve()
+	a := r.dial()
+	a.served(1, 2)
+	a.ask(fields(ticket(2), "load", "8000", "unique", strings.Repeat("ab", 16)))
+	if h := a.hear(); h.kind != "answer" {
+		t.Fatalf("keyed: %+v", h)
+	}
+	r.node.withhold(0, ticket(3))
+	seq := a.ask(fields(ticket(3), "quick", "60000"))
+	within(t, "it is asked about", func() bool { return r.node.count("GET 0 "+ticket(3)) > 0 })
+	a.net.Write(thrift.AppendCancel(nil, 99, seq))
+	within(t, "it is given up", func() bool { return r.node.count("DELETE "+ticket(3)) == 1 })
+	r.probe("s-1", nodeAddr)
+	compareGolden(t, "node_requests.txt", []byte(strings.Join(toNode.requests(), "\n----\n")))
+	within(t, "the board is asked", func() bool { return len(toBoard.requests()) > 0 })
+	compareGolden(t, "discovery_request.txt", []byte(strings.Join(toBoard.requests(), "\n----\n")))
+}
+
+// TestGoldenReplies: what clients are answered keeps its bytes.
+func TestGoldenReplies(t *testing.T) {
+	r := newRig(t, 256)
+	r.node.pages = 2
+	a := r.dial()
+	var got bytes.Buffer
+	reply := func(name string) {
+		t.Helper()
+		var head [4]byte
+		if _, err := io.ReadFull(a.in, head[:]); err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		frame := make([]byte, int(head[2])<<8|int(head[3]))
+		if _, err := io.ReadFull(a.in, frame); err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		fmt.Fprintf(&got, "%s\n%s", name, hex.Dump(append(head[:], frame...)))
+	}
+	a.net.Write(thrift.AppendAlive(nil, 100))
+	reply("alive")
+	a.ask(fields(ticket(1), "quick", "2000"))
+	reply("answer of two pages")
+	a.ask(fields(ticket(2), "quick", "1"))
+	reply("shed, with a time to come back")
+	a.ask(fields(ticket(3), "quack", "2000"))
+	reply("fault of the request")
+	a.net.Write([]byte{0, 0, 0, 17, 0x80, 1, 0, 1, 0, 0, 0, 4, 'n', 'o', 'n', 'e', 0, 0, 0, 9, 0})
+	reply("no such method")
+	compareGolden(t, "client_replies.txt", got.Bytes())
+}
