--- /dev/null
+++ b/internal/invariant/golden_test.go
@@ -0,0 +1,87 @@
+package invariant
+
+import (
+	"bytes"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+// update has the golden files written anew: UPDATE_GOLDEN=1 go test ./...
+var update = os.Getenv("UPDATE_GOLDEN") != ""
+
+// golden returns what a golden file holds; with update it is first written from what the code gives now.
+func golden(t *testing.T, name, now string) string {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if update {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(now), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	data, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(data)
+}
+
+// TestGoldenNames: the names of the invariants are keys of the health answer and values in the log, so they
+// outlive every rename in the code.
+func TestGoldenNames(t *testing.T) {
+	names := []Name{SentAfterEnd, SentTooLate, SentToDrained, SentOutOfOrder, SentOutsideLife, SentWrongPlace,
+		RepeatedUnsafe, RepeatedBeside, RepeatedLate, RepeatedOverBudget, AnsweredTwice, ClosedWithOpen,
+		TakenOutsideLife}
+	var now strings.Builder
+	for _, name := range names {
+		now.WriteString(string(name) + "\n")
+	}
+	if want := golden(t, "names.txt", now.String()); now.String() != want {
+		t.Errorf("names %q, want %q", now.String(), want)
+	}
+}
+
+// TestGoldenViolationLines: a violation is logged as in the golden files, in both formats of the dispatcher's
+// log, and Logged finds these lines, and those of a crash, and no others.
+func TestGoldenViolationLines(t *testing.T) {
+	noTime := func(_ []string, a slog.Attr) slog.Attr {
+		if a.Key == slog.TimeKey {
+			return slog.Time(slog.TimeKey, time.Unix(1764640000, 0).UTC())
+		}
+		return a
+	}
+	options := &slog.HandlerOptions{ReplaceAttr: noTime}
+	for _, format := range []string{"text", "json"} {
+		var log bytes.Buffer
+		var handler slog.Handler = slog.NewTextHandler(&log, options)
+		if format == "json" {
+			handler = slog.NewJSONHandler(&log, options)
+		}
+		counter := NewCounter(slog.New(handler))
+		counter.Count(violated(RepeatedUnsafe, "%d attempts may have run", 2), "17")
+		counter.Count(violated(SentOutOfOrder, "key %q has query %d out", "a\"b", 3), "t-4")
+		counter.Count(stale(SentTooLate, "%v after the client's time", time.Second), "18")
+		written := log.String()
+		if want := golden(t, "violations."+format+".log", written); written != want {
+			t.Errorf("%s: logged\n%s, want\n%s", format, written, want)
+		}
+		lines := strings.Split(strings.TrimSuffix(written, "\n"), "\n")
+		lines = append(lines, "panic: runtime error", "fatal error: all goroutines are asleep")
+		others := "time=2026-12-02 level=INFO msg=figures violations=\"\"\ngoroutine 1 [running]:\n"
+		path := filepath.Join(t.TempDir(), "log")
+		whole := others + strings.Join(lines, "\n") + "\n" + others
+		if err := os.WriteFile(path, []byte(whole), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if found, err := Logged(path); err != nil || !slices.Equal(found, lines) || len(found) != 4 {
+			t.Errorf("%s: found %q, %v, want %q", format, found, err, lines)
+		}
+	}
+}
--- /dev/null
+++ b/internal/verdict/golden_test.go
@@ -0,0 +1,57 @@
+package verdict
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+)
+
+// update has the golden file written anew: UPDATE_GOLDEN=1 go test ./...
+var update = os.Getenv("UPDATE_GOLDEN") != ""
+
+// TestGoldenTexts: clients receive the code and the texts of a verdict, so they outlive every rename in the
+// code.
+func TestGoldenTexts(t *testing.T) {
+	var now strings.Builder
+	for _, c := range []struct {
+		name    string
+		verdict *Verdict
+	}{
+		{"rejected", Refuse(1500*time.Millisecond, false, "")},
+		{"rejected, last error", Refuse(0, false, "connection refused")},
+		{"rejected, may have run", Refuse(time.Second, true, "")},
+		{"rejected, may have run, last error", Refuse(0, true, "reset")},
+		{"failed", Fail("")},
+		{"failed, last error", Fail("reset")},
+		{"limit", Limit("too many queries")},
+		{"after a restart", Earlier(2 * time.Second)},
+		{"shutting down, not started", Stopping(false)},
+		{"shutting down, started", Stopping(true)},
+		{"invalid", Fault("22023", "no such class")},
+		{"cancelled", Cancel()},
+		{"connection lost", Lost("08007", "a message", "a detail")},
+	} {
+		v := c.verdict
+		fmt.Fprintf(&now, "%s: kind %d code %q message %q detail %q retry after %v may have run %v\n", c.name,
+			v.Kind, v.Code, v.Message, v.Detail, v.Wait, v.Ran)
+	}
+	path := filepath.Join("testdata", "texts.txt")
+	if update {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(now.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if now.String() != string(want) {
+		t.Errorf("verdicts\n%s, want\n%s", now.String(), want)
+	}
+}
