--- /dev/null
+++ b/internal/discovery/golden_test.go
@@ -0,0 +1,80 @@
+package discovery
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"cresspass"
+)
+
+// TestGoldenNotice: the recorded notice, as a configuration holds the known ones and the service sends them,
+// is read with its values, and written as the same bytes.
+func TestGoldenNotice(t *testing.T) {
+	want := Notice{Rev: 12, Pool: &Pool{Version: 3, Full: true, Servers: []Server{
+		{ID: "n1", Addr: "10.0.0.1:8080", Zone: "z1", Kind: "large", Cell: 2, State: "up", Weight: 4.5,
+			Started: 40},
+		{ID: "n2", Addr: "10.0.0.2:8080", Zone: "z2", Kind: "small", State: "draining", Weight: 1},
+		{ID: "n3", State: "removed"}}}}
+	path := filepath.Join("testdata", "golden", "notice.json")
+	written, err := json.Marshal(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if os.Getenv("UPDATE_GOLDEN") != "" {
+		if err := os.WriteFile(path, written, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	data, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(written, data) {
+		t.Errorf("\n got %s\nwant %s", written, data)
+	}
+	var got Notice
+	if err := json.Unmarshal(data, &got); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("%+v, %v", got, err)
+	}
+}
+
+// TestGoldenStream: the recorded event stream gives the module the lists that it gave when it was recorded.
+func TestGoldenStream(t *testing.T) {
+	stream, err := os.ReadFile(filepath.Join("testdata", "golden", "stream.txt"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var p Parser
+	var lists []cresspass.Event
+	follower := newFollower()
+	take := func(ev Event) {
+		list, v, err := follower.Take(ev)
+		if err != nil || v != Taken {
+			t.Errorf("event %d: %v, %v", ev.ID, v, err)
+		}
+		lists = append(lists, list)
+	}
+	if err := p.Feed(stream, take); err != nil {
+		t.Fatal(err)
+	}
+	want := []cresspass.Event{
+		{Type: cresspass.EngineList, Listing: cresspass.ListFull, Engines: []cresspass.EngineInfo{
+			{ID: "n1", State: cresspass.EngineOn, Kind: "large", Zone: "z1", Cell: 2, Size: 4.5,
+				Started: 40 * time.Millisecond},
+			{ID: "n2", State: cresspass.EngineDraining, Kind: "small", Zone: "z2", Size: 1}}},
+		{Type: cresspass.EngineList, Listing: cresspass.ListChanges, Engines: []cresspass.EngineInfo{
+			{ID: "n2", State: cresspass.EngineGone}}},
+		{Type: cresspass.EngineList},
+	}
+	if !reflect.DeepEqual(lists, want) {
+		t.Errorf("\n got %+v\nwant %+v", lists, want)
+	}
+	if follower.Last() != 14 || follower.Addr("n1") != "10.0.0.1:8080" || follower.Addr("n2") != "" {
+		t.Errorf("at %d, n1 at %q, n2 at %q", follower.Last(), follower.Addr("n1"), follower.Addr("n2"))
+	}
+}
--- /dev/null
+++ b/internal/thriftfront/golden_test.go
@@ -0,0 +1,96 @@
+package thriftfront
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"cresspass/internal/thrift"
+)
+
+// TestGoldenReplies: what is replied at once to a message is the recorded bytes, the texts that clients read
+// included; UPDATE_GOLDEN=1 records them.
+func TestGoldenReplies(t *testing.T) {
+	const long = "0123456789012345678901234567890123456789 and more"
+	good := func(seq int32, pairs ...string) []byte {
+		usual := []string{"verb", "quick", "limit", "100", "txn", ticket(int(seq))}
+		return call(seq, append(usual, pairs...)...)
+	}
+	for _, c := range []struct {
+		name  string
+		frame []byte
+	}{
+		{"taken", good(1)}, // no reply
+		{"number_open", good(1, "txn", ticket(9))},
+		{"txn_open", good(2, "txn", ticket(1))},
+		{"txn_form", good(3, "txn", long)},
+		{"verb_unknown", good(4, "verb", "none")},
+		{"no_statement", thrift.AppendDispatch(nil, 5, [][2]string{{"verb", "quick"}, {"limit", "100"},
+			{"txn", ticket(5)}}, nil)[thrift.FrameHeader:]},
+		{"team_too_long", good(6, "team", string(make([]byte, 257)))},
+		{"unique_form", good(7, "unique", "xyz")},
+		{"unique_wanted", good(8, "verb", "load")},
+		{"limit_zero", good(9, "limit", "0")},
+		{"limit_negative", good(10, "limit", "-1")},
+		{"limit_too_large", good(11, "limit", "3600001")},
+		{"limit_no_number", good(12, "limit", "NaN")},
+		{"cpu_no_number", good(13, "cpu", "much")},
+		{"heap_too_large", good(14, "heap_mb", "1e10")},
+		{"cancel", thrift.AppendCancel(nil, 15, 1)[thrift.FrameHeader:]}, // no reply
+		{"alive", thrift.AppendAlive(nil, 16)[thrift.FrameHeader:]},
+		{"reply", thrift.AppendAnswer(nil, "alive", 17, true)[thrift.FrameHeader:]}, // ends the connection
+	} {
+		checkReply(t, New(&cfg), c.name, c.frame, good(1))
+	}
+	full, now := New(&cfg), zero
+	full.Connect(now, 1)
+	for seq := range int32(OpenMost) {
+		full.Message(now, 1, full.Read(good(seq+100)))
+	}
+	reply := full.Message(now, 1, full.Read(good(99))).Say
+	compareGolden(t, "too_many_open", reply)
+	leaving := New(&cfg)
+	leaving.Connect(now, 1)
+	leaving.Leave()
+	compareGolden(t, "alive_leaving", leaving.Message(now, 1,
+		leaving.Read(thrift.AppendAlive(nil, 3)[thrift.FrameHeader:])).Say)
+	// A call of a method that does not exist, and one that is cut.
+	unknown := []byte{0x80, 1, 0, 1, 0, 0, 0, 1, 'x', 0, 0, 0, 1, 0}
+	checkReply(t, New(&cfg), "unknown_method_call", unknown, good(1))
+	checkReply(t, New(&cfg), "cut", good(18)[:40], good(1))
+	tooDeep := append([]byte{0x80, 1, 0, 1, 0, 0, 0, 1, 'x', 0, 0, 0, 1},
+		bytes.Repeat([]byte{12, 0, 9}, 40)...)
+	checkReply(t, New(&cfg), "too_deep", tooDeep, good(1))
+	checkReply(t, New(&cfg), "bytes_after", append(good(19), 0), good(1))
+	checkReply(t, New(&cfg), "type_unknown", []byte{0x80, 1, 0, 1, 0, 0, 0, 1, 'x', 0, 0, 0, 1, 99, 0, 1},
+		good(1))
+}
+
+// checkReply compares the reply to a frame that comes after another one on a new connection.
+func checkReply(t *testing.T, b *State, name string, frame, before []byte) {
+	t.Helper()
+	b.Connect(zero, 1)
+	if name != "taken" {
+		b.Message(zero, 1, b.Read(before))
+	}
+	compareGolden(t, name, b.Message(zero, 1, b.Read(frame)).Say)
+}
+
+// compareGolden compares a reply with the recorded bytes of testdata/golden.
+func compareGolden(t *testing.T, name string, reply []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name+".bin")
+	if os.Getenv("UPDATE_GOLDEN") != "" {
+		if err := os.WriteFile(path, reply, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(reply, want) {
+		t.Errorf("%s:\n got %q\nwant %q", name, reply, want)
+	}
+}
