--- /dev/null
+++ b/internal/daemon/golden_test.go
@@ -0,0 +1,226 @@
+package daemon
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"cresspass/internal/invariant"
+	"cresspass/internal/life"
+)
+
+// The files under testdata hold what earlier builds answered and sent. In a hand-over two builds talk.
+var update = flag.Bool("update", false, "write the golden files anew")
+
+func golden(t *testing.T, name string, today []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, today, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	stored, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return stored
+}
+
+// Health keeps its keys, and is read from the answer of an earlier build.
+func TestGoldenHealth(t *testing.T) {
+	want := Health{State: "ready", Ready: true, Trouble: true, Clients: 1, Open: 2, Taken: 3, Served: 4,
+		Refused: 5, Failed: 6, Gone: 7, Violations: map[invariant.Name]uint64{invariant.SentAfterEnd: 8},
+		Withheld: map[invariant.Name]uint64{invariant.SentTooLate: 9}}
+	var written bytes.Buffer
+	for _, h := range []Health{want, {State: "starting"}} {
+		if err := json.NewEncoder(&written).Encode(h); err != nil {
+			t.Fatal(err)
+		}
+	}
+	stored := golden(t, "health.json", written.Bytes())
+	if !bytes.Equal(written.Bytes(), stored) {
+		t.Errorf("health is written as\n%s, it was\n%s", written.Bytes(), stored)
+	}
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Path != "/health" {
+			t.Errorf("health was asked for at %s", r.URL.Path)
+		}
+		w.Write(stored)
+	}))
+	defer s.Close()
+	defer http.DefaultClient.CloseIdleConnections()
+	got, err := Ask(context.Background(), strings.TrimPrefix(s.URL, "http://"))
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("read %+v, %v, want %+v", got, err, want)
+	}
+}
+
+// The names of states stand in the health answer.
+func TestGoldenStates(t *testing.T) {
+	var written strings.Builder
+	for _, s := range []life.State{life.Starting, life.Ready, life.Handing, life.Draining, life.Over} {
+		fmt.Fprintln(&written, s)
+	}
+	if stored := golden(t, "states.txt", []byte(written.String())); written.String() != string(stored) {
+		t.Errorf("states are called\n%s, they were\n%s", written.String(), stored)
+	}
+}
+
+// handOver is what both sides say in a hand-over, in order, from testdata.
+func handOver(t *testing.T) map[string]string {
+	said := map[string]string{}
+	stored := golden(t, "handover.txt", []byte("successor socket\npredecessor here\nsuccessor serving\n"+
+		"predecessor draining\nrejected no another hand-over is under way, or this dispatcher ends\n"))
+	for i, line := range strings.Split(strings.TrimSpace(string(stored)), "\n") {
+		_, text, _ := strings.Cut(line, " ")
+		said[[]string{"request", "listeners", "serving", "draining", "rejected"}[i]] = text + "\n"
+	}
+	for key, today := range map[string]string{"request": askSocket, "listeners": sayHere,
+		"serving": sayServing, "draining": sayDraining} {
+		if said[key] != today+"\n" {
+			t.Errorf("%s is said as %q, it was %q", key, today, said[key])
+		}
+	}
+	return said
+}
+
+func unixPair(t *testing.T) (*net.UnixListener, string) {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "sock")
+	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	return ln, path
+}
+
+func listenTCP(t *testing.T) *net.TCPListener {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	return ln.(*net.TCPListener)
+}
+
+// A successor of an earlier build is served: it says the recorded lines and hears the recorded ones.
+func TestGoldenHandOverToEarlierBuild(t *testing.T) {
+	said := handOver(t)
+	path := filepath.Join(t.TempDir(), "sock")
+	events := make(chan life.Event, 8)
+	h, err := listenHeirs(path, events, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer h.close()
+	c, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(10 * time.Second))
+	c.Write([]byte(said["request"]))
+	asked := <-events
+	if asked.Type != life.Successor {
+		t.Fatalf("event %+v", asked)
+	}
+	h.give(asked.Who, listenTCP(t), listenTCP(t))
+	b, oob := make([]byte, 256), make([]byte, 256)
+	n, oobn, _, _, err := c.ReadMsgUnix(b, oob)
+	if err != nil || string(b[:n]) != said["listeners"] {
+		t.Fatalf("told %q, %v, want %q", b[:n], err, said["listeners"])
+	}
+	messages, err := syscall.ParseSocketControlMessage(oob[:oobn])
+	if err != nil || len(messages) != 1 {
+		t.Fatalf("%d control messages, %v", len(messages), err)
+	}
+	fds, err := syscall.ParseUnixRights(&messages[0])
+	if err != nil || len(fds) != 2 {
+		t.Errorf("%d sockets, %v", len(fds), err)
+	}
+	for _, fd := range fds {
+		syscall.Close(fd)
+	}
+	c.Write([]byte(said["serving"]))
+	if ev := <-events; ev.Type != life.Took || ev.Who != asked.Who {
+		t.Errorf("event %+v", ev)
+	}
+	lines := bufio.NewReader(c)
+	h.let()
+	if line, err := lines.ReadString('\n'); err != nil || line != said["draining"] {
+		t.Errorf("told %q, %v, want %q", line, err, said["draining"])
+	}
+	h.decline(asked.Who)
+	if line, err := lines.ReadString('\n'); err != nil || line != said["rejected"] {
+		t.Errorf("told %q, %v, want %q", line, err, said["rejected"])
+	}
+	if ev := <-events; ev.Type != life.Lost || ev.Who != asked.Who {
+		t.Errorf("event %+v", ev)
+	}
+}
+
+// A predecessor of an earlier build is succeeded, and one that rejects is understood.
+func TestGoldenHandOverFromEarlierBuild(t *testing.T) {
+	said := handOver(t)
+	for _, rejected := range []bool{false, true} {
+		ln, path := unixPair(t)
+		ends := make(chan error, 1)
+		given := listenTCP(t)
+		go func() {
+			ends <- func() error {
+				c, err := ln.AcceptUnix()
+				if err != nil {
+					return err
+				}
+				defer c.Close()
+				line, err := bufio.NewReader(c).ReadString('\n')
+				if err != nil || line != said["request"] {
+					return fmt.Errorf("asked %q, %v", line, err)
+				}
+				if rejected {
+					_, err = c.Write([]byte(said["rejected"]))
+					return err
+				}
+				f, err := given.File()
+				if err != nil {
+					return err
+				}
+				defer f.Close()
+				_, _, err = c.WriteMsgUnix([]byte(said["listeners"]), syscall.UnixRights(int(f.Fd())), nil)
+				return err
+			}()
+		}()
+		sockets, f, err := takeSockets(path)
+		if e := <-ends; e != nil {
+			t.Fatal(e)
+		}
+		if rejected {
+			if err == nil || !strings.Contains(err.Error(), strings.TrimSpace(said["rejected"])) {
+				t.Errorf("rejected: %v", err)
+			}
+			continue
+		}
+		if err != nil || len(sockets) != 1 || sockets[0].Addr().String() != given.Addr().String() {
+			t.Fatalf("sockets %v, %v", sockets, err)
+		}
+		sockets[0].Close()
+		f.close()
+	}
+}
--- /dev/null
+++ b/internal/state/golden_test.go
@@ -0,0 +1,273 @@
+package state
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"testing"
+	"time"
+
+	"cresspass/internal/orphan"
+)
+
+// The files under testdata hold what earlier builds wrote. A build that can't read them, or that writes other
+// bytes for the same values, breaks the state directories of running dispatchers.
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// goldenTime has a zone and parts of a second, as the wall clock gives them.
+var goldenTime = time.Date(2026, 1, 5, 9, 0, 0, 123456789, time.FixedZone("", 3600))
+
+const goldenBoot = "3e1c0b1a-7b5a-4c8e-9a53-1f2d3c4b5a69"
+
+var goldenWrites = []Load{
+	{ID: 0x1122334455667788, Class: "load", Key: "repo-7", Hash: 18446744073709551615,
+		Engine: "127.0.0.1:7001", At: goldenTime, Boot: goldenBoot, Up: 90 * time.Minute,
+		Window: 15 * time.Second, All: true},
+	// Without an ordering key, and of a machine whose boot is not known.
+	{ID: 2, Class: "write", Engine: "127.0.0.1:7002", Hash: 9, At: goldenTime.Add(time.Second).UTC(),
+		Window: 500 * time.Millisecond},
+	{ID: 3, Class: "write", Engine: "127.0.0.1:7002", Hash: 10, At: goldenTime, Window: time.Minute},
+}
+
+var goldenSessions = []orphan.Session{
+	{ID: 41, Engine: "127.0.0.1:7001", PID: 4294967295, Secret: []byte{0, 1, 2, 255},
+		Life: "cresspass-0-1badcafe"},
+	{ID: 42, Engine: "127.0.0.1:7002", PID: 17, Life: "cresspass-0-2badcafe"},
+}
+
+// goldenRecords returns a record of every kind, as a dispatcher that was killed leaves them.
+func goldenRecords() []Record {
+	return []Record{
+		Life("cresspass-0-1badcafe"), Born(1767600000123456789),
+		Learnt(goldenTime, []byte("\x00model state\xff")),
+		Kept(goldenSessions[0]), Sent(goldenWrites[0]), Sent(goldenWrites[1]), Sent(goldenWrites[2]),
+		Ended(goldenWrites[2].ID), Freed(goldenSessions[0].ID), Life("cresspass-0-2badcafe"), Swept(),
+		Kept(goldenSessions[1]), Born(1767600000123456790),
+	}
+}
+
+func golden(t *testing.T, name string, today []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, today, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	stored, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return stored
+}
+
+// openGolden opens a directory whose log has the given bytes.
+func openGolden(t *testing.T, stored []byte) []Record {
+	t.Helper()
+	dir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, "state"), stored, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	l, records, notes := openLog(t, dir)
+	if err := l.Close(); err != nil {
+		t.Error(err)
+	}
+	if len(notes) > 0 {
+		t.Errorf("notes on a sound log: %v", notes)
+	}
+	return records
+}
+
+// A log of every kind of record keeps its bytes: today's encoder writes them and today's decoder reads them.
+func TestGoldenLog(t *testing.T) {
+	want := goldenRecords()
+	written := header()
+	for _, r := range want {
+		written = appendRecord(written, r)
+	}
+	stored := golden(t, "log-killed.bin", written)
+	if !bytes.Equal(written, stored) {
+		t.Errorf("the log is written as\n%q, it was\n%q", written, stored)
+	}
+	records := openGolden(t, stored)
+	same := func(a, b Record) bool { return a.Kind == b.Kind && bytes.Equal(a.Payload, b.Payload) }
+	if !slices.EqualFunc(records, want, same) {
+		t.Fatalf("read %v, want %v", records, want)
+	}
+	book := NewBook()
+	if odd := book.Take(records); odd != 0 {
+		t.Errorf("%d records were not read", odd)
+	}
+	now := Instant{Wall: goldenTime.Add(time.Second), Boot: goldenBoot,
+		Up: 90*time.Minute + time.Second}
+	open := book.Open(now)
+	if len(open) != 2 {
+		t.Fatalf("open: %+v", open)
+	}
+	for i, got := range open {
+		want := goldenWrites[i]
+		if !got.At.Equal(want.At) && want.Boot != "" {
+			t.Errorf("sent at %v, want %v", got.At, want.At)
+		}
+		got.At, want.At = time.Time{}, time.Time{}
+		if want.Boot == "" { // of an unknown boot: counts from now on
+			want.Boot, want.Up = now.Boot, now.Up
+		}
+		if got != want {
+			t.Errorf("read %+v, want %+v", got, want)
+		}
+	}
+	if kept := book.Kept(); len(kept) != 1 || !reflect.DeepEqual(kept[0], goldenSessions[1]) {
+		t.Errorf("sessions: %+v", kept)
+	}
+	if lives := book.Lives(); !reflect.DeepEqual(lives, []string{"cresspass-0-2badcafe"}) {
+		t.Errorf("names: %q", lives)
+	}
+	data, age := book.Learnt(goldenTime.Add(time.Minute))
+	if string(data) != "\x00model state\xff" || age.Truncate(time.Millisecond) != time.Minute {
+		t.Errorf("model state %q of age %v", data, age)
+	}
+	if book.Born() != 1767600000123456790 || book.Clean() {
+		t.Errorf("number %d, clean %v", book.Born(), book.Clean())
+	}
+}
+
+// A log that was rewritten holds the fewest records, in this order.
+func TestGoldenRewrittenLog(t *testing.T) {
+	book := NewBook()
+	book.Take(goldenRecords())
+	written := header()
+	for _, r := range book.Records(Instant{Wall: goldenTime, Boot: goldenBoot,
+		Up: 90*time.Minute + time.Second}) {
+		written = appendRecord(written, r)
+	}
+	stored := golden(t, "log-rewritten.bin", written)
+	if !bytes.Equal(written, stored) {
+		t.Errorf("the log is rewritten as\n%q, it was\n%q", written, stored)
+	}
+	again := NewBook()
+	if odd := again.Take(openGolden(t, stored)); odd != 0 {
+		t.Errorf("%d records were not read", odd)
+	}
+	if len(again.Open(Instant{Wall: goldenTime})) != 2 || len(again.Kept()) != 1 || len(again.Lives()) != 1 ||
+		again.Born() != 1767600000123456790 {
+		t.Errorf("read %+v", again)
+	}
+}
+
+// A dispatcher that stopped in good order leaves no sessions, and its writes that had no end.
+func TestGoldenStoppedLog(t *testing.T) {
+	written := header()
+	for _, r := range append(goldenRecords(), Stopped()) {
+		written = appendRecord(written, r)
+	}
+	stored := golden(t, "log-stopped.bin", written)
+	if !bytes.Equal(written, stored) {
+		t.Errorf("the log is written as\n%q, it was\n%q", written, stored)
+	}
+	book := NewBook()
+	if odd := book.Take(openGolden(t, stored)); odd != 0 {
+		t.Errorf("%d records were not read", odd)
+	}
+	if !book.Clean() || len(book.Kept()) != 0 || len(book.Lives()) != 0 ||
+		len(book.Open(Instant{Wall: goldenTime})) != 2 {
+		t.Errorf("read %+v", book)
+	}
+}
+
+// The numbers of the kinds stand in stored logs.
+func TestGoldenKinds(t *testing.T) {
+	for want, r := range map[Kind]Record{1: Sent(Load{}), 2: Ended(1), 3: Learnt(goldenTime, nil),
+		4: Stopped(), 5: Life("x"), 6: Kept(orphan.Session{}), 7: Freed(1), 8: Swept(), 9: Born(1)} {
+		if r.Kind != want {
+			t.Errorf("kind %d, want %d: %q", r.Kind, want, r.Payload)
+		}
+	}
+}
+
+// Records of builds before the boot clock was noted, and of later builds with fields and kinds that are not
+// known here, are read as far as they are known.
+func TestGoldenOldAndLaterRecords(t *testing.T) {
+	id := []byte{7, 0, 0, 0, 0, 0, 0, 0}
+	old := `{"class":"load","key":"k","hash":5,"engine":"e","at":"2026-01-05T08:00:00Z",` +
+		`"window":15000000000,"all":true}`
+	later := `{"class":"load","key":"k","hash":6,"engine":"e","at":"2026-01-05T08:00:00Z",` +
+		`"boot":"b","up":1000000000,"window":15000000000,"all":false,"later":[1]}`
+	session := `{"engine":"e","pid":3,"secret":"AAEC/w==","life":"cresspass-0-1","later":1}`
+	written := header()
+	for _, r := range []Record{{1, append(bytes.Clone(id), old...)},
+		{1, append([]byte{8, 0, 0, 0, 0, 0, 0, 0}, later...)}, {6, append(bytes.Clone(id), session...)},
+		{200, []byte("later")}, {1, append(bytes.Clone(id), "{"...)}} {
+		written = appendRecord(written, r)
+	}
+	stored := golden(t, "log-old-and-later.bin", written)
+	if !bytes.Equal(written, stored) {
+		t.Errorf("the log is written as\n%q, it was\n%q", written, stored)
+	}
+	book := NewBook()
+	if odd := book.Take(openGolden(t, stored)); odd != 2 {
+		t.Errorf("%d records were not read, want 2", odd)
+	}
+	at := time.Date(2026, 1, 5, 8, 0, 0, 0, time.UTC)
+	open := book.Open(Instant{Wall: at})
+	want := []Load{
+		{ID: 7, Class: "load", Key: "k", Hash: 5, Engine: "e", At: at, Window: 15 * time.Second, All: true},
+		{ID: 8, Class: "load", Key: "k", Hash: 6, Engine: "e", At: at, Window: 15 * time.Second}}
+	if !reflect.DeepEqual(open, want) {
+		t.Errorf("read %+v, want %+v", open, want)
+	}
+	kept := []orphan.Session{{ID: 7, Engine: "e", PID: 3, Secret: []byte{0, 1, 2, 255},
+		Life: "cresspass-0-1"}}
+	if !reflect.DeepEqual(book.Kept(), kept) {
+		t.Errorf("read %+v, want %+v", book.Kept(), kept)
+	}
+}
+
+// The keys of stored JSON come from tags, and are these.
+func TestGoldenJSON(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		value any
+	}{{"write.json", goldenWrites[0]}, {"write-unknown-boot.json", goldenWrites[1]},
+		{"session.json", goldenSessions[0]}} {
+		written, err := json.Marshal(c.value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if stored := golden(t, c.name, written); !bytes.Equal(written, stored) {
+			t.Errorf("%s is written as\n%s, it was\n%s", c.name, written, stored)
+		}
+	}
+}
+
+// The names of the files in a state directory stay.
+func TestGoldenFileNames(t *testing.T) {
+	dir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, "state"), []byte("cresspass state\x02\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	s, _, err := OpenStore(dir, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.Put(Stopped())
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	entries, err := os.ReadDir(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var names []string
+	for _, e := range entries {
+		names = append(names, e.Name())
+	}
+	if !reflect.DeepEqual(names, []string{"lock", "state", "state.damaged"}) {
+		t.Errorf("files %q", names)
+	}
+}
