--- a/cmd/cresspass/main.go
+++ b/cmd/cresspass/main.go
@@ -40,15 +40,20 @@
 
 func main() {
 	var c cli
-	k := kong.Parse(&c, kong.Name("cresspass"), kong.UsageOnError(),
-		kong.Description("Admits queries and routes them to analytic engines, by PostgreSQL's protocol."),
-		kong.BindSingletonProvider(untilToldToEnd))
+	k := kong.Parse(&c, parserOptions()...)
 	if err := k.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "cresspass:", err)
 		os.Exit(1)
 	}
 }
 
+// parserOptions are those of the command line.
+func parserOptions() []kong.Option {
+	return []kong.Option{kong.Name("cresspass"), kong.UsageOnError(),
+		kong.Description("Admits queries and routes them to analytic engines, by PostgreSQL's protocol."),
+		kong.BindSingletonProvider(untilToldToEnd)}
+}
+
 // untilToldToEnd returns the context of the commands that take one: it ends with SIGINT or SIGTERM. Danger:
 // for a dispatcher it must not be made. It takes those signals, and one that comes before the dispatcher
 // itself listens for them would be lost.
--- /dev/null
+++ b/internal/roster/golden_test.go
@@ -0,0 +1,96 @@
+package roster
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	endpointv3 "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
+	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
+	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/types/known/anypb"
+)
+
+// updateGolden is the environment variable that has the golden files written again. They hold stored and sent
+// forms: a change of their bytes is a change of a format that running dispatchers read.
+const updateGolden = "UPDATE_GOLDEN"
+
+// golden returns a file of testdata, which current replaces where updateGolden is set.
+func golden(t *testing.T, name string, current []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if os.Getenv(updateGolden) != "" {
+		if err := os.WriteFile(path, current, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	stored, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return stored
+}
+
+// The cached list of an earlier version is read, and this version writes the same bytes.
+func TestGoldenCachedList(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "list")
+	if err := Save(path, sample()); err != nil {
+		t.Fatal(err)
+	}
+	current, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	stored := golden(t, "cached-list", current)
+	if !bytes.Equal(current, stored) {
+		t.Errorf("the cached list is written as %q, want %q", current, stored)
+	}
+	if err := os.WriteFile(path, stored, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if l, err := Load(path); err != nil || !reflect.DeepEqual(l, sample()) {
+		t.Errorf("the stored list is read as %+v, %v", l, err)
+	}
+}
+
+// The resource that an earlier version sent by endpoint discovery is read, and this version sends an equal one.
+func TestGoldenAssignment(t *testing.T) {
+	assignment, err := Assignment("engines", sample())
+	if err != nil {
+		t.Fatal(err)
+	}
+	current, err := proto.MarshalOptions{Deterministic: true}.Marshal(assignment)
+	if err != nil {
+		t.Fatal(err)
+	}
+	stored := golden(t, "assignment.pb", current)
+	var sent endpointv3.ClusterLoadAssignment
+	if err := proto.Unmarshal(stored, &sent); err != nil {
+		t.Fatal(err)
+	}
+	if !proto.Equal(&sent, assignment) {
+		t.Errorf("the resource is sent as %v, want %v", assignment, &sent)
+	}
+	l, err := NewEDS("127.0.0.1:1", "engines", "node", nil).read(&discoveryv3.DiscoveryResponse{
+		VersionInfo: "7",
+		TypeUrl:     TypeURL,
+		Resources:   []*anypb.Any{{TypeUrl: TypeURL, Value: stored}},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := sample().Engines; len(l.Engines) != len(want) || l.Version != "7" {
+		t.Fatalf("the stored resource is read as %+v", l)
+	}
+	for i, want := range sample().Engines {
+		got := l.Engines[i]
+		if !got.Started.Equal(want.Started) {
+			t.Errorf("%s started at %v, want %v", got.Address, got.Started, want.Started)
+		}
+		if got.Started = want.Started; got != want {
+			t.Errorf("engine %+v, want %+v", got, want)
+		}
+	}
+}
