--- /dev/null
+++ b/internal/talk/golden_test.go
@@ -0,0 +1,133 @@
+package talk
+
+import (
+	"bytes"
+	"encoding/binary"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"cresspass/internal/knowledge"
+	"cresspass/internal/ordinal"
+)
+
+// golden compares the bytes that this version writes with those of testdata, and returns the latter.
+// UPDATE_GOLDEN=1 in the environment writes the file anew; only a change of the packet version may need it.
+func golden(t *testing.T, file string, written []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", file)
+	if os.Getenv("UPDATE_GOLDEN") != "" {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, written, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	stored, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(written, stored) {
+		t.Errorf("%s: this version writes\n%x\nthe file has\n%x", file, written, stored)
+	}
+	return stored
+}
+
+// goldenRecords have every field set, the greatest and the least values among them.
+func goldenRecords() []knowledge.Told {
+	return []knowledge.Told{
+		{Key: knowledge.Key{Engine: "10.0.0.1:5432", Fact: knowledge.Health}, Observer: "hall-a-1",
+			Age: 1500 * time.Millisecond, Seq: 42, Value: 1, Hops: 2},
+		{Key: knowledge.Key{Engine: "10.0.0.2:5432", Fact: knowledge.Load}, Observer: "hall-b-2",
+			Age: 0, Seq: 1, Value: 12.25, Hops: 0},
+		{Key: knowledge.Key{Engine: "[::1]:5432", Fact: knowledge.Warmth}, Observer: "hall-c-3",
+			Age: 4294967295 * time.Millisecond, Seq: 1<<64 - 1, Value: 86400.5, Hops: 255},
+		{Key: knowledge.Key{Fact: knowledge.Weight, Class: "c/dash/scale"}, Observer: "(former)",
+			Age: time.Hour, Seq: 7, Value: 0.0625, Hops: 11},
+		{Key: knowledge.Key{Fact: knowledge.Weight, Class: "k/std/\"dash\"/*"}, Observer: "",
+			Age: time.Millisecond, Seq: 8, Value: 3, Hops: 1},
+	}
+}
+
+// Packets of every kind as dispatchers sent them on 2026-12-02: a fleet that is rolled has both versions at
+// once, so each is read with the same values, and written with the same bytes.
+func TestGoldenPackets(t *testing.T) {
+	var digest knowledge.Digest
+	for i := range digest {
+		digest[i] = uint64(i)<<56 | 0x0102030405060708*uint64(i)
+	}
+	records := Encode(goldenRecords())
+	if len(records) != 1 {
+		t.Fatalf("%d pieces", len(records))
+	}
+	for _, c := range []struct {
+		file string
+		kind byte // as sent
+		data []byte
+	}{
+		{"packet-1-message.bin", 1, []byte{3, 0xab, 0xcd, 2}},
+		{"packet-2-digest.bin", 2, appendDigest(digest)},
+		{"packet-3-observations.bin", 3, records[0]},
+		{"packet-4-bootstrap-request.bin", 4, nil},
+		{"packet-5-bootstrap-reply.bin", 5, append([]byte{1, 3}, records[0]...)},
+		{"packet-6-bootstrap-empty.bin", 6, nil},
+		{"packet-7-name-conflict.bin", 7, binary.BigEndian.AppendUint64(nil, 1764633600123456789)},
+	} {
+		want := header{kind: kind(c.kind), born: 1764633600000000001, seq: 0x0102030405060708,
+			clock: 25*time.Hour + 123*time.Millisecond, name: "hall-a-1"}
+		stored := golden(t, c.file, want.append(c.data))
+		h, data, ok := readHeader(stored)
+		if !ok || h != want || !bytes.Equal(data, c.data) {
+			t.Errorf("%s: read as %+v, %x, %v", c.file, h, data, ok)
+			continue
+		}
+		if stored[0] != 2 || stored[1] != c.kind {
+			t.Errorf("%s: version %d, kind %d", c.file, stored[0], stored[1])
+		}
+		switch c.kind {
+		case 2:
+			if d, ok := readDigest(data); !ok || d != digest {
+				t.Errorf("%s: read as %v, %v", c.file, d, ok)
+			}
+		case 3, 5:
+			if c.kind == 5 {
+				data = data[2:]
+			}
+			if all, err := Decode(data); err != nil || !reflect.DeepEqual(all, goldenRecords()) {
+				t.Errorf("%s: read as %+v, %v", c.file, all, err)
+			}
+		}
+		receiver := one("b", 1, 0)
+		receiver.Alive(24*time.Hour, ordinal.Member{Name: "hall-a-1", Born: want.born, Claim: 0})
+		receiver.Packet(24*time.Hour, stored)
+		if st := receiver.Stats(); st.Taken != 1 || st.Unread != 0 || st.Unknown != 0 || st.Old != 0 {
+			t.Errorf("%s: a member's packet: %+v", c.file, st)
+		}
+	}
+}
+
+// What a dispatcher has learnt, in as many pieces as packets need, joined: so it stands in the state folder
+// and in a hand-over.
+func TestGoldenStoredRecords(t *testing.T) {
+	var all []knowledge.Told
+	for i := range 60 {
+		for _, r := range goldenRecords() {
+			r.Seq, r.Value = r.Seq+uint64(i), r.Value+float64(i)
+			all = append(all, r)
+		}
+	}
+	pieces := Encode(all)
+	if len(pieces) < 2 {
+		t.Fatalf("%d pieces", len(pieces))
+	}
+	stored := golden(t, "observations.bin", bytes.Join(pieces, nil))
+	if read, err := Decode(stored); err != nil || !reflect.DeepEqual(read, all) {
+		t.Errorf("read as %+v, %v", read, err)
+	}
+	if _, err := Decode(stored[:len(stored)-1]); err != errCut {
+		t.Errorf("cut short: %v", err)
+	}
+}
