--- /dev/null
+++ b/internal/backend/golden_test.go
@@ -0,0 +1,100 @@
+package backend
+
+import (
+	"container/list"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"cresspass"
+	"cresspass/internal/answer"
+	"cresspass/internal/ask"
+	"cresspass/internal/params"
+	"cresspass/internal/sqlscan"
+)
+
+// TestEngineBytesAreStable compares the requests that an engine is sent, and what its errors are taken for,
+// with what the version that introduced this test gave.
+func TestEngineBytesAreStable(t *testing.T) {
+	p := NewPool(Config{MaxConnections: 4, MaxPrepared: 2, ReportFields: 2})
+	defer p.Close()
+	c := &conn{pool: p, engine: p.engine("engine"), names: map[string]*list.Element{}, recent: list.New(),
+		priority: -1}
+	settings := (*params.Set)(nil).With("search_path", "set search_path = a")
+	noValues := []byte{0, 0, 0, 0, 0, 0}
+	var got strings.Builder
+	for _, a := range []*Attempt{
+		{Priority: -1}, // a health check
+		{Ask: &ask.Ask{Kind: ask.Simple, Text: "select 1", Rest: true}, Priority: 3, MemoryMB: 64.9},
+		{Ask: &ask.Ask{Kind: ask.Simple, Text: "select 2", Rest: true}, Priority: 3, MemoryMB: 64.9},
+		{Ask: &ask.Ask{Kind: ask.Simple, Text: "select 3", Rest: true}, Priority: -1, MemoryMB: 0.2},
+		{Ask: &ask.Ask{Kind: ask.Simple, Text: "select 4", Rest: true, Settings: settings}, Priority: 0},
+		{Ask: &ask.Ask{Kind: ask.Simple, Text: "select 5", Settings: nil}, Priority: -1},
+		{Ask: &ask.Ask{Kind: ask.Execute, Text: "select $1", Types: "\x00\x00\x00\x19", Bind: noValues,
+			Describe: true, Rows: 7, Rest: true}, Priority: -1},
+		{Ask: &ask.Ask{Kind: ask.Execute, Text: "select $1", Types: "\x00\x00\x00\x19", Bind: noValues},
+			Priority: -1},
+		{Ask: &ask.Ask{Kind: ask.DescribeStatement, Text: "select 6"}, Priority: -1},
+		{Ask: &ask.Ask{Kind: ask.DescribePortal, Text: "select 7", Bind: noValues}, Priority: -1},
+		{Ask: &ask.Ask{Kind: ask.Execute, Text: "select 8", Bind: noValues, Portal: "p"}, Priority: -1},
+		{Ask: &ask.Ask{Kind: ask.Execute, Text: "select 8", Portal: "p", More: true, Rows: 2}, Priority: -1},
+		{Ask: &ask.Ask{Kind: ask.Execute, Text: "copy t from stdin", Bind: noValues,
+			Parsed: sqlscan.Statements("copy t from stdin")}, Priority: -1},
+	} {
+		if a.Ask != nil {
+			a.Answer = answer.New(nil, &answer.Budget{}, 0)
+		}
+		c.skip, c.gated, c.syncOwed, c.preparing = 0, nil, false, ""
+		fmt.Fprintf(&got, "request %q\n", c.request(a))
+		fmt.Fprintf(&got, "  skip %d gated %q sync owed %v preparing %q\n", c.skip, c.gated, c.syncOwed,
+			c.preparing)
+	}
+	for _, code := range []string{"", "00000", "01000", "02000", "03000", "08006", "08P01", "09000", "0A000",
+		"0B000", "0F000", "0L000", "0P000", "0Z000", "20000", "21000", "22012", "23505", "24000", "25P02",
+		"26000", "27000", "28000", "2B000", "2D000", "2F000", "34000", "38000", "39000", "3B000", "3D000",
+		"3F000", "40001", "42P01", "44000", "53000", "53100", "53200", "53300", "53400", "54000", "55000",
+		"57000", "57014", "57P01", "57P02", "57P03", "57P05", "58000", "58030", "72000", "F0000", "HV000",
+		"P0001", "XX000", "XX001", "123"} {
+		outcome, own := blame(code)
+		c.copyFailed = true
+		copyOutcome, copyOwn := c.blame(code)
+		fmt.Fprintf(&got, "error %q outcome %d own %v never ran %v; of a failed copy %d %v\n", code, outcome,
+			own, neverRan(code), copyOutcome, copyOwn)
+	}
+	for _, v := range []string{"", "1", "1,2", "1.5,-2e3", "1,x", "1,2,3", " 1,2"} {
+		fmt.Fprintf(&got, "load %q %v\n", v, c.loads(v))
+	}
+	r := notBegun(cresspass.Moot)
+	fmt.Fprintf(&got, "not begun: outcome %d message %q\n", r.Outcome, r.Message)
+	compareGolden(t, "requests.txt", got.String())
+}
+
+// compareGolden compares a text with a file under testdata; with UPDATE_GOLDEN set it writes the file first.
+func compareGolden(t *testing.T, name, got string) {
+	t.Helper()
+	file := filepath.Join("testdata", name)
+	if os.Getenv("UPDATE_GOLDEN") != "" {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	b, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got == string(b) {
+		return
+	}
+	have, want := strings.Split(got, "\n"), strings.Split(string(b), "\n")
+	for i := range min(len(have), len(want)) {
+		if have[i] != want[i] {
+			t.Fatalf("%s:%d: got\n%s\nwant\n%s", file, i+1, have[i], want[i])
+		}
+	}
+	t.Fatalf("%s: got %d lines, want %d", file, len(have), len(want))
+}
--- /dev/null
+++ b/internal/grpcstatus/golden_test.go
@@ -0,0 +1,87 @@
+package grpcstatus
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"google.golang.org/genproto/googleapis/rpc/errdetails"
+	"google.golang.org/grpc/codes"
+
+	"cresspass/internal/pgwire"
+	"cresspass/internal/verdict"
+)
+
+// TestStatusesAreStable compares the statuses that clients are sent with what the version that introduced
+// this test gave.
+func TestStatusesAreStable(t *testing.T) {
+	var got strings.Builder
+	write := func(s *Status) {
+		fmt.Fprintf(&got, "%v %q pushback %q ran %v\n", s.Code(), s.Message(), s.PushbackText(), s.Ran)
+		for _, d := range s.Details() {
+			switch d := d.(type) {
+			case *errdetails.ErrorInfo:
+				var pairs []string
+				for k, v := range d.Metadata {
+					pairs = append(pairs, k+"="+v)
+				}
+				slices.Sort(pairs)
+				fmt.Fprintf(&got, "  info %s %s %v\n", d.Reason, d.Domain, pairs)
+			case *errdetails.RetryInfo:
+				fmt.Fprintf(&got, "  retry %v\n", d.RetryDelay.AsDuration())
+			default:
+				fmt.Fprintf(&got, "  detail %T\n", d)
+			}
+		}
+	}
+	for _, v := range []*verdict.Verdict{verdict.Refuse(0, false, ""), verdict.Refuse(time.Second, true,
+		"last"),
+		verdict.Fail(""), verdict.Fail("last"), verdict.Limit("full"), verdict.Earlier(time.Second),
+		verdict.Stopping(false), verdict.Stopping(true), verdict.Fault("22023", "x"), verdict.Cancel(),
+		verdict.Lost("08006", "a", "b"), {Kind: verdict.Faulty, Code: "25000", Message: "over", Detail: "d"},
+		{Kind: verdict.Cancelled, Code: "57P01", Message: "m", Detail: "d"}} {
+		write(Of(v))
+	}
+	write(Fault(codes.NotFound, "none"))
+	write(OfEngine(&pgwire.Fields{Code: "42P01", Message: "m", Detail: "d", Hint: "h"}))
+	for _, code := range []string{"57014", "23505", "42P04", "42P05", "42P06", "42P07", "42710", "42723",
+		"42P01",
+		"42703", "42704", "42883", "3D000", "3F000", "26000", "34000", "42501", "25P03", "57P05", "0A000",
+		"22012", "42601", "03000", "28P01", "23514", "25001", "24000", "55006", "2B000", "2D000", "3B000",
+		"44000", "27000", "54000", "40001", "53100", "58000", "XX000", "", "1"} {
+		write(OfEngine(&pgwire.Fields{Code: code, Message: "m"}))
+	}
+	compareGolden(t, "statuses.txt", got.String())
+}
+
+// compareGolden compares a text with a file under testdata; with UPDATE_GOLDEN set it writes the file first.
+func compareGolden(t *testing.T, name, got string) {
+	t.Helper()
+	file := filepath.Join("testdata", name)
+	if os.Getenv("UPDATE_GOLDEN") != "" {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	b, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got == string(b) {
+		return
+	}
+	have, want := strings.Split(got, "\n"), strings.Split(string(b), "\n")
+	for i := range min(len(have), len(want)) {
+		if have[i] != want[i] {
+			t.Fatalf("%s:%d: got\n%s\nwant\n%s", file, i+1, have[i], want[i])
+		}
+	}
+	t.Fatalf("%s: got %d lines, want %d", file, len(have), len(want))
+}
--- /dev/null
+++ b/internal/params/golden_test.go
@@ -0,0 +1,70 @@
+package params
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"cresspass/internal/sqlscan"
+)
+
+// TestStatementsAreStable compares what engines are told of a session's settings, and how a SET is read, with
+// what the version that introduced this test gave.
+func TestStatementsAreStable(t *testing.T) {
+	var got strings.Builder
+	for _, value := range []string{"", "a", "a, b", `it's`, `back\slash`, "ä"} {
+		fmt.Fprintf(&got, "value %q\n", Value("search_path", value))
+	}
+	var names []string
+	for name := range replayed {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	for _, name := range names {
+		fmt.Fprintf(&got, "replayed %s told as %q\n", name, Reported(name))
+	}
+	a := (*Set)(nil).With("search_path", "set search_path = a").With("jit", "set jit = off")
+	b := a.With("search_path", "set search_path = b").With("geqo", "set geqo = off").With("jit", "")
+	fmt.Fprintf(&got, "from none %q\nfrom a %q\nto none %q\n", Diff(nil, a), Diff(a, b), Diff(b, nil))
+	for _, text := range []string{"set search_path = a, b", "SET SESSION TimeZone TO 'x=y TO z'",
+		"set local jit = off", "set time zone 'Europe/Paris'", "set time zone local", "set names 'latin1'",
+		`set "Search_Path" to a`, "set datestyle to default", "set my.x=1", "set x", "set role none",
+		"set transaction read only", "set session characteristics as transaction read only"} {
+		st := sqlscan.Statements(text)[0]
+		name, value, ok := Assignment(&st)
+		change, replay := Of(&st)
+		fmt.Fprintf(&got, "assignment %q: %q %q %v; change %q %v\n", text, name, value, ok, change, replay)
+	}
+	compareGolden(t, "statements.txt", got.String())
+}
+
+// compareGolden compares a text with a file under testdata; with UPDATE_GOLDEN set it writes the file first.
+func compareGolden(t *testing.T, name, got string) {
+	t.Helper()
+	file := filepath.Join("testdata", name)
+	if os.Getenv("UPDATE_GOLDEN") != "" {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	b, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got == string(b) {
+		return
+	}
+	have, want := strings.Split(got, "\n"), strings.Split(string(b), "\n")
+	for i := range min(len(have), len(want)) {
+		if have[i] != want[i] {
+			t.Fatalf("%s:%d: got\n%s\nwant\n%s", file, i+1, have[i], want[i])
+		}
+	}
+	t.Fatalf("%s: got %d lines, want %d", file, len(have), len(want))
+}
--- /dev/null
+++ b/internal/session/golden_test.go
@@ -0,0 +1,250 @@
+package session
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"cresspass/internal/ask"
+	"cresspass/internal/params"
+	"cresspass/internal/pgwire"
+)
+
+// event is something that happens to a session.
+type event func(s *Session)
+
+// send has the client send bytes.
+func send(b []byte) event { return func(s *Session) { s.Data(b) } }
+
+// finish ends the query that is out as an engine's answer does.
+func finish(kind ask.Kind, tag string, status byte, b []byte, failed bool) event {
+	return func(s *Session) {
+		if tag != "" {
+			s.Tag(tag)
+		}
+		s.Pin.Ready(0, status)
+		s.Done(kind, b, failed)
+	}
+}
+
+// copyMode is the engine's CopyInResponse.
+func copyMode(s *Session) { s.Copy() }
+
+func startup(parameters ...string) event {
+	return send(pgwire.AppendStartup(nil, pgwire.Version30, parameters...))
+}
+
+func query(text string) event { return send(pgwire.AppendText(nil, 'Q', text)) }
+
+// extended sends messages of the extended protocol, and a Sync.
+func extended(all ...[]byte) event {
+	var b []byte
+	for _, m := range all {
+		b = append(b, m...)
+	}
+	return send(pgwire.AppendSync(b))
+}
+
+// TestClientBytesAreStable plays conversations with clients and compares all that a client is sent, and all
+// that is put to an engine, with what the version that introduced this test gave.
+func TestClientBytesAreStable(t *testing.T) {
+	noValues := []byte{0, 0, 0, 0, 0, 0}
+	parse := func(name, text string, types ...byte) []byte {
+		return pgwire.AppendParse(nil, name, text,
+			types)
+	}
+	bind := func(portal, statement string) []byte {
+		return pgwire.AppendBind(nil, portal, statement,
+			noValues)
+	}
+	target := func(kind, of byte, name string) []byte { return pgwire.AppendTarget(nil, kind, of, name) }
+	execute := func(portal string, rows int32) []byte { return pgwire.AppendExecute(nil, portal, rows) }
+	done := pgwire.AppendText(nil, 'C', "SELECT 1")
+	failed := pgwire.AppendFields(nil, 'E', &pgwire.Fields{Severity: "ERROR", Code: "42P01",
+		Message: "no table"})
+	user := startup("user", "u")
+	var got strings.Builder
+	simple := []event{user}
+	for _, text := range []string{"", ";", "show statement_timeout", "set statement_timeout = '5s'",
+		"show statement_timeout", "set statement_timeout to default", "set statement_timeout = 250",
+		"set statement_timeout = 'soon'", "set application_name to 'me'", "show application_name",
+		"show server_version", "show server_encoding", "show client_encoding", "show datestyle",
+		"show timezone", "show time zone", "show standard_conforming_strings", "show extra_float_digits",
+		"show integer_datetimes", "show transaction_read_only", "show transaction isolation level",
+		"show default_transaction_isolation", "show transaction_isolation",
+		"show default_transaction_read_only",
+		"set client_encoding = 'UTF-8'", "show client_encoding", "set names 'utf8'", "set time zone 'UTC'",
+		"set datestyle = 'ISO, MDY'", "set extra_float_digits = 3; show extra_float_digits",
+		"reset statement_timeout", "reset all", "discard temp", "discard all", "deallocate nothing",
+		"deallocate all", "deallocate prepare \"x\""} {
+		simple = append(simple, query(text))
+	}
+	for _, c := range []struct {
+		name   string
+		events []event
+	}{
+		{"startup", []event{user}},
+		{"startup with a database and a name", []event{startup("user", "u", "database", "d",
+			"application_name", "a", "client_encoding", "UTF8")}},
+		{"startup of version 3.2", []event{send(pgwire.AppendStartup(nil, pgwire.Version32, "user", "u"))}},
+		{"startup of a later version", []event{send(pgwire.AppendStartup(nil, pgwire.Version32+5, "user",
+			"u"))}},
+		{"startup with an unknown option", []event{startup("user", "u", "_pq_.some", "1")}},
+		{"startup with options", []event{startup("user", "u", "options",
+			`-c statement_timeout=3min -cextra_float_digits=2 --search_path=a\ b --DateStyle=German`),
+			query("show statement_timeout"), query("select 1")}},
+		{"startup with a replayed setting", []event{startup("user", "u", "TimeZone", "Europe/Paris"),
+			query("show timezone"), query("reset all"), query("select 1"),
+			finish(ask.Simple, "SELECT 1", 'I', done, false), query("set timezone = 'UTC'")}},
+		{"startup with a setting that is not served", []event{startup("user", "u", "work_mem", "1GB")}},
+		{"startup with a wrong time", []event{startup("user", "u", "statement_timeout", "x")}},
+		{"startup without a user", []event{startup("database", "d")}},
+		{"startup for replication", []event{startup("user", "u", "replication", "database")}},
+		{"startup of version 2", []event{send(pgwire.AppendStartup(nil, 2<<16, "user", "u"))}},
+		{"startup in pieces behind a request for encryption", []event{send([]byte{0, 0, 0, 8, 4, 210, 22,
+			48}),
+			send([]byte{0, 0}), send([]byte{0, 16, 0, 3, 0, 0, 'u', 's', 'e'}),
+			send([]byte("r\x00u\x00\x00"))}},
+		{"request for encryption", []event{send([]byte{0, 0, 0, 8, 4, 210, 22, 47}),
+			send([]byte{0, 0, 0, 8, 4, 210, 22, 48}), user}},
+		{"startup too long", []event{send([]byte{0, 1, 0, 0, 0, 3, 0, 0})}},
+		{"cancel request", []event{send(pgwire.AppendCancel(nil, 7, []byte("kkkk")))}},
+		{"simple queries served here", simple},
+		{"simple query", []event{user, query("select 1"), finish(ask.Simple, "SELECT 1", 'I', done, false),
+			query("select nothing"), finish(ask.Simple, "", 'I', failed, true), query("show timezone")}},
+		{"transaction", []event{user, query("begin"), finish(ask.Simple, "BEGIN", 'T',
+			pgwire.AppendText(nil, 'C', "BEGIN"), false), query("show timezone"),
+			finish(ask.Simple, "SHOW", 'T', done, false), query("bad"), finish(ask.Simple, "", 'E', failed,
+				true),
+			query("rollback"), finish(ask.Simple, "ROLLBACK", 'I', done, false), query("show timezone")}},
+		{"replayed setting", []event{user, query("set search_path = a"),
+			finish(ask.Simple, "SET", 'I', done, false), query("select 1"),
+			finish(ask.Simple, "SELECT 1", 'I', done, false), query("show search_path")}},
+		{"session state", []event{user, query("create temp table t (a int)"),
+			finish(ask.Simple, "CREATE TABLE", 'I', done, false), query("show timezone"),
+			finish(ask.Simple, "SHOW", 'I', done, false), query("discard all"),
+			finish(ask.Simple, "DISCARD ALL", 'I', done, false), query("show timezone")}},
+		{"extended query", []event{user, extended(parse("s", "select $1", 0, 0, 0, 25), bind("", "s"),
+			target('D', 'P', ""), execute("", 0)), finish(ask.Execute, "SELECT 1", 'I', done, false)}},
+		{"extended query that fails", []event{user, extended(parse("", "select 1"), bind("", ""),
+			execute("", 5), target('D', 'S', "")), finish(ask.Execute, "", 'I', failed, true),
+			query("show timezone")}},
+		{"portal described by itself", []event{user, extended(parse("", "select 1"), bind("p", ""),
+			target('D', 'P', "p"), target('C', 'P', "p")), finish(ask.DescribePortal, "", 'I', nil, false)}},
+		{"statement described", []event{user, extended(parse("a", "select 1"), target('D', 'S', "a")),
+			finish(ask.DescribeStatement, "", 'I', nil, false)}},
+		{"extended query served here", []event{user, extended(parse("a", "show timezone"), target('D', 'S',
+			"a"),
+			bind("", "a"), target('D', 'P', ""), execute("", 0)), extended(parse("b", ""), bind("", "b"),
+			target('D', 'P', ""), execute("", 0)), query("deallocate a"), extended(target('D', 'S', "a"))}},
+		{"names that are taken or missing", []event{user, extended(parse("a", "select 1"), parse("a",
+			"select 2")),
+			extended(bind("p", "a"), bind("p", "a")), extended(bind("", "none")), extended(execute("none",
+				0)),
+			extended(target('D', 'P', "none")), extended(target('D', 'S', "none")),
+			extended(target('C', 'S', "none"), target('C', 'P', "none")), extended(parse("b", "select 2")),
+			extended(parse("c", "select 3")), extended(parse("", "select 1; select 2"))}},
+		{"portal executed twice", []event{user, extended(parse("", "select 1"), bind("", ""), execute("", 1)),
+			finish(ask.Execute, "", 'I', nil, false), extended(bind("", ""), execute("", 1), execute("", 1)),
+			finish(ask.Execute, "", 'I', nil, false)}},
+		{"portal in a transaction", []event{user, query("begin"), finish(ask.Simple, "BEGIN", 'T', done,
+			false),
+			extended(parse("", "select 1"), bind("p", ""), execute("p", 1)),
+			finish(ask.Execute, "", 'T', nil, false), extended(execute("p", 1)),
+			finish(ask.Execute, "SELECT 1", 'T', done, false)}},
+		{"function call", []event{user, send(pgwire.Append(nil, 'F', []byte{1}))}},
+		{"message out of place", []event{user, send(pgwire.Append(nil, 'p', nil))}},
+		{"message of no known type", []event{user, send([]byte("~~~~~~"))}},
+		{"broken message", []event{user, send(pgwire.Append(nil, 'Q', []byte("no end")))}},
+		{"copy data out of place, flush and terminate", []event{user, send(pgwire.Append(nil, 'd',
+			[]byte("x"))),
+			send(pgwire.Append(nil, 'c', nil)), send(pgwire.AppendFlush(nil)),
+			send(pgwire.Append(nil, 'X', nil)), query("select 1")}},
+		{"too much sent ahead", []event{user, query("select 1"), query(strings.Repeat("x", 20)),
+			query(strings.Repeat("x", 200)), finish(ask.Simple, "SELECT 1", 'I', done, false)}},
+		{"sent ahead", []event{user, query("select 1"), query("select 2"), query("show timezone"),
+			finish(ask.Simple, "SELECT 1", 'I', done, false), finish(ask.Simple, "SELECT 1", 'I', done,
+				false)}},
+		{"copy", []event{user, query("copy t from stdin"), copyMode, send(pgwire.Append(nil, 'd',
+			[]byte("1\n"))),
+			send(pgwire.AppendFlush(nil)), send(pgwire.Append(nil, 'c', nil)),
+			finish(ask.Simple, "COPY 1", 'I', pgwire.AppendText(nil, 'C', "COPY 1"), false)}},
+		{"copy that the client fails", []event{user, query("copy t from stdin"), copyMode,
+			send(pgwire.AppendText(nil, 'f', "why not"))}},
+		{"copy with a query in it", []event{user, query("copy t from stdin"), copyMode,
+			send(pgwire.Append(nil, 'd', []byte("1\n"))), query("select 1"),
+			finish(ask.Simple, "", 'I', failed, true)}},
+		{"copy and terminate", []event{user, query("copy t from stdin"), copyMode,
+			send(pgwire.Append(nil, 'X', nil))}},
+		{"ended from our side", []event{user, func(s *Session) { s.End("57P01", "over") },
+			func(s *Session) { s.End("57P01", "again") }}},
+	} {
+		fmt.Fprintf(&got, "== %s\n", c.name)
+		s := New(&Config{Version: "16.0 (cresspass)", MaxPending: 64, MaxNames: 2}, 7, strings.Repeat("k",
+			32))
+		for _, e := range c.events {
+			e(s)
+			transcribe(&got, s)
+		}
+	}
+	compareGolden(t, "conversations.txt", got.String())
+}
+
+// transcribe writes what a session has to say after an event: one line a message, one for a query.
+func transcribe(w *strings.Builder, s *Session) {
+	w.WriteString("--\n")
+	for b := s.Output(); len(b) > 0; {
+		if b[0] == 'N' && len(b) == 1 { // the answer to a request for encryption is no message
+			w.WriteString("client N\n")
+			break
+		}
+		n := 1 + int(b[1])<<24 + int(b[2])<<16 + int(b[3])<<8 + int(b[4])
+		fmt.Fprintf(w, "client %q %q\n", b[0], b[5:n])
+		b = b[n:]
+	}
+	if a := s.Ask(); a != nil {
+		fmt.Fprintf(w, "engine kind %d text %q types %q bind %q describe %v portal %q more %v rows %d\n",
+			a.Kind,
+			a.Text, a.Types, a.Bind, a.Describe, a.Portal, a.More, a.Rows)
+		fmt.Fprintf(w, "       bound %v pinned %v begins %v rest %v settings %q key %q copies %v\n", a.Bound,
+			a.Pinned, a.Begins, a.Rest, params.Diff(nil, a.Settings), a.Key(), a.Copies())
+	}
+	if b, end := s.Copied(); len(b) > 0 || end != 0 {
+		fmt.Fprintf(w, "copy %q end %d\n", b, end)
+	}
+	if r := s.Cancel(); r != nil {
+		fmt.Fprintf(w, "cancel %d %q\n", r.PID, r.Secret)
+	}
+	fmt.Fprintf(w, "started %v busy %v over %v full %v user %q database %q application %q timeout %v\n",
+		s.Started(), s.Busy(), s.Over(), s.Full(), s.User, s.Database, s.Application, s.Timeout)
+}
+
+// compareGolden compares a text with a file under testdata; with UPDATE_GOLDEN set it writes the file first.
+func compareGolden(t *testing.T, name, got string) {
+	t.Helper()
+	file := filepath.Join("testdata", name)
+	if os.Getenv("UPDATE_GOLDEN") != "" {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	b, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got == string(b) {
+		return
+	}
+	have, want := strings.Split(got, "\n"), strings.Split(string(b), "\n")
+	for i := range min(len(have), len(want)) {
+		if have[i] != want[i] {
+			t.Fatalf("%s:%d: got\n%s\nwant\n%s", file, i+1, have[i], want[i])
+		}
+	}
+	t.Fatalf("%s: got %d lines, want %d", file, len(have), len(want))
+}
--- /dev/null
+++ b/internal/ticket/golden_test.go
@@ -0,0 +1,55 @@
+package ticket
+
+import (
+	"bytes"
+	"encoding/hex"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+)
+
+// TestTicketEncodingIsStable: clients hold tickets and send them back, to a dispatcher of another version
+// too. The bytes under testdata were written by the version that introduced this test.
+func TestTicketEncodingIsStable(t *testing.T) {
+	key := []byte("a key for golden files, 32 bytes")
+	for name, want := range map[string]*Ticket{
+		"read": {Nonce: 1, Session: "0123456789abcdef0123456789abcdef", Text: "select 1",
+			Bind: []byte{0, 0, 0, 0, 0, 1, 0, 1}, Until: 5 * time.Minute},
+		"write": {Nonce: 1 << 60, Session: "conn-00/user", Lane: "tx-0123456789abcdef0123456789abcdef",
+			Text: "insert into t values ($1) -- ä", Types: "\x00\x00\x00\x19",
+			Bind: []byte{0, 0, 0, 1, 0, 0, 0, 1, 'x', 0, 0}, Until: 90*time.Second + 7, Once: true},
+		"empty": {},
+	} {
+		file := filepath.Join("testdata", name+".ticket")
+		if os.Getenv("UPDATE_GOLDEN") != "" {
+			if err := os.MkdirAll("testdata", 0o755); err != nil {
+				t.Fatal(err)
+			}
+			text := hex.EncodeToString(Seal(key, want)) + "\n"
+			if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
+				t.Fatal(err)
+			}
+		}
+		text, err := os.ReadFile(file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		sealed, err := hex.DecodeString(strings.TrimSpace(string(text)))
+		if err != nil {
+			t.Fatalf("%s: %v", file, err)
+		}
+		got, err := Open(key, sealed)
+		if err != nil {
+			t.Fatalf("%s: %v", file, err)
+		}
+		if !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: read as %+v, want %+v", file, got, want)
+		}
+		if now := Seal(key, want); !bytes.Equal(now, sealed) {
+			t.Errorf("%s: sealed as %x, want %x", file, now, sealed)
+		}
+	}
+}
