--- a/cmd/cresspass/load.go
+++ b/cmd/cresspass/load.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"cresspass/internal/rehearse"
+	"cresspass/internal/rehearsal"
 )
 
 type loadCmd struct {
@@ -22,7 +22,7 @@
 
 // Run asks dispatchers at a rate and prints what became of it.
 func (c loadCmd) Run(ctx context.Context) error {
-	counts, faults := rehearse.Load(ctx, c.Addr, []rehearse.Traffic{{Class: c.Class, Rate: c.Rate,
+	counts, faults := rehearsal.Load(ctx, c.Addr, []rehearsal.Traffic{{Class: c.Class, Rate: c.Rate,
 		Work:   c.WorkMS / 1000,
 		Spread: c.Spread, Threads: 1, Rows: c.Rows}}, c.Deadline, c.For, c.Seed)
 	for i := range counts {
--- a/cmd/cresspass/main.go
+++ b/cmd/cresspass/main.go
@@ -19,7 +19,7 @@
 
 	"cresspass/internal/config"
 	"cresspass/internal/daemon"
-	"cresspass/internal/signals"
+	"cresspass/internal/daemon/signals"
 )
 
 type cli struct {
--- a/cmd/cresspass/model.go
+++ b/cmd/cresspass/model.go
@@ -12,10 +12,10 @@
 	"github.com/go-echarts/go-echarts/v2/components"
 
 	"cresspass/experiments"
-	"cresspass/internal/experiment"
-	"cresspass/internal/model"
-	"cresspass/internal/modelplot"
 	"cresspass/internal/recording"
+	"cresspass/internal/simulation"
+	"cresspass/internal/simulation/experiment"
+	"cresspass/internal/simulation/plot"
 	"cresspass/rehearsals"
 )
 
@@ -35,17 +35,17 @@
 }
 
 func (c modelMembersCmd) Run() error {
-	w := model.Calm()
+	w := simulation.Calm()
 	if c.Storm {
-		w = model.Storm()
+		w = simulation.Storm()
 	}
 	for _, n := range c.Sizes {
 		if n < 1 || n > 5000 || c.Engines < 1 {
 			return fmt.Errorf("model members: %d members, %d engines", n, c.Engines)
 		}
 	}
-	all, err := model.Parallel(len(c.Sizes), func(i int) (model.Convergence, error) {
-		return model.Converge(c.Seed, c.Sizes[i], c.Engines, w), nil
+	all, err := simulation.Parallel(len(c.Sizes), func(i int) (simulation.Convergence, error) {
+		return simulation.Converge(c.Seed, c.Sizes[i], c.Engines, w), nil
 	})
 	if err != nil {
 		return err
@@ -56,7 +56,7 @@
 			v.Known.Seconds(),
 			v.Return.Seconds(), v.BytesSecond/1000, v.BytesMost/1000)
 	}
-	return page(c.Report, "members", modelplot.Convergence(all))
+	return page(c.Report, "members", plot.Convergence(all))
 }
 
 type modelNewcomersCmd struct {
@@ -69,16 +69,16 @@
 	if c.Seeds < 2 || c.Seeds > 1000 || c.Told < 0 {
 		return fmt.Errorf("model newcomers: %d seeds, costs told as %g of the truth", c.Seeds, c.Told)
 	}
-	arms := []model.Arm{{Name: "no talk", Talk: model.Silent}, {Name: "cold", Talk: model.Talking},
-		{Name: "newcomers", Talk: model.Newcomers}, {Name: "cold, 1 in 5 lies", Talk: model.Talking,
+	arms := []simulation.Arm{{Name: "no talk", Talk: simulation.Silent}, {Name: "cold", Talk: simulation.Talking},
+		{Name: "newcomers", Talk: simulation.Newcomers}, {Name: "cold, 1 in 5 lies", Talk: simulation.Talking,
 			Liars: 4},
-		{Name: "newcomers, 1 in 5 lies", Talk: model.Newcomers, Liars: 4}}
-	n, err := model.CompareNewcomers(arms, c.Seeds, c.Told)
+		{Name: "newcomers, 1 in 5 lies", Talk: simulation.Newcomers, Liars: 4}}
+	n, err := simulation.CompareNewcomers(arms, c.Seeds, c.Told)
 	if err != nil {
 		return err
 	}
 	printNewcomers(n, 1)
-	return page(c.Report, "newcomers", modelplot.Newcomers(n, "model, simulated servers"))
+	return page(c.Report, "newcomers", plot.Newcomers(n, "model, simulated servers"))
 }
 
 // page writes a page with plots into a folder, where one is named.
@@ -87,7 +87,7 @@
 		return nil
 	}
 	return write(filepath.Join(dir, name+".html"), func(w io.Writer) error {
-		return modelplot.Page(w, "Model: "+name, all...)
+		return plot.Page(w, "Model: "+name, all...)
 	})
 }
 
@@ -107,13 +107,13 @@
 }
 
 // printNewcomers prints each figure, and its difference from one of the arms.
-func printNewcomers(n *model.Comparison, against int) {
-	for f := range model.Figures {
-		fmt.Println(model.Figures[f].Name)
+func printNewcomers(n *simulation.Comparison, against int) {
+	for f := range simulation.Figures {
+		fmt.Println(simulation.Figures[f].Name)
 		for w, since := range n.Windows {
 			for a, arm := range n.Arms {
-				b := model.BarOf(n.Samples(a, w, f))
-				d := model.BarOf(model.Differences(n.Samples(a, w, f), n.Samples(against, w, f)))
+				b := simulation.BarOf(n.Samples(a, w, f))
+				d := simulation.BarOf(simulation.Differences(n.Samples(a, w, f), n.Samples(against, w, f)))
 				fmt.Printf("  %4.0f s  %-24s %6.1f%% ±%4.1f   against cold %+6.1f ±%4.1f\n",
 					since.Seconds(), arm.Name, 100*b.Mean, 100*b.Half, 100*d.Mean, 100*d.Half)
 			}
@@ -192,7 +192,7 @@
 			continue
 		}
 		base := strings.TrimSuffix(filepath.Base(name), ".hcl")
-		if err := page(c.Report, base, modelplot.Experiment(r)); err != nil {
+		if err := page(c.Report, base, plot.Experiment(r)); err != nil {
 			return err
 		}
 		if err := write(filepath.Join(c.Report, base+".txt"), func(w io.Writer) error {
--- a/cmd/cresspass/rehearse.go
+++ b/cmd/cresspass/rehearse.go
@@ -12,14 +12,14 @@
 	"time"
 
 	"cresspass"
-	"cresspass/internal/baseline"
 	"cresspass/internal/config"
 	"cresspass/internal/daemon"
 	"cresspass/internal/dispatch"
-	"cresspass/internal/modelplot"
-	"cresspass/internal/rehearse"
-	"cresspass/internal/rules"
+	"cresspass/internal/rehearsal"
+	"cresspass/internal/rehearsal/rulecheck"
 	"cresspass/internal/server"
+	"cresspass/internal/simulation/baseline"
+	"cresspass/internal/simulation/plot"
 	"cresspass/rehearsals"
 )
 
@@ -52,7 +52,7 @@
 }
 
 // day reads a day by the name it ships under, or from a file.
-func day(name string) (*rehearse.Day, error) {
+func day(name string) (*rehearsal.Day, error) {
 	src, err := rehearsals.Days.ReadFile(name + ".hcl")
 	if errors.Is(err, os.ErrNotExist) {
 		src, err = os.ReadFile(name)
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return rehearse.ParseDay(name, src, func(name string) ([]byte, error) {
+	return rehearsal.ParseDay(name, src, func(name string) ([]byte, error) {
 		return rehearsals.Settings.ReadFile("settings/" + name + ".hcl")
 	})
 }
@@ -93,7 +93,7 @@
 		}
 	}
 	type played struct {
-		result *rehearse.Result
+		result *rehearsal.Result
 		err    error
 	}
 	results := make([]chan played, len(c.Days))
@@ -124,7 +124,7 @@
 	return nil
 }
 
-func (c rehearseRunCmd) play(ctx context.Context, self, name string, log *slog.Logger) (*rehearse.Result,
+func (c rehearseRunCmd) play(ctx context.Context, self, name string, log *slog.Logger) (*rehearsal.Result,
 	error) {
 	d, err := day(name)
 	if err != nil {
@@ -144,7 +144,7 @@
 		}
 		defer os.RemoveAll(dir)
 	}
-	o := rehearse.Options{Seed: c.Seed, Program: []string{self}, Dir: dir, Log: log, Policy: c.Policy,
+	o := rehearsal.Options{Seed: c.Seed, Program: []string{self}, Dir: dir, Log: log, Policy: c.Policy,
 		Mutate:  c.Mutate,
 		NoState: c.NoState, Talk: c.Talk}
 	view := func() {}
@@ -153,7 +153,7 @@
 	} else {
 		o.Look = lines(log)
 	}
-	result, err := rehearse.Play(ctx, d, o)
+	result, err := rehearsal.Play(ctx, d, o)
 	view()
 	if err != nil {
 		return nil, err
@@ -180,7 +180,7 @@
 
 // Run prints the verdicts on the kept traffic.
 func (c rehearseJudgeCmd) Run() error {
-	name, seed, all, err := rehearse.JudgeAgain(c.Folder)
+	name, seed, all, err := rehearsal.JudgeAgain(c.Folder)
 	if err != nil {
 		return err
 	}
@@ -188,7 +188,7 @@
 	for _, v := range all {
 		fmt.Println(v)
 	}
-	if !rules.Kept(all) {
+	if !rulecheck.Kept(all) {
 		return errors.New("a rule broke")
 	}
 	return nil
@@ -259,12 +259,12 @@
 	if err != nil {
 		return err
 	}
-	n, err := rehearse.CompareReturns(ctx, d, []string{self}, c.First, c.Seeds, c.Jobs)
+	n, err := rehearsal.CompareReturns(ctx, d, []string{self}, c.First, c.Seeds, c.Jobs)
 	if err != nil {
 		return err
 	}
 	printNewcomers(n, 1)
-	return page(c.Report, "newcomers", modelplot.Newcomers(n, "processes on one machine, stand-in engines"))
+	return page(c.Report, "newcomers", plot.Newcomers(n, "processes on one machine, stand-in engines"))
 }
 
 type rehearseFairnessCmd struct {
@@ -274,7 +274,7 @@
 
 // Run prints what calm clients of each front got in each stretch, with and without shares.
 func (c rehearseFairnessCmd) Run(ctx context.Context) error {
-	with, without, err := rehearse.Fairness(ctx, c.Report, c.Seed)
+	with, without, err := rehearsal.Fairness(ctx, c.Report, c.Seed)
 	if err != nil {
 		return err
 	}
--- a/cmd/cresspass/standins.go
+++ b/cmd/cresspass/standins.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"cresspass/internal/config"
-	"cresspass/internal/rig"
-	"cresspass/internal/roster"
+	"cresspass/internal/discovery/eds"
+	"cresspass/internal/rehearsal/testbed"
 	"cresspass/internal/server"
 	"cresspass/internal/standin"
 )
@@ -37,7 +37,7 @@
 	if err := config.Loopback(c.Listen); err != nil {
 		return err
 	}
-	e, err := standin.NewEngine(standin.EngineConfig{Listen: c.Listen, Kind: rig.Kind(c.Cores, c.MemoryMB),
+	e, err := standin.NewEngine(standin.EngineConfig{Listen: c.Listen, Kind: testbed.Kind(c.Cores, c.MemoryMB),
 		Cold:          c.Cold,
 		ProgressEvery: c.Progress, ReportEvery: 200 * time.Millisecond, Window: 15 * time.Second})
 	if err != nil {
@@ -61,12 +61,12 @@
 	if err := config.Loopback(c.Listen); err != nil {
 		return err
 	}
-	var l roster.List
+	var l eds.List
 	for _, arg := range c.Engines {
 		parts := append(strings.Split(arg, ","), "", "", "")
-		e := roster.Engine{Address: parts[0], Kind: parts[1], Zone: parts[2], State: parts[3]}
+		e := eds.Engine{Address: parts[0], Kind: parts[1], Zone: parts[2], State: parts[3]}
 		if e.State == "" {
-			e.State = roster.On
+			e.State = eds.On
 		}
 		if _, _, err := net.SplitHostPort(e.Address); err != nil {
 			return err
@@ -118,9 +118,9 @@
 	}
 	defer list.Close()
 	group := standin.NewGroup()
-	var engines []roster.Engine
+	var engines []eds.Engine
 	for i := range 4 {
-		e, err := standin.NewEngine(standin.EngineConfig{Listen: "127.0.0.1:0", Kind: rig.Kind(8, 4096),
+		e, err := standin.NewEngine(standin.EngineConfig{Listen: "127.0.0.1:0", Kind: testbed.Kind(8, 4096),
 			Seed:          uint64(i),
 			ProgressEvery: 2 * time.Second, ReportEvery: 200 * time.Millisecond, Window: 15 * time.Second,
 			Group: group})
@@ -128,7 +128,7 @@
 			return err
 		}
 		defer e.Close()
-		engines = append(engines, roster.Engine{Address: e.Addr(), State: roster.On, Kind: "std", Zone: "a"})
+		engines = append(engines, eds.Engine{Address: e.Addr(), State: eds.On, Kind: "std", Zone: "a"})
 	}
 	list.Set(engines)
 	cfg.EDS = list.Addr()
--- a/cmd/cresspass/view.go
+++ b/cmd/cresspass/view.go
@@ -11,7 +11,7 @@
 	tea "github.com/charmbracelet/bubbletea"
 	"github.com/charmbracelet/lipgloss"
 
-	"cresspass/internal/rehearse"
+	"cresspass/internal/rehearsal"
 )
 
 // terminal reports whether a file is one.
@@ -21,9 +21,9 @@
 }
 
 // lines shows a day as log lines, one every five seconds.
-func lines(log *slog.Logger) func(rehearse.Status) {
+func lines(log *slog.Logger) func(rehearsal.Status) {
 	var last time.Duration
-	return func(s rehearse.Status) {
+	return func(s rehearsal.Status) {
 		if s.At-last < 5*time.Second {
 			return
 		}
@@ -46,27 +46,27 @@
 }
 
 // watch shows a day in the terminal. stop ends it.
-func watch(d *rehearse.Day) (look func(rehearse.Status), stop func()) {
-	p := tea.NewProgram(&view{status: rehearse.Status{Day: d}}, tea.WithInput(nil),
+func watch(d *rehearsal.Day) (look func(rehearsal.Status), stop func()) {
+	p := tea.NewProgram(&view{status: rehearsal.Status{Day: d}}, tea.WithInput(nil),
 		tea.WithoutSignalHandler())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		p.Run()
 	}()
-	return func(s rehearse.Status) { p.Send(s) }, func() {
+	return func(s rehearsal.Status) { p.Send(s) }, func() {
 		p.Quit()
 		<-done
 	}
 }
 
 // view is the terminal's picture of a day.
-type view struct{ status rehearse.Status }
+type view struct{ status rehearsal.Status }
 
 func (v *view) Init() tea.Cmd { return nil }
 
 func (v *view) Update(m tea.Msg) (tea.Model, tea.Cmd) {
-	if s, ok := m.(rehearse.Status); ok {
+	if s, ok := m.(rehearsal.Status); ok {
 		v.status = s
 	}
 	return v, nil
@@ -114,8 +114,8 @@
 	sort.Strings(names)
 	for _, name := range names {
 		c := s.Counts[name]
-		fmt.Fprintf(&b, "%-12s served %6d  refused %5d  failed %5d  gave up %5d\n", name, c[rehearse.Served],
-			c[rehearse.Refused], c[rehearse.Failed], c[rehearse.GaveUp])
+		fmt.Fprintf(&b, "%-12s served %6d  refused %5d  failed %5d  gave up %5d\n", name, c[rehearsal.Served],
+			c[rehearsal.Refused], c[rehearsal.Failed], c[rehearsal.GaveUp])
 	}
 	for _, t := range s.Troubles {
 		fmt.Fprintf(&b, "%s engines %v until %v\n", warn.Render(t.Kind), t.Engines, (t.At +
--- a/internal/orphan/golden_test.go
+++ b/internal/affinity/orphanedsession/golden_test.go
@@ -1,4 +1,4 @@
-package orphan
+package orphanedsession
 
 import (
 	"bytes"
--- a/internal/orphan/orphan.go
+++ b/internal/affinity/orphanedsession/orphan.go
@@ -1,10 +1,10 @@
-// Package orphan decides what a dispatcher that came back does about the sessions that its former life,
+// Package orphanedsession decides what a dispatcher that came back does about the sessions that its former life,
 // killed, left open on engines: their clients are gone, and their transactions and locks are nobody's. It
 // does no I/O and reads no clock: engines and ends of visits go in, visits come out.
 //
 // A connection whose dispatcher was killed is mostly closed by the system, and the engine ends its session by
 // itself; where it runs a statement, or the machine itself was lost, it does not notice for long.
-package orphan
+package orphanedsession
 
 import (
 	"sort"
--- a/internal/pin/pin.go
+++ b/internal/affinity/pin.go
@@ -1,19 +1,19 @@
-// Package pin decides whether a client's session belongs to one engine, and for how long. It does no I/O and
+// Package affinity decides whether a client's session belongs to one engine, and for how long. It does no I/O and
 // reads no clock: what was sent and what the engine answered go in; whether the next statement must find the
 // same engine connection, and what is to be told on a drain or a death, come out.
 //
 // Statements are judged by what the engine says of them (ReadyForQuery's status, CommandComplete's tag);
 // their text only says what a tag cannot: that a table is temporary, that a cursor is held. In doubt a
 // session is pinned.
-package pin
+package affinity
 
 import (
 	"fmt"
 	"strings"
 	"time"
 
-	"cresspass/internal/params"
-	"cresspass/internal/sqlscan"
+	"cresspass/internal/backend/sessionparams"
+	"cresspass/internal/protocol/sqlscan"
 )
 
 // Reason is a piece of session state that lives on one engine connection.
@@ -61,8 +61,8 @@
 
 // Session is the state machine of one client's session.
 type Session struct {
-	Params   params.Track // settings that are replayed, and so pin nothing
-	tx       byte         // of the last ReadyForQuery: I, T or E
+	Params   sessionparams.Track // settings that are replayed, and so pin nothing
+	tx       byte                // of the last ReadyForQuery: I, T or E
 	held     [reasons]bool
 	freed    [reasons]bool // by statements whose transaction has not been committed
 	sent     []sqlscan.Statement
@@ -184,7 +184,7 @@
 	w := st.Words
 	switch w[0] {
 	case "SET":
-		if _, ok := params.Of(st); ok {
+		if _, ok := sessionparams.Of(st); ok {
 			break
 		}
 		if w[1] != "LOCAL" && w[1] != "TRANSACTION" && w[1] != "CONSTRAINTS" {
--- a/internal/pin/pin_test.go
+++ b/internal/affinity/pin_test.go
@@ -1,11 +1,11 @@
-package pin
+package affinity
 
 import (
 	"strings"
 	"testing"
 	"time"
 
-	"cresspass/internal/sqlscan"
+	"cresspass/internal/protocol/sqlscan"
 )
 
 // play sends a text and answers it by its tags and status.
--- a/internal/kept/kept.go
+++ b/internal/affinity/registry/kept.go
@@ -1,33 +1,33 @@
-// Package kept is the book of sessions that are kept on engines, of all fronts together: how many there may
+// Package registry is the book of sessions that are kept on engines, of all fronts together: how many there may
 // be, who is told of each, and which are due. It is a shell around the ledger of package pin.
-package kept
+package registry
 
 import (
 	"sync"
 	"time"
 
 	"cresspass"
-	"cresspass/internal/orphan"
-	"cresspass/internal/pin"
+	"cresspass/internal/affinity"
+	"cresspass/internal/affinity/orphanedsession"
 )
 
 // Config is whom the book tells. Its functions must not block.
 type Config struct {
-	Pins pin.Limits
+	Pins affinity.Limits
 	// Kept tells that a session is kept on an engine from here on, or is no more.
 	Kept func(engine cresspass.EngineID, kept bool)
 	// Note keeps a kept session for a later life of the dispatcher, and gives it an ID; or forgets it.
-	Note func(s *orphan.Session, kept bool)
+	Note func(s *orphanedsession.Session, kept bool)
 }
 
 // Hold is one session's place in the book.
 type Hold struct {
 	User string
 	// Due is called at the book's pace while the session is kept, to end it where its time has come.
-	Due func(now time.Duration, l pin.Limits)
+	Due func(now time.Duration, l affinity.Limits)
 
 	kept bool // under the book's lock, and so are
-	on   orphan.Session
+	on   orphanedsession.Session
 	at   time.Duration
 }
 
@@ -39,7 +39,7 @@
 	done chan struct{}
 
 	mu     sync.Mutex
-	ledger *pin.Ledger
+	ledger *affinity.Ledger
 	holds  map[*Hold]struct{}
 }
 
@@ -53,7 +53,7 @@
 // New returns an empty book.
 func New(cfg Config) *Book {
 	b := &Book{cfg: cfg, zero: time.Now(), stop: make(chan struct{}), done: make(chan struct{}),
-		ledger: pin.NewLedger(cfg.Pins), holds: map[*Hold]struct{}{}}
+		ledger: affinity.NewLedger(cfg.Pins), holds: map[*Hold]struct{}{}}
 	go b.sweep()
 	return b
 }
@@ -92,7 +92,7 @@
 }
 
 // Count enters that a session is kept, or is no more.
-func (b *Book) Count(h *Hold, kept bool, on orphan.Session) {
+func (b *Book) Count(h *Hold, kept bool, on orphanedsession.Session) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
--- a/internal/computenode/computenode.go
+++ b/internal/backend/computenode/computenode.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"cresspass"
-	"cresspass/internal/nodehttp"
+	"cresspass/internal/protocol/nodehttp"
 )
 
 // What the protocol says of times, and what is waited beyond it.
--- a/internal/computenode/computenode_test.go
+++ b/internal/backend/computenode/computenode_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"cresspass"
-	"cresspass/internal/nodehttp"
+	"cresspass/internal/protocol/nodehttp"
 )
 
 const ms = time.Millisecond
--- a/internal/copies/copies.go
+++ b/internal/backend/duplicateresponse/copies.go
@@ -1,7 +1,7 @@
-// Package copies finds second copies of answers on connections to compute nodes. Nothing in an answer names
+// Package duplicateresponse finds second copies of answers on connections to compute nodes. Nothing in an answer names
 // its call, so a copy that a compute node sends again, and that comes later than a connection is left to
 // rest, would be taken for the answer to the next query's call. A Detector does no I/O and reads no clock.
-package copies
+package duplicateresponse
 
 import (
 	"hash/maphash"
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"cresspass/internal/nodehttp"
+	"cresspass/internal/protocol/nodehttp"
 )
 
 const (
--- a/internal/copies/copies_test.go
+++ b/internal/backend/duplicateresponse/copies_test.go
@@ -1,10 +1,10 @@
-package copies
+package duplicateresponse
 
 import (
 	"testing"
 	"time"
 
-	"cresspass/internal/nodehttp"
+	"cresspass/internal/protocol/nodehttp"
 )
 
 func answer(status int, body string, headers ...string) *nodehttp.Answer {
--- a/internal/backend/begin_test.go
+++ b/internal/backend/pgbackend/begin_test.go
@@ -1,4 +1,4 @@
-package backend
+package pgbackend
 
 import (
 	"net"
@@ -8,10 +8,10 @@
 	"time"
 
 	"cresspass"
-	"cresspass/internal/answer"
-	"cresspass/internal/ask"
-	"cresspass/internal/params"
-	"cresspass/internal/pgwire"
+	"cresspass/internal/backend/enginequery"
+	"cresspass/internal/backend/sessionparams"
+	"cresspass/internal/dispatch/response"
+	"cresspass/internal/protocol/pgwire"
 )
 
 // TestWithdrawnBeforeItBegins: a statement that is withdrawn, or may not begin any more, leaves its
@@ -81,11 +81,11 @@
 			wrote <- string(b[:n])
 		}
 	}()
-	settings := (&params.Set{}).With("search_path", "s")
+	settings := (&sessionparams.Set{}).With("search_path", "s")
 	ended := make(chan Result, 2)
 	waits := true
-	a := &Attempt{Ask: &ask.Ask{Kind: ask.Simple, Text: "select 1", Rest: true, Settings: settings},
-		Answer: answer.New(nil, &answer.Budget{}, 0), Priority: -1, Ended: func(r Result) { ended <- r },
+	a := &Attempt{Ask: &enginequery.Ask{Kind: enginequery.Simple, Text: "select 1", Rest: true, Settings: settings},
+		Answer: response.New(nil, &response.Budget{}, 0), Priority: -1, Ended: func(r Result) { ended <- r },
 		MayBegin: func() (cresspass.Outcome, bool) { return cresspass.Moot, waits }}
 	a.Answer.Begin(0)
 	c.begin(a)
--- a/internal/backend/conn.go
+++ b/internal/backend/pgbackend/conn.go
@@ -1,4 +1,4 @@
-package backend
+package pgbackend
 
 import (
 	"container/list"
@@ -13,10 +13,10 @@
 	"time"
 
 	"cresspass"
-	"cresspass/internal/ask"
+	"cresspass/internal/backend/enginequery"
+	"cresspass/internal/backend/sessionparams"
 	"cresspass/internal/oserr"
-	"cresspass/internal/params"
-	"cresspass/internal/pgwire"
+	"cresspass/internal/protocol/pgwire"
 )
 
 // smallWrite is the size up to which a request is written at once: an idle connection's send buffer holds it,
@@ -57,10 +57,10 @@
 	shape     []byte // what Describe is answered with
 	report    []float64
 
-	have  *params.Set // settings in force, of those that are replayed
-	gated []byte      // the request, held until the engine has taken the settings before it
-	told  bool        // the engine told of a setting while the attempt's query ran
-	foul  bool        // the connection is to be closed at the attempt's end
+	have  *sessionparams.Set // settings in force, of those that are replayed
+	gated []byte             // the request, held until the engine has taken the settings before it
+	told  bool               // the engine told of a setting while the attempt's query ran
+	foul  bool               // the connection is to be closed at the attempt's end
 
 	names    map[string]*list.Element // of prepared statements by key
 	recent   *list.List               // of *prepared, the last used in front
@@ -239,7 +239,7 @@
 	}
 	k := a.Ask
 	if k.Rest && k.Settings != c.have {
-		diff := params.Diff(c.have, k.Settings)
+		diff := sessionparams.Diff(c.have, k.Settings)
 		if c.have = k.Settings; len(diff) > 0 {
 			out = pgwire.AppendText(out, 'Q', strings.Join(diff, "; "))
 			c.skip++
@@ -251,8 +251,8 @@
 }
 
 // query builds the messages of the query itself.
-func (c *conn) query(out []byte, k *ask.Ask) []byte {
-	if k.Kind == ask.Simple {
+func (c *conn) query(out []byte, k *enginequery.Ask) []byte {
+	if k.Kind == enginequery.Simple {
 		return pgwire.AppendText(out, 'Q', k.Text)
 	}
 	if k.More { // its portal stands on this connection
@@ -264,9 +264,9 @@
 		out = pgwire.AppendTarget(out, 'C', 'P', k.Portal)
 	}
 	switch k.Kind {
-	case ask.DescribeStatement:
+	case enginequery.DescribeStatement:
 		out = pgwire.AppendTarget(out, 'D', 'S', name)
-	case ask.DescribePortal:
+	case enginequery.DescribePortal:
 		out = pgwire.AppendBind(out, k.Portal, name, k.Bind)
 		out = pgwire.AppendTarget(out, 'D', 'P', k.Portal)
 	default:
@@ -283,7 +283,7 @@
 }
 
 // prepare names a statement on this connection, and has it parsed there where it is new.
-func (c *conn) prepare(out []byte, k *ask.Ask) ([]byte, string) {
+func (c *conn) prepare(out []byte, k *enginequery.Ask) ([]byte, string) {
 	key := k.Key()
 	if el := c.names[key]; el != nil {
 		c.recent.MoveToFront(el)
@@ -545,7 +545,7 @@
 		c.preparing = ""
 	case '2', '3':
 	case 't', 'T', 'n':
-		if a.Answer != nil && a.Ask.Kind == ask.DescribeStatement {
+		if a.Answer != nil && a.Ask.Kind == enginequery.DescribeStatement {
 			c.shape = pgwire.Append(c.shape, m.Type, m.Body)
 		}
 		c.forward(m)
--- a/internal/backend/copy.go
+++ b/internal/backend/pgbackend/copy.go
@@ -1,10 +1,10 @@
-package backend
+package pgbackend
 
 import (
 	"time"
 
-	"cresspass/internal/copyin"
-	"cresspass/internal/pgwire"
+	"cresspass/internal/backend/copyin"
+	"cresspass/internal/protocol/pgwire"
 )
 
 // copying is a copy-in that runs on a connection: a goroutine of its own writes, as an engine that is slow to
--- a/internal/backend/golden_test.go
+++ b/internal/backend/pgbackend/golden_test.go
@@ -1,4 +1,4 @@
-package backend
+package pgbackend
 
 import (
 	"container/list"
@@ -9,10 +9,10 @@
 	"testing"
 
 	"cresspass"
-	"cresspass/internal/answer"
-	"cresspass/internal/ask"
-	"cresspass/internal/params"
-	"cresspass/internal/sqlscan"
+	"cresspass/internal/backend/enginequery"
+	"cresspass/internal/backend/sessionparams"
+	"cresspass/internal/dispatch/response"
+	"cresspass/internal/protocol/sqlscan"
 )
 
 // TestEngineBytesAreStable compares the requests that an engine is sent, and what its errors are taken for,
@@ -22,29 +22,29 @@
 	defer p.Close()
 	c := &conn{pool: p, engine: p.engine("engine"), names: map[string]*list.Element{}, recent: list.New(),
 		priority: -1}
-	settings := (*params.Set)(nil).With("search_path", "set search_path = a")
+	settings := (*sessionparams.Set)(nil).With("search_path", "set search_path = a")
 	noValues := []byte{0, 0, 0, 0, 0, 0}
 	var got strings.Builder
 	for _, a := range []*Attempt{
 		{Priority: -1}, // a health check
-		{Ask: &ask.Ask{Kind: ask.Simple, Text: "select 1", Rest: true}, Priority: 3, MemoryMB: 64.9},
-		{Ask: &ask.Ask{Kind: ask.Simple, Text: "select 2", Rest: true}, Priority: 3, MemoryMB: 64.9},
-		{Ask: &ask.Ask{Kind: ask.Simple, Text: "select 3", Rest: true}, Priority: -1, MemoryMB: 0.2},
-		{Ask: &ask.Ask{Kind: ask.Simple, Text: "select 4", Rest: true, Settings: settings}, Priority: 0},
-		{Ask: &ask.Ask{Kind: ask.Simple, Text: "select 5", Settings: nil}, Priority: -1},
-		{Ask: &ask.Ask{Kind: ask.Execute, Text: "select $1", Types: "\x00\x00\x00\x19", Bind: noValues,
+		{Ask: &enginequery.Ask{Kind: enginequery.Simple, Text: "select 1", Rest: true}, Priority: 3, MemoryMB: 64.9},
+		{Ask: &enginequery.Ask{Kind: enginequery.Simple, Text: "select 2", Rest: true}, Priority: 3, MemoryMB: 64.9},
+		{Ask: &enginequery.Ask{Kind: enginequery.Simple, Text: "select 3", Rest: true}, Priority: -1, MemoryMB: 0.2},
+		{Ask: &enginequery.Ask{Kind: enginequery.Simple, Text: "select 4", Rest: true, Settings: settings}, Priority: 0},
+		{Ask: &enginequery.Ask{Kind: enginequery.Simple, Text: "select 5", Settings: nil}, Priority: -1},
+		{Ask: &enginequery.Ask{Kind: enginequery.Execute, Text: "select $1", Types: "\x00\x00\x00\x19", Bind: noValues,
 			Describe: true, Rows: 7, Rest: true}, Priority: -1},
-		{Ask: &ask.Ask{Kind: ask.Execute, Text: "select $1", Types: "\x00\x00\x00\x19", Bind: noValues},
+		{Ask: &enginequery.Ask{Kind: enginequery.Execute, Text: "select $1", Types: "\x00\x00\x00\x19", Bind: noValues},
 			Priority: -1},
-		{Ask: &ask.Ask{Kind: ask.DescribeStatement, Text: "select 6"}, Priority: -1},
-		{Ask: &ask.Ask{Kind: ask.DescribePortal, Text: "select 7", Bind: noValues}, Priority: -1},
-		{Ask: &ask.Ask{Kind: ask.Execute, Text: "select 8", Bind: noValues, Portal: "p"}, Priority: -1},
-		{Ask: &ask.Ask{Kind: ask.Execute, Text: "select 8", Portal: "p", More: true, Rows: 2}, Priority: -1},
-		{Ask: &ask.Ask{Kind: ask.Execute, Text: "copy t from stdin", Bind: noValues,
+		{Ask: &enginequery.Ask{Kind: enginequery.DescribeStatement, Text: "select 6"}, Priority: -1},
+		{Ask: &enginequery.Ask{Kind: enginequery.DescribePortal, Text: "select 7", Bind: noValues}, Priority: -1},
+		{Ask: &enginequery.Ask{Kind: enginequery.Execute, Text: "select 8", Bind: noValues, Portal: "p"}, Priority: -1},
+		{Ask: &enginequery.Ask{Kind: enginequery.Execute, Text: "select 8", Portal: "p", More: true, Rows: 2}, Priority: -1},
+		{Ask: &enginequery.Ask{Kind: enginequery.Execute, Text: "copy t from stdin", Bind: noValues,
 			Parsed: sqlscan.Statements("copy t from stdin")}, Priority: -1},
 	} {
 		if a.Ask != nil {
-			a.Answer = answer.New(nil, &answer.Budget{}, 0)
+			a.Answer = response.New(nil, &response.Budget{}, 0)
 		}
 		c.skip, c.gated, c.syncOwed, c.preparing = 0, nil, false, ""
 		fmt.Fprintf(&got, "request %q\n", c.request(a))
--- a/internal/backend/pool.go
+++ b/internal/backend/pgbackend/pool.go
@@ -1,8 +1,8 @@
-// Package backend holds the connections to engines: pools that grow with use, statements prepared under names
+// Package pgbackend holds the connections to engines: pools that grow with use, statements prepared under names
 // of ours, cancels, and each attempt's way from request to outcome. Rows go from an engine's connection to
 // the answer without passing through the dispatcher's loop. It decides nothing about where or when a query
 // runs.
-package backend
+package pgbackend
 
 import (
 	"net"
@@ -12,12 +12,12 @@
 	"time"
 
 	"cresspass"
-	"cresspass/internal/answer"
-	"cresspass/internal/ask"
-	"cresspass/internal/copyin"
+	"cresspass/internal/backend/copyin"
+	"cresspass/internal/backend/enginequery"
+	"cresspass/internal/backend/sessionparams"
+	"cresspass/internal/dispatch/response"
+	"cresspass/internal/dispatch/verdict"
 	"cresspass/internal/oserr"
-	"cresspass/internal/params"
-	"cresspass/internal/verdict"
 )
 
 // Config holds the settings of all pools.
@@ -50,11 +50,11 @@
 
 // Attempt is one sending of a query to an engine. Ended is called once, whatever happens.
 type Attempt struct {
-	Ask      *ask.Ask
+	Ask      *enginequery.Ask
 	Number   int
-	Answer   *answer.Answer // nil: a probe
-	Priority int            // -1: not set
-	MemoryMB float64        // 0: not set
+	Answer   *response.Answer // nil: a probe
+	Priority int              // -1: not set
+	MemoryMB float64          // 0: not set
 
 	Failure func() *verdict.Verdict // for a client whose answer broke off
 	// waits until the client has room; returns when the answer ends
@@ -86,19 +86,19 @@
 // End is what an engine said of a query that may have left something with the connection.
 type End struct {
 	Engine cresspass.EngineID
-	PID    uint32      // of the connection at the engine
-	Secret []byte      // of cancel requests there
-	Status byte        // of ReadyForQuery
-	Tags   []string    // of its statements that were carried out
-	Told   bool        // a ParameterStatus came
-	Had    *params.Set // settings of the connection before it
+	PID    uint32             // of the connection at the engine
+	Secret []byte             // of cancel requests there
+	Status byte               // of ReadyForQuery
+	Tags   []string           // of its statements that were carried out
+	Told   bool               // a ParameterStatus came
+	Had    *sessionparams.Set // settings of the connection before it
 }
 
 // Stay is what becomes of the connection.
 type Stay struct {
-	Known bool        // else nobody can say what is left on it, and it is closed
-	Keep  bool        // the session stays on it
-	Has   *params.Set // settings of the connection now
+	Known bool               // else nobody can say what is left on it, and it is closed
+	Keep  bool               // the session stays on it
+	Has   *sessionparams.Set // settings of the connection now
 }
 
 // Lease is the hold of a client's session on an engine connection. The zero value holds none.
--- a/internal/backend/terminate.go
+++ b/internal/backend/pgbackend/terminate.go
@@ -1,4 +1,4 @@
-package backend
+package pgbackend
 
 import (
 	"fmt"
@@ -6,15 +6,15 @@
 	"time"
 
 	"cresspass"
-	"cresspass/internal/orphan"
-	"cresspass/internal/pgwire"
+	"cresspass/internal/affinity/orphanedsession"
+	"cresspass/internal/protocol/pgwire"
 )
 
 // Terminate ends sessions that an earlier dispatcher's connections left at an engine. What they run is
 // cancelled by their keys first; then those with the recorded PIDs, and any that rest in a transaction, are
 // ended by name: a PID alone may by now be another's. It returns how many were ended. ("Server Signaling
 // Functions", "pg_stat_activity")
-func (p *Pool) Terminate(v orphan.Visit) (ended int, err error) {
+func (p *Pool) Terminate(v orphanedsession.Visit) (ended int, err error) {
 	limit := time.Now().Add(p.cfg.CancelTimeout + p.cfg.ConnectTimeout)
 	var pids, names []string
 	for _, s := range v.Sessions {
--- a/internal/params/golden_test.go
+++ b/internal/backend/sessionparams/golden_test.go
@@ -1,4 +1,4 @@
-package params
+package sessionparams
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"cresspass/internal/sqlscan"
+	"cresspass/internal/protocol/sqlscan"
 )
 
 // TestStatementsAreStable compares what engines are told of a session's settings, and how a SET is read, with
--- a/internal/params/params.go
+++ b/internal/backend/sessionparams/params.go
@@ -1,18 +1,18 @@
-// Package params keeps the settings of a client's session that are replayed on whatever engine connection
+// Package sessionparams keeps the settings of a client's session that are replayed on whatever engine connection
 // runs its next statement, so that a SET of them does not tie the session to one engine. It decides which
 // settings those are, when a SET of theirs has come into force, and what a connection has to be told. It does
 // no I/O.
 //
 // A SET counts once the engine says so: outside a transaction at its CommandComplete and the ReadyForQuery
 // behind it, in one at COMMIT ("SET": "the effects ... disappear when the transaction is rolled back").
-package params
+package sessionparams
 
 import (
 	"slices"
 	"sort"
 	"strings"
 
-	"cresspass/internal/sqlscan"
+	"cresspass/internal/protocol/sqlscan"
 )
 
 // replayed are the settings that mean the same on every engine and say nothing of one engine's own state. All
--- a/internal/params/params_test.go
+++ b/internal/backend/sessionparams/params_test.go
@@ -1,11 +1,11 @@
-package params
+package sessionparams
 
 import (
 	"testing"
 
 	"pgregory.net/rapid"
 
-	"cresspass/internal/sqlscan"
+	"cresspass/internal/protocol/sqlscan"
 )
 
 func TestOf(t *testing.T) {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -22,7 +22,7 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 
 	"cresspass"
-	"cresspass/internal/pin"
+	"cresspass/internal/affinity"
 	"cresspass/internal/recording"
 )
 
@@ -276,7 +276,7 @@
 	MaxHeld, MaxPerUser            int   // queries without an answer; connections; 0: no limit
 
 	Module                                  cresspass.Config
-	Pins                                    pin.Limits
+	Pins                                    affinity.Limits
 	Harmless                                []string // functions that leave nothing in a session, lower case
 	DefaultClass, WriteClass, DescribeClass string
 	Matches                                 []Rule
@@ -552,7 +552,7 @@
 	c.rules(m, f.Rules)
 	c.limits(m, f.Limits)
 	if p := f.Session; p != nil {
-		cfg.Pins = pin.Limits{IdleInTx: c.duration("sessions", 0, "idle_in_transaction", p.IdleInTx, 0),
+		cfg.Pins = affinity.Limits{IdleInTx: c.duration("sessions", 0, "idle_in_transaction", p.IdleInTx, 0),
 			Age: c.duration("sessions", 0, "max_age", p.MaxAge, 0), Total: p.Max, PerUser: p.PerUser}
 		if p.Max < 0 || p.PerUser < 0 || p.PerEngine < 0 {
 			c.fault("sessions", 0, "max", "is negative")
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -18,11 +18,11 @@
 	"time"
 
 	"cresspass/internal/config"
+	"cresspass/internal/daemon/lifecycle"
+	"cresspass/internal/daemon/signals"
 	"cresspass/internal/invariant"
-	"cresspass/internal/life"
-	"cresspass/internal/listen"
+	"cresspass/internal/netlisten"
 	"cresspass/internal/server"
-	"cresspass/internal/signals"
 )
 
 // Options say how a daemon is run.
@@ -49,10 +49,10 @@
 type daemon struct {
 	o      Options
 	log    *slog.Logger
-	life   *life.Life
+	life   *lifecycle.Life
 	server *server.Server
 	ln     *net.TCPListener
-	events chan life.Event
+	events chan lifecycle.Event
 	zero   time.Time
 	state  atomic.Int32
 	heirs  *heirs
@@ -63,8 +63,8 @@
 // Run runs a dispatcher until it is stopped or has handed over. The error says why it could not start, or
 // what went wrong at its end.
 func Run(ctx context.Context, o Options) error {
-	d := &daemon{o: o, log: o.Log, life: life.New(life.Config{DrainFor: o.Config.DrainFor, HandFor: handFor}),
-		events: make(chan life.Event, 64), zero: time.Now()}
+	d := &daemon{o: o, log: o.Log, life: lifecycle.New(lifecycle.Config{DrainFor: o.Config.DrainFor, HandFor: handFor}),
+		events: make(chan lifecycle.Event, 64), zero: time.Now()}
 	all := o.Signals
 	if all == nil {
 		var stop func()
@@ -90,7 +90,7 @@
 		}
 		defer former.close()
 	} else {
-		ln, err := listen.Open(o.Config.Listen)
+		ln, err := netlisten.Open(o.Config.Listen)
 		if err != nil {
 			return err
 		}
@@ -133,7 +133,7 @@
 	go func() {
 		select {
 		case <-d.server.Listed():
-			d.events <- life.Event{Type: life.Listed}
+			d.events <- lifecycle.Event{Type: lifecycle.Listed}
 		case <-ctx.Done():
 		}
 	}()
@@ -149,55 +149,55 @@
 		select {
 		case s := <-signals:
 			if s == syscall.SIGHUP {
-				d.step(life.Event{Type: life.Reload})
+				d.step(lifecycle.Event{Type: lifecycle.Reload})
 			} else {
-				d.step(life.Event{Type: life.Terminate})
+				d.step(lifecycle.Event{Type: lifecycle.Terminate})
 			}
 		case <-stop:
 			stop = nil
-			d.step(life.Event{Type: life.Terminate})
+			d.step(lifecycle.Event{Type: lifecycle.Terminate})
 		case <-done:
 			done = nil
-			d.step(life.Event{Type: life.Terminate})
+			d.step(lifecycle.Event{Type: lifecycle.Terminate})
 		case ev := <-d.events:
 			d.step(ev)
 		case <-tick.C:
-			d.step(life.Event{Type: life.Tick})
-			if d.life.State() == life.Draining && d.server.Idle() {
-				d.step(life.Event{Type: life.Empty})
+			d.step(lifecycle.Event{Type: lifecycle.Tick})
+			if d.life.State() == lifecycle.Draining && d.server.Idle() {
+				d.step(lifecycle.Event{Type: lifecycle.Empty})
 			}
 		}
 	}
 }
 
-func (d *daemon) step(ev life.Event) {
+func (d *daemon) step(ev lifecycle.Event) {
 	was := d.life.State()
 	for _, a := range d.life.Step(time.Since(d.zero), ev) {
 		switch a.Type {
-		case life.TellReady:
+		case lifecycle.TellReady:
 			d.notify("READY=1")
-		case life.TellStopping:
+		case lifecycle.TellStopping:
 			d.notify("STOPPING=1")
-		case life.ReadSettings:
+		case lifecycle.ReadSettings:
 			d.reload()
-		case life.GiveSockets:
+		case lifecycle.GiveSockets:
 			all := []*net.TCPListener{d.ln}
 			if ln, ok := d.server.FlightListener().(*net.TCPListener); ok {
 				all = append(all, ln)
 			}
 			d.heirs.give(a.Who, all...)
-		case life.Decline:
+		case lifecycle.Decline:
 			d.heirs.decline(a.Who)
-		case life.Drain:
+		case lifecycle.Drain:
 			d.log.Info("draining", "at most", d.o.Config.DrainFor)
 			if d.heirs != nil {
 				d.heirs.let()
 			}
 			d.server.Drain()
-		case life.Cut:
+		case lifecycle.Cut:
 			d.log.Warn("drain cut short")
 			d.server.Cut()
-		case life.Exit:
+		case lifecycle.Exit:
 			d.over = true
 		}
 	}
@@ -271,10 +271,10 @@
 	mux := http.NewServeMux()
 	tell := func() Health {
 		st := d.server.Stats()
-		state := life.State(d.state.Load())
+		state := lifecycle.State(d.state.Load())
 		violations, withheld := d.server.Invariants()
 		return Health{Violations: violations, Withheld: withheld, State: state.String(),
-			Ready:   state == life.Ready || state == life.Handing,
+			Ready:   state == lifecycle.Ready || state == lifecycle.Handing,
 			Trouble: d.server.Trouble(),
 			Clients: d.server.Clients(), Open: st.Open, Taken: st.Taken, Served: st.Served,
 			Refused: st.Refused,
@@ -293,7 +293,7 @@
 	s := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
 	ln, err := net.Listen("tcp", addr)
 	if err != nil && !wait {
-		if ln, err = listen.Open(addr); err != nil {
+		if ln, err = netlisten.Open(addr); err != nil {
 			return nil, err
 		}
 	}
@@ -309,7 +309,7 @@
 				ln, _ = net.Listen("tcp", addr)
 			}
 		}
-		s.Serve(listen.Lasting{Listener: ln})
+		s.Serve(netlisten.Lasting{Listener: ln})
 	}()
 	return func() {
 		close(halt)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -26,7 +26,7 @@
 	"google.golang.org/grpc/status"
 
 	"cresspass/internal/config"
-	"cresspass/internal/rig"
+	"cresspass/internal/rehearsal/testbed"
 	"cresspass/internal/standin"
 )
 
@@ -86,18 +86,18 @@
 
 type place struct {
 	dir, listen string
-	rig         *rig.Rig
+	rig         *testbed.Rig
 }
 
 func raise(t *testing.T) *place {
 	t.Helper()
-	r, err := rig.New(standin.EngineConfig{Kind: rig.Kind(64, 4096), Window: 10 * time.Second},
-		standin.EngineConfig{Kind: rig.Kind(64, 4096), Window: 10 * time.Second})
+	r, err := testbed.New(standin.EngineConfig{Kind: testbed.Kind(64, 4096), Window: 10 * time.Second},
+		standin.EngineConfig{Kind: testbed.Kind(64, 4096), Window: 10 * time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.Close)
-	addr, err := rig.FreePort()
+	addr, err := testbed.FreePort()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -288,7 +288,7 @@
 
 func TestHealth(t *testing.T) {
 	p := raise(t)
-	addr, err := rig.FreePort()
+	addr, err := testbed.FreePort()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -424,7 +424,7 @@
 // let go of its address.
 func TestHandOver(t *testing.T) {
 	p := raise(t)
-	at, err := rig.FreePort()
+	at, err := testbed.FreePort()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -501,7 +501,7 @@
 // former, whose other calls are told that nothing ran, and the former's connections are told to go.
 func TestHandOverOfFlight(t *testing.T) {
 	p := raise(t)
-	addr, err := rig.FreePort()
+	addr, err := testbed.FreePort()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -19,8 +19,8 @@
 	"testing"
 	"time"
 
+	"cresspass/internal/daemon/lifecycle"
 	"cresspass/internal/invariant"
-	"cresspass/internal/life"
 )
 
 // The files under testdata hold what earlier builds answered and sent. In a hand-over two builds talk.
@@ -73,7 +73,7 @@
 // The names of states stand in the health answer.
 func TestGoldenStates(t *testing.T) {
 	var written strings.Builder
-	for _, s := range []life.State{life.Starting, life.Ready, life.Handing, life.Draining, life.Over} {
+	for _, s := range []lifecycle.State{lifecycle.Starting, lifecycle.Ready, lifecycle.Handing, lifecycle.Draining, lifecycle.Over} {
 		fmt.Fprintln(&written, s)
 	}
 	if stored := golden(t, "states.txt", []byte(written.String())); written.String() != string(stored) {
@@ -124,7 +124,7 @@
 func TestGoldenHandOverToEarlierBuild(t *testing.T) {
 	said := handOver(t)
 	path := filepath.Join(t.TempDir(), "sock")
-	events := make(chan life.Event, 8)
+	events := make(chan lifecycle.Event, 8)
 	h, err := listenHeirs(path, events, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -138,7 +138,7 @@
 	c.SetDeadline(time.Now().Add(10 * time.Second))
 	c.Write([]byte(said["request"]))
 	asked := <-events
-	if asked.Type != life.Successor {
+	if asked.Type != lifecycle.Successor {
 		t.Fatalf("event %+v", asked)
 	}
 	h.give(asked.Who, listenTCP(t), listenTCP(t))
@@ -159,7 +159,7 @@
 		syscall.Close(fd)
 	}
 	c.Write([]byte(said["serving"]))
-	if ev := <-events; ev.Type != life.Took || ev.Who != asked.Who {
+	if ev := <-events; ev.Type != lifecycle.Took || ev.Who != asked.Who {
 		t.Errorf("event %+v", ev)
 	}
 	lines := bufio.NewReader(c)
@@ -171,7 +171,7 @@
 	if line, err := lines.ReadString('\n'); err != nil || line != said["rejected"] {
 		t.Errorf("told %q, %v, want %q", line, err, said["rejected"])
 	}
-	if ev := <-events; ev.Type != life.Lost || ev.Who != asked.Who {
+	if ev := <-events; ev.Type != lifecycle.Lost || ev.Who != asked.Who {
 		t.Errorf("event %+v", ev)
 	}
 }
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -14,8 +14,8 @@
 	"unsafe"
 
 	"cresspass/internal/config"
-	"cresspass/internal/life"
-	"cresspass/internal/listen"
+	"cresspass/internal/daemon/lifecycle"
+	"cresspass/internal/netlisten"
 	"cresspass/internal/server"
 )
 
@@ -39,7 +39,7 @@
 type heirs struct {
 	path   string
 	ln     *net.UnixListener
-	events chan<- life.Event
+	events chan<- lifecycle.Event
 	log    *slog.Logger
 	done   chan struct{}
 
@@ -51,7 +51,7 @@
 
 // listenHeirs serves a Unix socket. One that is left of a process that died is replaced; one that answers is
 // not.
-func listenHeirs(path string, events chan<- life.Event, log *slog.Logger) (*heirs, error) {
+func listenHeirs(path string, events chan<- lifecycle.Event, log *slog.Logger) (*heirs, error) {
 	addr := &net.UnixAddr{Name: path, Net: "unix"}
 	ln, err := net.ListenUnix("unix", addr)
 	for begin := time.Now(); errors.Is(err, syscall.EADDRINUSE); {
@@ -80,7 +80,7 @@
 func (h *heirs) accept() {
 	defer h.work.Done()
 	for {
-		accepted, err := listen.Lasting{Listener: h.ln}.Accept()
+		accepted, err := netlisten.Lasting{Listener: h.ln}.Accept()
 		if err != nil {
 			return
 		}
@@ -102,7 +102,7 @@
 	}
 }
 
-func (h *heirs) tell(ev life.Event) {
+func (h *heirs) tell(ev lifecycle.Event) {
 	select {
 	case h.events <- ev:
 	case <-h.done:
@@ -116,13 +116,13 @@
 		switch lines.Text() {
 		case askSocket:
 			asked = true
-			h.tell(life.Event{Type: life.Successor, Who: who})
+			h.tell(lifecycle.Event{Type: lifecycle.Successor, Who: who})
 		case sayServing:
-			h.tell(life.Event{Type: life.Took, Who: who})
+			h.tell(lifecycle.Event{Type: lifecycle.Took, Who: who})
 		}
 	}
 	if asked {
-		h.tell(life.Event{Type: life.Lost, Who: who})
+		h.tell(lifecycle.Event{Type: lifecycle.Lost, Who: who})
 	}
 }
 
--- a/internal/life/life.go
+++ b/internal/daemon/lifecycle/life.go
@@ -1,7 +1,7 @@
-// Package life decides what a daemon does between its start and its end: when it says that it is ready, what
+// Package lifecycle decides what a daemon does between its start and its end: when it says that it is ready, what
 // a signal means, when a drain is over, and who keeps the listening sockets in a hand-over. It does no I/O
 // and reads no clock: events in, actions out.
-package life
+package lifecycle
 
 import "time"
 
--- a/internal/life/life_test.go
+++ b/internal/daemon/lifecycle/life_test.go
@@ -1,4 +1,4 @@
-package life
+package lifecycle
 
 import (
 	"fmt"
--- a/internal/roster/golden_test.go
+++ b/internal/discovery/eds/golden_test.go
@@ -1,4 +1,4 @@
-package roster
+package eds
 
 import (
 	"bytes"
--- a/internal/roster/roster.go
+++ b/internal/discovery/eds/roster.go
@@ -1,6 +1,6 @@
-// Package roster brings the engine list: its form, the file that keeps the last one, and a source that speaks
+// Package eds brings the engine list: its form, the file that keeps the last one, and a source that speaks
 // Envoy's endpoint discovery.
-package roster
+package eds
 
 import (
 	"cmp"
@@ -16,7 +16,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"cresspass"
-	"cresspass/internal/startclock"
+	"cresspass/internal/discovery/starttime"
 )
 
 // Engine is one entry of a list.
@@ -62,7 +62,7 @@
 
 // Infos returns the list in the module's terms at a time of its clock; clock turns starts into that time, and
 // forgets the engines that are not on the list.
-func (l *List) Infos(now time.Duration, clock *startclock.Clock) []cresspass.EngineInfo {
+func (l *List) Infos(now time.Duration, clock *starttime.Clock) []cresspass.EngineInfo {
 	listed := map[cresspass.EngineID]bool{}
 	for _, e := range l.Engines {
 		listed[cresspass.EngineID(e.Address)] = true
--- a/internal/roster/roster_test.go
+++ b/internal/discovery/eds/roster_test.go
@@ -1,4 +1,4 @@
-package roster
+package eds
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	"google.golang.org/protobuf/types/known/anypb"
 
-	"cresspass/internal/startclock"
+	"cresspass/internal/discovery/starttime"
 )
 
 func sample() *List {
@@ -91,7 +91,7 @@
 	}
 	now := 24 * time.Hour
 	started := l.Engines[0].Started
-	clock := startclock.New(startclock.Every, started.Add(3*time.Second), now)
+	clock := starttime.New(starttime.Every, started.Add(3*time.Second), now)
 	clock.See(now, "told at once", started.Add(3*time.Second))
 	infos := l.Infos(now, clock)
 	if infos[0].Started != now-3*time.Second || infos[1].Started != 0 {
@@ -100,7 +100,7 @@
 	if again := l.Infos(now+time.Second, clock); again[0].Started != infos[0].Started {
 		t.Errorf("told again: %v, then %v", infos[0].Started, again[0].Started)
 	}
-	clock = startclock.New(startclock.Every, started.Add(-time.Hour), now)
+	clock = starttime.New(starttime.Every, started.Add(-time.Hour), now)
 	if ahead := l.Infos(now, clock); ahead[0].Started != now {
 		t.Errorf("a start in the future counts as %v, want now", ahead[0].Started)
 	}
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/sse/backoff.go
@@ -1,4 +1,4 @@
-package discovery
+package sse
 
 import (
 	"math/rand/v2"
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/sse/discovery.go
@@ -1,7 +1,7 @@
-// Package discovery follows a notice board (service discovery by a watch): server-sent events, each a
+// Package sse follows a notice board (service discovery by a watch): server-sent events, each a
 // numbered change of the list of compute nodes. It does no I/O: bytes go into a Parser, whole events into a
 // Follower, and lists for the module come out.
-package discovery
+package sse
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"time"
 
 	"cresspass"
-	"cresspass/internal/startclock"
+	"cresspass/internal/discovery/starttime"
 )
 
 // Most is the longest event that is kept, in bytes.
@@ -146,11 +146,11 @@
 	up    map[cresspass.EngineID]bool
 	gone  []cresspass.EngineID // since the last call of Gone
 	now   func() time.Duration
-	clock *startclock.Clock
+	clock *starttime.Clock
 }
 
 // NewFollower returns a Follower; now is the module's time, clock turns starts into it.
-func NewFollower(now func() time.Duration, clock *startclock.Clock) *Follower {
+func NewFollower(now func() time.Duration, clock *starttime.Clock) *Follower {
 	return &Follower{addrs: map[cresspass.EngineID]string{}, where: map[cresspass.EngineID]Location{},
 		up: map[cresspass.EngineID]bool{}, now: now, clock: clock}
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/sse/discovery_test.go
@@ -1,4 +1,4 @@
-package discovery
+package sse
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"time"
 
 	"cresspass"
-	"cresspass/internal/startclock"
+	"cresspass/internal/discovery/starttime"
 )
 
 func event(id int, full bool, servers string) string {
@@ -77,7 +77,7 @@
 // newFollower returns a Follower at 50 ms of its own and of Unix time.
 func newFollower() *Follower {
 	const now = 50 * time.Millisecond
-	clock := startclock.New(startclock.Late, time.UnixMilli(50), now)
+	clock := starttime.New(starttime.Late, time.UnixMilli(50), now)
 	return NewFollower(func() time.Duration { return now }, clock)
 }
 
@@ -87,7 +87,7 @@
 	const ahead, zero, news = 5 * time.Second, time.Hour, 300 * time.Millisecond
 	truth := time.UnixMilli(1_000_000_000)
 	now := zero
-	clock := startclock.New(startclock.Late, truth.Add(ahead), zero)
+	clock := starttime.New(starttime.Late, truth.Add(ahead), zero)
 	f := NewFollower(func() time.Duration { return now }, clock)
 	for i, at := range []time.Duration{10 * time.Second, 20 * time.Second} {
 		now = zero + at + news
--- a/internal/startclock/startclock.go
+++ b/internal/discovery/starttime/startclock.go
@@ -1,7 +1,7 @@
-// Package startclock turns the wall-clock times at which compute nodes say they started into the dispatcher's
+// Package starttime turns the wall-clock times at which compute nodes say they started into the dispatcher's
 // monotonic time, and does not believe the dispatcher's own wall clock: it may be wrong from the beginning,
 // and it may step while the process runs. It does no I/O and reads no clock.
-package startclock
+package starttime
 
 import (
 	"time"
--- a/internal/startclock/startclock_test.go
+++ b/internal/discovery/starttime/startclock_test.go
@@ -1,4 +1,4 @@
-package startclock
+package starttime
 
 import (
 	"fmt"
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"cresspass"
-	"cresspass/internal/wheel"
+	"cresspass/internal/timingwheel"
 )
 
 // OutputType tells which fields of an Output count.
@@ -107,7 +107,7 @@
 	windows map[string]time.Duration // of keyed classes
 	grace   time.Duration
 	slack   time.Duration // off a window's end
-	timers  *wheel.Wheel[due]
+	timers  *timingwheel.Wheel[due]
 	queries map[cresspass.QueryID]*query
 	events  []cresspass.Event
 	actions []cresspass.Action
@@ -133,7 +133,7 @@
 func NewCoreWith(g Decider, cfg cresspass.Config, now time.Duration) *Core {
 	c := &Core{gateway: g, safe: map[string]bool{}, windows: map[string]time.Duration{},
 		grace: cfg.Rules.AnswerGrace, slack: 2 * max(cfg.Tick, TimerTick), now: now,
-		timers: wheel.New[due](now, TimerTick), queries: map[cresspass.QueryID]*query{}}
+		timers: timingwheel.New[due](now, TimerTick), queries: map[cresspass.QueryID]*query{}}
 	for _, k := range cfg.Classes {
 		c.safe[k.Name] = k.Effect == cresspass.Safe
 		if k.Effect == cresspass.Keyed {
--- a/internal/answer/answer.go
+++ b/internal/dispatch/response/answer.go
@@ -1,16 +1,16 @@
-// Package answer holds one query's answer on its way from an engine to its client, and sees to it that there
+// Package response holds one query's answer on its way from an engine to its client, and sees to it that there
 // is exactly one final answer, whoever comes first: the engine's last byte, the module's refusal, or the
 // client's going. It does no I/O; bytes leave through a Sink.
 //
 // An answer waits (bytes are held back, so that a further attempt may still take its place), streams (bytes
 // went out, so it belongs to its attempt) or is done.
-package answer
+package response
 
 import (
 	"sync"
 	"sync/atomic"
 
-	"cresspass/internal/verdict"
+	"cresspass/internal/dispatch/verdict"
 )
 
 // Sink takes an answer's bytes. Its methods are called in order, under the answer's lock; none may block or
--- a/internal/classify/classify.go
+++ b/internal/frontend/classify/classify.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"cresspass"
-	"cresspass/internal/ask"
+	"cresspass/internal/backend/enginequery"
 	"cresspass/internal/config"
-	"cresspass/internal/sqlscan"
+	"cresspass/internal/protocol/sqlscan"
 )
 
 // Client is what is known of who sends a statement.
@@ -44,7 +44,7 @@
 type Fault struct{ Code, Message string }
 
 // Query returns the event that tells the module of a statement, or why there is none.
-func (c *Classifier) Query(id cresspass.QueryID, who Client, a *ask.Ask) (cresspass.Event, *Fault) {
+func (c *Classifier) Query(id cresspass.QueryID, who Client, a *enginequery.Ask) (cresspass.Event, *Fault) {
 	ev := cresspass.Event{Type: cresspass.QueryTaken, Query: id, IsRepeat: who.Repeat}
 	var tags map[string]string
 	if strings.Contains(a.Text, "='") { // most texts have no tags, and are not scanned for them
@@ -73,7 +73,7 @@
 	if ev.Class == "" {
 		ev.Class = c.fallback
 	}
-	if a.Kind == ask.DescribeStatement || a.Kind == ask.DescribePortal {
+	if a.Kind == enginequery.DescribeStatement || a.Kind == enginequery.DescribePortal {
 		// Danger: a description is asked for on the way to a request. Counted as one, it would let more
 		// further attempts go than the requests allow (rule 7).
 		ev.Class, ev.Uncounted = c.describes, true
@@ -111,7 +111,7 @@
 
 // Safe reports whether a statement may be run any number of times: it writes nothing and its class is one
 // that is repeated.
-func (c *Classifier) Safe(who Client, a *ask.Ask) bool {
+func (c *Classifier) Safe(who Client, a *enginequery.Ask) bool {
 	ev, fault := c.Query(0, who, a)
 	return fault == nil && !ev.IsWrite
 }
--- a/internal/classify/classify_test.go
+++ b/internal/frontend/classify/classify_test.go
@@ -4,9 +4,9 @@
 	"testing"
 	"time"
 
-	"cresspass/internal/ask"
+	"cresspass/internal/backend/enginequery"
 	"cresspass/internal/config"
-	"cresspass/internal/sqlscan"
+	"cresspass/internal/protocol/sqlscan"
 )
 
 const settings = `
@@ -60,30 +60,30 @@
 	c := New(cfg)
 	for _, v := range []struct {
 		who    Client
-		kind   ask.Kind
+		kind   enginequery.Kind
 		text   string
 		class  string // "!": a fault
 		left   time.Duration
 		tenant string
 	}{
-		{Client{}, ask.Simple, "select 1", "short", 5 * time.Second, ""},
-		{Client{User: "batch"}, ask.Simple, "select 1", "long", 20 * time.Second, ""},
-		{Client{Database: "d"}, ask.Simple, "select a from b group by a", "long", 20 * time.Second, "t"},
-		{Client{User: "batch"}, ask.Simple, "select 1 /*class='short'*/", "short", 5 * time.Second, ""},
-		{Client{}, ask.Simple, "select 1 /*class='none'*/", "!", 0, ""},
-		{Client{}, ask.Simple, "insert into t values (1)", "once", 20 * time.Second, ""},
-		{Client{}, ask.Simple, "insert into t values (1) /*class='short'*/", "once", 20 * time.Second,
+		{Client{}, enginequery.Simple, "select 1", "short", 5 * time.Second, ""},
+		{Client{User: "batch"}, enginequery.Simple, "select 1", "long", 20 * time.Second, ""},
+		{Client{Database: "d"}, enginequery.Simple, "select a from b group by a", "long", 20 * time.Second, "t"},
+		{Client{User: "batch"}, enginequery.Simple, "select 1 /*class='short'*/", "short", 5 * time.Second, ""},
+		{Client{}, enginequery.Simple, "select 1 /*class='none'*/", "!", 0, ""},
+		{Client{}, enginequery.Simple, "insert into t values (1)", "once", 20 * time.Second, ""},
+		{Client{}, enginequery.Simple, "insert into t values (1) /*class='short'*/", "once", 20 * time.Second,
 			""},
-		{Client{}, ask.Execute, "with x as (delete from t returning 1) select * from x", "once",
+		{Client{}, enginequery.Execute, "with x as (delete from t returning 1) select * from x", "once",
 			20 * time.Second, ""},
-		{Client{}, ask.Simple, "select 'insert into' from t for update", "short", 5 * time.Second, ""},
-		{Client{}, ask.DescribeStatement, "insert into t values (1)", "shape", 2 * time.Second, ""},
-		{Client{Timeout: time.Second}, ask.Simple, "select 1", "short", time.Second, ""},
-		{Client{Timeout: time.Second}, ask.Simple, "select 1 /*wait_ms='250'*/", "short",
+		{Client{}, enginequery.Simple, "select 'insert into' from t for update", "short", 5 * time.Second, ""},
+		{Client{}, enginequery.DescribeStatement, "insert into t values (1)", "shape", 2 * time.Second, ""},
+		{Client{Timeout: time.Second}, enginequery.Simple, "select 1", "short", time.Second, ""},
+		{Client{Timeout: time.Second}, enginequery.Simple, "select 1 /*wait_ms='250'*/", "short",
 			250 * time.Millisecond, ""},
-		{Client{}, ask.Simple, "select 1 /*wait_ms='99999'*/", "short", 5 * time.Second, ""},
+		{Client{}, enginequery.Simple, "select 1 /*wait_ms='99999'*/", "short", 5 * time.Second, ""},
 	} {
-		a := &ask.Ask{Kind: v.kind, Text: v.text, Parsed: sqlscan.Statements(v.text)}
+		a := &enginequery.Ask{Kind: v.kind, Text: v.text, Parsed: sqlscan.Statements(v.text)}
 		ev, fault := c.Query(1, v.who, a)
 		if v.class == "!" {
 			if fault == nil {
@@ -91,7 +91,7 @@
 			}
 			continue
 		}
-		if ev.Uncounted != (v.kind == ask.DescribeStatement) {
+		if ev.Uncounted != (v.kind == enginequery.DescribeStatement) {
 			t.Errorf("%s: uncounted %v", v.text, ev.Uncounted)
 		}
 		if fault != nil || ev.Class != v.class || ev.TimeLeft != v.left || ev.Tenant != v.tenant {
@@ -99,7 +99,7 @@
 				ev.Tenant, fault)
 		}
 	}
-	ev, _ := c.Query(1, Client{}, &ask.Ask{
+	ev, _ := c.Query(1, Client{}, &enginequery.Ask{
 		Text: "select 1 /*key='a%2Fb',tables='7',cost_ms='20',memory_mb='x',repeat='1'*/"})
 	if ev.Key != "a/b" || ev.Tables != 7 || !ev.HasCost || ev.Cost != 20*time.Millisecond ||
 		ev.MemoryMB != 0 || !ev.IsRepeat {
--- a/internal/classify/golden_test.go
+++ b/internal/frontend/classify/golden_test.go
@@ -4,9 +4,9 @@
 	"strings"
 	"testing"
 
-	"cresspass/internal/ask"
+	"cresspass/internal/backend/enginequery"
 	"cresspass/internal/config"
-	"cresspass/internal/sqlscan"
+	"cresspass/internal/protocol/sqlscan"
 )
 
 // TestGoldenFaults: clients receive the code and the text of a fault, so they outlive every rename in the
@@ -23,7 +23,7 @@
 			`the statement may write, its class "short" is one that is repeated, ` +
 				`and the settings name no write_class`},
 	} {
-		_, fault := New(cfg).Query(1, Client{}, &ask.Ask{Text: text, Parsed: sqlscan.Statements(text)})
+		_, fault := New(cfg).Query(1, Client{}, &enginequery.Ask{Text: text, Parsed: sqlscan.Statements(text)})
 		if fault == nil || *fault != want {
 			t.Errorf("%s: fault %+v, want %+v", text, fault, want)
 		}
--- a/internal/rowbatch/bind.go
+++ b/internal/frontend/flightsql/arrowbatch/bind.go
@@ -1,4 +1,4 @@
-package rowbatch
+package arrowbatch
 
 import (
 	"encoding/binary"
--- a/internal/rowbatch/schema.go
+++ b/internal/frontend/flightsql/arrowbatch/schema.go
@@ -1,7 +1,7 @@
-// Package rowbatch turns an engine's rows into Arrow record batches, column by column and by type OID, and
+// Package arrowbatch turns an engine's rows into Arrow record batches, column by column and by type OID, and
 // Arrow values into parameters for an engine. Rows come as the bodies of PostgreSQL's DataRow messages,
 // binary where this package reads the type's binary form and as text elsewhere. It does no I/O.
-package rowbatch
+package arrowbatch
 
 import (
 	"encoding/binary"
--- a/internal/bearer/bearer.go
+++ b/internal/frontend/flightsql/bearertoken/bearer.go
@@ -1,7 +1,7 @@
-// Package bearer decides about sessions behind tokens: who may open one, which token names one that lives,
+// Package bearertoken decides about sessions behind tokens: who may open one, which token names one that lives,
 // and when one has rested for so long that it ends. A session of a connection is one without a handshake; it
 // ends with its connection only. It does no I/O and reads no clock; tokens are made by the caller.
-package bearer
+package bearertoken
 
 import (
 	"fmt"
--- a/internal/flightfront/call.go
+++ b/internal/frontend/flightsql/call.go
@@ -1,4 +1,4 @@
-package flightfront
+package flightsql
 
 import (
 	"context"
@@ -12,17 +12,17 @@
 	"google.golang.org/grpc/metadata"
 	"google.golang.org/grpc/status"
 
-	"cresspass/internal/answer"
-	"cresspass/internal/ask"
-	"cresspass/internal/backend"
-	"cresspass/internal/classify"
-	"cresspass/internal/copyin"
-	"cresspass/internal/front"
-	"cresspass/internal/grpcstatus"
-	"cresspass/internal/lane"
-	"cresspass/internal/pgwire"
-	"cresspass/internal/sqlscan"
-	"cresspass/internal/verdict"
+	"cresspass/internal/backend/copyin"
+	"cresspass/internal/backend/enginequery"
+	"cresspass/internal/backend/pgbackend"
+	"cresspass/internal/dispatch/response"
+	"cresspass/internal/dispatch/verdict"
+	"cresspass/internal/frontend"
+	"cresspass/internal/frontend/classify"
+	"cresspass/internal/frontend/flightsql/grpcstatus"
+	"cresspass/internal/frontend/flightsql/statementqueue"
+	"cresspass/internal/protocol/pgwire"
+	"cresspass/internal/protocol/sqlscan"
 )
 
 // ended is the error of a call, with what its client may do.
@@ -44,8 +44,8 @@
 type call struct {
 	s     *Server
 	t     *track
-	q     *front.Query
-	id    lane.ID
+	q     *frontend.Query
+	id    statementqueue.ID
 	alone bool
 
 	mu     sync.Mutex
@@ -62,7 +62,7 @@
 	text, types string
 	parsed      []sqlscan.Statement
 	bind        []byte
-	kind        ask.Kind
+	kind        enginequery.Kind
 }
 
 // scan reads a text. Functions that the settings call harmless are in no doubt.
@@ -99,7 +99,7 @@
 // up.
 func (s *Server) start(ctx context.Context, t *track, st statement) (*call, error) {
 	c := &call{s: s, t: t, wake: make(chan struct{}, 1), room: make(chan struct{}, 1),
-		alone: st.kind == ask.Execute && alone(st.parsed)}
+		alone: st.kind == enginequery.Execute && alone(st.parsed)}
 	id, v := t.enter(ctx, c.alone)
 	if v != nil {
 		return nil, ruled(v)
@@ -109,14 +109,14 @@
 		return nil, ruled(verdict.Stopping(false))
 	}
 	c.id = id
-	k := &ask.Ask{Kind: st.kind, Text: st.text, Parsed: st.parsed, Types: st.types, Bind: st.bind,
-		Describe: st.kind == ask.Execute}
-	q := &front.Query{Front: Name, Ask: k, Who: t.of.who(ctx), After: func() { t.leave(id) }}
-	q.Answer = answer.New(c, s.cfg.Budget, s.cfg.HoldBack)
+	k := &enginequery.Ask{Kind: st.kind, Text: st.text, Parsed: st.parsed, Types: st.types, Bind: st.bind,
+		Describe: st.kind == enginequery.Execute}
+	q := &frontend.Query{Front: Name, Ask: k, Who: t.of.who(ctx), After: func() { t.leave(id) }}
+	q.Answer = response.New(c, s.cfg.Budget, s.cfg.HoldBack)
 	q.Throttle = c.throttle
 	q.Copy = func(*copyin.Pipe) bool { return false } // data comes by other ways than COPY here
 	q.Room = func() {}
-	q.Settled = func(end backend.End) backend.Stay { return t.settled(c, end) }
+	q.Settled = func(end pgbackend.End) pgbackend.Stay { return t.settled(c, end) }
 	q.Broken = func(sent bool) { t.broken(c, sent) }
 	c.q = q
 	t.open(c, k)
--- a/internal/flightfront/catalog.go
+++ b/internal/frontend/flightsql/catalog.go
@@ -1,4 +1,4 @@
-package flightfront
+package flightsql
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"github.com/apache/arrow-go/v18/arrow/flight/flightsql"
 	"github.com/apache/arrow-go/v18/arrow/flight/flightsql/schema_ref"
 
-	"cresspass/internal/ask"
-	"cresspass/internal/rowbatch"
+	"cresspass/internal/backend/enginequery"
+	"cresspass/internal/frontend/flightsql/arrowbatch"
 )
 
 // What drivers ask at connect. Catalogs, schemas, tables and keys are an engine's to know: each is a query of
@@ -106,12 +106,12 @@
 	}
 	row := b.NewRecordBatch()
 	defer row.Release()
-	bind, err := rowbatch.Bind(nil, row, 0, h.rows)
+	bind, err := arrowbatch.Bind(nil, row, 0, h.rows)
 	if err != nil {
 		return nil, err
 	}
 	c, err := s.start(ctx, t, statement{text: text, types: h.types, parsed: s.scan(text), bind: bind,
-		kind: ask.Execute})
+		kind: enginequery.Execute})
 	if err != nil {
 		return nil, err
 	}
@@ -252,7 +252,7 @@
 	fields := map[[2]string][]arrow.Field{}
 	for i := range int(cols.NumRows()) {
 		at := [2]string{text(cols, 0, i), text(cols, 1, i)}
-		fields[at] = append(fields[at], rowbatch.Field(text(cols, 2, i),
+		fields[at] = append(fields[at], arrowbatch.Field(text(cols, 2, i),
 			uint32(cols.Column(3).(*array.Int64).Value(i)), int32(cols.Column(4).(*array.Int64).Value(i)),
 			!cols.Column(5).(*array.Boolean).Value(i)))
 	}
--- a/internal/flightfront/front.go
+++ b/internal/frontend/flightsql/front.go
@@ -1,7 +1,7 @@
-// Package flightfront serves Arrow Flight SQL over gRPC on the same core as the PostgreSQL front. It is a
+// Package flightsql serves Arrow Flight SQL over gRPC on the same core as the PostgreSQL front. It is a
 // shell: what a ticket may do, who runs when in a session, and what a status says is decided in packages
 // ticket, lane, bearer and grpcstatus. Sections named are of Arrow's "Flight SQL" and "Flight RPC" pages.
-package flightfront
+package flightsql
 
 import (
 	"context"
@@ -25,30 +25,30 @@
 	"google.golang.org/grpc/stats"
 	"google.golang.org/grpc/status"
 
-	"cresspass/internal/answer"
-	"cresspass/internal/ask"
-	"cresspass/internal/bearer"
-	"cresspass/internal/classify"
-	"cresspass/internal/flood"
-	"cresspass/internal/front"
-	"cresspass/internal/kept"
-	"cresspass/internal/listen"
-	"cresspass/internal/ticket"
+	"cresspass/internal/affinity/registry"
+	"cresspass/internal/backend/enginequery"
+	"cresspass/internal/dispatch/response"
+	"cresspass/internal/frontend"
+	"cresspass/internal/frontend/classify"
+	"cresspass/internal/frontend/flightsql/bearertoken"
+	"cresspass/internal/frontend/flightsql/ticket"
+	"cresspass/internal/netlisten"
+	"cresspass/internal/overload/rapidreset"
 )
 
 // Config holds the settings of the front.
 type Config struct {
 	Version      string // told as the server's
-	Book         *kept.Book
-	HoldBack     int            // bytes of an answer held back before the first goes out
-	Budget       *answer.Budget // the same over all answers
-	ClientBuffer int            // bytes that a call may leave untaken before the engine is no longer read
-	MaxMessage   int            // bytes of a message of a client
-	MaxStreams   int            // calls at a time on one connection
+	Book         *registry.Book
+	HoldBack     int              // bytes of an answer held back before the first goes out
+	Budget       *response.Budget // the same over all answers
+	ClientBuffer int              // bytes that a call may leave untaken before the engine is no longer read
+	MaxMessage   int              // bytes of a message of a client
+	MaxStreams   int              // calls at a time on one connection
 
 	TicketLife      time.Duration
 	MaxTickets      int // remembered fetches of statements that change data
-	Sessions        bearer.Limits
+	Sessions        bearertoken.Limits
 	MaxTransactions int // open ones of a session
 	MaxPrepared     int // statements of a session
 	MaxWaiting      int // statements that wait for their turn in a session
@@ -67,7 +67,7 @@
 	// is known.
 	Described func(key string) []byte
 	// Safe reports whether a statement may be run any number of times.
-	Safe func(who classify.Client, a *ask.Ask) bool
+	Safe func(who classify.Client, a *enginequery.Ask) bool
 	// Harmless reports whether a function leaves nothing in a session; nil: none is known to.
 	Harmless func(name string) bool
 }
@@ -79,7 +79,7 @@
 type Server struct {
 	flightsql.BaseServer
 	cfg    Config
-	taker  front.Taker
+	taker  frontend.Taker
 	log    *slog.Logger
 	grpc   *grpc.Server
 	health *health.Server
@@ -92,7 +92,7 @@
 
 	mu       sync.Mutex
 	tickets  *ticket.Book
-	bearers  *bearer.Book
+	bearers  *bearertoken.Book
 	sessions map[string]*session
 	ended    map[string]string // why sessions ended, the last ones
 	endings  []string          // their tokens in order
@@ -106,10 +106,10 @@
 }
 
 // New returns a server that hands queries to taker.
-func New(cfg Config, taker front.Taker, log *slog.Logger) *Server {
+func New(cfg Config, taker frontend.Taker, log *slog.Logger) *Server {
 	s := &Server{cfg: cfg, taker: taker, log: log, key: make([]byte, 32), zero: time.Now(),
 		mem: memory.DefaultAllocator, tickets: ticket.NewBook(cfg.MaxTickets),
-		bearers:  bearer.New(cfg.Sessions),
+		bearers:  bearertoken.New(cfg.Sessions),
 		sessions: map[string]*session{}, ended: map[string]string{}, running: map[uint64]map[*call]struct{}{},
 		peers: map[*peer]struct{}{}, nets: map[string]*conn{}, stop: make(chan struct{}),
 		health: health.NewServer()}
@@ -150,7 +150,7 @@
 	s.work.Add(1)
 	go func() {
 		defer s.work.Done()
-		if err := s.grpc.Serve(&listener{listen.Lasting{Listener: ln}, s}); err != nil && !s.drains.Load() {
+		if err := s.grpc.Serve(&listener{netlisten.Lasting{Listener: ln}, s}); err != nil && !s.drains.Load() {
 			s.log.Warn("Flight SQL", "error", err)
 		}
 	}()
@@ -203,15 +203,15 @@
 	token string
 	more  []string // tokens of its sessions by Basic; under the server's lock
 	nc    *conn
-	meter *flood.Meter // under the server's lock
-	away  bool         // the same
+	meter *rapidreset.Meter // under the server's lock
+	away  bool              // the same
 }
 
 type connKey struct{}
 
 // TagConn gives each connection a name for its session.
 func (s *Server) TagConn(ctx context.Context, info *stats.ConnTagInfo) context.Context {
-	p := &peer{token: "conn-" + name(), meter: flood.New(flood.Default(), s.now())}
+	p := &peer{token: "conn-" + name(), meter: rapidreset.New(rapidreset.Default(), s.now())}
 	s.mu.Lock()
 	p.nc = s.nets[info.RemoteAddr.String()]
 	s.peers[p] = struct{}{}
--- a/internal/grpcstatus/golden_test.go
+++ b/internal/frontend/flightsql/grpcstatus/golden_test.go
@@ -12,8 +12,8 @@
 	"google.golang.org/genproto/googleapis/rpc/errdetails"
 	"google.golang.org/grpc/codes"
 
-	"cresspass/internal/pgwire"
-	"cresspass/internal/verdict"
+	"cresspass/internal/dispatch/verdict"
+	"cresspass/internal/protocol/pgwire"
 )
 
 // TestStatusesAreStable compares the statuses that clients are sent with what the version that introduced
--- a/internal/grpcstatus/status.go
+++ b/internal/frontend/flightsql/grpcstatus/status.go
@@ -14,8 +14,8 @@
 	"google.golang.org/protobuf/protoadapt"
 	"google.golang.org/protobuf/types/known/durationpb"
 
-	"cresspass/internal/pgwire"
-	"cresspass/internal/verdict"
+	"cresspass/internal/dispatch/verdict"
+	"cresspass/internal/protocol/pgwire"
 )
 
 // Domain is the ErrorInfo domain of all statuses.
--- a/internal/grpcstatus/status_test.go
+++ b/internal/frontend/flightsql/grpcstatus/status_test.go
@@ -7,8 +7,8 @@
 	"google.golang.org/genproto/googleapis/rpc/errdetails"
 	"google.golang.org/grpc/codes"
 
-	"cresspass/internal/pgwire"
-	"cresspass/internal/verdict"
+	"cresspass/internal/dispatch/verdict"
+	"cresspass/internal/protocol/pgwire"
 )
 
 // What each end becomes. No code that clients repeat by themselves stands for what may have run.
--- a/internal/flightfront/lane.go
+++ b/internal/frontend/flightsql/lane.go
@@ -1,4 +1,4 @@
-package flightfront
+package flightsql
 
 import (
 	"context"
@@ -6,37 +6,37 @@
 	"sync"
 	"time"
 
-	"cresspass/internal/ask"
-	"cresspass/internal/backend"
-	"cresspass/internal/kept"
-	"cresspass/internal/lane"
-	"cresspass/internal/orphan"
-	"cresspass/internal/params"
-	"cresspass/internal/pin"
-	"cresspass/internal/sqlscan"
-	"cresspass/internal/verdict"
+	"cresspass/internal/affinity"
+	"cresspass/internal/affinity/orphanedsession"
+	"cresspass/internal/affinity/registry"
+	"cresspass/internal/backend/enginequery"
+	"cresspass/internal/backend/pgbackend"
+	"cresspass/internal/backend/sessionparams"
+	"cresspass/internal/dispatch/verdict"
+	"cresspass/internal/frontend/flightsql/statementqueue"
+	"cresspass/internal/protocol/sqlscan"
 )
 
 // track is one lane of a session: that of its statements outside transactions, or a transaction.
 type track struct {
 	of    *session
 	id    string // of the transaction; "": outside
-	lease backend.Lease
+	lease pgbackend.Lease
 
 	mu     sync.Mutex
-	lane   lane.Lane
-	waits  map[lane.ID]chan struct{}
-	pin    *pin.Session
+	lane   statementqueue.Lane
+	waits  map[statementqueue.ID]chan struct{}
+	pin    *affinity.Session
 	cur    *call            // that has the lane alone
 	over   *verdict.Verdict // why the lane has ended; nil: it has not
 	lost   bool             // its engine connection was lost while a statement was under way
 	notice string           // to be told at the next call's end
 	began  bool             // a transaction's BEGIN was carried out
-	hold   kept.Hold
+	hold   registry.Hold
 }
 
-func newTrack(of *session, id string, settings *params.Set) *track {
-	t := &track{of: of, id: id, waits: map[lane.ID]chan struct{}{}, pin: pin.New()}
+func newTrack(of *session, id string, settings *sessionparams.Set) *track {
+	t := &track{of: of, id: id, waits: map[statementqueue.ID]chan struct{}{}, pin: affinity.New()}
 	t.pin.Params.From(settings)
 	t.lease.OnLost, t.lease.OnDrain = t.connLost, t.drained
 	t.hold.User, t.hold.Due = of.user, t.due
@@ -44,7 +44,7 @@
 }
 
 // enter waits for a statement's turn.
-func (t *track) enter(ctx context.Context, alone bool) (lane.ID, *verdict.Verdict) {
+func (t *track) enter(ctx context.Context, alone bool) (statementqueue.ID, *verdict.Verdict) {
 	t.mu.Lock()
 	if t.over != nil {
 		defer t.mu.Unlock()
@@ -54,7 +54,7 @@
 		t.mu.Unlock()
 		return 0, verdict.Limit("too many statements of the session wait for their turn")
 	}
-	id := lane.ID(t.of.s.nextID.Add(1))
+	id := statementqueue.ID(t.of.s.nextID.Add(1))
 	ch := make(chan struct{})
 	t.waits[id] = ch
 	t.wake(t.lane.Enter(id, alone))
@@ -83,7 +83,7 @@
 }
 
 // wake lets statements run. The caller holds the lock.
-func (t *track) wake(run []lane.ID) {
+func (t *track) wake(run []statementqueue.ID) {
 	for _, id := range run {
 		if ch := t.waits[id]; ch != nil {
 			close(ch)
@@ -93,7 +93,7 @@
 }
 
 // leave ends a statement's turn.
-func (t *track) leave(id lane.ID) {
+func (t *track) leave(id statementqueue.ID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if ch := t.waits[id]; ch != nil {
@@ -105,8 +105,8 @@
 // alone reports whether statements may leave something, or change what is replayed.
 func alone(parsed []sqlscan.Statement) bool {
 	return slices.ContainsFunc(parsed, func(st sqlscan.Statement) bool {
-		_, sets := params.Of(&st)
-		return sets || pin.Starts(&st) || ends(&st)
+		_, sets := sessionparams.Of(&st)
+		return sets || affinity.Starts(&st) || ends(&st)
 	})
 }
 
@@ -122,36 +122,36 @@
 }
 
 // open puts a statement that has its turn into the terms of the core. The caller has the turn.
-func (t *track) open(c *call, k *ask.Ask) {
+func (t *track) open(c *call, k *enginequery.Ask) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	k.Rest, k.Settings = t.pin.Status() == 'I', t.pin.Params.Want()
 	bound := t.pin.Bound()
 	if !c.alone && !bound {
-		c.q.Lease = &backend.Lease{OnLost: func() {}, OnDrain: func(time.Duration) {}}
+		c.q.Lease = &pgbackend.Lease{OnLost: func() {}, OnDrain: func(time.Duration) {}}
 		return
 	}
 	t.cur = c
 	c.q.Lease = &t.lease
 	k.Bound = bound
-	if k.Kind == ask.Execute {
+	if k.Kind == enginequery.Execute {
 		t.pin.Sent(k.Parsed)
 		k.Begins = !bound && (t.pin.Bound() || slices.ContainsFunc(k.Parsed, func(st sqlscan.Statement) bool {
-			return pin.Starts(&st)
+			return affinity.Starts(&st)
 		}))
 	}
 	k.Pinned = bound || k.Begins || slices.ContainsFunc(k.Parsed, func(st sqlscan.Statement) bool {
-		_, ok := params.Of(&st)
+		_, ok := sessionparams.Of(&st)
 		return ok
 	})
 }
 
 // settled takes the end of a statement at its engine.
-func (t *track) settled(c *call, end backend.End) backend.Stay {
+func (t *track) settled(c *call, end pgbackend.End) pgbackend.Stay {
 	t.mu.Lock()
 	if t.cur != c || t.over != nil {
 		t.mu.Unlock()
-		return backend.Stay{} // its answer has ended by other hands, or it was to leave nothing
+		return pgbackend.Stay{} // its answer has ended by other hands, or it was to leave nothing
 	}
 	p := t.pin
 	p.Params.Ran(end.Had)
@@ -166,7 +166,7 @@
 	keep := p.Bound()
 	t.lane.Bind(keep)
 	t.began = t.began || keep
-	stay := backend.Stay{Known: true, Keep: keep, Has: p.Params.Real()}
+	stay := pgbackend.Stay{Known: true, Keep: keep, Has: p.Params.Real()}
 	if t.id != "" && t.began && end.Status == 'I' {
 		// What a transaction leaves behind itself belongs to nobody: its connection is closed.
 		t.over = &verdict.Verdict{Kind: verdict.Faulty, Code: "25000",
@@ -176,7 +176,7 @@
 	}
 	t.mu.Unlock()
 	if changed {
-		book.Count(&t.hold, keep, orphan.Session{Engine: string(end.Engine), PID: end.PID,
+		book.Count(&t.hold, keep, orphanedsession.Session{Engine: string(end.Engine), PID: end.PID,
 			Secret: end.Secret})
 	}
 	return stay
@@ -185,7 +185,7 @@
 // closed tells that the lane's statement has its final answer. It is called under the answer's lock.
 func (t *track) closed(c *call) {
 	t.mu.Lock()
-	var end pin.End
+	var end affinity.End
 	if t.cur == c {
 		t.cur = nil
 		if t.lost {
@@ -219,7 +219,7 @@
 func (t *track) connLost() {
 	t.mu.Lock()
 	busy, bound := t.cur != nil, t.pin.Bound()
-	var end pin.End
+	var end affinity.End
 	switch {
 	case bound && !busy:
 		end = t.pin.Lost(false)
@@ -244,7 +244,7 @@
 }
 
 // due ends the lane where its time has come.
-func (t *track) due(now time.Duration, l pin.Limits) {
+func (t *track) due(now time.Duration, l affinity.Limits) {
 	t.mu.Lock()
 	if t.over != nil {
 		t.mu.Unlock()
@@ -275,7 +275,7 @@
 		cur.cancel(v)
 	}
 	t.lease.Drop()
-	t.of.s.cfg.Book.Count(&t.hold, false, orphan.Session{})
+	t.of.s.cfg.Book.Count(&t.hold, false, orphanedsession.Session{})
 	if t.id == "" {
 		t.of.s.end(t.of.token, v.Message)
 	}
--- a/internal/flightfront/query.go
+++ b/internal/frontend/flightsql/query.go
@@ -1,4 +1,4 @@
-package flightfront
+package flightsql
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/protobuf/types/known/timestamppb"
 
-	"cresspass/internal/ask"
-	"cresspass/internal/rowbatch"
-	"cresspass/internal/ticket"
-	"cresspass/internal/verdict"
+	"cresspass/internal/backend/enginequery"
+	"cresspass/internal/dispatch/verdict"
+	"cresspass/internal/frontend/flightsql/arrowbatch"
+	"cresspass/internal/frontend/flightsql/ticket"
 )
 
 // How rows are gathered: a batch goes out at batchBytes or batchRows, or when no more came for lull.
@@ -27,14 +27,14 @@
 
 // shape is what an engine said of a statement.
 type shape struct {
-	rows   *rowbatch.Schema // nil: it returns none
+	rows   *arrowbatch.Schema // nil: it returns none
 	params *arrow.Schema
 	types  string // OIDs of the parameters, 4 bytes each
 }
 
 // describe has a statement described, by what is known of its text or by an engine.
 func (s *Server) describe(ctx context.Context, t *track, text string) (*shape, error) {
-	st := statement{text: text, parsed: s.scan(text), kind: ask.DescribeStatement}
+	st := statement{text: text, parsed: s.scan(text), kind: enginequery.DescribeStatement}
 	switch len(st.parsed) {
 	case 0:
 		return &shape{params: arrow.NewSchema(nil, nil)}, nil
@@ -50,7 +50,7 @@
 	bound := t.pin.Bound() // a table may be its session's own
 	t.mu.Unlock()
 	if s.cfg.Described != nil && !bound {
-		b = s.cfg.Described((&ask.Ask{Text: text}).Key())
+		b = s.cfg.Described((&enginequery.Ask{Text: text}).Key())
 	}
 	if b == nil {
 		c, err := s.start(ctx, t, st)
@@ -65,10 +65,10 @@
 	err := messages(b, func(kind byte, body []byte) (err error) {
 		switch kind {
 		case 't':
-			out.params, _, err = rowbatch.NewParameters(body)
+			out.params, _, err = arrowbatch.NewParameters(body)
 			out.types = string(body[2:])
 		case 'T':
-			out.rows, err = rowbatch.NewSchema(body, true)
+			out.rows, err = arrowbatch.NewSchema(body, true)
 		}
 		return err
 	})
@@ -89,7 +89,7 @@
 	v := sessionOf(ctx)
 	tk := &ticket.Ticket{Nonce: s.nextID.Add(1), Session: v.token, Lane: t.id, Text: text, Types: h.types,
 		Bind: bind, Until: s.now() + s.cfg.TicketLife}
-	tk.Once = s.cfg.Safe == nil || !s.cfg.Safe(v.who(ctx), &ask.Ask{Kind: ask.Execute, Text: text,
+	tk.Once = s.cfg.Safe == nil || !s.cfg.Safe(v.who(ctx), &enginequery.Ask{Kind: enginequery.Execute, Text: text,
 		Parsed: s.scan(text)})
 	handle, err := flightsql.CreateStatementQueryTicket(ticket.Seal(s.key, tk))
 	if err != nil {
@@ -118,7 +118,7 @@
 	if err != nil {
 		return nil, err
 	}
-	bind, err := rowbatch.Bind(nil, nil, 0, h.rows)
+	bind, err := arrowbatch.Bind(nil, nil, 0, h.rows)
 	if err != nil {
 		return nil, err
 	}
@@ -169,7 +169,7 @@
 		done(false)
 		return nil, nil, err
 	}
-	st := statement{text: tk.Text, types: tk.Types, bind: tk.Bind, parsed: s.scan(tk.Text), kind: ask.Execute}
+	st := statement{text: tk.Text, types: tk.Types, bind: tk.Bind, parsed: s.scan(tk.Text), kind: enginequery.Execute}
 	if len(st.parsed) == 0 {
 		done(true)
 		ch := make(chan flight.StreamChunk)
@@ -225,7 +225,7 @@
 		}
 		if spare = b; !more {
 			if r.schema == nil {
-				r.schema = &rowbatch.Schema{Arrow: arrow.NewSchema(nil, nil)}
+				r.schema = &arrowbatch.Schema{Arrow: arrow.NewSchema(nil, nil)}
 			}
 			r.last = true
 		}
@@ -239,8 +239,8 @@
 	s       *Server
 	c       *call
 	out     chan flight.StreamChunk
-	schema  *rowbatch.Schema
-	builder *rowbatch.Builder
+	schema  *arrowbatch.Schema
+	builder *arrowbatch.Builder
 	last    bool // the answer is complete
 	full    []arrow.RecordBatch
 }
@@ -250,11 +250,11 @@
 	return messages(b, func(kind byte, body []byte) (err error) {
 		switch kind {
 		case 'T':
-			if r.schema, err = rowbatch.NewSchema(body, false); err == nil {
-				r.builder = rowbatch.NewBuilder(r.schema, r.s.mem)
+			if r.schema, err = arrowbatch.NewSchema(body, false); err == nil {
+				r.builder = arrowbatch.NewBuilder(r.schema, r.s.mem)
 			}
 		case 'n':
-			r.schema = &rowbatch.Schema{Arrow: arrow.NewSchema(nil, nil)}
+			r.schema = &arrowbatch.Schema{Arrow: arrow.NewSchema(nil, nil)}
 		case 'D':
 			if r.builder == nil {
 				return fault(codes.Unknown, "a row came before its description")
@@ -348,7 +348,7 @@
 
 // update runs a statement and returns how many rows it changed.
 func (s *Server) update(ctx context.Context, t *track, st statement) (int64, error) {
-	st.kind = ask.Execute
+	st.kind = enginequery.Execute
 	switch len(st.parsed) {
 	case 0:
 		return 0, nil
@@ -383,7 +383,7 @@
 	if err != nil {
 		return 0, err
 	}
-	bind, err := rowbatch.Bind(nil, nil, 0, nil)
+	bind, err := arrowbatch.Bind(nil, nil, 0, nil)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/flightfront/session.go
+++ b/internal/frontend/flightsql/session.go
@@ -1,4 +1,4 @@
-package flightfront
+package flightsql
 
 import (
 	"context"
@@ -21,9 +21,9 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/proto"
 
-	"cresspass/internal/grpcstatus"
-	"cresspass/internal/params"
-	"cresspass/internal/verdict"
+	"cresspass/internal/backend/sessionparams"
+	"cresspass/internal/dispatch/verdict"
+	"cresspass/internal/frontend/flightsql/grpcstatus"
 )
 
 // session is what a token, or a connection without one, stands for.
@@ -398,7 +398,7 @@
 	if setting == optionSchema {
 		setting = "search_path"
 	}
-	replayed := params.Replayed(setting)
+	replayed := sessionparams.Replayed(setting)
 	if !replayed && setting != optionCatalog && setting != optionApplication {
 		return false
 	}
--- a/internal/lane/lane.go
+++ b/internal/frontend/flightsql/statementqueue/lane.go
@@ -1,9 +1,9 @@
-// Package lane decides which statement of a session runs now. A Flight client asks for many things of one
+// Package statementqueue decides which statement of a session runs now. A Flight client asks for many things of one
 // session at once, and an engine's connection does one after the other. Statements that leave nothing share
 // the lane; one that may leave something, or needs what was left, has it alone. Nobody overtakes: one that
 // waits for the lane alone holds later ones back, so that a flood of plain ones cannot starve it. It does no
 // I/O and has no clock.
-package lane
+package statementqueue
 
 // ID names a statement.
 type ID uint64
--- a/internal/lane/lane_test.go
+++ b/internal/frontend/flightsql/statementqueue/lane_test.go
@@ -1,4 +1,4 @@
-package lane
+package statementqueue
 
 import (
 	"slices"
--- a/internal/flightfront/transact.go
+++ b/internal/frontend/flightsql/transact.go
@@ -1,4 +1,4 @@
-package flightfront
+package flightsql
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"github.com/apache/arrow-go/v18/arrow/flight/flightsql"
 	"google.golang.org/grpc/codes"
 
-	"cresspass/internal/rowbatch"
-	"cresspass/internal/verdict"
+	"cresspass/internal/dispatch/verdict"
+	"cresspass/internal/frontend/flightsql/arrowbatch"
 )
 
 // prepared is a statement under a handle.
@@ -24,7 +24,7 @@
 // run carries out a statement of ours in a lane, as BEGIN. It takes the ordinary path: it is admitted, placed
 // and may be refused.
 func (t *track) run(ctx context.Context, text string) error {
-	bind, err := rowbatch.Bind(nil, nil, 0, nil)
+	bind, err := arrowbatch.Bind(nil, nil, 0, nil)
 	if err != nil {
 		return err
 	}
@@ -232,7 +232,7 @@
 	case n > 0:
 		return nil, fault(codes.FailedPrecondition, "%d parameters of the statement are not bound", n)
 	}
-	return rowbatch.Bind(nil, nil, 0, p.shape.rows)
+	return arrowbatch.Bind(nil, nil, 0, p.shape.rows)
 }
 
 // row binds one row of parameters.
@@ -241,7 +241,7 @@
 		return nil, fault(codes.InvalidArgument, "%d parameters are bound, the statement has %d",
 			r.NumCols(), want)
 	}
-	b, err := rowbatch.Bind(nil, r, i, p.shape.rows)
+	b, err := arrowbatch.Bind(nil, r, i, p.shape.rows)
 	if err != nil {
 		return nil, fault(codes.InvalidArgument, "%v", err)
 	}
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/pgfrontend/frontend.go
@@ -1,6 +1,6 @@
-// Package frontend serves PostgreSQL clients on lesismal/nbio: a few polling goroutines for any number of
-// connections, no goroutine and no buffer for an idle one. It is a shell around internal/session.
-package frontend
+// Package pgfrontend serves PostgreSQL clients on lesismal/nbio: a few polling goroutines for any number of
+// connections, no goroutine and no buffer for an idle one. It is a shell around internal/frontend/pgfrontend/pgsession.
+package pgfrontend
 
 import (
 	"crypto/rand"
@@ -19,24 +19,24 @@
 	"github.com/lesismal/nbio"
 	"github.com/lesismal/nbio/logging"
 
-	"cresspass/internal/answer"
-	"cresspass/internal/ask"
-	"cresspass/internal/backend"
-	"cresspass/internal/classify"
-	"cresspass/internal/copyin"
-	"cresspass/internal/front"
-	"cresspass/internal/kept"
-	"cresspass/internal/listen"
-	"cresspass/internal/orphan"
-	"cresspass/internal/pgwire"
-	"cresspass/internal/pin"
-	"cresspass/internal/session"
-	"cresspass/internal/verdict"
+	"cresspass/internal/affinity"
+	"cresspass/internal/affinity/orphanedsession"
+	"cresspass/internal/affinity/registry"
+	"cresspass/internal/backend/copyin"
+	"cresspass/internal/backend/enginequery"
+	"cresspass/internal/backend/pgbackend"
+	"cresspass/internal/dispatch/response"
+	"cresspass/internal/dispatch/verdict"
+	"cresspass/internal/frontend"
+	"cresspass/internal/frontend/classify"
+	"cresspass/internal/frontend/pgfrontend/pgsession"
+	"cresspass/internal/netlisten"
+	"cresspass/internal/protocol/pgwire"
 )
 
 // Config holds the settings of the front.
 type Config struct {
-	Session    session.Config
+	Session    pgsession.Config
 	MaxClients int // further ones are answered with 53300
 	// Connect reports whether there is room for one more client; Disconnect gives the room back.
 	Connect        func() bool
@@ -51,7 +51,7 @@
 	Admit func(user string) (reason string, ok bool)
 	Leave func(user string)
 
-	Book *kept.Book // sessions that are kept on engines
+	Book *registry.Book // sessions that are kept on engines
 }
 
 // turnedAway is how many connections over the limit are told so; beyond, they are closed at once.
@@ -63,9 +63,9 @@
 // Server serves clients. Make one with New.
 type Server struct {
 	cfg    atomic.Pointer[Config]
-	taker  front.Taker
+	taker  frontend.Taker
 	log    *slog.Logger
-	budget answer.Budget
+	budget response.Budget
 	engine *nbio.Engine
 
 	mu      sync.Mutex
@@ -85,22 +85,22 @@
 	pid  uint32
 	over bool // beyond the limit of clients
 	in   bool // the user was admitted
-	hold kept.Hold
+	hold registry.Hold
 	gone chan struct{}
 	room chan struct{} // of one: there may be room again
 	sent atomic.Int64  // bytes given to the network
 	took atomic.Int64  // bytes the network took
 	wait atomic.Bool   // throttle looks for room
 
-	lease backend.Lease // the engine connection that the session is kept on
+	lease pgbackend.Lease // the engine connection that the session is kept on
 
 	reads sync.Mutex                  // one goroutine reads the client; taken before mu
 	pipe  atomic.Pointer[copyin.Pipe] // takes the data of a COPY; nil: none runs
 
 	mu        sync.Mutex
-	s         *session.Session
-	cur       *front.Query
-	next      *ask.Ask // to be taken once cur has ended in the module's books
+	s         *pgsession.Session
+	cur       *frontend.Query
+	next      *enginequery.Ask // to be taken once cur has ended in the module's books
 	closed    bool
 	stalled   bool // left unread: too much was sent ahead
 	lostLease bool // its engine connection was lost while a query was under way
@@ -110,10 +110,10 @@
 }
 
 // New returns a server that hands queries to taker.
-func New(cfg Config, taker front.Taker, log *slog.Logger) (*Server, error) {
+func New(cfg Config, taker frontend.Taker, log *slog.Logger) (*Server, error) {
 	logging.SetLevel(logging.LevelNone)
 	s := &Server{taker: taker, log: log, clients: map[uint32]*client{},
-		budget: answer.Budget{Most: cfg.HoldBackTotal},
+		budget: response.Budget{Most: cfg.HoldBackTotal},
 		// Edge-triggered, so that a client whose bytes have nowhere to go can be left unread at no cost.
 		engine: nbio.NewEngine(nbio.Config{Name: "postgresql", EpollMod: nbio.EPOLLET})}
 	s.cfg.Store(&cfg)
@@ -136,7 +136,7 @@
 	go func() {
 		defer s.accepts.Done()
 		for {
-			nc, err := listen.Lasting{Listener: ln}.Accept()
+			nc, err := netlisten.Lasting{Listener: ln}.Accept()
 			if err != nil {
 				return
 			}
@@ -186,7 +186,7 @@
 		c.leave = true
 		// One that has only just come is served once; it came to a listener that had not said no.
 		idle := !c.s.Busy() && c.s.Started() && !c.s.Pin.Bound()
-		if c.s.Pin.State() == pin.Pinned && !c.s.Busy() && !c.closed {
+		if c.s.Pin.State() == affinity.Pinned && !c.s.Busy() && !c.closed {
 			c.warn("the dispatcher is shutting down, and this session is kept on an engine by " +
 				c.s.Pin.Reason().String() + "; it will be ended")
 		}
@@ -266,7 +266,7 @@
 	closed := s.closed
 	s.mu.Unlock()
 	c.over = !cfg.Connect()
-	c.s = session.New(&cfg.Session, c.pid, string(secret))
+	c.s = pgsession.New(&cfg.Session, c.pid, string(secret))
 	c.lease.OnLost, c.lease.OnDrain, c.hold.Due = c.lost, c.drained, c.due
 	nc.SetSession(c)
 	nc.SetNoDelay(true)
@@ -377,7 +377,7 @@
 }
 
 // copy opens a COPY's pipe to the client.
-func (c *client) copy(q *front.Query, p *copyin.Pipe) bool {
+func (c *client) copy(q *frontend.Query, p *copyin.Pipe) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.cur != q || c.closed || !c.s.Copy() {
@@ -457,31 +457,31 @@
 }
 
 // query makes a query of an Ask. The caller holds c.mu.
-func (c *client) query(k *ask.Ask) *front.Query {
+func (c *client) query(k *enginequery.Ask) *frontend.Query {
 	if k == nil || c.closed {
 		return nil
 	}
 	s := c.s
-	q := &front.Query{Front: Name, Ask: k, After: c.after,
+	q := &frontend.Query{Front: Name, Ask: k, After: c.after,
 		Who: classify.Client{User: s.User, Database: s.Database, Application: s.Application,
 			Timeout: s.Timeout}}
-	q.Answer = answer.New(&sink{c, k.Kind}, &c.srv.budget, c.srv.cfg.Load().HoldBack)
+	q.Answer = response.New(&sink{c, k.Kind}, &c.srv.budget, c.srv.cfg.Load().HoldBack)
 	q.Throttle = func() { c.throttle(q.Answer.Ended()) }
 	q.Lease = &c.lease
 	q.Copy = func(p *copyin.Pipe) bool { return c.copy(q, p) }
 	q.Room = func() { go c.read() }
-	q.Settled = func(end backend.End) backend.Stay { return c.settled(q, end) }
+	q.Settled = func(end pgbackend.End) pgbackend.Stay { return c.settled(q, end) }
 	q.Broken = func(sent bool) { c.broken(q, sent) }
 	c.cur = q
 	return q
 }
 
 // settled takes the end of a query at its engine.
-func (c *client) settled(q *front.Query, end backend.End) backend.Stay {
+func (c *client) settled(q *frontend.Query, end pgbackend.End) pgbackend.Stay {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.cur != q {
-		return backend.Stay{} // its answer has ended by other hands
+		return pgbackend.Stay{} // its answer has ended by other hands
 	}
 	p := c.s.Pin
 	p.Params.Ran(end.Had)
@@ -495,14 +495,14 @@
 	changed := p.Ready(book.Now(), end.Status)
 	keep := p.Bound()
 	if changed {
-		book.Count(&c.hold, keep, orphan.Session{Engine: string(end.Engine), PID: end.PID,
+		book.Count(&c.hold, keep, orphanedsession.Session{Engine: string(end.Engine), PID: end.PID,
 			Secret: end.Secret})
 	}
-	return backend.Stay{Known: true, Keep: keep, Has: p.Params.Real()}
+	return pgbackend.Stay{Known: true, Keep: keep, Has: p.Params.Real()}
 }
 
 // broken ends the session, whose engine connection was lost while a query of its was out.
-func (c *client) broken(q *front.Query, sent bool) {
+func (c *client) broken(q *frontend.Query, sent bool) {
 	if !q.Answer.Abandon() {
 		return
 	}
@@ -516,7 +516,7 @@
 func (c *client) lost() {
 	c.mu.Lock()
 	busy, bound := c.s.Busy(), c.s.Pin.Bound()
-	var end pin.End
+	var end affinity.End
 	switch {
 	case bound && !busy:
 		end = c.s.Pin.Lost(false)
@@ -545,7 +545,7 @@
 }
 
 // due ends the session where its time has come.
-func (c *client) due(now time.Duration, l pin.Limits) {
+func (c *client) due(now time.Duration, l affinity.Limits) {
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
@@ -576,7 +576,7 @@
 }
 
 // turnedAway answers a query that would begin a session to be kept, where no more may be. Nothing of it ran.
-func (c *client) turnedAway(q *front.Query) bool {
+func (c *client) turnedAway(q *frontend.Query) bool {
 	if !q.Ask.Pinned || q.Lease.Engine() != "" {
 		return false
 	}
@@ -632,7 +632,7 @@
 	close(c.gone)
 	c.lease.Drop()
 	s := c.srv
-	s.cfg.Load().Book.Count(&c.hold, false, orphan.Session{})
+	s.cfg.Load().Book.Count(&c.hold, false, orphanedsession.Session{})
 	cfg := s.cfg.Load()
 	if in {
 		cfg.Leave(c.s.User)
@@ -650,7 +650,7 @@
 
 // cancel carries out a cancel request ("Canceling Requests in Progress"). A wrong secret is ignored in
 // silence.
-func (s *Server) cancel(r *session.Cancel) {
+func (s *Server) cancel(r *pgsession.Cancel) {
 	s.mu.Lock()
 	c := s.clients[r.PID]
 	s.mu.Unlock()
@@ -670,7 +670,7 @@
 // sink passes an answer to its client.
 type sink struct {
 	c    *client
-	kind ask.Kind
+	kind enginequery.Kind
 }
 
 func (k *sink) Rows(b []byte) {
@@ -699,7 +699,7 @@
 	if p := c.pipe.Swap(nil); p != nil && p.Full() {
 		go c.read() // what it sends now is no copy's
 	}
-	var end pin.End
+	var end affinity.End
 	if c.lostLease {
 		end = c.s.Pin.Lost(false)
 	} else if c.lease.Engine() == "" {
--- a/internal/session/copy.go
+++ b/internal/frontend/pgfrontend/pgsession/copy.go
@@ -1,10 +1,10 @@
-package session
+package pgsession
 
 import (
 	"fmt"
 
-	"cresspass/internal/copyin"
-	"cresspass/internal/pgwire"
+	"cresspass/internal/backend/copyin"
+	"cresspass/internal/protocol/pgwire"
 )
 
 // Section "COPY Operations". The engine's CopyInResponse opens copy-in mode: from there the client's
--- a/internal/session/golden_test.go
+++ b/internal/frontend/pgfrontend/pgsession/golden_test.go
@@ -1,4 +1,4 @@
-package session
+package pgsession
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 	"strings"
 	"testing"
 
-	"cresspass/internal/ask"
-	"cresspass/internal/params"
-	"cresspass/internal/pgwire"
+	"cresspass/internal/backend/enginequery"
+	"cresspass/internal/backend/sessionparams"
+	"cresspass/internal/protocol/pgwire"
 )
 
 // event is something that happens to a session.
@@ -19,7 +19,7 @@
 func send(b []byte) event { return func(s *Session) { s.Data(b) } }
 
 // finish ends the query that is out as an engine's answer does.
-func finish(kind ask.Kind, tag string, status byte, b []byte, failed bool) event {
+func finish(kind enginequery.Kind, tag string, status byte, b []byte, failed bool) event {
 	return func(s *Session) {
 		if tag != "" {
 			s.Tag(tag)
@@ -97,7 +97,7 @@
 			query("show statement_timeout"), query("select 1")}},
 		{"startup with a replayed setting", []event{startup("user", "u", "TimeZone", "Europe/Paris"),
 			query("show timezone"), query("reset all"), query("select 1"),
-			finish(ask.Simple, "SELECT 1", 'I', done, false), query("set timezone = 'UTC'")}},
+			finish(enginequery.Simple, "SELECT 1", 'I', done, false), query("set timezone = 'UTC'")}},
 		{"startup with a setting that is not served", []event{startup("user", "u", "work_mem", "1GB")}},
 		{"startup with a wrong time", []event{startup("user", "u", "statement_timeout", "x")}},
 		{"startup without a user", []event{startup("database", "d")}},
@@ -112,29 +112,29 @@
 		{"startup too long", []event{send([]byte{0, 1, 0, 0, 0, 3, 0, 0})}},
 		{"cancel request", []event{send(pgwire.AppendCancel(nil, 7, []byte("kkkk")))}},
 		{"simple queries served here", simple},
-		{"simple query", []event{user, query("select 1"), finish(ask.Simple, "SELECT 1", 'I', done, false),
-			query("select nothing"), finish(ask.Simple, "", 'I', failed, true), query("show timezone")}},
-		{"transaction", []event{user, query("begin"), finish(ask.Simple, "BEGIN", 'T',
+		{"simple query", []event{user, query("select 1"), finish(enginequery.Simple, "SELECT 1", 'I', done, false),
+			query("select nothing"), finish(enginequery.Simple, "", 'I', failed, true), query("show timezone")}},
+		{"transaction", []event{user, query("begin"), finish(enginequery.Simple, "BEGIN", 'T',
 			pgwire.AppendText(nil, 'C', "BEGIN"), false), query("show timezone"),
-			finish(ask.Simple, "SHOW", 'T', done, false), query("bad"), finish(ask.Simple, "", 'E', failed,
+			finish(enginequery.Simple, "SHOW", 'T', done, false), query("bad"), finish(enginequery.Simple, "", 'E', failed,
 				true),
-			query("rollback"), finish(ask.Simple, "ROLLBACK", 'I', done, false), query("show timezone")}},
+			query("rollback"), finish(enginequery.Simple, "ROLLBACK", 'I', done, false), query("show timezone")}},
 		{"replayed setting", []event{user, query("set search_path = a"),
-			finish(ask.Simple, "SET", 'I', done, false), query("select 1"),
-			finish(ask.Simple, "SELECT 1", 'I', done, false), query("show search_path")}},
+			finish(enginequery.Simple, "SET", 'I', done, false), query("select 1"),
+			finish(enginequery.Simple, "SELECT 1", 'I', done, false), query("show search_path")}},
 		{"session state", []event{user, query("create temp table t (a int)"),
-			finish(ask.Simple, "CREATE TABLE", 'I', done, false), query("show timezone"),
-			finish(ask.Simple, "SHOW", 'I', done, false), query("discard all"),
-			finish(ask.Simple, "DISCARD ALL", 'I', done, false), query("show timezone")}},
+			finish(enginequery.Simple, "CREATE TABLE", 'I', done, false), query("show timezone"),
+			finish(enginequery.Simple, "SHOW", 'I', done, false), query("discard all"),
+			finish(enginequery.Simple, "DISCARD ALL", 'I', done, false), query("show timezone")}},
 		{"extended query", []event{user, extended(parse("s", "select $1", 0, 0, 0, 25), bind("", "s"),
-			target('D', 'P', ""), execute("", 0)), finish(ask.Execute, "SELECT 1", 'I', done, false)}},
+			target('D', 'P', ""), execute("", 0)), finish(enginequery.Execute, "SELECT 1", 'I', done, false)}},
 		{"extended query that fails", []event{user, extended(parse("", "select 1"), bind("", ""),
-			execute("", 5), target('D', 'S', "")), finish(ask.Execute, "", 'I', failed, true),
+			execute("", 5), target('D', 'S', "")), finish(enginequery.Execute, "", 'I', failed, true),
 			query("show timezone")}},
 		{"portal described by itself", []event{user, extended(parse("", "select 1"), bind("p", ""),
-			target('D', 'P', "p"), target('C', 'P', "p")), finish(ask.DescribePortal, "", 'I', nil, false)}},
+			target('D', 'P', "p"), target('C', 'P', "p")), finish(enginequery.DescribePortal, "", 'I', nil, false)}},
 		{"statement described", []event{user, extended(parse("a", "select 1"), target('D', 'S', "a")),
-			finish(ask.DescribeStatement, "", 'I', nil, false)}},
+			finish(enginequery.DescribeStatement, "", 'I', nil, false)}},
 		{"extended query served here", []event{user, extended(parse("a", "show timezone"), target('D', 'S',
 			"a"),
 			bind("", "a"), target('D', 'P', ""), execute("", 0)), extended(parse("b", ""), bind("", "b"),
@@ -147,13 +147,13 @@
 			extended(target('C', 'S', "none"), target('C', 'P', "none")), extended(parse("b", "select 2")),
 			extended(parse("c", "select 3")), extended(parse("", "select 1; select 2"))}},
 		{"portal executed twice", []event{user, extended(parse("", "select 1"), bind("", ""), execute("", 1)),
-			finish(ask.Execute, "", 'I', nil, false), extended(bind("", ""), execute("", 1), execute("", 1)),
-			finish(ask.Execute, "", 'I', nil, false)}},
-		{"portal in a transaction", []event{user, query("begin"), finish(ask.Simple, "BEGIN", 'T', done,
+			finish(enginequery.Execute, "", 'I', nil, false), extended(bind("", ""), execute("", 1), execute("", 1)),
+			finish(enginequery.Execute, "", 'I', nil, false)}},
+		{"portal in a transaction", []event{user, query("begin"), finish(enginequery.Simple, "BEGIN", 'T', done,
 			false),
 			extended(parse("", "select 1"), bind("p", ""), execute("p", 1)),
-			finish(ask.Execute, "", 'T', nil, false), extended(execute("p", 1)),
-			finish(ask.Execute, "SELECT 1", 'T', done, false)}},
+			finish(enginequery.Execute, "", 'T', nil, false), extended(execute("p", 1)),
+			finish(enginequery.Execute, "SELECT 1", 'T', done, false)}},
 		{"function call", []event{user, send(pgwire.Append(nil, 'F', []byte{1}))}},
 		{"message out of place", []event{user, send(pgwire.Append(nil, 'p', nil))}},
 		{"message of no known type", []event{user, send([]byte("~~~~~~"))}},
@@ -163,19 +163,19 @@
 			send(pgwire.Append(nil, 'c', nil)), send(pgwire.AppendFlush(nil)),
 			send(pgwire.Append(nil, 'X', nil)), query("select 1")}},
 		{"too much sent ahead", []event{user, query("select 1"), query(strings.Repeat("x", 20)),
-			query(strings.Repeat("x", 200)), finish(ask.Simple, "SELECT 1", 'I', done, false)}},
+			query(strings.Repeat("x", 200)), finish(enginequery.Simple, "SELECT 1", 'I', done, false)}},
 		{"sent ahead", []event{user, query("select 1"), query("select 2"), query("show timezone"),
-			finish(ask.Simple, "SELECT 1", 'I', done, false), finish(ask.Simple, "SELECT 1", 'I', done,
+			finish(enginequery.Simple, "SELECT 1", 'I', done, false), finish(enginequery.Simple, "SELECT 1", 'I', done,
 				false)}},
 		{"copy", []event{user, query("copy t from stdin"), copyMode, send(pgwire.Append(nil, 'd',
 			[]byte("1\n"))),
 			send(pgwire.AppendFlush(nil)), send(pgwire.Append(nil, 'c', nil)),
-			finish(ask.Simple, "COPY 1", 'I', pgwire.AppendText(nil, 'C', "COPY 1"), false)}},
+			finish(enginequery.Simple, "COPY 1", 'I', pgwire.AppendText(nil, 'C', "COPY 1"), false)}},
 		{"copy that the client fails", []event{user, query("copy t from stdin"), copyMode,
 			send(pgwire.AppendText(nil, 'f', "why not"))}},
 		{"copy with a query in it", []event{user, query("copy t from stdin"), copyMode,
 			send(pgwire.Append(nil, 'd', []byte("1\n"))), query("select 1"),
-			finish(ask.Simple, "", 'I', failed, true)}},
+			finish(enginequery.Simple, "", 'I', failed, true)}},
 		{"copy and terminate", []event{user, query("copy t from stdin"), copyMode,
 			send(pgwire.Append(nil, 'X', nil))}},
 		{"ended from our side", []event{user, func(s *Session) { s.End("57P01", "over") },
@@ -209,7 +209,7 @@
 			a.Kind,
 			a.Text, a.Types, a.Bind, a.Describe, a.Portal, a.More, a.Rows)
 		fmt.Fprintf(w, "       bound %v pinned %v begins %v rest %v settings %q key %q copies %v\n", a.Bound,
-			a.Pinned, a.Begins, a.Rest, params.Diff(nil, a.Settings), a.Key(), a.Copies())
+			a.Pinned, a.Begins, a.Rest, sessionparams.Diff(nil, a.Settings), a.Key(), a.Copies())
 	}
 	if b, end := s.Copied(); len(b) > 0 || end != 0 {
 		fmt.Fprintf(w, "copy %q end %d\n", b, end)
--- a/internal/session/local.go
+++ b/internal/frontend/pgfrontend/pgsession/local.go
@@ -1,4 +1,4 @@
-package session
+package pgsession
 
 import (
 	"encoding/binary"
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
-	"cresspass/internal/params"
-	"cresspass/internal/pgwire"
-	"cresspass/internal/sqlscan"
+	"cresspass/internal/backend/sessionparams"
+	"cresspass/internal/protocol/pgwire"
+	"cresspass/internal/protocol/sqlscan"
 )
 
 // here tells whether statements are answered on the spot. While the session is kept on an engine connection,
@@ -34,7 +34,7 @@
 func (s *Session) served(st *sqlscan.Statement) bool {
 	switch st.Words[0] {
 	case "SET":
-		name, value, ok := params.Assignment(st)
+		name, value, ok := sessionparams.Assignment(st)
 		return ok && st.Words[1] != "LOCAL" && s.Pin.Params.Want().Text(name) == "" &&
 			(own[name] || s.usual(name, value))
 	case "SHOW":
@@ -78,9 +78,9 @@
 	switch {
 	case own[name] || s.usual(name, value):
 		return s.set(name, value)
-	case params.Replayed(name):
+	case sessionparams.Replayed(name):
 		s.Pin.Params.Start(name, value)
-		if shown := params.Reported(name); shown != "" {
+		if shown := sessionparams.Reported(name); shown != "" {
 			s.keep("started "+strings.ToLower(shown), value)
 		}
 		return nil
@@ -148,7 +148,7 @@
 	var err *settingError
 	switch st.Words[0] {
 	case "SET":
-		name, value, _ := params.Assignment(st)
+		name, value, _ := sessionparams.Assignment(st)
 		err = s.set(name, value)
 	case "RESET", "DISCARD":
 		if st.Words[1] == "ALL" || st.Words[1] == "STATEMENT_TIMEOUT" {
--- a/internal/session/session.go
+++ b/internal/frontend/pgfrontend/pgsession/session.go
@@ -1,8 +1,8 @@
-// Package session is one client's side of the PostgreSQL protocol, without sockets: bytes of the client and
+// Package pgsession is one client's side of the PostgreSQL protocol, without sockets: bytes of the client and
 // ends of queries in, bytes for the client and queries out. It knows what is answered on the spot (startup,
 // Parse, Bind, Sync, a few settings), what is a query for an engine, and what is skipped after an error. It
 // decides nothing about engines. Sections named are of PostgreSQL's chapter "Frontend/Backend Protocol".
-package session
+package pgsession
 
 import (
 	"fmt"
@@ -11,12 +11,12 @@
 	"strings"
 	"time"
 
-	"cresspass/internal/ask"
-	"cresspass/internal/copyin"
-	"cresspass/internal/params"
-	"cresspass/internal/pgwire"
-	"cresspass/internal/pin"
-	"cresspass/internal/sqlscan"
+	"cresspass/internal/affinity"
+	"cresspass/internal/backend/copyin"
+	"cresspass/internal/backend/enginequery"
+	"cresspass/internal/backend/sessionparams"
+	"cresspass/internal/protocol/pgwire"
+	"cresspass/internal/protocol/sqlscan"
 )
 
 // Cancel is a client's request to cancel what another connection runs.
@@ -66,13 +66,13 @@
 	PID                         uint32
 	Secret                      string
 
-	Pin *pin.Session // whether the session is kept on one engine connection
+	Pin *affinity.Session // whether the session is kept on one engine connection
 
 	cfg    *Config
 	phase  phase
 	reader pgwire.Reader
 	out    []byte
-	ask    *ask.Ask
+	ask    *enginequery.Ask
 	cancel *Cancel
 
 	statements map[string]*statement
@@ -93,7 +93,7 @@
 // New returns a session that waits for its startup packet. The PID and secret name it in cancel requests; a
 // secret is 32 bytes, of which clients before 3.2 get the first four.
 func New(cfg *Config, pid uint32, secret string) *Session {
-	s := &Session{cfg: cfg, PID: pid, Secret: secret, Pin: pin.New()}
+	s := &Session{cfg: cfg, PID: pid, Secret: secret, Pin: affinity.New()}
 	s.reader.Startup, s.reader.Max = true, cfg.MaxMessage
 	return s
 }
@@ -118,7 +118,7 @@
 }
 
 // Ask returns the query to be run now, once, or nil. Done must follow each.
-func (s *Session) Ask() *ask.Ask {
+func (s *Session) Ask() *enginequery.Ask {
 	a := s.ask
 	s.ask = nil
 	return a
@@ -152,13 +152,13 @@
 
 // Done tells that the query of the last Ask ended, after b was put before all further output. failed says
 // that an ErrorResponse ended it.
-func (s *Session) Done(kind ask.Kind, b []byte, failed bool) {
+func (s *Session) Done(kind enginequery.Kind, b []byte, failed bool) {
 	if s.phase != phaseBusy {
 		return
 	}
 	s.phase, s.copying = phaseIdle, false
 	s.out = append(s.out, b...)
-	if kind == ask.Simple {
+	if kind == enginequery.Simple {
 		s.out = pgwire.AppendReady(s.out, s.Pin.Status())
 	} else {
 		s.skip = failed
@@ -219,7 +219,7 @@
 	p := s.portals[s.describe]
 	s.carry = pgwire.Message{Type: m.Type, Body: append([]byte(nil), m.Body...)}
 	s.carried = true
-	s.run(&ask.Ask{Kind: ask.DescribePortal, Text: p.of.text, Parsed: p.of.parsed, Types: p.of.types,
+	s.run(&enginequery.Ask{Kind: enginequery.DescribePortal, Text: p.of.text, Parsed: p.of.parsed, Types: p.of.types,
 		Bind: p.bind})
 	return true
 }
@@ -345,22 +345,22 @@
 }
 
 // run puts a query out.
-func (s *Session) run(a *ask.Ask) {
+func (s *Session) run(a *enginequery.Ask) {
 	s.ask, s.phase = a, phaseBusy
 	a.Bound, a.Rest, a.Settings = s.Pin.Bound(), s.Pin.Status() == 'I', s.Pin.Params.Want()
-	if a.Kind == ask.Simple || a.Kind == ask.Execute {
+	if a.Kind == enginequery.Simple || a.Kind == enginequery.Execute {
 		s.Pin.Sent(a.Parsed)
 	}
 	// What begins a session to be kept may yet be refused before an engine saw it; Done then says that
 	// nothing is held.
 	a.Begins = !a.Bound && (s.Pin.Bound() || slices.ContainsFunc(a.Parsed, starts))
 	a.Pinned = a.Bound || a.Begins || slices.ContainsFunc(a.Parsed, func(st sqlscan.Statement) bool {
-		_, ok := params.Of(&st)
+		_, ok := sessionparams.Of(&st)
 		return ok
 	})
 }
 
-func starts(st sqlscan.Statement) bool { return pin.Starts(&st) }
+func starts(st sqlscan.Statement) bool { return affinity.Starts(&st) }
 
 // scan reads a text. Functions that the settings call harmless are in no doubt.
 func (s *Session) scan(text string) []sqlscan.Statement {
@@ -436,7 +436,7 @@
 			}
 		}
 	default:
-		s.run(&ask.Ask{Kind: ask.Simple, Text: text, Parsed: parsed})
+		s.run(&enginequery.Ask{Kind: enginequery.Simple, Text: text, Parsed: parsed})
 		return nil
 	}
 	s.skip = false
@@ -522,7 +522,7 @@
 		s.out = append(s.out, s.columns(st)...)
 		return nil
 	}
-	a := &ask.Ask{Kind: ask.DescribeStatement, Text: st.text, Parsed: st.parsed, Types: st.types}
+	a := &enginequery.Ask{Kind: enginequery.DescribeStatement, Text: st.text, Parsed: st.parsed, Types: st.types}
 	if s.cfg.Described != nil {
 		if known := s.cfg.Described(a.Key()); known != nil {
 			s.out = append(s.out, known...)
@@ -549,13 +549,13 @@
 	case p.of.local:
 		s.serve(&p.of.parsed[0], false)
 	case p.used && p.kept && s.Pin.Status() == 'T':
-		s.run(&ask.Ask{Kind: ask.Execute, Text: p.of.text, Parsed: p.of.parsed, Portal: string(name),
+		s.run(&enginequery.Ask{Kind: enginequery.Execute, Text: p.of.text, Parsed: p.of.parsed, Portal: string(name),
 			More: true, Rows: rows})
 	case p.used:
 		s.fail("0A000",
 			"a portal is executed once: fetching on would need a session that is kept on one engine")
 	default:
-		a := &ask.Ask{Kind: ask.Execute, Text: p.of.text, Parsed: p.of.parsed, Types: p.of.types,
+		a := &enginequery.Ask{Kind: enginequery.Execute, Text: p.of.text, Parsed: p.of.parsed, Types: p.of.types,
 			Bind: p.bind, Describe: describe, Rows: rows}
 		if p.used, p.kept = true, s.Pin.Status() == 'T'; p.kept {
 			a.Portal = string(name)
--- a/internal/thriftfront/front.go
+++ b/internal/frontend/thriftserver/front.go
@@ -1,14 +1,14 @@
-// Package thriftfront is the state of all client connections of the platform's front: what each message
+// Package thriftserver is the state of all client connections of the platform's front: what each message
 // means, which requests are open, who may answer them, and which connection makes room for a new one. It
 // does no I/O, and reads no clock.
-package thriftfront
+package thriftserver
 
 import (
 	"errors"
 	"time"
 
 	"cresspass"
-	"cresspass/internal/thrift"
+	"cresspass/internal/protocol/thrift"
 )
 
 // OpenMost is how many requests may be open on a connection (PROTOCOL, clients to dispatchers).
--- a/internal/thriftfront/front_test.go
+++ b/internal/frontend/thriftserver/front_test.go
@@ -1,4 +1,4 @@
-package thriftfront
+package thriftserver
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 
 	"cresspass"
-	"cresspass/internal/thrift"
+	"cresspass/internal/protocol/thrift"
 )
 
 var cfg = cresspass.Config{Classes: []cresspass.Class{{Name: "quick"},
--- a/internal/thriftfront/golden_test.go
+++ b/internal/frontend/thriftserver/golden_test.go
@@ -1,4 +1,4 @@
-package thriftfront
+package thriftserver
 
 import (
 	"bytes"
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"testing"
 
-	"cresspass/internal/thrift"
+	"cresspass/internal/protocol/thrift"
 )
 
 // TestGoldenReplies: what is replied at once to a message is the recorded bytes, the texts that clients read
--- a/internal/thriftfront/request.go
+++ b/internal/frontend/thriftserver/request.go
@@ -1,4 +1,4 @@
-package thriftfront
+package thriftserver
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"time"
 
 	"cresspass"
-	"cresspass/internal/sqlscan"
-	"cresspass/internal/thrift"
+	"cresspass/internal/protocol/sqlscan"
+	"cresspass/internal/protocol/thrift"
 )
 
 // Limits of what a request may say.
--- a/internal/peers/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -1,4 +1,4 @@
-package peers
+package membership
 
 import (
 	"fmt"
@@ -13,10 +13,10 @@
 	"github.com/hashicorp/memberlist"
 
 	"cresspass"
-	"cresspass/internal/knowledge"
-	"cresspass/internal/ordinal"
-	"cresspass/internal/plausible"
-	"cresspass/internal/talk"
+	"cresspass/internal/membership/gossip"
+	"cresspass/internal/membership/observation"
+	"cresspass/internal/membership/ordinal"
+	"cresspass/internal/membership/validation"
 )
 
 // counted counts what a transport sends in packets; streams are of joins and exchanges of state now and then.
@@ -56,13 +56,13 @@
 					if err != nil {
 						b.Fatal(err)
 					}
-					p, err := New(Config{Config: talk.Config{Name: name, Born: 1, Claim: -1, Rate: 50000,
-						Believe: plausible.DefaultLimits(2), Seed: uint64(i),
+					p, err := New(Config{Config: gossip.Config{Name: name, Born: 1, Claim: -1, Rate: 50000,
+						Believe: validation.DefaultLimits(2), Seed: uint64(i),
 						Ordinals: ordinal.Limits{Still: 2 * time.Second, Grace: 30 * time.Second, Least: 1}},
 						Listen: fmt.Sprint("127.0.0.1:", transport.GetAutoBindPort()),
 						Keys:   [][]byte{key(1)}, Seeds: seeds(all),
 						Transport: counted{transport, &bytes}},
-						knowledge.New(name, knowledge.DefaultLimits()),
+						observation.New(name, observation.DefaultLimits()),
 						slog.New(slog.NewTextHandler(io.Discard, nil)))
 					if err != nil {
 						b.Fatal(err)
--- a/internal/fleetclock/clock.go
+++ b/internal/membership/clocksync/clock.go
@@ -1,7 +1,7 @@
-// Package fleetclock has the members of a fleet agree on one clock, by which they take turns. Each
+// Package clocksync has the members of a fleet agree on one clock, by which they take turns. Each
 // process's own begins at its birth, and wall clocks may be an hour off; so nobody's is the clock, but the
 // median of what all say theirs is. It does no I/O and reads no clock.
-package fleetclock
+package clocksync
 
 import (
 	"slices"
--- a/internal/fleetclock/clock_test.go
+++ b/internal/membership/clocksync/clock_test.go
@@ -1,4 +1,4 @@
-package fleetclock
+package clocksync
 
 import (
 	"fmt"
--- a/internal/peers/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -1,4 +1,4 @@
-package peers
+package membership
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"cresspass/internal/ordinal"
+	"cresspass/internal/membership/ordinal"
 )
 
 // What a member says of itself with its name, as sent on 2026-12-02: a fleet that is rolled has both versions
--- a/internal/talk/form.go
+++ b/internal/membership/gossip/form.go
@@ -1,4 +1,4 @@
-package talk
+package gossip
 
 import (
 	"encoding/binary"
@@ -6,7 +6,7 @@
 	"math"
 	"time"
 
-	"cresspass/internal/knowledge"
+	"cresspass/internal/membership/observation"
 )
 
 // kind is that of a packet.
@@ -61,7 +61,7 @@
 	return h, b[end:], true
 }
 
-func appendDigest(d knowledge.Digest) []byte {
+func appendDigest(d observation.Digest) []byte {
 	b := make([]byte, 0, 8*len(d))
 	for _, v := range d {
 		b = binary.BigEndian.AppendUint64(b, v)
@@ -69,7 +69,7 @@
 	return b
 }
 
-func readDigest(b []byte) (d knowledge.Digest, ok bool) {
+func readDigest(b []byte) (d observation.Digest, ok bool) {
 	if len(b) != 8*len(d) {
 		return d, false
 	}
@@ -80,7 +80,7 @@
 }
 
 // Encode puts records into pieces that fit packets. Names of more than 255 bytes are left out.
-func Encode(all []knowledge.Told) (pieces [][]byte) {
+func Encode(all []observation.Told) (pieces [][]byte) {
 	var b []byte
 	for _, t := range all {
 		if len(t.Engine) > 255 || len(t.Class) > 255 || len(t.Observer) > 255 {
@@ -108,9 +108,9 @@
 var errCut = errors.New("talk: records are cut")
 
 // Decode reads a piece of any bytes.
-func Decode(b []byte) (all []knowledge.Told, err error) {
+func Decode(b []byte) (all []observation.Told, err error) {
 	for len(b) > 0 {
-		var t knowledge.Told
+		var t observation.Told
 		for _, to := range []*string{&t.Engine, &t.Class, &t.Observer} {
 			if len(b) < 1 || len(b) < 1+int(b[0]) {
 				return nil, errCut
@@ -120,7 +120,7 @@
 		if len(b) < 22 {
 			return nil, errCut
 		}
-		t.Fact, t.Hops = knowledge.Fact(b[0]), b[1]
+		t.Fact, t.Hops = observation.Fact(b[0]), b[1]
 		t.Age = time.Duration(binary.BigEndian.Uint32(b[2:])) * time.Millisecond
 		t.Seq = binary.BigEndian.Uint64(b[6:])
 		t.Value = math.Float64frombits(binary.BigEndian.Uint64(b[14:]))
--- a/internal/talk/golden_test.go
+++ b/internal/membership/gossip/golden_test.go
@@ -1,4 +1,4 @@
-package talk
+package gossip
 
 import (
 	"bytes"
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"cresspass/internal/knowledge"
-	"cresspass/internal/ordinal"
+	"cresspass/internal/membership/observation"
+	"cresspass/internal/membership/ordinal"
 )
 
 // golden compares the bytes that this version writes with those of testdata, and returns the latter.
@@ -37,17 +37,17 @@
 }
 
 // goldenRecords have every field set, the greatest and the least values among them.
-func goldenRecords() []knowledge.Told {
-	return []knowledge.Told{
-		{Key: knowledge.Key{Engine: "10.0.0.1:5432", Fact: knowledge.Health}, Observer: "hall-a-1",
+func goldenRecords() []observation.Told {
+	return []observation.Told{
+		{Key: observation.Key{Engine: "10.0.0.1:5432", Fact: observation.Health}, Observer: "hall-a-1",
 			Age: 1500 * time.Millisecond, Seq: 42, Value: 1, Hops: 2},
-		{Key: knowledge.Key{Engine: "10.0.0.2:5432", Fact: knowledge.Load}, Observer: "hall-b-2",
+		{Key: observation.Key{Engine: "10.0.0.2:5432", Fact: observation.Load}, Observer: "hall-b-2",
 			Age: 0, Seq: 1, Value: 12.25, Hops: 0},
-		{Key: knowledge.Key{Engine: "[::1]:5432", Fact: knowledge.Warmth}, Observer: "hall-c-3",
+		{Key: observation.Key{Engine: "[::1]:5432", Fact: observation.Warmth}, Observer: "hall-c-3",
 			Age: 4294967295 * time.Millisecond, Seq: 1<<64 - 1, Value: 86400.5, Hops: 255},
-		{Key: knowledge.Key{Fact: knowledge.Weight, Class: "c/dash/scale"}, Observer: "(former)",
+		{Key: observation.Key{Fact: observation.Weight, Class: "c/dash/scale"}, Observer: "(former)",
 			Age: time.Hour, Seq: 7, Value: 0.0625, Hops: 11},
-		{Key: knowledge.Key{Fact: knowledge.Weight, Class: "k/std/\"dash\"/*"}, Observer: "",
+		{Key: observation.Key{Fact: observation.Weight, Class: "k/std/\"dash\"/*"}, Observer: "",
 			Age: time.Millisecond, Seq: 8, Value: 3, Hops: 1},
 	}
 }
@@ -55,7 +55,7 @@
 // Packets of every kind as dispatchers sent them on 2026-12-02: a fleet that is rolled has both versions at
 // once, so each is read with the same values, and written with the same bytes.
 func TestGoldenPackets(t *testing.T) {
-	var digest knowledge.Digest
+	var digest observation.Digest
 	for i := range digest {
 		digest[i] = uint64(i)<<56 | 0x0102030405060708*uint64(i)
 	}
@@ -112,7 +112,7 @@
 // What a dispatcher has learnt, in as many pieces as packets need, joined: so it stands in the state folder
 // and in a hand-over.
 func TestGoldenStoredRecords(t *testing.T) {
-	var all []knowledge.Told
+	var all []observation.Told
 	for i := range 60 {
 		for _, r := range goldenRecords() {
 			r.Seq, r.Value = r.Seq+uint64(i), r.Value+float64(i)
--- a/internal/talk/newcomer.go
+++ b/internal/membership/gossip/newcomer.go
@@ -1,4 +1,4 @@
-package talk
+package gossip
 
 import (
 	"time"
--- a/internal/talk/talk.go
+++ b/internal/membership/gossip/talk.go
@@ -1,8 +1,8 @@
-// Package talk decides what a dispatcher says to others, whom it believes, and what its module is told of
+// Package gossip decides what a dispatcher says to others, whom it believes, and what its module is told of
 // the fleet: members, packets and the module's messages in, outputs out, all under a clock that is handed
 // in. It does no I/O and has no goroutine; package peers carries its outputs out over a network, package
 // model over one that loses.
-package talk
+package gossip
 
 import (
 	"encoding/binary"
@@ -13,11 +13,11 @@
 	"golang.org/x/time/rate"
 
 	"cresspass"
-	"cresspass/internal/fleetclock"
-	"cresspass/internal/knowledge"
-	"cresspass/internal/ordinal"
-	"cresspass/internal/plausible"
-	"cresspass/internal/replay"
+	"cresspass/internal/membership/clocksync"
+	"cresspass/internal/membership/observation"
+	"cresspass/internal/membership/ordinal"
+	"cresspass/internal/membership/replayguard"
+	"cresspass/internal/membership/validation"
 )
 
 // Config holds the settings.
@@ -28,7 +28,7 @@
 	Seed     uint64 // of what is left to chance
 	Rate     int    // bytes a second that may be said
 	Ordinals ordinal.Limits
-	Believe  plausible.Limits
+	Believe  validation.Limits
 	// Wait is how long one that begins waits for what others have learnt; 0: it does not ask.
 	Wait time.Duration
 }
@@ -69,8 +69,8 @@
 	AskedFacts           uint64 // digests sent
 	Answers, Unanswered  uint64 // what was learnt told to one that began; not told
 	Members, Ordinal     int
-	Judged               [plausible.Reasons]uint64
-	Dropped              knowledge.Dropped
+	Judged               [validation.Reasons]uint64
+	Dropped              observation.Dropped
 	Yielded              bool
 }
 
@@ -87,11 +87,11 @@
 // Talker is a dispatcher's part. Make one with New. It is for one goroutine at a time.
 type Talker struct {
 	cfg       Config
-	store     *knowledge.Store
-	judge     *plausible.Judge
-	clock     *fleetclock.Clock
+	store     *observation.Store
+	judge     *validation.Judge
+	clock     *clocksync.Clock
 	agreement *ordinal.Agreement
-	windows   *replay.Windows
+	windows   *replayguard.Windows
 	rate      *rate.Limiter
 	answers   *rate.Limiter
 	random    *rand.Rand
@@ -111,9 +111,9 @@
 }
 
 // New returns the part of a dispatcher that knows of no other.
-func New(cfg Config, store *knowledge.Store, now time.Duration) *Talker {
-	t := &Talker{cfg: cfg, store: store, judge: plausible.New(cfg.Believe), clock: fleetclock.New(),
-		windows: replay.NewWindows(4096),
+func New(cfg Config, store *observation.Store, now time.Duration) *Talker {
+	t := &Talker{cfg: cfg, store: store, judge: validation.New(cfg.Believe), clock: clocksync.New(),
+		windows: replayguard.NewWindows(4096),
 		rate:    rate.NewLimiter(rate.Limit(cfg.Rate), max(cfg.Rate, 4*MostPacket)),
 		answers: rate.NewLimiter(answersEach, answersMost),
 		random:  rand.New(rand.NewPCG(cfg.Seed, cfg.Born)), members: map[string]ordinal.Member{},
@@ -129,7 +129,7 @@
 func (t *Talker) Self() ordinal.Member { return t.agreement.Self() }
 
 // Store is what is known, to be looked at and added to.
-func (t *Talker) Store() *knowledge.Store { return t.store }
+func (t *Talker) Store() *observation.Store { return t.store }
 
 // Stats returns the counts so far.
 func (t *Talker) Stats() Stats {
@@ -164,13 +164,13 @@
 		v = 1
 		t.judge.Answered(now, id, threads)
 	}
-	t.store.See(now, knowledge.Key{Engine: string(id), Fact: knowledge.Health}, v)
+	t.store.See(now, observation.Key{Engine: string(id), Fact: observation.Health}, v)
 }
 
 // Learnt tells what the module has learnt, by name.
 func (t *Talker) Learnt(now time.Duration, figures map[string]float64) {
 	for name, v := range figures {
-		t.store.See(now, knowledge.Key{Fact: knowledge.Weight, Class: name}, v)
+		t.store.See(now, observation.Key{Fact: observation.Weight, Class: name}, v)
 	}
 }
 
@@ -303,7 +303,7 @@
 	switch h.kind {
 	case kindModule:
 		if from.Claim >= 0 && t.judge.Take(now, t.clock.At(now), from.Claim, t.view.Count,
-			data) == plausible.Taken {
+			data) == validation.Taken {
 			t.do(Output{Type: Message, From: from.Claim, Data: append([]byte(nil), data...)})
 		}
 	case kindDigest:
--- a/internal/talk/talk_test.go
+++ b/internal/membership/gossip/talk_test.go
@@ -1,4 +1,4 @@
-package talk
+package gossip
 
 import (
 	"encoding/binary"
@@ -11,16 +11,16 @@
 	"pgregory.net/rapid"
 
 	"cresspass"
-	"cresspass/internal/knowledge"
-	"cresspass/internal/ordinal"
-	"cresspass/internal/plausible"
+	"cresspass/internal/membership/observation"
+	"cresspass/internal/membership/ordinal"
+	"cresspass/internal/membership/validation"
 )
 
 const s = time.Second
 
 func one(name string, born uint64, wait time.Duration) *Talker {
-	store := knowledge.New(name, knowledge.DefaultLimits())
-	t := New(Config{Name: name, Born: born, Claim: -1, Rate: 20000, Believe: plausible.DefaultLimits(2),
+	store := observation.New(name, observation.DefaultLimits())
+	t := New(Config{Name: name, Born: born, Claim: -1, Rate: 20000, Believe: validation.DefaultLimits(2),
 		Wait:     wait,
 		Ordinals: ordinal.Limits{Still: s, Grace: 5 * s, Left: s, Least: 1}}, store, 24*time.Hour)
 	t.Roster(map[cresspass.EngineID]float64{"e1": 8, "e2": 8})
@@ -223,8 +223,8 @@
 	now := 24 * time.Hour
 	a := one("a", 1, 0)
 	say := func(from, engine string, v float64, age time.Duration) {
-		a.Store().Hear(now, from, []knowledge.Told{{Key: knowledge.Key{Engine: engine,
-			Fact: knowledge.Health},
+		a.Store().Hear(now, from, []observation.Told{{Key: observation.Key{Engine: engine,
+			Fact: observation.Health},
 			Observer: from, Seq: 1, Value: v, Age: age}})
 	}
 	downs := func() (out []string) {
@@ -252,7 +252,7 @@
 		t.Errorf("told again: %v", got)
 	}
 	a.Saw(now, "e1", true, -1)
-	if got := downs(); got != nil || a.Store().Opinion(now, knowledge.Key{Engine: "e1"}).Value != 1 {
+	if got := downs(); got != nil || a.Store().Opinion(now, observation.Key{Engine: "e1"}).Value != 1 {
 		t.Errorf("it answered here: %v", got)
 	}
 }
@@ -260,11 +260,11 @@
 // Records come out as they went in, and any bytes are read or refused.
 func TestForm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var in, out []knowledge.Told
+		var in, out []observation.Told
 		for range rapid.IntRange(0, 60).Draw(t, "records") {
-			in = append(in, knowledge.Told{Key: knowledge.Key{Engine: rapid.StringN(0, 20, 60).Draw(t,
+			in = append(in, observation.Told{Key: observation.Key{Engine: rapid.StringN(0, 20, 60).Draw(t,
 				"engine"),
-				Fact: knowledge.Fact(rapid.Byte().Draw(t, "fact")), Class: rapid.StringN(0, 9, 60).Draw(t,
+				Fact: observation.Fact(rapid.Byte().Draw(t, "fact")), Class: rapid.StringN(0, 9, 60).Draw(t,
 					"class")},
 				Observer: "o", Seq: rapid.Uint64().Draw(t, "seq"), Value: rapid.Float64().Draw(t, "value"),
 				Age: time.Duration(rapid.Uint32().Draw(t, "ms")) * time.Millisecond, Hops: 3})
--- a/internal/figures/figures.go
+++ b/internal/membership/modelstate/figures.go
@@ -1,7 +1,7 @@
-// Package figures takes what a module has learnt apart into named figures, so that several dispatchers' can
+// Package modelstate takes what a module has learnt apart into named figures, so that several dispatchers' can
 // be weighed one by one, and puts figures together into what a module takes over. It does no I/O and reads
 // no clock.
-package figures
+package modelstate
 
 import (
 	"encoding/json"
--- a/internal/figures/golden_test.go
+++ b/internal/membership/modelstate/golden_test.go
@@ -1,4 +1,4 @@
-package figures
+package modelstate
 
 import (
 	"bytes"
--- a/internal/knowledge/golden_test.go
+++ b/internal/membership/observation/golden_test.go
@@ -1,4 +1,4 @@
-package knowledge
+package observation
 
 import (
 	"bytes"
--- a/internal/knowledge/knowledge.go
+++ b/internal/membership/observation/knowledge.go
@@ -1,8 +1,8 @@
-// Package knowledge decides what a dispatcher makes of what others tell of engines. Facts are records, one
+// Package observation decides what a dispatcher makes of what others tell of engines. Facts are records, one
 // for each observer, with the time of the evidence; what was seen here is never outweighed by what was heard.
 // It does no I/O and reads no clock: times are the dispatcher's own, and what travels between dispatchers are
 // ages.
-package knowledge
+package observation
 
 import (
 	"cmp"
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"cresspass/internal/figures"
+	"cresspass/internal/membership/modelstate"
 )
 
 // Fact is what a record is about.
@@ -224,7 +224,7 @@
 
 func possible(k Key, v float64) bool {
 	return k.Fact < facts && !math.IsNaN(v) && v >= terms[k.Fact].least && v <= terms[k.Fact].most &&
-		(k.Fact == Weight) == (k.Engine == "") && (k.Fact != Weight || figures.Possible(k.Class, v))
+		(k.Fact == Weight) == (k.Engine == "") && (k.Fact != Weight || modelstate.Possible(k.Class, v))
 }
 
 // room reports whether a fact may be kept: there are so many figures, and no more.
--- a/internal/peers/peers.go
+++ b/internal/membership/peers.go
@@ -1,7 +1,7 @@
-// Package peers lets dispatchers talk over a network: membership by SWIM on hashicorp/memberlist, and
+// Package membership lets dispatchers talk over a network: membership by SWIM on hashicorp/memberlist, and
 // packets that may be lost. It is a shell; what is said, believed and told to the module is decided in
 // package talk.
-package peers
+package membership
 
 import (
 	"encoding/binary"
@@ -20,14 +20,14 @@
 
 	"cresspass"
 	"cresspass/internal/dispatch"
-	"cresspass/internal/knowledge"
-	"cresspass/internal/ordinal"
-	"cresspass/internal/talk"
+	"cresspass/internal/membership/gossip"
+	"cresspass/internal/membership/observation"
+	"cresspass/internal/membership/ordinal"
 )
 
 // Config holds the settings.
 type Config struct {
-	talk.Config
+	gossip.Config
 	Listen string // UDP and TCP
 	Seeds  []string
 	// Keys authenticate and encrypt all that is said: 16, 24 or 32 bytes each. All are accepted, the first is
@@ -41,7 +41,7 @@
 	Clock dispatch.Clock
 
 	// Do carries out what concerns the dispatcher: Message, View, Down. It must not block.
-	Do func(o talk.Output)
+	Do func(o gossip.Output)
 }
 
 const (
@@ -67,13 +67,13 @@
 	voices     atomic.Int64
 
 	mu     sync.Mutex
-	talker *talk.Talker
+	talker *gossip.Talker
 	// Danger: memberlist changes its nodes; what is needed of one is taken while it tells of it.
 	nodes map[string]memberlist.Address
 }
 
 // New joins the others, as far as seeds answer; one that none of them answers is alone until others find it.
-func New(cfg Config, store *knowledge.Store, l *slog.Logger) (*Peers, error) {
+func New(cfg Config, store *observation.Store, l *slog.Logger) (*Peers, error) {
 	host, port, err := net.SplitHostPort(cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
@@ -96,7 +96,7 @@
 	}
 	// Danger: ages are taken off our clock; by one that began now all that others saw before would be too
 	// old.
-	p.talker = talk.New(cfg.Config, store, p.now())
+	p.talker = gossip.New(cfg.Config, store, p.now())
 	if cfg.Wait <= 0 { // nothing is asked, and nothing waited for
 		close(p.begun)
 	}
@@ -104,7 +104,7 @@
 	m.Name, m.BindAddr, m.BindPort, m.AdvertisePort, m.AdvertiseAddr = cfg.Name, host, number, number, host
 	m.Keyring, m.Delegate, m.Events, m.Conflict = ring, p, p, p
 	m.Transport = cfg.Transport
-	m.UDPBufferSize = talk.MostPacket + 200
+	m.UDPBufferSize = gossip.MostPacket + 200
 	m.TCPTimeout = 2 * time.Second
 	m.DeadNodeReclaimTime = time.Millisecond // one that returns has its name, and another port may be
 	if cfg.Probe > 0 {
@@ -180,7 +180,7 @@
 }
 
 // Stats returns the counts so far.
-func (p *Peers) Stats() talk.Stats {
+func (p *Peers) Stats() gossip.Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.talker.Stats()
@@ -188,29 +188,29 @@
 
 // with has f take part, and carries out what comes of it. It must not be called from within memberlist's
 // events.
-func (p *Peers) with(f func(now time.Duration, t *talk.Talker)) {
+func (p *Peers) with(f func(now time.Duration, t *gossip.Talker)) {
 	p.mu.Lock()
 	f(p.now(), p.talker)
 	out := p.talker.Ready()
 	nodes := make([]memberlist.Address, len(out))
 	for i := range out {
-		if out[i].Type == talk.Send {
+		if out[i].Type == gossip.Send {
 			nodes[i] = p.nodes[out[i].To]
 		}
 	}
 	p.mu.Unlock()
 	for i := range out {
 		switch o := &out[i]; o.Type {
-		case talk.Send:
+		case gossip.Send:
 			if nodes[i].Addr != "" {
 				p.list.SendToAddress(nodes[i], o.Data) // lost is as good as not sent
 			}
-		case talk.Say:
+		case gossip.Say:
 			p.update()
-		case talk.Begun:
+		case gossip.Begun:
 			p.voices.Store(int64(o.Voices))
 			close(p.begun)
-		case talk.Yield:
+		case gossip.Yield:
 			p.log.Error("another dispatcher, started later, has this name; this one is silent from now on",
 				"name", p.cfg.Name)
 			go p.close(false)
@@ -225,32 +225,32 @@
 // Tell says a message of the module's to the dispatcher of an ordinal; -1: to all. It may be lost, and is
 // not sent beyond the rate.
 func (p *Peers) Tell(to int, data []byte) {
-	p.with(func(now time.Duration, t *talk.Talker) { t.Tell(now, to, data) })
+	p.with(func(now time.Duration, t *gossip.Talker) { t.Tell(now, to, data) })
 }
 
 // Roster tells which engines there are, with their cores.
 func (p *Peers) Roster(engines map[cresspass.EngineID]float64) {
-	p.with(func(_ time.Duration, t *talk.Talker) { t.Roster(engines) })
+	p.with(func(_ time.Duration, t *gossip.Talker) { t.Roster(engines) })
 }
 
 // Saw tells how an attempt at an engine ended; see talk.Talker.
 func (p *Peers) Saw(id cresspass.EngineID, answered bool, threads float64) {
-	p.with(func(now time.Duration, t *talk.Talker) { t.Saw(now, id, answered, threads) })
+	p.with(func(now time.Duration, t *gossip.Talker) { t.Saw(now, id, answered, threads) })
 }
 
 // Learnt tells what the module has learnt, by name.
 func (p *Peers) Learnt(figures map[string]float64) {
-	p.with(func(now time.Duration, t *talk.Talker) { t.Learnt(now, figures) })
+	p.with(func(now time.Duration, t *gossip.Talker) { t.Learnt(now, figures) })
 }
 
 // With has f look at what is known, or add to it.
-func (p *Peers) With(f func(now time.Duration, s *knowledge.Store)) {
-	p.with(func(now time.Duration, t *talk.Talker) { f(now, t.Store()) })
+func (p *Peers) With(f func(now time.Duration, s *observation.Store)) {
+	p.with(func(now time.Duration, t *gossip.Talker) { f(now, t.Store()) })
 }
 
 // NotifyMsg takes a packet.
 func (p *Peers) NotifyMsg(b []byte) {
-	p.with(func(now time.Duration, t *talk.Talker) { t.Packet(now, b) })
+	p.with(func(now time.Duration, t *gossip.Talker) { t.Packet(now, b) })
 }
 
 // run lets time pass.
@@ -265,7 +265,7 @@
 			return
 		case <-tick.C:
 		}
-		p.with(func(now time.Duration, t *talk.Talker) { t.Tick(now) })
+		p.with(func(now time.Duration, t *gossip.Talker) { t.Tick(now) })
 		if time.Since(announced) >= announceEvery && time.Since(begun) < announceFor {
 			// Danger: one that returns before its former life is known to be dead has a name in use; its word
 			// is not taken, and memberlist does not say it again.
--- a/internal/peers/peers_test.go
+++ b/internal/membership/peers_test.go
@@ -1,4 +1,4 @@
-package peers
+package membership
 
 import (
 	"fmt"
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"cresspass/internal/knowledge"
-	"cresspass/internal/ordinal"
-	"cresspass/internal/plausible"
-	"cresspass/internal/talk"
+	"cresspass/internal/membership/gossip"
+	"cresspass/internal/membership/observation"
+	"cresspass/internal/membership/ordinal"
+	"cresspass/internal/membership/validation"
 )
 
 func key(b byte) []byte {
@@ -34,14 +34,14 @@
 func (f *fleet) start(name string, keys [][]byte, seeds ...string) *Peers {
 	f.t.Helper()
 	f.born++
-	store := knowledge.New(fmt.Sprint(name, "-", f.born), knowledge.DefaultLimits())
+	store := observation.New(fmt.Sprint(name, "-", f.born), observation.DefaultLimits())
 	store.Roster([]string{"e1", "e2"})
-	p, err := New(Config{Config: talk.Config{Name: name, Born: f.born, Claim: -1, Rate: 20000,
-		Believe:  plausible.DefaultLimits(1),
+	p, err := New(Config{Config: gossip.Config{Name: name, Born: f.born, Claim: -1, Rate: 20000,
+		Believe:  validation.DefaultLimits(1),
 		Ordinals: ordinal.Limits{Still: 200 * time.Millisecond, Grace: 500 * time.Millisecond, Least: 1}},
 		Listen: "127.0.0.1:0", Seeds: seeds, Keys: keys, Probe: 100 * time.Millisecond,
-		Do: func(o talk.Output) {
-			if o.Type == talk.Message {
+		Do: func(o gossip.Output) {
+			if o.Type == gossip.Message {
 				f.mu.Lock()
 				defer f.mu.Unlock()
 				f.got[name] = append(f.got[name], fmt.Sprint(o.From, " ", o.Data[3]))
@@ -111,11 +111,11 @@
 		}
 	}
 	f.mu.Unlock()
-	k := knowledge.Key{Engine: "e1", Fact: knowledge.Warmth}
-	first.With(func(now time.Duration, s *knowledge.Store) { s.See(now, k, 77) })
+	k := observation.Key{Engine: "e1", Fact: observation.Warmth}
+	first.With(func(now time.Duration, s *observation.Store) { s.See(now, k, 77) })
 	for _, p := range all[1:] {
 		f.eventually("known to all", func() (known bool) {
-			p.With(func(now time.Duration, s *knowledge.Store) { known = s.Opinion(now, k).Value == 77 })
+			p.With(func(now time.Duration, s *observation.Store) { known = s.Opinion(now, k).Value == 77 })
 			return known
 		})
 	}
--- a/internal/replay/replay.go
+++ b/internal/membership/replayguard/replay.go
@@ -1,6 +1,6 @@
-// Package replay decides whether a message of a peer is new. Messages come late, doubled and out of order,
+// Package replayguard decides whether a message of a peer is new. Messages come late, doubled and out of order,
 // and somebody who listens may send one again. It does no I/O and reads no clock.
-package replay
+package replayguard
 
 // width is how far behind the newest a message may come: networks put some out of order.
 const width = 1024
--- a/internal/replay/replay_test.go
+++ b/internal/membership/replayguard/replay_test.go
@@ -1,4 +1,4 @@
-package replay
+package replayguard
 
 import (
 	"testing"
--- a/internal/plausible/plausible.go
+++ b/internal/membership/validation/plausible.go
@@ -1,8 +1,8 @@
-// Package plausible weighs the module's messages before the module sees them: who may say such a thing now,
+// Package validation weighs the module's messages before the module sees them: who may say such a thing now,
 // whether the figures can be, and whether what was seen here, or what another gatherer says, stands against
 // them. A message is taken whole or not at all; one that is dropped costs no more than one that was lost.
 // It does no I/O and reads no clock.
-package plausible
+package validation
 
 import (
 	"time"
--- a/internal/plausible/plausible_test.go
+++ b/internal/membership/validation/plausible_test.go
@@ -1,4 +1,4 @@
-package plausible
+package validation
 
 import (
 	"fmt"
--- a/internal/listen/listen.go
+++ b/internal/netlisten/listen.go
@@ -1,6 +1,6 @@
-// Package listen opens listeners and accepts connections where the machine fails for a moment: servers that
+// Package netlisten opens listeners and accepts connections where the machine fails for a moment: servers that
 // take an error of accept for the listener's end would be deaf from then on.
-package listen
+package netlisten
 
 import (
 	"errors"
--- a/internal/guard/guard.go
+++ b/internal/overload/guard.go
@@ -1,13 +1,13 @@
-// Package guard decides how a dispatcher protects itself: when newcomers are turned away so that what was
+// Package overload decides how a dispatcher protects itself: when newcomers are turned away so that what was
 // taken can be served, and when the loop's own lag is trouble. It does no I/O and reads no clock. None of it
 // is about engines: that is the module's.
-package guard
+package overload
 
 import (
 	"fmt"
 	"time"
 
-	"cresspass/internal/share"
+	"cresspass/internal/overload/quota"
 )
 
 // Limits bound what a dispatcher takes on itself. Zero switches a limit off.
@@ -25,9 +25,9 @@
 // Guard counts what limits are about. It is for one goroutine at a time.
 type Guard struct {
 	limits Limits
-	open   *share.Room // queries
-	held   *share.Room // bytes
-	conns  *share.Room
+	open   *quota.Room // queries
+	held   *quota.Room // bytes
+	conns  *quota.Room
 	users  map[string]int
 	lags   [lagWindow]bool
 	at     int
@@ -44,8 +44,8 @@
 
 // New returns a guard that has seen nothing.
 func New(l Limits) *Guard {
-	return &Guard{limits: l, users: map[string]int{}, open: share.New(int64(l.Open), l.Shares),
-		held: share.New(l.HeldBytes, l.Shares), conns: share.New(int64(l.Connections), l.Shares)}
+	return &Guard{limits: l, users: map[string]int{}, open: quota.New(int64(l.Open), l.Shares),
+		held: quota.New(l.HeldBytes, l.Shares), conns: quota.New(int64(l.Connections), l.Shares)}
 }
 
 // Set changes the limits. What was taken stays.
--- a/internal/guard/guard_test.go
+++ b/internal/overload/guard_test.go
@@ -1,4 +1,4 @@
-package guard
+package overload
 
 import (
 	"strings"
--- a/internal/share/share.go
+++ b/internal/overload/quota/share.go
@@ -1,7 +1,7 @@
-// Package share divides a limit between the fronts: a part is set apart for each, the rest goes to whoever
+// Package quota divides a limit between the fronts: a part is set apart for each, the rest goes to whoever
 // comes. What is set apart for one front is never given to another, so that a front under attack takes no
 // more than its own part and the rest. It does no I/O and has no clock.
-package share
+package quota
 
 // Room is one limit, divided. The zero value sets no limit. It is for one goroutine at a time.
 type Room struct {
--- a/internal/share/share_test.go
+++ b/internal/overload/quota/share_test.go
@@ -1,4 +1,4 @@
-package share
+package quota
 
 import (
 	"testing"
--- a/internal/flood/flood.go
+++ b/internal/overload/rapidreset/flood.go
@@ -1,7 +1,7 @@
-// Package flood decides when a connection's client is to be sent away because it opens calls only to take
+// Package rapidreset decides when a connection's client is to be sent away because it opens calls only to take
 // them back: each costs the server a call's work and the client nothing ("HTTP/2 Rapid Reset",
 // CVE-2023-44487). It does no I/O and reads no clock.
-package flood
+package rapidreset
 
 import "time"
 
--- a/internal/platform/acts.go
+++ b/internal/platform/acts.go
@@ -2,10 +2,10 @@
 
 import (
 	"cresspass"
-	"cresspass/internal/computenode"
+	"cresspass/internal/backend/computenode"
 	"cresspass/internal/eventlog"
+	"cresspass/internal/frontend/thriftserver"
 	"cresspass/internal/invariant"
-	"cresspass/internal/thriftfront"
 )
 
 // acts is the one way to take, send, repeat, answer and close: an invariant.Guard in the words of this front.
@@ -24,13 +24,13 @@
 func (g *acts) serve(on bool) { g.guard.Serve(on) }
 
 // take enters a request that came. Where it returns false, the request is to be refused.
-func (g *acts) take(q *thriftfront.Request, key string) bool {
+func (g *acts) take(q *thriftserver.Request, key string) bool {
 	g.events.Add(eventlog.Event{What: eventlog.Taken, Request: q.Ticket, Attempt: -1, Why: q.Class})
 	return g.guard.Take(invariant.Request{ID: q.ID, Class: q.Class, Key: key, Until: q.Until}, q.Ticket)
 }
 
 // end enters a request's one end. Where it returns false, nothing may be answered.
-func (g *acts) end(q *thriftfront.Request, served bool) bool {
+func (g *acts) end(q *thriftserver.Request, served bool) bool {
 	return g.guard.Answer(q.ID, served, q.Ticket)
 }
 
@@ -51,7 +51,7 @@
 func (g *acts) done(a *attempt, outcome cresspass.Outcome) { g.guard.Done(a.q.ID, a.number, outcome) }
 
 // mayClose asks whether we may close a connection, by the requests that are open on it.
-func (g *acts) mayClose(open []*thriftfront.Request, why closeReason) bool {
+func (g *acts) mayClose(open []*thriftserver.Request, why closeReason) bool {
 	if len(open) == 0 {
 		return true
 	}
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -9,11 +9,11 @@
 	"time"
 
 	"cresspass"
-	"cresspass/internal/computenode"
-	"cresspass/internal/copies"
+	"cresspass/internal/backend/computenode"
+	"cresspass/internal/backend/duplicateresponse"
 	"cresspass/internal/eventlog"
-	"cresspass/internal/nodehttp"
-	"cresspass/internal/thriftfront"
+	"cresspass/internal/frontend/thriftserver"
+	"cresspass/internal/protocol/nodehttp"
 )
 
 var errCopy = errors.New("platform: an answer that may be a copy of an earlier one")
@@ -23,7 +23,7 @@
 // attempt is one query on one compute node: the shell of a computenode.Machine.
 type attempt struct {
 	s      *service
-	q      *thriftfront.Request
+	q      *thriftserver.Request
 	number int
 	engine cresspass.EngineID
 	addr   string
@@ -37,7 +37,7 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	doubted copies.Fingerprint // of the last answer, if it may have been another's; run's alone
+	doubted duplicateresponse.Fingerprint // of the last answer, if it may have been another's; run's alone
 
 	mu      sync.Mutex
 	conn    *nodeConn
--- a/internal/platform/busy_test.go
+++ b/internal/platform/busy_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"cresspass/internal/thrift"
+	"cresspass/internal/protocol/thrift"
 )
 
 // blinded has the next look at a socket on which there is something find nothing, as where the core is full
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -13,9 +13,9 @@
 
 	"cresspass"
 	"cresspass/internal/eventlog"
+	"cresspass/internal/frontend/thriftserver"
 	"cresspass/internal/oserr"
-	"cresspass/internal/thrift"
-	"cresspass/internal/thriftfront"
+	"cresspass/internal/protocol/thrift"
 )
 
 // Of a client's connection.
@@ -56,7 +56,7 @@
 // client is a connection of a client: the shell of what thriftfront.State knows of it.
 type client struct {
 	f     *front
-	id    thriftfront.ConnID
+	id    thriftserver.ConnID
 	idle  time.Duration // between messages
 	stall time.Duration // until some more of what is written is taken
 	late  time.Duration // what is read now may have come so long ago; the reader's alone
@@ -250,10 +250,10 @@
 }
 
 // fault answers and gives up what was open on a connection that ends.
-func (c *client) fault(open []*thriftfront.Request, reason string) {
+func (c *client) fault(open []*thriftserver.Request, reason string) {
 	var b []byte
 	for _, q := range open {
-		b = append(b, thriftfront.Fault(q.Seq, reason)...)
+		b = append(b, thriftserver.Fault(q.Seq, reason)...)
 		c.f.s.clientGone(q, reason)
 	}
 	if len(open) > 0 {
@@ -411,7 +411,7 @@
 // over ends what is open on a connection that ended, and closes it.
 func (c *client) over() {
 	c.f.mu.Lock()
-	if c.f.state.PhaseOf(c.id) == thriftfront.Serving {
+	if c.f.state.PhaseOf(c.id) == thriftserver.Serving {
 		c.f.close(closedByClient)
 	}
 	open := c.f.forget(c.id)
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"cresspass"
-	"cresspass/internal/discovery"
+	"cresspass/internal/discovery/sse"
 	"cresspass/internal/oserr"
 	"cresspass/internal/wire"
 )
@@ -31,8 +31,8 @@
 	} `json:"limits"`
 	Board string `json:"board"`
 	Known struct {
-		Rev     uint64             `json:"rev"`
-		Notices []discovery.Notice `json:"notices"`
+		Rev     uint64       `json:"rev"`
+		Notices []sse.Notice `json:"notices"`
 	} `json:"known"`
 	Settings json.RawMessage `json:"settings"`
 
--- a/internal/platform/ends_test.go
+++ b/internal/platform/ends_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"cresspass/internal/thrift"
+	"cresspass/internal/protocol/thrift"
 )
 
 // hasty has connections to come be given up after so much silence, or where nothing was taken for so long.
--- a/internal/platform/fault_test.go
+++ b/internal/platform/fault_test.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"cresspass"
-	"cresspass/internal/signals"
-	"cresspass/internal/thrift"
+	"cresspass/internal/daemon/signals"
+	"cresspass/internal/protocol/thrift"
 )
 
 // withSystem has the dispatchers that a test starts make some system calls otherwise.
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -13,9 +13,9 @@
 
 	"cresspass"
 	"cresspass/internal/eventlog"
+	"cresspass/internal/frontend/thriftserver"
 	"cresspass/internal/oserr"
-	"cresspass/internal/thrift"
-	"cresspass/internal/thriftfront"
+	"cresspass/internal/protocol/thrift"
 )
 
 // Of connections that come.
@@ -34,9 +34,9 @@
 	ln     *net.TCPListener
 	budget *budget
 	mu     sync.Mutex
-	state  *thriftfront.State
-	conns  map[thriftfront.ConnID]*client
-	last   thriftfront.ConnID
+	state  *thriftserver.State
+	conns  map[thriftserver.ConnID]*client
+	last   thriftserver.ConnID
 	ended  map[closeReason]uint64 // connections
 	idle   time.Duration          // of the connections to come
 	stall  time.Duration          // of the connections to come
@@ -45,8 +45,8 @@
 
 func newFront(s *service, ln *net.TCPListener, b *budget) *front {
 	return &front{s: s, ln: ln, budget: b, idle: idleMost, stall: writeWithin,
-		state: thriftfront.New(&s.cfg.Module), done: make(chan struct{}),
-		conns: map[thriftfront.ConnID]*client{}, ended: map[closeReason]uint64{}}
+		state: thriftserver.New(&s.cfg.Module), done: make(chan struct{}),
+		conns: map[thriftserver.ConnID]*client{}, ended: map[closeReason]uint64{}}
 }
 
 // acceptQueue estimates how long connections may have waited for accept. Danger: what a request has left
@@ -198,7 +198,7 @@
 }
 
 // forget takes a connection out of the books and returns what was open on it. f.mu is held.
-func (f *front) forget(id thriftfront.ConnID) []*thriftfront.Request {
+func (f *front) forget(id thriftserver.ConnID) []*thriftserver.Request {
 	delete(f.conns, id)
 	open := f.state.Closed(id)
 	f.budget.clients.Store(int32(f.state.Size()))
@@ -275,7 +275,7 @@
 }
 
 // get returns a request that has no answer yet; nil: there is none of that id.
-func (f *front) get(id cresspass.QueryID) *thriftfront.Request {
+func (f *front) get(id cresspass.QueryID) *thriftserver.Request {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.state.Get(id)
@@ -305,7 +305,7 @@
 
 // awaited reports whether a request's client still waits for it, by what lies in its socket. Danger: on a
 // full core the reader of a close or a cancel may come after the attempt that it forbids.
-func (f *front) awaited(q *thriftfront.Request) bool {
+func (f *front) awaited(q *thriftserver.Request) bool {
 	f.mu.Lock()
 	c := f.conns[q.Conn]
 	f.mu.Unlock()
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"cresspass/internal/thrift"
+	"cresspass/internal/protocol/thrift"
 )
 
 // The files under testdata hold what other processes write to a dispatcher or read from it. They keep their
--- a/internal/platform/late_test.go
+++ b/internal/platform/late_test.go
@@ -15,9 +15,9 @@
 	"pgregory.net/rapid"
 
 	"cresspass"
-	"cresspass/internal/discovery"
+	"cresspass/internal/discovery/sse"
 	"cresspass/internal/dispatch"
-	"cresspass/internal/thrift"
+	"cresspass/internal/protocol/thrift"
 )
 
 // running returns how many attempts are out.
@@ -253,7 +253,7 @@
 	const fleet, tries = 300, 6
 	var at []time.Duration
 	for i := range fleet {
-		b := discovery.Backoff{Least: boardAgain, Most: boardMost,
+		b := sse.Backoff{Least: boardAgain, Most: boardMost,
 			Random: rand.New(rand.NewPCG(uint64(i), 0))}
 		var sum time.Duration
 		for range tries {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"cresspass"
-	"cresspass/internal/thrift"
+	"cresspass/internal/protocol/thrift"
 	"cresspass/internal/wire"
 )
 
--- a/internal/platform/pool.go
+++ b/internal/platform/pool.go
@@ -10,10 +10,10 @@
 	"time"
 
 	"cresspass"
-	"cresspass/internal/connpool"
-	"cresspass/internal/copies"
-	"cresspass/internal/nodehttp"
+	"cresspass/internal/backend/connpool"
+	"cresspass/internal/backend/duplicateresponse"
 	"cresspass/internal/oserr"
+	"cresspass/internal/protocol/nodehttp"
 )
 
 // restFor is how long a connection is left alone after an answer. Danger: a compute node may send a second
@@ -44,7 +44,7 @@
 	rested time.Time // when its last answer was whole; zero: it is new
 	out    []byte
 	asking bool // a call was written and has no whole answer
-	memory copies.Memory
+	memory duplicateresponse.Memory
 
 	mu   sync.Mutex
 	dead bool
@@ -139,14 +139,14 @@
 	dials, reused uint64
 	crowded       uint64
 	longest       time.Duration // that anyone waited in line
-	copies        *copies.Detector
+	copies        *duplicateresponse.Detector
 	suspected     uint64 // answers
 }
 
 func newPool(sys *system, b *budget, connect, idle time.Duration) *pool {
 	p := &pool{system: sys, budget: b, connect: connect, zero: time.Now(), idle: map[uint64]*nodeConn{},
 		state: connpool.New(restFor, time.Duration(sparse*float64(idle))),
-		wait:  map[uint64]chan connpool.Grant{}, copies: copies.NewDetector()}
+		wait:  map[uint64]chan connpool.Grant{}, copies: duplicateresponse.NewDetector()}
 	p.settle = time.AfterFunc(time.Hour, p.sweep)
 	return p
 }
@@ -196,7 +196,7 @@
 }
 
 // suspect reports whether an answer that came so long after its call may be a second copy of an earlier one.
-func (p *pool) suspect(c *nodeConn, took time.Duration, a *nodehttp.Answer) (copies.Fingerprint, bool) {
+func (p *pool) suspect(c *nodeConn, took time.Duration, a *nodehttp.Answer) (duplicateresponse.Fingerprint, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f, suspect := p.copies.Suspect(p.now(), took, &c.memory, a)
@@ -207,7 +207,7 @@
 }
 
 // again tells what a new connection gave in place of a suspected answer.
-func (p *pool) again(suspected copies.Fingerprint, a *nodehttp.Answer) {
+func (p *pool) again(suspected duplicateresponse.Fingerprint, a *nodehttp.Answer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.copies.Again(p.now(), suspected, a)
--- a/internal/platform/process_test.go
+++ b/internal/platform/process_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"cresspass/internal/thrift"
+	"cresspass/internal/protocol/thrift"
 )
 
 // buildProgram builds the program and returns its path.
--- a/internal/platform/rig_test.go
+++ b/internal/platform/rig_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"cresspass/internal/thrift"
+	"cresspass/internal/protocol/thrift"
 )
 
 // node stands in for a compute node.
--- a/internal/platform/service.go
+++ b/internal/platform/service.go
@@ -18,13 +18,13 @@
 	"time"
 
 	"cresspass"
+	"cresspass/internal/daemon/signals"
 	"cresspass/internal/dispatch"
 	"cresspass/internal/eventlog"
+	"cresspass/internal/frontend/thriftserver"
 	"cresspass/internal/invariant"
-	"cresspass/internal/listen"
-	"cresspass/internal/signals"
-	"cresspass/internal/thrift"
-	"cresspass/internal/thriftfront"
+	"cresspass/internal/netlisten"
+	"cresspass/internal/protocol/thrift"
 )
 
 const (
@@ -115,7 +115,7 @@
 	if err := s.watch.learn(cfg.Known.Notices); err != nil {
 		return nil, err
 	}
-	ln, err := listen.OpenWith(cfg.Listen, s.system.listen)
+	ln, err := netlisten.OpenWith(cfg.Listen, s.system.listen)
 	if err != nil {
 		return nil, fmt.Errorf("platform: %w", err)
 	}
@@ -299,7 +299,7 @@
 }
 
 // clientGone ends a request for which nobody waits.
-func (s *service) clientGone(q *thriftfront.Request, why string) {
+func (s *service) clientGone(q *thriftserver.Request, why string) {
 	s.acts.end(q, false)
 	s.events.Add(eventlog.Event{What: eventlog.Gone, Request: q.Ticket, Attempt: -1, Why: why})
 	s.loop.Post(cresspass.Event{Type: cresspass.ClientGone, Query: q.ID, Outcome: cresspass.Cancelled})
--- a/internal/platform/stale_test.go
+++ b/internal/platform/stale_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"cresspass/internal/discovery"
+	"cresspass/internal/discovery/sse"
 	"cresspass/internal/invariant"
-	"cresspass/internal/thrift"
+	"cresspass/internal/protocol/thrift"
 )
 
 // newRigWith is newRig with some text of its settings replaced.
@@ -110,9 +110,9 @@
 	started := time.Now().Add(-5 * time.Second).UnixMilli()
 	var told []time.Duration
 	for rev := range uint64(50) {
-		var n discovery.Notice
+		var n sse.Notice
 		n.Rev = rev + 1
-		n.Pool = &discovery.Pool{Full: rev%2 == 0, Servers: []discovery.Server{{ID: "s-1", Addr: "a:1",
+		n.Pool = &sse.Pool{Full: rev%2 == 0, Servers: []sse.Server{{ID: "s-1", Addr: "a:1",
 			State: "up", Started: started}}}
 		ev, _, err := w.follower.Notice(n)
 		if err != nil {
--- a/internal/platform/stalls.go
+++ b/internal/platform/stalls.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"cresspass/internal/dispatch"
-	"cresspass/internal/stall"
+	"cresspass/internal/overload/stall"
 )
 
 // stalls is the shell of a stall.Meter: its heartbeat.
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"cresspass"
-	"cresspass/internal/discovery"
+	"cresspass/internal/discovery/sse"
+	"cresspass/internal/discovery/starttime"
 	"cresspass/internal/invariant"
-	"cresspass/internal/startclock"
 )
 
 const (
@@ -35,10 +35,10 @@
 	asked atomic.Uint64
 	life  context.Context
 	stop  context.CancelFunc // ends run
-	again discovery.Backoff
+	again sse.Backoff
 
 	mu       sync.Mutex
-	follower *discovery.Follower
+	follower *sse.Follower
 	heard    bool // the notice board itself told something
 	at       string
 	cancel   context.CancelFunc // of all that goes on at this address
@@ -46,8 +46,8 @@
 
 func newWatcher(s *service, at string) *watcher {
 	w := &watcher{s: s, at: at}
-	w.follower = discovery.NewFollower(s.clock, startclock.New(startclock.Late, s.system.wall(), s.clock()))
-	w.again = discovery.Backoff{Least: boardAgain, Most: boardMost,
+	w.follower = sse.NewFollower(s.clock, starttime.New(starttime.Late, s.system.wall(), s.clock()))
+	w.again = sse.Backoff{Least: boardAgain, Most: boardMost,
 		Random: rand.New(rand.NewPCG(s.cfg.Module.Seed, 0))}
 	w.life, w.stop = context.WithCancel(context.Background())
 	return w
@@ -101,7 +101,7 @@
 }
 
 // learn takes what a configuration knows of the notice board's events. What was told already is passed over.
-func (w *watcher) learn(known []discovery.Notice) error {
+func (w *watcher) learn(known []sse.Notice) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, n := range known {
@@ -112,7 +112,7 @@
 		if err != nil {
 			return err
 		}
-		if v != discovery.Taken {
+		if v != sse.Taken {
 			continue
 		}
 		if list.Listing == cresspass.ListFull && !w.heard {
@@ -336,7 +336,7 @@
 	defer s.close()
 	stop := context.AfterFunc(s.ctx, func() { s.net.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	var p discovery.Parser
+	var p sse.Parser
 	b := make([]byte, 8<<10)
 	begun := time.Now()
 	for {
@@ -348,7 +348,7 @@
 			return true, s.ctx.Err()
 		}
 		var bad error
-		if e := p.Feed(b[:n], func(ev discovery.Event) {
+		if e := p.Feed(b[:n], func(ev sse.Event) {
 			if bad == nil {
 				bad = w.take(ev, time.Since(begun) < missedFor)
 			}
@@ -369,7 +369,7 @@
 }
 
 // take hands an event on; missed: it may have been told long ago.
-func (w *watcher) take(ev discovery.Event, missed bool) error {
+func (w *watcher) take(ev sse.Event, missed bool) error {
 	w.mu.Lock()
 	take := w.follower.Take
 	if missed {
@@ -381,7 +381,7 @@
 	}
 	gone := w.follower.Gone()
 	// Danger: posted under the lock, or lists of two calls could cross.
-	if err == nil && v == discovery.Taken {
+	if err == nil && v == sse.Taken {
 		w.heard = true
 		w.s.loop.Post(list)
 	}
@@ -389,7 +389,7 @@
 	for _, id := range gone {
 		w.s.pool.closeIdle(id)
 	}
-	if err == nil && v == discovery.Gap {
+	if err == nil && v == sse.Gap {
 		err = errors.New("events are missing")
 	}
 	return err
--- a/internal/rehearse/day.go
+++ b/internal/rehearsal/day.go
@@ -1,6 +1,6 @@
-// Package rehearse plays a day of trouble through real dispatchers, each a process of its own, with stand-in
+// Package rehearsal plays a day of trouble through real dispatchers, each a process of its own, with stand-in
 // engines and roster behind them and client libraries before them, and has the rules judged from the bytes.
-package rehearse
+package rehearsal
 
 import (
 	"errors"
@@ -17,7 +17,7 @@
 
 	"cresspass"
 	"cresspass/internal/config"
-	"cresspass/internal/rules"
+	"cresspass/internal/rehearsal/rulecheck"
 )
 
 // dayFile is a day as written.
@@ -362,20 +362,20 @@
 }
 
 // Figures are the rules' for the judge.
-func (d *Day) Figures() rules.Figures {
+func (d *Day) Figures() rulecheck.Figures {
 	return FiguresOf(&d.Module)
 }
 
 // FiguresOf returns the judge's figures for a dispatcher's settings.
-func FiguresOf(m *cresspass.Config) rules.Figures {
+func FiguresOf(m *cresspass.Config) rulecheck.Figures {
 	r := m.Rules
-	f := rules.Figures{Classes: map[string]rules.Class{}, AnswerGrace: r.AnswerGrace,
+	f := rulecheck.Figures{Classes: map[string]rulecheck.Class{}, AnswerGrace: r.AnswerGrace,
 		DrainGrace: r.DrainGrace,
 		ColdFrom:   r.ColdFrom, ColdFor: r.ColdFor, ColdMultiple: r.ColdMultiple, ColdWindow: r.ColdWindow,
 		OrderRest: r.OrderRest, HasBudget: r.HasBudget, BudgetFree: r.BudgetFree, BudgetShare: r.BudgetShare,
 		BudgetLookBack: r.BudgetLookBack, Skew: 50 * time.Millisecond}
 	for _, c := range m.Classes {
-		f.Classes[c.Name] = rules.Class{Effect: [...]string{"safe", "keyed", "unsafe"}[c.Effect],
+		f.Classes[c.Name] = rulecheck.Class{Effect: [...]string{"safe", "keyed", "unsafe"}[c.Effect],
 			Scope: [...]string{"all", "zone", "cell"}[c.Scope], Window: c.Window, Deadline: c.Deadline,
 			InOrder: c.InOrder,
 			Kinds:   c.Kinds, Zones: c.Zones}
--- a/internal/rehearse/day_test.go
+++ b/internal/rehearsal/day_test.go
@@ -1,4 +1,4 @@
-package rehearse
+package rehearsal
 
 import (
 	"os"
@@ -10,7 +10,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"cresspass/internal/rules"
+	"cresspass/internal/rehearsal/rulecheck"
 	"cresspass/rehearsals"
 )
 
@@ -87,9 +87,9 @@
 		t.Fatal(err)
 	}
 	at := time.Now()
-	log := &rules.Log{Asks: []*rules.Ask{{ID: "q", Class: "lookup", Dispatcher: "d0", At: at, Finals: 2,
+	log := &rulecheck.Log{Asks: []*rulecheck.Ask{{ID: "q", Class: "lookup", Dispatcher: "d0", At: at, Finals: 2,
 		Final: at}}}
-	r := &Result{Day: d, Seed: 5, Log: log, Verdicts: rules.Judge(d.Figures(), log), Samples: []Sample{{
+	r := &Result{Day: d, Seed: 5, Log: log, Verdicts: rulecheck.Judge(d.Figures(), log), Samples: []Sample{{
 		At:    time.Second,
 		Class: "lookup", Took: time.Millisecond}}, Watches: []Watch{{At: time.Second, Threads: make([]float64,
 		d.Engines)}}}
@@ -109,7 +109,7 @@
 		t.Fatal(err)
 	}
 	name, seed, all, err := JudgeAgain(dir)
-	if err != nil || name != "deploy" || seed != 5 || rules.Kept(all) || all[0].Kept {
+	if err != nil || name != "deploy" || seed != 5 || rulecheck.Kept(all) || all[0].Kept {
 		t.Errorf("judged again: %s, seed %d, %v, %v", name, seed, all, err)
 	}
 	if _, _, _, err := JudgeAgain(t.TempDir()); err == nil {
--- a/internal/rehearse/fairness.go
+++ b/internal/rehearsal/fairness.go
@@ -1,4 +1,4 @@
-package rehearse
+package rehearsal
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"github.com/go-echarts/go-echarts/v2/opts"
 
 	"cresspass"
-	"cresspass/internal/rig"
+	"cresspass/internal/rehearsal/testbed"
 	"cresspass/internal/standin"
 )
 
@@ -98,9 +98,9 @@
 func fair(ctx context.Context, shares float64, seed uint64) ([]Calm, *charts.Line, error) {
 	cfg := make([]standin.EngineConfig, 3)
 	for i := range cfg {
-		cfg[i] = standin.EngineConfig{Kind: rig.Kind(8, 4096), Seed: seed}
+		cfg[i] = standin.EngineConfig{Kind: testbed.Kind(8, 4096), Seed: seed}
 	}
-	r, err := rig.New(cfg...)
+	r, err := testbed.New(cfg...)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/rehearse/load.go
+++ b/internal/rehearsal/load.go
@@ -1,4 +1,4 @@
-package rehearse
+package rehearsal
 
 import (
 	"context"
--- a/internal/rehearse/newcomers.go
+++ b/internal/rehearsal/newcomers.go
@@ -1,4 +1,4 @@
-package rehearse
+package rehearsal
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"cresspass/internal/model"
+	"cresspass/internal/simulation"
 )
 
 // returnArms are the ways in which the dispatchers of a day with a return talk.
@@ -16,17 +16,17 @@
 
 // CompareReturns plays a day with a return of dispatchers for each way in which they talk, and sums up what
 // clients of those that returned got in the times since. Each rule must hold on each day.
-func CompareReturns(ctx context.Context, d *Day, program []string, first, seeds, jobs int) (*model.Comparison,
+func CompareReturns(ctx context.Context, d *Day, program []string, first, seeds, jobs int) (*simulation.Comparison,
 	error) {
 	i := slices.IndexFunc(d.Troubles, func(t Trouble) bool { return t.Kind == "return" })
 	if i < 0 || seeds < 1 {
 		return nil, fmt.Errorf("%s: a day with a return, and seeds, are wanted", d.Name)
 	}
 	back := d.Troubles[i].At + d.Troubles[i].For
-	out := &model.Comparison{Windows: []time.Duration{10 * time.Second, 30 * time.Second, 60 * time.Second}}
+	out := &simulation.Comparison{Windows: []time.Duration{10 * time.Second, 30 * time.Second, 60 * time.Second}}
 	for _, arm := range returnArms {
-		out.Arms = append(out.Arms, model.Arm{Name: arm.name})
-		out.Got = append(out.Got, make([][]model.Since, seeds))
+		out.Arms = append(out.Arms, simulation.Arm{Name: arm.name})
+		out.Got = append(out.Got, make([][]simulation.Since, seeds))
 	}
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, max(jobs, 1))
@@ -69,12 +69,12 @@
 }
 
 // ends are the model's, of the kit's.
-var ends = map[Answer]model.End{Served: model.Served, Refused: model.Refused, Failed: model.Failed,
-	GaveUp: model.GaveUp}
+var ends = map[Answer]simulation.End{Served: simulation.Served, Refused: simulation.Refused, Failed: simulation.Failed,
+	GaveUp: simulation.GaveUp}
 
 // Asks returns a day's tries in the model's terms, their classes numbered in the settings'
 // order; -1: sessions, which are of none.
-func (r *Result) Asks() (out []model.Ask) {
+func (r *Result) Asks() (out []simulation.Ask) {
 	numbers, aims := map[string]int{}, map[string]time.Duration{}
 	for i, c := range r.Day.Module.Classes {
 		numbers[c.Name], aims[c.Name] = i, c.Aim
@@ -84,17 +84,17 @@
 		if !known {
 			number = -1
 		}
-		out = append(out, model.Ask{Class: number, Dispatcher: v.Dispatcher, At: v.At - v.Took,
+		out = append(out, simulation.Ask{Class: number, Dispatcher: v.Dispatcher, At: v.At - v.Took,
 			Took: v.Took, End: ends[v.End], Late: aims[v.Class] > 0 && v.Took > aims[v.Class]})
 	}
 	return out
 }
 
 // since sums up what clients of every second dispatcher got, by when they began.
-func (r *Result) since(from, to time.Duration) model.Since {
-	all := model.Result{Asks: r.Asks()}
+func (r *Result) since(from, to time.Duration) simulation.Since {
+	all := simulation.Result{Asks: r.Asks()}
 	for _, w := range r.Watches {
-		l := model.Look{At: w.At}
+		l := simulation.Look{At: w.At}
 		for i, threads := range w.Threads {
 			l.Load = append(l.Load, threads/r.Day.cores(i))
 		}
--- a/internal/rehearse/report.go
+++ b/internal/rehearsal/report.go
@@ -1,4 +1,4 @@
-package rehearse
+package rehearsal
 
 import (
 	"compress/gzip"
@@ -13,7 +13,7 @@
 	"github.com/go-echarts/go-echarts/v2/components"
 	"github.com/go-echarts/go-echarts/v2/opts"
 
-	"cresspass/internal/rules"
+	"cresspass/internal/rehearsal/rulecheck"
 )
 
 // Sample is how one try ended.
@@ -44,13 +44,13 @@
 		return err
 	}
 	body, err := json.MarshalIndent(struct {
-		Day      string          `json:"day"`
-		Verdicts []rules.Verdict `json:"verdicts"`
-		Kept     bool            `json:"kept"`
-		Missed   []string        `json:"missed"`
-		Troubles []Trouble       `json:"troubles"`
-		Samples  []Sample        `json:"samples"`
-		Watches  []Watch         `json:"watches"`
+		Day      string              `json:"day"`
+		Verdicts []rulecheck.Verdict `json:"verdicts"`
+		Kept     bool                `json:"kept"`
+		Missed   []string            `json:"missed"`
+		Troubles []Trouble           `json:"troubles"`
+		Samples  []Sample            `json:"samples"`
+		Watches  []Watch             `json:"watches"`
 	}{r.Day.Name, r.Verdicts, r.Kept(), r.Short, r.Day.Troubles, r.Samples, r.Watches}, "", " ")
 	if err != nil {
 		return err
@@ -187,8 +187,8 @@
 type evidence struct {
 	Day     string
 	Seed    uint64
-	Figures rules.Figures
-	Log     *rules.Log
+	Figures rulecheck.Figures
+	Log     *rulecheck.Log
 }
 
 // Keep writes what the relays saw, with seed and day, into a folder.
@@ -209,7 +209,7 @@
 }
 
 // JudgeAgain judges a folder that Keep wrote.
-func JudgeAgain(dir string) (day string, seed uint64, all []rules.Verdict, err error) {
+func JudgeAgain(dir string) (day string, seed uint64, all []rulecheck.Verdict, err error) {
 	f, err := os.Open(filepath.Join(dir, "traffic.json.gz"))
 	if err != nil {
 		return "", 0, nil, err
@@ -226,5 +226,5 @@
 	if e.Log == nil {
 		return "", 0, nil, fmt.Errorf("%s holds no traffic", dir)
 	}
-	return e.Day, e.Seed, rules.Judge(e.Figures, e.Log), nil
+	return e.Day, e.Seed, rulecheck.Judge(e.Figures, e.Log), nil
 }
--- a/internal/rules/relay.go
+++ b/internal/rehearsal/rulecheck/relay.go
@@ -1,4 +1,4 @@
-package rules
+package rulecheck
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 
 	"github.com/jackc/pgx/v5/pgproto3"
 
-	"cresspass/internal/sqlscan"
+	"cresspass/internal/protocol/sqlscan"
 )
 
 // Recorder gathers what all relays see. One is shared by the relays of a rehearsal.
--- a/internal/rules/rules.go
+++ b/internal/rehearsal/rulecheck/rules.go
@@ -1,11 +1,11 @@
-// Package rules judges the seven rules from the bytes on the sockets. Relays stand on both sides of the
+// Package rulecheck judges the seven rules from the bytes on the sockets. Relays stand on both sides of the
 // dispatchers and decode what passes with pgproto3, a reading of the protocol that the dispatcher does not
 // use. The judge knows the rules' figures and what the roster told whom; of the dispatchers' own books it
 // knows nothing.
 //
 // Statements name themselves: the tag id is one of its own for each try of each query, and class, key and
 // work_ms say what it is.
-package rules
+package rulecheck
 
 import (
 	"fmt"
--- a/internal/rules/rules_test.go
+++ b/internal/rehearsal/rulecheck/rules_test.go
@@ -1,4 +1,4 @@
-package rules
+package rulecheck
 
 import (
 	"fmt"
--- a/internal/rehearse/run.go
+++ b/internal/rehearsal/run.go
@@ -1,4 +1,4 @@
-package rehearse
+package rehearsal
 
 import (
 	"context"
@@ -20,13 +20,13 @@
 	"syscall"
 	"time"
 
-	"cresspass/internal/enginemodel"
+	"cresspass/internal/discovery/eds"
 	"cresspass/internal/invariant"
-	"cresspass/internal/rig"
-	"cresspass/internal/roster"
-	"cresspass/internal/rules"
+	"cresspass/internal/rehearsal/rulecheck"
+	"cresspass/internal/rehearsal/testbed"
+	"cresspass/internal/simulation/enginemodel"
 	"cresspass/internal/standin"
-	"cresspass/internal/state"
+	"cresspass/internal/storage"
 )
 
 // Options say how a day is played.
@@ -64,7 +64,7 @@
 // Result is what a day came to.
 type Result struct {
 	Day      *Day
-	Verdicts []rules.Verdict
+	Verdicts []rulecheck.Verdict
 	Classes  []Count
 	Faults   map[string]int // failed tries by SQLSTATE
 	Loads    int            // keyed loads that had their effect
@@ -74,7 +74,7 @@
 	Asked    int
 	Sent     int
 	Seed     uint64
-	Log      *rules.Log // what the relays saw
+	Log      *rulecheck.Log // what the relays saw
 	Samples  []Sample
 	Watches  []Watch
 	Start    time.Time
@@ -82,7 +82,7 @@
 
 // Kept reports whether every rule held, no load had its effect twice, and no dispatcher found a violation.
 func (r *Result) Kept() bool {
-	return rules.Kept(r.Verdicts) && len(r.Twice) == 0 && len(r.Violated) == 0
+	return rulecheck.Kept(r.Verdicts) && len(r.Twice) == 0 && len(r.Violated) == 0
 }
 
 // Print writes the result as lines.
@@ -165,14 +165,14 @@
 	addr  string
 	args  []string
 	log   *os.File
-	relay *rules.Relay
-	gate  *rules.Relay // for Flight SQL; nil: it is not served
+	relay *rulecheck.Relay
+	gate  *rulecheck.Relay // for Flight SQL; nil: it is not served
 
 	mu     sync.Mutex
 	up     atomic.Bool
 	cmd    *exec.Cmd
 	hold   io.Closer
-	killed []rules.Killed
+	killed []rulecheck.Killed
 }
 
 func (d *dispatcher) name() string { return "d" + strconv.Itoa(d.index) }
@@ -210,7 +210,7 @@
 func (d *dispatcher) kill() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.killed = append(d.killed, rules.Killed{Dispatcher: d.name(), At: time.Now()})
+	d.killed = append(d.killed, rulecheck.Killed{Dispatcher: d.name(), At: time.Now()})
 	d.up.Store(false)
 	d.cmd.Process.Kill()
 	d.cmd.Wait()
@@ -219,7 +219,7 @@
 // roll ends the process in good order, to be started again.
 func (d *dispatcher) roll() {
 	d.mu.Lock()
-	d.killed = append(d.killed, rules.Killed{Dispatcher: d.name(), At: time.Now()})
+	d.killed = append(d.killed, rulecheck.Killed{Dispatcher: d.name(), At: time.Now()})
 	d.mu.Unlock()
 	d.stop()
 }
@@ -250,9 +250,9 @@
 type run struct {
 	day         *Day
 	options     Options
-	rig         *rig.Rig
-	recorder    *rules.Recorder
-	relays      []*rules.Relay // before the engines
+	rig         *testbed.Rig
+	recorder    *rulecheck.Recorder
+	relays      []*rulecheck.Relay // before the engines
 	dispatchers []*dispatcher
 	load        *load
 	work        sync.WaitGroup
@@ -268,7 +268,7 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
 	}
-	r := &run{day: d, options: o, recorder: rules.NewRecorder(), faults: make([]standin.Faults, d.Engines)}
+	r := &run{day: d, options: o, recorder: rulecheck.NewRecorder(), faults: make([]standin.Faults, d.Engines)}
 	defer r.end()
 	if err := r.raise(ctx); err != nil {
 		return nil, err
@@ -366,11 +366,11 @@
 			ReportEvery: 200 * time.Millisecond, Window: r.window}
 	}
 	var err error
-	if r.rig, err = rig.New(cfg...); err != nil {
+	if r.rig, err = testbed.New(cfg...); err != nil {
 		return err
 	}
 	for i, e := range r.rig.Engines {
-		relay, err := r.recorder.NewRelay(rules.Engines, "", e.Addr())
+		relay, err := r.recorder.NewRelay(rulecheck.Engines, "", e.Addr())
 		if err != nil {
 			return err
 		}
@@ -394,7 +394,7 @@
 	for i := range d.Dispatchers {
 		settings := settings
 		if talk != "" && talk != "no" {
-			at, err := rig.FreePort()
+			at, err := testbed.FreePort()
 			if err != nil {
 				return err
 			}
@@ -407,7 +407,7 @@
 				seed = at
 			}
 		}
-		addr, err := rig.FreePort()
+		addr, err := testbed.FreePort()
 		if err != nil {
 			return err
 		}
@@ -429,7 +429,7 @@
 		}
 		at := ""
 		if d.Flight > 0 {
-			if at, err = rig.FreePort(); err != nil {
+			if at, err = testbed.FreePort(); err != nil {
 				return err
 			}
 			p.args = append(p.args, "--flight", at)
@@ -438,7 +438,7 @@
 		if err := p.start(ctx); err != nil {
 			return err
 		}
-		if p.relay, err = r.recorder.NewRelay(rules.Clients, p.name(), addr); err != nil {
+		if p.relay, err = r.recorder.NewRelay(rulecheck.Clients, p.name(), addr); err != nil {
 			return err
 		}
 		addrs = append(addrs, p.relay.Addr())
@@ -532,7 +532,7 @@
 		return // another trouble has brought it back
 	}
 	if sleep(ctx, min(time.Second, after/2)) {
-		r.rig.Change(i, func(v *roster.Engine) { v.State = roster.Gone })
+		r.rig.Change(i, func(v *eds.Engine) { v.State = eds.Gone })
 	}
 	sleep(ctx, after-min(time.Second, after/2))
 	if ctx.Err() != nil {
@@ -546,12 +546,12 @@
 		return
 	}
 	r.fault(i, func(f *standin.Faults) { f.DieAfterRows = 0 })
-	r.rig.Change(i, func(v *roster.Engine) { v.State, v.Started = roster.On, e.Started() })
+	r.rig.Change(i, func(v *eds.Engine) { v.State, v.Started = eds.On, e.Started() })
 }
 
 // drain has an engine told to drain, and come back as a new process.
 func (r *run) drain(ctx context.Context, i int, after time.Duration) {
-	r.rig.Change(i, func(v *roster.Engine) { v.State = roster.Draining })
+	r.rig.Change(i, func(v *eds.Engine) { v.State = eds.Draining })
 	if sleep(ctx, after) {
 		r.rig.Engines[i].Die()
 		r.restart(ctx, i, 500*time.Millisecond)
@@ -637,7 +637,7 @@
 		}
 	case "preemption":
 		each(func(i int) {
-			r.rig.Change(i, func(v *roster.Engine) { v.State = roster.Draining })
+			r.rig.Change(i, func(v *eds.Engine) { v.State = eds.Draining })
 			if sleep(ctx, 2*time.Second) {
 				r.rig.Engines[i].Die()
 				r.restart(ctx, i, t.For)
@@ -722,7 +722,7 @@
 				defer wg.Done()
 				p.kill()
 				if !r.options.NoState {
-					r.fail(state.Unlearn(filepath.Join(r.options.Dir, fmt.Sprintf("state-%d", i))))
+					r.fail(storage.Unlearn(filepath.Join(r.options.Dir, fmt.Sprintf("state-%d", i))))
 				}
 				sleep(ctx, t.For)
 				r.fail(p.back(context.Background()))
@@ -776,7 +776,7 @@
 	for _, p := range r.dispatchers {
 		log.Killed = append(log.Killed, p.killed...)
 	}
-	out := &Result{Day: r.day, Verdicts: rules.Judge(r.day.Figures(), log), Faults: r.load.faults,
+	out := &Result{Day: r.day, Verdicts: rulecheck.Judge(r.day.Figures(), log), Faults: r.load.faults,
 		Asked: len(log.Asks),
 		Sent:  len(log.Sends), Seed: r.options.Seed, Log: log, Samples: r.load.samples, Watches: r.watches,
 		Start: r.load.start}
@@ -819,15 +819,15 @@
 }
 
 // told is what each dispatcher was told, in the judge's terms.
-func (r *run) told() (out []rules.Told) {
+func (r *run) told() (out []rulecheck.Told) {
 	all, _ := r.rig.Roster.Told()
 	for _, t := range all {
-		v := rules.Told{Sent: t.Sent, At: t.At, Engines: map[string]rules.Place{}}
+		v := rulecheck.Told{Sent: t.Sent, At: t.At, Engines: map[string]rulecheck.Place{}}
 		fmt.Sscanf(t.Node, "cresspass-%s", &v.Dispatcher)
 		v.Dispatcher = "d" + v.Dispatcher
 		for _, e := range t.List {
-			if e.State == roster.On {
-				v.Engines[e.Address] = rules.Place{Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
+			if e.State == eds.On {
+				v.Engines[e.Address] = rulecheck.Place{Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
 					Cores:   r.day.Module.KindCores[slices.Index(r.day.Module.KindNames, e.Kind)],
 					Started: e.Started}
 			}
--- a/internal/rig/rig.go
+++ b/internal/rehearsal/testbed/rig.go
@@ -1,6 +1,6 @@
-// Package rig raises a dispatcher's surroundings in one process: stand-in engines, a stand-in roster and,
+// Package testbed raises a dispatcher's surroundings in one process: stand-in engines, a stand-in roster and,
 // where asked, the dispatcher itself. Tests and the rehearsal kit use it.
-package rig
+package testbed
 
 import (
 	"fmt"
@@ -13,10 +13,10 @@
 
 	"cresspass"
 	"cresspass/internal/config"
+	"cresspass/internal/discovery/eds"
 	"cresspass/internal/dispatch"
-	"cresspass/internal/enginemodel"
-	"cresspass/internal/roster"
 	"cresspass/internal/server"
+	"cresspass/internal/simulation/enginemodel"
 	"cresspass/internal/standin"
 )
 
@@ -45,7 +45,7 @@
 // relay before it, where there is one.
 type Engine struct {
 	*standin.Engine
-	Entry roster.Engine
+	Entry eds.Engine
 }
 
 // Rig is a set of engines with their list.
@@ -78,7 +78,7 @@
 			r.Close()
 			return nil, err
 		}
-		entry := roster.Engine{Address: e.Addr(), State: roster.On, Kind: "std", Zone: "a"}
+		entry := eds.Engine{Address: e.Addr(), State: eds.On, Kind: "std", Zone: "a"}
 		if cfg.Cold {
 			entry.Started = e.Started()
 		}
@@ -89,7 +89,7 @@
 }
 
 // Change alters an engine's entry and publishes the list.
-func (r *Rig) Change(i int, f func(e *roster.Engine)) {
+func (r *Rig) Change(i int, f func(e *eds.Engine)) {
 	r.mu.Lock()
 	f(&r.Engines[i].Entry)
 	r.mu.Unlock()
@@ -107,7 +107,7 @@
 func (r *Rig) Publish() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var list []roster.Engine
+	var list []eds.Engine
 	for _, e := range r.Engines {
 		if e.Entry.State != "" {
 			list = append(list, e.Entry)
--- a/internal/server/begin_test.go
+++ b/internal/server/begin_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/jackc/pgx/v5/pgproto3"
 
-	"cresspass/internal/roster"
+	"cresspass/internal/discovery/eds"
 )
 
 // gate is an engine's address at which connections come up only once it is opened.
@@ -64,10 +64,10 @@
 			r, s := raise(t, 1, strings.Replace(settings, `drain_grace = "500ms"`,
 				`drain_grace = "100ms"`, 1))
 			g := newGate(t, r.Engines[0].Addr())
-			r.Change(0, func(e *roster.Engine) { e.Address = g.Addr().String() })
+			r.Change(0, func(e *eds.Engine) { e.Address = g.Addr().String() })
 			eventually(t, "the gate is on the list", func() bool { return s.Lists(g.Addr().String()) })
 			w := &waiting{client: dial(t, s), drain: func() {
-				r.Change(0, func(e *roster.Engine) { e.State = roster.Draining })
+				r.Change(0, func(e *eds.Engine) { e.State = eds.Draining })
 				eventually(t, "the drain is known", func() bool { return !s.Lists(g.Addr().String()) })
 				time.Sleep(200 * time.Millisecond) // the grace is over
 			}}
--- a/internal/server/bench_test.go
+++ b/internal/server/bench_test.go
@@ -23,7 +23,7 @@
 
 	"cresspass"
 	"cresspass/internal/dispatch"
-	"cresspass/internal/rig"
+	"cresspass/internal/rehearsal/testbed"
 	"cresspass/internal/standin"
 )
 
@@ -35,7 +35,7 @@
 // BenchmarkWay measures statements through the dispatcher and straight to an engine, the same client, in one
 // run. The engine answers at once. One iteration is one statement.
 func BenchmarkWay(b *testing.B) {
-	r, err := rig.New(standin.EngineConfig{Kind: rig.Kind(64, 4096)}, standin.EngineConfig{Kind: rig.Kind(64,
+	r, err := testbed.New(standin.EngineConfig{Kind: testbed.Kind(64, 4096)}, standin.EngineConfig{Kind: testbed.Kind(64,
 		4096)})
 	if err != nil {
 		b.Fatal(err)
@@ -134,7 +134,7 @@
 // BenchmarkIdle measures what an idle client holds in the dispatcher: 10,000 of them, in kB each. The clients
 // are in a process of their own, as one process may not have so many files.
 func BenchmarkIdle(b *testing.B) {
-	r, err := rig.New(standin.EngineConfig{Kind: rig.Kind(8, 4096)})
+	r, err := testbed.New(standin.EngineConfig{Kind: testbed.Kind(8, 4096)})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/server/flight.go
+++ b/internal/server/flight.go
@@ -1,12 +1,12 @@
 package server
 
 import (
-	"cresspass/internal/answer"
-	"cresspass/internal/ask"
-	"cresspass/internal/bearer"
-	"cresspass/internal/classify"
-	"cresspass/internal/flightfront"
-	"cresspass/internal/listen"
+	"cresspass/internal/backend/enginequery"
+	"cresspass/internal/dispatch/response"
+	"cresspass/internal/frontend/classify"
+	"cresspass/internal/frontend/flightsql"
+	"cresspass/internal/frontend/flightsql/bearertoken"
+	"cresspass/internal/netlisten"
 )
 
 // flightFront makes the front for Flight SQL, where the settings have one.
@@ -16,23 +16,23 @@
 		return nil
 	}
 	if s.flightLn = cfg.FlightListener; s.flightLn == nil {
-		ln, err := listen.Open(cfg.Flight.Listen)
+		ln, err := netlisten.Open(cfg.Flight.Listen)
 		if err != nil {
 			return err
 		}
 		s.flightLn = ln
 	}
 	f := &cfg.Flight
-	s.flight = flightfront.New(flightfront.Config{Version: version, Book: s.book, HoldBack: cfg.HoldBack,
-		Budget: &answer.Budget{Most: cfg.HoldBackTotal}, ClientBuffer: cfg.ClientBuffer,
+	s.flight = flightsql.New(flightsql.Config{Version: version, Book: s.book, HoldBack: cfg.HoldBack,
+		Budget: &response.Budget{Most: cfg.HoldBackTotal}, ClientBuffer: cfg.ClientBuffer,
 		MaxMessage: cfg.MaxMessage, MaxStreams: f.MaxStreams, TicketLife: f.TicketLife,
-		MaxTickets: f.MaxTickets, Sessions: bearer.Limits{Rest: f.SessionRest, Most: cfg.MaxClients},
+		MaxTickets: f.MaxTickets, Sessions: bearertoken.Limits{Rest: f.SessionRest, Most: cfg.MaxClients},
 		MaxTransactions: f.MaxTransactions, MaxPrepared: f.MaxPrepared, MaxWaiting: f.MaxWaiting,
 		KeepAlive: f.KeepAlive, MaxAge: f.MaxAge,
-		Connect:    func() bool { return s.room(flightfront.Name) },
-		Disconnect: func() { s.roomAgain(flightfront.Name) },
+		Connect:    func() bool { return s.room(flightsql.Name) },
+		Disconnect: func() { s.roomAgain(flightsql.Name) },
 		Admit:      s.admit, Leave: s.leave, Described: s.shapes.get,
-		Safe:     func(who classify.Client, a *ask.Ask) bool { return s.classify.Load().Safe(who, a) },
+		Safe:     func(who classify.Client, a *enginequery.Ask) bool { return s.classify.Load().Safe(who, a) },
 		Harmless: harmless(cfg.Harmless)}, s, s.log)
 	return nil
 }
--- a/internal/server/flight_bench_test.go
+++ b/internal/server/flight_bench_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/jackc/pgx/v5/pgconn"
 
-	"cresspass/internal/rig"
+	"cresspass/internal/rehearsal/testbed"
 	"cresspass/internal/standin"
 )
 
@@ -18,7 +18,7 @@
 // BenchmarkMillionRows measures a million rows straight from an engine, through the PostgreSQL front and
 // through Flight SQL, in one run. One iteration is one query.
 func BenchmarkMillionRows(b *testing.B) {
-	r, err := rig.New(standin.EngineConfig{Kind: rig.Kind(64, 4096)})
+	r, err := testbed.New(standin.EngineConfig{Kind: testbed.Kind(64, 4096)})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/server/flight_test.go
+++ b/internal/server/flight_test.go
@@ -26,7 +26,7 @@
 	healthpb "google.golang.org/grpc/health/grpc_health_v1"
 	"google.golang.org/grpc/status"
 
-	"cresspass/internal/rowbatch"
+	"cresspass/internal/frontend/flightsql/arrowbatch"
 	"cresspass/internal/server"
 )
 
@@ -68,7 +68,7 @@
 		for i := range int(rec.NumRows()) {
 			var row []string
 			for _, col := range rec.Columns() {
-				v, null, err := rowbatch.Text(col, i)
+				v, null, err := arrowbatch.Text(col, i)
 				if err != nil {
 					return nil, err
 				}
--- a/internal/server/flighthard_test.go
+++ b/internal/server/flighthard_test.go
@@ -21,13 +21,13 @@
 	"google.golang.org/grpc/metadata"
 	"google.golang.org/grpc/status"
 
-	"cresspass/internal/rig"
-	"cresspass/internal/roster"
+	"cresspass/internal/discovery/eds"
+	"cresspass/internal/rehearsal/testbed"
 	"cresspass/internal/standin"
 )
 
 // ranOf counts the runs of a name over all engines.
-func ranOf(r *rig.Rig, id string) (n int) {
+func ranOf(r *testbed.Rig, id string) (n int) {
 	for _, e := range r.Engines {
 		for _, v := range e.Runs() {
 			if v.ID == id {
@@ -241,7 +241,7 @@
 	for _, wait := range []bool{false, true} {
 		tx = begin()
 		for i := range r.Engines {
-			r.Change(i, func(e *roster.Engine) { e.State = roster.Draining })
+			r.Change(i, func(e *eds.Engine) { e.State = eds.Draining })
 		}
 		var header metadata.MD
 		eventually(t, "a notice", func() bool {
@@ -263,7 +263,7 @@
 			t.Errorf("a commit within the grace: %v", err)
 		}
 		for i := range r.Engines {
-			r.Change(i, func(e *roster.Engine) { e.State = roster.On })
+			r.Change(i, func(e *eds.Engine) { e.State = eds.On })
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
--- a/internal/server/hard_test.go
+++ b/internal/server/hard_test.go
@@ -16,10 +16,10 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 
 	"cresspass/internal/config"
-	"cresspass/internal/rehearse"
-	"cresspass/internal/rig"
-	"cresspass/internal/roster"
-	"cresspass/internal/rules"
+	"cresspass/internal/discovery/eds"
+	"cresspass/internal/rehearsal"
+	"cresspass/internal/rehearsal/rulecheck"
+	"cresspass/internal/rehearsal/testbed"
 	"cresspass/internal/server"
 	"cresspass/internal/standin"
 )
@@ -307,7 +307,7 @@
 	}()
 	eventually(t, "it runs", func() bool { return s.Stats().Running == 1 })
 	for i := range r.Engines {
-		r.Change(i, func(e *roster.Engine) { e.State = "" }) // off the list, still at work
+		r.Change(i, func(e *eds.Engine) { e.State = "" }) // off the list, still at work
 	}
 	if err := <-done; err != nil {
 		t.Fatalf("answer of an engine that left the list: %v", err)
@@ -316,7 +316,7 @@
 	if err := r.Engines[0].Restart(); err != nil {
 		t.Fatal(err)
 	}
-	r.Change(0, func(e *roster.Engine) { e.State, e.Started = roster.On, r.Engines[0].Started() })
+	r.Change(0, func(e *eds.Engine) { e.State, e.Started = eds.On, r.Engines[0].Started() })
 	eventually(t, "the new process serves", func() bool {
 		n, err := query(t, c, "select 1 /*rows='2'*/")
 		return n == 2 && err == nil
@@ -485,31 +485,31 @@
 	}
 	cfg := make([]standin.EngineConfig, 4)
 	for i := range cfg {
-		cfg[i] = standin.EngineConfig{Kind: rig.Kind(16, 8192), Window: 15 * time.Second, Seed: 5}
+		cfg[i] = standin.EngineConfig{Kind: testbed.Kind(16, 8192), Window: 15 * time.Second, Seed: 5}
 	}
-	r, err := rig.New(cfg...)
+	r, err := testbed.New(cfg...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.Close)
-	rec := rules.NewRecorder()
-	places := map[string]rules.Place{}
-	var relays []*rules.Relay
+	rec := rulecheck.NewRecorder()
+	places := map[string]rulecheck.Place{}
+	var relays []*rulecheck.Relay
 	for _, e := range r.Engines {
-		relay, err := rec.NewRelay(rules.Engines, "", e.Addr())
+		relay, err := rec.NewRelay(rulecheck.Engines, "", e.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
 		relays = append(relays, relay)
 		e.Entry.Address = relay.Addr()
-		places[relay.Addr()] = rules.Place{Zone: "a", Kind: "std", Cores: 16}
+		places[relay.Addr()] = rulecheck.Place{Zone: "a", Kind: "std", Cores: 16}
 	}
 	r.Publish()
 	s, err := r.Dispatch(strings.Replace(settings, "engines {", "engines {\n  user = \"d0\"", 1), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	front, err := rec.NewRelay(rules.Clients, "d0", s.Addr())
+	front, err := rec.NewRelay(rulecheck.Clients, "d0", s.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -562,12 +562,12 @@
 		v.Close()
 	}
 	log := rec.Stop(20 * time.Second)
-	log.Told = []rules.Told{{At: told, Dispatcher: "d0", Engines: places}}
+	log.Told = []rulecheck.Told{{At: told, Dispatcher: "d0", Engines: places}}
 	parsed, err := config.Parse("x", []byte(settings+"\nroster { eds = \"127.0.0.1:1\" }"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, v := range rules.Judge(rehearse.FiguresOf(&parsed.Module), log) {
+	for _, v := range rulecheck.Judge(rehearsal.FiguresOf(&parsed.Module), log) {
 		if !v.Judged || !v.Kept {
 			t.Error(v)
 		}
--- a/internal/server/invariant_test.go
+++ b/internal/server/invariant_test.go
@@ -7,9 +7,9 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 
 	"cresspass"
-	"cresspass/internal/baseline"
 	"cresspass/internal/dispatch"
 	"cresspass/internal/invariant"
+	"cresspass/internal/simulation/baseline"
 	"cresspass/internal/standin"
 )
 
