--- a/internal/server/keep.go
+++ b/internal/server/keep.go
@@ -12,19 +12,19 @@
 	"github.com/cespare/xxhash/v2"
 
 	"cresspass"
-	"cresspass/internal/backend"
-	"cresspass/internal/classify"
+	"cresspass/internal/backend/pgbackend"
 	"cresspass/internal/config"
 	"cresspass/internal/dispatch"
-	"cresspass/internal/figures"
-	"cresspass/internal/flightfront"
-	"cresspass/internal/frontend"
-	"cresspass/internal/guard"
-	"cresspass/internal/knowledge"
+	"cresspass/internal/dispatch/verdict"
+	"cresspass/internal/frontend/classify"
+	"cresspass/internal/frontend/flightsql"
+	"cresspass/internal/frontend/pgfrontend"
+	"cresspass/internal/membership/gossip"
+	"cresspass/internal/membership/modelstate"
+	"cresspass/internal/membership/observation"
+	"cresspass/internal/overload"
 	"cresspass/internal/recording"
-	"cresspass/internal/state"
-	"cresspass/internal/talk"
-	"cresspass/internal/verdict"
+	"cresspass/internal/storage"
 )
 
 // What a dispatcher keeps over its death, and how it protects itself. The decisions are in packages state and
@@ -36,12 +36,12 @@
 	if s.cfg.State == "" {
 		return nil
 	}
-	store, book, err := state.OpenStore(s.cfg.State, s.log)
-	if errors.Is(err, state.ErrHeld) && s.cfg.Heir {
+	store, book, err := storage.OpenStore(s.cfg.State, s.log)
+	if errors.Is(err, storage.ErrHeld) && s.cfg.Heir {
 		// The former dispatcher drains yet. What it has learnt is read past it; its folder becomes ours when
 		// it ends.
-		book = state.NewBook()
-		if records, err := state.Peek(s.cfg.State); err == nil {
+		book = storage.NewBook()
+		if records, err := storage.Peek(s.cfg.State); err == nil {
 			book.Take(records)
 		}
 	} else if err != nil {
@@ -63,9 +63,9 @@
 }
 
 // heed has queries heed the loads of a dispatcher that ended.
-func (s *Server) heed(book *state.Book) {
-	s.store.Load().Put(state.Born(s.born))
-	r := state.Return(book, state.Now(), s.cfg.Module.Rules.OrderRest)
+func (s *Server) heed(book *storage.Book) {
+	s.store.Load().Put(storage.Born(s.born))
+	r := storage.Return(book, storage.Now(), s.cfg.Module.Rules.OrderRest)
 	s.mu.Lock()
 	s.returned, s.returnedAt = r, time.Now()
 	s.mu.Unlock()
@@ -77,9 +77,9 @@
 
 // inherit takes the state folder over once its former holder has let go of it.
 func (s *Server) inherit() {
-	store, book, err := state.OpenStore(s.cfg.State, s.log)
+	store, book, err := storage.OpenStore(s.cfg.State, s.log)
 	switch {
-	case errors.Is(err, state.ErrHeld):
+	case errors.Is(err, storage.ErrHeld):
 	case err != nil:
 		s.log.Error("state not taken over", "error", err)
 	default:
@@ -98,19 +98,19 @@
 	if !s.loop.Ask(func(c *dispatch.Core) { data = c.Snapshot() }) {
 		return
 	}
-	all, err := figures.Apart(data)
+	all, err := modelstate.Apart(data)
 	if err != nil {
 		return // another decider's, of a rehearsal
 	}
-	var records []knowledge.Told
-	s.with(func(now time.Duration, k *knowledge.Store) {
+	var records []observation.Told
+	s.with(func(now time.Duration, k *observation.Store) {
 		for name, v := range all {
-			k.See(now, knowledge.Key{Fact: knowledge.Weight, Class: name}, v)
+			k.See(now, observation.Key{Fact: observation.Weight, Class: name}, v)
 		}
 		records = k.Learnt(now)
 	})
 	if store != nil {
-		store.Put(state.Learnt(time.Now(), bytes.Join(talk.Encode(records), nil)))
+		store.Put(storage.Learnt(time.Now(), bytes.Join(gossip.Encode(records), nil)))
 	}
 }
 
@@ -120,7 +120,7 @@
 	if store == nil {
 		return nil
 	}
-	store.Put(state.Stopped())
+	store.Put(storage.Stopped())
 	return store.Close()
 }
 
@@ -136,9 +136,9 @@
 		case <-lag.C:
 			s.guarded.Lock()
 			in, changed := s.guard.Lag(s.loop.Lag())
-			s.guard.Held(frontend.Name, s.front.Pending())
+			s.guard.Held(pgfrontend.Name, s.front.Pending())
 			if s.flight != nil {
-				s.guard.Held(flightfront.Name, s.flight.Pending())
+				s.guard.Held(flightsql.Name, s.flight.Pending())
 			}
 			s.guarded.Unlock()
 			s.trouble.Store(in)
@@ -168,8 +168,8 @@
 	if store == nil || c == nil || c.Effect == cresspass.Safe {
 		return 0, nil
 	}
-	id, now := s.nextID.Add(1), state.Now()
-	return id, store.PutDurable(state.Sent(state.Load{ID: id, Class: c.Name, Key: q.key, Hash: q.hash(),
+	id, now := s.nextID.Add(1), storage.Now()
+	return id, store.PutDurable(storage.Sent(storage.Load{ID: id, Class: c.Name, Key: q.key, Hash: q.hash(),
 		Engine: string(engine), At: now.Wall, Boot: now.Boot, Up: now.Up,
 		Window: max(c.Window, s.cfg.Module.Rules.OrderRest), All: c.Scope == cresspass.ScopeAll}))
 }
@@ -200,10 +200,10 @@
 }
 
 // sentEnded forgets a load whose end is known. One that ended in doubt stays, until its window is over.
-func (s *Server) sentEnded(id uint64, r backend.Result) {
+func (s *Server) sentEnded(id uint64, r pgbackend.Result) {
 	if store := s.store.Load(); id != 0 && store != nil && (r.Outcome == cresspass.OK ||
 		r.Outcome.NeverRan()) {
-		store.Put(state.Ended(id))
+		store.Put(storage.Ended(id))
 	}
 }
 
@@ -238,16 +238,16 @@
 		return false
 	}
 	s.mu.Lock()
-	judged, wait := state.Go, time.Duration(0)
+	judged, wait := storage.Go, time.Duration(0)
 	if s.returned != nil {
 		judged, wait = s.returned.Judge(time.Since(s.returnedAt), ev.Class, ev.Key, q.hash())
 	}
 	s.mu.Unlock()
-	if judged == state.Rest && wait >= ev.TimeLeft {
-		judged = state.Refuse
+	if judged == storage.Rest && wait >= ev.TimeLeft {
+		judged = storage.Refuse
 	}
 	switch judged {
-	case state.Rest:
+	case storage.Rest:
 		late := *ev
 		late.TimeLeft -= wait
 		time.AfterFunc(wait, func() {
@@ -258,7 +258,7 @@
 			}
 		})
 		return true
-	case state.Refuse:
+	case storage.Refuse:
 		s.recorded(q, recording.Refused)
 		s.forget(q, true)
 		s.end(q, verdict.Earlier(wait))
@@ -268,13 +268,13 @@
 }
 
 // limits are the guard's, of the settings.
-func limits(cfg *config.Config) guard.Limits {
+func limits(cfg *config.Config) overload.Limits {
 	var shares map[string]float64
 	if cfg.Flight.Listen != "" { // else there is one front, and all is its
-		shares = map[string]float64{frontend.Name: cfg.Shares.PostgreSQL,
-			flightfront.Name: cfg.Shares.Flight}
+		shares = map[string]float64{pgfrontend.Name: cfg.Shares.PostgreSQL,
+			flightsql.Name: cfg.Shares.Flight}
 	}
-	return guard.Limits{Open: cfg.MaxHeld, HeldBytes: cfg.MaxAnswers, Connections: cfg.MaxClients,
+	return overload.Limits{Open: cfg.MaxHeld, HeldBytes: cfg.MaxAnswers, Connections: cfg.MaxClients,
 		Shares:  shares,
 		PerUser: cfg.MaxPerUser, Lag: cfg.LagLimit, Files: files(), FilesLeft: 64}
 }
@@ -345,7 +345,7 @@
 	}
 	s.inForce = cfg
 	s.classify.Store(classify.New(cfg))
-	s.front.Reload(func(f *frontend.Config) {
+	s.front.Reload(func(f *pgfrontend.Config) {
 		f.MaxClients, f.StartupTimeout, f.HoldBack = cfg.MaxClients, cfg.StartupTimeout, cfg.HoldBack
 		f.ClientBuffer = cfg.ClientBuffer
 	})
--- a/internal/server/orphan_test.go
+++ b/internal/server/orphan_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/jackc/pgx/v5/pgproto3"
 
-	"cresspass/internal/rig"
-	"cresspass/internal/roster"
+	"cresspass/internal/discovery/eds"
+	"cresspass/internal/rehearsal/testbed"
 	"cresspass/internal/standin"
 )
 
@@ -92,7 +92,7 @@
 // runs a long statement. The engine hears nothing of it. The next life on the same state finds them and ends
 // them, so that their locks come free; other programs' sessions stay.
 func TestOrphansAreEnded(t *testing.T) {
-	r, err := rig.New(standin.EngineConfig{Kind: rig.Kind(8, 4096)}, standin.EngineConfig{Kind: rig.Kind(8,
+	r, err := testbed.New(standin.EngineConfig{Kind: testbed.Kind(8, 4096)}, standin.EngineConfig{Kind: testbed.Kind(8,
 		4096)})
 	if err != nil {
 		t.Fatal(err)
@@ -101,7 +101,7 @@
 	var walls []*wall
 	for i := range r.Engines {
 		walls = append(walls, newWall(t, r.Engines[i].Addr()))
-		r.Change(i, func(e *roster.Engine) { e.Address = walls[i].ln.Addr().String() })
+		r.Change(i, func(e *eds.Engine) { e.Address = walls[i].ln.Addr().String() })
 	}
 	first, second := t.TempDir(), t.TempDir()
 	s, err := r.Dispatch(settings+"state = \""+first+"\"\n", nil)
--- a/internal/server/peers.go
+++ b/internal/server/peers.go
@@ -7,15 +7,15 @@
 	"time"
 
 	"cresspass"
-	"cresspass/internal/backend"
+	"cresspass/internal/backend/pgbackend"
+	"cresspass/internal/discovery/eds"
 	"cresspass/internal/dispatch"
-	"cresspass/internal/figures"
-	"cresspass/internal/knowledge"
-	"cresspass/internal/ordinal"
-	"cresspass/internal/peers"
-	"cresspass/internal/plausible"
-	"cresspass/internal/roster"
-	"cresspass/internal/talk"
+	"cresspass/internal/membership"
+	"cresspass/internal/membership/gossip"
+	"cresspass/internal/membership/modelstate"
+	"cresspass/internal/membership/observation"
+	"cresspass/internal/membership/ordinal"
+	"cresspass/internal/membership/validation"
 )
 
 // What the dispatcher says to others, hears of them, and has learnt. The decisions are in packages talk and
@@ -41,9 +41,9 @@
 	for _, n := range m.ClassThreads {
 		threads = max(threads, n)
 	}
-	p, err := peers.New(peers.Config{Config: talk.Config{Name: c.Name, Born: s.born, Claim: m.Ordinal,
+	p, err := membership.New(membership.Config{Config: gossip.Config{Name: c.Name, Born: s.born, Claim: m.Ordinal,
 		Seed: m.Seed,
-		Rate: c.Rate, Wait: c.Wait, Believe: plausible.DefaultLimits(threads),
+		Rate: c.Rate, Wait: c.Wait, Believe: validation.DefaultLimits(threads),
 		Ordinals: ordinal.Limits{Still: 2 * time.Second, Grace: 30 * time.Second,
 			Left: max(m.Rules.ColdWindow, time.Second), Least: m.Gateways}},
 		Listen: c.Listen, Seeds: c.Seeds, Keys: c.Keys, Clock: s.clock, Do: s.heard}, s.known, s.log)
@@ -62,23 +62,23 @@
 }
 
 // heard carries out what the others have to do with this dispatcher's module.
-func (s *Server) heard(o talk.Output) {
+func (s *Server) heard(o gossip.Output) {
 	switch o.Type {
-	case talk.Message:
+	case gossip.Message:
 		s.loop.Post(cresspass.Event{Type: cresspass.PeerMessage, Peer: o.From, Data: o.Data})
-	case talk.View:
+	case gossip.View:
 		s.log.Info("dispatchers", "ordinal", o.View.Ordinal, "count", o.View.Count)
 		s.loop.Post(cresspass.Event{Type: cresspass.FleetCount, Peer: o.View.Ordinal,
 			Value: float64(o.View.Count),
 			Took:  o.Clock})
-	case talk.Down:
+	case gossip.Down:
 		s.log.Info("others tell that an engine does not answer", "engine", o.Engine)
 		s.loop.Post(cresspass.Event{Type: cresspass.EngineDown, Engine: cresspass.EngineID(o.Engine)})
 	}
 }
 
 // with has f look at what is known, or add to it.
-func (s *Server) with(f func(now time.Duration, k *knowledge.Store)) {
+func (s *Server) with(f func(now time.Duration, k *observation.Store)) {
 	if p := s.peers.Load(); p != nil {
 		p.With(f)
 		return
@@ -90,27 +90,27 @@
 
 // former takes what a former life has learnt, so long ago, for one voice among others.
 func (s *Server) former(data []byte, age time.Duration) error {
-	var all []knowledge.Told
+	var all []observation.Told
 	if len(data) > 0 && data[0] == '{' { // kept by a version that kept the module's own form
-		list, err := figures.Apart(data)
+		list, err := modelstate.Apart(data)
 		if err != nil {
 			return err
 		}
 		for name, v := range list {
-			all = append(all, knowledge.Told{Key: knowledge.Key{Fact: knowledge.Weight, Class: name},
+			all = append(all, observation.Told{Key: observation.Key{Fact: observation.Weight, Class: name},
 				Value: v})
 		}
 	} else {
 		var err error
-		if all, err = talk.Decode(data); err != nil {
+		if all, err = gossip.Decode(data); err != nil {
 			return err
 		}
 	}
 	for i := range all {
-		all[i].Observer, all[i].Hops = knowledge.Former, 0
+		all[i].Observer, all[i].Hops = observation.Former, 0
 		all[i].Age += age
 	}
-	s.with(func(now time.Duration, k *knowledge.Store) { k.Hear(now, knowledge.Former, all) })
+	s.with(func(now time.Duration, k *observation.Store) { k.Hear(now, observation.Former, all) })
 	return nil
 }
 
@@ -129,8 +129,8 @@
 	}
 	age := time.Duration(0)
 	var data []byte
-	s.with(func(now time.Duration, k *knowledge.Store) {
-		data = figures.Together(names, m.KindNames, func(name string) (float64, bool) {
+	s.with(func(now time.Duration, k *observation.Store) {
+		data = modelstate.Together(names, m.KindNames, func(name string) (float64, bool) {
 			b, ok := k.Begin(now, name)
 			age = max(age, b.Age)
 			return b.Value, ok
@@ -147,7 +147,7 @@
 }
 
 // named tells which engines there are.
-func (s *Server) named(l *roster.List) {
+func (s *Server) named(l *eds.List) {
 	s.roster.Store(l)
 	p := s.peers.Load()
 	if p == nil {
@@ -166,7 +166,7 @@
 }
 
 // saw keeps what an attempt has shown of its engine.
-func (s *Server) saw(engine cresspass.EngineID, r *backend.Result) {
+func (s *Server) saw(engine cresspass.EngineID, r *pgbackend.Result) {
 	p := s.peers.Load()
 	if p == nil {
 		return
@@ -184,4 +184,4 @@
 }
 
 // Peers is the dispatcher's place among others; nil: it has none.
-func (s *Server) Peers() *peers.Peers { return s.peers.Load() }
+func (s *Server) Peers() *membership.Peers { return s.peers.Load() }
--- a/internal/server/peers_test.go
+++ b/internal/server/peers_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"cresspass/internal/knowledge"
+	"cresspass/internal/membership/observation"
 	"cresspass/internal/server"
 	"cresspass/internal/standin"
 )
@@ -55,8 +55,8 @@
 	r.Engines[0].Set(standin.Faults{Full: true})
 	c := connect(t, all[0], "")
 	heard := func() (known bool) {
-		all[2].Peers().With(func(now time.Duration, k *knowledge.Store) {
-			o := k.Opinion(now, knowledge.Key{Engine: r.Engines[1].Entry.Address, Fact: knowledge.Health})
+		all[2].Peers().With(func(now time.Duration, k *observation.Store) {
+			o := k.Opinion(now, observation.Key{Engine: r.Engines[1].Entry.Address, Fact: observation.Health})
 			known = o.Known && !o.Own && o.Value == 1
 		})
 		return known
@@ -101,7 +101,7 @@
 	}
 	seeds := fmt.Sprintf("%q", old.Peers().Addr())
 	eventually(t, "it has learnt", func() (known bool) {
-		old.Peers().With(func(now time.Duration, k *knowledge.Store) { known = len(k.Learnt(now)) > 0 })
+		old.Peers().With(func(now time.Duration, k *observation.Store) { known = len(k.Learnt(now)) > 0 })
 		return known
 	})
 	young := start("young", seeds)
--- a/internal/server/pin_bench_test.go
+++ b/internal/server/pin_bench_test.go
@@ -8,14 +8,14 @@
 
 	"github.com/jackc/pgx/v5"
 
-	"cresspass/internal/rig"
+	"cresspass/internal/rehearsal/testbed"
 	"cresspass/internal/standin"
 )
 
 // BenchmarkPinned measures a statement of a session in a transaction against one of a free session, the same
 // client.
 func BenchmarkPinned(b *testing.B) {
-	r, err := rig.New(standin.EngineConfig{Kind: rig.Kind(64, 4096)}, standin.EngineConfig{Kind: rig.Kind(64,
+	r, err := testbed.New(standin.EngineConfig{Kind: testbed.Kind(64, 4096)}, standin.EngineConfig{Kind: testbed.Kind(64,
 		4096)})
 	if err != nil {
 		b.Fatal(err)
@@ -51,7 +51,7 @@
 // BenchmarkIdlePinned measures what an idle session in a transaction holds, client, dispatcher and stand-in
 // together, in kB each: the three share this process.
 func BenchmarkIdlePinned(b *testing.B) {
-	r, err := rig.New(standin.EngineConfig{Kind: rig.Kind(64, 4096)})
+	r, err := testbed.New(standin.EngineConfig{Kind: testbed.Kind(64, 4096)})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/server/pinhard_test.go
+++ b/internal/server/pinhard_test.go
@@ -10,17 +10,17 @@
 
 	"github.com/jackc/pgx/v5/pgproto3"
 
-	"cresspass/internal/rig"
-	"cresspass/internal/roster"
+	"cresspass/internal/discovery/eds"
+	"cresspass/internal/rehearsal/testbed"
 )
 
 // open begins a transaction on the engine of a number, and returns the session.
-func open(t *testing.T, r *rig.Rig, addr string, at int) *raw {
+func open(t *testing.T, r *testbed.Rig, addr string, at int) *raw {
 	t.Helper()
 	for i := range r.Engines { // the choice is the module's: for the moment there is no other engine
-		if i != at && r.State(i) == roster.On {
-			r.Change(i, func(e *roster.Engine) { e.State = "" })
-			defer r.Change(i, func(e *roster.Engine) { e.State = roster.On })
+		if i != at && r.State(i) == eds.On {
+			r.Change(i, func(e *eds.Engine) { e.State = "" })
+			defer r.Change(i, func(e *eds.Engine) { e.State = eds.On })
 		}
 	}
 	for n := range 1000 { // an engine that died is passed over for a while
@@ -51,7 +51,7 @@
 			Name: "p"}, &pgproto3.Sync{})
 		c.until("Z")
 	}
-	r.Change(0, func(e *roster.Engine) { e.State = roster.Draining })
+	r.Change(0, func(e *eds.Engine) { e.State = eds.Draining })
 	time.Sleep(50 * time.Millisecond)
 	for i, c := range []*raw{inTx, free} {
 		c.send(&pgproto3.Bind{PreparedStatement: "p", Parameters: [][]byte{[]byte(fmt.Sprint("x", i,
@@ -89,7 +89,7 @@
 		if death {
 			r.Engines[0].Die()
 		} else {
-			r.Change(0, func(e *roster.Engine) { e.State = roster.Draining })
+			r.Change(0, func(e *eds.Engine) { e.State = eds.Draining })
 		}
 		seen, told := c.rest(), ""
 		for _, m := range seen {
@@ -114,8 +114,8 @@
 				t.Fatal(err)
 			}
 		}
-		r.Change(0, func(e *roster.Engine) {
-			e.State, e.Started = roster.On, r.Engines[0].Started().Add(-time.Hour)
+		r.Change(0, func(e *eds.Engine) {
+			e.State, e.Started = eds.On, r.Engines[0].Started().Add(-time.Hour)
 		})
 	}
 	t.Logf("told %v", ends)
@@ -207,7 +207,7 @@
 // all have left within the grace. No new session goes there.
 func TestThousandSessionsDrain(t *testing.T) {
 	r, s := raise(t, 2, strings.Replace(settings, "engines {", "engines {\n  max_connections = 2000", 1))
-	r.Change(1, func(e *roster.Engine) { e.State = "" })
+	r.Change(1, func(e *eds.Engine) { e.State = "" })
 	time.Sleep(50 * time.Millisecond)
 	const n = 1000
 	all := make([]*raw, n)
@@ -240,8 +240,8 @@
 	if got := r.Engines[0].Sessions(); got != n || s.Kept() != n {
 		t.Fatalf("%d sessions at the engine, %d kept", got, s.Kept())
 	}
-	r.Change(1, func(e *roster.Engine) { e.State = roster.On })
-	r.Change(0, func(e *roster.Engine) { e.State = roster.Draining })
+	r.Change(1, func(e *eds.Engine) { e.State = eds.On })
+	r.Change(0, func(e *eds.Engine) { e.State = eds.Draining })
 	told := time.Now()
 	gate = make(chan struct{}, n)
 	var mu sync.Mutex
--- a/internal/server/record.go
+++ b/internal/server/record.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 
 	"cresspass"
+	"cresspass/internal/protocol/sqlscan"
 	"cresspass/internal/recording"
-	"cresspass/internal/sqlscan"
 )
 
 // What is recorded of queries. A recording holds no text, no parameter, no key and no row.
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -16,26 +16,26 @@
 	"time"
 
 	"cresspass"
-	"cresspass/internal/backend"
-	"cresspass/internal/classify"
+	"cresspass/internal/affinity/orphanedsession"
+	"cresspass/internal/affinity/registry"
+	"cresspass/internal/backend/pgbackend"
 	"cresspass/internal/config"
+	"cresspass/internal/discovery/eds"
+	"cresspass/internal/discovery/starttime"
 	"cresspass/internal/dispatch"
-	"cresspass/internal/flightfront"
-	"cresspass/internal/front"
-	"cresspass/internal/frontend"
-	"cresspass/internal/guard"
+	"cresspass/internal/dispatch/verdict"
+	front "cresspass/internal/frontend"
+	"cresspass/internal/frontend/classify"
+	"cresspass/internal/frontend/flightsql"
+	"cresspass/internal/frontend/pgfrontend"
+	"cresspass/internal/frontend/pgfrontend/pgsession"
 	"cresspass/internal/invariant"
-	"cresspass/internal/kept"
-	"cresspass/internal/knowledge"
-	"cresspass/internal/listen"
-	"cresspass/internal/orphan"
-	"cresspass/internal/peers"
+	"cresspass/internal/membership"
+	"cresspass/internal/membership/observation"
+	"cresspass/internal/netlisten"
+	"cresspass/internal/overload"
 	"cresspass/internal/recording"
-	"cresspass/internal/roster"
-	"cresspass/internal/session"
-	"cresspass/internal/startclock"
-	"cresspass/internal/state"
-	"cresspass/internal/verdict"
+	"cresspass/internal/storage"
 )
 
 // Server is a running dispatcher.
@@ -45,34 +45,34 @@
 	classify atomic.Pointer[classify.Classifier]
 	clock    dispatch.Clock
 	loop     *dispatch.Loop
-	pool     *backend.Pool
+	pool     *pgbackend.Pool
 
 	acts       *invariant.Guard // nothing is taken, sent, repeated or answered without it
 	invariants *invariant.Counter
 	startsLock sync.Mutex
-	starts     *startclock.Clock // of engines; under startsLock
+	starts     *starttime.Clock // of engines; under startsLock
 
-	book     *kept.Book // sessions kept on engines
-	front    *frontend.Server
-	flight   *flightfront.Server // nil: not served
+	book     *registry.Book // sessions kept on engines
+	front    *pgfrontend.Server
+	flight   *flightsql.Server // nil: not served
 	flightLn net.Listener
-	peers    atomic.Pointer[peers.Peers] // nil: dispatchers do not talk
-	known    *knowledge.Store            // what was learnt; under mu, or the peers' lock where there are any
-	born     uint64                      // number of this life
-	roster   atomic.Pointer[roster.List] // the last
-	life     string                      // application_name of our connections to engines
-	recorder *recording.Recorder         // nil: nothing is recorded
-	hunt     *orphan.Hunt                // for sessions of former lives; under mu
-	store    atomic.Pointer[state.Store] // nil: nothing is kept
-	returned *state.Returned             // what a dispatcher that came back must heed; under mu
+	peers    atomic.Pointer[membership.Peers] // nil: dispatchers do not talk
+	known    *observation.Store               // what was learnt; under mu, or the peers' lock where there are any
+	born     uint64                           // number of this life
+	roster   atomic.Pointer[eds.List]         // the last
+	life     string                           // application_name of our connections to engines
+	recorder *recording.Recorder              // nil: nothing is recorded
+	hunt     *orphanedsession.Hunt            // for sessions of former lives; under mu
+	store    atomic.Pointer[storage.Store]    // nil: nothing is kept
+	returned *storage.Returned                // what a dispatcher that came back must heed; under mu
 	// when it came back
 	returnedAt time.Time
 	undurable  atomic.Uint64 // loads that left before their records were durable
 	guarded    sync.Mutex
-	guard      *guard.Guard
+	guard      *overload.Guard
 	inForce    *config.Config // the settings that were applied last; cfg are those of the start
 	trouble    atomic.Bool
-	source     roster.Source
+	source     eds.Source
 	addr       string
 	stop       context.CancelFunc
 	work       sync.WaitGroup
@@ -91,7 +91,7 @@
 type query struct {
 	*front.Query
 	id       cresspass.QueryID
-	attempts map[int]*backend.Attempt // that have no outcome; under the server's lock
+	attempts map[int]*pgbackend.Attempt // that have no outcome; under the server's lock
 	over     bool
 	taken    bool // by the guard
 	started  bool // an attempt was made
@@ -108,7 +108,7 @@
 
 // Start starts a dispatcher and returns once it listens.
 func Start(cfg *config.Config, log *slog.Logger) (*Server, error) {
-	ln, err := listen.Open(cfg.Listen)
+	ln, err := netlisten.Open(cfg.Listen)
 	if err != nil {
 		return nil, err
 	}
@@ -130,13 +130,13 @@
 // StartWith starts a dispatcher around the decider that decide makes.
 func StartWith(cfg *config.Config, log *slog.Logger, ln net.Listener,
 	decide func(cresspass.Config) (dispatch.Decider, error)) (*Server, error) {
-	s := &Server{cfg: cfg, log: log, inForce: cfg, guard: guard.New(limits(cfg)), clock: dispatch.Monotonic(),
+	s := &Server{cfg: cfg, log: log, inForce: cfg, guard: overload.New(limits(cfg)), clock: dispatch.Monotonic(),
 		addr:    ln.Addr().String(),
 		queries: map[cresspass.QueryID]*query{}, shapes: newShapes(4096), listed: make(chan struct{})}
 	s.invariants = invariant.NewCounter(log)
 	s.acts = invariant.NewGuard(invariant.RulesOf(&cfg.Module), s.invariants, nil)
 	s.acts.Serve(true)
-	s.starts = startclock.New(startclock.Every, time.Now(), s.clock())
+	s.starts = starttime.New(starttime.Every, time.Now(), s.clock())
 	s.classify.Store(classify.New(cfg))
 	s.life = fmt.Sprintf("cresspass-%d-%08x", cfg.Module.Ordinal, rand.Uint32())
 	decider, err := decide(cfg.Module)
@@ -144,18 +144,18 @@
 		return nil, err
 	}
 	core := dispatch.NewCoreWith(decider, cfg.Module, s.clock())
-	s.known = knowledge.New(s.name(), knowledge.DefaultLimits())
+	s.known = observation.New(s.name(), observation.DefaultLimits())
 	if err := s.recall(); err != nil {
 		return nil, err
 	}
 	s.nextID.Store(rand.Uint64N(1<<40) + 1)
 	s.loop = dispatch.NewLoop(core, s.clock, s.do)
-	s.pool = backend.NewPool(backend.Config{Application: s.life, User: cfg.EngineUser,
+	s.pool = pgbackend.NewPool(pgbackend.Config{Application: s.life, User: cfg.EngineUser,
 		Database:       cfg.EngineDatabase,
 		MaxConnections: cfg.MaxConnections, MaxPrepared: cfg.MaxPrepared, MaxMessage: cfg.MaxMessage,
 		ConnectTimeout: cfg.ConnectTimeout, CancelTimeout: cfg.CancelTimeout, IdleTimeout: cfg.IdleTimeout,
 		ReportFields: len(cfg.Module.ReportFields), CopyAhead: cfg.ClientBuffer})
-	s.book = kept.New(kept.Config{Pins: cfg.Pins, Kept: s.keeps, Note: s.note})
+	s.book = registry.New(registry.Config{Pins: cfg.Pins, Kept: s.keeps, Note: s.note})
 	// Danger: nbio does not bear its end just after its beginning, and hangs. What can fail comes first.
 	undo := func(err error) error {
 		if s.flight != nil {
@@ -181,19 +181,19 @@
 			return nil, undo(err)
 		}
 	}
-	s.front, err = frontend.New(frontend.Config{MaxClients: cfg.MaxClients,
+	s.front, err = pgfrontend.New(pgfrontend.Config{MaxClients: cfg.MaxClients,
 		StartupTimeout: cfg.StartupTimeout,
 		HoldBack:       cfg.HoldBack, HoldBackTotal: cfg.HoldBackTotal, ClientBuffer: cfg.ClientBuffer,
-		Session: session.Config{Version: version, MaxMessage: cfg.MaxMessage, MaxPending: cfg.MaxPending,
+		Session: pgsession.Config{Version: version, MaxMessage: cfg.MaxMessage, MaxPending: cfg.MaxPending,
 			Described: s.shapes.get, Harmless: harmless(cfg.Harmless)},
 		Admit: s.admit, Leave: s.leave, Book: s.book,
-		Connect:    func() bool { return s.room(frontend.Name) },
-		Disconnect: func() { s.roomAgain(frontend.Name) }},
+		Connect:    func() bool { return s.room(pgfrontend.Name) },
+		Disconnect: func() { s.roomAgain(pgfrontend.Name) }},
 		s, log)
 	if err != nil {
 		return nil, undo(err)
 	}
-	s.source = roster.NewEDS(cfg.EDS, cfg.Service, fmt.Sprintf("cresspass-%d", cfg.Module.Ordinal), log)
+	s.source = eds.NewEDS(cfg.EDS, cfg.Service, fmt.Sprintf("cresspass-%d", cfg.Module.Ordinal), log)
 	s.cached()
 	ctx, cancel := context.WithCancel(context.Background())
 	s.stop = cancel
@@ -232,7 +232,7 @@
 	}
 	for _, e := range l.Engines {
 		if e.Address == address {
-			return e.State == roster.On
+			return e.State == eds.On
 		}
 	}
 	return false
@@ -306,7 +306,7 @@
 	if s.cfg.Cache == "" {
 		return
 	}
-	l, err := roster.Load(s.cfg.Cache)
+	l, err := eds.Load(s.cfg.Cache)
 	switch {
 	case errors.Is(err, os.ErrNotExist):
 	case err != nil:
@@ -319,7 +319,7 @@
 	}
 }
 
-func (s *Server) post(how cresspass.Listing, l *roster.List) {
+func (s *Server) post(how cresspass.Listing, l *eds.List) {
 	s.startsLock.Lock()
 	infos := l.Infos(s.clock(), s.starts)
 	s.startsLock.Unlock()
@@ -328,7 +328,7 @@
 }
 
 // list takes a list from the roster.
-func (s *Server) list(l *roster.List) {
+func (s *Server) list(l *eds.List) {
 	s.post(cresspass.ListFull, l)
 	listed := map[cresspass.EngineID]bool{}
 	for _, e := range l.Engines {
@@ -338,13 +338,13 @@
 	s.named(l)
 	s.hunted(l)
 	for _, e := range l.Engines {
-		if e.State == roster.Draining { // what is kept there ends inside the rule's grace
+		if e.State == eds.Draining { // what is kept there ends inside the rule's grace
 			s.pool.Drain(cresspass.EngineID(e.Address), s.cfg.Module.Rules.DrainGrace*8/10)
 		}
 	}
 	s.log.Info("engine list", "version", l.Version, "engines", len(l.Engines))
 	if s.cfg.Cache != "" {
-		if err := roster.Save(s.cfg.Cache, l); err != nil {
+		if err := eds.Save(s.cfg.Cache, l); err != nil {
 			s.log.Error("engine list not kept", "error", err)
 		}
 	}
@@ -357,7 +357,7 @@
 
 // Take takes a query of a front.
 func (s *Server) Take(fq *front.Query) {
-	q := &query{Query: fq, id: cresspass.QueryID(s.nextID.Add(1)), attempts: map[int]*backend.Attempt{}}
+	q := &query{Query: fq, id: cresspass.QueryID(s.nextID.Add(1)), attempts: map[int]*pgbackend.Attempt{}}
 	fq.ID.Store(uint64(q.id))
 	ev, fault := s.classify.Load().Query(q.id, fq.Who, fq.Ask)
 	if fault != nil {
@@ -517,7 +517,7 @@
 	for i := range l.Engines {
 		if e := &l.Engines[i]; e.Address == string(engine) {
 			at.Kind, at.Zone = e.Kind, e.Zone
-			at.Takes = at.Takes || e.State == roster.On
+			at.Takes = at.Takes || e.State == eds.On
 		}
 	}
 	return at
@@ -549,7 +549,7 @@
 		return
 	}
 	id, attempt, engine := o.Query, o.Attempt, o.Engine
-	a := &backend.Attempt{Ask: q.Ask, Number: attempt, Answer: q.Answer, Priority: o.Priority,
+	a := &pgbackend.Attempt{Ask: q.Ask, Number: attempt, Answer: q.Answer, Priority: o.Priority,
 		MemoryMB: o.MemoryMB,
 		Throttle: q.Throttle, Described: s.shapes.put, Lease: q.Lease, Pinned: q.Ask.Pinned,
 		Settled: q.Settled, Broken: q.Broken, Copy: q.Copy, Room: q.Room}
@@ -563,7 +563,7 @@
 	latest := time.Now().Add(o.Within)
 	a.MayBegin = func() (cresspass.Outcome, bool) { return s.mayBegin(q, attempt, engine, latest) }
 	sent, durable := s.sending(q, engine)
-	a.Ended = func(r backend.Result) {
+	a.Ended = func(r pgbackend.Result) {
 		s.sentEnded(sent, r)
 		s.saw(engine, &r)
 		ev := ended
@@ -597,8 +597,8 @@
 // probe asks an engine for a sign of life: an empty query, with whatever load report comes with its end.
 func (s *Server) probe(engine cresspass.EngineID) {
 	at := s.clock()
-	a := &backend.Attempt{Priority: -1}
-	a.Ended = func(r backend.Result) {
+	a := &pgbackend.Attempt{Priority: -1}
+	a.Ended = func(r pgbackend.Result) {
 		s.loop.Post(cresspass.Event{Type: cresspass.ProbeDone, Engine: engine, Outcome: r.Outcome,
 			Took: s.clock() - at, Report: r.Report, HasReport: r.Report != nil})
 	}
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -14,7 +14,7 @@
 	_ "github.com/lib/pq"
 	"go.uber.org/goleak"
 
-	"cresspass/internal/rig"
+	"cresspass/internal/rehearsal/testbed"
 	"cresspass/internal/server"
 	"cresspass/internal/standin"
 )
@@ -74,13 +74,13 @@
 `
 
 // engines raises stand-in engines and their list.
-func engines(t *testing.T, n int) *rig.Rig {
+func engines(t *testing.T, n int) *testbed.Rig {
 	t.Helper()
 	cfg := make([]standin.EngineConfig, n)
 	for i := range cfg {
-		cfg[i] = standin.EngineConfig{Kind: rig.Kind(8, 4096), Window: 15 * time.Second}
+		cfg[i] = standin.EngineConfig{Kind: testbed.Kind(8, 4096), Window: 15 * time.Second}
 	}
-	r, err := rig.New(cfg...)
+	r, err := testbed.New(cfg...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 	return r
 }
 
-func raise(t *testing.T, n int, settings string) (*rig.Rig, *server.Server) {
+func raise(t *testing.T, n int, settings string) (*testbed.Rig, *server.Server) {
 	t.Helper()
 	r := engines(t, n)
 	s, err := r.Dispatch(settings, nil)
--- a/internal/server/session_test.go
+++ b/internal/server/session_test.go
@@ -17,8 +17,8 @@
 	"github.com/jackc/pgx/v5/pgxpool"
 	"pgregory.net/rapid"
 
-	"cresspass/internal/rig"
-	"cresspass/internal/roster"
+	"cresspass/internal/discovery/eds"
+	"cresspass/internal/rehearsal/testbed"
 	"cresspass/internal/standin"
 )
 
@@ -144,7 +144,7 @@
 	})
 	pinned.send(&pgproto3.Query{String: "create temp table tmp_x (a int); commit"})
 	pinned.until("Z")
-	r.Change(at, func(e *roster.Engine) { e.State = roster.Draining })
+	r.Change(at, func(e *eds.Engine) { e.State = eds.Draining })
 	if seen := pinned.until("NoticeResponse"); len(seen) != 1 {
 		t.Errorf("a pinned session was told %v", seen)
 	}
@@ -340,7 +340,7 @@
 			}
 			n := i % 3 // the fourth is left alone
 			if i%2 == 0 {
-				r.Change(n, func(e *roster.Engine) { e.State = roster.Draining })
+				r.Change(n, func(e *eds.Engine) { e.State = eds.Draining })
 				time.Sleep(500 * time.Millisecond)
 			}
 			r.Engines[n].Die()
@@ -349,7 +349,7 @@
 				t.Error(err)
 				return
 			}
-			r.Change(n, func(e *roster.Engine) { e.State, e.Started = roster.On, r.Engines[n].Started() })
+			r.Change(n, func(e *eds.Engine) { e.State, e.Started = eds.On, r.Engines[n].Started() })
 		}
 	}()
 	var wg sync.WaitGroup
@@ -460,7 +460,7 @@
 // three: the same messages to the byte, but for what names the server or the moment.
 func TestScriptGivesTheSame(t *testing.T) {
 	_, s := raise(t, 3, settings)
-	direct, err := standin.NewEngine(standin.EngineConfig{Kind: rig.Kind(8, 4096)})
+	direct, err := standin.NewEngine(standin.EngineConfig{Kind: testbed.Kind(8, 4096)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -515,7 +515,7 @@
 // gets the bytes that one engine gives it.
 func TestRandomSessionsGiveTheSame(t *testing.T) {
 	_, s := raise(t, 3, settings)
-	direct, err := standin.NewEngine(standin.EngineConfig{Kind: rig.Kind(8, 4096)})
+	direct, err := standin.NewEngine(standin.EngineConfig{Kind: testbed.Kind(8, 4096)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/server/sessions.go
+++ b/internal/server/sessions.go
@@ -5,9 +5,9 @@
 	"strings"
 
 	"cresspass"
-	"cresspass/internal/orphan"
-	"cresspass/internal/roster"
-	"cresspass/internal/state"
+	"cresspass/internal/affinity/orphanedsession"
+	"cresspass/internal/discovery/eds"
+	"cresspass/internal/storage"
 )
 
 // What the dispatcher does for sessions that are kept on engines. The decisions are in packages pin and
@@ -23,33 +23,33 @@
 }
 
 // note keeps a session for a later life, or forgets it.
-func (s *Server) note(k *orphan.Session, kept bool) {
+func (s *Server) note(k *orphanedsession.Session, kept bool) {
 	store := s.store.Load()
 	switch {
 	case store == nil:
 	case kept:
 		k.ID, k.Life = s.nextID.Add(1), s.life
-		store.Put(state.Kept(*k))
+		store.Put(storage.Kept(*k))
 	default:
-		store.Put(state.Freed(k.ID))
+		store.Put(storage.Freed(k.ID))
 	}
 }
 
 // mourn begins the hunt for what a former life left at engines, and enters this life's name.
-func (s *Server) mourn(book *state.Book) {
+func (s *Server) mourn(book *storage.Book) {
 	lives, kept := book.Lives(), book.Kept()
-	s.store.Load().Put(state.Life(s.life))
+	s.store.Load().Put(storage.Life(s.life))
 	if len(lives) == 0 {
 		return
 	}
 	s.log.Info("looking for sessions of a former life", "lives", len(lives), "noted", len(kept))
 	s.mu.Lock()
-	s.hunt = orphan.New(s.clock(), lives, kept)
+	s.hunt = orphanedsession.New(s.clock(), lives, kept)
 	s.mu.Unlock()
 }
 
 // hunted tells the hunt of a list.
-func (s *Server) hunted(l *roster.List) {
+func (s *Server) hunted(l *eds.List) {
 	var engines []string
 	for _, e := range l.Engines {
 		engines = append(engines, e.Address)
@@ -78,12 +78,12 @@
 	if s.hunt.Over() {
 		s.hunt = nil
 		if store := s.store.Load(); store != nil {
-			store.Put(state.Swept())
+			store.Put(storage.Swept())
 		}
 	}
 }
 
-func (s *Server) visit(v orphan.Visit) {
+func (s *Server) visit(v orphanedsession.Visit) {
 	n, err := s.pool.Terminate(v)
 	if err != nil {
 		s.log.Warn("sessions of a former life not ended", "engine", v.Engine, "error", err)
@@ -97,7 +97,7 @@
 	}
 	for _, k := range s.hunt.Done(s.clock(), v.Engine, err == nil) {
 		if store := s.store.Load(); store != nil {
-			store.Put(state.Freed(k.ID))
+			store.Put(storage.Freed(k.ID))
 		}
 	}
 }
--- a/internal/model/converge.go
+++ b/internal/simulation/converge.go
@@ -1,11 +1,11 @@
-package model
+package simulation
 
 import (
 	"time"
 
 	"cresspass"
-	"cresspass/internal/knowledge"
-	"cresspass/internal/talk"
+	"cresspass/internal/membership/gossip"
+	"cresspass/internal/membership/observation"
 )
 
 // Agreed reports whether all that are up have the count of them (at least least), ordinals of their own
@@ -41,7 +41,7 @@
 }
 
 // Known is the share of members that hold a fact as it was seen by one.
-func (f *Members) Known(k knowledge.Key, value float64) float64 {
+func (f *Members) Known(k observation.Key, value float64) float64 {
 	up, known := 0.0, 0.0
 	for _, m := range f.All {
 		if m.Up {
@@ -75,7 +75,7 @@
 		list[engineID(i)] = 16
 	}
 	f := NewMembers(q, seed, n, w, DefaultDetection(), TalkConfig(1, 4),
-		func(t *talk.Talker) { t.Roster(list) })
+		func(t *gossip.Talker) { t.Roster(list) })
 	out := Convergence{Members: n}
 	for i := range n {
 		q.In(f.part(2*time.Second), func() { f.Start(i, -1, 0) })
@@ -110,7 +110,7 @@
 		out.BytesSecond += b / float64(n)
 		out.BytesMost = max(out.BytesMost, b)
 	}
-	k := knowledge.Key{Engine: string(engineID(0)), Fact: knowledge.Warmth}
+	k := observation.Key{Engine: string(engineID(0)), Fact: observation.Warmth}
 	first := f.All[0]
 	first.Talker.Store().See(first.now(q), k, 77)
 	out.Known = until(func() bool { return f.Known(k, 77) == 1 })
--- a/internal/experiment/bench_test.go
+++ b/internal/simulation/experiment/bench_test.go
@@ -13,7 +13,7 @@
 	}
 	e, err := Parse("x.hcl", []byte(`day = "model-big"
 arm "x" { talk = "ask" }
-`), Sources{Day: read("../../experiments/days/"), Shared: read("../../rehearsals/settings/")})
+`), Sources{Day: read("../../../experiments/days/"), Shared: read("../../../rehearsals/settings/")})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/experiment/calibrate.go
+++ b/internal/simulation/experiment/calibrate.go
@@ -9,14 +9,14 @@
 	"sort"
 	"time"
 
-	"cresspass/internal/model"
-	"cresspass/internal/rehearse"
+	"cresspass/internal/rehearsal"
+	"cresspass/internal/simulation"
 )
 
 // Row is a figure as it was seen through sockets and in the model.
 type Row struct {
 	Class, Figure  string
-	Sockets, Model model.Bar
+	Sockets, Model simulation.Bar
 }
 
 // Apart reports whether the bars of a row do not meet.
@@ -30,13 +30,13 @@
 	took                       []float64
 }
 
-func (t *tries) add(a *model.Ask) {
+func (t *tries) add(a *simulation.Ask) {
 	t.n++
 	switch a.End {
-	case model.Served:
+	case simulation.Served:
 		t.served++
 		t.took = append(t.took, a.Took.Seconds())
-	case model.Refused:
+	case simulation.Refused:
 		t.refused++
 	default:
 		t.failed++
@@ -59,10 +59,10 @@
 
 // Calibrate plays a day through processes and sockets, and in the model, on as many seeds, and holds each
 // class's figures against one another.
-func Calibrate(ctx context.Context, d *rehearse.Day, program []string, seeds, jobs int) ([]Row, error) {
+func Calibrate(ctx context.Context, d *rehearsal.Day, program []string, seeds, jobs int) ([]Row, error) {
 	sockets, modelled := map[string][][]float64{}, map[string][][]float64{}
 	type played struct {
-		result *rehearse.Result
+		result *rehearsal.Result
 		err    error
 	}
 	results := make([]chan played, seeds)
@@ -78,7 +78,7 @@
 				return
 			}
 			defer os.RemoveAll(dir)
-			r, err := rehearse.Play(ctx, d, rehearse.Options{Seed: uint64(i + 1), Program: program, Dir: dir})
+			r, err := rehearsal.Play(ctx, d, rehearsal.Options{Seed: uint64(i + 1), Program: program, Dir: dir})
 			results[i] <- played{r, err}
 		}()
 	}
@@ -100,11 +100,11 @@
 	if failed != nil {
 		return nil, failed
 	}
-	runs, err := model.Parallel(seeds, func(i int) (map[string]*tries, error) {
+	runs, err := simulation.Parallel(seeds, func(i int) (map[string]*tries, error) {
 		c := FromDay(d, uint64(i+1))
 		c.Length += 20 * time.Second // those that came last have their answers as well
-		c.Talk = map[string]model.Talk{"cold": model.Talking, "ask": model.Newcomers}[d.Talk]
-		f, err := model.NewFleet(c)
+		c.Talk = map[string]simulation.Talk{"cold": simulation.Talking, "ask": simulation.Newcomers}[d.Talk]
+		f, err := simulation.NewFleet(c)
 		if err != nil {
 			return nil, err
 		}
@@ -151,12 +151,12 @@
 	}
 }
 
-func column(runs [][]float64, f int) model.Bar {
+func column(runs [][]float64, f int) simulation.Bar {
 	var v []float64
 	for _, r := range runs {
 		v = append(v, r[f])
 	}
-	return model.BarOf(v)
+	return simulation.BarOf(v)
 }
 
 // PrintRows writes a calibration's table.
--- a/internal/experiment/experiment.go
+++ b/internal/simulation/experiment/experiment.go
@@ -15,10 +15,10 @@
 	"github.com/hashicorp/hcl/v2/hclparse"
 
 	"cresspass/internal/config"
-	"cresspass/internal/enginemodel"
-	"cresspass/internal/model"
 	"cresspass/internal/recording"
-	"cresspass/internal/rehearse"
+	"cresspass/internal/rehearsal"
+	"cresspass/internal/simulation"
+	"cresspass/internal/simulation/enginemodel"
 )
 
 // file is an experiment as written.
@@ -58,13 +58,13 @@
 type Arm struct {
 	Name string
 	file armFile
-	day  *rehearse.Day
+	day  *rehearsal.Day
 }
 
 // Experiment is a checked experiment.
 type Experiment struct {
 	Name, Title string
-	Day         *rehearse.Day
+	Day         *rehearsal.Day
 	Length      time.Duration
 	WarmUp      time.Duration // left out of all figures
 	Seeds       int           // at most
@@ -104,12 +104,12 @@
 	if diags.HasErrors() {
 		return nil, diags
 	}
-	day := func(arm *armFile) (*rehearse.Day, error) {
+	day := func(arm *armFile) (*rehearsal.Day, error) {
 		src, err := from.Day(f.Day)
 		if err != nil {
 			return nil, err
 		}
-		d, err := rehearse.ParseDay(f.Day, src, from.Shared)
+		d, err := rehearsal.ParseDay(f.Day, src, from.Shared)
 		if err != nil || len(arm.Set) == 0 {
 			return d, err
 		}
@@ -161,7 +161,7 @@
 			errs = append(errs, fmt.Errorf("%s: arm %q is given twice", name, a.Name))
 		}
 		seen[a.Name] = true
-		if !slices.Contains(model.Policies, a.Policy) {
+		if !slices.Contains(simulation.Policies, a.Policy) {
 			errs = append(errs, fmt.Errorf("%s: arm %q: there is no policy %q", name, a.Name, a.Policy))
 		}
 		if a.Binary != "" && a.Policy != "" {
@@ -197,7 +197,7 @@
 }
 
 // Config returns what the model plays for an arm, at a swept value, from a seed.
-func (e *Experiment) Config(arm int, value float64, seed uint64) (model.Config, error) {
+func (e *Experiment) Config(arm int, value float64, seed uint64) (simulation.Config, error) {
 	a := e.Arms[arm].file
 	if e.Over != "" {
 		swept[e.Over](&a, value)
@@ -239,8 +239,8 @@
 	if a.Talk != "" {
 		talk = a.Talk
 	}
-	c.Talk = map[string]model.Talk{"": model.Silent, "no": model.Silent, "cold": model.Talking,
-		"ask": model.Newcomers}[talk]
+	c.Talk = map[string]simulation.Talk{"": simulation.Silent, "no": simulation.Silent, "cold": simulation.Talking,
+		"ask": simulation.Newcomers}[talk]
 	if e.Recorded != nil {
 		return c, replay(&c, e.Recorded)
 	}
@@ -249,14 +249,14 @@
 
 // FromDay returns a day of the rehearsal as the model plays it. What clients do over several statements, by
 // Flight SQL or by giving up early, is not modelled, nor troubles of bytes on the wire: those are left out.
-func FromDay(d *rehearse.Day, seed uint64) model.Config {
-	c := model.Config{Seed: seed, Dispatchers: d.Dispatchers, Length: d.Length, Weather: model.Calm(),
+func FromDay(d *rehearsal.Day, seed uint64) simulation.Config {
+	c := simulation.Config{Seed: seed, Dispatchers: d.Dispatchers, Length: d.Length, Weather: simulation.Calm(),
 		Travel: 300 * time.Microsecond, Module: d.Module}
 	r := &d.Module.Rules
 	for i := range d.Engines {
 		kind := d.Kinds[i%len(d.Kinds)]
 		cores := d.Module.KindCores[slices.Index(d.Module.KindNames, kind)]
-		c.Engines = append(c.Engines, model.Engine{Kind: kind, Zone: string(rune('a' + i%d.Zones)),
+		c.Engines = append(c.Engines, simulation.Engine{Kind: kind, Zone: string(rune('a' + i%d.Zones)),
 			Cell: i / 2,
 			Machine: enginemodel.Kind{Cores: cores, MemoryMB: d.MemoryMB, SpillCost: 2.5, WarmSets: 4,
 				WarmSaves: 0.3,
@@ -268,14 +268,14 @@
 		if t.Session {
 			continue
 		}
-		c.Traffic = append(c.Traffic, model.Traffic{Class: t.Class, Rate: t.Rate, Work: t.Work,
+		c.Traffic = append(c.Traffic, simulation.Traffic{Class: t.Class, Rate: t.Rate, Work: t.Work,
 			Spread:  t.Spread,
 			Threads: t.Threads, Repeats: t.Repeats, Keys: t.Keys, Tables: t.Tables, Loads: t.Loads,
 			Told: t.Told})
 	}
 	for _, t := range d.Troubles {
-		if slices.Contains(model.Troubles(), t.Kind) {
-			c.Troubles = append(c.Troubles, model.Trouble{Kind: t.Kind, At: t.At, For: t.For,
+		if slices.Contains(simulation.Troubles(), t.Kind) {
+			c.Troubles = append(c.Troubles, simulation.Trouble{Kind: t.Kind, At: t.At, For: t.For,
 				Engines:    t.Engines,
 				Dispatcher: t.Dispatcher, Size: t.Size, Class: t.Class})
 		}
@@ -284,9 +284,9 @@
 }
 
 // LeftOut are the troubles of a day that the model does not know.
-func LeftOut(d *rehearse.Day) (out []string) {
+func LeftOut(d *rehearsal.Day) (out []string) {
 	for _, t := range d.Troubles {
-		if !slices.Contains(model.Troubles(), t.Kind) && !slices.Contains(out, t.Kind) {
+		if !slices.Contains(simulation.Troubles(), t.Kind) && !slices.Contains(out, t.Kind) {
 			out = append(out, t.Kind)
 		}
 	}
@@ -299,7 +299,7 @@
 // replay has recorded clients come in place of drawn ones. What a query needs is told by its own time where
 // it was served, waits counted in; else by the times of its shape, the quickest tenth's mean, as those met
 // least of others.
-func replay(c *model.Config, all []recording.Entry) error {
+func replay(c *simulation.Config, all []recording.Entry) error {
 	traffic := map[string]int{}
 	for i := range c.Traffic {
 		c.Traffic[i].Rate = 0
@@ -344,7 +344,7 @@
 		if e.Threads > 0 {
 			threads = e.Threads
 		}
-		r := model.Replay{At: e.At, Traffic: i, Dispatcher: dispatchers[e.Dispatcher], Told: e.Cost.Seconds()}
+		r := simulation.Replay{At: e.At, Traffic: i, Dispatcher: dispatchers[e.Dispatcher], Told: e.Cost.Seconds()}
 		switch {
 		case e.Outcome == recording.Served && least[e.Fingerprint] > 0:
 			// It took what it took. Danger: one shape has quick and long queries, a long way apart; cut to a
--- a/internal/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -31,7 +31,7 @@
 `
 
 func sources(t *testing.T) Sources {
-	settings, err := os.ReadFile("../../rehearsals/settings/model-city.hcl")
+	settings, err := os.ReadFile("../../../rehearsals/settings/model-city.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -9,8 +9,8 @@
 
 	"cresspass"
 	"cresspass/internal/dispatch"
-	"cresspass/internal/model"
-	"cresspass/internal/wirehost"
+	"cresspass/internal/simulation"
+	"cresspass/internal/simulation/wirehost"
 )
 
 // Figures are what is told of each way, in their order.
@@ -28,7 +28,7 @@
 }
 
 // Bar is a figure's.
-func (c *Cell) Bar(figure int) model.Bar { return model.BarOf(c.Samples[figure]) }
+func (c *Cell) Bar(figure int) simulation.Bar { return simulation.BarOf(c.Samples[figure]) }
 
 // Result is what an experiment came to.
 type Result struct {
@@ -65,7 +65,7 @@
 			return host.New(c, now), host.Err()
 		}
 	}
-	f, err := model.NewFleet(cfg)
+	f, err := simulation.NewFleet(cfg)
 	if err != nil {
 		return r, err
 	}
@@ -79,11 +79,11 @@
 		s.Overload,
 		float64(got.Rules.Broken())}
 	for _, a := range got.Asks {
-		if a.End == model.Served && a.At >= e.WarmUp && a.At < last {
+		if a.End == simulation.Served && a.At >= e.WarmUp && a.At < last {
 			r.times = append(r.times, a.Took.Seconds())
 		}
 	}
-	r.unstable, r.events = model.Unstable(got.Queued), got.Events
+	r.unstable, r.events = simulation.Unstable(got.Queued), got.Events
 	return r, nil
 }
 
@@ -109,7 +109,7 @@
 			for arm := range e.Arms {
 				begin := time.Now()
 				cores := max(1, runtime.GOMAXPROCS(0)/more)
-				runs, err := model.Parallel(more, func(k int) (run, error) {
+				runs, err := simulation.Parallel(more, func(k int) (run, error) {
 					return e.play(arm, v, e.After+uint64(seeds+k+1), cores)
 				})
 				if err != nil {
@@ -142,7 +142,7 @@
 				if half == 0 { // all seeds
 					half = math.SmallestNonzeroFloat64
 				}
-				more = max(more, model.Enough(b, half, e.Seeds))
+				more = max(more, simulation.Enough(b, half, e.Seeds))
 			}
 		}
 	}
@@ -150,8 +150,8 @@
 }
 
 // Difference is a figure's of an arm from the first, seed by seed.
-func (r *Result) Difference(arm, value, figure int) model.Bar {
-	return model.BarOf(model.Differences(r.Cells[arm][value].Samples[figure],
+func (r *Result) Difference(arm, value, figure int) simulation.Bar {
+	return simulation.BarOf(simulation.Differences(r.Cells[arm][value].Samples[figure],
 		r.Cells[0][value].Samples[figure]))
 }
 
@@ -185,7 +185,7 @@
 				fmt.Fprintln(w)
 			}
 			for _, q := range []float64{0.5, 0.99} {
-				b := model.Bootstrap(c.Times, 200, 1, q)
+				b := simulation.Bootstrap(c.Times, 200, 1, q)
 				fmt.Fprintf(w, "    time to answer, p%-14g  %8.3f ±%.3f s\n", 100*q, b.Mean, b.Half)
 			}
 		}
--- a/internal/model/fleet.go
+++ b/internal/simulation/fleet.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"cmp"
@@ -10,10 +10,10 @@
 
 	"cresspass"
 	"cresspass/internal/dispatch"
-	"cresspass/internal/enginemodel"
-	"cresspass/internal/figures"
-	"cresspass/internal/knowledge"
-	"cresspass/internal/talk"
+	"cresspass/internal/membership/gossip"
+	"cresspass/internal/membership/modelstate"
+	"cresspass/internal/membership/observation"
+	"cresspass/internal/simulation/enginemodel"
 )
 
 // Talk says what dispatchers have of one another.
@@ -134,7 +134,7 @@
 	Asks   []Ask
 	Looks  []Look
 	Events uint64
-	Stats  []talk.Stats
+	Stats  []gossip.Stats
 	Rules  Rules
 	Queued []float64 // queries that had no answer, at even times
 }
@@ -257,7 +257,7 @@
 		threads = max(threads, n)
 	}
 	f.members = NewMembers(f.queue, cfg.Seed, cfg.Dispatchers, cfg.Weather, DefaultDetection(),
-		TalkConfig(cfg.Dispatchers, threads), func(t *talk.Talker) { t.Roster(cores) })
+		TalkConfig(cfg.Dispatchers, threads), func(t *gossip.Talker) { t.Roster(cores) })
 	for i := range cfg.Dispatchers {
 		d := &dispatcher{fleet: f, number: i, zone: zoneOf(cfg.Engines, i)}
 		f.dispatchers = append(f.dispatchers, d)
@@ -476,7 +476,7 @@
 		}
 		age := time.Duration(0)
 		now := d.member.now(f.queue)
-		data := figures.Together(names, cfg.KindNames, func(name string) (float64, bool) {
+		data := modelstate.Together(names, cfg.KindNames, func(name string) (float64, bool) {
 			b, ok := d.member.Talker.Store().Begin(now, name)
 			age = max(age, b.Age)
 			return b.Value, ok
@@ -752,17 +752,17 @@
 }
 
 // heard carries out what the others have to do with its module.
-func (d *dispatcher) heard(o talk.Output) {
+func (d *dispatcher) heard(o gossip.Output) {
 	switch o.Type {
-	case talk.Message:
+	case gossip.Message:
 		d.post(0, cresspass.Event{Type: cresspass.PeerMessage, Peer: o.From, Data: o.Data})
-	case talk.View:
+	case gossip.View:
 		d.post(0, cresspass.Event{Type: cresspass.FleetCount, Peer: o.View.Ordinal,
 			Value: float64(o.View.Count),
 			Took:  o.Clock})
-	case talk.Down:
+	case gossip.Down:
 		d.post(0, cresspass.Event{Type: cresspass.EngineDown, Engine: cresspass.EngineID(o.Engine)})
-	case talk.Begun:
+	case gossip.Begun:
 		if d.asked {
 			d.begin()
 		}
@@ -776,7 +776,7 @@
 		if d.life != life || !d.up {
 			return
 		}
-		if all, err := figures.Apart(d.core.Snapshot()); err == nil {
+		if all, err := modelstate.Apart(d.core.Snapshot()); err == nil {
 			if d.number < f.cfg.Liars {
 				for name := range all {
 					all[name] = 100
@@ -805,8 +805,8 @@
 				d.member.Talker.Tell(now, -1, data)
 			}
 			for _, e := range f.engines {
-				d.member.Talker.Store().See(now, knowledge.Key{Engine: string(e.id),
-					Fact: knowledge.Health}, 0)
+				d.member.Talker.Store().See(now, observation.Key{Engine: string(e.id),
+					Fact: observation.Health}, 0)
 			}
 			f.members.Carry(d.member)
 		}
--- a/internal/model/known.go
+++ b/internal/simulation/known.go
@@ -1,11 +1,11 @@
-package model
+package simulation
 
 import (
 	"math"
 	"math/rand/v2"
 	"time"
 
-	"cresspass/internal/enginemodel"
+	"cresspass/internal/simulation/enginemodel"
 )
 
 // Known is a queue with a known answer, to hold the engine and the bars against.
--- a/internal/model/members.go
+++ b/internal/simulation/members.go
@@ -1,14 +1,14 @@
-package model
+package simulation
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"time"
 
-	"cresspass/internal/knowledge"
-	"cresspass/internal/ordinal"
-	"cresspass/internal/plausible"
-	"cresspass/internal/talk"
+	"cresspass/internal/membership/gossip"
+	"cresspass/internal/membership/observation"
+	"cresspass/internal/membership/ordinal"
+	"cresspass/internal/membership/validation"
 )
 
 // Detection is how membership learns of its members: what SWIM does is taken by its times, not modelled
@@ -33,12 +33,12 @@
 type Member struct {
 	Number int
 	Name   string
-	Talker *talk.Talker
+	Talker *gossip.Talker
 	Up     bool
 	life   uint64
 	zero   time.Duration // the model's time at which its clock would have been zero
 	slow   time.Duration // it hears and does all so much later
-	Do     func(o talk.Output)
+	Do     func(o gossip.Output)
 }
 
 // now is a member's own clock.
@@ -49,18 +49,18 @@
 	Queue   *Queue
 	Net     *Network
 	All     []*Member
-	config  talk.Config
+	config  gossip.Config
 	detect  Detection
 	random  *rand.Rand
 	lives   uint64
 	named   map[string]*Member
-	engines func(t *talk.Talker)
+	engines func(t *gossip.Talker)
 }
 
 // NewMembers returns a fleet of so many, none of which is up. What differs between members is put into
 // config; engines tells a new one which engines there are.
-func NewMembers(q *Queue, seed uint64, n int, w Weather, d Detection, config talk.Config,
-	engines func(t *talk.Talker)) *Members {
+func NewMembers(q *Queue, seed uint64, n int, w Weather, d Detection, config gossip.Config,
+	engines func(t *gossip.Talker)) *Members {
 	f := &Members{Queue: q, Net: NewNetwork(q, seed, n, w), config: config, detect: d, engines: engines,
 		random: rand.New(rand.NewPCG(seed, 78)), named: map[string]*Member{}}
 	for i := range n {
@@ -71,8 +71,8 @@
 }
 
 // TalkConfig is what the program's dispatchers have, with a least count.
-func TalkConfig(least int, threads float64) talk.Config {
-	return talk.Config{Claim: -1, Rate: 50000, Believe: plausible.DefaultLimits(threads), Wait: time.Second,
+func TalkConfig(least int, threads float64) gossip.Config {
+	return gossip.Config{Claim: -1, Rate: 50000, Believe: validation.DefaultLimits(threads), Wait: time.Second,
 		Ordinals: ordinal.Limits{Still: 2 * time.Second, Grace: 30 * time.Second, Left: 2 * time.Second,
 			Least: least}}
 }
@@ -85,7 +85,7 @@
 	m.life, m.Up, m.zero = f.lives, true, f.Queue.Now()-day
 	c := f.config
 	c.Name, c.Born, c.Claim, c.Wait, c.Seed = m.Name, m.life, claim, wait, f.random.Uint64()
-	m.Talker = talk.New(c, knowledge.New(m.Name, knowledge.DefaultLimits()), m.now(f.Queue))
+	m.Talker = gossip.New(c, observation.New(m.Name, observation.DefaultLimits()), m.now(f.Queue))
 	if f.engines != nil {
 		f.engines(m.Talker)
 	}
@@ -192,9 +192,9 @@
 func (f *Members) Carry(m *Member) {
 	for _, o := range m.Talker.Ready() {
 		switch o.Type {
-		case talk.Send:
+		case gossip.Send:
 			f.deliver(m, f.named[o.To], o.Data)
-		case talk.Say:
+		case gossip.Say:
 			f.say(m)
 		default:
 			if m.Do != nil {
--- a/internal/model/members_test.go
+++ b/internal/simulation/members_test.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"reflect"
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 
 	"cresspass"
-	"cresspass/internal/knowledge"
-	"cresspass/internal/talk"
+	"cresspass/internal/membership/gossip"
+	"cresspass/internal/membership/observation"
 )
 
 const s = time.Second
@@ -17,7 +17,7 @@
 // fleet has n members begin at once, their clocks as far apart as their begins, with the ordinals they claim.
 func fleet(seed uint64, n int, w Weather, claim func(i int) int) *Members {
 	q := &Queue{}
-	f := NewMembers(q, seed, n, w, DefaultDetection(), TalkConfig(1, 2), func(t *talk.Talker) {
+	f := NewMembers(q, seed, n, w, DefaultDetection(), TalkConfig(1, 2), func(t *gossip.Talker) {
 		t.Roster(map[cresspass.EngineID]float64{"e0": 8, "e1": 8})
 	})
 	for i := range n {
@@ -199,7 +199,7 @@
 		f.within(t, "agreed", 90*s, func() bool {
 			return f.Agreed(1, s)
 		})
-		k := knowledge.Key{Engine: "e1", Fact: knowledge.Warmth}
+		k := observation.Key{Engine: "e1", Fact: observation.Warmth}
 		f.All[0].Talker.Store().See(f.All[0].now(f.Queue), k, 9)
 		f.within(t, "known to all", 120*s, func() bool { return f.Known(k, 9) == 1 })
 	})
--- a/internal/modelplot/plot.go
+++ b/internal/simulation/plot/plot.go
@@ -1,5 +1,5 @@
-// Package modelplot draws what the model found, with its error bars.
-package modelplot
+// Package plot draws what the model found, with its error bars.
+package plot
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 	"github.com/go-echarts/go-echarts/v2/components"
 	"github.com/go-echarts/go-echarts/v2/opts"
 
-	"cresspass/internal/experiment"
-	"cresspass/internal/model"
+	"cresspass/internal/simulation"
+	"cresspass/internal/simulation/experiment"
 )
 
 // Curve is a line of points with half the widths of their intervals; nil halves: it has no bars.
@@ -68,7 +68,7 @@
 }
 
 // Convergence charts fleets of several sizes.
-func Convergence(all []model.Convergence) []components.Charter {
+func Convergence(all []simulation.Convergence) []components.Charter {
 	var axis []string
 	var agreed, known, back, mean, most []float64
 	for _, c := range all {
@@ -88,22 +88,22 @@
 }
 
 // Newcomers charts a comparison: each figure over the time since the return.
-func Newcomers(n *model.Comparison, where string) (out []components.Charter) {
+func Newcomers(n *simulation.Comparison, where string) (out []components.Charter) {
 	var axis []string
 	for _, w := range n.Windows {
 		axis = append(axis, fmt.Sprintf("first %d s", int(w.Seconds())))
 	}
-	for f := range model.Figures {
+	for f := range simulation.Figures {
 		var curves []Curve
 		for a, arm := range n.Arms {
 			c := Curve{Name: arm.Name}
 			for w := range n.Windows {
-				b := model.BarOf(n.Samples(a, w, f))
+				b := simulation.BarOf(n.Samples(a, w, f))
 				c.Values, c.Halves = append(c.Values, b.Mean), append(c.Halves, b.Half)
 			}
 			curves = append(curves, c)
 		}
-		out = append(out, Chart(model.Figures[f].Name,
+		out = append(out, Chart(simulation.Figures[f].Name,
 			"half of the dispatchers return; "+where, "",
 			"share", axis, curves...))
 	}
--- a/internal/model/policy.go
+++ b/internal/simulation/policy.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"time"
 
 	"cresspass"
-	"cresspass/internal/baseline"
 	"cresspass/internal/dispatch"
+	"cresspass/internal/simulation/baseline"
 )
 
 // Policies are the deciders that a fleet can have: "" is the module. The others are to compare with, here
--- a/internal/model/return.go
+++ b/internal/simulation/return.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"math"
@@ -6,7 +6,7 @@
 	"time"
 
 	"cresspass"
-	"cresspass/internal/enginemodel"
+	"cresspass/internal/simulation/enginemodel"
 )
 
 // HalfReturn is a day on which half of a fleet's dispatchers end at once and come back, having lost what they
--- a/internal/model/stats.go
+++ b/internal/simulation/stats.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"cmp"
--- a/internal/model/trouble.go
+++ b/internal/simulation/trouble.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"time"
 
 	"cresspass"
-	"cresspass/internal/enginemodel"
+	"cresspass/internal/simulation/enginemodel"
 )
 
 // Trouble is one thing that goes wrong, by the rehearsal's names.
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -20,9 +20,9 @@
 
 	"github.com/jackc/pgx/v5/pgproto3"
 
-	"cresspass/internal/enginemodel"
-	"cresspass/internal/params"
-	"cresspass/internal/sqlscan"
+	"cresspass/internal/backend/sessionparams"
+	"cresspass/internal/protocol/sqlscan"
+	"cresspass/internal/simulation/enginemodel"
 )
 
 // EngineConfig describes a stand-in engine.
@@ -638,7 +638,7 @@
 				tag = "DEALLOCATE ALL"
 			}
 		case "SET":
-			name, value, _ := params.Assignment(st)
+			name, value, _ := sessionparams.Assignment(st)
 			if value = strings.Trim(value, "'"); value == "wrong" {
 				c.fail("22023", "invalid value for parameter "+name)
 				return true
@@ -660,7 +660,7 @@
 			}
 			tag = "SET"
 		case "RESET":
-			if ch, ok := params.Of(st); ok && ch.Name != "" {
+			if ch, ok := sessionparams.Of(st); ok && ch.Name != "" {
 				delete(c.settings, ch.Name)
 			} else {
 				clear(c.settings)
@@ -825,7 +825,7 @@
 func (c *engineConn) tell(before map[string]string) {
 	for _, name := range []string{"timezone", "datestyle"} {
 		if v := c.settings[name]; v != before[name] {
-			c.b.Send(&pgproto3.ParameterStatus{Name: params.Reported(name), Value: v})
+			c.b.Send(&pgproto3.ParameterStatus{Name: sessionparams.Reported(name), Value: v})
 		}
 	}
 }
--- a/internal/standin/roster.go
+++ b/internal/standin/roster.go
@@ -13,7 +13,7 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/anypb"
 
-	"cresspass/internal/roster"
+	"cresspass/internal/discovery/eds"
 )
 
 // Roster is a stand-in for an endpoint discovery service: it pushes a list to all that subscribe, late where
@@ -26,7 +26,7 @@
 
 	mu      sync.Mutex
 	version int
-	list    roster.List
+	list    eds.List
 	late    time.Duration
 	away    chan struct{} // closed while out of reach
 	changed chan struct{} // closed at each change
@@ -40,7 +40,7 @@
 	At      time.Time // when it was accepted
 	Node    string
 	Version int
-	List    []roster.Engine
+	List    []eds.Engine
 }
 
 // NewRoster serves lists for one service on a loopback address.
@@ -61,9 +61,9 @@
 func (r *Roster) Addr() string { return r.addr }
 
 // Set changes the list.
-func (r *Roster) Set(engines []roster.Engine) {
+func (r *Roster) Set(engines []eds.Engine) {
 	r.mu.Lock()
-	r.list = roster.List{Engines: append([]roster.Engine(nil), engines...)}
+	r.list = eds.List{Engines: append([]eds.Engine(nil), engines...)}
 	r.version++
 	r.wake()
 	r.mu.Unlock()
@@ -149,7 +149,7 @@
 				return status.Error(codes.Unavailable, "out of reach")
 			default:
 			}
-			a, err := roster.Assignment(r.service, &list)
+			a, err := eds.Assignment(r.service, &list)
 			if err != nil {
 				return err
 			}
@@ -159,7 +159,7 @@
 			}
 			v := fmt.Sprint(version)
 			lists[v] = Told{Sent: time.Now(), Node: node, Version: version, List: list.Engines}
-			if err := s.Send(&discoveryv3.DiscoveryResponse{VersionInfo: v, Nonce: v, TypeUrl: roster.TypeURL,
+			if err := s.Send(&discoveryv3.DiscoveryResponse{VersionInfo: v, Nonce: v, TypeUrl: eds.TypeURL,
 				Resources: []*anypb.Any{any}}); err != nil {
 				return err
 			}
--- a/internal/standin/typed.go
+++ b/internal/standin/typed.go
@@ -11,7 +11,7 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 	"github.com/jackc/pgx/v5/pgtype"
 
-	"cresspass/internal/sqlscan"
+	"cresspass/internal/protocol/sqlscan"
 )
 
 // Rows with types: a statement whose comment has columns='int8,text,...' gives rows of these types, one with
--- a/internal/state/book.go
+++ b/internal/storage/book.go
@@ -1,4 +1,4 @@
-package state
+package storage
 
 import (
 	"encoding/binary"
@@ -6,7 +6,7 @@
 	"sort"
 	"time"
 
-	"cresspass/internal/orphan"
+	"cresspass/internal/affinity/orphanedsession"
 )
 
 // The kinds of record.
@@ -46,12 +46,12 @@
 	clean  bool
 
 	lives []string // whose sessions may stand at engines yet
-	kept  map[uint64]orphan.Session
+	kept  map[uint64]orphanedsession.Session
 }
 
 // NewBook returns an empty book.
 func NewBook() *Book {
-	return &Book{loads: map[uint64]Load{}, kept: map[uint64]orphan.Session{}, clean: true}
+	return &Book{loads: map[uint64]Load{}, kept: map[uint64]orphanedsession.Session{}, clean: true}
 }
 
 // LivesMost bounds the lives that are remembered, of a dispatcher that dies again and again.
@@ -81,7 +81,7 @@
 		case r.Kind == kindFreed && len(r.Payload) == 8:
 			delete(b.kept, binary.LittleEndian.Uint64(r.Payload))
 		case r.Kind == kindKept && len(r.Payload) > 8:
-			var s orphan.Session
+			var s orphanedsession.Session
 			if json.Unmarshal(r.Payload[8:], &s) != nil {
 				odd++
 			} else if s.ID = binary.LittleEndian.Uint64(r.Payload); len(b.kept) < LoadsMost {
@@ -144,7 +144,7 @@
 func (b *Book) Lives() []string { return b.lives }
 
 // Kept returns the sessions kept on engines when the last life ended, by ID.
-func (b *Book) Kept() (out []orphan.Session) {
+func (b *Book) Kept() (out []orphanedsession.Session) {
 	for _, s := range b.kept {
 		out = append(out, s)
 	}
@@ -210,7 +210,7 @@
 func Life(name string) Record { return Record{kindLife, []byte(name)} }
 
 // Kept is the record of a session that is kept on an engine.
-func Kept(s orphan.Session) Record {
+func Kept(s orphanedsession.Session) Record {
 	body, _ := json.Marshal(s)
 	return Record{kindKept, append(binary.LittleEndian.AppendUint64(nil, s.ID), body...)}
 }
--- a/internal/state/faults.go
+++ b/internal/storage/faults.go
@@ -1,6 +1,6 @@
 //go:build faults
 
-package state
+package storage
 
 import (
 	"math/rand/v2"
--- a/internal/state/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -1,4 +1,4 @@
-package state
+package storage
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"cresspass/internal/orphan"
+	"cresspass/internal/affinity/orphanedsession"
 )
 
 // The files under testdata hold what earlier builds wrote. A build that can't read them, or that writes other
@@ -34,7 +34,7 @@
 	{ID: 3, Class: "write", Engine: "127.0.0.1:7002", Hash: 10, At: goldenTime, Window: time.Minute},
 }
 
-var goldenSessions = []orphan.Session{
+var goldenSessions = []orphanedsession.Session{
 	{ID: 41, Engine: "127.0.0.1:7001", PID: 4294967295, Secret: []byte{0, 1, 2, 255},
 		Life: "cresspass-0-1badcafe"},
 	{ID: 42, Engine: "127.0.0.1:7002", PID: 17, Life: "cresspass-0-2badcafe"},
@@ -183,7 +183,7 @@
 // The numbers of the kinds stand in stored logs.
 func TestGoldenKinds(t *testing.T) {
 	for want, r := range map[Kind]Record{1: Sent(Load{}), 2: Ended(1), 3: Learnt(goldenTime, nil),
-		4: Stopped(), 5: Life("x"), 6: Kept(orphan.Session{}), 7: Freed(1), 8: Swept(), 9: Born(1)} {
+		4: Stopped(), 5: Life("x"), 6: Kept(orphanedsession.Session{}), 7: Freed(1), 8: Swept(), 9: Born(1)} {
 		if r.Kind != want {
 			t.Errorf("kind %d, want %d: %q", r.Kind, want, r.Payload)
 		}
@@ -221,7 +221,7 @@
 	if !reflect.DeepEqual(open, want) {
 		t.Errorf("read %+v, want %+v", open, want)
 	}
-	kept := []orphan.Session{{ID: 7, Engine: "e", PID: 3, Secret: []byte{0, 1, 2, 255},
+	kept := []orphanedsession.Session{{ID: 7, Engine: "e", PID: 3, Secret: []byte{0, 1, 2, 255},
 		Life: "cresspass-0-1"}}
 	if !reflect.DeepEqual(book.Kept(), kept) {
 		t.Errorf("read %+v, want %+v", book.Kept(), kept)
--- a/internal/state/log.go
+++ b/internal/storage/log.go
@@ -1,8 +1,8 @@
-// Package state keeps what a dispatcher must still know after it died: which loads it had sent and not seen
+// Package storage keeps what a dispatcher must still know after it died: which loads it had sent and not seen
 // end, and what its module had learnt. It is a log of checksummed records in one file, written by a goroutine
 // off the way of queries, and rewritten whole when it has grown. What is unreadable is set aside, and the
 // dispatcher starts as if new. Book holds the decisions, without I/O; Store is the file.
-package state
+package storage
 
 import (
 	"encoding/binary"
--- a/internal/state/state_test.go
+++ b/internal/storage/state_test.go
@@ -1,4 +1,4 @@
-package state
+package storage
 
 import (
 	"errors"
--- a/internal/wheel/wheel.go
+++ b/internal/timingwheel/wheel.go
@@ -1,6 +1,6 @@
-// Package wheel has a hierarchical timing wheel (Varghese and Lauck 1987, scheme 7) for timers that are set
+// Package timingwheel has a hierarchical timing wheel (Varghese and Lauck 1987, scheme 7) for timers that are set
 // in great number, never withdrawn, and may fire up to a tick late but never early. It reads no clock.
-package wheel
+package timingwheel
 
 import (
 	"math/bits"
--- a/internal/wheel/wheel_test.go
+++ b/internal/timingwheel/wheel_test.go
@@ -1,4 +1,4 @@
-package wheel
+package timingwheel
 
 import (
 	"container/heap"
