--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -15,7 +15,8 @@
 	if err := run(strings.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
-	if !strings.Contains(out.String(), "dispatch dispatcher=1 op-id=7 node=a:1\n") || strings.Count(out.String(), "ready\n") != 2 {
+	if !strings.Contains(out.String(), "dispatch dispatcher=1 op-id=7 node=a:1\n") ||
+		strings.Count(out.String(), "ready\n") != 2 {
 		t.Errorf("got %q", out.String())
 	}
 }
--- a/cmd/cresspass/main.go
+++ b/cmd/cresspass/main.go
@@ -51,13 +51,13 @@
 func parserOptions() []kong.Option {
 	return []kong.Option{kong.Name("cresspass"), kong.UsageOnError(),
 		kong.Description("Admits queries and routes them to analytic engines, by PostgreSQL's protocol."),
-		kong.BindSingletonProvider(untilToldToEnd)}
+		kong.BindSingletonProvider(signalContext)}
 }
 
-// untilToldToEnd returns the context of the commands that take one: it ends with SIGINT or SIGTERM. Danger:
+// signalContext returns the context of the commands that take one: it ends with SIGINT or SIGTERM. Danger:
 // for a dispatcher it must not be made. It takes those signals, and one that comes before the dispatcher
 // itself listens for them would be lost.
-func untilToldToEnd() (context.Context, error) {
+func signalContext() (context.Context, error) {
 	ctx, _ := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	return ctx, nil
 }
@@ -124,11 +124,11 @@
 		return nil, err
 	}
 	level := new(slog.LevelVar)
-	log, err := logger(os.Stderr, cfg.LogLevel, cfg.LogFormat, level)
+	log, err := newLogger(os.Stderr, cfg.LogLevel, cfg.LogFormat, level)
 	if err != nil {
 		return nil, err
 	}
-	o := &daemon.Options{Config: cfg, Load: c.load, Log: log, Level: level, Takeover: c.Takeover}
+	o := &daemon.Options{Config: cfg, LoadConfig: c.load, Logger: log, LogLevel: level, Takeover: c.Takeover}
 	if c.WithParent {
 		stop := make(chan struct{})
 		o.Stop = stop
@@ -146,10 +146,18 @@
 	if err != nil {
 		return nil, err
 	}
-	over := config.Overlay{Listen: c.Listen, Flight: c.Flight, EDS: c.EDS, Cache: c.Cache,
-		EngineUser: c.EngineUser,
-		Ordinal:    c.Ordinal,
-		Gateways:   c.Gateways, State: c.State, Health: c.Health, Takeover: c.Socket}
+	over := config.Overrides{
+		Listen:            c.Listen,
+		FlightListen:      c.Flight,
+		DiscoveryAddr:     c.EDS,
+		EndpointCacheFile: c.Cache,
+		EngineUser:        c.EngineUser,
+		Ordinal:           c.Ordinal,
+		Gateways:          c.Gateways,
+		StateDir:          c.State,
+		HealthAddr:        c.Health,
+		TakeoverSocket:    c.Socket,
+	}
 	return cfg, over.Apply(cfg)
 }
 
@@ -161,7 +169,7 @@
 func (c healthCmd) Run(ctx context.Context) error {
 	limit, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
-	h, err := daemon.Ask(limit, c.Addr)
+	h, err := daemon.FetchHealth(limit, c.Addr)
 	if err != nil {
 		return err
 	}
@@ -172,8 +180,8 @@
 	return nil
 }
 
-// logger returns a logger of a level, kept in l so that it can change, and a format.
-func logger(w io.Writer, level, format string, l *slog.LevelVar) (*slog.Logger, error) {
+// newLogger returns a logger of a level, kept in l so that it can change, and a format.
+func newLogger(w io.Writer, level, format string, l *slog.LevelVar) (*slog.Logger, error) {
 	if err := l.UnmarshalText([]byte(level)); err != nil {
 		return nil, fmt.Errorf("log level %q: %w", level, err)
 	}
--- a/cmd/cresspass/model.go
+++ b/cmd/cresspass/model.go
@@ -56,7 +56,7 @@
 			v.Known.Seconds(),
 			v.Return.Seconds(), v.BytesSecond/1000, v.BytesMost/1000)
 	}
-	return page(c.Report, "members", plot.Convergence(all))
+	return writePage(c.Report, "members", plot.Convergence(all))
 }
 
 type modelNewcomersCmd struct {
@@ -69,29 +69,33 @@
 	if c.Seeds < 2 || c.Seeds > 1000 || c.Told < 0 {
 		return fmt.Errorf("model newcomers: %d seeds, costs told as %g of the truth", c.Seeds, c.Told)
 	}
-	arms := []simulation.Arm{{Name: "no talk", Talk: simulation.Silent}, {Name: "cold", Talk: simulation.Talking},
-		{Name: "newcomers", Talk: simulation.Newcomers}, {Name: "cold, 1 in 5 lies", Talk: simulation.Talking,
+	arms := []simulation.Arm{
+		{Name: "no talk", Talk: simulation.Silent},
+		{Name: "cold", Talk: simulation.Talking},
+		{Name: "newcomers", Talk: simulation.Newcomers},
+		{Name: "cold, 1 in 5 lies", Talk: simulation.Talking,
 			Liars: 4},
-		{Name: "newcomers, 1 in 5 lies", Talk: simulation.Newcomers, Liars: 4}}
+		{Name: "newcomers, 1 in 5 lies", Talk: simulation.Newcomers, Liars: 4},
+	}
 	n, err := simulation.CompareNewcomers(arms, c.Seeds, c.Told)
 	if err != nil {
 		return err
 	}
 	printNewcomers(n, 1)
-	return page(c.Report, "newcomers", plot.Newcomers(n, "model, simulated servers"))
+	return writePage(c.Report, "newcomers", plot.Newcomers(n, "model, simulated servers"))
 }
 
-// page writes a page with plots into a folder, where one is named.
-func page(dir, name string, all []components.Charter) error {
+// writePage writes a page with plots into a folder, where one is named.
+func writePage(dir, name string, all []components.Charter) error {
 	if dir == "" {
 		return nil
 	}
-	return write(filepath.Join(dir, name+".html"), func(w io.Writer) error {
+	return writeFile(filepath.Join(dir, name+".html"), func(w io.Writer) error {
 		return plot.Page(w, "Model: "+name, all...)
 	})
 }
 
-func write(path string, to func(w io.Writer) error) error {
+func writeFile(path string, to func(w io.Writer) error) error {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return err
 	}
@@ -128,8 +132,8 @@
 	Report      string   `help:"Folder for a page with plots and the figures as text."`
 }
 
-// experimentOf reads an experiment by the name it ships under, from a file, or one of a day.
-func experimentOf(name string) (*experiment.Experiment, error) {
+// loadExperiment reads an experiment by the name it ships under, from a file, or one of a day.
+func loadExperiment(name string) (*experiment.Experiment, error) {
 	from := experiment.Sources{
 		Day: func(name string) ([]byte, error) {
 			for _, read := range []func() ([]byte, error){
@@ -146,7 +150,7 @@
 			return rehearsals.Settings.ReadFile("settings/" + name + ".hcl")
 		},
 		Recording: func(path string) ([]recording.Entry, error) {
-			_, all, err := load(path)
+			_, all, err := loadRecording(path)
 			return all, err
 		},
 	}
@@ -164,14 +168,14 @@
 	return experiment.Parse(name, src, from)
 }
 
-// collectAt is the garbage collector's percentage for experiments: what they keep is little against what
+// gcPercent is the garbage collector's percentage for experiments: what they keep is little against what
 // their events throw away.
-const collectAt = 400
+const gcPercent = 400
 
 func (c modelRunCmd) Run() error {
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	for _, name := range c.Experiments {
-		e, err := experimentOf(name)
+		e, err := loadExperiment(name)
 		if err != nil {
 			return err
 		}
@@ -192,10 +196,10 @@
 			continue
 		}
 		base := strings.TrimSuffix(filepath.Base(name), ".hcl")
-		if err := page(c.Report, base, plot.Experiment(r)); err != nil {
+		if err := writePage(c.Report, base, plot.Experiment(r)); err != nil {
 			return err
 		}
-		if err := write(filepath.Join(c.Report, base+".txt"), func(w io.Writer) error {
+		if err := writeFile(filepath.Join(c.Report, base+".txt"), func(w io.Writer) error {
 			r.Print(w)
 			return nil
 		}); err != nil {
@@ -213,7 +217,7 @@
 }
 
 func (c modelCalibrateCmd) Run(ctx context.Context) error {
-	d, err := day(c.Day)
+	d, err := loadDay(c.Day)
 	if err != nil {
 		return err
 	}
--- a/cmd/cresspass/node.go
+++ b/cmd/cresspass/node.go
@@ -20,7 +20,7 @@
 		return errors.New("node: ROUTER_CONFIG is not set, and no --config is given")
 	}
 	level := new(slog.LevelVar)
-	log, err := logger(os.Stdout, c.LogLevel, "text", level)
+	log, err := newLogger(os.Stdout, c.LogLevel, "text", level)
 	if err != nil {
 		return fmt.Errorf("platform: %w", err)
 	}
--- a/cmd/cresspass/record.go
+++ b/cmd/cresspass/record.go
@@ -17,8 +17,8 @@
 	Scale recordScaleCmd `cmd:"" help:"More or less traffic over other dispatchers, its unevenness kept."`
 }
 
-// load reads a recording, and says what of it could not be read.
-func load(path string) (recording.Header, []recording.Entry, error) {
+// loadRecording reads a recording, and says what of it could not be read.
+func loadRecording(path string) (recording.Header, []recording.Entry, error) {
 	h, all, skipped, err := recording.Load(path)
 	if errors.Is(err, recording.ErrCut) || errors.Is(err, recording.ErrDamaged) {
 		fmt.Fprintf(os.Stderr, "%s: %v; %d entries before that are used\n", path, err, len(all))
@@ -33,12 +33,12 @@
 	return h, all, err
 }
 
-// merged reads recordings as one, their times by the wall clock of the earliest.
-func merged(paths []string) (recording.Header, []recording.Entry, error) {
+// loadMerged reads recordings as one, their times by the wall clock of the earliest.
+func loadMerged(paths []string) (recording.Header, []recording.Entry, error) {
 	var heads []recording.Header
 	var lists [][]recording.Entry
 	for _, path := range paths {
-		h, all, err := load(path)
+		h, all, err := loadRecording(path)
 		if err != nil {
 			return h, nil, err
 		}
@@ -57,8 +57,8 @@
 	return first, recording.Merge(lists, shifts), nil
 }
 
-// save writes a recording to a file that must not exist: a recording is never lost to a slip.
-func save(path string, h recording.Header, all []recording.Entry) error {
+// saveRecording writes a recording to a file that must not exist: a recording is never lost to a slip.
+func saveRecording(path string, h recording.Header, all []recording.Entry) error {
 	if _, err := os.Stat(path); err == nil {
 		return fmt.Errorf("%s exists", path)
 	}
@@ -74,7 +74,7 @@
 }
 
 func (c recordShowCmd) Run() error {
-	h, all, err := merged(c.Files)
+	h, all, err := loadMerged(c.Files)
 	if err != nil {
 		return err
 	}
@@ -139,7 +139,7 @@
 }
 
 func (c recordCutCmd) Run() error {
-	h, all, err := load(c.File)
+	h, all, err := loadRecording(c.File)
 	if err != nil {
 		return err
 	}
@@ -147,7 +147,7 @@
 		return fmt.Errorf("record cut: from %v to %v is nothing", c.From, c.To)
 	}
 	h.Start = h.Start.Add(c.From)
-	return save(c.Out, h, recording.Cut(all, c.From, c.To))
+	return saveRecording(c.Out, h, recording.Cut(all, c.From, c.To))
 }
 
 type recordMergeCmd struct {
@@ -156,11 +156,11 @@
 }
 
 func (c recordMergeCmd) Run() error {
-	h, all, err := merged(c.Files)
+	h, all, err := loadMerged(c.Files)
 	if err != nil {
 		return err
 	}
-	return save(c.Out, h, all)
+	return saveRecording(c.Out, h, all)
 }
 
 type recordScaleCmd struct {
@@ -173,7 +173,7 @@
 }
 
 func (c recordScaleCmd) Run() error {
-	h, all, err := load(c.File)
+	h, all, err := loadRecording(c.File)
 	if err != nil {
 		return err
 	}
@@ -184,5 +184,5 @@
 	for i := range c.Dispatchers {
 		names = append(names, fmt.Sprintf("d%03d", i))
 	}
-	return save(c.Out, h, recording.Scale(all, c.Times, names, c.Jitter, c.Seed))
+	return saveRecording(c.Out, h, recording.Scale(all, c.Times, names, c.Jitter, c.Seed))
 }
--- a/cmd/cresspass/rehearse.go
+++ b/cmd/cresspass/rehearse.go
@@ -51,8 +51,8 @@
 	Speed   float64  `default:"1" help:"Times of a day are divided by this; rates stay."`
 }
 
-// day reads a day by the name it ships under, or from a file.
-func day(name string) (*rehearsal.Day, error) {
+// loadDay reads a day by the name it ships under, or from a file.
+func loadDay(name string) (*rehearsal.Day, error) {
 	src, err := rehearsals.Days.ReadFile(name + ".hcl")
 	if errors.Is(err, os.ErrNotExist) {
 		src, err = os.ReadFile(name)
@@ -66,7 +66,7 @@
 	})
 }
 
-func names() ([]string, error) {
+func dayNames() ([]string, error) {
 	files, err := rehearsals.Days.ReadDir(".")
 	if err != nil {
 		return nil, err
@@ -83,12 +83,12 @@
 	if err != nil {
 		return err
 	}
-	log, err := logger(os.Stderr, c.Level, "text", new(slog.LevelVar))
+	log, err := newLogger(os.Stderr, c.Level, "text", new(slog.LevelVar))
 	if err != nil {
 		return err
 	}
 	if len(c.Days) == 1 && c.Days[0] == "all" {
-		if c.Days, err = names(); err != nil {
+		if c.Days, err = dayNames(); err != nil {
 			return err
 		}
 	}
@@ -126,7 +126,7 @@
 
 func (c rehearseRunCmd) play(ctx context.Context, self, name string, log *slog.Logger) (*rehearsal.Result,
 	error) {
-	d, err := day(name)
+	d, err := loadDay(name)
 	if err != nil {
 		return nil, err
 	}
@@ -147,14 +147,14 @@
 	o := rehearsal.Options{Seed: c.Seed, Program: []string{self}, Dir: dir, Log: log, Policy: c.Policy,
 		Mutate:  c.Mutate,
 		NoState: c.NoState, Talk: c.Talk}
-	view := func() {}
-	if c.View == "terminal" || c.View == "auto" && c.Jobs <= 1 && terminal(os.Stdout) {
-		o.Look, view = watch(d)
+	stopView := func() {}
+	if c.View == "terminal" || c.View == "auto" && c.Jobs <= 1 && isTerminal(os.Stdout) {
+		o.Look, stopView = watchInTerminal(d)
 	} else {
-		o.Look = lines(log)
+		o.Look = statusLogger(log)
 	}
 	result, err := rehearsal.Play(ctx, d, o)
-	view()
+	stopView()
 	if err != nil {
 		return nil, err
 	}
@@ -201,7 +201,7 @@
 
 // Run prints a day's timeline: each trouble as a bar over the day's length.
 func (c rehearseShowCmd) Run() error {
-	d, err := day(c.Day)
+	d, err := loadDay(c.Day)
 	if err != nil {
 		return err
 	}
@@ -231,11 +231,11 @@
 	if err != nil {
 		return err
 	}
-	o.Start = func(cfg *config.Config, log *slog.Logger, ln net.Listener) (*server.Server, error) {
+	o.StartServer = func(cfg *config.Config, log *slog.Logger, ln net.Listener) (*server.Server, error) {
 		module := cfg.Module
 		baseline.Loosen(c.Mutate, &cfg.Module)
-		cfg.Unguarded = c.Mutate != 0
-		return server.StartWith(cfg, log, ln, func(cresspass.Config) (dispatch.Decider, error) {
+		cfg.AllowViolations = c.Mutate != 0
+		return server.StartWithDecider(cfg, log, ln, func(cresspass.Config) (dispatch.Decider, error) {
 			return baseline.New(c.Policy, c.Mutate, module)
 		})
 	}
@@ -251,7 +251,7 @@
 }
 
 func (c rehearseNewcomersCmd) Run(ctx context.Context) error {
-	d, err := day(c.Day)
+	d, err := loadDay(c.Day)
 	if err != nil {
 		return err
 	}
@@ -264,7 +264,7 @@
 		return err
 	}
 	printNewcomers(n, 1)
-	return page(c.Report, "newcomers", plot.Newcomers(n, "processes on one machine, stand-in engines"))
+	return writePage(c.Report, "newcomers", plot.Newcomers(n, "processes on one machine, stand-in engines"))
 }
 
 type rehearseFairnessCmd struct {
@@ -291,12 +291,12 @@
 type rehearseListCmd struct{}
 
 func (rehearseListCmd) Run() error {
-	all, err := names()
+	all, err := dayNames()
 	if err != nil {
 		return err
 	}
 	for _, name := range all {
-		d, err := day(name)
+		d, err := loadDay(name)
 		if err != nil {
 			return err
 		}
@@ -310,7 +310,7 @@
 }
 
 func (c rehearseCheckCmd) Run() error {
-	if _, err := day(c.File); err != nil {
+	if _, err := loadDay(c.File); err != nil {
 		return err
 	}
 	fmt.Println(c.File + ": good")
--- a/cmd/cresspass/soak.go
+++ b/cmd/cresspass/soak.go
@@ -23,7 +23,7 @@
 	Plan        bool          `help:"Print the plans and play none."`
 }
 
-var errSoak = errors.New("soak: rules were broken")
+var errRulesBroken = errors.New("soak: rules were broken")
 
 // Run plays plans of faults through real dispatchers; the error is for broken rules.
 func (c soakCmd) Run(ctx context.Context) error {
@@ -59,7 +59,7 @@
 		}
 	}
 	if broken > 0 {
-		return fmt.Errorf("%w: %d of %d seeds", errSoak, broken, c.Seeds)
+		return fmt.Errorf("%w: %d of %d seeds", errRulesBroken, broken, c.Seeds)
 	}
 	return nil
 }
--- a/cmd/cresspass/standins.go
+++ b/cmd/cresspass/standins.go
@@ -34,12 +34,14 @@
 }
 
 func (c engineCmd) Run(ctx context.Context) error {
-	if err := config.Loopback(c.Listen); err != nil {
+	if err := config.CheckLoopback(c.Listen); err != nil {
 		return err
 	}
-	e, err := standin.NewEngine(standin.EngineConfig{Listen: c.Listen, Kind: testbed.Kind(c.Cores, c.MemoryMB),
-		Cold:          c.Cold,
-		ProgressEvery: c.Progress, ReportEvery: 200 * time.Millisecond, Window: 15 * time.Second})
+	e, err := standin.NewEngine(
+		standin.EngineConfig{Listen: c.Listen, Kind: testbed.Kind(c.Cores, c.MemoryMB),
+			Cold:          c.Cold,
+			ProgressEvery: c.Progress, ReportEvery: 200 * time.Millisecond, Window: 15 * time.Second},
+	)
 	if err != nil {
 		return err
 	}
@@ -58,7 +60,7 @@
 }
 
 func (c rosterCmd) Run(ctx context.Context) error {
-	if err := config.Loopback(c.Listen); err != nil {
+	if err := config.CheckLoopback(c.Listen); err != nil {
 		return err
 	}
 	var l eds.List
@@ -66,14 +68,14 @@
 		parts := append(strings.Split(arg, ","), "", "", "")
 		e := eds.Engine{Address: parts[0], Kind: parts[1], Zone: parts[2], State: parts[3]}
 		if e.State == "" {
-			e.State = eds.On
+			e.State = eds.StateActive
 		}
 		if _, _, err := net.SplitHostPort(e.Address); err != nil {
 			return err
 		}
 		l.Engines = append(l.Engines, e)
 	}
-	if err := l.Check(); err != nil {
+	if err := l.Validate(); err != nil {
 		return err
 	}
 	r, err := standin.NewRoster(c.Listen, c.Service)
@@ -102,17 +104,17 @@
 	if err != nil {
 		return err
 	}
-	if cfg.Listen = c.Listen; config.Loopback(c.Listen) != nil {
-		return config.Loopback(c.Listen)
+	if cfg.Listen = c.Listen; config.CheckLoopback(c.Listen) != nil {
+		return config.CheckLoopback(c.Listen)
 	}
-	if cfg.Flight.Listen = c.Flight; c.Flight != "" && config.Loopback(c.Flight) != nil {
-		return config.Loopback(c.Flight)
+	if cfg.Flight.Listen = c.Flight; c.Flight != "" && config.CheckLoopback(c.Flight) != nil {
+		return config.CheckLoopback(c.Flight)
 	}
-	log, err := logger(os.Stderr, c.Level, "text", new(slog.LevelVar))
+	log, err := newLogger(os.Stderr, c.Level, "text", new(slog.LevelVar))
 	if err != nil {
 		return err
 	}
-	list, err := standin.NewRoster("127.0.0.1:0", cfg.Service)
+	list, err := standin.NewRoster("127.0.0.1:0", cfg.DiscoveryService)
 	if err != nil {
 		return err
 	}
@@ -128,17 +130,20 @@
 			return err
 		}
 		defer e.Close()
-		engines = append(engines, eds.Engine{Address: e.Addr(), State: eds.On, Kind: "std", Zone: "a"})
+		engines = append(
+			engines,
+			eds.Engine{Address: e.Addr(), State: eds.StateActive, Kind: "std", Zone: "a"},
+		)
 	}
 	list.Set(engines)
-	cfg.EDS = list.Addr()
+	cfg.DiscoveryAddr = list.Addr()
 	s, err := server.Start(cfg, log)
 	if err != nil {
 		return err
 	}
 	defer s.Close()
 	select {
-	case <-s.Listed():
+	case <-s.ListReady():
 	case <-ctx.Done():
 		return nil
 	}
@@ -156,7 +161,7 @@
 	}
 	<-ctx.Done()
 	st := s.Stats()
-	fmt.Printf("taken %d: served %d, refused %d, failed %d, gone %d\n", st.Taken, st.Served, st.Refused,
-		st.Failed, st.Gone)
+	fmt.Printf("taken %d: served %d, refused %d, failed %d, gone %d\n", st.Arrived, st.Served, st.Rejected,
+		st.Failed, st.Abandoned)
 	return nil
 }
--- a/cmd/cresspass/view.go
+++ b/cmd/cresspass/view.go
@@ -14,14 +14,14 @@
 	"cresspass/internal/rehearsal"
 )
 
-// terminal reports whether a file is one.
-func terminal(f *os.File) bool {
+// isTerminal reports whether a file is one.
+func isTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// lines shows a day as log lines, one every five seconds.
-func lines(log *slog.Logger) func(rehearsal.Status) {
+// statusLogger shows a day as log lines, one every five seconds.
+func statusLogger(log *slog.Logger) func(rehearsal.Status) {
 	var last time.Duration
 	return func(s rehearsal.Status) {
 		if s.At-last < 5*time.Second {
@@ -45,9 +45,9 @@
 	}
 }
 
-// watch shows a day in the terminal. stop ends it.
-func watch(d *rehearsal.Day) (look func(rehearsal.Status), stop func()) {
-	p := tea.NewProgram(&view{status: rehearsal.Status{Day: d}}, tea.WithInput(nil),
+// watchInTerminal shows a day in the terminal. stop ends it.
+func watchInTerminal(d *rehearsal.Day) (look func(rehearsal.Status), stop func()) {
+	p := tea.NewProgram(&dayView{status: rehearsal.Status{Day: d}}, tea.WithInput(nil),
 		tea.WithoutSignalHandler())
 	done := make(chan struct{})
 	go func() {
@@ -60,12 +60,12 @@
 	}
 }
 
-// view is the terminal's picture of a day.
-type view struct{ status rehearsal.Status }
+// dayView is the terminal's picture of a day.
+type dayView struct{ status rehearsal.Status }
 
-func (v *view) Init() tea.Cmd { return nil }
+func (v *dayView) Init() tea.Cmd { return nil }
 
-func (v *view) Update(m tea.Msg) (tea.Model, tea.Cmd) {
+func (v *dayView) Update(m tea.Msg) (tea.Model, tea.Cmd) {
 	if s, ok := m.(rehearsal.Status); ok {
 		v.status = s
 	}
@@ -73,25 +73,31 @@
 }
 
 var (
-	head = lipgloss.NewStyle().Bold(true)
-	good = lipgloss.NewStyle().Foreground(lipgloss.Color("2"))
-	warn = lipgloss.NewStyle().Foreground(lipgloss.Color("3"))
-	bad  = lipgloss.NewStyle().Foreground(lipgloss.Color("1"))
+	headingStyle = lipgloss.NewStyle().Bold(true)
+	upStyle      = lipgloss.NewStyle().Foreground(lipgloss.Color("2"))
+	warningStyle = lipgloss.NewStyle().Foreground(lipgloss.Color("3"))
+	downStyle    = lipgloss.NewStyle().Foreground(lipgloss.Color("1"))
 )
 
-func (v *view) View() string {
+func (v *dayView) View() string {
 	s := &v.status
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s  %v of %v\n\n", head.Render(s.Day.Name), s.At.Round(time.Second), s.Day.Length)
+	fmt.Fprintf(
+		&b,
+		"%s  %v of %v\n\n",
+		headingStyle.Render(s.Day.Name),
+		s.At.Round(time.Second),
+		s.Day.Length,
+	)
 	for i, e := range s.Engines {
-		style, state := good, e.State
+		style, state := upStyle, e.State
 		switch {
 		case e.Fallen:
-			style, state = bad, "fell over"
+			style, state = downStyle, "fell over"
 		case !e.Up:
-			style, state = bad, "down"
+			style, state = downStyle, "down"
 		case e.State != "on":
-			style = warn
+			style = warningStyle
 		}
 		width := 30
 		full := min(int(e.Threads/e.Cores/2*float64(width)), width)
@@ -100,9 +106,9 @@
 			strings.Repeat("#", full), strings.Repeat(".", width-full), e.Threads, e.Cores)
 	}
 	for i, up := range s.Up {
-		state := good.Render("up")
+		state := upStyle.Render("up")
 		if !up {
-			state = bad.Render("down")
+			state = downStyle.Render("down")
 		}
 		fmt.Fprintf(&b, "dispatcher %d %s  ", i, state)
 	}
@@ -118,7 +124,7 @@
 			c[rehearsal.Refused], c[rehearsal.Failed], c[rehearsal.GaveUp])
 	}
 	for _, t := range s.Troubles {
-		fmt.Fprintf(&b, "%s engines %v until %v\n", warn.Render(t.Kind), t.Engines, (t.At +
+		fmt.Fprintf(&b, "%s engines %v until %v\n", warningStyle.Render(t.Kind), t.Engines, (t.At +
 			t.For).Round(time.Second))
 	}
 	b.WriteString("rules are judged at the end, from the sockets\n")
--- a/decision_trace_test.go
+++ b/decision_trace_test.go
@@ -31,29 +31,34 @@
 }
 
 func traceScenarios() []traceScenario {
-	peers := testConfig()
-	peers.Gateways, peers.MayTell, peers.MayProbe = 6, true, true
-	peers.TakesGrants, peers.TakesPriority, peers.KindMemoryMB = true, true, []float64{4096, 8192}
-	peers.MaxGrantShare, peers.WhenShort = 0.25, ShortageWait
-	peers.ProgressEvery, peers.MaxSessions = 300*ms, 6
-	peers.Tenants = []Tenant{{Name: "t1", Quota: 12, Share: 0.3}, {Name: "t2", Quota: 60}}
-	five := []EngineInfo{std("e1"), std("e2"), std("e3"), {ID: "e4", Kind: "big", Zone: "b", Cell: 1},
-		{ID: "e5", Kind: "big", Zone: "b", Cell: 1}}
-
-	reporting := testConfig()
-	reporting.Seed, reporting.Gateways, reporting.MayProbe, reporting.AskList = 5, 40, true, true
-	reporting.ReportFields = []string{"concurrent", "depth", "load_share", "x0"}
-	reporting.WhenShort, reporting.KindMemoryMB = ShortagePage, []float64{8192, 16384}
-	reporting.TellsCost, reporting.TakesGrants, reporting.MayComeBack = true, true, false
-	reporting.ProgressEvery, reporting.Rules.AskWithin = 0, 4*time.Second
-
-	single := plainConfig()
-	single.Seed, single.Gateways, single.ProgressEvery = 9, 1, 0
-	single.WhenShort = ShortageShrink
-
-	large := testConfig()
-	large.Seed, large.Gateways, large.MayTell, large.ProgressEvery = 3, 200, true, 0
-	large.Rules.HasBudget = false
+	peers := allRulesConfig()
+	peers.GatewayCount, peers.MayGossip, peers.MayCheckHealth = 6, true, true
+	peers.AcceptsMemoryGrants, peers.AcceptsPriority, peers.KindMemoryMB = true, true, []float64{4096, 8192}
+	peers.MaxGrantShare, peers.OnMemoryShortage = 0.25, ShortageQueues
+	peers.ProgressInterval, peers.MaxSessionsPerEngine = 300*ms, 6
+	peers.Tenants = []Tenant{{Name: "t1", QuotaPerSecond: 12, Share: 0.3}, {Name: "t2", QuotaPerSecond: 60}}
+	five := []EngineInfo{
+		standardEngine("e1"),
+		standardEngine("e2"),
+		standardEngine("e3"),
+		{ID: "e4", Kind: "big", Zone: "b", Cell: 1},
+		{ID: "e5", Kind: "big", Zone: "b", Cell: 1},
+	}
+
+	reporting := allRulesConfig()
+	reporting.Seed, reporting.GatewayCount, reporting.MayCheckHealth, reporting.PollEngineList = 5, 40, true, true
+	reporting.LoadReportFields = []string{"concurrent", "depth", "load_share", "x0"}
+	reporting.OnMemoryShortage, reporting.KindMemoryMB = ShortagePages, []float64{8192, 16384}
+	reporting.ReportsCost, reporting.AcceptsMemoryGrants, reporting.MaySendRetryAfter = true, true, false
+	reporting.ProgressInterval, reporting.Rules.EngineListPollInterval = 0, 4*time.Second
+
+	single := singleClassConfig()
+	single.Seed, single.GatewayCount, single.ProgressInterval = 9, 1, 0
+	single.OnMemoryShortage = ShortageShrinksGrant
+
+	large := allRulesConfig()
+	large.Seed, large.GatewayCount, large.MayGossip, large.ProgressInterval = 3, 200, true, 0
+	large.Rules.HasRetryBudget = false
 	var many []EngineInfo
 	for i := range 24 {
 		e := EngineInfo{ID: EngineID(fmt.Sprintf("n%02d", i)), Kind: "std", Zone: "a", Cell: i % 3}
@@ -61,15 +66,30 @@
 			e.Kind, e.Zone = "big", "b"
 		}
 		if i < 3 {
-			e.Started = time.Hour - time.Second
+			e.StartedAt = time.Hour - time.Second
 		}
 		many = append(many, e)
 	}
 	return []traceScenario{
 		{name: "peers", cfg: peers, instances: 6, engines: five, perSecond: 11, seconds: 22},
-		{name: "reports", cfg: reporting, instances: 2, engines: five, perSecond: 14, seconds: 22, lost: 0.05},
-		{name: "single", cfg: single, instances: 1, engines: []EngineInfo{std("e1"), std("e2"), std("e3")},
-			perSecond: 40, seconds: 22, lost: 0.1},
+		{
+			name:      "reports",
+			cfg:       reporting,
+			instances: 2,
+			engines:   five,
+			perSecond: 14,
+			seconds:   22,
+			lost:      0.05,
+		},
+		{
+			name:      "single",
+			cfg:       single,
+			instances: 1,
+			engines:   []EngineInfo{standardEngine("e1"), standardEngine("e2"), standardEngine("e3")},
+			perSecond: 40,
+			seconds:   22,
+			lost:      0.1,
+		},
 		{name: "large", cfg: large, instances: 4, engines: many, perSecond: 9, seconds: 22, restore: true},
 	}
 }
@@ -146,7 +166,10 @@
 			}
 		}
 		r.gateways = append(r.gateways, g)
-		r.inbox = append(r.inbox, []Event{{Type: EngineList, Listing: ListCached, Engines: r.list()}})
+		r.inbox = append(
+			r.inbox,
+			[]Event{{Type: EngineListReceived, ListType: ListCached, Engines: r.list()}},
+		)
 		r.timers = append(r.timers, nil)
 	}
 	for step := range s.seconds * int(time.Second/traceStep) {
@@ -163,7 +186,7 @@
 
 func (r *traceRun) list() (all []EngineInfo) {
 	for _, e := range r.engines {
-		if e.info.State != EngineGone {
+		if e.info.State != EngineRemoved {
 			all = append(all, e.info)
 		}
 	}
@@ -184,8 +207,10 @@
 	}
 	e := func(i int) *traceEngine { return r.engines[i%len(r.engines)] }
 	change := func(i int, state EngineState, started time.Duration) {
-		e(i).info.State, e(i).info.Started = state, started
-		r.tellAll(Event{Type: EngineList, Listing: ListChanges, Engines: []EngineInfo{e(i).info}})
+		e(i).info.State, e(i).info.StartedAt = state, started
+		r.tellAll(
+			Event{Type: EngineListReceived, ListType: ListIncremental, Engines: []EngineInfo{e(i).info}},
+		)
 	}
 	switch tenth {
 	case 30:
@@ -195,15 +220,15 @@
 	case 60:
 		e(1).failing = false
 	case 70:
-		r.tellAll(Event{Type: EngineList, Listing: ListFailed})
+		r.tellAll(Event{Type: EngineListReceived, ListType: ListFailed})
 	case 75:
 		e(2).hanging = false
 	case 80:
 		change(3, EngineDraining, 0)
 	case 88:
-		change(3, EngineGone, 0)
+		change(3, EngineRemoved, 0)
 	case 95:
-		change(3, EngineOn, r.now)
+		change(3, EngineActive, r.now)
 	case 110:
 		e(0).full = true
 	case 115:
@@ -211,19 +236,19 @@
 	case 120:
 		e(4).slowness = 5
 	case 125:
-		r.tellAll(Event{Type: EngineDown, Engine: e(4).info.ID})
-		r.tellAll(Event{Type: EngineDown, Engine: "nobody"})
+		r.tellAll(Event{Type: EngineReportedDown, Engine: e(4).info.ID})
+		r.tellAll(Event{Type: EngineReportedDown, Engine: "nobody"})
 	case 130:
-		r.tellAll(Event{Type: EngineList, Listing: ListFull, Engines: r.list()})
+		r.tellAll(Event{Type: EngineListReceived, ListType: ListComplete, Engines: r.list()})
 	case 140:
-		r.membership(r.s.cfg.Gateways+1, 250*time.Millisecond)
+		r.membership(r.s.cfg.GatewayCount+1, 250*time.Millisecond)
 	case 150:
 		e(4).slowness = 1
 		r.rate = 6 * r.s.perSecond
 	case 175:
 		r.rate = r.s.perSecond
 	case 180:
-		r.membership(r.s.cfg.Gateways, -400*time.Millisecond)
+		r.membership(r.s.cfg.GatewayCount, -400*time.Millisecond)
 	case 190:
 		for _, it := range r.engines {
 			it.slowness = 3
@@ -233,13 +258,16 @@
 			it.slowness = 1
 		}
 	case 205:
-		r.inbox[0] = append(r.inbox[0], Event{Type: Ending, TimeLeft: 900 * ms})
+		r.inbox[0] = append(r.inbox[0], Event{Type: ShutdownScheduled, RemainingDeadline: 900 * ms})
 	}
 }
 
 func (r *traceRun) membership(count int, ahead time.Duration) {
 	for i := range r.inbox {
-		r.inbox[i] = append(r.inbox[i], Event{Type: FleetCount, Peer: i, Value: float64(count), Took: r.now + ahead})
+		r.inbox[i] = append(
+			r.inbox[i],
+			Event{Type: MembershipChanged, Peer: i, Value: float64(count), Elapsed: r.now + ahead},
+		)
 	}
 }
 
@@ -275,7 +303,7 @@
 			later = append(later, timer)
 			continue
 		}
-		r.inbox[i] = append(r.inbox[i], Event{Type: TimerDue, Label: timer.label})
+		r.inbox[i] = append(r.inbox[i], Event{Type: TimerFired, Label: timer.label})
 	}
 	r.timers[i] = later
 }
@@ -287,12 +315,18 @@
 		case a.ends <= r.now:
 			r.endAttempt(a)
 			continue
-		case r.s.cfg.ProgressEvery > 0 && r.now >= a.noted+r.s.cfg.ProgressEvery && !r.engines[a.engine].hanging:
+		case r.s.cfg.ProgressInterval > 0 && r.now >= a.noted+r.s.cfg.ProgressInterval && !r.engines[a.engine].hanging:
 			a.noted = r.now
-			note := Event{Type: Progress, Query: a.query, Attempt: a.number, Engine: r.engines[a.engine].info.ID,
-				Note: NoteShareDone, Value: (r.now - a.at).Seconds() / (a.ends - a.at).Seconds()}
+			note := Event{
+				Type:    ProgressReported,
+				Query:   a.query,
+				Attempt: a.number,
+				Engine:  r.engines[a.engine].info.ID,
+				Note:    NoteFractionDone,
+				Value:   (r.now - a.at).Seconds() / (a.ends - a.at).Seconds(),
+			}
 			if r.random.IntN(12) == 0 {
-				note.Note, note.Value = NoteSpills, 50
+				note.Note, note.Value = NoteSpilled, 50
 			}
 			r.inbox[a.gateway] = append(r.inbox[a.gateway], note)
 		}
@@ -304,27 +338,42 @@
 func (r *traceRun) endAttempt(a *traceAttempt) {
 	q, e := r.queries[a.query], r.engines[a.engine]
 	e.running--
-	ev := Event{Type: AttemptDone, Query: a.query, Attempt: a.number, Engine: e.info.ID, Outcome: a.outcome, Took: r.now - a.at}
-	if a.outcome == OK && !q.ended {
-		q.ended, ev.Finished = true, true
-		if r.s.cfg.TellsCost {
-			ev.WorkDone, ev.NeededMB = a.work, float64(r.random.IntN(300))
+	ev := Event{
+		Type:    AttemptDone,
+		Query:   a.query,
+		Attempt: a.number,
+		Engine:  e.info.ID,
+		Outcome: a.outcome,
+		Elapsed: r.now - a.at,
+	}
+	if a.outcome == OutcomeOK && !q.ended {
+		q.ended, ev.QueryFinished = true, true
+		if r.s.cfg.ReportsCost {
+			ev.ActualCost, ev.ActualMemoryMB = a.work, float64(r.random.IntN(300))
 		}
 		if q.opens {
 			r.sessions = append(r.sessions, traceSession{a.gateway, a.engine})
-			r.inbox[a.gateway] = append(r.inbox[a.gateway], Event{Type: SessionKept, Engine: e.info.ID, Value: 1})
+			r.inbox[a.gateway] = append(
+				r.inbox[a.gateway],
+				Event{Type: SessionCountChanged, Engine: e.info.ID, Value: 1},
+			)
 		}
 	}
-	ev.Report, ev.HasReport = r.report(e)
+	ev.LoadReport, ev.HasLoadReport = r.report(e)
 	r.inbox[a.gateway] = append(r.inbox[a.gateway], ev)
 }
 
 func (r *traceRun) report(e *traceEngine) ([]float64, bool) {
-	if len(r.s.cfg.ReportFields) == 0 {
+	if len(r.s.cfg.LoadReportFields) == 0 {
 		return nil, false
 	}
 	seen := e.running * float64(1+r.random.IntN(3))
-	return []float64{seen, float64(r.random.IntN(4)), min(1, seen/8), 0.1 * seen * (0.5 + r.random.Float64())}, true
+	return []float64{
+		seen,
+		float64(r.random.IntN(4)),
+		min(1, seen/8),
+		0.1 * seen * (0.5 + r.random.Float64()),
+	}, true
 }
 
 func (r *traceRun) newQuery(i int) {
@@ -336,30 +385,37 @@
 	r.next++
 	q := &traceQuery{}
 	r.queries[id] = q
-	ev := Event{Type: QueryTaken, Query: id, Class: k.Name, TimeLeft: k.Deadline, Tables: float64(r.random.IntN(3)),
-		MemoryMB: float64(r.random.IntN(3) * 150), Tenant: []string{"", "t1", "t2"}[r.random.IntN(3)]}
+	ev := Event{
+		Type:              QueryArrived,
+		Query:             id,
+		Class:             k.Name,
+		RemainingDeadline: k.Deadline,
+		TableGroup:        float64(r.random.IntN(3)),
+		MemoryEstimateMB:  float64(r.random.IntN(3) * 150),
+		Tenant:            []string{"", "t1", "t2"}[r.random.IntN(3)],
+	}
 	if r.random.IntN(10) < 7 {
-		ev.HasCost, ev.Cost = true, time.Duration(20+r.random.IntN(700))*ms
+		ev.HasCostEstimate, ev.CostEstimate = true, time.Duration(20+r.random.IntN(700))*ms
 		if r.random.IntN(12) == 0 {
-			ev.Cost *= 8
+			ev.CostEstimate *= 8
 		}
 	}
-	if k.InOrder {
+	if k.OrderedByKey {
 		ev.Key = fmt.Sprint("k", r.random.IntN(3))
 	}
 	switch r.random.IntN(20) {
 	case 0:
-		ev.IsRepeat, ev.TimeLeft = true, k.Deadline/2
+		ev.IsRetry, ev.RemainingDeadline = true, k.Deadline/2
 	case 1:
-		ev.Uncounted = true
+		ev.AddsNoRetryBudget = true
 	case 2:
-		ev.TimeLeft = time.Duration(r.random.IntN(500)) * ms
+		ev.RemainingDeadline = time.Duration(r.random.IntN(500)) * ms
 	case 3, 4:
-		ev.Stays, q.opens = true, true
+		ev.OpensSession, q.opens = true, true
 	case 5, 6:
 		if n := len(r.sessions); n > 0 {
 			if s := r.sessions[r.random.IntN(n)]; s.gateway == i {
-				ev.Only = r.engines[s.engine].info.ID
+				ev.StickyEngine = r.engines[s.engine].info.ID
 			}
 		}
 	case 7:
@@ -372,7 +428,7 @@
 		left := id - QueryID(r.random.IntN(20))
 		if old := r.queries[left]; !old.ended {
 			old.ended = true
-			r.tellAll(Event{Type: ClientGone, Query: left})
+			r.tellAll(Event{Type: QueryAbandoned, Query: left})
 		}
 	}
 }
@@ -385,15 +441,22 @@
 		for j := range data {
 			data[j] = byte(r.random.IntN(256))
 		}
-		r.inbox[i] = append(r.inbox[i], Event{Type: PeerMessage, Peer: r.random.IntN(8) - 1, Data: data})
+		r.inbox[i] = append(
+			r.inbox[i],
+			Event{Type: PeerMessageReceived, Peer: r.random.IntN(8) - 1, Data: data},
+		)
 	case 1:
-		r.inbox[i] = append(r.inbox[i], Event{Type: AttemptDone, Query: 1 << 40}, Event{Type: ProbeDone, Engine: "nobody"})
+		r.inbox[i] = append(
+			r.inbox[i],
+			Event{Type: AttemptDone, Query: 1 << 40},
+			Event{Type: HealthCheckDone, Engine: "nobody"},
+		)
 	case 2:
 		if n := len(r.sessions); n > 4 {
 			s := r.sessions[0]
 			r.sessions = r.sessions[1:]
 			r.inbox[s.gateway] = append(r.inbox[s.gateway],
-				Event{Type: SessionKept, Engine: r.engines[s.engine].info.ID, Value: -1})
+				Event{Type: SessionCountChanged, Engine: r.engines[s.engine].info.ID, Value: -1})
 		}
 	}
 }
@@ -415,30 +478,36 @@
 		r.timers[i] = append(r.timers[i], traceTimer{r.now + a.Wait, a.Label})
 	case Send:
 		r.send(i, a)
-	case Tell:
+	case SendToPeer:
 		for to := range r.gateways {
 			if to != i && (a.Peer == -1 || a.Peer == to) && r.random.IntN(30) > 0 {
-				r.inbox[to] = append(r.inbox[to], Event{Type: PeerMessage, Peer: i, Data: bytes.Clone(a.Data)})
+				r.inbox[to] = append(
+					r.inbox[to],
+					Event{Type: PeerMessageReceived, Peer: i, Data: bytes.Clone(a.Data)},
+				)
 			}
 		}
-	case Refuse, Fail:
+	case Reject, Fail:
 		r.queries[a.Query].ended = true
-	case Probe:
+	case CheckHealth:
 		e := r.engines[r.engine(a.Engine)]
-		ev := Event{Type: ProbeDone, Engine: a.Engine, Outcome: OK, Took: 2 * ms}
+		ev := Event{Type: HealthCheckDone, Engine: a.Engine, Outcome: OutcomeOK, Elapsed: 2 * ms}
 		if e.failing || e.hanging {
-			ev.Outcome = TimedOut
+			ev.Outcome = OutcomeTimedOut
 		}
-		ev.Report, ev.HasReport = r.report(e)
+		ev.LoadReport, ev.HasLoadReport = r.report(e)
 		r.inbox[i] = append(r.inbox[i], ev)
 	case Cancel:
 		for _, running := range r.running {
 			if running.gateway == i && running.query == a.Query && running.number == a.Attempt {
-				running.ends, running.outcome = r.now+10*ms, Cancelled
+				running.ends, running.outcome = r.now+10*ms, OutcomeCancelled
 			}
 		}
-	case Subscribe:
-		r.inbox[i] = append(r.inbox[i], Event{Type: EngineList, Listing: ListFull, Engines: r.list()})
+	case SubscribeEngineList:
+		r.inbox[i] = append(
+			r.inbox[i],
+			Event{Type: EngineListReceived, ListType: ListComplete, Engines: r.list()},
+		)
 	}
 }
 
@@ -451,21 +520,21 @@
 	}
 	took := time.Duration(float64(work) * e.slowness * (1 + e.running/8))
 	it := &traceAttempt{gateway: i, query: a.Query, number: q.tries, engine: n, at: r.now, noted: r.now,
-		ends: r.now + took, work: work, outcome: OK}
+		ends: r.now + took, work: work, outcome: OutcomeOK}
 	q.tries++
 	switch chance := r.random.Float64(); {
-	case e.info.State == EngineGone:
-		it.ends, it.outcome = r.now+traceStep, ConnectFailed
+	case e.info.State == EngineRemoved:
+		it.ends, it.outcome = r.now+traceStep, OutcomeConnectFailed
 	case e.full:
-		it.ends, it.outcome = r.now+traceStep, Full
+		it.ends, it.outcome = r.now+traceStep, OutcomeRejected
 	case e.failing:
-		it.ends, it.outcome = r.now+2*traceStep, Failed
+		it.ends, it.outcome = r.now+2*traceStep, OutcomeFailed
 	case e.hanging || chance < r.s.lost:
-		it.ends, it.outcome = r.now+5*time.Second, TimedOut
+		it.ends, it.outcome = r.now+5*time.Second, OutcomeTimedOut
 	case chance > 0.99:
-		it.ends, it.outcome = r.now+took/2, Reset
+		it.ends, it.outcome = r.now+took/2, OutcomeConnectionReset
 	case chance > 0.985:
-		it.ends, it.outcome = r.now+traceStep, Moot
+		it.ends, it.outcome = r.now+traceStep, OutcomeNotStarted
 	}
 	e.running++
 	r.running = append(r.running, it)
@@ -491,15 +560,16 @@
 	field("p", fmt.Sprint(a.Peer))
 	field("d", fmt.Sprintf("%x", a.Data))
 	field("r", fmt.Sprint(a.Priority))
-	field("m", strconv.FormatFloat(a.MemoryMB, 'x', -1, 64))
+	field("m", strconv.FormatFloat(a.MemoryGrantMB, 'x', -1, 64))
 	field("t", a.Text)
-	field("o", fmt.Sprint(a.On))
+	field("o", fmt.Sprint(a.Enabled))
 	field("y", string(a.Reason))
-	field("s", fmt.Sprint(int64(a.Within)))
+	field("s", fmt.Sprint(int64(a.StartWithin)))
 	fmt.Fprintln(w)
 }
 
-// TestGoldenDecisionTrace: the scripted runs give the same actions, bit for bit, as when the trace was written.
+// TestGoldenDecisionTrace: the scripted runs give the same actions, bit for bit, as when the trace was
+// written.
 func TestGoldenDecisionTrace(t *testing.T) {
 	stored := golden(t, "snapshot.json", trainedGateway(t).Snapshot())
 	var current bytes.Buffer
@@ -551,10 +621,10 @@
 		scenario string
 		types    []ActionType
 	}{
-		{"peers", []ActionType{Send, SetTimer, Tell, Refuse, Fail, Probe, Cancel, SetTerms}},
-		{"reports", []ActionType{Send, SetTimer, Refuse, Fail, Probe, Cancel, SetTerms, Subscribe}},
-		{"single", []ActionType{Send, SetTimer, Refuse, Cancel}},
-		{"large", []ActionType{Send, SetTimer, Tell, Refuse, Fail, Cancel}},
+		{"peers", []ActionType{Send, SetTimer, SendToPeer, Reject, Fail, CheckHealth, Cancel, SetResources}},
+		{"reports", []ActionType{Send, SetTimer, Reject, Fail, CheckHealth, Cancel, SetResources, SubscribeEngineList}},
+		{"single", []ActionType{Send, SetTimer, Reject, Cancel}},
+		{"large", []ActionType{Send, SetTimer, SendToPeer, Reject, Fail, Cancel}},
 	} {
 		for _, a := range c.types {
 			if n := counts[fmt.Sprint(c.scenario, " ", int(a))]; n < 3 {
--- a/events.go
+++ b/events.go
@@ -16,25 +16,31 @@
 		return nil, err
 	}
 	g := &Gateway{cfg: cfg, classes: map[string]*class{}, kinds: map[string]*kind{},
-		engines: map[EngineID]*engine{}, byTag: map[uint16]*engine{},
+		engines: map[EngineID]*engine{}, enginesByTag: map[uint16]*engine{},
 		queries: map[QueryID]*query{}, attempts: map[attemptKey]*attempt{},
-		keys: map[string]*orderKey{}, tenants: map[string]*bucket{}, reports: map[int]report{},
-		gateways: math.Max(1, float64(cfg.Gateways)),
-		margin:   1, toldAt: -newsHalfLife, reportedAt: -newsHalfLife,
+		orderKeys: map[string]*orderKey{}, tenants: map[string]*tokenBucket{}, peerReports: map[int]receivedReport{},
+		gatewayCount: math.Max(1, float64(cfg.GatewayCount)),
+		margin:       1, peerLoadAt: -peerLoadHalfLife, loadReportAt: -peerLoadHalfLife,
 		random: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Ordinal)))}
 	for i, c := range cfg.Classes {
-		k := &class{Class: c, index: i, threads: told(cfg.ClassThreads, i, 1), scale: 1, grant: grantStart}
-		k.loads = told(cfg.ClassLoads, i, false)
-		k.work = c.Aim.Seconds() * k.threads
+		k := &class{
+			Class:       c,
+			index:       i,
+			threads:     valueOr(cfg.ClassThreads, i, 1),
+			baseScale:   1,
+			grantFactor: initialGrantFactor,
+		}
+		k.bulkLoad = valueOr(cfg.ClassIsBulkLoad, i, false)
+		k.meanWork = c.LatencyObjective.Seconds() * k.threads
 		g.classes[c.Name] = k
-		g.order = append(g.order, k)
+		g.classList = append(g.classList, k)
 	}
 	for i, name := range cfg.KindNames {
-		g.kinds[name] = &kind{cores: told(cfg.KindCores, i, 1), memory: told(cfg.KindMemoryMB, i, 0),
-			weights: g.newWeights(othersStart)}
+		g.kinds[name] = &kind{cores: valueOr(cfg.KindCores, i, 1), memoryMB: valueOr(cfg.KindMemoryMB, i, 0),
+			weights: g.newWeights(initialOthersWeight)}
 	}
 	for _, t := range cfg.Tenants {
-		g.tenants[t.Name] = &bucket{level: quotaLeast, rate: t.Quota / g.gateways}
+		g.tenants[t.Name] = &tokenBucket{tokens: quotaMinBurst, rate: t.QuotaPerSecond / g.gatewayCount}
 	}
 	return g, nil
 }
@@ -42,142 +48,142 @@
 // Handle takes the clock and what has happened since the last call, in order, and appends to actions
 // what is to be done. The gateway keeps neither slice.
 func (g *Gateway) Handle(now time.Duration, events []Event, actions []Action) []Action {
-	g.now, g.out = max(now, g.now), actions
+	g.now, g.actions = max(now, g.now), actions
 	if !g.started {
 		g.started = true
-		g.watch()
+		g.tick()
 	}
 	for i := range events {
-		g.take(&events[i])
+		g.handleEvent(&events[i])
 	}
-	g.release()
-	out := g.out
-	g.out = nil
+	g.dequeue()
+	out := g.actions
+	g.actions = nil
 	return out
 }
 
-func (g *Gateway) listed(ev *Event) {
-	if ev.Listing == ListFailed {
-		g.askAt = g.now + askRetry
+func (g *Gateway) handleEngineList(ev *Event) {
+	if ev.ListType == ListFailed {
+		g.listPollAt = g.now + listPollRetryDelay
 		return
 	}
-	if ev.Listing != ListChanges {
-		for _, e := range g.list {
-			e.known = false
+	if ev.ListType != ListIncremental {
+		for _, e := range g.engineList {
+			e.active = false
 		}
 	}
 	for i := range ev.Engines {
 		info := &ev.Engines[i]
 		e := g.engines[info.ID]
 		if e == nil {
-			e = g.enlist(info)
-		} else if info.Started > e.Started || info.Kind != e.Kind {
-			g.reset(e, info) // its process or machine is new: nothing learnt of the old one holds
+			e = g.addEngine(info)
+		} else if info.StartedAt > e.StartedAt || info.Kind != e.Kind {
+			g.resetEngine(e, info) // its process or machine is new: nothing learnt of the old one holds
 		}
-		if info.State != EngineOn && (e.State == EngineOn || e.offAt == 0) {
-			e.offAt = g.now
+		if info.State != EngineActive && (e.State == EngineActive || e.inactiveSince == 0) {
+			e.inactiveSince = g.now
 		}
 		e.EngineInfo = *info
-		e.known = info.State == EngineOn
+		e.active = info.State == EngineActive
 	}
-	g.forgetGone()
+	g.pruneEngines()
 	g.cores = 0
-	for _, e := range g.list {
-		if e.known {
+	for _, e := range g.engineList {
+		if e.active {
 			g.cores += e.kind.cores
 		}
 	}
 }
 
-// ending brings all deadlines forward to a time after which this gateway answers nobody.
-func (g *Gateway) ending(left time.Duration) {
-	g.endsAt = g.now + max(left, 1)
+// handleShutdown brings all deadlines forward to a time after which this gateway answers nobody.
+func (g *Gateway) handleShutdown(left time.Duration) {
+	g.shutdownAt = g.now + max(left, 1)
 	ids := make([]QueryID, 0, len(g.queries))
 	for id := range g.queries {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		if q := g.queries[id]; q.deadline > g.endsAt {
-			q.deadline = g.endsAt
-			g.timer(max(0, left-g.expiry()), uint64(id)+1)
+		if q := g.queries[id]; q.deadline > g.shutdownAt {
+			q.deadline = g.shutdownAt
+			g.setTimer(max(0, left-g.replyMargin()), uint64(id)+1)
 		}
 	}
 }
 
-func (g *Gateway) peerTold(ev *Event) {
-	m, entries := decodePeer(ev.Data)
+func (g *Gateway) handlePeerMessage(ev *Event) {
+	m, entries := decodePeerMessage(ev.Data)
 	switch {
-	case ev.Peer < 0 || ev.Peer >= g.cfg.Gateways:
-	case m == peerReport:
-		g.gather(ev.Peer, entries)
-	case m == peerSent:
-		g.relay = append(g.relay, entries...)
+	case ev.Peer < 0 || ev.Peer >= g.cfg.GatewayCount:
+	case m == peerLoadReport:
+		g.collectReport(ev.Peer, entries)
+	case m == peerSendNotice:
+		g.toForward = append(g.toForward, entries...)
 		fallthrough
-	case m == peerRelay || m == peerSums:
-		g.told(m, entries)
+	case m == peerForwardedSends || m == peerAggregate:
+		g.applyPeerLoads(m, entries)
 	}
 }
 
-// gather takes in a report.
-func (g *Gateway) gather(peer int, entries []peerEntry) {
-	g.reports[peer] = report{g.now, entries}
+// collectReport takes in a report.
+func (g *Gateway) collectReport(peer int, entries []peerEntry) {
+	g.peerReports[peer] = receivedReport{g.now, entries}
 	for _, n := range entries {
-		if e := g.byTag[n.tag]; e != nil {
-			e.goodSum += float64(n.good)
-			e.badSum += float64(n.bad)
+		if e := g.enginesByTag[n.tag]; e != nil {
+			e.succeededTotal += float64(n.succeeded)
+			e.failedTotal += float64(n.failed)
 		}
 	}
 }
 
-// threadsEach is the mean number of threads of our queries that ran on engines of a kind.
-func (g *Gateway) threadsEach(k *kind) float64 {
+// meanThreadsPerQuery is the mean number of threads of our queries that ran on engines of a kind.
+func (g *Gateway) meanThreadsPerQuery(k *kind) float64 {
 	queries, threads := 1.0, 1.0
-	for _, e := range g.list {
+	for _, e := range g.engineList {
 		if e.kind == k {
-			for j, c := range g.order {
-				queries, threads = queries+e.area[j], threads+e.area[j]*c.threads
+			for j, c := range g.classList {
+				queries, threads = queries+e.runningSeconds[j], threads+e.runningSeconds[j]*c.threads
 			}
 		}
 	}
 	return threads / queries
 }
 
-// smallest is the least mean work of a class.
-func (g *Gateway) smallest() float64 {
+// smallestMeanWork is the least mean work of a class.
+func (g *Gateway) smallestMeanWork() float64 {
 	work := math.Inf(1)
-	for _, c := range g.order {
-		work = math.Min(work, c.work)
+	for _, c := range g.classList {
+		work = math.Min(work, c.meanWork)
 	}
 	return work
 }
 
-// mix is what the running queries of this gateway add to a query's time, over its base.
-func (e *engine) mix(i int, n []float64) float64 {
+// interference is what the running queries of this gateway add to a query's time, over its base.
+func (e *engine) interference(i int, n []float64) float64 {
 	sum := 0.0
 	for j, v := range n {
-		sum += math.Max(0, e.kind.weights[i][j]+e.own[i][j]) * v / e.kind.cores
+		sum += math.Max(0, e.kind.weights[i][j]+e.ownWeights[i][j]) * v / e.kind.cores
 	}
 	return sum
 }
 
-// queries is the number of our queries that run on an engine.
-func (e *engine) queries() (sum float64) {
-	for _, n := range e.count[:len(e.count)-1] {
+// queryCount is the number of our queries that run on an engine.
+func (e *engine) queryCount() (sum float64) {
+	for _, n := range e.runningCount[:len(e.runningCount)-1] {
 		sum += n
 	}
 	return sum
 }
 
-// meanCrowd is the kinds' crowding over all engines on the list, by their cores.
-func (g *Gateway) meanCrowd() float64 {
+// meanKindLoad is the kinds' crowding over all engines on the list, by their cores.
+func (g *Gateway) meanKindLoad() float64 {
 	if g.cores == 0 {
 		return 0
 	}
 	sum := 0.0
-	for _, e := range g.list {
-		if e.known {
-			sum += e.kind.crowd * e.kind.cores
+	for _, e := range g.engineList {
+		if e.active {
+			sum += e.kind.reportedLoad * e.kind.cores
 		}
 	}
 	return sum / g.cores
--- a/golden_test.go
+++ b/golden_test.go
@@ -40,21 +40,33 @@
 // trainedGateway has learnt from a fixed sequence of outcomes.
 func trainedGateway(t *testing.T) *Gateway {
 	t.Helper()
-	cfg := testConfig()
-	cfg.TakesGrants, cfg.KindMemoryMB, cfg.TellsCost = true, []float64{8192, 16384}, true
-	b := newBench(t, cfg, std("e1"), std("e2"), EngineInfo{ID: "e3", Kind: "big", Zone: "b"})
+	cfg := allRulesConfig()
+	cfg.AcceptsMemoryGrants, cfg.KindMemoryMB, cfg.ReportsCost = true, []float64{8192, 16384}, true
+	b := newHarness(
+		t,
+		cfg,
+		standardEngine("e1"),
+		standardEngine("e2"),
+		EngineInfo{ID: "e3", Kind: "big", Zone: "b"},
+	)
 	random := rand.New(rand.NewPCG(11, 13))
 	for id := range QueryID(400) {
 		class := []string{"short", "load", "bound", "cell"}[random.IntN(4)]
-		ev := Event{Type: QueryTaken, Query: id + 1, Class: class, TimeLeft: b.g.classes[class].Deadline,
-			HasCost: random.IntN(3) > 0, Cost: time.Duration(50+random.IntN(400)) * ms,
-			MemoryMB: float64(100 + random.IntN(300))}
-		for _, a := range append([]Action(nil), b.at(20*ms, ev)...) {
+		ev := Event{
+			Type:              QueryArrived,
+			Query:             id + 1,
+			Class:             class,
+			RemainingDeadline: b.g.classes[class].Deadline,
+			HasCostEstimate:   random.IntN(3) > 0,
+			CostEstimate:      time.Duration(50+random.IntN(400)) * ms,
+			MemoryEstimateMB:  float64(100 + random.IntN(300)),
+		}
+		for _, a := range append([]Action(nil), b.advance(20*ms, ev)...) {
 			if a.Type == Send {
 				took := time.Duration(100+random.IntN(900)) * ms
-				done := ended(a, 0, OK, took)
-				done.WorkDone, done.NeededMB = took, float64(random.IntN(500))
-				b.at(20*ms, done)
+				done := attemptDoneEvent(a, 0, OutcomeOK, took)
+				done.ActualCost, done.ActualMemoryMB = took, float64(random.IntN(500))
+				b.advance(20*ms, done)
 			}
 		}
 	}
@@ -69,7 +81,7 @@
 	if got := trained.Snapshot(); !bytes.Equal(got, data) {
 		t.Errorf("the snapshot of the same outcomes is\n%s\nwant\n%s", got, data)
 	}
-	g, err := New(testConfig())
+	g, err := New(allRulesConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,12 +93,12 @@
 			t.Errorf("%s: %v restored, want %v", what, got, want)
 		}
 	}
-	for i, c := range g.order {
-		was := trained.order[i]
-		near(c.Name+" scale", c.scale, was.scale)
-		near(c.Name+" seen", c.seen, was.seen)
-		near(c.Name+" work", c.work, was.work)
-		near(c.Name+" grant", c.grant, was.grant)
+	for i, c := range g.classList {
+		was := trained.classList[i]
+		near(c.Name+" scale", c.baseScale, was.baseScale)
+		near(c.Name+" seen", c.outcomesSeen, was.outcomesSeen)
+		near(c.Name+" work", c.meanWork, was.meanWork)
+		near(c.Name+" grant", c.grantFactor, was.grantFactor)
 	}
 	for name, k := range g.kinds {
 		for i, row := range k.weights {
@@ -95,26 +107,34 @@
 			}
 		}
 	}
-	if trained.kinds["std"].weights[0][0] == 0 || trained.order[0].scale == 1 {
+	if trained.kinds["std"].weights[0][0] == 0 || trained.classList[0].baseScale == 1 {
 		t.Error("the golden snapshot holds nothing that was learnt")
 	}
 }
 
 // goldenPeerMessages are the four types of message with entries at, between and beyond their limits.
 func goldenPeerMessages() (all []struct {
-	m       peerMessage
+	m       peerMessageType
 	entries []peerEntry
 }) {
 	var many []peerEntry
 	for i := range 90 {
-		many = append(many, peerEntry{tag: uint16(i * 727), load: float64(i * 3), good: i % 18, bad: i % 5})
-	}
-	few := []peerEntry{{tag: 0, load: 0}, {tag: 0xffff, load: 254.9, good: 15, bad: 15},
-		{tag: engineTag("10.0.0.1:7000"), load: 1e9, good: 99, bad: 99}, {tag: 0x1234, load: -3, good: 1}}
-	for _, m := range []peerMessage{1, 2, 3, 4} {
+		many = append(
+			many,
+			peerEntry{tag: uint16(i * 727), load: float64(i * 3), succeeded: i % 18, failed: i % 5},
+		)
+	}
+	few := []peerEntry{{tag: 0, load: 0}, {tag: 0xffff, load: 254.9, succeeded: 15, failed: 15},
+		{
+			tag:       engineTag("10.0.0.1:7000"),
+			load:      1e9,
+			succeeded: 99,
+			failed:    99,
+		}, {tag: 0x1234, load: -3, succeeded: 1}}
+	for _, m := range []peerMessageType{1, 2, 3, 4} {
 		for _, entries := range [][]peerEntry{nil, few, many} {
 			all = append(all, struct {
-				m       peerMessage
+				m       peerMessageType
 				entries []peerEntry
 			}{m, entries})
 		}
@@ -127,14 +147,14 @@
 	var current bytes.Buffer
 	var read []string
 	for _, c := range goldenPeerMessages() {
-		for _, data := range encodePeer(c.m, c.entries) {
+		for _, data := range encodePeerMessage(c.m, c.entries) {
 			fmt.Fprintln(&current, hex.EncodeToString(data))
 		}
 		if len(c.entries) == 0 {
 			read = append(read, fmt.Sprint(int(c.m)))
 		}
 		for _, e := range c.entries {
-			good, bad := min(e.good, 15), min(e.bad, 15)
+			good, bad := min(e.succeeded, 15), min(e.failed, 15)
 			if c.m != 1 {
 				good, bad = 0, 0
 			}
@@ -152,12 +172,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m, entries := decodePeer(message)
+		m, entries := decodePeerMessage(message)
 		if len(entries) == 0 {
 			got = append(got, fmt.Sprint(int(m)))
 		}
 		for _, e := range entries {
-			got = append(got, fmt.Sprint(int(m), " ", e.tag, " ", e.load, " ", e.good, " ", e.bad))
+			got = append(got, fmt.Sprint(int(m), " ", e.tag, " ", e.load, " ", e.succeeded, " ", e.failed))
 		}
 	}
 	if fmt.Sprint(got) != fmt.Sprint(read) {
--- a/internal/affinity/orphanedsession/orphan_test.go
+++ b/internal/affinity/orphanedsession/cleanup_test.go
@@ -9,7 +9,7 @@
 
 // However visits fail, no engine is visited twice at once, nor after a good visit, nor more at a time than
 // the limit; each that can be reached is visited, and the hunt ends.
-func TestHunt(t *testing.T) {
+func TestCleanup(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"}
 		var sessions []Session
@@ -25,23 +25,23 @@
 		listed := names[:rapid.IntRange(1, len(names)).Draw(t, "listed")]
 		out, visited, ended := map[string]bool{}, map[string]bool{}, map[uint64]bool{}
 		now := time.Duration(0)
-		for step := 0; !h.Over(); step++ {
+		for step := 0; !h.Finished(); step++ {
 			if step == 3 {
-				h.Listed(listed)
+				h.EnginesListed(listed)
 			}
-			for _, v := range h.Step(now) {
+			for _, v := range h.DueRequests(now) {
 				if out[v.Engine] || visited[v.Engine] {
 					t.Fatalf("%s visited again", v.Engine)
 				}
 				out[v.Engine] = true
 			}
-			if len(out) > AtOnce {
+			if len(out) > MaxConcurrent {
 				t.Fatalf("%d visits at once", len(out))
 			}
 			for _, n := range names {
 				if out[n] && rapid.Bool().Draw(t, "ends") {
 					ok := !dead[n] && rapid.Bool().Draw(t, "ok")
-					for _, s := range h.Done(now, n, ok) {
+					for _, s := range h.RequestDone(now, n, ok) {
 						ended[s.ID] = true
 					}
 					delete(out, n)
@@ -49,12 +49,12 @@
 				}
 			}
 			now += time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond
-			if now > GiveUp+time.Hour {
+			if now > GiveUpAfter+time.Hour {
 				t.Fatal("the hunt does not end")
 			}
 		}
 		for _, n := range listed {
-			if !dead[n] && !visited[n] && now < GiveUp {
+			if !dead[n] && !visited[n] && now < GiveUpAfter {
 				t.Fatalf("%s was not visited", n)
 			}
 		}
--- a/internal/affinity/orphanedsession/golden_test.go
+++ b/internal/affinity/orphanedsession/golden_test.go
@@ -9,11 +9,11 @@
 	"testing"
 )
 
-// The form in which a session is stored in the state log: an earlier version's is read, and this version writes
-// the same bytes. UPDATE_GOLDEN has the file written again.
+// The form in which a session is stored in the state log: an earlier version's is read, and this version
+// writes the same bytes. UPDATE_GOLDEN has the file written again.
 func TestGoldenSession(t *testing.T) {
 	session := Session{Engine: "127.0.0.1:7001", PID: 4711, Secret: []byte{1, 2, 250, 255},
-		Life: "cresspass-3-0badcafe"}
+		IncarnationName: "cresspass-3-0badcafe"}
 	current, err := json.Marshal(session)
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/backend/computenode/machine_test.go
@@ -0,0 +1,314 @@
+package computenode
+
+import (
+	"fmt"
+	"strconv"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"cresspass"
+	"cresspass/internal/protocol/nodehttp"
+)
+
+const ms = time.Millisecond
+
+// fakeNode is a compute node behind a network that loses, breaks and spoils, under a hand-driven clock.
+type fakeNode struct {
+	t         *rapid.T
+	now       time.Duration
+	posts     int
+	running   bool // the query is out there
+	ended     bool // it ran to a good end; its result is kept
+	failed    bool
+	dead      bool
+	reset     bool // the network reset a connection
+	draining  bool // it drains: connections that stand are served, new ones refused
+	connOpen  bool // the last call left a connection
+	pollsLeft int  // questions until it ends
+	pages     int
+	lastPoll  time.Duration
+	shed      bool
+	faults    int // calls that may yet go wrong
+}
+
+func pageRows(n int) []byte { return []byte(fmt.Sprintf("r%d\tx\ty\n", n)) }
+
+func (w *fakeNode) headers(pairs ...string) map[string]string {
+	h := map[string]string{}
+	for i := 0; i < len(pairs); i += 2 {
+		h[pairs[i]] = pairs[i+1]
+	}
+	return h
+}
+
+// handle is what the compute node does with a call that comes whole, and its answer.
+func (w *fakeNode) handle(s Step) *nodehttp.Response {
+	if w.running && w.now-w.lastPoll > abandonAfter {
+		w.running = false // nobody asked
+	}
+	w.lastPoll = w.now
+	switch {
+	case s.Type == Start:
+		w.posts++
+		if w.shed {
+			return &nodehttp.Response{Status: 503, Header: w.headers("x-shed", "1")}
+		}
+		w.running = true
+	case s.Type == Delete:
+		w.running, w.ended = false, false
+		return &nodehttp.Response{Status: 204}
+	case !w.running && !w.ended:
+		return &nodehttp.Response{Status: 500}
+	}
+	if w.running {
+		if w.pollsLeft--; w.pollsLeft > 0 {
+			w.now += longPollTimeout
+			return &nodehttp.Response{Status: 202, Header: w.headers("x-remark", "frac", "figure", "0.5")}
+		}
+		w.running = false
+		if w.failed {
+			return &nodehttp.Response{Status: 500}
+		}
+		w.ended = true
+	}
+	if s.Page >= w.pages {
+		return &nodehttp.Response{Status: 500}
+	}
+	if s.Type == Start || s.Page == 0 {
+		h := w.headers("page-count", strconv.Itoa(w.pages))
+		return &nodehttp.Response{Status: 200, Header: h, Body: pageRows(0)}
+	}
+	return &nodehttp.Response{
+		Status: 200,
+		Header: w.headers("page-no", strconv.Itoa(s.Page)),
+		Body:   pageRows(s.Page),
+	}
+}
+
+// perform carries a step out, with whatever befalls it.
+func (w *fakeNode) perform(s Step) Event {
+	w.now += s.Delay + ms
+	trouble := "none"
+	if w.faults > 0 {
+		trouble = rapid.SampledFrom([]string{"none", "none", "request lost", "answer lost", "spoilt",
+			"unreached", "no room", "dies", "drains", "reset", "other page"}).Draw(w.t, "trouble")
+		w.faults--
+	}
+	stood := w.connOpen && !s.FreshConn
+	w.connOpen = false
+	switch trouble {
+	case "dies":
+		was := w.dead
+		w.dead, w.running, w.ended = true, false, false
+		if stood && !was {
+			return Event{Type: ResponseLost, Reset: true}
+		}
+	case "drains":
+		w.draining = true
+	}
+	switch {
+	case w.draining && !w.dead && !stood && w.reset:
+		return Event{Type: Unreachable} // where both befall it, only the told drain tells it from a death
+	case w.dead || w.draining && !stood:
+		return Event{Type: ConnRefused}
+	case trouble == "unreached":
+		w.now += maxTransitTimeout
+		return Event{Type: Unreachable}
+	case trouble == "no room":
+		return Event{Type: NoDescriptor}
+	case trouble == "request lost":
+		w.now += s.Timeout
+		return Event{Type: ResponseLost}
+	}
+	a := w.handle(s)
+	w.connOpen = trouble == "none"
+	switch trouble {
+	case "reset":
+		w.reset = true
+		return Event{Type: ResponseLost, Reset: true}
+	case "answer lost":
+		w.now += s.Timeout
+		return Event{Type: ResponseLost}
+	case "spoilt":
+		return Event{
+			Type: ResponseReceived,
+			Response: &nodehttp.Response{Status: 200, Header: w.headers("page-count", "1"),
+				Body: []byte("no row")},
+		}
+	case "other page":
+		return Event{
+			Type: ResponseReceived,
+			Response: &nodehttp.Response{Status: 200, Header: w.headers("page-no", "77"),
+				Body: pageRows(77)},
+		}
+	}
+	return Event{Type: ResponseReceived, Response: a}
+}
+
+// TestAttempt: whatever befalls its calls, an attempt posts once, ends once, in good time, is not out any
+// more by then, says that it never ran only where it never did, and has no rows but its own, all of them
+// and in order.
+func TestAttempt(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		w := &fakeNode{t: t, now: time.Hour, pollsLeft: rapid.IntRange(1, 6).Draw(t, "needs"),
+			pages: rapid.IntRange(1, 9).Draw(t, "pages"), failed: rapid.IntRange(0, 5).Draw(t, "failed") == 0,
+			shed:   rapid.IntRange(0, 5).Draw(t, "shed") == 0,
+			faults: rapid.IntRange(0, 30).Draw(t, "troubles")}
+		stopAt := rapid.IntRange(-20, 12).Draw(t, "stop")
+		m := &Machine{}
+		s := m.Next(w.now, Event{Type: Begin})
+		for n := 0; s.Type != End; n++ {
+			if n > 200 {
+				t.Fatal("it does not end")
+			}
+			if s.Type == Start && n > 0 {
+				t.Fatal("the query was posted twice")
+			}
+			ev := w.perform(s)
+			if n != stopAt || ev.Type == ResponseReceived || ev.Type == ResponseLost {
+				s = m.Next(w.now, ev)
+			}
+			if n == stopAt && s.Type != End {
+				s = m.Next(w.now, Event{Type: Stop, Outcome: cresspass.OutcomeCancelled})
+			}
+		}
+		if w.running && w.now-w.lastPoll <= abandonAfter {
+			t.Fatalf("ended with %d while its query runs on", s.Outcome)
+		}
+		if s.Outcome.NeverRan() && w.posts > 0 && !w.shed {
+			t.Fatalf("ended with %d, but the query came", s.Outcome)
+		}
+		if s.Outcome == cresspass.OutcomeOK {
+			if len(s.Pages) != w.pages {
+				t.Fatalf("%d pages of %d", len(s.Pages), w.pages)
+			}
+			for i, p := range s.Pages {
+				if string(p) != string(pageRows(i)) {
+					t.Fatalf("page %d is %q", i, p)
+				}
+			}
+		}
+		if stopAt < 0 && w.faults >= 0 && w.posts == 1 && !w.dead && !w.shed && !w.failed && s.Outcome ==
+			cresspass.OutcomeFailed {
+			t.Fatal("failed without a failure")
+		}
+	})
+}
+
+// TestConnRefusedIsNoProofOfDeath: a refused connection ends an attempt where a reset went before it, and
+// the start was answered or broken by that reset; else it is out until nobody has asked for it for long
+// enough.
+func TestConnRefusedIsNoProofOfDeath(t *testing.T) {
+	news := Event{Type: ResponseReceived, Response: &nodehttp.Response{Status: 202}}
+	silent, reset, refused := Event{
+		Type: ResponseLost,
+	}, Event{
+		Type:  ResponseLost,
+		Reset: true,
+	}, Event{
+		Type: ConnRefused,
+	}
+	stop := Event{Type: Stop, Outcome: cresspass.OutcomeCancelled}
+	for name, c := range map[string]struct {
+		events []Event
+		atOnce bool
+	}{
+		"dies":                            {[]Event{news, reset}, true},
+		"dies as it starts":               {[]Event{reset}, true},
+		"dies as it is given up":          {[]Event{news, reset, stop}, true},
+		"drains":                          {[]Event{news, silent}, false},
+		"given up as it drains":           {[]Event{news, silent, stop}, false},
+		"start lost, then dies":           {[]Event{silent, news, reset}, false},
+		"start reset and had, then dies":  {[]Event{reset, news, reset}, false},
+		"start lost, given up as it dies": {[]Event{silent, news, reset, stop}, false},
+	} {
+		m, now := &Machine{}, time.Hour
+		m.Next(now, Event{Type: Begin})
+		for _, ev := range c.events {
+			now += 10 * ms
+			m.Next(now, ev)
+		}
+		asked, s := now, m.Next(now, refused)
+		for n := 0; s.Type != End && n < 200; n++ {
+			if s.FreshConn {
+				t.Errorf("%s: after a refusal, a connection that stands is not used", name)
+			}
+			now += s.Delay + ms
+			s = m.Next(now, refused)
+		}
+		if took := now - asked; s.Type != End || c.atOnce != (took == 0) ||
+			!c.atOnce && took <= abandonAfter ||
+			took > 2*abandonAfter {
+			t.Errorf("%s: ended %v after %v, at once %v", name, s.Type == End, took, c.atOnce)
+		}
+	}
+}
+
+// TestQuickPollsArePaced: a compute node that answers at once, and never with an end, is not asked without a
+// pause.
+func TestQuickPollsArePaced(t *testing.T) {
+	m, now := &Machine{}, time.Hour
+	s := m.Next(now, Event{Type: Begin})
+	for range 100 {
+		now += s.Delay + ms/10
+		s = m.Next(now, Event{Type: ResponseReceived, Response: &nodehttp.Response{Status: 202}})
+	}
+	if now-time.Hour < 90*minPollInterval {
+		t.Errorf("100 questions in %v", now-time.Hour)
+	}
+}
+
+// TestDeleteOvertakesStart: a start of which nothing was heard may yet be on its way when a give-up on
+// another connection is answered; the attempt is over only after one that was sent when no start can be on
+// its way.
+func TestDeleteOvertakesStart(t *testing.T) {
+	gone := Event{Type: ResponseReceived, Response: &nodehttp.Response{Status: 204}}
+	stop := Event{Type: Stop, Outcome: cresspass.OutcomeCancelled}
+	for name, c := range map[string]struct {
+		first Event
+		alone bool
+		waits bool
+	}{
+		"nothing heard":   {Event{Type: ResponseLost}, true, true},
+		"reset unheard":   {Event{Type: ResponseLost, Reset: true}, true, true},
+		"start was heard": {Event{Type: ResponseReceived, Response: &nodehttp.Response{Status: 202}}, true, false},
+		"not alone":       {Event{Type: ResponseLost}, false, false},
+	} {
+		m, now := &Machine{Exclusive: c.alone}, time.Hour
+		m.Next(now, Event{Type: Begin})
+		now += 50 * ms
+		m.Next(now, c.first)
+		given := now
+		s := m.Next(now, stop)
+		deletes := 0
+		for ; s.Type == Delete && deletes < 10; deletes++ {
+			now += s.Delay + ms
+			s = m.Next(now, gone)
+		}
+		if took := now - given; s.Type != End || s.Outcome != cresspass.OutcomeCancelled ||
+			c.waits != (took >= maxTransitTimeout) ||
+			took > abandonAfter {
+			t.Errorf("%s: ended %v after %v and %d give-ups", name, s.Type == End, took, deletes)
+		}
+	}
+}
+
+// TestDeleteConfirmedByItsOwnResponse: an answer that no Delete gets, as a copy of an earlier one, does not
+// show that a query was given up.
+func TestDeleteConfirmedByItsOwnResponse(t *testing.T) {
+	for status, over := range map[int]bool{200: false, 202: false, 204: true, 500: true, 503: false} {
+		m := Machine{Exclusive: true}
+		m.Next(0, Event{Type: Begin})
+		m.Next(ms, Event{Type: ResponseReceived, Response: &nodehttp.Response{Status: 202}})
+		step := m.Next(2*ms, Event{Type: Stop, Outcome: cresspass.OutcomeCancelled})
+		if step.Type != Delete {
+			t.Fatalf("%+v", step)
+		}
+		step = m.Next(3*ms, Event{Type: ResponseReceived, Response: &nodehttp.Response{Status: status}})
+		if got := step.Type == End; got != over {
+			t.Errorf("after %d: over %v, want %v", status, got, over)
+		}
+	}
+}
--- a/internal/backend/copyin/pipe.go
+++ b/internal/backend/copyin/pipe.go
@@ -10,28 +10,28 @@
 
 // The ends of a copy's data.
 const (
-	Open   End = iota // more may come
-	Done              // CopyDone was the last
-	Failed            // CopyFail was the last: the engine is to undo it
-	Cut               // nobody feeds it any more: its query has ended
+	Open      End = iota // more may come
+	Done                 // CopyDone was the last
+	Failed               // CopyFail was the last: the engine is to undo it
+	Abandoned            // nobody feeds it any more: its query has ended
 )
 
 // Pipe is the queue of one copy. Make one with New.
 type Pipe struct {
-	most int
-	room func()
+	limit      int
+	onCapacity func()
 
-	mu   sync.Mutex
-	data []byte
-	full bool
-	end  End
-	more chan struct{}
+	mu    sync.Mutex
+	data  []byte
+	full  bool
+	end   End
+	ready chan struct{}
 }
 
 // New returns a pipe that holds about most bytes; room is called, outside the pipe's lock, when a full one
 // has emptied to half of that.
-func New(most int, room func()) *Pipe {
-	return &Pipe{most: most, room: room, more: make(chan struct{}, 1)}
+func New(limit int, onCapacity func()) *Pipe {
+	return &Pipe{limit: limit, onCapacity: onCapacity, ready: make(chan struct{}, 1)}
 }
 
 // Put queues bytes, and how the data ended with them. It does not block: what was read has to go somewhere.
@@ -40,12 +40,12 @@
 	p.mu.Lock()
 	if p.end == Open {
 		p.data = append(p.data, b...)
-		p.full = len(p.data) >= p.most
+		p.full = len(p.data) >= p.limit
 		p.end = end
 	}
 	full = p.full
 	p.mu.Unlock()
-	p.poke()
+	p.signal()
 	return full
 }
 
@@ -56,31 +56,31 @@
 	return p.full
 }
 
-// Cut ends the pipe, whatever waits in it. It counts as room: the client's bytes are nobody's now.
-func (p *Pipe) Cut() {
+// Abandon ends the pipe, whatever waits in it. It counts as room: the client's bytes are nobody's now.
+func (p *Pipe) Abandon() {
 	p.mu.Lock()
 	p.data = nil
 	if p.end == Open || p.full {
-		p.end = Cut
+		p.end = Abandoned
 	}
-	was := p.full
+	wasFull := p.full
 	p.full = false
 	p.mu.Unlock()
-	p.poke()
-	if was {
-		p.room()
+	p.signal()
+	if wasFull {
+		p.onCapacity()
 	}
 }
 
-func (p *Pipe) poke() {
+func (p *Pipe) signal() {
 	select {
-	case p.more <- struct{}{}:
+	case p.ready <- struct{}{}:
 	default:
 	}
 }
 
-// More is signalled when Take may have something to say.
-func (p *Pipe) More() <-chan struct{} { return p.more }
+// Ready is signalled when Take may have something to say.
+func (p *Pipe) Ready() <-chan struct{} { return p.ready }
 
 // Take swaps what waits for a buffer that is used again, and says how the data ended behind it.
 func (p *Pipe) Take(spare []byte) ([]byte, End) {
@@ -91,17 +91,17 @@
 	return b, end
 }
 
-// Sent tells that what was taken has gone out. Danger: were there room as soon as it is taken, twice the
+// MarkSent tells that what was taken has gone out. Danger: were there room as soon as it is taken, twice the
 // limit would be under way.
-func (p *Pipe) Sent() {
+func (p *Pipe) MarkSent() {
 	p.mu.Lock()
-	was := p.full
-	if was && len(p.data) <= p.most/2 {
+	wasFull := p.full
+	if wasFull && len(p.data) <= p.limit/2 {
 		p.full = false
 	}
-	was = was && !p.full
+	wasFull = wasFull && !p.full
 	p.mu.Unlock()
-	if was {
-		p.room()
+	if wasFull {
+		p.onCapacity()
 	}
 }
--- a/internal/backend/copyin/pipe_test.go
+++ b/internal/backend/copyin/pipe_test.go
@@ -14,8 +14,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(1, 300).Draw(t, "most")
 		var mu sync.Mutex
-		stopped, told := 0, 0
-		p := New(most, func() { mu.Lock(); told++; mu.Unlock() })
+		stopped, resumed := 0, 0
+		p := New(most, func() { mu.Lock(); resumed++; mu.Unlock() })
 		var in, out []byte
 		var spare []byte
 		waits := 0
@@ -43,16 +43,16 @@
 			out = append(out, b...)
 			waits -= len(b)
 			spare = b
-			p.Sent()
+			p.MarkSent()
 		}
 		b, _ := p.Take(nil)
 		out = append(out, b...)
-		p.Sent()
+		p.MarkSent()
 		if !bytes.Equal(in, out) {
 			t.Fatalf("%d bytes in, %d out", len(in), len(out))
 		}
-		if told != stopped || p.Full() {
-			t.Fatalf("stopped %d times, told of room %d times, full %v", stopped, told, p.Full())
+		if resumed != stopped || p.Full() {
+			t.Fatalf("stopped %d times, told of room %d times, full %v", stopped, resumed, p.Full())
 		}
 		p.Put([]byte("x"), Done)
 		p.Put([]byte("late"), Open) // behind the end nothing counts
--- a/internal/backend/duplicateresponse/copies_test.go
+++ b/internal/backend/duplicateresponse/detector_test.go
@@ -7,8 +7,8 @@
 	"cresspass/internal/protocol/nodehttp"
 )
 
-func answer(status int, body string, headers ...string) *nodehttp.Answer {
-	a := &nodehttp.Answer{Status: status, Header: map[string]string{}, Body: []byte(body)}
+func response(status int, body string, headers ...string) *nodehttp.Response {
+	a := &nodehttp.Response{Status: status, Header: map[string]string{}, Body: []byte(body)}
 	for i := 0; i+1 < len(headers); i += 2 {
 		a.Header[headers[i]] = headers[i+1]
 	}
@@ -18,14 +18,14 @@
 // TestSuspect: what repeats on a connection is suspected where a compute node would hardly repeat it.
 func TestSuspect(t *testing.T) {
 	const quick, slow = 2 * time.Millisecond, 250 * time.Millisecond
-	result := answer(200, "a\tb\tc\n", "page-count", "1", "x-meter", "inflight:7")
-	loaded := answer(200, "a\tb\tc\n", "page-count", "1", "x-meter", "inflight:8")
-	other := answer(200, "a\tb\td\n", "page-count", "1", "x-meter", "inflight:7")
-	numbered, silent := answer(200, "a", "page-no", "1"), answer(202, "")
-	note, full := answer(202, "", "x-remark", "frac"), answer(503, "", "x-shed", "1")
-	gone, failed := answer(204, ""), answer(500, "")
+	result := response(200, "a\tb\tc\n", "page-count", "1", "x-meter", "inflight:7")
+	loaded := response(200, "a\tb\tc\n", "page-count", "1", "x-meter", "inflight:8")
+	other := response(200, "a\tb\td\n", "page-count", "1", "x-meter", "inflight:7")
+	numbered, silent := response(200, "a", "page-no", "1"), response(202, "")
+	note, full := response(202, "", "x-remark", "frac"), response(503, "", "x-shed", "1")
+	gone, failed := response(204, ""), response(500, "")
 	for name, c := range map[string]struct {
-		first, second *nodehttp.Answer
+		first, second *nodehttp.Response
 		took          time.Duration
 		copiesSeen    bool
 		want          bool
@@ -42,9 +42,9 @@
 		"given up":            {gone, gone, quick, true, false},
 		"error, copies about": {failed, failed, quick, true, true},
 	} {
-		d, m := NewDetector(), &Memory{}
+		d, m := NewDetector(), &History{}
 		if c.copiesSeen {
-			d.Seen(0)
+			d.RecordDuplicate(0)
 		}
 		if _, suspect := d.Suspect(time.Second, c.took, m, c.first); suspect {
 			t.Errorf("%s: the first of its kind is suspected", name)
@@ -52,7 +52,7 @@
 		if _, suspect := d.Suspect(2*time.Second, c.took, m, c.second); suspect != c.want {
 			t.Errorf("%s: suspected %v, want %v", name, suspect, c.want)
 		}
-		if _, suspect := d.Suspect(2*time.Second, c.took, &Memory{}, c.second); suspect {
+		if _, suspect := d.Suspect(2*time.Second, c.took, &History{}, c.second); suspect {
 			t.Errorf("%s: suspected on another connection", name)
 		}
 	}
@@ -61,14 +61,14 @@
 // TestConstantResult: a result that repeats by itself is suspected once, one that turns out to be another's
 // has refusals suspected for a while.
 func TestConstantResult(t *testing.T) {
-	d, m := NewDetector(), &Memory{}
-	done, full := answer(200, "", "page-count", "0"), answer(503, "", "x-shed", "1")
+	d, m := NewDetector(), &History{}
+	done, full := response(200, "", "page-count", "0"), response(503, "", "x-shed", "1")
 	suspected := 0
 	for range 20 {
 		f, suspect := d.Suspect(0, 0, m, done)
 		if suspect {
 			suspected++
-			d.Again(0, f, done)
+			d.Recheck(0, f, done)
 		}
 	}
 	if suspected != 1 {
@@ -78,11 +78,11 @@
 	if _, suspect := d.Suspect(0, 0, m, full); suspect {
 		t.Error("a refusal is suspected, and no copy was seen")
 	}
-	d.Again(time.Second, 1, full)
+	d.Recheck(time.Second, 1, full)
 	if _, suspect := d.Suspect(2*time.Second, 0, m, full); !suspect {
 		t.Error("a refusal is not suspected after a copy")
 	}
-	if _, suspect := d.Suspect(2*time.Second+copiesFor, 0, m, full); suspect {
+	if _, suspect := d.Suspect(2*time.Second+suspicionPeriod, 0, m, full); suspect {
 		t.Error("a refusal is suspected long after a copy")
 	}
 }
--- a/internal/backend/pgbackend/begin_test.go
+++ b/internal/backend/pgbackend/conn_test.go
@@ -14,10 +14,10 @@
 	"cresspass/internal/protocol/pgwire"
 )
 
-// TestWithdrawnBeforeItBegins: a statement that is withdrawn, or may not begin any more, leaves its
-// connection idle for others; that of a session stays the session's. Given to others, their statements
-// would run inside its transaction.
-func TestWithdrawnBeforeItBegins(t *testing.T) {
+// TestUnstartedAttemptLeavesConnectionReusable: a statement that is withdrawn, or may not begin any more,
+// leaves its connection idle for others; that of a session stays the session's. Given to others, their
+// statements would run inside its transaction.
+func TestUnstartedAttemptLeavesConnectionReusable(t *testing.T) {
 	for name, c := range map[string]struct {
 		session   bool
 		withdrawn bool
@@ -31,21 +31,21 @@
 		defer near.Close()
 		defer far.Close()
 		p := NewPool(Config{MaxConnections: 4})
-		e := p.engine("engine")
-		conn := &conn{pool: p, engine: e, nc: near}
-		e.all[conn] = struct{}{}
+		e := p.engineFor("engine")
+		conn := &conn{pool: p, engine: e, netConn: near}
+		e.conns[conn] = struct{}{}
 		ended := 0
-		a := &Attempt{Ended: func(Result) { ended++ }}
+		a := &Attempt{OnEnded: func(Result) { ended++ }}
 		if c.session {
 			a.Lease = &Lease{}
-			a.Lease.hold(conn)
+			a.Lease.acquire(conn)
 		}
 		if c.withdrawn {
-			a.end(Result{Outcome: cresspass.Cancelled})
+			a.end(Result{Outcome: cresspass.OutcomeCancelled})
 		} else {
-			a.MayBegin = func() (cresspass.Outcome, bool) { return cresspass.Moot, false }
+			a.MayStart = func() (cresspass.Outcome, bool) { return cresspass.OutcomeNotStarted, false }
 		}
-		if !conn.begin(a) {
+		if !conn.start(a) {
 			t.Errorf("%s: the connection counts as closed", name)
 		}
 		if idle := len(e.idle) == 1; idle == c.session {
@@ -54,22 +54,22 @@
 		if ended != 1 {
 			t.Errorf("%s: ended %d times", name, ended)
 		}
-		delete(e.all, conn)
+		delete(e.conns, conn)
 		p.Close()
 	}
 }
 
-// TestLookAgainBehindSettings: a query that waits until its engine has taken the session's settings is not
-// sent where it may not begin any more by then, and its connection goes on with those settings.
-func TestLookAgainBehindSettings(t *testing.T) {
+// TestMayStartRecheckedAfterSettings: a query that waits until its engine has taken the session's settings
+// is not sent where it may not begin any more by then, and its connection goes on with those settings.
+func TestMayStartRecheckedAfterSettings(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
 	p := NewPool(Config{MaxConnections: 4, MaxPrepared: 4})
 	defer p.Close()
-	e := p.engine("engine")
-	c := &conn{pool: p, engine: e, nc: near}
-	e.all[c] = struct{}{}
+	e := p.engineFor("engine")
+	c := &conn{pool: p, engine: e, netConn: near}
+	e.conns[c] = struct{}{}
 	wrote := make(chan string, 8)
 	go func() {
 		b := make([]byte, 4096)
@@ -84,33 +84,47 @@
 	settings := (&sessionparams.Set{}).With("search_path", "s")
 	ended := make(chan Result, 2)
 	waits := true
-	a := &Attempt{Ask: &enginequery.Ask{Kind: enginequery.Simple, Text: "select 1", Rest: true, Settings: settings},
-		Answer: response.New(nil, &response.Budget{}, 0), Priority: -1, Ended: func(r Result) { ended <- r },
-		MayBegin: func() (cresspass.Outcome, bool) { return cresspass.Moot, waits }}
-	a.Answer.Begin(0)
-	c.begin(a)
+	a := &Attempt{
+		Query: &enginequery.Query{
+			Kind:               enginequery.Simple,
+			Text:               "select 1",
+			OutsideTransaction: true,
+			Settings:           settings,
+		},
+		Response: response.New(
+			nil,
+			&response.BufferBudget{},
+			0,
+		),
+		Priority: -1,
+		OnEnded:  func(r Result) { ended <- r },
+		MayStart: func() (cresspass.Outcome, bool) { return cresspass.OutcomeNotStarted, waits },
+	}
+	a.Response.BeginAttempt(0)
+	c.start(a)
 	<-wrote
 	waits = false
 	for _, m := range []pgwire.Message{{Type: 'C', Body: []byte("SET\x00")}, {Type: 'Z', Body: []byte("I")}} {
-		if err := c.message(m); err != nil {
+		if err := c.handleMessage(m); err != nil {
 			t.Fatal(err)
 		}
 	}
 	select {
 	case r := <-ended:
-		if r.Outcome != cresspass.Moot {
+		if r.Outcome != cresspass.OutcomeNotStarted {
 			t.Errorf("%+v", r)
 		}
 	case b := <-wrote:
 		t.Fatalf("written: %q", b)
 	}
-	if len(e.idle) != 1 || c.have != settings {
+	if len(e.idle) != 1 || c.settings != settings {
 		t.Errorf("%d idle connections, want the one with the settings", len(e.idle))
 	}
 }
 
-// TestOwnMachineFails: a connect that fails by our own machine is made again, and counts against no engine.
-func TestOwnMachineFails(t *testing.T) {
+// TestLocalDialErrorIsRetried: a connect that fails by our own machine is made again, and counts against no
+// engine.
+func TestLocalDialErrorIsRetried(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENETUNREACH,
 		syscall.ENFILE, syscall.EMFILE} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -134,7 +148,7 @@
 		}()
 		ended := make(chan Result, 1)
 		p.Start(cresspass.EngineID(ln.Addr().String()), &Attempt{Priority: -1,
-			Ended: func(r Result) { ended <- r }})
+			OnEnded: func(r Result) { ended <- r }})
 		r := <-ended
 		select {
 		case <-came:
--- a/internal/backend/pgbackend/golden_test.go
+++ b/internal/backend/pgbackend/golden_test.go
@@ -18,38 +18,49 @@
 // TestEngineBytesAreStable compares the requests that an engine is sent, and what its errors are taken for,
 // with what the version that introduced this test gave.
 func TestEngineBytesAreStable(t *testing.T) {
-	p := NewPool(Config{MaxConnections: 4, MaxPrepared: 2, ReportFields: 2})
+	p := NewPool(Config{MaxConnections: 4, MaxPrepared: 2, LoadReportFields: 2})
 	defer p.Close()
-	c := &conn{pool: p, engine: p.engine("engine"), names: map[string]*list.Element{}, recent: list.New(),
-		priority: -1}
+	c := &conn{
+		pool:          p,
+		engine:        p.engineFor("engine"),
+		preparedByKey: map[string]*list.Element{},
+		preparedLRU:   list.New(),
+		priority:      -1,
+	}
 	settings := (*sessionparams.Set)(nil).With("search_path", "set search_path = a")
 	noValues := []byte{0, 0, 0, 0, 0, 0}
 	var got strings.Builder
 	for _, a := range []*Attempt{
 		{Priority: -1}, // a health check
-		{Ask: &enginequery.Ask{Kind: enginequery.Simple, Text: "select 1", Rest: true}, Priority: 3, MemoryMB: 64.9},
-		{Ask: &enginequery.Ask{Kind: enginequery.Simple, Text: "select 2", Rest: true}, Priority: 3, MemoryMB: 64.9},
-		{Ask: &enginequery.Ask{Kind: enginequery.Simple, Text: "select 3", Rest: true}, Priority: -1, MemoryMB: 0.2},
-		{Ask: &enginequery.Ask{Kind: enginequery.Simple, Text: "select 4", Rest: true, Settings: settings}, Priority: 0},
-		{Ask: &enginequery.Ask{Kind: enginequery.Simple, Text: "select 5", Settings: nil}, Priority: -1},
-		{Ask: &enginequery.Ask{Kind: enginequery.Execute, Text: "select $1", Types: "\x00\x00\x00\x19", Bind: noValues,
-			Describe: true, Rows: 7, Rest: true}, Priority: -1},
-		{Ask: &enginequery.Ask{Kind: enginequery.Execute, Text: "select $1", Types: "\x00\x00\x00\x19", Bind: noValues},
+		{Query: &enginequery.Query{Kind: enginequery.Simple, Text: "select 1", OutsideTransaction: true}, Priority: 3, MemoryMB: 64.9},
+		{Query: &enginequery.Query{Kind: enginequery.Simple, Text: "select 2", OutsideTransaction: true}, Priority: 3, MemoryMB: 64.9},
+		{Query: &enginequery.Query{Kind: enginequery.Simple, Text: "select 3", OutsideTransaction: true}, Priority: -1, MemoryMB: 0.2},
+		{Query: &enginequery.Query{Kind: enginequery.Simple, Text: "select 4", OutsideTransaction: true, Settings: settings}, Priority: 0},
+		{Query: &enginequery.Query{Kind: enginequery.Simple, Text: "select 5", Settings: nil}, Priority: -1},
+		{Query: &enginequery.Query{Kind: enginequery.Execute, Text: "select $1", ParameterTypes: "\x00\x00\x00\x19", BindBody: noValues,
+			WithDescribe: true, MaxRows: 7, OutsideTransaction: true}, Priority: -1},
+		{Query: &enginequery.Query{Kind: enginequery.Execute, Text: "select $1", ParameterTypes: "\x00\x00\x00\x19", BindBody: noValues},
 			Priority: -1},
-		{Ask: &enginequery.Ask{Kind: enginequery.DescribeStatement, Text: "select 6"}, Priority: -1},
-		{Ask: &enginequery.Ask{Kind: enginequery.DescribePortal, Text: "select 7", Bind: noValues}, Priority: -1},
-		{Ask: &enginequery.Ask{Kind: enginequery.Execute, Text: "select 8", Bind: noValues, Portal: "p"}, Priority: -1},
-		{Ask: &enginequery.Ask{Kind: enginequery.Execute, Text: "select 8", Portal: "p", More: true, Rows: 2}, Priority: -1},
-		{Ask: &enginequery.Ask{Kind: enginequery.Execute, Text: "copy t from stdin", Bind: noValues,
+		{Query: &enginequery.Query{Kind: enginequery.DescribeStatement, Text: "select 6"}, Priority: -1},
+		{Query: &enginequery.Query{Kind: enginequery.DescribePortal, Text: "select 7", BindBody: noValues}, Priority: -1},
+		{Query: &enginequery.Query{Kind: enginequery.Execute, Text: "select 8", BindBody: noValues, Portal: "p"}, Priority: -1},
+		{Query: &enginequery.Query{Kind: enginequery.Execute, Text: "select 8", Portal: "p", ContinuePortal: true, MaxRows: 2}, Priority: -1},
+		{Query: &enginequery.Query{Kind: enginequery.Execute, Text: "copy t from stdin", BindBody: noValues,
 			Parsed: sqlscan.Statements("copy t from stdin")}, Priority: -1},
 	} {
-		if a.Ask != nil {
-			a.Answer = response.New(nil, &response.Budget{}, 0)
+		if a.Query != nil {
+			a.Response = response.New(nil, &response.BufferBudget{}, 0)
 		}
-		c.skip, c.gated, c.syncOwed, c.preparing = 0, nil, false, ""
-		fmt.Fprintf(&got, "request %q\n", c.request(a))
-		fmt.Fprintf(&got, "  skip %d gated %q sync owed %v preparing %q\n", c.skip, c.gated, c.syncOwed,
-			c.preparing)
+		c.readyToSkip, c.gatedRequest, c.syncPending, c.preparingKey = 0, nil, false, ""
+		fmt.Fprintf(&got, "request %q\n", c.buildRequest(a))
+		fmt.Fprintf(
+			&got,
+			"  skip %d gated %q sync owed %v preparing %q\n",
+			c.readyToSkip,
+			c.gatedRequest,
+			c.syncPending,
+			c.preparingKey,
+		)
 	}
 	for _, code := range []string{"", "00000", "01000", "02000", "03000", "08006", "08P01", "09000", "0A000",
 		"0B000", "0F000", "0L000", "0P000", "0Z000", "20000", "21000", "22012", "23505", "24000", "25P02",
@@ -57,16 +68,16 @@
 		"3F000", "40001", "42P01", "44000", "53000", "53100", "53200", "53300", "53400", "54000", "55000",
 		"57000", "57014", "57P01", "57P02", "57P03", "57P05", "58000", "58030", "72000", "F0000", "HV000",
 		"P0001", "XX000", "XX001", "123"} {
-		outcome, own := blame(code)
-		c.copyFailed = true
-		copyOutcome, copyOwn := c.blame(code)
+		outcome, own := classifySQLState(code)
+		c.copyInFailed = true
+		copyOutcome, copyOwn := c.classifyError(code)
 		fmt.Fprintf(&got, "error %q outcome %d own %v never ran %v; of a failed copy %d %v\n", code, outcome,
-			own, neverRan(code), copyOutcome, copyOwn)
+			own, provesNotRun(code), copyOutcome, copyOwn)
 	}
 	for _, v := range []string{"", "1", "1,2", "1.5,-2e3", "1,x", "1,2,3", " 1,2"} {
-		fmt.Fprintf(&got, "load %q %v\n", v, c.loads(v))
+		fmt.Fprintf(&got, "load %q %v\n", v, c.parseLoadReport(v))
 	}
-	r := notBegun(cresspass.Moot)
+	r := notStarted(cresspass.OutcomeNotStarted)
 	fmt.Fprintf(&got, "not begun: outcome %d message %q\n", r.Outcome, r.Message)
 	compareGolden(t, "requests.txt", got.String())
 }
--- a/internal/backend/pgbackend/terminate.go
+++ b/internal/backend/pgbackend/terminate.go
@@ -10,11 +10,11 @@
 	"cresspass/internal/protocol/pgwire"
 )
 
-// Terminate ends sessions that an earlier dispatcher's connections left at an engine. What they run is
-// cancelled by their keys first; then those with the recorded PIDs, and any that rest in a transaction, are
-// ended by name: a PID alone may by now be another's. It returns how many were ended. ("Server Signaling
+// TerminateSessions ends sessions that an earlier dispatcher's connections left at an engine. What they run
+// is cancelled by their keys first; then those with the recorded PIDs, and any that rest in a transaction,
+// are ended by name: a PID alone may by now be another's. It returns how many were ended. ("Server Signaling
 // Functions", "pg_stat_activity")
-func (p *Pool) Terminate(v orphanedsession.Visit) (ended int, err error) {
+func (p *Pool) TerminateSessions(v orphanedsession.Request) (ended int, err error) {
 	limit := time.Now().Add(p.cfg.CancelTimeout + p.cfg.ConnectTimeout)
 	var pids, names []string
 	for _, s := range v.Sessions {
@@ -22,7 +22,7 @@
 		sendCancel(p.dialer(), v.Engine, s.PID, s.Secret, limit)
 		pids = append(pids, fmt.Sprint(s.PID))
 	}
-	for _, n := range v.Lives {
+	for _, n := range v.IncarnationNames {
 		names = append(names, "'"+strings.ReplaceAll(n, "'", "''")+"'")
 	}
 	which := "state LIKE 'idle in transaction%'"
@@ -33,17 +33,17 @@
 	if c == nil {
 		return 0, fmt.Errorf("engine %s: %s", v.Engine, r.Message)
 	}
-	defer c.nc.Close()
-	c.nc.SetDeadline(limit)
+	defer c.netConn.Close()
+	c.netConn.SetDeadline(limit)
 	text := "SELECT pg_terminate_backend(pid) FROM pg_stat_activity WHERE application_name IN (" +
 		strings.Join(names, ", ") + ") AND " + which
-	if _, err := c.nc.Write(pgwire.AppendText(nil, 'Q', text)); err != nil {
+	if _, err := c.netConn.Write(pgwire.AppendText(nil, 'Q', text)); err != nil {
 		return 0, err
 	}
 	buf := make([]byte, 4096)
 	var refused error
 	for {
-		n, err := c.nc.Read(buf)
+		n, err := c.netConn.Read(buf)
 		if err != nil {
 			return ended, fmt.Errorf("engine %s: %w", v.Engine, err)
 		}
--- a/internal/backend/sessionparams/golden_test.go
+++ b/internal/backend/sessionparams/golden_test.go
@@ -16,10 +16,10 @@
 func TestStatementsAreStable(t *testing.T) {
 	var got strings.Builder
 	for _, value := range []string{"", "a", "a, b", `it's`, `back\slash`, "ä"} {
-		fmt.Fprintf(&got, "value %q\n", Value("search_path", value))
+		fmt.Fprintf(&got, "value %q\n", SetConfigStatement("search_path", value))
 	}
 	var names []string
-	for name := range replayed {
+	for name := range replayedSettings {
 		names = append(names, name)
 	}
 	slices.Sort(names)
@@ -34,8 +34,8 @@
 		`set "Search_Path" to a`, "set datestyle to default", "set my.x=1", "set x", "set role none",
 		"set transaction read only", "set session characteristics as transaction read only"} {
 		st := sqlscan.Statements(text)[0]
-		name, value, ok := Assignment(&st)
-		change, replay := Of(&st)
+		name, value, ok := ParseAssignment(&st)
+		change, replay := ChangeOf(&st)
 		fmt.Fprintf(&got, "assignment %q: %q %q %v; change %q %v\n", text, name, value, ok, change, replay)
 	}
 	compareGolden(t, "statements.txt", got.String())
--- a/internal/backend/sessionparams/params_test.go
+++ b/internal/backend/sessionparams/tracker_test.go
@@ -8,7 +8,7 @@
 	"cresspass/internal/protocol/sqlscan"
 )
 
-func TestOf(t *testing.T) {
+func TestChangeOf(t *testing.T) {
 	for text, want := range map[string]Change{
 		"set search_path = a, b":             {"search_path", "set search_path = a, b"},
 		"SET SESSION TimeZone TO 'x=y TO z'": {"timezone", "SET SESSION TimeZone TO 'x=y TO z'"},
@@ -21,7 +21,7 @@
 		"discard all":                        {},
 	} {
 		st := sqlscan.Statements(text)[0]
-		if got, ok := Of(&st); !ok || got != want {
+		if got, ok := ChangeOf(&st); !ok || got != want {
 			t.Errorf("%s: %+v, %v", text, got, ok)
 		}
 	}
@@ -29,7 +29,7 @@
 		"set session characteristics as transaction read only", "set my.x = 1", "reset role", "select 1",
 		"set transaction read only", "discard temp", "set session authorization x"} {
 		st := sqlscan.Statements(text)[0]
-		if got, ok := Of(&st); ok {
+		if got, ok := ChangeOf(&st); ok {
 			t.Errorf("%s: %+v", text, got)
 		}
 	}
@@ -84,12 +84,12 @@
 		}
 	case w[0] == "RESET":
 		tag = "RESET"
-		ch, _ := Of(&st)
+		ch, _ := ChangeOf(&st)
 		delete(e.now, ch.Name)
 	case w[0] == "SET":
 		tag = "SET"
-		ch, _ := Of(&st)
-		e.now[ch.Name] = ch.Text
+		ch, _ := ChangeOf(&st)
+		e.now[ch.Name] = ch.Statement
 	default:
 		tag = "SELECT 1"
 	}
@@ -98,7 +98,7 @@
 
 // A session moves over engines between its transactions; whatever it sets and takes back, each statement
 // finds on its engine what one server would have had in force, as long as the track has no doubt.
-func TestReplayIsAsOneServer(t *testing.T) {
+func TestReplayMatchesSingleServer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one := &engine{now: map[string]string{}}
 		engines := []*engine{}
@@ -106,16 +106,16 @@
 			engines = append(engines, &engine{now: map[string]string{}})
 		}
 		have := make([]*Set, len(engines))
-		var tr Track
+		var tr Tracker
 		at := 0
 		for range rapid.IntRange(1, 40).Draw(t, "statements") {
 			if one.status() == 'I' {
 				at = rapid.IntRange(0, len(engines)-1).Draw(t, "engine")
-				for _, text := range Diff(have[at], tr.Want()) {
+				for _, text := range Diff(have[at], tr.Desired()) {
 					engines[at].run(text)
 				}
-				have[at] = tr.Want()
-				tr.Ran(have[at])
+				have[at] = tr.Desired()
+				tr.ConnectionHad(have[at])
 			}
 			texts := []string{"set search_path = a", "set search_path = b", "set time zone 'x'",
 				"reset search_path", "reset time zone", "reset all", "select 1", "begin", "commit",
@@ -138,17 +138,17 @@
 				t.Fatalf("before %q: %v, should be %v", text, engines[at].now, one.now)
 			}
 			failed := rapid.IntRange(0, 9).Draw(t, "fails") == 0 && one.status() == 'I'
-			tr.Sent(sqlscan.Statements(text))
+			tr.StatementsSent(sqlscan.Statements(text))
 			if !failed {
 				tag := one.run(text)
 				engines[at].run(text)
-				tr.Tag(tag)
+				tr.CommandComplete(tag)
 			}
-			if tr.Ready(one.status()) {
+			if tr.ReadyForQuery(one.status()) {
 				return // in doubt the session stays where it is
 			}
 			if one.status() == 'I' {
-				have[at] = tr.Real()
+				have[at] = tr.OnConnection()
 			}
 		}
 	})
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -57,37 +57,37 @@
 	WriteClass    string `hcl:"write_class,optional"`
 	DescribeClass string `hcl:"describe_class,optional"`
 
-	Log     *Log     `hcl:"log,block"`
-	Roster  *Roster  `hcl:"roster,block"`
-	Engines *Engines `hcl:"engines,block"`
-	Rules   *Rules   `hcl:"rules,block"`
-	Limits  *Limits  `hcl:"limits,block"`
-	Session *Session `hcl:"sessions,block"`
-	Flight  *Flight  `hcl:"flight,block"`
-	Shares  *Shares  `hcl:"shares,block"`
-	Peers   *Peers   `hcl:"peers,block"`
-	Record  *Record  `hcl:"record,block"`
-	Classes []Class  `hcl:"class,block"`
-	Kinds   []Kind   `hcl:"kind,block"`
-	Tenants []Tenant `hcl:"tenant,block"`
-	Matches []Match  `hcl:"match,block"`
-}
-
-// Log says how logs are written.
-type Log struct {
+	Log      *LogBlock      `hcl:"log,block"`
+	Roster   *RosterBlock   `hcl:"roster,block"`
+	Engines  *EnginesBlock  `hcl:"engines,block"`
+	Rules    *RulesBlock    `hcl:"rules,block"`
+	Limits   *LimitsBlock   `hcl:"limits,block"`
+	Sessions *SessionsBlock `hcl:"sessions,block"`
+	Flight   *FlightBlock   `hcl:"flight,block"`
+	Shares   *SharesBlock   `hcl:"shares,block"`
+	Peers    *PeersBlock    `hcl:"peers,block"`
+	Record   *RecordBlock   `hcl:"record,block"`
+	Classes  []ClassBlock   `hcl:"class,block"`
+	Kinds    []KindBlock    `hcl:"kind,block"`
+	Tenants  []TenantBlock  `hcl:"tenant,block"`
+	Matches  []MatchBlock   `hcl:"match,block"`
+}
+
+// LogBlock says how logs are written.
+type LogBlock struct {
 	Level  string `hcl:"level,optional"`
 	Format string `hcl:"format,optional"`
 }
 
-// Roster says where the engine list comes from.
-type Roster struct {
+// RosterBlock says where the engine list comes from.
+type RosterBlock struct {
 	EDS     string `hcl:"eds"`
 	Service string `hcl:"service,optional"`
 	Cache   string `hcl:"cache,optional"`
 }
 
-// Engines says how engines are reached and what they heed and tell.
-type Engines struct {
+// EnginesBlock says how engines are reached and what they heed and tell.
+type EnginesBlock struct {
 	User           string   `hcl:"user,optional"`
 	Database       string   `hcl:"database,optional"`
 	MaxConnections int      `hcl:"max_connections,optional"`
@@ -104,8 +104,8 @@
 	MayProbe       bool     `hcl:"may_probe,optional"`
 }
 
-// Rules holds the figures of the rules.
-type Rules struct {
+// RulesBlock holds the figures of the rules.
+type RulesBlock struct {
 	AnswerGrace    string   `hcl:"answer_grace,optional"`
 	DrainGrace     string   `hcl:"drain_grace,optional"`
 	ColdFrom       float64  `hcl:"cold_from,optional"`
@@ -118,14 +118,14 @@
 	BudgetLookBack string   `hcl:"budget_look_back,optional"`
 }
 
-// Limits holds what a query may cost.
-type Limits struct {
+// LimitsBlock holds what a query may cost.
+type LimitsBlock struct {
 	MaxAttempts int    `hcl:"max_attempts,optional"`
 	MaxComeBack string `hcl:"max_come_back,optional"`
 }
 
 // Session bounds the sessions that are kept on engines.
-type Flight struct {
+type FlightBlock struct {
 	Listen          string `hcl:"listen"`
 	TicketLife      string `hcl:"ticket_life,optional"`
 	SessionRest     string `hcl:"session_rest,optional"`
@@ -138,8 +138,8 @@
 	MaxWaiting      int    `hcl:"max_waiting,optional"`
 }
 
-// Peers has dispatchers talk.
-type Peers struct {
+// PeersBlock has dispatchers talk.
+type PeersBlock struct {
 	Listen string   `hcl:"listen"`
 	Name   string   `hcl:"name,optional"`
 	Seeds  []string `hcl:"seeds,optional"`
@@ -148,22 +148,22 @@
 	Wait   string   `hcl:"wait,optional"` // for what others have learnt, at the start
 }
 
-// Record has what was taken written to a folder.
-type Record struct {
+// RecordBlock has what was taken written to a folder.
+type RecordBlock struct {
 	Dir     string `hcl:"dir"`
 	FileMB  int    `hcl:"file_mb,optional"`
 	TotalMB int    `hcl:"total_mb,optional"`
 }
 
-// Shares are the parts of each limit (connections, held queries, bytes of answers) that are set apart for a
-// front.
-type Shares struct {
+// SharesBlock are the parts of each limit (connections, held queries, bytes of answers) that are set apart
+// for a front.
+type SharesBlock struct {
 	PostgreSQL float64 `hcl:"postgresql,optional"`
 	Flight     float64 `hcl:"flight,optional"`
 }
 
-// Session bounds the sessions that are kept on engines.
-type Session struct {
+// SessionsBlock bounds the sessions that are kept on engines.
+type SessionsBlock struct {
 	IdleInTx string `hcl:"idle_in_transaction,optional"`
 	MaxAge   string `hcl:"max_age,optional"`
 	Max      int    `hcl:"max,optional"`
@@ -173,41 +173,41 @@
 	Harmless  []string `hcl:"harmless,optional"` // functions that leave nothing, as patterns: "geo_*"
 }
 
-// Class is a class of query.
-type Class struct {
-	Name       string   `hcl:"name,label"`
-	Aim        string   `hcl:"aim"`
-	AimStretch float64  `hcl:"aim_stretch,optional"`
-	Deadline   string   `hcl:"deadline"`
-	Worth      float64  `hcl:"worth,optional"`
-	LateValue  float64  `hcl:"late_value,optional"`
-	Effect     string   `hcl:"effect"`
-	Scope      string   `hcl:"scope,optional"`
-	Window     string   `hcl:"window,optional"`
-	InOrder    bool     `hcl:"in_order,optional"`
-	OnKinds    []string `hcl:"on_kinds,optional"`
-	InZones    []string `hcl:"in_zones,optional"`
-	Threads    float64  `hcl:"threads,optional"`
-	Loads      bool     `hcl:"loads,optional"`
-	Waits      bool     `hcl:"waits,optional"`
-}
-
-// Kind is a kind of machine.
-type Kind struct {
+// ClassBlock is a class of query.
+type ClassBlock struct {
+	Name             string   `hcl:"name,label"`
+	LatencyObjective string   `hcl:"aim"`
+	ObjectiveStretch float64  `hcl:"aim_stretch,optional"`
+	Deadline         string   `hcl:"deadline"`
+	PriorityWeight   float64  `hcl:"worth,optional"`
+	LateValue        float64  `hcl:"late_value,optional"`
+	Effect           string   `hcl:"effect"`
+	Scope            string   `hcl:"scope,optional"`
+	Window           string   `hcl:"window,optional"`
+	InOrder          bool     `hcl:"in_order,optional"`
+	OnKinds          []string `hcl:"on_kinds,optional"`
+	InZones          []string `hcl:"in_zones,optional"`
+	Threads          float64  `hcl:"threads,optional"`
+	Loads            bool     `hcl:"loads,optional"`
+	Waits            bool     `hcl:"waits,optional"`
+}
+
+// KindBlock is a kind of machine.
+type KindBlock struct {
 	Name     string  `hcl:"name,label"`
 	Cores    float64 `hcl:"cores"`
 	MemoryMB float64 `hcl:"memory_mb,optional"`
 }
 
-// Tenant is a client with a share of the service.
-type Tenant struct {
+// TenantBlock is a client with a share of the service.
+type TenantBlock struct {
 	Name  string  `hcl:"name,label"`
 	Quota float64 `hcl:"quota"`
 	Share float64 `hcl:"share,optional"`
 }
 
-// Match gives statements a class, where all that it names fits. The first that fits counts.
-type Match struct {
+// MatchBlock gives statements a class, where all that it names fits. The first that fits counts.
+type MatchBlock struct {
 	Class       string `hcl:"class,optional"`
 	User        string `hcl:"user,optional"`
 	Database    string `hcl:"database,optional"`
@@ -216,14 +216,14 @@
 	Tenant      string `hcl:"tenant,optional"`
 }
 
-// Rule is a Match that was checked.
-type Rule struct {
+// MatchRule is a Match that was checked.
+type MatchRule struct {
 	Class, User, Database, Application, Tenant string
 	Pattern                                    *regexp.Regexp
 }
 
-// FrontShares are the parts of limits that are set apart for each front.
-type FrontShares struct{ PostgreSQL, Flight float64 }
+// FrontQuotas are the parts of limits that are set apart for each front.
+type FrontQuotas struct{ PostgreSQL, Flight float64 }
 
 // FlightSettings are the second front's. Listen "" is none.
 type FlightSettings struct {
@@ -241,87 +241,108 @@
 	Wait         time.Duration
 }
 
-// but returns the settings with other keys.
-func (p PeerSettings) but(keys [][]byte) PeerSettings {
+// withKeys returns the settings with other keys.
+func (p PeerSettings) withKeys(keys [][]byte) PeerSettings {
 	p.Keys = keys
 	return p
 }
 
 // Config is a checked settings file.
 type Config struct {
-	Path         string
-	Shares       FrontShares
-	Flight       FlightSettings
-	Peers        PeerSettings
-	Record       string // folder; "": nothing is recorded
-	RecordLimits recording.Limits
+	Path            string
+	FrontQuotas     FrontQuotas
+	Flight          FlightSettings
+	Peers           PeerSettings
+	RecordingDir    string // folder; "": nothing is recorded
+	RecordingLimits recording.Limits
 	// violated invariants are counted, and the act goes through: for the rehearsal kit, whose judge has to
 	// see what a decider breaks
-	Unguarded      bool
-	FlightListener net.Listener // taken over from a former dispatcher; nil: one is opened
-	Listen         string
-	MaxClients     int
-	StartupTimeout time.Duration
-	HoldBack       int
-	HoldBackTotal  int64
-	MaxMessage     int
-	MaxPending     int
-	ClientBuffer   int
-
-	State, PidFile, Health, Takeover string // "": none
-	Heir                             bool   // the state folder may be another's yet; not of the file
+	AllowViolations bool
+	FlightListener  net.Listener // taken over from a former dispatcher; nil: one is opened
+	Listen          string
+	MaxClients      int
+	StartupTimeout  time.Duration
+	HoldBack        int
+	HoldBackTotal   int64
+	MaxMessage      int
+	MaxPending      int
+	ClientBuffer    int
+
+	StateDir, PIDFile, HealthAddr, TakeoverSocket string // "": none
+	TakingOver                                    bool   // the state folder may be another's yet; not of the file
 	// snapshots; end of a drain; a batch of the loop that is trouble
-	StateEvery, DrainFor, LagLimit time.Duration
-	MaxAnswers                     int64 // bytes that wait for clients, beyond which newcomers are refused
-	MaxHeld, MaxPerUser            int   // queries without an answer; connections; 0: no limit
+	SnapshotInterval, DrainTimeout, LagLimit time.Duration
+	MaxBufferedBytes                         int64 // bytes that wait for clients, beyond which newcomers are refused
+	MaxOpenQueries, MaxConnectionsPerUser    int   // queries without an answer; connections; 0: no limit
 
 	Module                                  cresspass.Config
-	Pins                                    affinity.Limits
-	Harmless                                []string // functions that leave nothing in a session, lower case
+	SessionLimits                           affinity.Limits
+	HarmlessFunctions                       []string // functions that leave nothing in a session, lower case
 	DefaultClass, WriteClass, DescribeClass string
-	Matches                                 []Rule
+	Matches                                 []MatchRule
 
-	LogLevel, LogFormat                        string
-	EDS, Service, Cache                        string
-	EngineUser, EngineDatabase                 string
-	MaxConnections, MaxPrepared                int
-	ConnectTimeout, CancelTimeout, IdleTimeout time.Duration
+	LogLevel, LogFormat                                string
+	DiscoveryAddr, DiscoveryService, EndpointCacheFile string
+	EngineUser, EngineDatabase                         string
+	MaxConnections, MaxPrepared                        int
+	ConnectTimeout, CancelTimeout, IdleTimeout         time.Duration
 }
 
-// Overlay holds settings that take the place of a file's, as the command line gives them. Empty ones change
+// Overrides holds settings that take the place of a file's, as the command line gives them. Empty ones change
 // nothing.
-type Overlay struct {
-	Listen, EDS, Cache, EngineUser string
-	Flight                         string
-	State, Health, Takeover        string
-	Ordinal                        int // below 0: the file's
-	Gateways                       int
+type Overrides struct {
+	Listen, DiscoveryAddr, EndpointCacheFile, EngineUser string
+	FlightListen                                         string
+	StateDir, HealthAddr, TakeoverSocket                 string
+	Ordinal                                              int // below 0: the file's
+	Gateways                                             int
 }
 
 // Apply puts an overlay over a checked file, and checks the outcome.
-func (o *Overlay) Apply(cfg *Config) error {
-	cfg.Listen, cfg.EDS, cfg.Cache = or(o.Listen, cfg.Listen), or(o.EDS, cfg.EDS), or(o.Cache, cfg.Cache)
-	cfg.EngineUser, cfg.Flight.Listen = or(o.EngineUser, cfg.EngineUser), or(o.Flight, cfg.Flight.Listen)
-	cfg.Health, cfg.Takeover = or(o.Health, cfg.Health), or(o.Takeover, cfg.Takeover)
-	if o.State != "" {
-		if cfg.Cache == filepath.Join(cfg.State, "list") || cfg.Cache == "" {
-			cfg.Cache = filepath.Join(o.State, "list")
+func (o *Overrides) Apply(cfg *Config) error {
+	cfg.Listen, cfg.DiscoveryAddr, cfg.EndpointCacheFile = orDefault(
+		o.Listen,
+		cfg.Listen,
+	), orDefault(
+		o.DiscoveryAddr,
+		cfg.DiscoveryAddr,
+	), orDefault(
+		o.EndpointCacheFile,
+		cfg.EndpointCacheFile,
+	)
+	cfg.EngineUser, cfg.Flight.Listen = orDefault(
+		o.EngineUser,
+		cfg.EngineUser,
+	), orDefault(
+		o.FlightListen,
+		cfg.Flight.Listen,
+	)
+	cfg.HealthAddr, cfg.TakeoverSocket = orDefault(
+		o.HealthAddr,
+		cfg.HealthAddr,
+	), orDefault(
+		o.TakeoverSocket,
+		cfg.TakeoverSocket,
+	)
+	if o.StateDir != "" {
+		if cfg.EndpointCacheFile == filepath.Join(cfg.StateDir, "list") || cfg.EndpointCacheFile == "" {
+			cfg.EndpointCacheFile = filepath.Join(o.StateDir, "list")
 		}
-		cfg.State = o.State
+		cfg.StateDir = o.StateDir
 	}
 	m := &cfg.Module
-	if m.Gateways = or(o.Gateways, m.Gateways); o.Ordinal >= 0 {
+	if m.GatewayCount = orDefault(o.Gateways, m.GatewayCount); o.Ordinal >= 0 {
 		m.Ordinal = o.Ordinal
 	}
-	if m.Ordinal < 0 || m.Ordinal >= m.Gateways {
-		return fmt.Errorf("ordinal %d is not within the %d gateways", m.Ordinal, m.Gateways)
+	if m.Ordinal < 0 || m.Ordinal >= m.GatewayCount {
+		return fmt.Errorf("ordinal %d is not within the %d gateways", m.Ordinal, m.GatewayCount)
 	}
 	if cfg.Flight.Listen != "" {
-		if err := Loopback(cfg.Flight.Listen); err != nil {
+		if err := CheckLoopback(cfg.Flight.Listen); err != nil {
 			return err
 		}
 	}
-	return errors.Join(Loopback(cfg.Listen), Loopback(cfg.EDS))
+	return errors.Join(CheckLoopback(cfg.Listen), CheckLoopback(cfg.DiscoveryAddr))
 }
 
 // Compare names the settings that differ between two checked files: those that a running dispatcher can put
@@ -335,32 +356,32 @@
 	}{
 		{"default_class", old.DefaultClass == now.DefaultClass, true}, {"write_class",
 			old.WriteClass == now.WriteClass, true},
-		{"describe_class", old.DescribeClass == now.DescribeClass, true}, {"match", sameRules(old.Matches,
+		{"describe_class", old.DescribeClass == now.DescribeClass, true}, {"match", equalRules(old.Matches,
 			now.Matches), true},
 		{"max_clients", old.MaxClients == now.MaxClients, true}, {"hold_back", old.HoldBack == now.HoldBack,
 			true},
 		{"startup_timeout", old.StartupTimeout == now.StartupTimeout, true},
 		{"client_buffer", old.ClientBuffer == now.ClientBuffer, true}, {"max_held",
-			old.MaxHeld == now.MaxHeld, true},
-		{"max_per_user", old.MaxPerUser == now.MaxPerUser, true},
-		{"max_answer_memory", old.MaxAnswers == now.MaxAnswers, true}, {"lag_limit",
+			old.MaxOpenQueries == now.MaxOpenQueries, true},
+		{"max_per_user", old.MaxConnectionsPerUser == now.MaxConnectionsPerUser, true},
+		{"max_answer_memory", old.MaxBufferedBytes == now.MaxBufferedBytes, true}, {"lag_limit",
 			old.LagLimit == now.LagLimit,
 			true},
-		{"drain_for", old.DrainFor == now.DrainFor, true}, {"log", old.LogLevel == now.LogLevel, true},
+		{"drain_for", old.DrainTimeout == now.DrainTimeout, true}, {"log", old.LogLevel == now.LogLevel, true},
 		{"log format", old.LogFormat == now.LogFormat, false}, {"listen", old.Listen == now.Listen, false},
-		{"sessions", old.Pins == now.Pins && slices.Equal(old.Harmless, now.Harmless), false},
+		{"sessions", old.SessionLimits == now.SessionLimits && slices.Equal(old.HarmlessFunctions, now.HarmlessFunctions), false},
 		{"hold_back_total", old.HoldBackTotal == now.HoldBackTotal, false},
-		{"peers", reflect.DeepEqual(old.Peers.but(now.Peers.Keys), now.Peers), false},
+		{"peers", reflect.DeepEqual(old.Peers.withKeys(now.Peers.Keys), now.Peers), false},
 		{"keys of peers", reflect.DeepEqual(old.Peers.Keys, now.Peers.Keys), true},
 		{"flight", old.Flight == now.Flight, false},
-		{"record", old.Record == now.Record && old.RecordLimits == now.RecordLimits, false}, {"shares",
-			old.Shares == now.Shares, true},
+		{"record", old.RecordingDir == now.RecordingDir && old.RecordingLimits == now.RecordingLimits, false}, {"shares",
+			old.FrontQuotas == now.FrontQuotas, true},
 		{"max_message", old.MaxMessage == now.MaxMessage, false}, {"max_pending",
 			old.MaxPending == now.MaxPending, false},
-		{"roster", old.EDS == now.EDS && old.Service == now.Service && old.Cache == now.Cache, false},
-		{"state", old.State == now.State && old.StateEvery == now.StateEvery, false},
-		{"pid_file", old.PidFile == now.PidFile, false}, {"health", old.Health == now.Health, false},
-		{"takeover", old.Takeover == now.Takeover, false},
+		{"roster", old.DiscoveryAddr == now.DiscoveryAddr && old.DiscoveryService == now.DiscoveryService && old.EndpointCacheFile == now.EndpointCacheFile, false},
+		{"state", old.StateDir == now.StateDir && old.SnapshotInterval == now.SnapshotInterval, false},
+		{"pid_file", old.PIDFile == now.PIDFile, false}, {"health", old.HealthAddr == now.HealthAddr, false},
+		{"takeover", old.TakeoverSocket == now.TakeoverSocket, false},
 		{"engines", old.EngineUser == now.EngineUser && old.EngineDatabase == now.EngineDatabase &&
 			old.MaxConnections == now.MaxConnections && old.MaxPrepared == now.MaxPrepared &&
 			old.ConnectTimeout == now.ConnectTimeout && old.CancelTimeout == now.CancelTimeout &&
@@ -379,8 +400,8 @@
 	return live, restart
 }
 
-func sameRules(a, b []Rule) bool {
-	return slices.EqualFunc(a, b, func(x, y Rule) bool {
+func equalRules(a, b []MatchRule) bool {
+	return slices.EqualFunc(a, b, func(x, y MatchRule) bool {
 		px, py := x.Pattern, y.Pattern
 		x.Pattern, y.Pattern = nil, nil
 		return x == y && (px == nil) == (py == nil) && (px == nil || px.String() == py.String())
@@ -400,13 +421,13 @@
 func Parse(path string, src []byte) (*Config, error) {
 	parsed, diags := hclparse.NewParser().ParseHCL(src, path)
 	if diags.HasErrors() {
-		return nil, faults(diags)
+		return nil, diagnosticsError(diags)
 	}
 	var f File
 	if diags = gohcl.DecodeBody(parsed.Body, nil, &f); diags.HasErrors() {
-		return nil, faults(diags)
+		return nil, diagnosticsError(diags)
 	}
-	c := &checker{path: path, body: parsed.Body.(*hclsyntax.Body)}
+	c := &validator{path: path, body: parsed.Body.(*hclsyntax.Body)}
 	cfg := c.build(&f)
 	if len(c.errs) > 0 {
 		return nil, errors.Join(c.errs...)
@@ -414,7 +435,7 @@
 	return cfg, nil
 }
 
-func faults(diags hcl.Diagnostics) error {
+func diagnosticsError(diags hcl.Diagnostics) error {
 	var errs []error
 	for _, d := range diags {
 		if d.Severity == hcl.DiagError {
@@ -428,15 +449,15 @@
 	return errors.Join(errs...)
 }
 
-type checker struct {
+type validator struct {
 	path string
 	body *hclsyntax.Body
 	errs []error
 }
 
-// at finds where a setting stands: its attribute in the nth block of a type (0: the file itself), else the
-// block.
-func (c *checker) at(block string, nth int, attribute string) string {
+// position finds where a setting stands: its attribute in the nth block of a type (0: the file itself), else
+// the block.
+func (c *validator) position(block string, nth int, attribute string) string {
 	where, body := c.body.SrcRange, c.body
 	if block != "" {
 		for _, b := range c.body.Blocks {
@@ -455,25 +476,25 @@
 	return fmt.Sprintf("%s:%d:%d", c.path, where.Start.Line, where.Start.Column)
 }
 
-func (c *checker) fault(block string, nth int, attribute, format string, args ...any) {
-	c.errs = append(c.errs, fmt.Errorf("%s: %s: %s", c.at(block, nth, attribute), attribute,
+func (c *validator) errorf(block string, nth int, attribute, format string, args ...any) {
+	c.errs = append(c.errs, fmt.Errorf("%s: %s: %s", c.position(block, nth, attribute), attribute,
 		fmt.Sprintf(format, args...)))
 }
 
-func (c *checker) duration(block string, nth int, attribute, v string,
-	otherwise time.Duration) time.Duration {
+func (c *validator) duration(block string, nth int, attribute, v string,
+	defaultValue time.Duration) time.Duration {
 	if v == "" {
-		return otherwise
+		return defaultValue
 	}
 	d, err := time.ParseDuration(v)
 	if err != nil || d < 0 {
-		c.fault(block, nth, attribute, "%q is no time such as \"1.5s\"", v)
-		return otherwise
+		c.errorf(block, nth, attribute, "%q is no time such as \"1.5s\"", v)
+		return defaultValue
 	}
 	return d
 }
 
-func pick[T any](c *checker, block string, nth int, attribute, v string, of map[string]T) (t T) {
+func oneOf[T any](c *validator, block string, nth int, attribute, v string, of map[string]T) (t T) {
 	t, ok := of[v]
 	if !ok {
 		var names []string
@@ -482,14 +503,14 @@
 				names = append(names, name)
 			}
 		}
-		c.fault(block, nth, attribute, "%q is none of %s", v,
+		c.errorf(block, nth, attribute, "%q is none of %s", v,
 			strings.Join(slices.Sorted(slices.Values(names)), ", "))
 	}
 	return t
 }
 
-// Loopback returns an error unless an address is host:port on the loopback interface.
-func Loopback(addr string) error {
+// CheckLoopback returns an error unless an address is host:port on the loopback interface.
+func CheckLoopback(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
 		return err
@@ -500,91 +521,102 @@
 	return nil
 }
 
-func or[T comparable](v, otherwise T) T {
+func orDefault[T comparable](v, defaultValue T) T {
 	var zero T
 	if v == zero {
-		return otherwise
+		return defaultValue
 	}
 	return v
 }
 
-func (c *checker) positive(attribute string, v, otherwise int) int {
+func (c *validator) nonNegative(attribute string, v, defaultValue int) int {
 	if v < 0 {
-		c.fault("", 0, attribute, "%d is negative", v)
+		c.errorf("", 0, attribute, "%d is negative", v)
 	}
-	return or(v, otherwise)
+	return orDefault(v, defaultValue)
 }
 
-func (c *checker) build(f *File) *Config {
-	cfg := &Config{Path: c.path, Listen: or(f.Listen, "127.0.0.1:6432"),
-		MaxClients: c.positive("max_clients", f.MaxClients, 10000), HoldBack: c.positive("hold_back",
+func (c *validator) build(f *File) *Config {
+	cfg := &Config{Path: c.path, Listen: orDefault(f.Listen, "127.0.0.1:6432"),
+		MaxClients: c.nonNegative("max_clients", f.MaxClients, 10000), HoldBack: c.nonNegative("hold_back",
 			f.HoldBack, 16<<10),
-		HoldBackTotal: int64(c.positive("hold_back_total", f.HoldBackTotal, 64<<20)),
-		MaxMessage:    c.positive("max_message", f.MaxMessage, 16<<20),
-		MaxPending:    c.positive("max_pending", f.MaxPending, 1<<20),
-		ClientBuffer:  c.positive("client_buffer", f.ClientBuffer, 256<<10),
-		DefaultClass:  f.DefaultClass, WriteClass: f.WriteClass, DescribeClass: or(f.DescribeClass,
+		HoldBackTotal: int64(c.nonNegative("hold_back_total", f.HoldBackTotal, 64<<20)),
+		MaxMessage:    c.nonNegative("max_message", f.MaxMessage, 16<<20),
+		MaxPending:    c.nonNegative("max_pending", f.MaxPending, 1<<20),
+		ClientBuffer:  c.nonNegative("client_buffer", f.ClientBuffer, 256<<10),
+		DefaultClass:  f.DefaultClass, WriteClass: f.WriteClass, DescribeClass: orDefault(f.DescribeClass,
 			f.DefaultClass)}
-	if err := Loopback(cfg.Listen); err != nil {
-		c.fault("", 0, "listen", "%v", err)
+	if err := CheckLoopback(cfg.Listen); err != nil {
+		c.errorf("", 0, "listen", "%v", err)
 	}
-	if err := Loopback(f.Health); f.Health != "" && err != nil {
-		c.fault("", 0, "health", "%v", err)
+	if err := CheckLoopback(f.Health); f.Health != "" && err != nil {
+		c.errorf("", 0, "health", "%v", err)
 	}
-	cfg.State, cfg.PidFile, cfg.Health, cfg.Takeover = f.State, f.PidFile, f.Health, f.Takeover
-	cfg.StateEvery = c.duration("", 0, "state_every", f.StateEvery, 10*time.Second)
-	cfg.DrainFor = c.duration("", 0, "drain_for", f.DrainFor, 30*time.Second)
+	cfg.StateDir, cfg.PIDFile, cfg.HealthAddr, cfg.TakeoverSocket = f.State, f.PidFile, f.Health, f.Takeover
+	cfg.SnapshotInterval = c.duration("", 0, "state_every", f.StateEvery, 10*time.Second)
+	cfg.DrainTimeout = c.duration("", 0, "drain_for", f.DrainFor, 30*time.Second)
 	cfg.LagLimit = c.duration("", 0, "lag_limit", f.LagLimit, 50*time.Millisecond)
-	cfg.MaxAnswers = int64(c.positive("max_answer_memory", f.MaxAnswers, 1<<30))
-	cfg.MaxHeld, cfg.MaxPerUser = c.positive("max_held", f.MaxHeld, 0), c.positive("max_per_user",
-		f.MaxPerUser, 0)
+	cfg.MaxBufferedBytes = int64(c.nonNegative("max_answer_memory", f.MaxAnswers, 1<<30))
+	cfg.MaxOpenQueries, cfg.MaxConnectionsPerUser = c.nonNegative(
+		"max_held",
+		f.MaxHeld,
+		0,
+	), c.nonNegative(
+		"max_per_user",
+		f.MaxPerUser,
+		0,
+	)
 	cfg.StartupTimeout = c.duration("", 0, "startup_timeout", f.StartupTimeout, 10*time.Second)
 	m := &cfg.Module
-	m.Seed, m.Ordinal, m.Gateways, m.Zone = uint64(f.Seed), f.Ordinal, or(f.Gateways, 1), f.Zone
-	m.Tick = c.duration("", 0, "tick", f.Tick, 5*time.Millisecond)
-	if m.Gateways < 1 || m.Ordinal < 0 || m.Ordinal >= m.Gateways {
-		c.fault("", 0, "ordinal", "%d is not within the %d gateways", m.Ordinal, m.Gateways)
-	}
-	m.MayCancel, m.MayComeBack = true, true
-	c.log(cfg, f.Log)
-	c.roster(cfg, f.Roster)
-	c.engines(cfg, f.Engines)
-	c.rules(m, f.Rules)
-	c.limits(m, f.Limits)
-	if p := f.Session; p != nil {
-		cfg.Pins = affinity.Limits{IdleInTx: c.duration("sessions", 0, "idle_in_transaction", p.IdleInTx, 0),
-			Age: c.duration("sessions", 0, "max_age", p.MaxAge, 0), Total: p.Max, PerUser: p.PerUser}
+	m.Seed, m.Ordinal, m.GatewayCount, m.Zone = uint64(f.Seed), f.Ordinal, orDefault(f.Gateways, 1), f.Zone
+	m.BatchInterval = c.duration("", 0, "tick", f.Tick, 5*time.Millisecond)
+	if m.GatewayCount < 1 || m.Ordinal < 0 || m.Ordinal >= m.GatewayCount {
+		c.errorf("", 0, "ordinal", "%d is not within the %d gateways", m.Ordinal, m.GatewayCount)
+	}
+	m.MayCancel, m.MaySendRetryAfter = true, true
+	c.applyLog(cfg, f.Log)
+	c.applyRoster(cfg, f.Roster)
+	c.applyEngines(cfg, f.Engines)
+	c.applyRules(m, f.Rules)
+	c.applyLimits(m, f.Limits)
+	if p := f.Sessions; p != nil {
+		cfg.SessionLimits = affinity.Limits{
+			IdleInTransaction: c.duration("sessions", 0, "idle_in_transaction", p.IdleInTx, 0),
+			MaxAge:            c.duration("sessions", 0, "max_age", p.MaxAge, 0),
+			MaxTotal:          p.Max,
+			MaxPerUser:        p.PerUser,
+		}
 		if p.Max < 0 || p.PerUser < 0 || p.PerEngine < 0 {
-			c.fault("sessions", 0, "max", "is negative")
+			c.errorf("sessions", 0, "max", "is negative")
 		}
-		m.MaxSessions = p.PerEngine
+		m.MaxSessionsPerEngine = p.PerEngine
 		for _, pattern := range p.Harmless {
 			if _, err := path.Match(pattern, ""); err != nil {
-				c.fault("sessions", 0, "harmless", "%q is no pattern: %v", pattern, err)
+				c.errorf("sessions", 0, "harmless", "%q is no pattern: %v", pattern, err)
 			}
-			cfg.Harmless = append(cfg.Harmless, strings.ToLower(pattern))
+			cfg.HarmlessFunctions = append(cfg.HarmlessFunctions, strings.ToLower(pattern))
 		}
 	}
-	c.flight(cfg, f)
-	c.peers(cfg, f.Peers)
+	c.applyFlight(cfg, f)
+	c.applyPeers(cfg, f.Peers)
 	if r := f.Record; r != nil {
-		cfg.Record = r.Dir
-		cfg.RecordLimits = recording.Limits{File: int64(c.positive("file_mb", r.FileMB, 64)) << 20,
-			Total: int64(c.positive("total_mb", r.TotalMB, 1024)) << 20}
-		if cfg.RecordLimits.Total < 2*cfg.RecordLimits.File {
-			c.fault("record", 0, "total_mb", "less than two files: %d MB each", cfg.RecordLimits.File>>20)
+		cfg.RecordingDir = r.Dir
+		cfg.RecordingLimits = recording.Limits{File: int64(c.nonNegative("file_mb", r.FileMB, 64)) << 20,
+			Total: int64(c.nonNegative("total_mb", r.TotalMB, 1024)) << 20}
+		if cfg.RecordingLimits.Total < 2*cfg.RecordingLimits.File {
+			c.errorf("record", 0, "total_mb", "less than two files: %d MB each", cfg.RecordingLimits.File>>20)
 		}
 	}
 	kinds := map[string]bool{}
 	for i, k := range f.Kinds {
 		if kinds[k.Name] {
-			c.fault("kind", i, "kind", "%q given twice", k.Name)
+			c.errorf("kind", i, "kind", "%q given twice", k.Name)
 		}
 		if k.Cores <= 0 {
-			c.fault("kind", i, "cores", "must be above 0")
+			c.errorf("kind", i, "cores", "must be above 0")
 		}
 		if k.MemoryMB < 0 {
-			c.fault("kind", i, "memory_mb", "is negative")
+			c.errorf("kind", i, "memory_mb", "is negative")
 		}
 		kinds[k.Name] = true
 		m.KindNames = append(m.KindNames, k.Name)
@@ -592,15 +624,15 @@
 		m.KindMemoryMB = append(m.KindMemoryMB, k.MemoryMB)
 	}
 	for i := range f.Classes {
-		c.class(m, f, i, kinds)
+		c.applyClass(m, f, i, kinds)
 	}
 	for i, t := range f.Tenants {
 		if t.Quota < 0 || t.Share < 0 {
-			c.fault("tenant", i, "quota", "is negative")
+			c.errorf("tenant", i, "quota", "is negative")
 		}
-		m.Tenants = append(m.Tenants, cresspass.Tenant{Name: t.Name, Quota: t.Quota, Share: t.Share})
+		m.Tenants = append(m.Tenants, cresspass.Tenant{Name: t.Name, QuotaPerSecond: t.Quota, Share: t.Share})
 	}
-	c.classes(cfg, f)
+	c.applyMatches(cfg, f)
 	if len(c.errs) == 0 {
 		if err := m.Validate(); err != nil {
 			c.errs = append(c.errs, fmt.Errorf("%s: %w", c.path, err))
@@ -609,50 +641,50 @@
 	return cfg
 }
 
-// peers reads the settings of talk among dispatchers. Without the block there is none.
-func (c *checker) peers(cfg *Config, p *Peers) {
+// applyPeers reads the settings of talk among dispatchers. Without the block there is none.
+func (c *validator) applyPeers(cfg *Config, p *PeersBlock) {
 	if p == nil {
 		return
 	}
 	out := &cfg.Peers
 	out.Listen, out.Seeds = p.Listen, p.Seeds
-	out.Name = or(p.Name, fmt.Sprintf("cresspass-%d", cfg.Module.Ordinal))
-	out.Rate = c.positive("peers", p.Rate, 50000)
+	out.Name = orDefault(p.Name, fmt.Sprintf("cresspass-%d", cfg.Module.Ordinal))
+	out.Rate = c.nonNegative("peers", p.Rate, 50000)
 	out.Wait = c.duration("peers", 0, "wait", p.Wait, time.Second)
 	for _, addr := range append([]string{p.Listen}, p.Seeds...) {
-		if err := Loopback(addr); err != nil {
-			c.fault("peers", 0, "listen", "%v", err)
+		if err := CheckLoopback(addr); err != nil {
+			c.errorf("peers", 0, "listen", "%v", err)
 		}
 	}
 	for i, k := range p.Keys {
 		b, err := hex.DecodeString(k)
 		if n := len(b); err != nil || n != 16 && n != 24 && n != 32 {
-			c.fault("peers", 0, "keys", "key %d is not 16, 24 or 32 bytes in hexadecimal", i+1)
+			c.errorf("peers", 0, "keys", "key %d is not 16, 24 or 32 bytes in hexadecimal", i+1)
 			continue
 		}
 		out.Keys = append(out.Keys, b)
 	}
 	if len(p.Keys) == 0 {
-		c.fault("peers", 0, "keys", "none is given")
+		c.errorf("peers", 0, "keys", "none is given")
 	}
-	cfg.Module.MayTell = true
+	cfg.Module.MayGossip = true
 }
 
-// flight reads the second front's settings. Without the block there is none.
-func (c *checker) flight(cfg *Config, f *File) {
+// applyFlight reads the second front's settings. Without the block there is none.
+func (c *validator) applyFlight(cfg *Config, f *File) {
 	p := f.Flight
 	if p == nil {
-		p = &Flight{}
-	} else if Loopback(p.Listen) != nil {
-		c.fault("flight", 0, "listen", "%v", Loopback(p.Listen))
+		p = &FlightBlock{}
+	} else if CheckLoopback(p.Listen) != nil {
+		c.errorf("flight", 0, "listen", "%v", CheckLoopback(p.Listen))
 	}
 	if s := f.Shares; s != nil {
 		if s.PostgreSQL < 0 || s.Flight < 0 || s.PostgreSQL+s.Flight > 1 {
-			c.fault("shares", 0, "postgresql", "shares are from 0 to 1, and together 1 at most")
+			c.errorf("shares", 0, "postgresql", "shares are from 0 to 1, and together 1 at most")
 		}
-		cfg.Shares = FrontShares{s.PostgreSQL, s.Flight}
+		cfg.FrontQuotas = FrontQuotas{s.PostgreSQL, s.Flight}
 	} else {
-		cfg.Shares = FrontShares{0.25, 0.25}
+		cfg.FrontQuotas = FrontQuotas{0.25, 0.25}
 	}
 	out := &cfg.Flight
 	out.Listen = p.Listen
@@ -671,136 +703,171 @@
 		{"max_prepared", p.MaxPrepared, 1000, &out.MaxPrepared},
 		{"max_waiting", p.MaxWaiting, 1000, &out.MaxWaiting}} {
 		if v.given < 0 {
-			c.fault("flight", 0, v.name, "%d is negative", v.given)
+			c.errorf("flight", 0, v.name, "%d is negative", v.given)
 		}
-		*v.to = or(v.given, v.otherwise)
+		*v.to = orDefault(v.given, v.otherwise)
 	}
 }
 
-func (c *checker) log(cfg *Config, l *Log) {
+func (c *validator) applyLog(cfg *Config, l *LogBlock) {
 	if l == nil {
-		l = &Log{}
+		l = &LogBlock{}
 	}
-	cfg.LogLevel, cfg.LogFormat = or(l.Level, "info"), or(l.Format, "text")
-	pick(c, "log", 0, "level", cfg.LogLevel, map[string]int{"debug": 0, "info": 0, "warn": 0, "error": 0})
-	pick(c, "log", 0, "format", cfg.LogFormat, map[string]int{"text": 0, "json": 0})
+	cfg.LogLevel, cfg.LogFormat = orDefault(l.Level, "info"), orDefault(l.Format, "text")
+	oneOf(c, "log", 0, "level", cfg.LogLevel, map[string]int{"debug": 0, "info": 0, "warn": 0, "error": 0})
+	oneOf(c, "log", 0, "format", cfg.LogFormat, map[string]int{"text": 0, "json": 0})
 }
 
-func (c *checker) roster(cfg *Config, r *Roster) {
+func (c *validator) applyRoster(cfg *Config, r *RosterBlock) {
 	if r == nil {
-		c.fault("", 0, "roster", "a block roster { eds = \"host:port\" } is wanted")
+		c.errorf("", 0, "roster", "a block roster { eds = \"host:port\" } is wanted")
 		return
 	}
-	cfg.EDS, cfg.Service, cfg.Cache = r.EDS, or(r.Service, "engines"), r.Cache
-	if cfg.Cache == "" && cfg.State != "" {
-		cfg.Cache = filepath.Join(cfg.State, "list")
+	cfg.DiscoveryAddr, cfg.DiscoveryService, cfg.EndpointCacheFile = r.EDS, orDefault(
+		r.Service,
+		"engines",
+	), r.Cache
+	if cfg.EndpointCacheFile == "" && cfg.StateDir != "" {
+		cfg.EndpointCacheFile = filepath.Join(cfg.StateDir, "list")
 	}
-	if err := Loopback(r.EDS); err != nil {
-		c.fault("roster", 0, "eds", "%v", err)
+	if err := CheckLoopback(r.EDS); err != nil {
+		c.errorf("roster", 0, "eds", "%v", err)
 	}
 }
 
-func (c *checker) engines(cfg *Config, e *Engines) {
+func (c *validator) applyEngines(cfg *Config, e *EnginesBlock) {
 	if e == nil {
-		e = &Engines{}
+		e = &EnginesBlock{}
 	}
 	m := &cfg.Module
-	cfg.EngineUser, cfg.EngineDatabase = or(e.User, "cresspass"), or(e.Database, "cresspass")
-	cfg.MaxConnections, cfg.MaxPrepared = or(e.MaxConnections, 100), or(e.MaxPrepared, 200)
+	cfg.EngineUser, cfg.EngineDatabase = orDefault(e.User, "cresspass"), orDefault(e.Database, "cresspass")
+	cfg.MaxConnections, cfg.MaxPrepared = orDefault(e.MaxConnections, 100), orDefault(e.MaxPrepared, 200)
 	if e.MaxConnections < 0 || e.MaxPrepared < 0 {
-		c.fault("engines", 0, "max_connections", "is negative")
+		c.errorf("engines", 0, "max_connections", "is negative")
 	}
 	cfg.ConnectTimeout = c.duration("engines", 0, "connect_timeout", e.ConnectTimeout, time.Second)
 	cfg.CancelTimeout = c.duration("engines", 0, "cancel_timeout", e.CancelTimeout, 2*time.Second)
 	cfg.IdleTimeout = c.duration("engines", 0, "idle_timeout", e.IdleTimeout, time.Minute)
-	m.TakesGrants, m.TakesPriority, m.MaxGrantShare, m.MayProbe = e.TakesGrants, e.TakesPriority,
+	m.AcceptsMemoryGrants, m.AcceptsPriority, m.MaxGrantShare, m.MayCheckHealth = e.TakesGrants, e.TakesPriority,
 		e.MaxGrantShare, e.MayProbe
-	m.ProgressEvery = c.duration("engines", 0, "progress_every", e.ProgressEvery, 0)
-	m.ReportFields = e.ReportFields
-	m.WhenShort = pick(c, "engines", 0, "when_short", e.WhenShort,
-		map[string]cresspass.Shortage{"": cresspass.ShortageUnknown,
-			"wait": cresspass.ShortageWait, "shrink": cresspass.ShortageShrink,
-			"page": cresspass.ShortagePage})
+	m.ProgressInterval = c.duration("engines", 0, "progress_every", e.ProgressEvery, 0)
+	m.LoadReportFields = e.ReportFields
+	m.OnMemoryShortage = oneOf(c, "engines", 0, "when_short", e.WhenShort,
+		map[string]cresspass.MemoryShortage{"": cresspass.ShortageUnknown,
+			"wait": cresspass.ShortageQueues, "shrink": cresspass.ShortageShrinksGrant,
+			"page": cresspass.ShortagePages})
 	for _, name := range e.ReportFields {
 		if strings.ContainsAny(name, ", ") || name == "" {
-			c.fault("engines", 0, "report_fields", "%q is no name", name)
+			c.errorf("engines", 0, "report_fields", "%q is no name", name)
 		}
 	}
 }
 
-func (c *checker) rules(m *cresspass.Config, r *Rules) {
+func (c *validator) applyRules(m *cresspass.Config, r *RulesBlock) {
 	if r == nil {
-		r = &Rules{}
+		r = &RulesBlock{}
 	}
-	d := func(name, v string, otherwise time.Duration) time.Duration {
-		return c.duration("rules", 0, name, v, otherwise)
+	d := func(name, v string, defaultValue time.Duration) time.Duration {
+		return c.duration("rules", 0, name, v, defaultValue)
 	}
 	m.Rules = cresspass.Rules{AnswerGrace: d("answer_grace", r.AnswerGrace, 250*time.Millisecond),
-		DrainGrace: d("drain_grace", r.DrainGrace, 2*time.Second), ColdFrom: r.ColdFrom,
-		ColdFor:      d("cold_for", r.ColdFor, 0),
-		ColdMultiple: r.ColdMultiple, ColdWindow: d("cold_window", r.ColdWindow, 0),
-		OrderRest: d("order_rest", r.OrderRest, 500*time.Millisecond), BudgetShare: r.BudgetShare}
+		DrainGrace: d("drain_grace", r.DrainGrace, 2*time.Second), SlowStartFrom: r.ColdFrom,
+		SlowStartDuration:       d("cold_for", r.ColdFor, 0),
+		SlowStartOverloadFactor: r.ColdMultiple, SlowStartWindow: d("cold_window", r.ColdWindow, 0),
+		OrderSettleDelay: d("order_rest", r.OrderRest, 500*time.Millisecond), RetryBudgetRatio: r.BudgetShare}
 	if r.ColdFrom < 0 || r.ColdFrom > 1 {
-		c.fault("rules", 0, "cold_from", "must be within 0 and 1")
+		c.errorf("rules", 0, "cold_from", "must be within 0 and 1")
 	}
 	if r.BudgetFree != nil {
-		m.Rules.HasBudget, m.Rules.BudgetFree = true, *r.BudgetFree
-		m.Rules.BudgetLookBack = d("budget_look_back", r.BudgetLookBack, 10*time.Second)
+		m.Rules.HasRetryBudget, m.Rules.RetryBudgetFree = true, *r.BudgetFree
+		m.Rules.RetryBudgetWindow = d("budget_look_back", r.BudgetLookBack, 10*time.Second)
 	} else if r.BudgetShare > 0 || r.BudgetLookBack != "" {
-		c.fault("rules", 0, "budget_share", "without budget_free there is no budget")
+		c.errorf("rules", 0, "budget_share", "without budget_free there is no budget")
 	}
 }
 
-func (c *checker) limits(m *cresspass.Config, l *Limits) {
+func (c *validator) applyLimits(m *cresspass.Config, l *LimitsBlock) {
 	if l == nil {
-		l = &Limits{}
+		l = &LimitsBlock{}
 	}
 	if l.MaxAttempts < 0 {
-		c.fault("limits", 0, "max_attempts", "is negative")
+		c.errorf("limits", 0, "max_attempts", "is negative")
 	}
-	m.MaxAttempts = or(l.MaxAttempts, 4)
-	m.MaxComeBack = c.duration("limits", 0, "max_come_back", l.MaxComeBack, time.Second)
+	m.MaxAttempts = orDefault(l.MaxAttempts, 4)
+	m.MaxRetryAfter = c.duration("limits", 0, "max_come_back", l.MaxComeBack, time.Second)
 }
 
-func (c *checker) class(m *cresspass.Config, f *File, i int, kinds map[string]bool) {
+func (c *validator) applyClass(m *cresspass.Config, f *File, i int, kinds map[string]bool) {
 	k := &f.Classes[i]
 	for j := range f.Classes[:i] {
 		if f.Classes[j].Name == k.Name {
-			c.fault("class", i, "class", "%q given twice", k.Name)
+			c.errorf("class", i, "class", "%q given twice", k.Name)
 		}
 	}
-	out := cresspass.Class{Name: k.Name, Aim: c.duration("class", i, "aim", k.Aim, 0),
-		AimStretch: k.AimStretch,
-		Deadline:   c.duration("class", i, "deadline", k.Deadline, 0), Worth: or(k.Worth, 1),
-		LateValue: k.LateValue,
-		Window:    c.duration("class", i, "window", k.Window, 0), InOrder: k.InOrder, Kinds: k.OnKinds,
-		Zones: k.InZones}
-	out.Effect = pick(c, "class", i, "effect", k.Effect, map[string]cresspass.Effect{"safe": cresspass.Safe,
-		"keyed": cresspass.Keyed, "unsafe": cresspass.Unsafe})
-	out.Scope = pick(c, "class", i, "scope", k.Scope, map[string]cresspass.Scope{"": cresspass.ScopeAll,
-		"all": cresspass.ScopeAll, "zone": cresspass.ScopeZone, "cell": cresspass.ScopeCell})
+	out := cresspass.Class{
+		Name:             k.Name,
+		LatencyObjective: c.duration("class", i, "aim", k.LatencyObjective, 0),
+		ObjectiveStretch: k.ObjectiveStretch,
+		Deadline: c.duration(
+			"class",
+			i,
+			"deadline",
+			k.Deadline,
+			0,
+		),
+		PriorityWeight:  orDefault(k.PriorityWeight, 1),
+		LateAnswerValue: k.LateValue,
+		DeduplicationWindow: c.duration(
+			"class",
+			i,
+			"window",
+			k.Window,
+			0,
+		),
+		OrderedByKey: k.InOrder,
+		AllowedKinds: k.OnKinds,
+		AllowedZones: k.InZones,
+	}
+	out.Effect = oneOf(
+		c,
+		"class",
+		i,
+		"effect",
+		k.Effect,
+		map[string]cresspass.Effect{"safe": cresspass.Idempotent,
+			"keyed": cresspass.IdempotentWithKey, "unsafe": cresspass.NotIdempotent},
+	)
+	out.DeduplicationScope = oneOf(
+		c,
+		"class",
+		i,
+		"scope",
+		k.Scope,
+		map[string]cresspass.DeduplicationScope{"": cresspass.ScopeAll,
+			"all": cresspass.ScopeAll, "zone": cresspass.ScopeZone, "cell": cresspass.ScopeCell},
+	)
 	if out.Deadline <= 0 {
-		c.fault("class", i, "deadline", "must be above 0")
+		c.errorf("class", i, "deadline", "must be above 0")
 	}
-	if out.Effect == cresspass.Keyed && out.Window <= 0 {
-		c.fault("class", i, "window", "a keyed class needs the time for which engines drop repeats")
+	if out.Effect == cresspass.IdempotentWithKey && out.DeduplicationWindow <= 0 {
+		c.errorf("class", i, "window", "a keyed class needs the time for which engines drop repeats")
 	}
-	if k.Threads < 0 || k.Worth < 0 || k.LateValue < 0 || k.AimStretch < 0 {
-		c.fault("class", i, "threads", "a figure is negative")
+	if k.Threads < 0 || k.PriorityWeight < 0 || k.LateValue < 0 || k.ObjectiveStretch < 0 {
+		c.errorf("class", i, "threads", "a figure is negative")
 	}
 	for _, name := range k.OnKinds {
 		if !kinds[name] {
-			c.fault("class", i, "on_kinds", "there is no kind %q", name)
+			c.errorf("class", i, "on_kinds", "there is no kind %q", name)
 		}
 	}
 	m.Classes = append(m.Classes, out)
-	m.ClassThreads = append(m.ClassThreads, or(k.Threads, 1))
-	m.ClassLoads = append(m.ClassLoads, k.Loads)
-	m.ClassWaits = append(m.ClassWaits, k.Waits)
+	m.ClassThreads = append(m.ClassThreads, orDefault(k.Threads, 1))
+	m.ClassIsBulkLoad = append(m.ClassIsBulkLoad, k.Loads)
+	m.ClassWaitsForBulkLoad = append(m.ClassWaitsForBulkLoad, k.Waits)
 }
 
-// classes checks what names a class.
-func (c *checker) classes(cfg *Config, f *File) {
+// applyMatches checks what names a class.
+func (c *validator) applyMatches(cfg *Config, f *File) {
 	effects := map[string]cresspass.Effect{}
 	for _, k := range cfg.Module.Classes {
 		effects[k.Name] = k.Effect
@@ -808,36 +875,36 @@
 	for _, v := range [][2]string{{"default_class", cfg.DefaultClass}, {"write_class", cfg.WriteClass},
 		{"describe_class", cfg.DescribeClass}} {
 		if _, ok := effects[v[1]]; v[1] != "" && !ok {
-			c.fault("", 0, v[0], "there is no class %q", v[1])
+			c.errorf("", 0, v[0], "there is no class %q", v[1])
 		}
 	}
-	if cfg.WriteClass != "" && effects[cfg.WriteClass] == cresspass.Safe {
-		c.fault("", 0, "write_class", "class %q is safe to repeat; statements that write are not",
+	if cfg.WriteClass != "" && effects[cfg.WriteClass] == cresspass.Idempotent {
+		c.errorf("", 0, "write_class", "class %q is safe to repeat; statements that write are not",
 			cfg.WriteClass)
 	}
-	if effects[cfg.DescribeClass] != cresspass.Safe {
-		c.fault("", 0, "describe_class", "class %q is not safe to repeat", cfg.DescribeClass)
+	if effects[cfg.DescribeClass] != cresspass.Idempotent {
+		c.errorf("", 0, "describe_class", "class %q is not safe to repeat", cfg.DescribeClass)
 	}
 	tenants := map[string]bool{}
 	for _, t := range f.Tenants {
 		tenants[t.Name] = true
 	}
 	for i, v := range f.Matches {
-		r := Rule{Class: v.Class, User: v.User, Database: v.Database, Application: v.Application,
+		r := MatchRule{Class: v.Class, User: v.User, Database: v.Database, Application: v.Application,
 			Tenant: v.Tenant}
 		if _, ok := effects[v.Class]; v.Class != "" && !ok {
-			c.fault("match", i, "class", "there is no class %q", v.Class)
+			c.errorf("match", i, "class", "there is no class %q", v.Class)
 		}
 		if v.Class == "" && v.Tenant == "" {
-			c.fault("match", i, "class", "a match names a class, a tenant, or both")
+			c.errorf("match", i, "class", "a match names a class, a tenant, or both")
 		}
 		if v.Tenant != "" && !tenants[v.Tenant] {
-			c.fault("match", i, "tenant", "there is no tenant %q", v.Tenant)
+			c.errorf("match", i, "tenant", "there is no tenant %q", v.Tenant)
 		}
 		if v.Pattern != "" {
 			var err error
 			if r.Pattern, err = regexp.Compile(v.Pattern); err != nil {
-				c.fault("match", i, "pattern", "%v", err)
+				c.errorf("match", i, "pattern", "%v", err)
 			}
 		}
 		cfg.Matches = append(cfg.Matches, r)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,7 +8,7 @@
 	"cresspass"
 )
 
-const good = `default_class = "lookup"
+const validSettings = `default_class = "lookup"
 write_class   = "load"
 roster { eds = "127.0.0.1:1" }
 kind "std" { cores = 8 }
@@ -30,13 +30,14 @@
 }
 `
 
-func TestFaultsAreNamed(t *testing.T) {
-	cfg, err := Parse("f.hcl", []byte(good))
+func TestErrorsNameTheirPosition(t *testing.T) {
+	cfg, err := Parse("f.hcl", []byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c := cfg.Module.Classes[1]; c.Effect != cresspass.Keyed || c.Scope != cresspass.ScopeZone ||
-		c.Worth != 1 {
+	if c := cfg.Module.Classes[1]; c.Effect != cresspass.IdempotentWithKey ||
+		c.DeduplicationScope != cresspass.ScopeZone ||
+		c.PriorityWeight != 1 {
 		t.Errorf("class read as %+v", c)
 	}
 	for _, c := range []struct{ from, to, want string }{
@@ -59,23 +60,23 @@
 		{`scope    = "zone"`, `on_kinds = ["big"]`, `f.hcl:15:14: on_kinds: there is no kind "big"`},
 		{`scope    = "zone"`, `late_value = -1`, `a figure is negative`},
 	} {
-		if _, err := Parse("f.hcl", []byte(strings.Replace(good, c.from, c.to, 1))); err == nil ||
+		if _, err := Parse("f.hcl", []byte(strings.Replace(validSettings, c.from, c.to, 1))); err == nil ||
 			!strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s for %s: %v, want %q", c.to, c.from, err, c.want)
 		}
 	}
 	// Two faults are told together.
-	two := strings.Replace(strings.Replace(good, `"1s"`, `"fast"`, 1), `cores = 8`, `cores = -1`, 1)
+	two := strings.Replace(strings.Replace(validSettings, `"1s"`, `"fast"`, 1), `cores = 8`, `cores = -1`, 1)
 	if _, err := Parse("f.hcl", []byte(two)); err == nil || strings.Count(err.Error(), "f.hcl:") != 2 {
 		t.Errorf("two faults: %v", err)
 	}
-	over := Overlay{Listen: "192.168.0.1:5", Ordinal: -1}
+	over := Overrides{Listen: "192.168.0.1:5", Ordinal: -1}
 	if err := over.Apply(cfg); err == nil {
 		t.Error("an overlay with a foreign address was taken")
 	}
 }
 
-func TestFilesOfTheRepository(t *testing.T) {
+func TestRepositoryFilesLoad(t *testing.T) {
 	if _, err := Load("../../cmd/cresspass/demo.hcl"); err != nil {
 		t.Error(err)
 	}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -55,27 +55,27 @@
 	m := &c.Module
 	line("seed", m.Seed)
 	line("ordinal", m.Ordinal)
-	line("gateways", m.Gateways)
+	line("gateways", m.GatewayCount)
 	line("zone", m.Zone)
-	line("tick", m.Tick)
-	line("state", c.State)
-	line("state_every", c.StateEvery)
-	line("pid_file", c.PidFile)
-	line("health", c.Health)
-	line("takeover", c.Takeover)
-	line("drain_for", c.DrainFor)
-	line("max_held", c.MaxHeld)
-	line("max_answer_memory", c.MaxAnswers)
-	line("max_per_user", c.MaxPerUser)
+	line("tick", m.BatchInterval)
+	line("state", c.StateDir)
+	line("state_every", c.SnapshotInterval)
+	line("pid_file", c.PIDFile)
+	line("health", c.HealthAddr)
+	line("takeover", c.TakeoverSocket)
+	line("drain_for", c.DrainTimeout)
+	line("max_held", c.MaxOpenQueries)
+	line("max_answer_memory", c.MaxBufferedBytes)
+	line("max_per_user", c.MaxConnectionsPerUser)
 	line("lag_limit", c.LagLimit)
 	line("default_class", c.DefaultClass)
 	line("write_class", c.WriteClass)
 	line("describe_class", c.DescribeClass)
 	line("log.level", c.LogLevel)
 	line("log.format", c.LogFormat)
-	line("roster.eds", c.EDS)
-	line("roster.service", c.Service)
-	line("roster.cache", c.Cache)
+	line("roster.eds", c.DiscoveryAddr)
+	line("roster.service", c.DiscoveryService)
+	line("roster.cache", c.EndpointCacheFile)
 	line("engines.user", c.EngineUser)
 	line("engines.database", c.EngineDatabase)
 	line("engines.max_connections", c.MaxConnections)
@@ -83,32 +83,32 @@
 	line("engines.cancel_timeout", c.CancelTimeout)
 	line("engines.idle_timeout", c.IdleTimeout)
 	line("engines.max_prepared", c.MaxPrepared)
-	line("engines.takes_grants", m.TakesGrants)
-	line("engines.takes_priority", m.TakesPriority)
+	line("engines.takes_grants", m.AcceptsMemoryGrants)
+	line("engines.takes_priority", m.AcceptsPriority)
 	line("engines.max_grant_share", m.MaxGrantShare)
-	line("engines.when_short", int(m.WhenShort))
-	line("engines.progress_every", m.ProgressEvery)
-	line("engines.report_fields", m.ReportFields)
-	line("engines.may_probe", m.MayProbe)
+	line("engines.when_short", int(m.OnMemoryShortage))
+	line("engines.progress_every", m.ProgressInterval)
+	line("engines.report_fields", m.LoadReportFields)
+	line("engines.may_probe", m.MayCheckHealth)
 	r := &m.Rules
 	line("rules.answer_grace", r.AnswerGrace)
 	line("rules.drain_grace", r.DrainGrace)
-	line("rules.cold_from", r.ColdFrom)
-	line("rules.cold_for", r.ColdFor)
-	line("rules.cold_multiple", r.ColdMultiple)
-	line("rules.cold_window", r.ColdWindow)
-	line("rules.order_rest", r.OrderRest)
-	line("rules.budget_free", r.HasBudget, r.BudgetFree)
-	line("rules.budget_share", r.BudgetShare)
-	line("rules.budget_look_back", r.BudgetLookBack)
+	line("rules.cold_from", r.SlowStartFrom)
+	line("rules.cold_for", r.SlowStartDuration)
+	line("rules.cold_multiple", r.SlowStartOverloadFactor)
+	line("rules.cold_window", r.SlowStartWindow)
+	line("rules.order_rest", r.OrderSettleDelay)
+	line("rules.budget_free", r.HasRetryBudget, r.RetryBudgetFree)
+	line("rules.budget_share", r.RetryBudgetRatio)
+	line("rules.budget_look_back", r.RetryBudgetWindow)
 	line("limits.max_attempts", m.MaxAttempts)
-	line("limits.max_come_back", m.MaxComeBack)
-	line("sessions.idle_in_transaction", c.Pins.IdleInTx)
-	line("sessions.max_age", c.Pins.Age)
-	line("sessions.max", c.Pins.Total)
-	line("sessions.max_per_user", c.Pins.PerUser)
-	line("sessions.max_per_engine", m.MaxSessions)
-	line("sessions.harmless", c.Harmless)
+	line("limits.max_come_back", m.MaxRetryAfter)
+	line("sessions.idle_in_transaction", c.SessionLimits.IdleInTransaction)
+	line("sessions.max_age", c.SessionLimits.MaxAge)
+	line("sessions.max", c.SessionLimits.MaxTotal)
+	line("sessions.max_per_user", c.SessionLimits.MaxPerUser)
+	line("sessions.max_per_engine", m.MaxSessionsPerEngine)
+	line("sessions.harmless", c.HarmlessFunctions)
 	line("flight.listen", c.Flight.Listen)
 	line("flight.ticket_life", c.Flight.TicketLife)
 	line("flight.session_rest", c.Flight.SessionRest)
@@ -119,8 +119,8 @@
 	line("flight.max_transactions", c.Flight.MaxTransactions)
 	line("flight.max_prepared", c.Flight.MaxPrepared)
 	line("flight.max_waiting", c.Flight.MaxWaiting)
-	line("shares.postgresql", c.Shares.PostgreSQL)
-	line("shares.flight", c.Shares.Flight)
+	line("shares.postgresql", c.FrontQuotas.PostgreSQL)
+	line("shares.flight", c.FrontQuotas.Flight)
 	line("peers.listen", c.Peers.Listen)
 	line("peers.name", c.Peers.Name)
 	line("peers.seeds", c.Peers.Seeds)
@@ -129,28 +129,32 @@
 	}
 	line("peers.rate", c.Peers.Rate)
 	line("peers.wait", c.Peers.Wait)
-	line("record.dir", c.Record)
-	line("record.file_mb", c.RecordLimits.File)
-	line("record.total_mb", c.RecordLimits.Total)
+	line("record.dir", c.RecordingDir)
+	line("record.file_mb", c.RecordingLimits.File)
+	line("record.total_mb", c.RecordingLimits.Total)
 	for i := range m.Classes {
 		k := &m.Classes[i]
 		line("class", k.Name)
-		line("class.aim", k.Aim)
-		line("class.aim_stretch", k.AimStretch)
+		line("class.aim", k.LatencyObjective)
+		line("class.aim_stretch", k.ObjectiveStretch)
 		line("class.deadline", k.Deadline)
-		line("class.worth", k.Worth)
-		line("class.late_value", k.LateValue)
-		line("class.effect", k.Effect == cresspass.Safe, k.Effect == cresspass.Keyed,
-			k.Effect == cresspass.Unsafe)
-		line("class.scope", k.Scope == cresspass.ScopeAll, k.Scope == cresspass.ScopeZone,
-			k.Scope == cresspass.ScopeCell)
-		line("class.window", k.Window)
-		line("class.in_order", k.InOrder)
-		line("class.on_kinds", k.Kinds)
-		line("class.in_zones", k.Zones)
+		line("class.worth", k.PriorityWeight)
+		line("class.late_value", k.LateAnswerValue)
+		line("class.effect", k.Effect == cresspass.Idempotent, k.Effect == cresspass.IdempotentWithKey,
+			k.Effect == cresspass.NotIdempotent)
+		line(
+			"class.scope",
+			k.DeduplicationScope == cresspass.ScopeAll,
+			k.DeduplicationScope == cresspass.ScopeZone,
+			k.DeduplicationScope == cresspass.ScopeCell,
+		)
+		line("class.window", k.DeduplicationWindow)
+		line("class.in_order", k.OrderedByKey)
+		line("class.on_kinds", k.AllowedKinds)
+		line("class.in_zones", k.AllowedZones)
 		line("class.threads", m.ClassThreads[i])
-		line("class.loads", m.ClassLoads[i])
-		line("class.waits", m.ClassWaits[i])
+		line("class.loads", m.ClassIsBulkLoad[i])
+		line("class.waits", m.ClassWaitsForBulkLoad[i])
 	}
 	for i, name := range m.KindNames {
 		line("kind", name)
@@ -159,7 +163,7 @@
 	}
 	for _, t := range m.Tenants {
 		line("tenant", t.Name)
-		line("tenant.quota", t.Quota)
+		line("tenant.quota", t.QuotaPerSecond)
 		line("tenant.share", t.Share)
 	}
 	for _, v := range c.Matches {
@@ -174,7 +178,15 @@
 			line("match.pattern", v.Pattern.String())
 		}
 	}
-	line("what the module may", m.MayCancel, m.MayComeBack, m.MayTell, m.MayDuplicate, m.AskList, m.TellsCost)
+	line(
+		"what the module may",
+		m.MayCancel,
+		m.MaySendRetryAfter,
+		m.MayGossip,
+		m.MayHedge,
+		m.PollEngineList,
+		m.ReportsCost,
+	)
 	return b.String()
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -27,11 +27,11 @@
 
 // Options say how a daemon is run.
 type Options struct {
-	Config *config.Config
-	Load   func() (*config.Config, error) // reads the settings again
-	Log    *slog.Logger
+	Config     *config.Config
+	LoadConfig func() (*config.Config, error) // reads the settings again
+	Logger     *slog.Logger
 	// of Log; a reload may change it; nil: fixed
-	Level *slog.LevelVar
+	LogLevel *slog.LevelVar
 	// take the listening socket from the dispatcher that runs
 	Takeover bool
 	// closed: as SIGTERM; may be nil
@@ -39,48 +39,55 @@
 	// of package signals, asked for before the settings were read; nil: asked for at the start
 	Signals <-chan os.Signal
 	// nil: server.StartOn
-	Start func(cfg *config.Config, log *slog.Logger, ln net.Listener) (*server.Server, error)
+	StartServer func(cfg *config.Config, log *slog.Logger, ln net.Listener) (*server.Server, error)
 }
 
-// handFor is how long a successor has to say that it serves.
-const handFor = 20 * time.Second
+// handoverTimeout is how long a successor has to say that it serves.
+const handoverTimeout = 20 * time.Second
 
 // daemon is a running service.
 type daemon struct {
-	o      Options
-	log    *slog.Logger
-	life   *lifecycle.Life
-	server *server.Server
-	ln     *net.TCPListener
-	events chan lifecycle.Event
-	zero   time.Time
-	state  atomic.Int32
-	heirs  *heirs
-	drain  time.Duration
-	over   bool
+	options   Options
+	logger    *slog.Logger
+	machine   *lifecycle.Machine
+	server    *server.Server
+	listener  *net.TCPListener
+	events    chan lifecycle.Event
+	startedAt time.Time
+	state     atomic.Int32
+	handover  *handoverServer
+	drain     time.Duration
+	stopped   bool
 }
 
 // Run runs a dispatcher until it is stopped or has handed over. The error says why it could not start, or
 // what went wrong at its end.
 func Run(ctx context.Context, o Options) error {
-	d := &daemon{o: o, log: o.Log, life: lifecycle.New(lifecycle.Config{DrainFor: o.Config.DrainFor, HandFor: handFor}),
-		events: make(chan lifecycle.Event, 64), zero: time.Now()}
-	all := o.Signals
-	if all == nil {
+	d := &daemon{
+		options: o,
+		logger:  o.Logger,
+		machine: lifecycle.New(
+			lifecycle.Config{DrainTimeout: o.Config.DrainTimeout, HandoverTimeout: handoverTimeout},
+		),
+		events:    make(chan lifecycle.Event, 64),
+		startedAt: time.Now(),
+	}
+	received := o.Signals
+	if received == nil {
 		var stop func()
-		all, stop = signals.Notify()
+		received, stop = signals.Notify()
 		defer stop()
 	}
 	// Start order: the socket, so that clients wait and are not refused; then all else; ready once a list is
 	// known.
-	var former *former
+	var predecessor *predecessorConn
 	var err error
 	if o.Takeover {
 		var sockets []*net.TCPListener
-		if sockets, former, err = takeSockets(o.Config.Takeover); err != nil {
+		if sockets, predecessor, err = takeOverListeners(o.Config.TakeoverSocket); err != nil {
 			return fmt.Errorf("takeover: %w", err)
 		}
-		d.ln = sockets[0]
+		d.listener = sockets[0]
 		for _, ln := range sockets[1:] {
 			if o.Config.Flight.Listen != "" {
 				o.Config.FlightListener = ln
@@ -88,147 +95,147 @@
 				ln.Close() // these settings serve no Flight SQL
 			}
 		}
-		defer former.close()
+		defer predecessor.close()
 	} else {
 		ln, err := netlisten.Open(o.Config.Listen)
 		if err != nil {
 			return err
 		}
-		d.ln = ln.(*net.TCPListener)
+		d.listener = ln.(*net.TCPListener)
 	}
-	start := o.Start
+	start := o.StartServer
 	if start == nil {
 		start = func(cfg *config.Config, log *slog.Logger, ln net.Listener) (*server.Server, error) {
-			return server.StartOn(cfg, log, ln)
+			return server.StartOnListener(cfg, log, ln)
 		}
 	}
-	if o.Config.Heir = o.Takeover; o.Takeover {
+	if o.Config.TakingOver = o.Takeover; o.Takeover {
 		// The former's state folder is its own until it ends; its list is enough to begin with.
-		if d.server, err = startHeir(start, o, d.ln, former); err != nil {
-			return errors.Join(err, d.ln.Close())
+		if d.server, err = startSuccessor(start, o, d.listener, predecessor); err != nil {
+			return errors.Join(err, d.listener.Close())
 		}
-	} else if d.server, err = start(o.Config, o.Log, d.ln); err != nil {
-		return errors.Join(err, d.ln.Close())
+	} else if d.server, err = start(o.Config, o.Logger, d.listener); err != nil {
+		return errors.Join(err, d.listener.Close())
 	}
 	defer d.server.Close()
-	if o.Config.PidFile != "" {
-		if err := writePid(o.Config.PidFile); err != nil {
+	if o.Config.PIDFile != "" {
+		if err := writePIDFile(o.Config.PIDFile); err != nil {
 			return err
 		}
-		defer removePid(o.Config.PidFile)
+		defer removePIDFile(o.Config.PIDFile)
 	}
-	if o.Config.Health != "" {
-		stop, err := d.health(o.Config.Health, o.Takeover)
+	if o.Config.HealthAddr != "" {
+		stop, err := d.serveHealth(o.Config.HealthAddr, o.Takeover)
 		if err != nil {
 			return err
 		}
 		defer stop()
 	}
-	if o.Config.Takeover != "" {
-		if d.heirs, err = listenHeirs(o.Config.Takeover, d.events, o.Log); err != nil {
+	if o.Config.TakeoverSocket != "" {
+		if d.handover, err = listenForSuccessors(o.Config.TakeoverSocket, d.events, o.Logger); err != nil {
 			return err
 		}
-		defer d.heirs.close()
+		defer d.handover.close()
 	}
 	go func() {
 		select {
-		case <-d.server.Listed():
-			d.events <- lifecycle.Event{Type: lifecycle.Listed}
+		case <-d.server.ListReady():
+			d.events <- lifecycle.Event{Type: lifecycle.EndpointsKnown}
 		case <-ctx.Done():
 		}
 	}()
-	d.loop(ctx, all)
+	d.eventLoop(ctx, received)
 	return nil
 }
 
-func (d *daemon) loop(ctx context.Context, signals <-chan os.Signal) {
+func (d *daemon) eventLoop(ctx context.Context, received <-chan os.Signal) {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
-	stop, done := d.o.Stop, ctx.Done()
-	for !d.over {
+	stop, done := d.options.Stop, ctx.Done()
+	for !d.stopped {
 		select {
-		case s := <-signals:
+		case s := <-received:
 			if s == syscall.SIGHUP {
-				d.step(lifecycle.Event{Type: lifecycle.Reload})
+				d.handle(lifecycle.Event{Type: lifecycle.Reload})
 			} else {
-				d.step(lifecycle.Event{Type: lifecycle.Terminate})
+				d.handle(lifecycle.Event{Type: lifecycle.Terminate})
 			}
 		case <-stop:
 			stop = nil
-			d.step(lifecycle.Event{Type: lifecycle.Terminate})
+			d.handle(lifecycle.Event{Type: lifecycle.Terminate})
 		case <-done:
 			done = nil
-			d.step(lifecycle.Event{Type: lifecycle.Terminate})
+			d.handle(lifecycle.Event{Type: lifecycle.Terminate})
 		case ev := <-d.events:
-			d.step(ev)
+			d.handle(ev)
 		case <-tick.C:
-			d.step(lifecycle.Event{Type: lifecycle.Tick})
-			if d.life.State() == lifecycle.Draining && d.server.Idle() {
-				d.step(lifecycle.Event{Type: lifecycle.Empty})
+			d.handle(lifecycle.Event{Type: lifecycle.Tick})
+			if d.machine.State() == lifecycle.Draining && d.server.Idle() {
+				d.handle(lifecycle.Event{Type: lifecycle.Drained})
 			}
 		}
 	}
 }
 
-func (d *daemon) step(ev lifecycle.Event) {
-	was := d.life.State()
-	for _, a := range d.life.Step(time.Since(d.zero), ev) {
+func (d *daemon) handle(ev lifecycle.Event) {
+	before := d.machine.State()
+	for _, a := range d.machine.Step(time.Since(d.startedAt), ev) {
 		switch a.Type {
-		case lifecycle.TellReady:
-			d.notify("READY=1")
-		case lifecycle.TellStopping:
-			d.notify("STOPPING=1")
-		case lifecycle.ReadSettings:
+		case lifecycle.NotifyReady:
+			d.notifyServiceManager("READY=1")
+		case lifecycle.NotifyStopping:
+			d.notifyServiceManager("STOPPING=1")
+		case lifecycle.ReloadConfig:
 			d.reload()
-		case lifecycle.GiveSockets:
-			all := []*net.TCPListener{d.ln}
+		case lifecycle.SendListeners:
+			all := []*net.TCPListener{d.listener}
 			if ln, ok := d.server.FlightListener().(*net.TCPListener); ok {
 				all = append(all, ln)
 			}
-			d.heirs.give(a.Who, all...)
-		case lifecycle.Decline:
-			d.heirs.decline(a.Who)
-		case lifecycle.Drain:
-			d.log.Info("draining", "at most", d.o.Config.DrainFor)
-			if d.heirs != nil {
-				d.heirs.let()
+			d.handover.sendListeners(a.SuccessorID, all...)
+		case lifecycle.RejectSuccessor:
+			d.handover.reject(a.SuccessorID)
+		case lifecycle.StartDrain:
+			d.logger.Info("draining", "at most", d.options.Config.DrainTimeout)
+			if d.handover != nil {
+				d.handover.announceDrain()
 			}
 			d.server.Drain()
-		case lifecycle.Cut:
-			d.log.Warn("drain cut short")
-			d.server.Cut()
+		case lifecycle.ForceClose:
+			d.logger.Warn("drain cut short")
+			d.server.TerminateAll()
 		case lifecycle.Exit:
-			d.over = true
+			d.stopped = true
 		}
 	}
-	if now := d.life.State(); now != was {
-		d.state.Store(int32(now))
-		d.log.Info("state", "was", was.String(), "is", now.String())
+	if after := d.machine.State(); after != before {
+		d.state.Store(int32(after))
+		d.logger.Info("state", "was", before.String(), "is", after.String())
 	}
 }
 
 // reload reads the settings again and applies them whole or not at all.
 func (d *daemon) reload() {
-	d.notify("RELOADING=1\nMONOTONIC_USEC=" + strconv.FormatInt(monotonic(), 10))
-	defer d.notify("READY=1")
-	cfg, err := d.o.Load()
+	d.notifyServiceManager("RELOADING=1\nMONOTONIC_USEC=" + strconv.FormatInt(monotonicMicros(), 10))
+	defer d.notifyServiceManager("READY=1")
+	cfg, err := d.options.LoadConfig()
 	if err != nil {
-		d.log.Error("settings not reloaded, the last good ones stay", "error", err)
+		d.logger.Error("settings not reloaded, the last good ones stay", "error", err)
 		return
 	}
 	changed, err := d.server.Reload(cfg)
 	if err != nil {
-		d.log.Error("settings not reloaded, the last good ones stay", "error", err)
+		d.logger.Error("settings not reloaded, the last good ones stay", "error", err)
 		return
 	}
-	if d.o.Level != nil {
-		d.o.Level.UnmarshalText([]byte(cfg.LogLevel))
+	if d.options.LogLevel != nil {
+		d.options.LogLevel.UnmarshalText([]byte(cfg.LogLevel))
 	}
-	d.log.Info("settings reloaded", "changed", changed)
+	d.logger.Info("settings reloaded", "changed", changed)
 }
 
-// notify tells the service manager, by the protocol of sd_notify(3).
-func (d *daemon) notify(text string) {
+// notifyServiceManager tells the service manager, by the protocol of sd_notify(3).
+func (d *daemon) notifyServiceManager(text string) {
 	path := os.Getenv("NOTIFY_SOCKET")
 	if path == "" {
 		return
@@ -238,88 +245,88 @@
 	}
 	c, err := net.DialUnix("unixgram", nil, &net.UnixAddr{Name: path, Net: "unixgram"})
 	if err != nil {
-		d.log.Warn("service manager not told", "error", err)
+		d.logger.Warn("service manager not told", "error", err)
 		return
 	}
 	defer c.Close()
 	if _, err := c.Write([]byte(text)); err != nil {
-		d.log.Warn("service manager not told", "error", err)
+		d.logger.Warn("service manager not told", "error", err)
 	}
 }
 
 // Health is what a health check is told.
 type Health struct {
-	State   string `json:"state"`
-	Ready   bool   `json:"ready"`
-	Trouble bool   `json:"trouble"` // the loop lags
-	Clients int    `json:"clients"`
-	Open    int    `json:"open"`
-	Taken   uint64 `json:"taken"`
-	Served  uint64 `json:"served"`
-	Refused uint64 `json:"refused"`
-	Failed  uint64 `json:"failed"`
-	Gone    uint64 `json:"gone"`
+	State       string `json:"state"`
+	Ready       bool   `json:"ready"`
+	LoopLagging bool   `json:"trouble"` // the loop lags
+	Clients     int    `json:"clients"`
+	OpenQueries int    `json:"open"`
+	Accepted    uint64 `json:"taken"`
+	Served      uint64 `json:"served"`
+	Rejected    uint64 `json:"refused"`
+	Failed      uint64 `json:"failed"`
+	Abandoned   uint64 `json:"gone"`
 
 	Violations map[invariant.Name]uint64 `json:"violations"` // of each invariant; any is a defect
 	// acts that no longer held when their moment came
 	Withheld map[invariant.Name]uint64 `json:"withheld"`
 }
 
-// health serves /live (200 while it runs), /ready (200 while it takes clients) and /health (JSON). In a
+// serveHealth serves /live (200 while it runs), /ready (200 while it takes clients) and /health (JSON). In a
 // hand-over the former still has the address: the heir tries until it is free.
-func (d *daemon) health(addr string, wait bool) (stop func(), err error) {
+func (d *daemon) serveHealth(addr string, retryListen bool) (stop func(), err error) {
 	mux := http.NewServeMux()
-	tell := func() Health {
+	current := func() Health {
 		st := d.server.Stats()
 		state := lifecycle.State(d.state.Load())
 		violations, withheld := d.server.Invariants()
 		return Health{Violations: violations, Withheld: withheld, State: state.String(),
-			Ready:   state == lifecycle.Ready || state == lifecycle.Handing,
-			Trouble: d.server.Trouble(),
-			Clients: d.server.Clients(), Open: st.Open, Taken: st.Taken, Served: st.Served,
-			Refused: st.Refused,
-			Failed:  st.Failed, Gone: st.Gone}
+			Ready:       state == lifecycle.Ready || state == lifecycle.HandingOver,
+			LoopLagging: d.server.LoopLagging(),
+			Clients:     d.server.Clients(), OpenQueries: st.Open, Accepted: st.Arrived, Served: st.Served,
+			Rejected: st.Rejected,
+			Failed:   st.Failed, Abandoned: st.Abandoned}
 	}
 	mux.HandleFunc("/live", func(w http.ResponseWriter, r *http.Request) { w.Write([]byte("ok\n")) })
 	mux.HandleFunc("/ready", func(w http.ResponseWriter, r *http.Request) {
-		if h := tell(); !h.Ready {
+		if h := current(); !h.Ready {
 			http.Error(w, h.State, http.StatusServiceUnavailable)
 		}
 	})
 	mux.HandleFunc("/health", func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(tell())
+		json.NewEncoder(w).Encode(current())
 	})
 	s := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
 	ln, err := net.Listen("tcp", addr)
-	if err != nil && !wait {
+	if err != nil && !retryListen {
 		if ln, err = netlisten.Open(addr); err != nil {
 			return nil, err
 		}
 	}
 	ended := make(chan struct{})
-	halt := make(chan struct{})
+	stopping := make(chan struct{})
 	go func() {
 		defer close(ended)
 		for ln == nil {
 			select {
-			case <-halt:
+			case <-stopping:
 				return
 			case <-time.After(50 * time.Millisecond):
 				ln, _ = net.Listen("tcp", addr)
 			}
 		}
-		s.Serve(netlisten.Lasting{Listener: ln})
+		s.Serve(netlisten.ResilientListener{Listener: ln})
 	}()
 	return func() {
-		close(halt)
+		close(stopping)
 		s.Close()
 		<-ended
 	}, nil
 }
 
-// Ask asks a running daemon for its health.
-func Ask(ctx context.Context, addr string) (h Health, err error) {
+// FetchHealth asks a running daemon for its health.
+func FetchHealth(ctx context.Context, addr string) (h Health, err error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/health", nil)
 	if err != nil {
 		return h, err
@@ -332,7 +339,7 @@
 	return h, json.NewDecoder(resp.Body).Decode(&h)
 }
 
-func writePid(path string) error {
+func writePIDFile(path string) error {
 	tmp := path + ".new"
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return err
@@ -343,15 +350,15 @@
 	return os.Rename(tmp, path)
 }
 
-// removePid removes the file where it is still ours: a successor has written its own.
-func removePid(path string) {
+// removePIDFile removes the file where it is still ours: a successor has written its own.
+func removePIDFile(path string) {
 	if b, err := os.ReadFile(path); err == nil && string(b) == strconv.Itoa(os.Getpid())+"\n" {
 		os.Remove(path)
 	}
 }
 
-// monotonic is CLOCK_MONOTONIC in microseconds, as sd_notify wants it.
-func monotonic() int64 {
+// monotonicMicros is CLOCK_MONOTONIC in microseconds, as sd_notify wants it.
+func monotonicMicros() int64 {
 	var ts syscall.Timespec
 	const clockMonotonic = 1
 	syscall.Syscall(syscall.SYS_CLOCK_GETTIME, clockMonotonic, uintptr(ptr(&ts)), 0)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -36,8 +36,8 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("github.com/hashicorp/memberlist.(*Memberlist).probe"))
 }
 
-// simple has clients use the simple query protocol.
-const simple = "sslmode=disable&default_query_exec_mode=simple_protocol"
+// simpleProtocol has clients use the simple query protocol.
+const simpleProtocol = "sslmode=disable&default_query_exec_mode=simple_protocol"
 
 const settings = `
 default_class = "lookup"
@@ -60,8 +60,8 @@
 }
 `
 
-// service is a daemon that runs in this process.
-type service struct {
+// runningDaemon is a daemon that runs in this process.
+type runningDaemon struct {
 	stop chan struct{}
 	done chan error
 	log  *lockedBuffer
@@ -84,12 +84,12 @@
 	return l.b.String()
 }
 
-type place struct {
+type testEnv struct {
 	dir, listen string
 	rig         *testbed.Rig
 }
 
-func raise(t *testing.T) *place {
+func newTestEnv(t *testing.T) *testEnv {
 	t.Helper()
 	r, err := testbed.New(standin.EngineConfig{Kind: testbed.Kind(64, 4096), Window: 10 * time.Second},
 		standin.EngineConfig{Kind: testbed.Kind(64, 4096), Window: 10 * time.Second})
@@ -101,10 +101,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &place{t.TempDir(), addr, r}
+	return &testEnv{t.TempDir(), addr, r}
 }
 
-func (p *place) file(extra string) string {
+func (p *testEnv) settingsText(extra string) string {
 	in := func(name string) string { return filepath.Join(p.dir, name) }
 	return settings + extra + fmt.Sprintf(`
 listen    = %q
@@ -115,29 +115,29 @@
 `, p.listen, in("state"), in("sock"), in("pid"), p.rig.Roster.Addr())
 }
 
-func (p *place) options(t *testing.T, extra string, takeover bool) (Options, *lockedBuffer) {
-	cfg, err := config.Parse("d.hcl", []byte(p.file(extra)))
+func (p *testEnv) options(t *testing.T, extra string, takeover bool) (Options, *lockedBuffer) {
+	cfg, err := config.Parse("d.hcl", []byte(p.settingsText(extra)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	log := &lockedBuffer{}
-	return Options{Config: cfg, Log: slog.New(slog.NewTextHandler(log, nil)), Takeover: takeover,
-		Load: func() (*config.Config, error) { return config.Load(filepath.Join(p.dir, "d.hcl")) }}, log
+	return Options{Config: cfg, Logger: slog.New(slog.NewTextHandler(log, nil)), Takeover: takeover,
+		LoadConfig: func() (*config.Config, error) { return config.Load(filepath.Join(p.dir, "d.hcl")) }}, log
 }
 
-func (p *place) start(t *testing.T, extra string, takeover bool) *service {
+func (p *testEnv) start(t *testing.T, extra string, takeover bool) *runningDaemon {
 	t.Helper()
 	o, log := p.options(t, extra, takeover)
-	s := &service{stop: make(chan struct{}), done: make(chan error, 1), log: log}
+	s := &runningDaemon{stop: make(chan struct{}), done: make(chan error, 1), log: log}
 	o.Stop = s.stop
 	go func() { s.done <- Run(context.Background(), o) }()
-	s.wait(t, "is=ready")
+	s.waitForLog(t, "is=ready")
 	return s
 }
 
-// listKept waits for the engine list in the state folder and returns its path. Danger: a dispatcher is ready
-// with its first list, and keeps it after that.
-func (p *place) listKept(t *testing.T) string {
+// waitForCachedList waits for the engine list in the state folder and returns its path. Danger: a dispatcher
+// is ready with its first list, and keeps it after that.
+func (p *testEnv) waitForCachedList(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(p.dir, "state", "list")
 	for begin := time.Now(); ; time.Sleep(time.Millisecond) {
@@ -150,8 +150,8 @@
 	}
 }
 
-// wait waits until the log says something.
-func (s *service) wait(t *testing.T, what string) {
+// waitForLog waits until the log says something.
+func (s *runningDaemon) waitForLog(t *testing.T, what string) {
 	t.Helper()
 	for begin := time.Now(); !strings.Contains(s.log.String(), what); time.Sleep(2 * time.Millisecond) {
 		if time.Since(begin) > 10*time.Second {
@@ -160,7 +160,7 @@
 	}
 }
 
-func (s *service) end(t *testing.T) error {
+func (s *runningDaemon) stopAndWait(t *testing.T) error {
 	t.Helper()
 	select {
 	case <-s.stop:
@@ -176,17 +176,17 @@
 	}
 }
 
-func (p *place) connect(t *testing.T) *pgx.Conn {
+func (p *testEnv) connect(t *testing.T) *pgx.Conn {
 	t.Helper()
 	c, err := pgx.Connect(context.Background(),
-		"postgres://u@"+p.listen+"/db?"+simple)
+		"postgres://u@"+p.listen+"/db?"+simpleProtocol)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-func code(err error) string {
+func sqlState(err error) string {
 	var e *pgconn.PgError
 	if errors.As(err, &e) {
 		return e.Code
@@ -196,7 +196,7 @@
 
 // A drain lets what runs end with its answer, tells idle clients to go, takes nobody, and is cut at its time.
 func TestDrain(t *testing.T) {
-	p := raise(t)
+	p := newTestEnv(t)
 	s := p.start(t, "", false)
 	if b, err := os.ReadFile(filepath.Join(p.dir, "pid")); err != nil ||
 		string(b) != fmt.Sprintln(os.Getpid()) {
@@ -208,14 +208,14 @@
 		long: "select 1 /*work_ms='60000'*/"} {
 		go func() {
 			_, err := c.Exec(context.Background(), text)
-			ends <- code(err)
+			ends <- sqlState(err)
 		}()
 	}
 	time.Sleep(100 * time.Millisecond)
 	begin := time.Now()
 	close(s.stop)
-	s.wait(t, "is=draining")
-	if _, err := idle.Exec(context.Background(), "select 1"); code(err) != "57P01" && !idle.IsClosed() {
+	s.waitForLog(t, "is=draining")
+	if _, err := idle.Exec(context.Background(), "select 1"); sqlState(err) != "57P01" && !idle.IsClosed() {
 		t.Errorf("an idle client was told %v", err)
 	}
 	if got := <-ends; got != "<nil>" {
@@ -227,7 +227,7 @@
 	if got := <-ends; got != "57P01" {
 		t.Errorf("what would not end in time was answered by %s", got)
 	}
-	if err := s.end(t); err != nil {
+	if err := s.stopAndWait(t); err != nil {
 		t.Error(err)
 	}
 	if took := time.Since(begin); took < 2900*time.Millisecond || took > 6*time.Second {
@@ -240,10 +240,10 @@
 
 // A reload applies whole or not at all, amid queries that are held and running.
 func TestReload(t *testing.T) {
-	p := raise(t)
+	p := newTestEnv(t)
 	path := filepath.Join(p.dir, "d.hcl")
 	write := func(extra string) {
-		if err := os.WriteFile(path, []byte(p.file(extra)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(p.settingsText(extra)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -253,22 +253,22 @@
 	end := make(chan string, 1)
 	go func() {
 		_, err := c.Exec(context.Background(), "select 1 /*work_ms='500'*/")
-		end <- code(err)
+		end <- sqlState(err)
 	}()
 	reload := func() {
-		if err := sighup(); err != nil {
+		if err := sendReload(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	os.WriteFile(path, []byte(p.file("")[:200]), 0o600) // half a file
+	os.WriteFile(path, []byte(p.settingsText("")[:200]), 0o600) // half a file
 	reload()
-	s.wait(t, "the last good ones stay")
+	s.waitForLog(t, "the last good ones stay")
 	write("gateways = 3\nmax_clients = 7\n")
 	reload()
-	s.wait(t, "nothing is changed")
+	s.waitForLog(t, "nothing is changed")
 	write("max_clients = 2\nmatch {\n  class = \"load\"\n  pattern = \"from loads\"\n}\n")
 	reload()
-	s.wait(t, "settings reloaded")
+	s.waitForLog(t, "settings reloaded")
 	if !strings.Contains(s.log.String(), "[match max_clients]") {
 		t.Errorf("what changed is not told: %s", s.log)
 	}
@@ -278,16 +278,16 @@
 	second := p.connect(t)
 	defer second.Close(context.Background())
 	if _, err := pgx.Connect(context.Background(),
-		"postgres://u@"+p.listen+"/db?sslmode=disable"); code(err) != "53300" {
+		"postgres://u@"+p.listen+"/db?sslmode=disable"); sqlState(err) != "53300" {
 		t.Errorf("a third client, at most two: %v", err)
 	}
-	if err := s.end(t); err != nil {
+	if err := s.stopAndWait(t); err != nil {
 		t.Error(err)
 	}
 }
 
 func TestHealth(t *testing.T) {
-	p := raise(t)
+	p := newTestEnv(t)
 	addr, err := testbed.FreePort()
 	if err != nil {
 		t.Fatal(err)
@@ -301,7 +301,7 @@
 	t.Setenv("NOTIFY_SOCKET", filepath.Join(p.dir, "notify"))
 	p.rig.Roster.Away(true) // no list yet: it listens, and is not ready
 	o, log := p.options(t, fmt.Sprintf("health = %q\n", addr), false)
-	s := &service{stop: make(chan struct{}), done: make(chan error, 1), log: log}
+	s := &runningDaemon{stop: make(chan struct{}), done: make(chan error, 1), log: log}
 	o.Stop = s.stop
 	go func() { s.done <- Run(context.Background(), o) }()
 	status := func(path string) int {
@@ -321,12 +321,12 @@
 		t.Errorf("ready without a list: %d", got)
 	}
 	p.rig.Roster.Away(false)
-	s.wait(t, "is=ready")
-	if h, err := Ask(context.Background(), addr); err != nil || !h.Ready || h.State != "ready" {
+	s.waitForLog(t, "is=ready")
+	if h, err := FetchHealth(context.Background(), addr); err != nil || !h.Ready || h.State != "ready" {
 		t.Errorf("health %+v, %v", h, err)
 	}
 	http.DefaultClient.CloseIdleConnections()
-	if err := s.end(t); err != nil {
+	if err := s.stopAndWait(t); err != nil {
 		t.Error(err)
 	}
 	for _, want := range []string{"READY=1", "STOPPING=1"} {
@@ -338,22 +338,23 @@
 	}
 }
 
-// steady keeps clients asking, each again as soon as it is answered or at a pace, and counts what was lost: a
-// statement that was neither answered nor told that it did not run, or a connection that was refused.
-type steady struct {
-	served, declined, told, lost, refused atomic.Int64
-	stop                                  chan struct{}
-	work                                  sync.WaitGroup
-	mu                                    sync.Mutex
-	firstLost                             error
+// loadGenerator keeps clients asking, each again as soon as it is answered or at a pace, and counts what was
+// lost: a statement that was neither answered nor told that it did not run, or a connection that was
+// refused.
+type loadGenerator struct {
+	served, rejected, notified, lost, connectFailures atomic.Int64
+	stop                                              chan struct{}
+	clients                                           sync.WaitGroup
+	mu                                                sync.Mutex
+	firstLost                                         error
 }
 
-func (p *place) steady(clients int, every time.Duration) *steady {
-	s := &steady{stop: make(chan struct{})}
+func (p *testEnv) startLoad(clients int, every time.Duration) *loadGenerator {
+	s := &loadGenerator{stop: make(chan struct{})}
 	for range clients {
-		s.work.Add(1)
+		s.clients.Add(1)
 		go func() {
-			defer s.work.Done()
+			defer s.clients.Done()
 			ctx := context.Background()
 			var c *pgx.Conn
 			tick := time.NewTicker(every)
@@ -370,9 +371,9 @@
 				if c == nil {
 					var err error
 					if c, err = pgx.Connect(ctx,
-						"postgres://u@"+p.listen+"/db?"+simple); err != nil {
-						s.refused.Add(1)
-						s.note(err)
+						"postgres://u@"+p.listen+"/db?"+simpleProtocol); err != nil {
+						s.connectFailures.Add(1)
+						s.recordFirstError(err)
 						c = nil
 						continue
 					}
@@ -382,13 +383,13 @@
 				case err == nil:
 					s.served.Add(1)
 				// an answer, if no welcome one: a busy machine looks like slow engines
-				case code(err) == "53000":
-					s.declined.Add(1)
-				case code(err) == "57P01": // it did not run; the client comes again
-					s.told.Add(1)
+				case sqlState(err) == "53000":
+					s.rejected.Add(1)
+				case sqlState(err) == "57P01": // it did not run; the client comes again
+					s.notified.Add(1)
 				default:
 					s.lost.Add(1)
-					s.note(err)
+					s.recordFirstError(err)
 				}
 				if c.IsClosed() {
 					c = nil
@@ -399,7 +400,7 @@
 	return s
 }
 
-func (s *steady) note(err error) {
+func (s *loadGenerator) recordFirstError(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.firstLost == nil {
@@ -407,15 +408,20 @@
 	}
 }
 
-func (s *steady) end(t *testing.T) {
+func (s *loadGenerator) end(t *testing.T) {
 	t.Helper()
 	close(s.stop)
-	s.work.Wait()
+	s.clients.Wait()
 	t.Logf("served %d, declined %d, told to come again %d, lost %d, refused %d", s.served.Load(),
-		s.declined.Load(), s.told.Load(), s.lost.Load(), s.refused.Load())
-	if s.lost.Load()+s.refused.Load() > 0 || s.served.Load() == 0 {
-		t.Errorf("lost %d, refused %d, served %d: %v", s.lost.Load(), s.refused.Load(), s.served.Load(),
-			s.firstLost)
+		s.rejected.Load(), s.notified.Load(), s.lost.Load(), s.connectFailures.Load())
+	if s.lost.Load()+s.connectFailures.Load() > 0 || s.served.Load() == 0 {
+		t.Errorf(
+			"lost %d, refused %d, served %d: %v",
+			s.lost.Load(),
+			s.connectFailures.Load(),
+			s.served.Load(),
+			s.firstLost,
+		)
 	}
 }
 
@@ -423,7 +429,7 @@
 // list go over to the heir, and so does the dispatcher's place among those that talk, once the former has
 // let go of its address.
 func TestHandOver(t *testing.T) {
-	p := raise(t)
+	p := newTestEnv(t)
 	at, err := testbed.FreePort()
 	if err != nil {
 		t.Fatal(err)
@@ -431,7 +437,7 @@
 	talks := fmt.Sprintf("peers {\n  listen = %q\n  keys = [%q]\n  wait = \"0s\"\n}\n", at,
 		strings.Repeat("07", 32))
 	a := p.start(t, talks, false)
-	load := p.steady(100, 50*time.Millisecond)
+	load := p.startLoad(100, 50*time.Millisecond)
 	time.Sleep(300 * time.Millisecond)
 	for range 2 { // and once more
 		b := p.start(t, talks, true)
@@ -443,12 +449,12 @@
 		case <-time.After(10 * time.Second):
 			t.Fatalf("the former does not end:\n%s", a.log)
 		}
-		b.wait(t, "msg=dispatchers ordinal=0")
+		b.waitForLog(t, "msg=dispatchers ordinal=0")
 		time.Sleep(300 * time.Millisecond)
 		a = b
 	}
 	load.end(t)
-	if err := a.end(t); err != nil {
+	if err := a.stopAndWait(t); err != nil {
 		t.Error(err)
 	}
 }
@@ -456,7 +462,7 @@
 // Sessions over a hand-over: one in a transaction stays with the former dispatcher until it has committed,
 // one kept by a temporary table is told at once and ended at the limit; new ones are the heir's.
 func TestHandOverKeepsSessions(t *testing.T) {
-	p := raise(t)
+	p := newTestEnv(t)
 	a := p.start(t, "", false)
 	inTx, pinned := p.connect(t), p.connect(t)
 	ctx := context.Background()
@@ -469,7 +475,7 @@
 		}
 	}
 	b := p.start(t, "", true)
-	a.wait(t, "is=draining")
+	a.waitForLog(t, "is=draining")
 	for _, text := range []string{"insert into t values (2)", "select 1", "commit"} {
 		if _, err := inTx.Exec(ctx, text); err != nil {
 			t.Errorf("%s in a transaction over a hand-over: %v", text, err)
@@ -478,7 +484,7 @@
 	if _, err := pinned.Exec(ctx, "select 1 from tmp_h"); err != nil {
 		t.Errorf("a session kept by a table: %v", err)
 	}
-	if _, err := inTx.Exec(ctx, "select 1"); code(err) != "57P01" && !inTx.IsClosed() {
+	if _, err := inTx.Exec(ctx, "select 1"); sqlState(err) != "57P01" && !inTx.IsClosed() {
 		t.Errorf("free, and the former dispatcher drains: %v", err)
 	}
 	select {
@@ -486,13 +492,13 @@
 	case <-time.After(10 * time.Second):
 		t.Fatalf("the former does not end:\n%s", a.log)
 	}
-	if _, err := pinned.Exec(ctx, "select 1 from tmp_h"); code(err) != "57P01" && !pinned.IsClosed() {
+	if _, err := pinned.Exec(ctx, "select 1 from tmp_h"); sqlState(err) != "57P01" && !pinned.IsClosed() {
 		t.Errorf("a session kept by a table, after the limit: %v", err)
 	}
 	if _, err := p.connect(t).Exec(ctx, "select 1"); err != nil {
 		t.Error("the heir: ", err)
 	}
-	if err := b.end(t); err != nil {
+	if err := b.stopAndWait(t); err != nil {
 		t.Error(err)
 	}
 }
@@ -500,7 +506,7 @@
 // A hand-over of Flight SQL: the socket goes over and no call is refused, a transaction commits at the
 // former, whose other calls are told that nothing ran, and the former's connections are told to go.
 func TestHandOverOfFlight(t *testing.T) {
-	p := raise(t)
+	p := newTestEnv(t)
 	addr, err := testbed.FreePort()
 	if err != nil {
 		t.Fatal(err)
@@ -526,15 +532,15 @@
 		t.Fatal(err)
 	}
 	b := p.start(t, extra, true)
-	a.wait(t, "is=draining")
+	a.waitForLog(t, "is=draining")
 	if _, err := tx.ExecuteUpdate(ctx, "insert into t values (1)"); err != nil {
 		t.Errorf("in a transaction over a hand-over: %v", err)
 	}
 	if _, err := old.ExecuteUpdate(ctx, "insert into t values (2)"); status.Code(err) != codes.Unavailable {
 		t.Errorf("outside it, at the former: %v", err)
 	}
-	c, heirs := dial()
-	if _, err := c.ExecuteUpdate(heirs, "insert into t values (3)"); err != nil {
+	c, successorCtx := dial()
+	if _, err := c.ExecuteUpdate(successorCtx, "insert into t values (3)"); err != nil {
 		t.Errorf("at the heir: %v", err)
 	}
 	if err := tx.Commit(ctx); err != nil {
@@ -548,30 +554,30 @@
 	case <-time.After(10 * time.Second):
 		t.Fatalf("the former does not end:\n%s", a.log)
 	}
-	if err := b.end(t); err != nil {
+	if err := b.stopAndWait(t); err != nil {
 		t.Error(err)
 	}
 }
 
 // Heirs that fail: one that dies with the socket in its hand, one that hangs, two at once, and one without a
 // list. The former goes on as if nothing had been.
-func TestHeirsThatFail(t *testing.T) {
-	p := raise(t)
+func TestSuccessorsThatFail(t *testing.T) {
+	p := newTestEnv(t)
 	a := p.start(t, "", false)
-	load := p.steady(20, 20*time.Millisecond)
+	load := p.startLoad(20, 20*time.Millisecond)
 	sock := filepath.Join(p.dir, "sock")
-	ln, f, err := takeSockets(sock) // dies
+	ln, f, err := takeOverListeners(sock) // dies
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := takeSockets(sock); err == nil || !strings.Contains(err.Error(), "turned away") {
+	if _, _, err := takeOverListeners(sock); err == nil || !strings.Contains(err.Error(), "turned away") {
 		t.Errorf("a second heir beside the first: %v", err)
 	}
 	ln[0].Close()
 	f.close()
-	a.wait(t, "was=\"handing over\" is=ready")
+	a.waitForLog(t, "was=\"handing over\" is=ready")
 	p.rig.Roster.Away(true) // an heir that gets no list gives up by itself
-	if err := os.Rename(p.listKept(t), filepath.Join(p.dir, "list")); err != nil {
+	if err := os.Rename(p.waitForCachedList(t), filepath.Join(p.dir, "list")); err != nil {
 		t.Fatal(err)
 	}
 	o, _ := p.options(t, "", true)
@@ -582,18 +588,18 @@
 	p.rig.Roster.Away(false)
 	time.Sleep(100 * time.Millisecond)
 	load.end(t)
-	if _, _, err := takeSockets(filepath.Join(p.dir, "nobody")); err == nil {
+	if _, _, err := takeOverListeners(filepath.Join(p.dir, "nobody")); err == nil {
 		t.Error("a hand-over from nobody")
 	}
-	if err := a.end(t); err != nil {
+	if err := a.stopAndWait(t); err != nil {
 		t.Error(err)
 	}
 }
 
 // A dispatcher that died with a load out: the load's key rests, and the same load is refused where only one
 // group of engines would drop it, until its window is over.
-func TestReturnHeedsLoads(t *testing.T) {
-	p := raise(t)
+func TestRestartHonorsPendingWrites(t *testing.T) {
+	p := newTestEnv(t)
 	s := p.start(t, "", false)
 	c := p.connect(t)
 	go c.Exec(context.Background(),
@@ -609,7 +615,7 @@
 	time.Sleep(50 * time.Millisecond)
 	// A death, as the folder sees it: a copy taken while it runs.
 	copyTo := t.TempDir()
-	p.listKept(t)
+	p.waitForCachedList(t)
 	for _, name := range []string{"state", "list"} {
 		b, err := os.ReadFile(filepath.Join(p.dir, "state", name))
 		if err != nil {
@@ -619,7 +625,7 @@
 		os.WriteFile(filepath.Join(copyTo, "state", name), b, 0o600)
 	}
 	close(s.stop)
-	s.end(t)
+	s.stopAndWait(t)
 	p.dir = copyTo
 	p.rig.Roster.Away(true) // only the kept list is known
 	s = p.start(t, "", false)
@@ -630,7 +636,7 @@
 	defer c.Close(context.Background())
 	begin := time.Now()
 	if _, err := c.Exec(context.Background(),
-		"insert into t values (7) /*class='load',key='k',id='l2'*/"); code(err) != "53000" {
+		"insert into t values (7) /*class='load',key='k',id='l2'*/"); sqlState(err) != "53000" {
 		t.Errorf("the same load again: %v", err)
 	}
 	if _, err := c.Exec(context.Background(),
@@ -640,12 +646,12 @@
 	if took := time.Since(begin); took < 100*time.Millisecond {
 		t.Errorf("the key rested for %v", took)
 	}
-	if err := s.end(t); err != nil {
+	if err := s.stopAndWait(t); err != nil {
 		t.Error(err)
 	}
 }
 
-func sighup() error {
+func sendReload() error {
 	self, err := os.FindProcess(os.Getpid())
 	if err != nil {
 		return err
@@ -655,12 +661,12 @@
 
 // Reloads amid a burst, good ones and broken ones by turns: no query is lost, and each good one is in force.
 func TestReloadInABurst(t *testing.T) {
-	p := raise(t)
+	p := newTestEnv(t)
 	s := p.start(t, "", false)
-	load := p.steady(60, 10*time.Millisecond)
+	load := p.startLoad(60, 10*time.Millisecond)
 	path := filepath.Join(p.dir, "d.hcl")
 	for i := range 10 {
-		text := p.file(fmt.Sprintf("max_held = %d\n", 500+i))
+		text := p.settingsText(fmt.Sprintf("max_held = %d\n", 500+i))
 		if i%3 == 2 {
 			text = text[:len(text)/2]
 		}
@@ -669,7 +675,7 @@
 		}
 		time.Sleep(50 * time.Millisecond) // some 300 statements come and go
 		was := strings.Count(s.log.String(), "reloaded")
-		if err := sighup(); err != nil {
+		if err := sendReload(); err != nil {
 			t.Fatal(err)
 		}
 		for begin := time.Now(); strings.Count(s.log.String(),
@@ -683,7 +689,7 @@
 	if got := strings.Count(s.log.String(), "settings reloaded"); got != 7 {
 		t.Errorf("%d reloads were applied, want 7", got)
 	}
-	if err := s.end(t); err != nil {
+	if err := s.stopAndWait(t); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -43,9 +43,20 @@
 
 // Health keeps its keys, and is read from the answer of an earlier build.
 func TestGoldenHealth(t *testing.T) {
-	want := Health{State: "ready", Ready: true, Trouble: true, Clients: 1, Open: 2, Taken: 3, Served: 4,
-		Refused: 5, Failed: 6, Gone: 7, Violations: map[invariant.Name]uint64{invariant.SentAfterEnd: 8},
-		Withheld: map[invariant.Name]uint64{invariant.SentTooLate: 9}}
+	want := Health{
+		State:       "ready",
+		Ready:       true,
+		LoopLagging: true,
+		Clients:     1,
+		OpenQueries: 2,
+		Accepted:    3,
+		Served:      4,
+		Rejected:    5,
+		Failed:      6,
+		Abandoned:   7,
+		Violations:  map[invariant.Name]uint64{invariant.SentAfterEnd: 8},
+		Withheld:    map[invariant.Name]uint64{invariant.SentAfterDeadline: 9},
+	}
 	var written bytes.Buffer
 	for _, h := range []Health{want, {State: "starting"}} {
 		if err := json.NewEncoder(&written).Encode(h); err != nil {
@@ -64,7 +75,7 @@
 	}))
 	defer s.Close()
 	defer http.DefaultClient.CloseIdleConnections()
-	got, err := Ask(context.Background(), strings.TrimPrefix(s.URL, "http://"))
+	got, err := FetchHealth(context.Background(), strings.TrimPrefix(s.URL, "http://"))
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v, %v, want %+v", got, err, want)
 	}
@@ -73,7 +84,7 @@
 // The names of states stand in the health answer.
 func TestGoldenStates(t *testing.T) {
 	var written strings.Builder
-	for _, s := range []lifecycle.State{lifecycle.Starting, lifecycle.Ready, lifecycle.Handing, lifecycle.Draining, lifecycle.Over} {
+	for _, s := range []lifecycle.State{lifecycle.Starting, lifecycle.Ready, lifecycle.HandingOver, lifecycle.Draining, lifecycle.Stopped} {
 		fmt.Fprintln(&written, s)
 	}
 	if stored := golden(t, "states.txt", []byte(written.String())); written.String() != string(stored) {
@@ -90,8 +101,8 @@
 		_, text, _ := strings.Cut(line, " ")
 		said[[]string{"request", "listeners", "serving", "draining", "rejected"}[i]] = text + "\n"
 	}
-	for key, today := range map[string]string{"request": askSocket, "listeners": sayHere,
-		"serving": sayServing, "draining": sayDraining} {
+	for key, today := range map[string]string{"request": messageRequest, "listeners": messageListeners,
+		"serving": messageServing, "draining": messageDraining} {
 		if said[key] != today+"\n" {
 			t.Errorf("%s is said as %q, it was %q", key, today, said[key])
 		}
@@ -125,7 +136,7 @@
 	said := handOver(t)
 	path := filepath.Join(t.TempDir(), "sock")
 	events := make(chan lifecycle.Event, 8)
-	h, err := listenHeirs(path, events, slog.New(slog.DiscardHandler))
+	h, err := listenForSuccessors(path, events, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,10 +149,10 @@
 	c.SetDeadline(time.Now().Add(10 * time.Second))
 	c.Write([]byte(said["request"]))
 	asked := <-events
-	if asked.Type != lifecycle.Successor {
+	if asked.Type != lifecycle.SuccessorConnected {
 		t.Fatalf("event %+v", asked)
 	}
-	h.give(asked.Who, listenTCP(t), listenTCP(t))
+	h.sendListeners(asked.SuccessorID, listenTCP(t), listenTCP(t))
 	b, oob := make([]byte, 256), make([]byte, 256)
 	n, oobn, _, _, err := c.ReadMsgUnix(b, oob)
 	if err != nil || string(b[:n]) != said["listeners"] {
@@ -159,19 +170,19 @@
 		syscall.Close(fd)
 	}
 	c.Write([]byte(said["serving"]))
-	if ev := <-events; ev.Type != lifecycle.Took || ev.Who != asked.Who {
+	if ev := <-events; ev.Type != lifecycle.SuccessorServing || ev.SuccessorID != asked.SuccessorID {
 		t.Errorf("event %+v", ev)
 	}
 	lines := bufio.NewReader(c)
-	h.let()
+	h.announceDrain()
 	if line, err := lines.ReadString('\n'); err != nil || line != said["draining"] {
 		t.Errorf("told %q, %v, want %q", line, err, said["draining"])
 	}
-	h.decline(asked.Who)
+	h.reject(asked.SuccessorID)
 	if line, err := lines.ReadString('\n'); err != nil || line != said["rejected"] {
 		t.Errorf("told %q, %v, want %q", line, err, said["rejected"])
 	}
-	if ev := <-events; ev.Type != lifecycle.Lost || ev.Who != asked.Who {
+	if ev := <-events; ev.Type != lifecycle.SuccessorLost || ev.SuccessorID != asked.SuccessorID {
 		t.Errorf("event %+v", ev)
 	}
 }
@@ -207,7 +218,7 @@
 				return err
 			}()
 		}()
-		sockets, f, err := takeSockets(path)
+		sockets, f, err := takeOverListeners(path)
 		if e := <-ends; e != nil {
 			t.Fatal(e)
 		}
