--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -26,32 +26,36 @@
 // its state and of the Unix socket, which the heir then holds. A connection that ends before "serving" is an
 // heir that died: the former goes on alone.
 const (
-	askSocket   = "socket"
-	sayHere     = "here"
-	sayNo       = "no"
-	sayServing  = "serving"
-	sayDraining = "draining"
+	messageRequest   = "socket"
+	messageListeners = "here"
+	messageRejected  = "no"
+	messageServing   = "serving"
+	messageDraining  = "draining"
 )
 
 func ptr(ts *syscall.Timespec) unsafe.Pointer { return unsafe.Pointer(ts) }
 
-// heirs are the processes that ask for the socket.
-type heirs struct {
-	path   string
-	ln     *net.UnixListener
-	events chan<- lifecycle.Event
-	log    *slog.Logger
-	done   chan struct{}
+// handoverServer are the processes that ask for the socket.
+type handoverServer struct {
+	path     string
+	listener *net.UnixListener
+	events   chan<- lifecycle.Event
+	logger   *slog.Logger
+	done     chan struct{}
 
-	mu    sync.Mutex
-	next  uint64
-	conns map[uint64]*net.UnixConn
-	work  sync.WaitGroup
+	mu       sync.Mutex
+	lastID   uint64
+	conns    map[uint64]*net.UnixConn
+	handlers sync.WaitGroup
 }
 
-// listenHeirs serves a Unix socket. One that is left of a process that died is replaced; one that answers is
-// not.
-func listenHeirs(path string, events chan<- lifecycle.Event, log *slog.Logger) (*heirs, error) {
+// listenForSuccessors serves a Unix socket. One that is left of a process that died is replaced; one that
+// answers is not.
+func listenForSuccessors(
+	path string,
+	events chan<- lifecycle.Event,
+	log *slog.Logger,
+) (*handoverServer, error) {
 	addr := &net.UnixAddr{Name: path, Net: "unix"}
 	ln, err := net.ListenUnix("unix", addr)
 	for begin := time.Now(); errors.Is(err, syscall.EADDRINUSE); {
@@ -70,77 +74,83 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &heirs{path: path, ln: ln, events: events, log: log, conns: map[uint64]*net.UnixConn{},
-		done: make(chan struct{})}
-	h.work.Add(1)
+	h := &handoverServer{
+		path:     path,
+		listener: ln,
+		events:   events,
+		logger:   log,
+		conns:    map[uint64]*net.UnixConn{},
+		done:     make(chan struct{}),
+	}
+	h.handlers.Add(1)
 	go h.accept()
 	return h, nil
 }
 
-func (h *heirs) accept() {
-	defer h.work.Done()
+func (h *handoverServer) accept() {
+	defer h.handlers.Done()
 	for {
-		accepted, err := netlisten.Lasting{Listener: h.ln}.Accept()
+		accepted, err := netlisten.ResilientListener{Listener: h.listener}.Accept()
 		if err != nil {
 			return
 		}
 		c := accepted.(*net.UnixConn)
 		h.mu.Lock()
-		h.next++
-		who := h.next
-		h.conns[who] = c
-		h.work.Add(1)
+		h.lastID++
+		successorID := h.lastID
+		h.conns[successorID] = c
+		h.handlers.Add(1)
 		h.mu.Unlock()
 		go func() {
-			defer h.work.Done()
-			h.serve(who, c)
+			defer h.handlers.Done()
+			h.serve(successorID, c)
 			h.mu.Lock()
-			delete(h.conns, who)
+			delete(h.conns, successorID)
 			h.mu.Unlock()
 			c.Close()
 		}()
 	}
 }
 
-func (h *heirs) tell(ev lifecycle.Event) {
+func (h *handoverServer) send(ev lifecycle.Event) {
 	select {
 	case h.events <- ev:
 	case <-h.done:
 	}
 }
 
-func (h *heirs) serve(who uint64, c *net.UnixConn) {
+func (h *handoverServer) serve(successorID uint64, c *net.UnixConn) {
 	lines := bufio.NewScanner(c)
 	asked := false
 	for lines.Scan() {
 		switch lines.Text() {
-		case askSocket:
+		case messageRequest:
 			asked = true
-			h.tell(lifecycle.Event{Type: lifecycle.Successor, Who: who})
-		case sayServing:
-			h.tell(lifecycle.Event{Type: lifecycle.Took, Who: who})
+			h.send(lifecycle.Event{Type: lifecycle.SuccessorConnected, SuccessorID: successorID})
+		case messageServing:
+			h.send(lifecycle.Event{Type: lifecycle.SuccessorServing, SuccessorID: successorID})
 		}
 	}
 	if asked {
-		h.tell(lifecycle.Event{Type: lifecycle.Lost, Who: who})
+		h.send(lifecycle.Event{Type: lifecycle.SuccessorLost, SuccessorID: successorID})
 	}
 }
 
-func (h *heirs) conn(who uint64) *net.UnixConn {
+func (h *handoverServer) conn(successorID uint64) *net.UnixConn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.conns[who]
+	return h.conns[successorID]
 }
 
-// give sends the listening sockets.
-func (h *heirs) give(who uint64, all ...*net.TCPListener) {
-	c := h.conn(who)
+// sendListeners sends the listening sockets.
+func (h *handoverServer) sendListeners(successorID uint64, listeners ...*net.TCPListener) {
+	c := h.conn(successorID)
 	if c == nil {
 		return
 	}
 	var fds []int
 	var err error
-	for _, ln := range all {
+	for _, ln := range listeners {
 		var f *os.File
 		if f, err = ln.File(); err != nil {
 			break
@@ -149,57 +159,57 @@
 		fds = append(fds, int(f.Fd()))
 	}
 	if err == nil {
-		_, _, err = c.WriteMsgUnix([]byte(sayHere+"\n"), syscall.UnixRights(fds...), nil)
+		_, _, err = c.WriteMsgUnix([]byte(messageListeners+"\n"), syscall.UnixRights(fds...), nil)
 	}
 	if err != nil {
-		h.log.Warn("socket not handed over", "error", err)
+		h.logger.Warn("socket not handed over", "error", err)
 		c.Close()
 	}
 }
 
-// decline turns an heir away. One that already has the socket ends by it.
-func (h *heirs) decline(who uint64) {
-	if c := h.conn(who); c != nil {
+// reject turns an heir away. One that already has the socket ends by it.
+func (h *handoverServer) reject(successorID uint64) {
+	if c := h.conn(successorID); c != nil {
 		c.SetWriteDeadline(time.Now().Add(time.Second))
-		c.Write([]byte(sayNo + " another hand-over is under way, or this dispatcher ends\n"))
+		c.Write([]byte(messageRejected + " another hand-over is under way, or this dispatcher ends\n"))
 		c.Close()
 	}
 }
 
-// let tells heirs that the former drains, and frees the Unix socket for them.
-func (h *heirs) let() {
-	h.ln.SetUnlinkOnClose(true)
-	h.ln.Close()
+// announceDrain tells heirs that the former drains, and frees the Unix socket for them.
+func (h *handoverServer) announceDrain() {
+	h.listener.SetUnlinkOnClose(true)
+	h.listener.Close()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, c := range h.conns {
 		c.SetWriteDeadline(time.Now().Add(time.Second))
-		c.Write([]byte(sayDraining + "\n"))
+		c.Write([]byte(messageDraining + "\n"))
 	}
 }
 
-func (h *heirs) close() {
+func (h *handoverServer) close() {
 	close(h.done)
-	h.ln.Close()
+	h.listener.Close()
 	h.mu.Lock()
 	for _, c := range h.conns {
 		c.Close()
 	}
 	h.mu.Unlock()
-	h.work.Wait()
+	h.handlers.Wait()
 }
 
-// mostSockets are handed over: one for each front.
-const mostSockets = 2
+// maxListeners are handed over: one for each front.
+const maxListeners = 2
 
-// former is the dispatcher that is being succeeded.
-type former struct {
-	c     *net.UnixConn
+// predecessorConn is the dispatcher that is being succeeded.
+type predecessorConn struct {
+	conn  *net.UnixConn
 	lines *bufio.Scanner
 }
 
-// takeSockets gets the listening sockets of the dispatcher that serves a Unix socket.
-func takeSockets(path string) ([]*net.TCPListener, *former, error) {
+// takeOverListeners gets the listening sockets of the dispatcher that serves a Unix socket.
+func takeOverListeners(path string) ([]*net.TCPListener, *predecessorConn, error) {
 	if path == "" {
 		return nil, nil, errors.New("the settings name no takeover socket")
 	}
@@ -208,88 +218,88 @@
 		return nil, nil, err
 	}
 	c.SetDeadline(time.Now().Add(10 * time.Second)) // a former that hangs is not waited for
-	ln, err := receive(c)
+	ln, err := receiveListeners(c)
 	if err != nil {
 		c.Close()
 		return nil, nil, err
 	}
 	c.SetDeadline(time.Time{})
-	return ln, &former{c: c, lines: bufio.NewScanner(c)}, nil
+	return ln, &predecessorConn{conn: c, lines: bufio.NewScanner(c)}, nil
 }
 
-func receive(c *net.UnixConn) ([]*net.TCPListener, error) {
-	if _, err := c.Write([]byte(askSocket + "\n")); err != nil {
+func receiveListeners(c *net.UnixConn) ([]*net.TCPListener, error) {
+	if _, err := c.Write([]byte(messageRequest + "\n")); err != nil {
 		return nil, err
 	}
-	b, oob := make([]byte, 256), make([]byte, syscall.CmsgSpace(4*mostSockets))
+	b, oob := make([]byte, 256), make([]byte, syscall.CmsgSpace(4*maxListeners))
 	n, oobn, _, _, err := c.ReadMsgUnix(b, oob)
 	if err != nil {
 		return nil, fmt.Errorf("no answer: %w", err)
 	}
-	said := strings.TrimSpace(string(b[:n]))
-	if said != sayHere {
-		return nil, fmt.Errorf("turned away: %q", said)
+	answer := strings.TrimSpace(string(b[:n]))
+	if answer != messageListeners {
+		return nil, fmt.Errorf("turned away: %q", answer)
 	}
 	messages, err := syscall.ParseSocketControlMessage(oob[:oobn])
 	if err != nil || len(messages) != 1 {
 		return nil, fmt.Errorf("no socket came with the answer: %v", err)
 	}
 	fds, err := syscall.ParseUnixRights(&messages[0])
-	if err != nil || len(fds) < 1 || len(fds) > mostSockets {
+	if err != nil || len(fds) < 1 || len(fds) > maxListeners {
 		return nil, fmt.Errorf("no socket came with the answer: %v", err)
 	}
-	var all []*net.TCPListener
+	var listeners []*net.TCPListener
 	for _, fd := range fds {
 		syscall.CloseOnExec(fd)
 		f := os.NewFile(uintptr(fd), "listener")
 		ln, lerr := net.FileListener(f)
 		f.Close()
 		if tcp, ok := ln.(*net.TCPListener); ok {
-			all = append(all, tcp)
+			listeners = append(listeners, tcp)
 		} else {
 			err = errors.Join(err, lerr, fmt.Errorf("a socket handed over is %T", ln))
 		}
 	}
 	if err != nil {
-		for _, ln := range all {
+		for _, ln := range listeners {
 			ln.Close()
 		}
 		return nil, err
 	}
-	return all, nil
+	return listeners, nil
 }
 
-// startHeir starts on the socket beside the former, and tells it once it serves. The state folder is the
+// startSuccessor starts on the socket beside the former, and tells it once it serves. The state folder is the
 // former's until it has drained, so an heir keeps no state of loads; its engine list begins with the former's
 // kept one.
-func startHeir(start func(*config.Config, *slog.Logger, net.Listener) (*server.Server, error), o Options,
-	ln *net.TCPListener, f *former) (*server.Server, error) {
-	s, err := start(o.Config, o.Log, ln)
+func startSuccessor(start func(*config.Config, *slog.Logger, net.Listener) (*server.Server, error), o Options,
+	ln *net.TCPListener, f *predecessorConn) (*server.Server, error) {
+	s, err := start(o.Config, o.Logger, ln)
 	if err != nil {
 		return nil, err
 	}
 	select { // a dispatcher without a list would take connections and serve none
-	case <-s.Listed():
+	case <-s.ListReady():
 	case <-time.After(10 * time.Second):
 		s.Close()
 		return nil, errors.New("no engine list within 10 s")
 	}
-	if _, err := f.c.Write([]byte(sayServing + "\n")); err != nil {
+	if _, err := f.conn.Write([]byte(messageServing + "\n")); err != nil {
 		s.Close()
 		return nil, fmt.Errorf("former dispatcher: %w", err)
 	}
 	for f.lines.Scan() {
-		switch said := f.lines.Text(); {
-		case said == sayDraining:
+		switch answer := f.lines.Text(); {
+		case answer == messageDraining:
 			return s, nil
-		case strings.HasPrefix(said, sayNo):
+		case strings.HasPrefix(answer, messageRejected):
 			s.Close()
-			return nil, fmt.Errorf("turned away: %q", said)
+			return nil, fmt.Errorf("turned away: %q", answer)
 		}
 	}
 	// Danger: a former that died in this moment leaves its socket to us alone; we serve on.
-	o.Log.Warn("the former dispatcher ended before it said that it drains")
+	o.Logger.Warn("the former dispatcher ended before it said that it drains")
 	return s, nil
 }
 
-func (f *former) close() { f.c.Close() }
+func (f *predecessorConn) close() { f.conn.Close() }
--- a/internal/daemon/signals/signals.go
+++ b/internal/daemon/signals/signals.go
@@ -14,32 +14,32 @@
 func Notify() (all <-chan os.Signal, stop func()) {
 	// os/signal drops what does not fit a channel. One place each is enough: a second reload before the first
 	// was begun, or a second end, adds nothing.
-	reload, end := make(chan os.Signal, 1), make(chan os.Signal, 1)
-	signal.Notify(reload, syscall.SIGHUP)
-	signal.Notify(end, syscall.SIGTERM, os.Interrupt)
-	out, halt := make(chan os.Signal), make(chan struct{})
+	reloads, terminations := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(reloads, syscall.SIGHUP)
+	signal.Notify(terminations, syscall.SIGTERM, os.Interrupt)
+	out, stopping := make(chan os.Signal), make(chan struct{})
 	var done sync.WaitGroup
-	done.Go(func() { relay(out, halt, reload, end) })
+	done.Go(func() { forward(out, stopping, reloads, terminations) })
 	return out, func() {
-		signal.Stop(reload)
-		signal.Stop(end)
-		close(halt)
+		signal.Stop(reloads)
+		signal.Stop(terminations)
+		close(stopping)
 		done.Wait()
 	}
 }
 
-func relay(out chan<- os.Signal, halt <-chan struct{}, reload, end <-chan os.Signal) {
+func forward(out chan<- os.Signal, stopping <-chan struct{}, reloads, terminations <-chan os.Signal) {
 	for {
 		var next os.Signal
 		select {
-		case next = <-end:
-		case next = <-reload:
-		case <-halt:
+		case next = <-terminations:
+		case next = <-reloads:
+		case <-stopping:
 			return
 		}
 		select {
 		case out <- next:
-		case <-halt:
+		case <-stopping:
 			return
 		}
 	}
--- a/internal/discovery/eds/eds.go
+++ b/internal/discovery/eds/client.go
@@ -21,8 +21,9 @@
 // TypeURL is the resource type of endpoint discovery (xDS protocol, "Resource Types").
 const TypeURL = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 
-// Metadata is the filter name under which an endpoint's kind, start (seconds since 1970) and size stand.
-const Metadata = "cresspass"
+// MetadataFilter is the filter name under which an endpoint's kind, start (seconds since 1970) and size
+// stand.
+const MetadataFilter = "cresspass"
 
 // Source is where engine lists come from.
 type Source interface {
@@ -32,57 +33,63 @@
 	Refresh()
 }
 
-// EDS subscribes to an endpoint discovery service: state of the world, one resource, over gRPC.
-type EDS struct {
+// Client subscribes to an endpoint discovery service: state of the world, one resource, over gRPC.
+type Client struct {
 	Address string // host:port
 	Service string // the ClusterLoadAssignment's name
-	Node    string // how we name ourselves
+	NodeID  string // how we name ourselves
 	Log     *slog.Logger
 	refresh chan struct{}
 }
 
-// NewEDS returns a source that is not yet running.
-func NewEDS(address, service, node string, log *slog.Logger) *EDS {
-	return &EDS{Address: address, Service: service, Node: node, Log: log, refresh: make(chan struct{}, 1)}
+// NewClient returns a source that is not yet running.
+func NewClient(address, service, node string, log *slog.Logger) *Client {
+	return &Client{
+		Address: address,
+		Service: service,
+		NodeID:  node,
+		Log:     log,
+		refresh: make(chan struct{}, 1),
+	}
 }
 
 // Refresh asks for the list once more.
-func (s *EDS) Refresh() {
+func (s *Client) Refresh() {
 	select {
 	case s.refresh <- struct{}{}:
 	default:
 	}
 }
 
-// retryFirst and retryMost bound the rest between two subscriptions.
+// minBackoff and maxBackoff bound the rest between two subscriptions.
 const (
-	retryFirst = 100 * time.Millisecond
-	retryMost  = 2 * time.Second
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 2 * time.Second
 )
 
 // Run subscribes, again and again, until the context ends.
-func (s *EDS) Run(ctx context.Context, list func(*List), failed func(error)) {
-	rest := retryFirst
+func (s *Client) Run(ctx context.Context, list func(*List), failed func(error)) {
+	backoff := minBackoff
 	for ctx.Err() == nil {
-		came, err := s.subscribe(ctx, list)
+		accepted, err := s.subscribe(ctx, list)
 		if ctx.Err() != nil {
 			return
 		}
 		failed(err)
-		if came {
-			rest = retryFirst
+		if accepted {
+			backoff = minBackoff
 		}
 		select {
-		case <-time.After(rest):
+		case <-time.After(backoff):
 		case <-s.refresh:
 		case <-ctx.Done():
 		}
-		rest = min(2*rest, retryMost)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
 // subscribe runs one stream to its end. came tells whether a list was accepted.
-func (s *EDS) subscribe(ctx context.Context, list func(*List)) (came bool, err error) {
+func (s *Client) subscribe(ctx context.Context, list func(*List)) (accepted bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	conn, err := grpc.NewClient(s.Address, grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -94,11 +101,11 @@
 	if err != nil {
 		return false, err
 	}
-	request := func(version, nonce string, fault error) error {
+	request := func(version, nonce string, rejection error) error {
 		r := &discoveryv3.DiscoveryRequest{VersionInfo: version, ResponseNonce: nonce, TypeUrl: TypeURL,
-			ResourceNames: []string{s.Service}, Node: &corev3.Node{Id: s.Node}}
-		if fault != nil {
-			r.ErrorDetail = &status.Status{Code: 3, Message: fault.Error()}
+			ResourceNames: []string{s.Service}, Node: &corev3.Node{Id: s.NodeID}}
+		if rejection != nil {
+			r.ErrorDetail = &status.Status{Code: 3, Message: rejection.Error()}
 		}
 		return stream.Send(r)
 	}
@@ -106,7 +113,7 @@
 	if err := request(version, nonce, nil); err != nil {
 		return false, err
 	}
-	answers := make(chan *discoveryv3.DiscoveryResponse)
+	responses := make(chan *discoveryv3.DiscoveryResponse)
 	ended := make(chan error, 1)
 	go func() {
 		for {
@@ -116,7 +123,7 @@
 				return
 			}
 			select {
-			case answers <- m:
+			case responses <- m:
 			case <-ctx.Done():
 				// Danger: a list that comes in the moment of the end would leave the loop below waiting for
 				// an end that nobody tells.
@@ -128,32 +135,32 @@
 	for {
 		select {
 		case err := <-ended:
-			return came, err
+			return accepted, err
 		case <-s.refresh:
 			// A new subscription to the same name is answered with the whole resource.
-			return came, fmt.Errorf("roster: asked for again")
-		case m := <-answers:
-			l, fault := s.read(m)
+			return accepted, fmt.Errorf("roster: asked for again")
+		case m := <-responses:
+			l, rejection := s.parseResponse(m)
 			nonce = m.Nonce
-			if fault != nil {
-				s.Log.Warn("engine list refused", "version", m.VersionInfo, "error", fault)
+			if rejection != nil {
+				s.Log.Warn("engine list refused", "version", m.VersionInfo, "error", rejection)
 			} else {
-				version, came = m.VersionInfo, true
+				version, accepted = m.VersionInfo, true
 				list(l)
 			}
-			if err := request(version, nonce, fault); err != nil { // the last good version: a refusal
-				return came, err
+			if err := request(version, nonce, rejection); err != nil { // the last good version: a refusal
+				return accepted, err
 			}
 		}
 	}
 }
 
-// read takes a response whole, or refuses it whole.
-func (s *EDS) read(m *discoveryv3.DiscoveryResponse) (*List, error) {
+// parseResponse takes a response whole, or refuses it whole.
+func (s *Client) parseResponse(m *discoveryv3.DiscoveryResponse) (*List, error) {
 	if m.TypeUrl != TypeURL {
 		return nil, fmt.Errorf("roster: type %q", m.TypeUrl)
 	}
-	l := &List{Version: m.VersionInfo, At: time.Now()}
+	l := &List{Version: m.VersionInfo, ReceivedAt: time.Now()}
 	found := false
 	for _, any := range m.Resources {
 		var a endpointv3.ClusterLoadAssignment
@@ -166,7 +173,7 @@
 		found = true
 		for _, group := range a.Endpoints {
 			for _, e := range group.LbEndpoints {
-				v, err := entry(group.GetLocality(), e)
+				v, err := parseEndpoint(group.GetLocality(), e)
 				if err != nil {
 					return nil, err
 				}
@@ -177,10 +184,10 @@
 	if !found {
 		return nil, fmt.Errorf("roster: no resource %q in version %q", s.Service, m.VersionInfo)
 	}
-	return l, l.Check()
+	return l, l.Validate()
 }
 
-func entry(where *corev3.Locality, e *endpointv3.LbEndpoint) (v Engine, err error) {
+func parseEndpoint(where *corev3.Locality, e *endpointv3.LbEndpoint) (v Engine, err error) {
 	at := e.GetEndpoint().GetAddress().GetSocketAddress()
 	if at == nil {
 		return v, fmt.Errorf("roster: an endpoint without a socket address")
@@ -194,13 +201,13 @@
 	}
 	switch e.HealthStatus {
 	case corev3.HealthStatus_UNKNOWN, corev3.HealthStatus_HEALTHY, corev3.HealthStatus_DEGRADED:
-		v.State = On // UNKNOWN: no health checking, by the definition of the field
+		v.State = StateActive // UNKNOWN: no health checking, by the definition of the field
 	case corev3.HealthStatus_DRAINING:
-		v.State = Draining
+		v.State = StateDraining
 	default:
-		v.State = Gone
+		v.State = StateRemoved
 	}
-	fields := e.GetMetadata().GetFilterMetadata()[Metadata].GetFields()
+	fields := e.GetMetadata().GetFilterMetadata()[MetadataFilter].GetFields()
 	v.Kind, v.Size = fields["kind"].GetStringValue(), fields["size"].GetNumberValue()
 	if t := fields["start"].GetNumberValue(); t > 0 {
 		v.Started = time.UnixMilli(int64(t * 1000))
@@ -208,8 +215,8 @@
 	return v, nil
 }
 
-// Assignment is a list as endpoint discovery has it.
-func Assignment(service string, l *List) (*endpointv3.ClusterLoadAssignment, error) {
+// NewAssignment is a list as endpoint discovery has it.
+func NewAssignment(service string, l *List) (*endpointv3.ClusterLoadAssignment, error) {
 	out := &endpointv3.ClusterLoadAssignment{ClusterName: service}
 	for _, e := range l.Engines {
 		host, port, err := net.SplitHostPort(e.Address)
@@ -220,9 +227,9 @@
 		if err != nil {
 			return nil, err
 		}
-		health := map[string]corev3.HealthStatus{On: corev3.HealthStatus_HEALTHY,
-			Draining: corev3.HealthStatus_DRAINING,
-			Gone:     corev3.HealthStatus_UNHEALTHY}[e.State]
+		health := map[string]corev3.HealthStatus{StateActive: corev3.HealthStatus_HEALTHY,
+			StateDraining: corev3.HealthStatus_DRAINING,
+			StateRemoved:  corev3.HealthStatus_UNHEALTHY}[e.State]
 		meta := map[string]any{"kind": e.Kind, "size": e.Size}
 		if !e.Started.IsZero() {
 			meta["start"] = float64(e.Started.UnixMilli()) / 1000
@@ -234,7 +241,9 @@
 		out.Endpoints = append(out.Endpoints, &endpointv3.LocalityLbEndpoints{
 			Locality: &corev3.Locality{Zone: e.Zone, SubZone: strconv.Itoa(e.Cell)},
 			LbEndpoints: []*endpointv3.LbEndpoint{{HealthStatus: health,
-				Metadata: &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{Metadata: fields}},
+				Metadata: &corev3.Metadata{
+					FilterMetadata: map[string]*structpb.Struct{MetadataFilter: fields},
+				},
 				HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: &endpointv3.Endpoint{
 					Address: &corev3.Address{Address: &corev3.Address_SocketAddress{
 						SocketAddress: &corev3.SocketAddress{
--- a/internal/discovery/eds/golden_test.go
+++ b/internal/discovery/eds/golden_test.go
@@ -36,7 +36,7 @@
 // The cached list of an earlier version is read, and this version writes the same bytes.
 func TestGoldenCachedList(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
-	if err := Save(path, sample()); err != nil {
+	if err := SaveCache(path, sampleList()); err != nil {
 		t.Fatal(err)
 	}
 	current, err := os.ReadFile(path)
@@ -50,14 +50,15 @@
 	if err := os.WriteFile(path, stored, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if l, err := Load(path); err != nil || !reflect.DeepEqual(l, sample()) {
+	if l, err := LoadCache(path); err != nil || !reflect.DeepEqual(l, sampleList()) {
 		t.Errorf("the stored list is read as %+v, %v", l, err)
 	}
 }
 
-// The resource that an earlier version sent by endpoint discovery is read, and this version sends an equal one.
+// The resource that an earlier version sent by endpoint discovery is read, and this version sends an equal
+// one.
 func TestGoldenAssignment(t *testing.T) {
-	assignment, err := Assignment("engines", sample())
+	assignment, err := NewAssignment("engines", sampleList())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +74,7 @@
 	if !proto.Equal(&sent, assignment) {
 		t.Errorf("the resource is sent as %v, want %v", assignment, &sent)
 	}
-	l, err := NewEDS("127.0.0.1:1", "engines", "node", nil).read(&discoveryv3.DiscoveryResponse{
+	l, err := NewClient("127.0.0.1:1", "engines", "node", nil).parseResponse(&discoveryv3.DiscoveryResponse{
 		VersionInfo: "7",
 		TypeUrl:     TypeURL,
 		Resources:   []*anypb.Any{{TypeUrl: TypeURL, Value: stored}},
@@ -81,10 +82,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := sample().Engines; len(l.Engines) != len(want) || l.Version != "7" {
+	if want := sampleList().Engines; len(l.Engines) != len(want) || l.Version != "7" {
 		t.Fatalf("the stored resource is read as %+v", l)
 	}
-	for i, want := range sample().Engines {
+	for i, want := range sampleList().Engines {
 		got := l.Engines[i]
 		if !got.Started.Equal(want.Started) {
 			t.Errorf("%s started at %v, want %v", got.Address, got.Started, want.Started)
--- a/internal/discovery/eds/roster.go
+++ b/internal/discovery/eds/list.go
@@ -32,20 +32,20 @@
 
 // The states of an engine.
 const (
-	On       = "on"
-	Draining = "draining"
-	Gone     = "gone"
+	StateActive   = "on"
+	StateDraining = "draining"
+	StateRemoved  = "gone"
 )
 
 // List is a complete engine list.
 type List struct {
-	Version string    `json:"version"`
-	At      time.Time `json:"at"` // when it was received
-	Engines []Engine  `json:"engines"`
+	Version    string    `json:"version"`
+	ReceivedAt time.Time `json:"at"` // when it was received
+	Engines    []Engine  `json:"engines"`
 }
 
-// Check returns an error naming what makes a list unfit to be believed, and puts it in order of addresses.
-func (l *List) Check() error {
+// Validate returns an error naming what makes a list unfit to be believed, and puts it in order of addresses.
+func (l *List) Validate() error {
 	slices.SortFunc(l.Engines, func(a, b Engine) int { return cmp.Compare(a.Address, b.Address) })
 	for i, e := range l.Engines {
 		switch {
@@ -53,36 +53,36 @@
 			return errors.New("roster: an engine without an address")
 		case i > 0 && l.Engines[i-1].Address == e.Address:
 			return fmt.Errorf("roster: engine %s is named twice", e.Address)
-		case e.State != On && e.State != Draining && e.State != Gone:
+		case e.State != StateActive && e.State != StateDraining && e.State != StateRemoved:
 			return fmt.Errorf("roster: engine %s: state %q", e.Address, e.State)
 		}
 	}
 	return nil
 }
 
-// Infos returns the list in the module's terms at a time of its clock; clock turns starts into that time, and
-// forgets the engines that are not on the list.
-func (l *List) Infos(now time.Duration, clock *starttime.Clock) []cresspass.EngineInfo {
+// EngineInfos returns the list in the module's terms at a time of its clock; clock turns starts into that
+// time, and forgets the engines that are not on the list.
+func (l *List) EngineInfos(now time.Duration, clock *starttime.Converter) []cresspass.EngineInfo {
 	listed := map[cresspass.EngineID]bool{}
 	for _, e := range l.Engines {
 		listed[cresspass.EngineID(e.Address)] = true
 		if !e.Started.IsZero() {
-			clock.See(now, cresspass.EngineID(e.Address), e.Started)
+			clock.Observe(now, cresspass.EngineID(e.Address), e.Started)
 		}
 	}
-	clock.Keep(func(id cresspass.EngineID) bool { return listed[id] })
+	clock.Retain(func(id cresspass.EngineID) bool { return listed[id] })
 	out := make([]cresspass.EngineInfo, 0, len(l.Engines))
 	for _, e := range l.Engines {
 		info := cresspass.EngineInfo{ID: cresspass.EngineID(e.Address), Kind: e.Kind, Zone: e.Zone,
 			Cell: e.Cell, Size: e.Size}
 		switch e.State {
-		case Draining:
+		case StateDraining:
 			info.State = cresspass.EngineDraining
-		case Gone:
-			info.State = cresspass.EngineGone
+		case StateRemoved:
+			info.State = cresspass.EngineRemoved
 		}
 		if !e.Started.IsZero() {
-			info.Started = clock.Started(now, info.ID, e.Started)
+			info.StartedAt = clock.Convert(now, info.ID, e.Started)
 		}
 		out = append(out, info)
 	}
@@ -92,8 +92,9 @@
 // cacheMagic begins a kept list; the number is that of the form.
 const cacheMagic = "cresspass list 1\n"
 
-// Save keeps a list in a file, whole or not at all: a temporary file, fsync, rename, fsync of the directory.
-func Save(path string, l *List) error {
+// SaveCache keeps a list in a file, whole or not at all: a temporary file, fsync, rename, fsync of the
+// directory.
+func SaveCache(path string, l *List) error {
 	body, err := json.Marshal(l)
 	if err != nil {
 		return err
@@ -121,24 +122,24 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// ErrDamaged is the kind of error for a kept list that cannot be believed.
-var ErrDamaged = errors.New("roster: kept list is damaged")
+// ErrCacheDamaged is the kind of error for a kept list that cannot be believed.
+var ErrCacheDamaged = errors.New("roster: kept list is damaged")
 
-// Load reads a kept list. A damaged one is set aside under path.damaged and never believed.
-func Load(path string) (*List, error) {
+// LoadCache reads a kept list. A damaged one is set aside under path.damaged and never believed.
+func LoadCache(path string) (*List, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	l, err := decode(b)
+	l, err := decodeCache(b)
 	if err != nil {
-		return nil, errors.Join(fmt.Errorf("%w: %s: %v", ErrDamaged, path, err), os.Rename(path,
+		return nil, errors.Join(fmt.Errorf("%w: %s: %v", ErrCacheDamaged, path, err), os.Rename(path,
 			path+".damaged"))
 	}
 	return l, nil
 }
 
-func decode(b []byte) (*List, error) {
+func decodeCache(b []byte) (*List, error) {
 	n := len(b) - 8
 	if n < len(cacheMagic) || string(b[:len(cacheMagic)]) != cacheMagic {
 		return nil, errors.New("it has another form")
@@ -151,5 +152,5 @@
 	if err := json.Unmarshal(body, &l); err != nil {
 		return nil, err
 	}
-	return &l, l.Check()
+	return &l, l.Validate()
 }
--- a/internal/discovery/sse/discovery_test.go
+++ b/internal/discovery/sse/follower_test.go
@@ -20,9 +20,9 @@
 		`"started_ms":%d}`, id, state, started)
 }
 
-// TestEverySplit: a stream gives the same events wherever it is cut, and one that breaks off gives no half
-// event.
-func TestEverySplit(t *testing.T) {
+// TestParserAnySplit: a stream gives the same events wherever it is cut, and one that breaks off gives no
+// half event.
+func TestParserAnySplit(t *testing.T) {
 	stream := event(1, true, server("a", "up", 0)) + ": comment\n\n" +
 		event(2, false, server("a", "draining", 0))
 	for cut := range stream {
@@ -44,14 +44,14 @@
 		}
 	}
 	var p Parser
-	if err := p.Feed(make([]byte, Most+1), func(Event) {}); err == nil {
+	if err := p.Feed(make([]byte, MaxEventBytes+1), func(Event) {}); err == nil {
 		t.Error("no error for an endless line")
 	}
 }
 
-// TestLineEnds: a stream says the same with each of the line ends that the standard knows, also where a piece
-// ends between a CR and its LF, and with a byte order mark before it.
-func TestLineEnds(t *testing.T) {
+// TestParserLineEndings: a stream says the same with each of the line ends that the standard knows, also
+// where a piece ends between a CR and its LF, and with a byte order mark before it.
+func TestParserLineEndings(t *testing.T) {
 	plain := event(1, true, server("a", "up", 0)) + ": comment\n" +
 		event(2, false, server("a", "draining", 0))
 	for _, end := range []string{"\n", "\r\n", "\r"} {
@@ -77,7 +77,7 @@
 // newFollower returns a Follower at 50 ms of its own and of Unix time.
 func newFollower() *Follower {
 	const now = 50 * time.Millisecond
-	clock := starttime.New(starttime.Late, time.UnixMilli(50), now)
+	clock := starttime.New(starttime.RecentStarts, time.UnixMilli(50), now)
 	return NewFollower(func() time.Duration { return now }, clock)
 }
 
@@ -87,90 +87,93 @@
 	const ahead, zero, news = 5 * time.Second, time.Hour, 300 * time.Millisecond
 	truth := time.UnixMilli(1_000_000_000)
 	now := zero
-	clock := starttime.New(starttime.Late, truth.Add(ahead), zero)
+	clock := starttime.New(starttime.RecentStarts, truth.Add(ahead), zero)
 	f := NewFollower(func() time.Duration { return now }, clock)
 	for i, at := range []time.Duration{10 * time.Second, 20 * time.Second} {
 		now = zero + at + news
 		var p Parser
 		started := truth.Add(at).UnixMilli()
 		p.Feed([]byte(event(i+1, false, server(fmt.Sprint("n", i), "up", started))), func(ev Event) {
-			list, _, err := f.Take(ev)
+			list, _, err := f.Apply(ev)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if age := now - list.Engines[0].Started; age > news+time.Second {
+			if age := now - list.Engines[0].StartedAt; age > news+time.Second {
 				t.Errorf("started %v ago, taken for %v", news, age)
 			}
 		})
 	}
 }
 
-// FuzzBoard: whatever a notice board sends, reading it ends without a panic, and the last number never goes
-// back.
-func FuzzBoard(f *testing.F) {
+// FuzzFollower: whatever a notice board sends, reading it ends without a panic, and the last number never
+// goes back.
+func FuzzFollower(f *testing.F) {
 	f.Add([]byte(event(1, true, server("a", "up", 0)) + event(2, false, server("a", "removed", 5))))
 	f.Add([]byte("id: 7\ndata: {\"rev\":7}\n\nid: 8\ndata\n\n:\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var p Parser
 		follower := newFollower()
 		p.Feed(b, func(ev Event) {
-			last := follower.Last()
-			if _, v, err := follower.Take(ev); follower.Last() < last || (err != nil || v != Taken) &&
-				follower.Last() != last {
-				t.Errorf("from %d to %d, %v, %v", last, follower.Last(), v, err)
+			last := follower.LastRevision()
+			if _, v, err := follower.Apply(ev); follower.LastRevision() < last ||
+				(err != nil || v != Applied) &&
+					follower.LastRevision() != last {
+				t.Errorf("from %d to %d, %v, %v", last, follower.LastRevision(), v, err)
 			}
 		})
 	})
 }
 
-// TestFollow: what was told before is passed over, a gap and what can't be read change nothing, a compute
+// TestFollower: what was told before is passed over, a gap and what can't be read change nothing, a compute
 // node that left has no address, and starts are on the module's clock.
-func TestFollow(t *testing.T) {
+func TestFollower(t *testing.T) {
 	f := newFollower()
-	take := func(text string) (cresspass.Event, Verdict, error) {
+	take := func(text string) (cresspass.Event, ApplyResult, error) {
 		var p Parser
 		var ev Event
 		p.Feed([]byte(text), func(e Event) { ev = e })
-		return f.Take(ev)
+		return f.Apply(ev)
 	}
 	list, v, err := take(event(3, true, server("a", "up", 0)+","+server("b", "up", 50)))
-	if err != nil || v != Taken || list.Listing != cresspass.ListFull || len(list.Engines) != 2 ||
-		list.Engines[1].Started != 50*time.Millisecond || list.Engines[0].Started != 0 {
+	if err != nil || v != Applied || list.ListType != cresspass.ListComplete || len(list.Engines) != 2 ||
+		list.Engines[1].StartedAt != 50*time.Millisecond || list.Engines[0].StartedAt != 0 {
 		t.Fatalf("%+v, %v, %v", list, v, err)
 	}
 	_, v, err = take(event(3, false, server("b", "removed", 0)))
-	if v != Known || err != nil || f.Addr("b") == "" {
+	if v != Duplicate || err != nil || f.Addr("b") == "" {
 		t.Errorf("told twice: %v, %v", v, err)
 	}
-	if _, v, err = take(event(5, false, server("b", "removed", 0))); v != Gap || err != nil || f.Last() != 3 {
-		t.Errorf("gap: %v, %v, last %d", v, err, f.Last())
+	if _, v, err = take(event(5, false, server("b", "removed", 0))); v != Gap || err != nil ||
+		f.LastRevision() != 3 {
+		t.Errorf("gap: %v, %v, last %d", v, err, f.LastRevision())
 	}
-	if _, _, err = take("id: 4\ndata: {\"rev\":4,\"pool\":{\"serv\n\n"); err == nil || f.Last() != 3 {
+	if _, _, err = take("id: 4\ndata: {\"rev\":4,\"pool\":{\"serv\n\n"); err == nil || f.LastRevision() != 3 {
 		t.Error("half an event was taken")
 	}
-	if _, _, err = take(event(4, false, server("b", "confused", 0))); err == nil || f.Last() != 3 {
+	if _, _, err = take(event(4, false, server("b", "confused", 0))); err == nil || f.LastRevision() != 3 {
 		t.Error("an unknown state was taken")
 	}
 	_, v, err = take(event(4, false, server("b", "removed", 0)))
-	if v != Taken || err != nil || f.Addr("b") != "" {
+	if v != Applied || err != nil || f.Addr("b") != "" {
 		t.Errorf("%v, %v, address %q", v, err, f.Addr("b"))
 	}
-	if f.Takes("b", f.Addr("b")) || !f.Takes("a", f.Addr("a")) || f.Takes("a", "elsewhere:1") {
+	if f.AcceptsQueries("b", f.Addr("b")) || !f.AcceptsQueries("a", f.Addr("a")) ||
+		f.AcceptsQueries("a", "elsewhere:1") {
 		t.Error("takes queries: one that left, not one that is up, or one elsewhere")
 	}
-	if gone := f.Gone(); len(gone) != 1 || gone[0] != "b" {
+	if gone := f.TakeRemoved(); len(gone) != 1 || gone[0] != "b" {
 		t.Errorf("gone: %v", gone)
 	}
 	_, v, _ = take(event(9, true, server("c", "up", 0)))
-	if v != Taken || f.Addr("a") != "" || f.Addr("c") == "" {
+	if v != Applied || f.Addr("a") != "" || f.Addr("c") == "" {
 		t.Errorf("a whole list after a gap: %v", v)
 	}
 	at := f.Addr("c")
-	if f.Takes("a", f.Addr("a")) || !f.Takes("c", at) {
+	if f.AcceptsQueries("a", f.Addr("a")) || !f.AcceptsQueries("c", at) {
 		t.Error("one that a whole list leaves out takes queries, or one on it does not")
 	}
-	if _, v, _ = take(event(10, false, server("c", "draining", 0))); v != Taken || f.Addr("c") != at ||
-		f.Takes("c", at) || !f.Drains("c") || f.Drains("a") {
+	if _, v, _ = take(event(10, false, server("c", "draining", 0))); v != Applied || f.Addr("c") != at ||
+		f.AcceptsQueries("c", at) || !f.Draining("c") || f.Draining("a") {
 		t.Error("a draining one takes queries, or has no address for those that it runs")
 	}
 }
--- a/internal/discovery/sse/golden_test.go
+++ b/internal/discovery/sse/golden_test.go
@@ -15,9 +15,9 @@
 // TestGoldenNotice: the recorded notice, as a configuration holds the known ones and the service sends them,
 // is read with its values, and written as the same bytes.
 func TestGoldenNotice(t *testing.T) {
-	want := Notice{Rev: 12, Pool: &Pool{Version: 3, Full: true, Servers: []Server{
+	want := WatchEvent{Revision: 12, List: &EndpointList{Version: 3, Full: true, Endpoints: []Endpoint{
 		{ID: "n1", Addr: "10.0.0.1:8080", Zone: "z1", Kind: "large", Cell: 2, State: "up", Weight: 4.5,
-			Started: 40},
+			StartedMs: 40},
 		{ID: "n2", Addr: "10.0.0.2:8080", Zone: "z2", Kind: "small", State: "draining", Weight: 1},
 		{ID: "n3", State: "removed"}}}}
 	path := filepath.Join("testdata", "golden", "notice.json")
@@ -37,7 +37,7 @@
 	if !bytes.Equal(written, data) {
 		t.Errorf("\n got %s\nwant %s", written, data)
 	}
-	var got Notice
+	var got WatchEvent
 	if err := json.Unmarshal(data, &got); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, %v", got, err)
 	}
@@ -53,8 +53,8 @@
 	var lists []cresspass.Event
 	follower := newFollower()
 	take := func(ev Event) {
-		list, v, err := follower.Take(ev)
-		if err != nil || v != Taken {
+		list, v, err := follower.Apply(ev)
+		if err != nil || v != Applied {
 			t.Errorf("event %d: %v, %v", ev.ID, v, err)
 		}
 		lists = append(lists, list)
@@ -63,18 +63,31 @@
 		t.Fatal(err)
 	}
 	want := []cresspass.Event{
-		{Type: cresspass.EngineList, Listing: cresspass.ListFull, Engines: []cresspass.EngineInfo{
-			{ID: "n1", State: cresspass.EngineOn, Kind: "large", Zone: "z1", Cell: 2, Size: 4.5,
-				Started: 40 * time.Millisecond},
-			{ID: "n2", State: cresspass.EngineDraining, Kind: "small", Zone: "z2", Size: 1}}},
-		{Type: cresspass.EngineList, Listing: cresspass.ListChanges, Engines: []cresspass.EngineInfo{
-			{ID: "n2", State: cresspass.EngineGone}}},
-		{Type: cresspass.EngineList},
+		{
+			Type:     cresspass.EngineListReceived,
+			ListType: cresspass.ListComplete,
+			Engines: []cresspass.EngineInfo{
+				{ID: "n1", State: cresspass.EngineActive, Kind: "large", Zone: "z1", Cell: 2, Size: 4.5,
+					StartedAt: 40 * time.Millisecond},
+				{ID: "n2", State: cresspass.EngineDraining, Kind: "small", Zone: "z2", Size: 1}},
+		},
+		{
+			Type:     cresspass.EngineListReceived,
+			ListType: cresspass.ListIncremental,
+			Engines: []cresspass.EngineInfo{
+				{ID: "n2", State: cresspass.EngineRemoved}},
+		},
+		{Type: cresspass.EngineListReceived},
 	}
 	if !reflect.DeepEqual(lists, want) {
 		t.Errorf("\n got %+v\nwant %+v", lists, want)
 	}
-	if follower.Last() != 14 || follower.Addr("n1") != "10.0.0.1:8080" || follower.Addr("n2") != "" {
-		t.Errorf("at %d, n1 at %q, n2 at %q", follower.Last(), follower.Addr("n1"), follower.Addr("n2"))
+	if follower.LastRevision() != 14 || follower.Addr("n1") != "10.0.0.1:8080" || follower.Addr("n2") != "" {
+		t.Errorf(
+			"at %d, n1 at %q, n2 at %q",
+			follower.LastRevision(),
+			follower.Addr("n1"),
+			follower.Addr("n2"),
+		)
 	}
 }
--- a/internal/discovery/starttime/startclock_test.go
+++ b/internal/discovery/starttime/converter_test.go
@@ -17,8 +17,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		truth := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 		error := time.Duration(rapid.SampledFrom([]int64{0, rapid.Int64Range(-4e12, 0).Draw(t, "behind"),
-			rapid.Int64Range(int64(aheadLeast)+1, 4e12).Draw(t, "ahead")}).Draw(t, "error of the wall clock"))
-		c := New(Late, truth.Add(error), time.Hour)
+			rapid.Int64Range(int64(maxRecentAge)+1, 4e12).
+				Draw(t, "ahead"),
+		}).Draw(t, "error of the wall clock"))
+		c := New(RecentStarts, truth.Add(error), time.Hour)
 		prompt := error == 0
 		for i := range 20 {
 			now := time.Hour + time.Duration(i)*time.Second
@@ -26,7 +28,7 @@
 			id := cresspass.EngineID(fmt.Sprint(rapid.IntRange(0, 12).Draw(t, "node")))
 			told := truth.Add(now - time.Hour - delay)
 			_, known := c.starts[id]
-			got := c.Started(now, id, told)
+			got := c.Convert(now, id, told)
 			want := now - delay
 			prompt = prompt || delay == 0
 			if got < want || got > now {
@@ -35,35 +37,35 @@
 			if prompt && !known && got != want {
 				t.Fatalf("after news without delay: started %v ago, taken for %v", delay, now-got)
 			}
-			if again := c.Started(now+time.Minute, id, told); again != got {
+			if again := c.Convert(now+time.Minute, id, told); again != got {
 				t.Fatalf("told again: %v, then %v", got, again)
 			}
 		}
 	})
 }
 
-// TestFreshNews: where a wall clock is seconds or minutes ahead, no node is taken to be older than it is
-// when the news of its start come as they are told; one that is young by this clock shows that the clock is
-// right.
-func TestFreshNews(t *testing.T) {
+// TestFreshObservations: where a wall clock is seconds or minutes ahead, no node is taken to be older than
+// it is when the news of its start come as they are told; one that is young by this clock shows that the
+// clock is right.
+func TestFreshObservations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		truth := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-		ahead := time.Duration(rapid.Int64Range(int64(freshMost)+1, int64(aheadLeast)).Draw(t, "ahead"))
-		c := New(Late, truth.Add(ahead), time.Hour)
+		ahead := time.Duration(rapid.Int64Range(int64(maxFreshAge)+1, int64(maxRecentAge)).Draw(t, "ahead"))
+		c := New(RecentStarts, truth.Add(ahead), time.Hour)
 		for i := range 10 {
 			now := time.Hour + time.Duration(i)*time.Second
 			delay := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "delay"))
 			id, told := cresspass.EngineID(fmt.Sprint(i)), truth.Add(now-time.Hour-delay)
-			c.Fresh(now, id, told)
-			if got := c.Started(now, id, told); got < now-delay || got > now {
+			c.ObserveFresh(now, id, told)
+			if got := c.Convert(now, id, told); got < now-delay || got > now {
 				t.Fatalf("started %v ago, taken for %v", delay, now-got)
 			}
 		}
 	})
-	c := New(Late, time.Unix(1000, 0), time.Hour)
-	c.Fresh(time.Hour, "late news", time.Unix(995, 0))
-	c.See(time.Hour, "young", time.Unix(1000, 0))
-	if got := c.Started(time.Hour, "old", time.Unix(990, 0)); got != time.Hour-10*time.Second {
+	c := New(RecentStarts, time.Unix(1000, 0), time.Hour)
+	c.ObserveFresh(time.Hour, "late news", time.Unix(995, 0))
+	c.Observe(time.Hour, "young", time.Unix(1000, 0))
+	if got := c.Convert(time.Hour, "old", time.Unix(990, 0)); got != time.Hour-10*time.Second {
 		t.Errorf("a clock that is right: 10 s taken for %v", time.Hour-got)
 	}
 }
--- a/internal/dispatch/verdict/golden_test.go
+++ b/internal/dispatch/verdict/golden_test.go
@@ -20,23 +20,23 @@
 		name    string
 		verdict *Verdict
 	}{
-		{"rejected", Refuse(1500*time.Millisecond, false, "")},
-		{"rejected, last error", Refuse(0, false, "connection refused")},
-		{"rejected, may have run", Refuse(time.Second, true, "")},
-		{"rejected, may have run, last error", Refuse(0, true, "reset")},
+		{"rejected", Reject(1500*time.Millisecond, false, "")},
+		{"rejected, last error", Reject(0, false, "connection refused")},
+		{"rejected, may have run", Reject(time.Second, true, "")},
+		{"rejected, may have run, last error", Reject(0, true, "reset")},
 		{"failed", Fail("")},
 		{"failed, last error", Fail("reset")},
-		{"limit", Limit("too many queries")},
-		{"after a restart", Earlier(2 * time.Second)},
-		{"shutting down, not started", Stopping(false)},
-		{"shutting down, started", Stopping(true)},
-		{"invalid", Fault("22023", "no such class")},
-		{"cancelled", Cancel()},
-		{"connection lost", Lost("08007", "a message", "a detail")},
+		{"limit", RejectOverLimit("too many queries")},
+		{"after a restart", RejectAfterRestart(2 * time.Second)},
+		{"shutting down, not started", ShuttingDown(false)},
+		{"shutting down, started", ShuttingDown(true)},
+		{"invalid", Invalid("22023", "no such class")},
+		{"cancelled", CancelledByClient()},
+		{"connection lost", ConnectionLost("08007", "a message", "a detail")},
 	} {
 		v := c.verdict
 		fmt.Fprintf(&now, "%s: kind %d code %q message %q detail %q retry after %v may have run %v\n", c.name,
-			v.Kind, v.Code, v.Message, v.Detail, v.Wait, v.Ran)
+			v.Kind, v.Code, v.Message, v.Detail, v.RetryAfter, v.MayHaveRun)
 	}
 	path := filepath.Join("testdata", "texts.txt")
 	if update {
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -12,107 +12,117 @@
 	"time"
 )
 
-// What says what happened.
-type What string
+// Kind says what happened.
+type Kind string
 
 // The events, in the order in which a request meets them.
 const (
-	Taken     What = "taken"     // a client's request was read
-	Rejected  What = "rejected"  // a request was itself at fault
-	Decided   What = "decided"   // an attempt is to be made
-	Withheld  What = "withheld"  // it was not written
-	Written   What = "written"   // it was handed to the system
-	Broken    What = "broken"    // a call of it got no answer that can be read
-	Stopped   What = "stopped"   // it is to end
-	Ended     What = "ended"     // it ended
-	Answered  What = "answered"  // the client was given its result
-	Refused   What = "refused"   // the client was told that trying again is harmless
-	Failed    What = "failed"    // the client was told that it failed
-	Gone      What = "gone"      // the client waits no longer
-	Closed    What = "closed"    // a client's connection was closed by us
-	Lost      What = "lost"      // a client's connection was closed by it, or broke
-	Changed   What = "changed"   // the dispatcher's state changed
-	Discovery What = "discovery" // discovery told something, or did not
+	RequestReceived    Kind = "taken"     // a client's request was read
+	RequestMalformed   Kind = "rejected"  // a request was itself at fault
+	AttemptStarted     Kind = "decided"   // an attempt is to be made
+	AttemptWithheld    Kind = "withheld"  // it was not written
+	AttemptSent        Kind = "written"   // it was handed to the system
+	ResponseUnreadable Kind = "broken"    // a call of it got no answer that can be read
+	AttemptStopped     Kind = "stopped"   // it is to end
+	AttemptEnded       Kind = "ended"     // it ended
+	RequestAnswered    Kind = "answered"  // the client was given its result
+	RequestRejected    Kind = "refused"   // the client was told that trying again is harmless
+	RequestFailed      Kind = "failed"    // the client was told that it failed
+	ClientGone         Kind = "gone"      // the client waits no longer
+	ConnectionClosed   Kind = "closed"    // a client's connection was closed by us
+	ConnectionLost     Kind = "lost"      // a client's connection was closed by it, or broke
+	StateChanged       Kind = "changed"   // the dispatcher's state changed
+	Discovery          Kind = "discovery" // discovery told something, or did not
 )
 
 // Event is one thing that happened. Fields that do not apply are empty.
 type Event struct {
-	At      time.Duration // since the log was made
-	What    What
-	Request string // the id that the client gave it
-	Attempt int    // -1: none
-	Node    string
-	Why     string
+	Elapsed   time.Duration // since the log was made
+	Kind      Kind
+	RequestID string // the id that the client gave it
+	Attempt   int    // -1: none
+	Node      string
+	Reason    string
 }
 
 func (e Event) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%.3fs %s", e.At.Seconds(), e.What)
+	fmt.Fprintf(&b, "%.3fs %s", e.Elapsed.Seconds(), e.Kind)
 	if e.Attempt >= 0 {
 		fmt.Fprintf(&b, " attempt %d", e.Attempt)
 	}
 	if e.Node != "" {
 		fmt.Fprintf(&b, " at %s", e.Node)
 	}
-	if e.Why != "" {
-		fmt.Fprintf(&b, ": %s", e.Why)
+	if e.Reason != "" {
+		fmt.Fprintf(&b, ": %s", e.Reason)
 	}
 	return b.String()
 }
 
 // Log is a ring of the last events. It is for any number of goroutines.
 type Log struct {
-	slog *slog.Logger
-	zero time.Time
+	logger    *slog.Logger
+	createdAt time.Time
 
-	mu     sync.Mutex
-	ring   []Event
-	next   int
-	filled bool
+	mu      sync.Mutex
+	ring    []Event
+	next    int
+	wrapped bool
 }
 
 // New returns a log of the last so many events.
 func New(size int, logger *slog.Logger) *Log {
-	return &Log{slog: logger, zero: time.Now(), ring: make([]Event, size)}
+	return &Log{logger: logger, createdAt: time.Now(), ring: make([]Event, size)}
 }
 
 // Add enters an event of the present moment.
-func (l *Log) Add(e Event) {
-	e.At = time.Since(l.zero)
+func (l *Log) Add(event Event) {
+	event.Elapsed = time.Since(l.createdAt)
 	l.mu.Lock()
-	l.ring[l.next] = e
+	l.ring[l.next] = event
 	if l.next++; l.next == len(l.ring) {
-		l.next, l.filled = 0, true
+		l.next, l.wrapped = 0, true
 	}
 	l.mu.Unlock()
-	if l.slog.Enabled(context.Background(), slog.LevelDebug) {
-		l.slog.Debug(string(e.What), "request", e.Request, "attempt", e.Attempt, "node", e.Node, "why", e.Why)
+	if l.logger.Enabled(context.Background(), slog.LevelDebug) {
+		l.logger.Debug(
+			string(event.Kind),
+			"request",
+			event.RequestID,
+			"attempt",
+			event.Attempt,
+			"node",
+			event.Node,
+			"why",
+			event.Reason,
+		)
 	}
 }
 
-// Of returns what is left of a request's events, the oldest first.
-func (l *Log) Of(request string) (out []Event) {
+// Events returns what is left of a request's events, the oldest first.
+func (l *Log) Events(request string) (out []Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.filled {
-		out = appendOf(out, l.ring[l.next:], request)
+	if l.wrapped {
+		out = appendMatching(out, l.ring[l.next:], request)
 	}
-	return appendOf(out, l.ring[:l.next], request)
+	return appendMatching(out, l.ring[:l.next], request)
 }
 
-func appendOf(out, events []Event, request string) []Event {
+func appendMatching(out, events []Event, request string) []Event {
 	for _, e := range events {
-		if e.Request == request {
+		if e.RequestID == request {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-// Story writes a request's events in one line.
-func (l *Log) Story(request string) string {
+// Trace writes a request's events in one line.
+func (l *Log) Trace(request string) string {
 	var parts []string
-	for _, e := range l.Of(request) {
+	for _, e := range l.Events(request) {
 		parts = append(parts, e.String())
 	}
 	return strings.Join(parts, " | ")
--- a/internal/frontend/classify/classify_test.go
+++ b/internal/frontend/classify/classify_test.go
@@ -52,7 +52,7 @@
 
 // Tags go before matches, matches in their order before the default; what may write is never in a class that
 // repeats.
-func TestClasses(t *testing.T) {
+func TestClassOfStatement(t *testing.T) {
 	cfg, err := config.Parse("c.hcl", []byte(settings))
 	if err != nil {
 		t.Fatal(err)
@@ -83,26 +83,34 @@
 			250 * time.Millisecond, ""},
 		{Client{}, enginequery.Simple, "select 1 /*wait_ms='99999'*/", "short", 5 * time.Second, ""},
 	} {
-		a := &enginequery.Ask{Kind: v.kind, Text: v.text, Parsed: sqlscan.Statements(v.text)}
-		ev, fault := c.Query(1, v.who, a)
+		a := &enginequery.Query{Kind: v.kind, Text: v.text, Parsed: sqlscan.Statements(v.text)}
+		ev, fault := c.Classify(1, v.who, a)
 		if v.class == "!" {
 			if fault == nil {
 				t.Errorf("%s: class %q, want a fault", v.text, ev.Class)
 			}
 			continue
 		}
-		if ev.Uncounted != (v.kind == enginequery.DescribeStatement) {
-			t.Errorf("%s: uncounted %v", v.text, ev.Uncounted)
+		if ev.AddsNoRetryBudget != (v.kind == enginequery.DescribeStatement) {
+			t.Errorf("%s: uncounted %v", v.text, ev.AddsNoRetryBudget)
 		}
-		if fault != nil || ev.Class != v.class || ev.TimeLeft != v.left || ev.Tenant != v.tenant {
-			t.Errorf("%s by %+v: class %q, %v, tenant %q, fault %v", v.text, v.who, ev.Class, ev.TimeLeft,
-				ev.Tenant, fault)
+		if fault != nil || ev.Class != v.class || ev.RemainingDeadline != v.left || ev.Tenant != v.tenant {
+			t.Errorf(
+				"%s by %+v: class %q, %v, tenant %q, fault %v",
+				v.text,
+				v.who,
+				ev.Class,
+				ev.RemainingDeadline,
+				ev.Tenant,
+				fault,
+			)
 		}
 	}
-	ev, _ := c.Query(1, Client{}, &enginequery.Ask{
+	ev, _ := c.Classify(1, Client{}, &enginequery.Query{
 		Text: "select 1 /*key='a%2Fb',tables='7',cost_ms='20',memory_mb='x',repeat='1'*/"})
-	if ev.Key != "a/b" || ev.Tables != 7 || !ev.HasCost || ev.Cost != 20*time.Millisecond ||
-		ev.MemoryMB != 0 || !ev.IsRepeat {
+	if ev.Key != "a/b" || ev.TableGroup != 7 || !ev.HasCostEstimate || ev.CostEstimate != 20*time.Millisecond ||
+		ev.MemoryEstimateMB != 0 ||
+		!ev.IsRetry {
 		t.Errorf("tags read as %+v", ev)
 	}
 }
--- a/internal/frontend/classify/golden_test.go
+++ b/internal/frontend/classify/golden_test.go
@@ -16,14 +16,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for text, want := range map[string]Fault{
+	for text, want := range map[string]StatementError{
 		"select 1 /*class='a%22b'*/": {"22023",
 			`the comment names class "a\"b", which the settings do not know`},
 		"insert into t values (1)": {"0A000",
 			`the statement may write, its class "short" is one that is repeated, ` +
 				`and the settings name no write_class`},
 	} {
-		_, fault := New(cfg).Query(1, Client{}, &enginequery.Ask{Text: text, Parsed: sqlscan.Statements(text)})
+		_, fault := New(
+			cfg,
+		).Classify(1, Client{}, &enginequery.Query{Text: text, Parsed: sqlscan.Statements(text)})
 		if fault == nil || *fault != want {
 			t.Errorf("%s: fault %+v, want %+v", text, fault, want)
 		}
--- a/internal/frontend/flightsql/arrowbatch/bind.go
+++ b/internal/frontend/flightsql/arrowbatch/bind.go
@@ -13,9 +13,9 @@
 	"github.com/apache/arrow-go/v18/arrow/array"
 )
 
-// Bind writes one row of a batch as PostgreSQL's Bind has it behind its two names: parameters as text, and
-// the formats wanted of the result.
-func Bind(out []byte, r arrow.RecordBatch, row int, formats *Schema) ([]byte, error) {
+// AppendBind writes one row of a batch as PostgreSQL's Bind has it behind its two names: parameters as text,
+// and the formats wanted of the result.
+func AppendBind(out []byte, r arrow.RecordBatch, row int, formats *Schema) ([]byte, error) {
 	out = binary.BigEndian.AppendUint16(out, 0) // all are text
 	columns := 0
 	if r != nil {
@@ -23,7 +23,7 @@
 	}
 	out = binary.BigEndian.AppendUint16(out, uint16(columns))
 	for i := range columns {
-		v, null, err := Text(r.Column(i), row)
+		v, null, err := PostgresText(r.Column(i), row)
 		switch {
 		case err != nil:
 			return nil, fmt.Errorf("parameter %d: %w", i+1, err)
@@ -34,13 +34,13 @@
 			out = append(out, v...)
 		}
 	}
-	return formats.Formats(out), nil
+	return formats.AppendFormats(out), nil
 }
 
 const day = 24 * time.Hour
 
-// Text is a value in PostgreSQL's text form.
-func Text(a arrow.Array, i int) (v string, null bool, err error) {
+// PostgresText is a value in PostgreSQL's text form.
+func PostgresText(a arrow.Array, i int) (v string, null bool, err error) {
 	if a.IsNull(i) {
 		return "", true, nil
 	}
@@ -50,9 +50,9 @@
 	case *array.Boolean:
 		return strconv.FormatBool(a.Value(i)), false, nil
 	case *array.Float32:
-		return float(float64(a.Value(i)), 32), false, nil
+		return formatFloat(float64(a.Value(i)), 32), false, nil
 	case *array.Float64:
-		return float(a.Value(i), 64), false, nil
+		return formatFloat(a.Value(i), 64), false, nil
 	case *array.String:
 		return a.Value(i), false, nil
 	case *array.LargeString:
@@ -68,9 +68,9 @@
 		}
 		return `\x` + hex.EncodeToString(a.Value(i)), false, nil
 	case *array.Date32:
-		return calendar(a.Value(i).ToTime().Format("2006-01-02"), a.Value(i).ToTime()), false, nil
+		return withEra(a.Value(i).ToTime().Format("2006-01-02"), a.Value(i).ToTime()), false, nil
 	case *array.Date64:
-		return calendar(a.Value(i).ToTime().Format("2006-01-02"), a.Value(i).ToTime()), false, nil
+		return withEra(a.Value(i).ToTime().Format("2006-01-02"), a.Value(i).ToTime()), false, nil
 	case *array.Timestamp:
 		t := a.DataType().(*arrow.TimestampType)
 		at := a.Value(i).ToTime(t.Unit).UTC()
@@ -78,7 +78,7 @@
 		if t.TimeZone != "" {
 			form += "+00"
 		}
-		return calendar(at.Format(form), at), false, nil
+		return withEra(at.Format(form), at), false, nil
 	case *array.Time32:
 		return a.Value(i).ToTime(a.DataType().(*arrow.Time32Type).Unit).Format("15:04:05.999999"), false, nil
 	case *array.Time64:
@@ -93,24 +93,24 @@
 			nil
 	case *array.List:
 		from, to := a.ValueOffsets(i)
-		return elementsText(a.ListValues(), int(from), int(to))
+		return arrayText(a.ListValues(), int(from), int(to))
 	case *array.LargeList:
 		from, to := a.ValueOffsets(i)
-		return elementsText(a.ListValues(), int(from), int(to))
+		return arrayText(a.ListValues(), int(from), int(to))
 	case *array.Dictionary:
-		return Text(a.Dictionary(), a.GetValueIndex(i))
+		return PostgresText(a.Dictionary(), a.GetValueIndex(i))
 	case array.ExtensionArray:
-		return Text(a.Storage(), i)
+		return PostgresText(a.Storage(), i)
 	case *array.Int8, *array.Int16, *array.Int32, *array.Int64, *array.Uint8, *array.Uint16, *array.Uint32,
 		*array.Uint64, *array.Decimal128, *array.Decimal256:
 		return a.ValueStr(i), false, nil
 	case *array.DenseUnion: // JDBC's driver binds parameters of unknown type so
-		return Text(a.Field(a.ChildID(i)), int(a.ValueOffset(i)))
+		return PostgresText(a.Field(a.ChildID(i)), int(a.ValueOffset(i)))
 	}
 	return "", false, fmt.Errorf("values of type %s are not bound", a.DataType())
 }
 
-func float(v float64, bits int) string {
+func formatFloat(v float64, bits int) string {
 	switch {
 	case math.IsNaN(v):
 		return "NaN"
@@ -122,8 +122,8 @@
 	return strconv.FormatFloat(v, 'g', -1, bits)
 }
 
-// calendar marks years before Christ as PostgreSQL does.
-func calendar(v string, at time.Time) string {
+// withEra marks years before Christ as PostgreSQL does.
+func withEra(v string, at time.Time) string {
 	if y := at.Year(); y <= 0 {
 		_, rest, _ := strings.Cut(strings.TrimPrefix(v, "-"), "-")
 		return fmt.Sprintf("%04d-%s BC", 1-y, rest)
@@ -131,15 +131,15 @@
 	return v
 }
 
-// elementsText is an array's text form: each element quoted, so that none is mistaken.
-func elementsText(a arrow.Array, from, to int) (string, bool, error) {
+// arrayText is an array's text form: each element quoted, so that none is mistaken.
+func arrayText(a arrow.Array, from, to int) (string, bool, error) {
 	var b strings.Builder
 	b.WriteByte('{')
 	for i := from; i < to; i++ {
 		if i > from {
 			b.WriteByte(',')
 		}
-		v, null, err := Text(a, i)
+		v, null, err := PostgresText(a, i)
 		switch {
 		case err != nil:
 			return "", false, err
--- a/internal/frontend/flightsql/arrowbatch/builder.go
+++ b/internal/frontend/flightsql/arrowbatch/builder.go
@@ -14,13 +14,13 @@
 
 // Builder gathers rows into record batches.
 type Builder struct {
-	schema *Schema
-	record *array.RecordBuilder
-	put    []func(v []byte) error
-	rows   int
-	bytes  int
-	last   int   // rows of the batch before
-	sizes  []int // of its columns' data, where their length varies
+	schema            *Schema
+	record            *array.RecordBuilder
+	appenders         []func(v []byte) error
+	rows              int
+	bytes             int
+	previousRows      int   // rows of the batch before
+	previousDataSizes []int // of its columns' data, where their length varies
 }
 
 // NewBuilder returns a builder for a schema. Release frees it.
@@ -31,11 +31,11 @@
 		f := b.record.Field(i)
 		switch {
 		case !c.Binary:
-			b.put = append(b.put, text(f.(*array.StringBuilder)))
+			b.appenders = append(b.appenders, textAppender(f.(*array.StringBuilder)))
 		case c.Element != 0:
-			b.put = append(b.put, list(f.(*array.ListBuilder), c.Element, c.Mod))
+			b.appenders = append(b.appenders, listAppender(f.(*array.ListBuilder), c.Element, c.TypeModifier))
 		default:
-			b.put = append(b.put, scalar(f, c.OID))
+			b.appenders = append(b.appenders, scalarAppender(f, c.OID))
 		}
 	}
 	return b
@@ -52,8 +52,8 @@
 
 // Batch returns the rows since the last batch. The caller releases it.
 func (b *Builder) Batch() arrow.RecordBatch {
-	b.last, b.rows, b.bytes = b.rows, 0, 0
-	b.sizes = b.sizes[:0]
+	b.previousRows, b.rows, b.bytes = b.rows, 0, 0
+	b.previousDataSizes = b.previousDataSizes[:0]
 	for _, f := range b.record.Fields() {
 		n := 0
 		switch f := f.(type) {
@@ -62,7 +62,7 @@
 		case *array.StringBuilder:
 			n = f.DataLen()
 		}
-		b.sizes = append(b.sizes, n)
+		b.previousDataSizes = append(b.previousDataSizes, n)
 	}
 	return b.record.NewRecordBatch()
 }
@@ -70,26 +70,26 @@
 // Row takes the body of a DataRow. Danger: a row that is refused half-way leaves columns of unequal length;
 // the builder is of no use after an error.
 func (b *Builder) Row(row []byte) error {
-	if len(row) < 2 || int(binary.BigEndian.Uint16(row)) != len(b.put) {
-		return fmt.Errorf("row does not have the %d columns described", len(b.put))
+	if len(row) < 2 || int(binary.BigEndian.Uint16(row)) != len(b.appenders) {
+		return fmt.Errorf("row does not have the %d columns described", len(b.appenders))
 	}
-	if b.rows == 0 && b.last > 0 { // as much as the batch before took, at once, and not by doubling
-		b.record.Reserve(b.last)
+	if b.rows == 0 && b.previousRows > 0 { // as much as the batch before took, at once, and not by doubling
+		b.record.Reserve(b.previousRows)
 		for i, f := range b.record.Fields() {
 			switch f := f.(type) {
 			case *array.BinaryBuilder:
-				f.ReserveData(b.sizes[i])
+				f.ReserveData(b.previousDataSizes[i])
 			case *array.StringBuilder:
-				f.ReserveData(b.sizes[i])
+				f.ReserveData(b.previousDataSizes[i])
 			}
 		}
 	}
 	b.rows++
 	b.bytes += len(row)
 	row = row[2:]
-	for i, put := range b.put {
+	for i, put := range b.appenders {
 		if len(row) < 4 {
-			return errCut
+			return errTruncated
 		}
 		n := int32(binary.BigEndian.Uint32(row))
 		row = row[4:]
@@ -98,7 +98,7 @@
 			continue
 		}
 		if int(n) > len(row) {
-			return errCut
+			return errTruncated
 		}
 		if err := put(row[:n]); err != nil {
 			return fmt.Errorf("column %q: %w", b.schema.Columns[i].Name, err)
@@ -111,18 +111,18 @@
 	return nil
 }
 
-func text(f *array.StringBuilder) func([]byte) error {
+func textAppender(f *array.StringBuilder) func([]byte) error {
 	return func(v []byte) error { f.BinaryBuilder.Append(v); return nil }
 }
 
 // Days and microseconds from Arrow's epoch, 1970, to PostgreSQL's, 2000.
 const (
-	epochDays   = 10957
-	epochMicros = epochDays * 86400 * 1000000
+	epochOffsetDays   = 10957
+	epochOffsetMicros = epochOffsetDays * 86400 * 1000000
 )
 
-// fixed wraps a reader of a value of n bytes.
-func fixed(n int, f func(v []byte)) func([]byte) error {
+// fixedWidth wraps a reader of a value of n bytes.
+func fixedWidth(n int, f func(v []byte)) func([]byte) error {
 	return func(v []byte) error {
 		if len(v) != n {
 			return fmt.Errorf("a value of %d bytes, not %d", len(v), n)
@@ -132,52 +132,52 @@
 	}
 }
 
-// shift moves a time from one epoch to the other. PostgreSQL's infinities are the ends of the range and stay
-// there.
-func shift(v int64) int64 {
+// toUnixEpoch moves a time from one epoch to the other. PostgreSQL's infinities are the ends of the range
+// and stay there.
+func toUnixEpoch(v int64) int64 {
 	if v == math.MaxInt64 || v == math.MinInt64 {
 		return v
 	}
-	return v + epochMicros
+	return v + epochOffsetMicros
 }
 
-// scalar returns what reads the binary form of a type, as its send function writes it.
-func scalar(f array.Builder, oid uint32) func([]byte) error {
+// scalarAppender returns what reads the binary form of a type, as its send function writes it.
+func scalarAppender(f array.Builder, oid uint32) func([]byte) error {
 	u64, u32 := binary.BigEndian.Uint64, binary.BigEndian.Uint32
 	switch f := f.(type) {
 	case *array.BooleanBuilder:
-		return fixed(1, func(v []byte) { f.Append(v[0] != 0) })
+		return fixedWidth(1, func(v []byte) { f.Append(v[0] != 0) })
 	case *array.Int16Builder:
-		return fixed(2, func(v []byte) { f.Append(int16(binary.BigEndian.Uint16(v))) })
+		return fixedWidth(2, func(v []byte) { f.Append(int16(binary.BigEndian.Uint16(v))) })
 	case *array.Int32Builder:
-		return fixed(4, func(v []byte) { f.Append(int32(u32(v))) })
+		return fixedWidth(4, func(v []byte) { f.Append(int32(u32(v))) })
 	case *array.Int64Builder:
-		return fixed(8, func(v []byte) { f.Append(int64(u64(v))) })
+		return fixedWidth(8, func(v []byte) { f.Append(int64(u64(v))) })
 	case *array.Uint32Builder:
-		return fixed(4, func(v []byte) { f.Append(u32(v)) })
+		return fixedWidth(4, func(v []byte) { f.Append(u32(v)) })
 	case *array.Float32Builder:
-		return fixed(4, func(v []byte) { f.Append(math.Float32frombits(u32(v))) })
+		return fixedWidth(4, func(v []byte) { f.Append(math.Float32frombits(u32(v))) })
 	case *array.Float64Builder:
-		return fixed(8, func(v []byte) { f.Append(math.Float64frombits(u64(v))) })
+		return fixedWidth(8, func(v []byte) { f.Append(math.Float64frombits(u64(v))) })
 	case *array.Date32Builder:
-		return fixed(4, func(v []byte) {
+		return fixedWidth(4, func(v []byte) {
 			d := int32(u32(v))
 			if d != math.MaxInt32 && d != math.MinInt32 {
-				d += epochDays
+				d += epochOffsetDays
 			}
 			f.Append(arrow.Date32(d))
 		})
 	case *array.Time64Builder:
-		return fixed(8, func(v []byte) { f.Append(arrow.Time64(u64(v))) })
+		return fixedWidth(8, func(v []byte) { f.Append(arrow.Time64(u64(v))) })
 	case *array.TimestampBuilder:
-		return fixed(8, func(v []byte) { f.Append(arrow.Timestamp(shift(int64(u64(v))))) })
+		return fixedWidth(8, func(v []byte) { f.Append(arrow.Timestamp(toUnixEpoch(int64(u64(v))))) })
 	case *array.MonthDayNanoIntervalBuilder:
-		return fixed(16, func(v []byte) {
+		return fixedWidth(16, func(v []byte) {
 			f.Append(arrow.MonthDayNanoInterval{Months: int32(u32(v[12:])), Days: int32(u32(v[8:])),
 				Nanoseconds: int64(u64(v)) * 1000})
 		})
 	case *array.FixedSizeBinaryBuilder:
-		return fixed(16, f.Append)
+		return fixedWidth(16, f.Append)
 	case *array.Decimal128Builder:
 		t := f.Type().(*arrow.Decimal128Type)
 		return func(v []byte) error {
@@ -195,13 +195,13 @@
 		return func(v []byte) error { f.Append(v); return nil }
 	case *array.StringBuilder:
 		if oid != oidNumeric {
-			return text(f)
+			return textAppender(f)
 		}
 		var buf []byte
 		return func(v []byte) error {
 			n, err := parseNumeric(v)
 			if err == nil {
-				buf = n.text(buf[:0])
+				buf = n.appendText(buf[:0])
 				f.BinaryBuilder.Append(buf)
 			}
 			return err
@@ -210,14 +210,14 @@
 	return func([]byte) error { return fmt.Errorf("type %d is not read", oid) }
 }
 
-// list returns what reads an array (array_send): dimensions, whether nulls are in, the element's type, for
-// each dimension its length and lower bound, and the elements.
-func list(f *array.ListBuilder, element uint32, mod int32) func([]byte) error {
+// listAppender returns what reads an array (array_send): dimensions, whether nulls are in, the element's
+// type, for each dimension its length and lower bound, and the elements.
+func listAppender(f *array.ListBuilder, element uint32, mod int32) func([]byte) error {
 	values := f.ValueBuilder()
-	put := scalar(values, element)
+	put := scalarAppender(values, element)
 	return func(v []byte) error {
 		if len(v) < 12 {
-			return errCut
+			return errTruncated
 		}
 		dims := binary.BigEndian.Uint32(v)
 		if oid := binary.BigEndian.Uint32(v[8:]); oid != element {
@@ -229,18 +229,18 @@
 			return fmt.Errorf("an array of %d dimensions is not served; cast it to text", dims)
 		case dims == 1:
 			if len(v) < 8 {
-				return errCut
+				return errTruncated
 			}
 			n = int(binary.BigEndian.Uint32(v))
 			v = v[8:]
 		}
 		if n > len(v)/4 {
-			return errCut
+			return errTruncated
 		}
 		f.Append(true)
 		for range n {
 			if len(v) < 4 {
-				return errCut
+				return errTruncated
 			}
 			size := int32(binary.BigEndian.Uint32(v))
 			v = v[4:]
@@ -249,7 +249,7 @@
 				continue
 			}
 			if int(size) > len(v) {
-				return errCut
+				return errTruncated
 			}
 			if err := put(v[:size]); err != nil {
 				return err
@@ -272,14 +272,14 @@
 
 func parseNumeric(v []byte) (numeric, error) {
 	if len(v) < 8 {
-		return numeric{}, errCut
+		return numeric{}, errTruncated
 	}
 	count := int(binary.BigEndian.Uint16(v))
 	n := numeric{weight: int(int16(binary.BigEndian.Uint16(v[2:]))),
 		scale:  int(binary.BigEndian.Uint16(v[6:])),
 		digits: v[8:]}
 	if len(n.digits) != 2*count {
-		return n, errCut
+		return n, errTruncated
 	}
 	switch sign := binary.BigEndian.Uint16(v[4:]); sign {
 	case 0:
@@ -310,8 +310,8 @@
 	return int(binary.BigEndian.Uint16(n.digits[2*i:]))
 }
 
-// text writes the number as PostgreSQL does, with all digits of its scale.
-func (n *numeric) text(out []byte) []byte {
+// appendText writes the number as PostgreSQL does, with all digits of its scale.
+func (n *numeric) appendText(out []byte) []byte {
 	if n.special != "" {
 		return append(out, n.special...)
 	}
@@ -380,7 +380,7 @@
 			return decimal128.Num{}, fmt.Errorf("does not fit decimal(%d, %d)", precision, scale)
 		}
 	}
-	v, ok := new(big.Rat).SetString(string(n.text(nil)))
+	v, ok := new(big.Rat).SetString(string(n.appendText(nil)))
 	if !ok {
 		return decimal128.Num{}, fmt.Errorf("numeric is not read")
 	}
--- a/internal/frontend/flightsql/arrowbatch/golden_test.go
+++ b/internal/frontend/flightsql/arrowbatch/golden_test.go
@@ -39,7 +39,7 @@
 			t.Fatalf("%v: %v", c.kind, err)
 		}
 		for i := range a.Len() {
-			v, null, err := Text(a, i)
+			v, null, err := PostgresText(a, i)
 			fmt.Fprintf(&got, "%v %q null %v error %v\n", c.kind, v, null, err)
 		}
 		a.Release()
@@ -58,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	bind, err := Bind(nil, nil, 0, s)
+	bind, err := AppendBind(nil, nil, 0, s)
 	fmt.Fprintf(&got, "schema %v bind %x error %v\n", s.Arrow, bind, err)
 	compareGolden(t, "parameters.txt", got.String())
 }
--- a/internal/frontend/flightsql/arrowbatch/rowbatch_test.go
+++ b/internal/frontend/flightsql/arrowbatch/rowbatch_test.go
@@ -44,7 +44,7 @@
 			t.Fatal(err)
 		}
 		var back pgtype.Numeric
-		if err := back.Scan(string(parsed.text(nil))); err != nil {
+		if err := back.Scan(string(parsed.appendText(nil))); err != nil {
 			t.Fatal(err)
 		}
 		same := func(a, b pgtype.Numeric) bool {
@@ -64,7 +64,7 @@
 			return p.Int.Cmp(q.Int) == 0
 		}
 		if !same(n, back) {
-			t.Fatalf("%s comes out as %s", text, parsed.text(nil))
+			t.Fatalf("%s comes out as %s", text, parsed.appendText(nil))
 		}
 		scale := int32(rapid.IntRange(0, 15).Draw(t, "scale"))
 		d, err := parsed.decimal(38, scale)
@@ -83,10 +83,10 @@
 
 // Whatever bytes come as a value of whatever type, a row is taken or refused, without a panic.
 func FuzzRow(f *testing.F) {
-	for oid := range elements {
+	for oid := range arrayElementTypes {
 		f.Add(oid, int32(-1), []byte{0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 25, 0, 0, 0, 1, 0, 0, 0, 1})
 	}
-	for oid := range plain {
+	for oid := range arrowTypes {
 		f.Add(oid, int32(-1), []byte{0, 0, 0, 1, 0, 0, 0, 0})
 	}
 	f.Add(uint32(oidNumeric), int32(655366), []byte{0, 1, 0, 0, 0, 0, 0, 0, 0, 5})
@@ -105,7 +105,7 @@
 		if r.NumRows() != 1 {
 			t.Fatalf("%d rows of one", r.NumRows())
 		}
-		Text(r.Column(0), 0)
+		PostgresText(r.Column(0), 0)
 	})
 }
 
--- a/internal/frontend/flightsql/arrowbatch/schema.go
+++ b/internal/frontend/flightsql/arrowbatch/schema.go
@@ -19,14 +19,31 @@
 	oidNumeric, oidUUID, oidChar                                           = 1700, 2950, 18
 )
 
-// elements are the types of arrays' elements.
-var elements = map[uint32]uint32{1000: oidBool, 1001: oidBytea, 1003: oidName, 1005: oidInt2, 1007: oidInt4,
-	1009: oidText, 1014: oidBPChar, 1015: oidVarchar, 1016: oidInt8, 1021: oidFloat4, 1022: oidFloat8,
-	1028: oidOID, 1115: oidTimestamp, 1182: oidDate, 1183: oidTime, 1185: oidTimestampTZ, 1187: oidInterval,
-	1231: oidNumeric, 2951: oidUUID}
+// arrayElementTypes are the types of arrays' elements.
+var arrayElementTypes = map[uint32]uint32{
+	1000: oidBool,
+	1001: oidBytea,
+	1003: oidName,
+	1005: oidInt2,
+	1007: oidInt4,
+	1009: oidText,
+	1014: oidBPChar,
+	1015: oidVarchar,
+	1016: oidInt8,
+	1021: oidFloat4,
+	1022: oidFloat8,
+	1028: oidOID,
+	1115: oidTimestamp,
+	1182: oidDate,
+	1183: oidTime,
+	1185: oidTimestampTZ,
+	1187: oidInterval,
+	1231: oidNumeric,
+	2951: oidUUID,
+}
 
-// plain are the Arrow types of those that need no modifier.
-var plain = map[uint32]arrow.DataType{oidBool: arrow.FixedWidthTypes.Boolean,
+// arrowTypes are the Arrow types of those that need no modifier.
+var arrowTypes = map[uint32]arrow.DataType{oidBool: arrow.FixedWidthTypes.Boolean,
 	oidBytea: arrow.BinaryTypes.Binary, oidInt8: arrow.PrimitiveTypes.Int64,
 	oidInt2: arrow.PrimitiveTypes.Int16, oidInt4: arrow.PrimitiveTypes.Int32,
 	oidOID: arrow.PrimitiveTypes.Uint32, oidFloat4: arrow.PrimitiveTypes.Float32,
@@ -41,12 +58,12 @@
 
 // Column is one column of an answer.
 type Column struct {
-	Name    string
-	OID     uint32
-	Mod     int32 // type modifier; -1: none
-	Binary  bool  // its values come in binary form
-	Element uint32
-	Type    arrow.DataType
+	Name         string
+	OID          uint32
+	TypeModifier int32 // type modifier; -1: none
+	Binary       bool  // its values come in binary form
+	Element      uint32
+	Type         arrow.DataType
 }
 
 // Schema is the shape of an answer.
@@ -55,10 +72,10 @@
 	Arrow   *arrow.Schema
 }
 
-var errCut = errors.New("message is cut")
+var errTruncated = errors.New("message is cut")
 
-// ofOID is the Arrow type of a PostgreSQL type; nil: this package does not read its binary form.
-func ofOID(oid uint32, mod int32) arrow.DataType {
+// arrowTypeOf is the Arrow type of a PostgreSQL type; nil: this package does not read its binary form.
+func arrowTypeOf(oid uint32, mod int32) arrow.DataType {
 	if oid == oidNumeric {
 		// "Numeric Types": the modifier holds precision and scale, and a scale below zero or beyond the
 		// precision is not Arrow's to hold. One without modifier may hold anything: it goes out as text, to
@@ -68,17 +85,17 @@
 		}
 		return arrow.BinaryTypes.String
 	}
-	if e, ok := elements[oid]; ok {
-		return arrow.ListOf(ofOID(e, mod))
+	if e, ok := arrayElementTypes[oid]; ok {
+		return arrow.ListOf(arrowTypeOf(e, mod))
 	}
-	return plain[oid]
+	return arrowTypes[oid]
 }
 
 // NewSchema reads the body of a RowDescription. inBinary: the formats told are those that Formats asks for,
 // as in a statement's description, where the engine tells none.
 func NewSchema(b []byte, inBinary bool) (*Schema, error) {
 	if len(b) < 2 {
-		return nil, errCut
+		return nil, errTruncated
 	}
 	n := int(binary.BigEndian.Uint16(b))
 	b = b[2:]
@@ -90,14 +107,14 @@
 			end++
 		}
 		if len(b) < end+19 {
-			return nil, errCut
+			return nil, errTruncated
 		}
 		c := Column{Name: string(b[:end])}
 		b = b[end+1:]
-		c.OID, c.Mod = binary.BigEndian.Uint32(b[6:]), int32(binary.BigEndian.Uint32(b[12:]))
+		c.OID, c.TypeModifier = binary.BigEndian.Uint32(b[6:]), int32(binary.BigEndian.Uint32(b[12:]))
 		c.Binary = binary.BigEndian.Uint16(b[16:]) == 1
 		b = b[18:]
-		c.Type, c.Element = ofOID(c.OID, c.Mod), elements[c.OID]
+		c.Type, c.Element = arrowTypeOf(c.OID, c.TypeModifier), arrayElementTypes[c.OID]
 		if inBinary {
 			c.Binary = c.Type != nil
 		}
@@ -119,17 +136,18 @@
 	return s, nil
 }
 
-// NewParameters reads the body of a ParameterDescription as a schema of what a client may bind, and the OIDs.
-func NewParameters(b []byte) (*arrow.Schema, []uint32, error) {
+// ParameterSchema reads the body of a ParameterDescription as a schema of what a client may bind, and the
+// OIDs.
+func ParameterSchema(b []byte) (*arrow.Schema, []uint32, error) {
 	if len(b) < 2 || len(b) != 2+4*int(binary.BigEndian.Uint16(b)) {
-		return nil, nil, errCut
+		return nil, nil, errTruncated
 	}
 	var fields []arrow.Field
 	var oids []uint32
 	for b = b[2:]; len(b) > 0; b = b[4:] {
 		oid := binary.BigEndian.Uint32(b)
 		oids = append(oids, oid)
-		t := ofOID(oid, -1)
+		t := arrowTypeOf(oid, -1)
 		if t == nil {
 			t = arrow.BinaryTypes.String
 		}
@@ -139,8 +157,8 @@
 	return arrow.NewSchema(fields, nil), oids, nil
 }
 
-// Formats are the result formats to ask for in a Bind ("Bind"): a count and one code for each column.
-func (s *Schema) Formats(out []byte) []byte {
+// AppendFormats are the result formats to ask for in a Bind ("Bind"): a count and one code for each column.
+func (s *Schema) AppendFormats(out []byte) []byte {
 	if s == nil {
 		return binary.BigEndian.AppendUint16(out, 0)
 	}
@@ -157,7 +175,7 @@
 
 // Field is a table's column as a field.
 func Field(name string, oid uint32, mod int32, nullable bool) arrow.Field {
-	t := ofOID(oid, mod)
+	t := arrowTypeOf(oid, mod)
 	if t == nil {
 		t = arrow.BinaryTypes.String
 	}
--- a/internal/frontend/flightsql/call.go
+++ b/internal/frontend/flightsql/call.go
@@ -25,60 +25,60 @@
 	"cresspass/internal/protocol/sqlscan"
 )
 
-// ended is the error of a call, with what its client may do.
-type ended struct{ *grpcstatus.Status }
+// callError is the error of a call, with what its client may do.
+type callError struct{ *grpcstatus.Status }
 
-func (e *ended) Error() string { return e.Status.Err().Error() }
+func (e *callError) Error() string { return e.Status.Err().Error() }
 
 // GRPCStatus is what the client gets.
-func (e *ended) GRPCStatus() *status.Status { return e.Status.Status }
+func (e *callError) GRPCStatus() *status.Status { return e.Status.Status }
 
-func ruled(v *verdict.Verdict) error { return &ended{grpcstatus.Of(v)} }
+func verdictError(v *verdict.Verdict) error { return &callError{grpcstatus.FromVerdict(v)} }
 
-func fault(code codes.Code, format string, args ...any) error {
-	return &ended{grpcstatus.Fault(code, fmt.Sprintf(format, args...))}
+func invalidCall(code codes.Code, format string, args ...any) error {
+	return &callError{grpcstatus.InvalidCall(code, fmt.Sprintf(format, args...))}
 }
 
 // call is one query on its way, and the sink of its answer: an engine's messages are gathered in a buffer,
 // which the call's own goroutine takes whole.
 type call struct {
-	s     *Server
-	t     *track
-	q     *frontend.Query
-	id    statementqueue.ID
-	alone bool
+	server    *Server
+	scope     *scope
+	query     *frontend.Query
+	id        statementqueue.StatementID
+	exclusive bool
 
-	mu     sync.Mutex
-	buf    []byte
-	done   bool
-	failed bool // the last message is an ErrorResponse
-	v      *verdict.Verdict
-	wake   chan struct{} // of one: there is something new
-	room   chan struct{} // of one: the buffer was taken
+	mu          sync.Mutex
+	buf         []byte
+	done        bool
+	failed      bool // the last message is an ErrorResponse
+	verdict     *verdict.Verdict
+	dataReady   chan struct{} // of one: there is something new
+	bufferTaken chan struct{} // of one: the buffer was taken
 }
 
 // statement is what is to be run.
 type statement struct {
-	text, types string
-	parsed      []sqlscan.Statement
-	bind        []byte
-	kind        enginequery.Kind
+	text, parameterTypes string
+	parsed               []sqlscan.Statement
+	bindBody             []byte
+	kind                 enginequery.Kind
 }
 
 // scan reads a text. Functions that the settings call harmless are in no doubt.
 func (s *Server) scan(text string) []sqlscan.Statement {
 	all := sqlscan.Statements(text)
 	for i := range all {
-		if f := all[i].Function; f != "" && s.cfg.Harmless != nil && s.cfg.Harmless(f) {
+		if f := all[i].Function; f != "" && s.cfg.StatelessFunction != nil && s.cfg.StatelessFunction(f) {
 			all[i].Function = ""
 		}
 	}
 	return all
 }
 
-// who is the client of a call. Its time left is what grpc-timeout says; a call that gRPC or its client
+// client is the client of a call. Its time left is what grpc-timeout says; a call that gRPC or its client
 // repeats says so by grpc-previous-rpc-attempts ("gRPC Retry Design").
-func (v *session) who(ctx context.Context) classify.Client {
+func (v *session) client(ctx context.Context) classify.Client {
 	v.mu.Lock()
 	w := classify.Client{User: v.user, Database: v.database, Application: v.application}
 	v.mu.Unlock()
@@ -88,108 +88,119 @@
 	if md, ok := metadata.FromIncomingContext(ctx); ok {
 		for _, n := range md.Get("grpc-previous-rpc-attempts") {
 			if n, err := strconv.Atoi(n); err == nil && n > 0 {
-				w.Repeat = true
+				w.IsRetry = true
 			}
 		}
 	}
 	return w
 }
 
-// start has a statement run in its lane, once its turn has come. The call must be read to its end, or given
-// up.
-func (s *Server) start(ctx context.Context, t *track, st statement) (*call, error) {
-	c := &call{s: s, t: t, wake: make(chan struct{}, 1), room: make(chan struct{}, 1),
-		alone: st.kind == enginequery.Execute && alone(st.parsed)}
-	id, v := t.enter(ctx, c.alone)
+// startStatement has a statement run in its lane, once its turn has come. The call must be read to its end,
+// or given up.
+func (s *Server) startStatement(ctx context.Context, t *scope, st statement) (*call, error) {
+	c := &call{server: s, scope: t, dataReady: make(chan struct{}, 1), bufferTaken: make(chan struct{}, 1),
+		exclusive: st.kind == enginequery.Execute && needsExclusive(st.parsed)}
+	id, v := t.acquireTurn(ctx, c.exclusive)
 	if v != nil {
-		return nil, ruled(v)
+		return nil, verdictError(v)
 	}
-	if s.drains.Load() && !t.holds() {
-		t.leave(id)
-		return nil, ruled(verdict.Stopping(false))
+	if s.draining.Load() && !t.isSticky() {
+		t.releaseTurn(id)
+		return nil, verdictError(verdict.ShuttingDown(false))
 	}
 	c.id = id
-	k := &enginequery.Ask{Kind: st.kind, Text: st.text, Parsed: st.parsed, Types: st.types, Bind: st.bind,
-		Describe: st.kind == enginequery.Execute}
-	q := &frontend.Query{Front: Name, Ask: k, Who: t.of.who(ctx), After: func() { t.leave(id) }}
-	q.Answer = response.New(c, s.cfg.Budget, s.cfg.HoldBack)
-	q.Throttle = c.throttle
-	q.Copy = func(*copyin.Pipe) bool { return false } // data comes by other ways than COPY here
-	q.Room = func() {}
-	q.Settled = func(end pgbackend.End) pgbackend.Stay { return t.settled(c, end) }
-	q.Broken = func(sent bool) { t.broken(c, sent) }
-	c.q = q
-	t.open(c, k)
-	if k.Begins && q.Lease.Engine() == "" {
-		if why, ok := s.cfg.Book.May(t.of.user); !ok {
-			if q.Answer.End(verdict.Limit(why)) {
-				q.After()
+	k := &enginequery.Query{
+		Kind:           st.kind,
+		Text:           st.text,
+		Parsed:         st.parsed,
+		ParameterTypes: st.parameterTypes,
+		BindBody:       st.bindBody,
+		WithDescribe:   st.kind == enginequery.Execute,
+	}
+	q := &frontend.Query{
+		Frontend:        Name,
+		EngineQuery:     k,
+		Client:          t.session.client(ctx),
+		OnResponseEnded: func() { t.releaseTurn(id) },
+	}
+	q.Response = response.New(c, s.cfg.Budget, s.cfg.HoldBack)
+	q.Throttle = c.awaitCapacity
+	q.StartCopyIn = func(*copyin.Pipe) bool { return false } // data comes by other ways than COPY here
+	q.OnCopyCapacity = func() {}
+	q.Settle = func(end pgbackend.QueryEnd) pgbackend.Disposition { return t.settleQuery(c, end) }
+	q.OnConnectionLost = func(sent bool) { t.onConnectionLost(c, sent) }
+	c.query = q
+	t.prepareQuery(c, k)
+	if k.MayBecomeSticky && q.Lease.Engine() == "" {
+		if why, ok := s.cfg.Registry.Allow(t.session.user); !ok {
+			if q.Response.FinishWithVerdict(verdict.RejectOverLimit(why)) {
+				q.OnResponseEnded()
 			}
 			return c, nil
 		}
 	}
-	s.taker.Take(q)
+	s.dispatcher.Submit(q)
 	return c, nil
 }
 
-// Rows takes messages of the engine.
-func (c *call) Rows(b []byte) {
-	c.s.bytes.Add(int64(len(b)))
+// WritePartial takes messages of the engine.
+func (c *call) WritePartial(b []byte) {
+	c.server.pendingBytes.Add(int64(len(b)))
 	c.mu.Lock()
 	c.buf = append(c.buf, b...)
 	c.mu.Unlock()
-	poke(c.wake)
+	signal(c.dataReady)
 }
 
-// Final takes the last of them.
-func (c *call) Final(b []byte, failed bool) {
-	c.t.closed(c)
-	c.s.bytes.Add(int64(len(b)))
+// WriteFinal takes the last of them.
+func (c *call) WriteFinal(b []byte, failed bool) {
+	c.scope.onResponseEnded(c)
+	c.server.pendingBytes.Add(int64(len(b)))
 	c.mu.Lock()
 	c.buf = append(c.buf, b...)
 	c.done, c.failed = true, failed
 	c.mu.Unlock()
-	poke(c.wake)
+	signal(c.dataReady)
 }
 
-// Ruled takes a verdict. What came before it and was not taken does not matter any more: the client is told
-// at once.
-func (c *call) Ruled(v *verdict.Verdict) {
-	c.t.closed(c)
+// WriteVerdict takes a verdict. What came before it and was not taken does not matter any more: the client
+// is told at once.
+func (c *call) WriteVerdict(v *verdict.Verdict) {
+	c.scope.onResponseEnded(c)
 	c.mu.Lock()
-	c.s.bytes.Add(-int64(len(c.buf)))
-	c.buf, c.done, c.v = nil, true, v
+	c.server.pendingBytes.Add(-int64(len(c.buf)))
+	c.buf, c.done, c.verdict = nil, true, v
 	c.mu.Unlock()
-	poke(c.wake)
+	signal(c.dataReady)
 }
 
-func poke(ch chan struct{}) {
+func signal(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
 	default:
 	}
 }
 
-// throttle waits until the client has taken what was read for it.
-func (c *call) throttle() {
+// awaitCapacity waits until the client has taken what was read for it.
+func (c *call) awaitCapacity() {
 	for {
 		c.mu.Lock()
-		full := len(c.buf) > c.s.cfg.ClientBuffer && !c.done
+		full := len(c.buf) > c.server.cfg.ClientBuffer && !c.done
 		c.mu.Unlock()
 		if !full {
 			return
 		}
 		select {
-		case <-c.room:
-		case <-c.q.Answer.Ended():
+		case <-c.bufferTaken:
+		case <-c.query.Response.Done():
 			return
 		}
 	}
 }
 
-// take waits for more of the answer and returns it in a buffer in exchange for a spare one. It waits no
+// receive waits for more of the answer and returns it in a buffer in exchange for a spare one. It waits no
 // longer than within, 0: as long as it takes. more is false at the end.
-func (c *call) take(ctx context.Context, spare []byte, within time.Duration) (b []byte, more bool,
+func (c *call) receive(ctx context.Context, spare []byte, within time.Duration) (b []byte, more bool,
 	err error) {
 	var late <-chan time.Time
 	if within > 0 {
@@ -200,67 +211,67 @@
 	for {
 		c.mu.Lock()
 		if len(c.buf) > 0 || c.done {
-			if c.v != nil {
+			if c.verdict != nil {
 				c.mu.Unlock()
-				return nil, false, ruled(c.v)
+				return nil, false, verdictError(c.verdict)
 			}
 			b, c.buf = c.buf, spare[:0]
 			done := c.done
 			c.mu.Unlock()
-			c.s.bytes.Add(-int64(len(b)))
-			poke(c.room)
+			c.server.pendingBytes.Add(-int64(len(b)))
+			signal(c.bufferTaken)
 			return b, !done, nil
 		}
 		c.mu.Unlock()
 		select {
-		case <-c.wake:
+		case <-c.dataReady:
 		case <-late:
 			return spare[:0], true, nil
 		case <-ctx.Done():
-			c.giveUp()
+			c.abandon()
 			return nil, false, status.FromContextError(ctx.Err()).Err()
 		}
 	}
 }
 
-// giveUp tells that the client is gone. Nothing more goes out. A statement that has its lane alone takes what
-// is kept with it: what it left there nobody would know.
-func (c *call) giveUp() {
-	ours := c.q.Answer.Abandon()
+// abandon tells that the client is gone. Nothing more goes out. A statement that has its lane alone takes
+// what is kept with it: what it left there nobody would know.
+func (c *call) abandon() {
+	ours := c.query.Response.Abandon()
 	c.mu.Lock()
 	// Danger: of an answer that was complete and is not taken, these bytes would be counted for ever.
-	c.s.bytes.Add(-int64(len(c.buf)))
+	c.server.pendingBytes.Add(-int64(len(c.buf)))
 	c.buf = nil
 	c.mu.Unlock()
 	if !ours {
 		return
 	}
-	c.t.mu.Lock()
-	kept := c.t.cur == c && c.t.pin.Bound()
-	if c.t.cur == c {
-		c.t.cur = nil
+	c.scope.mu.Lock()
+	kept := c.scope.current == c && c.scope.affinity.Bound()
+	if c.scope.current == c {
+		c.scope.current = nil
 	}
-	c.t.mu.Unlock()
-	c.s.taker.Gone(c.q, kept)
+	c.scope.mu.Unlock()
+	c.server.dispatcher.Withdraw(c.query, kept)
 	if kept {
-		c.t.end(&verdict.Verdict{Kind: verdict.Cancelled, Code: "57014",
+		c.scope.terminate(&verdict.Verdict{Kind: verdict.Cancelled, Code: "57014",
 			Message: "a statement in it was taken back", Detail: "What was not committed was rolled back."})
 	}
-	c.q.After()
+	c.query.OnResponseEnded()
 }
 
 // cancel ends the query by a verdict, whatever it does.
 func (c *call) cancel(v *verdict.Verdict) bool {
-	if !c.q.Answer.End(v) {
+	if !c.query.Response.FinishWithVerdict(v) {
 		return false
 	}
-	c.s.taker.Gone(c.q, true)
-	c.q.After()
+	c.server.dispatcher.Withdraw(c.query, true)
+	c.query.OnResponseEnded()
 	return true
 }
 
-// messages calls f for each of an engine's messages in b.
-func messages(b []byte, f func(kind byte, body []byte) error) error {
+// forEachMessage calls f for each of an engine's messages in b.
+func forEachMessage(b []byte, f func(kind byte, body []byte) error) error {
 	for len(b) > 0 {
 		if len(b) < 5 {
 			return fmt.Errorf("message is cut")
@@ -283,18 +294,19 @@
 	if err != nil {
 		return err
 	}
-	return &ended{grpcstatus.OfEngine(&f)}
+	return &callError{grpcstatus.FromEngineError(&f)}
 }
 
-// drain reads an answer to its end without its rows. It returns the tag and, of a description, its messages.
-func (c *call) drain(ctx context.Context) (tag string, shape []byte, err error) {
+// readToEnd reads an answer to its end without its rows. It returns the tag and, of a description, its
+// messages.
+func (c *call) readToEnd(ctx context.Context) (tag string, shape []byte, err error) {
 	var spare []byte
 	for more := true; more; {
 		var b []byte
-		if b, more, err = c.take(ctx, spare, 0); err != nil {
+		if b, more, err = c.receive(ctx, spare, 0); err != nil {
 			return "", nil, err
 		}
-		err = messages(b, func(kind byte, body []byte) error {
+		err = forEachMessage(b, func(kind byte, body []byte) error {
 			switch kind {
 			case 'E':
 				return engineError(body)
@@ -308,7 +320,7 @@
 			return nil
 		})
 		if err != nil && more {
-			c.giveUp()
+			c.abandon()
 		}
 		if err != nil {
 			return "", nil, err
--- a/internal/frontend/flightsql/catalog.go
+++ b/internal/frontend/flightsql/catalog.go
@@ -84,9 +84,13 @@
 ORDER BY k.n /*action='flight.keys'*/`
 )
 
-// ask runs a query for a catalog and returns its rows; null parameters are nil.
-func (s *Server) ask(ctx context.Context, text string, params ...*string) (arrow.RecordBatch, error) {
-	t := sessionOf(ctx).main
+// queryCatalog runs a query for a catalog and returns its rows; null parameters are nil.
+func (s *Server) queryCatalog(
+	ctx context.Context,
+	text string,
+	params ...*string,
+) (arrow.RecordBatch, error) {
+	t := sessionOf(ctx).defaultScope
 	h, err := s.describe(ctx, t, text)
 	if err != nil {
 		return nil, err
@@ -106,16 +110,20 @@
 	}
 	row := b.NewRecordBatch()
 	defer row.Release()
-	bind, err := arrowbatch.Bind(nil, row, 0, h.rows)
+	bind, err := arrowbatch.AppendBind(nil, row, 0, h.rows)
 	if err != nil {
 		return nil, err
 	}
-	c, err := s.start(ctx, t, statement{text: text, types: h.types, parsed: s.scan(text), bind: bind,
-		kind: enginequery.Execute})
+	c, err := s.startStatement(
+		ctx,
+		t,
+		statement{text: text, parameterTypes: h.parameterTypes, parsed: s.scan(text), bindBody: bind,
+			kind: enginequery.Execute},
+	)
 	if err != nil {
 		return nil, err
 	}
-	sc, ch, err := s.batches(ctx, c, func(error) {})
+	sc, ch, err := s.streamBatches(ctx, c, func(error) {})
 	if err != nil {
 		return nil, err
 	}
@@ -138,11 +146,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return joined(s, sc, append(all, empty(s, sc)))
+	return concatBatches(s, sc, append(all, emptyBatch(s, sc)))
 }
 
-// joined is batches of a schema as one.
-func joined(s *Server, sc *arrow.Schema, all []arrow.RecordBatch) (arrow.RecordBatch, error) {
+// concatBatches is batches of a schema as one.
+func concatBatches(s *Server, sc *arrow.Schema, all []arrow.RecordBatch) (arrow.RecordBatch, error) {
 	rows, cols := int64(0), make([]arrow.Array, 0, len(sc.Fields()))
 	for _, r := range all {
 		rows += r.NumRows()
@@ -166,22 +174,22 @@
 	return array.NewRecordBatch(sc, cols, rows), nil
 }
 
-func empty(s *Server, sc *arrow.Schema) arrow.RecordBatch {
+func emptyBatch(s *Server, sc *arrow.Schema) arrow.RecordBatch {
 	b := array.NewRecordBuilder(s.mem, sc)
 	defer b.Release()
 	return b.NewRecordBatch()
 }
 
-// one is a stream of one batch.
-func one(r arrow.RecordBatch) <-chan flight.StreamChunk {
+// singleChunk is a stream of one batch.
+func singleChunk(r arrow.RecordBatch) <-chan flight.StreamChunk {
 	ch := make(chan flight.StreamChunk, 1)
 	ch <- flight.StreamChunk{Data: r}
 	close(ch)
 	return ch
 }
 
-// under puts columns of a batch under the names and nullability of a schema of Flight SQL's.
-func under(sc *arrow.Schema, r arrow.RecordBatch) arrow.RecordBatch {
+// withSchema puts columns of a batch under the names and nullability of a schema of Flight SQL's.
+func withSchema(sc *arrow.Schema, r arrow.RecordBatch) arrow.RecordBatch {
 	defer r.Release()
 	return array.NewRecordBatch(sc, r.Columns(), r.NumRows())
 }
@@ -189,41 +197,41 @@
 // GetFlightInfoCatalogs and the like give the command itself as ticket.
 func (s *Server) GetFlightInfoCatalogs(_ context.Context, d *flight.FlightDescriptor) (*flight.FlightInfo,
 	error) {
-	return s.infoFor(d, schema_ref.Catalogs)
+	return s.commandInfo(d, schema_ref.Catalogs)
 }
 
 // DoGetCatalogs lists the databases.
 func (s *Server) DoGetCatalogs(ctx context.Context) (*arrow.Schema, <-chan flight.StreamChunk, error) {
-	r, err := s.ask(ctx, catalogsText)
+	r, err := s.queryCatalog(ctx, catalogsText)
 	if err != nil {
 		return nil, nil, err
 	}
-	return schema_ref.Catalogs, one(under(schema_ref.Catalogs, r)), nil
+	return schema_ref.Catalogs, singleChunk(withSchema(schema_ref.Catalogs, r)), nil
 }
 
 // GetFlightInfoSchemas answers for DoGetDBSchemas.
 func (s *Server) GetFlightInfoSchemas(_ context.Context, _ flightsql.GetDBSchemas,
 	d *flight.FlightDescriptor) (*flight.FlightInfo, error) {
-	return s.infoFor(d, schema_ref.DBSchemas)
+	return s.commandInfo(d, schema_ref.DBSchemas)
 }
 
 // DoGetDBSchemas lists schemas.
 func (s *Server) DoGetDBSchemas(ctx context.Context,
 	cmd flightsql.GetDBSchemas) (*arrow.Schema, <-chan flight.StreamChunk, error) {
-	r, err := s.ask(ctx, schemasText, cmd.GetCatalog(), cmd.GetDBSchemaFilterPattern())
+	r, err := s.queryCatalog(ctx, schemasText, cmd.GetCatalog(), cmd.GetDBSchemaFilterPattern())
 	if err != nil {
 		return nil, nil, err
 	}
-	return schema_ref.DBSchemas, one(under(schema_ref.DBSchemas, r)), nil
+	return schema_ref.DBSchemas, singleChunk(withSchema(schema_ref.DBSchemas, r)), nil
 }
 
 // GetFlightInfoTables answers for DoGetTables.
 func (s *Server) GetFlightInfoTables(_ context.Context, cmd flightsql.GetTables,
 	d *flight.FlightDescriptor) (*flight.FlightInfo, error) {
 	if cmd.GetIncludeSchema() {
-		return s.infoFor(d, schema_ref.TablesWithIncludedSchema)
+		return s.commandInfo(d, schema_ref.TablesWithIncludedSchema)
 	}
-	return s.infoFor(d, schema_ref.Tables)
+	return s.commandInfo(d, schema_ref.Tables)
 }
 
 // DoGetTables lists tables, with the schemas of their rows where that is asked for.
@@ -234,16 +242,21 @@
 		joined := strings.Join(k, ",")
 		kinds = &joined
 	}
-	r, err := s.ask(ctx, tablesText, cmd.GetCatalog(), cmd.GetDBSchemaFilterPattern(),
+	r, err := s.queryCatalog(ctx, tablesText, cmd.GetCatalog(), cmd.GetDBSchemaFilterPattern(),
 		cmd.GetTableNameFilterPattern(), kinds)
 	if err != nil {
 		return nil, nil, err
 	}
 	if !cmd.GetIncludeSchema() {
-		return schema_ref.Tables, one(under(schema_ref.Tables, r)), nil
+		return schema_ref.Tables, singleChunk(withSchema(schema_ref.Tables, r)), nil
 	}
 	defer r.Release()
-	cols, err := s.ask(ctx, columnsText, cmd.GetDBSchemaFilterPattern(), cmd.GetTableNameFilterPattern())
+	cols, err := s.queryCatalog(
+		ctx,
+		columnsText,
+		cmd.GetDBSchemaFilterPattern(),
+		cmd.GetTableNameFilterPattern(),
+	)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -265,14 +278,16 @@
 	schemas := b.NewBinaryArray()
 	defer schemas.Release()
 	sc := schema_ref.TablesWithIncludedSchema
-	return sc, one(array.NewRecordBatch(sc, append(append([]arrow.Array(nil), r.Columns()...), schemas),
-		r.NumRows())), nil
+	return sc, singleChunk(
+		array.NewRecordBatch(sc, append(append([]arrow.Array(nil), r.Columns()...), schemas),
+			r.NumRows()),
+	), nil
 }
 
 // GetFlightInfoTableTypes answers for DoGetTableTypes.
 func (s *Server) GetFlightInfoTableTypes(_ context.Context, d *flight.FlightDescriptor) (*flight.FlightInfo,
 	error) {
-	return s.infoFor(d, schema_ref.TableTypes)
+	return s.commandInfo(d, schema_ref.TableTypes)
 }
 
 // DoGetTableTypes lists what information_schema.tables calls tables.
@@ -282,19 +297,19 @@
 	b.Field(0).(*array.StringBuilder).AppendValues([]string{"BASE TABLE", "FOREIGN", "LOCAL TEMPORARY",
 		"VIEW"},
 		nil)
-	return schema_ref.TableTypes, one(b.NewRecordBatch()), nil
+	return schema_ref.TableTypes, singleChunk(b.NewRecordBatch()), nil
 }
 
 // GetFlightInfoPrimaryKeys answers for DoGetPrimaryKeys.
 func (s *Server) GetFlightInfoPrimaryKeys(_ context.Context, _ flightsql.TableRef,
 	d *flight.FlightDescriptor) (*flight.FlightInfo, error) {
-	return s.infoFor(d, schema_ref.PrimaryKeys)
+	return s.commandInfo(d, schema_ref.PrimaryKeys)
 }
 
 // DoGetPrimaryKeys lists the columns of a table's primary key.
 func (s *Server) DoGetPrimaryKeys(ctx context.Context,
 	ref flightsql.TableRef) (*arrow.Schema, <-chan flight.StreamChunk, error) {
-	r, err := s.ask(ctx, keysText, ref.Catalog, ref.DBSchema, &ref.Table)
+	r, err := s.queryCatalog(ctx, keysText, ref.Catalog, ref.DBSchema, &ref.Table)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -307,7 +322,7 @@
 	n := seq.NewInt32Array()
 	defer n.Release()
 	c := r.Columns()
-	return schema_ref.PrimaryKeys, one(array.NewRecordBatch(schema_ref.PrimaryKeys,
+	return schema_ref.PrimaryKeys, singleChunk(array.NewRecordBatch(schema_ref.PrimaryKeys,
 		[]arrow.Array{c[0], c[1], c[2], c[3], n, c[5]}, r.NumRows())), nil
 }
 
@@ -327,7 +342,7 @@
 // GetFlightInfoXdbcTypeInfo answers for DoGetXdbcTypeInfo.
 func (s *Server) GetFlightInfoXdbcTypeInfo(_ context.Context, _ flightsql.GetXdbcTypeInfo,
 	d *flight.FlightDescriptor) (*flight.FlightInfo, error) {
-	return s.infoFor(d, schema_ref.XdbcTypeInfo)
+	return s.commandInfo(d, schema_ref.XdbcTypeInfo)
 }
 
 // DoGetXdbcTypeInfo lists the types.
@@ -362,5 +377,5 @@
 			}
 		}
 	}
-	return schema_ref.XdbcTypeInfo, one(b.NewRecordBatch()), nil
+	return schema_ref.XdbcTypeInfo, singleChunk(b.NewRecordBatch()), nil
 }
--- a/internal/frontend/flightsql/grpcstatus/golden_test.go
+++ b/internal/frontend/flightsql/grpcstatus/golden_test.go
@@ -21,7 +21,7 @@
 func TestStatusesAreStable(t *testing.T) {
 	var got strings.Builder
 	write := func(s *Status) {
-		fmt.Fprintf(&got, "%v %q pushback %q ran %v\n", s.Code(), s.Message(), s.PushbackText(), s.Ran)
+		fmt.Fprintf(&got, "%v %q pushback %q ran %v\n", s.Code(), s.Message(), s.PushbackText(), s.MayHaveRun)
 		for _, d := range s.Details() {
 			switch d := d.(type) {
 			case *errdetails.ErrorInfo:
@@ -38,22 +38,22 @@
 			}
 		}
 	}
-	for _, v := range []*verdict.Verdict{verdict.Refuse(0, false, ""), verdict.Refuse(time.Second, true,
+	for _, v := range []*verdict.Verdict{verdict.Reject(0, false, ""), verdict.Reject(time.Second, true,
 		"last"),
-		verdict.Fail(""), verdict.Fail("last"), verdict.Limit("full"), verdict.Earlier(time.Second),
-		verdict.Stopping(false), verdict.Stopping(true), verdict.Fault("22023", "x"), verdict.Cancel(),
-		verdict.Lost("08006", "a", "b"), {Kind: verdict.Faulty, Code: "25000", Message: "over", Detail: "d"},
+		verdict.Fail(""), verdict.Fail("last"), verdict.RejectOverLimit("full"), verdict.RejectAfterRestart(time.Second),
+		verdict.ShuttingDown(false), verdict.ShuttingDown(true), verdict.Invalid("22023", "x"), verdict.CancelledByClient(),
+		verdict.ConnectionLost("08006", "a", "b"), {Kind: verdict.InvalidRequest, Code: "25000", Message: "over", Detail: "d"},
 		{Kind: verdict.Cancelled, Code: "57P01", Message: "m", Detail: "d"}} {
-		write(Of(v))
+		write(FromVerdict(v))
 	}
-	write(Fault(codes.NotFound, "none"))
-	write(OfEngine(&pgwire.Fields{Code: "42P01", Message: "m", Detail: "d", Hint: "h"}))
+	write(InvalidCall(codes.NotFound, "none"))
+	write(FromEngineError(&pgwire.Fields{Code: "42P01", Message: "m", Detail: "d", Hint: "h"}))
 	for _, code := range []string{"57014", "23505", "42P04", "42P05", "42P06", "42P07", "42710", "42723",
 		"42P01",
 		"42703", "42704", "42883", "3D000", "3F000", "26000", "34000", "42501", "25P03", "57P05", "0A000",
 		"22012", "42601", "03000", "28P01", "23514", "25001", "24000", "55006", "2B000", "2D000", "3B000",
 		"44000", "27000", "54000", "40001", "53100", "58000", "XX000", "", "1"} {
-		write(OfEngine(&pgwire.Fields{Code: code, Message: "m"}))
+		write(FromEngineError(&pgwire.Fields{Code: code, Message: "m"}))
 	}
 	compareGolden(t, "statuses.txt", got.String())
 }
--- a/internal/frontend/flightsql/grpcstatus/status.go
+++ b/internal/frontend/flightsql/grpcstatus/status.go
@@ -23,11 +23,11 @@
 
 // The reasons of ErrorInfo.
 const (
-	Refused   = "REFUSED"   // trying again is harmless
-	Failed    = "FAILED"    // nothing is promised
-	Faulty    = "FAULTY"    // turned away for what it says; nothing ran
-	Cancelled = "CANCELLED" // by its client
-	Engine    = "ENGINE"    // the engine's own error
+	ReasonRejected  = "REFUSED"   // trying again is harmless
+	ReasonFailed    = "FAILED"    // nothing is promised
+	ReasonInvalid   = "FAULTY"    // turned away for what it says; nothing ran
+	ReasonCancelled = "CANCELLED" // by its client
+	ReasonEngine    = "ENGINE"    // the engine's own error
 )
 
 // Status is an end of a call.
@@ -36,8 +36,8 @@
 	// Pushback is for the trailer grpc-retry-pushback-ms ("gRPC Retry Design", server pushback): how long to
 	// wait; below zero: do not repeat.
 	Pushback time.Duration
-	// Ran reports that the statement may have run.
-	Ran bool
+	// MayHaveRun reports that the statement may have run.
+	MayHaveRun bool
 }
 
 // PushbackText is the value of the trailer.
@@ -48,10 +48,10 @@
 	return strconv.FormatInt(max(s.Pushback.Milliseconds(), 1), 10)
 }
 
-// Of is a verdict's status.
-func Of(v *verdict.Verdict) *Status {
+// FromVerdict is a verdict's status.
+func FromVerdict(v *verdict.Verdict) *Status {
 	info := map[string]string{"sqlstate": v.Code, "ran": "false"}
-	if v.Ran {
+	if v.MayHaveRun {
 		info["ran"] = "unknown"
 	}
 	message := v.Message
@@ -59,32 +59,44 @@
 		message += ". " + v.Detail
 	}
 	switch v.Kind {
-	case verdict.Refused:
+	case verdict.Rejected:
 		code := codes.ResourceExhausted
-		if v.Code == "57P01" && !v.Ran {
+		if v.Code == "57P01" && !v.MayHaveRun {
 			code = codes.Unavailable // another instance may take it at once
 		}
-		if v.Ran {
+		if v.MayHaveRun {
 			info["ran"] = "harmless"
 		}
-		details := []protoadapt.MessageV1{protoadapt.MessageV1Of(errorInfo(Refused, info))}
-		if v.Wait > 0 {
+		details := []protoadapt.MessageV1{protoadapt.MessageV1Of(errorInfo(ReasonRejected, info))}
+		if v.RetryAfter > 0 {
 			details = append(details, protoadapt.MessageV1Of(&errdetails.RetryInfo{
-				RetryDelay: durationpb.New(v.Wait)}))
+				RetryDelay: durationpb.New(v.RetryAfter)}))
 		}
-		return build(code, message, max(v.Wait, time.Millisecond), v.Ran, details...)
+		return build(code, message, max(v.RetryAfter, time.Millisecond), v.MayHaveRun, details...)
 	case verdict.Cancelled:
-		return build(codes.Canceled, message, -1, true, protoadapt.MessageV1Of(errorInfo(Cancelled, info)))
-	case verdict.Faulty:
-		return build(ofState(v.Code), message, -1, false, protoadapt.MessageV1Of(errorInfo(Faulty, info)))
+		return build(
+			codes.Canceled,
+			message,
+			-1,
+			true,
+			protoadapt.MessageV1Of(errorInfo(ReasonCancelled, info)),
+		)
+	case verdict.InvalidRequest:
+		return build(
+			codeOfSQLState(v.Code),
+			message,
+			-1,
+			false,
+			protoadapt.MessageV1Of(errorInfo(ReasonInvalid, info)),
+		)
 	}
 	info["ran"] = "unknown"
-	return build(codes.Unknown, message, -1, true, protoadapt.MessageV1Of(errorInfo(Failed, info)))
+	return build(codes.Unknown, message, -1, true, protoadapt.MessageV1Of(errorInfo(ReasonFailed, info)))
 }
 
-// OfEngine is the status of an engine's ErrorResponse. It ended the statement, which had no effect; but what
-// the text did before, outside a transaction, may stand.
-func OfEngine(f *pgwire.Fields) *Status {
+// FromEngineError is the status of an engine's ErrorResponse. It ended the statement, which had no effect;
+// but what the text did before, outside a transaction, may stand.
+func FromEngineError(f *pgwire.Fields) *Status {
 	message := f.Message
 	if f.Detail != "" {
 		message += ". " + f.Detail
@@ -92,13 +104,13 @@
 	if f.Hint != "" {
 		message += ". " + f.Hint
 	}
-	return build(ofState(f.Code), message, -1, true, protoadapt.MessageV1Of(errorInfo(Engine,
+	return build(codeOfSQLState(f.Code), message, -1, true, protoadapt.MessageV1Of(errorInfo(ReasonEngine,
 		map[string]string{"sqlstate": f.Code, "ran": "unknown"})))
 }
 
-// Fault is a status of ours for a call that asks for what is not to be had. Nothing ran.
-func Fault(code codes.Code, message string) *Status {
-	return build(code, message, -1, false, protoadapt.MessageV1Of(errorInfo(Faulty,
+// InvalidCall is a status of ours for a call that asks for what is not to be had. Nothing ran.
+func InvalidCall(code codes.Code, message string) *Status {
+	return build(code, message, -1, false, protoadapt.MessageV1Of(errorInfo(ReasonInvalid,
 		map[string]string{"ran": "false"})))
 }
 
@@ -112,13 +124,13 @@
 	if with, err := s.WithDetails(details...); err == nil {
 		s = with
 	}
-	return &Status{Status: s, Pushback: pushback, Ran: ran}
+	return &Status{Status: s, Pushback: pushback, MayHaveRun: ran}
 }
 
-// ofState is the code of a SQLSTATE ("PostgreSQL Error Codes"): by the state where it says more than its
-// class, else by its class. Danger: none of them is UNAVAILABLE, or RESOURCE_EXHAUSTED, which says here that
-// nothing ran.
-func ofState(state string) codes.Code {
+// codeOfSQLState is the code of a SQLSTATE ("PostgreSQL Error Codes"): by the state where it says more than
+// its class, else by its class. Danger: none of them is UNAVAILABLE, or RESOURCE_EXHAUSTED, which says here
+// that nothing ran.
+func codeOfSQLState(state string) codes.Code {
 	switch state {
 	case "57014":
 		return codes.Canceled
--- a/internal/frontend/flightsql/grpcstatus/status_test.go
+++ b/internal/frontend/flightsql/grpcstatus/status_test.go
@@ -20,21 +20,21 @@
 		ran      string
 		pushback string
 	}{
-		{Of(verdict.Refuse(1500*time.Millisecond, false, "")), codes.ResourceExhausted, Refused, "false",
+		{FromVerdict(verdict.Reject(1500*time.Millisecond, false, "")), codes.ResourceExhausted, ReasonRejected, "false",
 			"1500"},
-		{Of(verdict.Refuse(0, true, "x")), codes.ResourceExhausted, Refused, "harmless", "1"},
-		{Of(verdict.Limit("full")), codes.ResourceExhausted, Refused, "false", "1"},
-		{Of(verdict.Stopping(false)), codes.Unavailable, Refused, "false", "1"},
-		{Of(verdict.Stopping(true)), codes.Unknown, Failed, "unknown", "-1"},
-		{Of(verdict.Fail("")), codes.Unknown, Failed, "unknown", "-1"},
-		{Of(verdict.Lost("08007", "a", "b")), codes.Unknown, Failed, "unknown", "-1"},
-		{Of(verdict.Cancel()), codes.Canceled, Cancelled, "unknown", "-1"},
-		{Of(verdict.Fault("22023", "x")), codes.InvalidArgument, Faulty, "false", "-1"},
-		{OfEngine(&pgwire.Fields{Code: "42P01"}), codes.NotFound, Engine, "unknown", "-1"},
-		{OfEngine(&pgwire.Fields{Code: "23505"}), codes.AlreadyExists, Engine, "unknown", "-1"},
-		{OfEngine(&pgwire.Fields{Code: "40001"}), codes.Aborted, Engine, "unknown", "-1"},
-		{OfEngine(&pgwire.Fields{Code: "53100"}), codes.Unknown, Engine, "unknown", "-1"},
-		{OfEngine(&pgwire.Fields{Code: ""}), codes.Unknown, Engine, "unknown", "-1"},
+		{FromVerdict(verdict.Reject(0, true, "x")), codes.ResourceExhausted, ReasonRejected, "harmless", "1"},
+		{FromVerdict(verdict.RejectOverLimit("full")), codes.ResourceExhausted, ReasonRejected, "false", "1"},
+		{FromVerdict(verdict.ShuttingDown(false)), codes.Unavailable, ReasonRejected, "false", "1"},
+		{FromVerdict(verdict.ShuttingDown(true)), codes.Unknown, ReasonFailed, "unknown", "-1"},
+		{FromVerdict(verdict.Fail("")), codes.Unknown, ReasonFailed, "unknown", "-1"},
+		{FromVerdict(verdict.ConnectionLost("08007", "a", "b")), codes.Unknown, ReasonFailed, "unknown", "-1"},
+		{FromVerdict(verdict.CancelledByClient()), codes.Canceled, ReasonCancelled, "unknown", "-1"},
+		{FromVerdict(verdict.Invalid("22023", "x")), codes.InvalidArgument, ReasonInvalid, "false", "-1"},
+		{FromEngineError(&pgwire.Fields{Code: "42P01"}), codes.NotFound, ReasonEngine, "unknown", "-1"},
+		{FromEngineError(&pgwire.Fields{Code: "23505"}), codes.AlreadyExists, ReasonEngine, "unknown", "-1"},
+		{FromEngineError(&pgwire.Fields{Code: "40001"}), codes.Aborted, ReasonEngine, "unknown", "-1"},
+		{FromEngineError(&pgwire.Fields{Code: "53100"}), codes.Unknown, ReasonEngine, "unknown", "-1"},
+		{FromEngineError(&pgwire.Fields{Code: ""}), codes.Unknown, ReasonEngine, "unknown", "-1"},
 	} {
 		var info *errdetails.ErrorInfo
 		var retry *errdetails.RetryInfo
@@ -57,7 +57,7 @@
 	}
 	for a := byte('0'); a <= 'Z'; a++ { // every class of SQLSTATE
 		for b := byte('0'); b <= 'Z'; b++ {
-			switch s := OfEngine(&pgwire.Fields{Code: string([]byte{a, b}) + "000"}); s.Code() {
+			switch s := FromEngineError(&pgwire.Fields{Code: string([]byte{a, b}) + "000"}); s.Code() {
 			case codes.Unavailable, codes.ResourceExhausted, codes.OK:
 				t.Errorf("class %c%c becomes %v", a, b, s.Code())
 			}
--- a/internal/frontend/flightsql/session.go
+++ b/internal/frontend/flightsql/session.go
@@ -28,26 +28,26 @@
 
 // session is what a token, or a connection without one, stands for.
 type session struct {
-	s           *Server
-	token, user string
-	admitted    bool
-	main        *track
+	server       *Server
+	token, user  string
+	admitted     bool
+	defaultScope *scope
 
 	mu                    sync.Mutex
 	database, application string
 	options               map[string]string
-	tracks                map[string]*track // transactions, those that have ended too
-	order                 []string          // of tracks
+	transactions          map[string]*scope // transactions, those that have ended too
+	transactionOrder      []string          // of tracks
 	savepoints            map[string]savepoint
-	prepared              map[string]*prepared
+	prepared              map[string]*preparedStatement
 }
 
-type savepoint struct{ track, name string }
+type savepoint struct{ transaction, name string }
 
-type sessionKey struct{}
+type sessionContextKey struct{}
 
 // sessionOf is the session of a call.
-func sessionOf(ctx context.Context) *session { return ctx.Value(sessionKey{}).(*session) }
+func sessionOf(ctx context.Context) *session { return ctx.Value(sessionContextKey{}).(*session) }
 
 // Headers of a call.
 const (
@@ -65,35 +65,35 @@
 	if h := md.Get(headerAuth); len(h) > 0 {
 		scheme, rest, _ := strings.Cut(h[0], " ")
 		if !strings.EqualFold(scheme, "basic") {
-			return fault(codes.Unauthenticated, "authorization is not Basic with a user and a password")
+			return invalidCall(codes.Unauthenticated, "authorization is not Basic with a user and a password")
 		}
 		var err error
-		if user, err = basic(rest); err != nil {
+		if user, err = basicAuthUser(rest); err != nil {
 			return err
 		}
 	} else {
 		in, err := stream.Recv()
 		if errors.Is(err, io.EOF) {
-			return fault(codes.Unauthenticated, "the handshake names no user")
+			return invalidCall(codes.Unauthenticated, "the handshake names no user")
 		} else if err != nil {
 			return err
 		}
 		var basic flight.BasicAuth
 		if err := proto.Unmarshal(in.Payload, &basic); err != nil {
-			return fault(codes.Unauthenticated, "the handshake's payload is no BasicAuth: %v", err)
+			return invalidCall(codes.Unauthenticated, "the handshake's payload is no BasicAuth: %v", err)
 		}
 		user = basic.Username
 	}
 	if user == "" {
-		return fault(codes.Unauthenticated, "the handshake names no user")
+		return invalidCall(codes.Unauthenticated, "the handshake names no user")
 	}
 	if d := md.Get("database"); len(d) > 0 {
 		database = d[0]
 	}
-	if s.drains.Load() {
-		return ruled(verdict.Stopping(false))
+	if s.draining.Load() {
+		return verdictError(verdict.ShuttingDown(false))
 	}
-	v, err := s.begin(name(), user, false)
+	v, err := s.openSession(randomName(), user, false)
 	if err != nil {
 		return err
 	}
@@ -102,48 +102,55 @@
 	return stream.Send(&flight.HandshakeResponse{Payload: []byte(v.token)})
 }
 
-// basic is the user of a Basic authorization. Go's client leaves the padding away, Java's does not.
-func basic(v string) (string, error) {
+// basicAuthUser is the user of a Basic authorization. Go's client leaves the padding away, Java's does not.
+func basicAuthUser(v string) (string, error) {
 	b, err := base64.RawStdEncoding.DecodeString(strings.TrimRight(v, "="))
 	user, _, _ := strings.Cut(string(b), ":")
 	if err != nil || user == "" {
-		return "", fault(codes.Unauthenticated, "authorization is not Basic with a user and a password")
+		return "", invalidCall(codes.Unauthenticated, "authorization is not Basic with a user and a password")
 	}
 	return user, nil
 }
 
-// begin opens a session.
-func (s *Server) begin(token, user string, ofConn bool) (*session, error) {
-	v := &session{s: s, token: token, user: user, options: map[string]string{}, tracks: map[string]*track{},
-		savepoints: map[string]savepoint{}, prepared: map[string]*prepared{}}
-	if s.cfg.Admit != nil {
-		why, ok := s.cfg.Admit(user)
+// openSession opens a session.
+func (s *Server) openSession(token, user string, ofConn bool) (*session, error) {
+	v := &session{
+		server:       s,
+		token:        token,
+		user:         user,
+		options:      map[string]string{},
+		transactions: map[string]*scope{},
+		savepoints:   map[string]savepoint{},
+		prepared:     map[string]*preparedStatement{},
+	}
+	if s.cfg.AdmitUser != nil {
+		why, ok := s.cfg.AdmitUser(user)
 		if !ok {
-			return nil, ruled(verdict.Limit("too many clients: " + why))
+			return nil, verdictError(verdict.RejectOverLimit("too many clients: " + why))
 		}
 		v.admitted = true
 	}
-	v.main = newTrack(v, "", nil)
+	v.defaultScope = newScope(v, "", nil)
 	s.mu.Lock()
-	why, ok := s.bearers.Open(s.now(), token, user, ofConn)
+	why, ok := s.sessionStore.Open(s.now(), token, user, ofConn)
 	if ok {
 		s.sessions[token] = v
 	}
 	s.mu.Unlock()
 	if !ok {
 		if v.admitted {
-			s.cfg.Leave(user)
+			s.cfg.ReleaseUser(user)
 		}
-		return nil, ruled(verdict.Limit(why))
+		return nil, verdictError(verdict.RejectOverLimit(why))
 	}
 	return v, nil
 }
 
-// endingsKept is how many ended sessions the reason is remembered of.
-const endingsKept = 1000
+// maxEndReasons is how many ended sessions the reason is remembered of.
+const maxEndReasons = 1000
 
-// end ends a session with all that it holds.
-func (s *Server) end(token, why string) {
+// endSession ends a session with all that it holds.
+func (s *Server) endSession(token, why string) {
 	s.mu.Lock()
 	v := s.sessions[token]
 	if v == nil {
@@ -151,59 +158,59 @@
 		return
 	}
 	delete(s.sessions, token)
-	s.bearers.Close(token)
-	s.ended[token] = why
-	if s.endings = append(s.endings, token); len(s.endings) > endingsKept {
-		delete(s.ended, s.endings[0])
-		s.endings = s.endings[1:]
+	s.sessionStore.Close(token)
+	s.endReasons[token] = why
+	if s.endOrder = append(s.endOrder, token); len(s.endOrder) > maxEndReasons {
+		delete(s.endReasons, s.endOrder[0])
+		s.endOrder = s.endOrder[1:]
 	}
 	s.mu.Unlock()
-	for _, t := range v.lanes() {
-		t.end(&verdict.Verdict{Kind: verdict.Cancelled, Code: "57P01", Message: why,
+	for _, t := range v.scopes() {
+		t.terminate(&verdict.Verdict{Kind: verdict.Cancelled, Code: "57P01", Message: why,
 			Detail: "What was not committed was rolled back."})
 	}
 	if v.admitted {
-		s.cfg.Leave(v.user)
+		s.cfg.ReleaseUser(v.user)
 	}
 }
 
-// lanes are the session's own and its transactions.
-func (v *session) lanes() []*track {
+// scopes are the session's own and its transactions.
+func (v *session) scopes() []*scope {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	all := []*track{v.main}
-	for _, t := range v.tracks {
+	all := []*scope{v.defaultScope}
+	for _, t := range v.transactions {
 		all = append(all, t)
 	}
 	return all
 }
 
-// holds reports whether the session or a transaction of its is kept on an engine.
-func (v *session) holds() bool {
-	for _, t := range v.lanes() {
-		if t.holds() {
+// isSticky reports whether the session or a transaction of its is kept on an engine.
+func (v *session) isSticky() bool {
+	for _, t := range v.scopes() {
+		if t.isSticky() {
 			return true
 		}
 	}
 	return false
 }
 
-// track is the lane that a transaction id names; none: the session's own.
-func (v *session) track(id []byte) (*track, error) {
+// scopeFor is the lane that a transaction id names; none: the session's own.
+func (v *session) scopeFor(id []byte) (*scope, error) {
 	if len(id) == 0 {
-		return v.main, nil
+		return v.defaultScope, nil
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if t := v.tracks[string(id)]; t != nil {
+	if t := v.transactions[string(id)]; t != nil {
 		return t, nil
 	}
-	return nil, fault(codes.NotFound, "the session has no transaction of this id")
+	return nil, invalidCall(codes.NotFound, "the session has no transaction of this id")
 }
 
-// enter finds the session of a call, or opens that of its connection.
-func (s *Server) enter(ctx context.Context) (*session, error) {
-	c, _ := ctx.Value(connKey{}).(*peer)
+// beginCall finds the session of a call, or opens that of its connection.
+func (s *Server) beginCall(ctx context.Context) (*session, error) {
+	c, _ := ctx.Value(connContextKey{}).(*clientConn)
 	token, user := "", ""
 	if md, ok := metadata.FromIncomingContext(ctx); ok {
 		if h := md.Get(headerAuth); len(h) > 0 {
@@ -212,11 +219,11 @@
 				token = rest
 			case strings.EqualFold(scheme, "basic"): // the driver for database/sql says so with each call
 				var err error
-				if user, err = basic(rest); err != nil {
+				if user, err = basicAuthUser(rest); err != nil {
 					return nil, err
 				}
 			default:
-				return nil, fault(codes.Unauthenticated, "authorization is neither Bearer nor Basic")
+				return nil, invalidCall(codes.Unauthenticated, "authorization is neither Bearer nor Basic")
 			}
 		} else if h := md.Get(headerToken); len(h) > 0 {
 			token = h[0]
@@ -227,137 +234,140 @@
 		if token = c.token; user != "" {
 			token += "/" + user
 		}
-		if s.sessions[token] == nil && s.ended[token] == "" {
+		if s.sessions[token] == nil && s.endReasons[token] == "" {
 			if user != "" {
-				c.more = append(c.more, token)
+				c.basicTokens = append(c.basicTokens, token)
 			}
 			s.mu.Unlock()
 			// Two first calls at once may both come here; the second finds the first's session.
-			if _, err := s.begin(token, user, true); err != nil && !s.known(token) {
+			if _, err := s.openSession(token, user, true); err != nil && !s.sessionExists(token) {
 				return nil, err
 			}
 			s.mu.Lock()
-			if _, here := s.peers[c]; !here { // Danger: its connection went meanwhile; nobody would end it
+			if _, here := s.clientConns[c]; !here { // Danger: its connection went meanwhile; nobody would end it
 				s.mu.Unlock()
-				s.end(token, "its connection is gone")
+				s.endSession(token, "its connection is gone")
 				s.mu.Lock()
 			}
 		}
 	}
-	if s.bearers.Enter(s.now(), token) == nil {
+	if s.sessionStore.BeginCall(s.now(), token) == nil {
 		due := s.sessions[token] != nil // the sweep has not come to it yet
 		s.mu.Unlock()
 		if due {
-			s.end(token, restedOut)
+			s.endSession(token, idleTooLong)
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if why := s.ended[token]; why != "" {
-			return nil, fault(codes.Unauthenticated, "the session has ended: %s", why)
+		if why := s.endReasons[token]; why != "" {
+			return nil, invalidCall(codes.Unauthenticated, "the session has ended: %s", why)
 		}
-		return nil, fault(codes.Unauthenticated, "the token names no session: a handshake gives one")
+		return nil, invalidCall(codes.Unauthenticated, "the token names no session: a handshake gives one")
 	}
 	defer s.mu.Unlock()
 	return s.sessions[token], nil
 }
 
-func (s *Server) known(token string) bool {
+func (s *Server) sessionExists(token string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sessions[token] != nil
 }
 
-func (s *Server) leave(v *session) {
+func (s *Server) endCall(v *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.bearers.Leave(s.now(), v.token)
+	s.sessionStore.EndCall(s.now(), v.token)
 }
 
-type callStream struct {
+type sessionStream struct {
 	grpc.ServerStream
 	ctx context.Context
 }
 
-func (c *callStream) Context() context.Context { return c.ctx }
+func (c *sessionStream) Context() context.Context { return c.ctx }
 
 // flightMethods is what calls with a session begin with.
 const flightMethods = "/arrow.flight.protocol.FlightService/"
 
-// stream is around each streaming call.
-func (s *Server) stream(srv any, st grpc.ServerStream, info *grpc.StreamServerInfo,
+// streamInterceptor is around each streaming call.
+func (s *Server) streamInterceptor(srv any, st grpc.ServerStream, info *grpc.StreamServerInfo,
 	handler grpc.StreamHandler) (err error) {
-	defer s.recovered(info.FullMethod, &err)
+	defer s.recoverCall(info.FullMethod, &err)
 	if !strings.HasPrefix(info.FullMethod, flightMethods) || strings.HasSuffix(info.FullMethod,
 		"/Handshake") {
-		return s.told(handler(srv, st), st.SetTrailer, nil)
+		return s.setTrailers(handler(srv, st), st.SetTrailer, nil)
 	}
-	v, err := s.enter(st.Context())
+	v, err := s.beginCall(st.Context())
 	if err != nil {
-		return s.told(err, st.SetTrailer, nil)
+		return s.setTrailers(err, st.SetTrailer, nil)
 	}
-	defer s.leave(v)
-	if notice := v.notices(); notice != "" { // clients that want one result only never see the trailers
+	defer s.endCall(v)
+	if notice := v.pendingNotices(); notice != "" { // clients that want one result only never see the trailers
 		st.SetHeader(metadata.Pairs(headerNotice, notice))
 	}
-	return s.told(handler(srv, &callStream{st, context.WithValue(st.Context(), sessionKey{}, v)}),
-		st.SetTrailer, v)
+	return s.setTrailers(
+		handler(srv, &sessionStream{st, context.WithValue(st.Context(), sessionContextKey{}, v)}),
+		st.SetTrailer,
+		v,
+	)
 }
 
-// unary is around each other call.
-func (s *Server) unary(ctx context.Context, req any, info *grpc.UnaryServerInfo,
+// unaryInterceptor is around each other call.
+func (s *Server) unaryInterceptor(ctx context.Context, req any, info *grpc.UnaryServerInfo,
 	handler grpc.UnaryHandler) (resp any, err error) {
-	defer s.recovered(info.FullMethod, &err)
+	defer s.recoverCall(info.FullMethod, &err)
 	set := func(md metadata.MD) { grpc.SetTrailer(ctx, md) }
 	if !strings.HasPrefix(info.FullMethod, flightMethods) {
 		return handler(ctx, req)
 	}
-	v, err := s.enter(ctx)
+	v, err := s.beginCall(ctx)
 	if err != nil {
-		return nil, s.told(err, set, nil)
+		return nil, s.setTrailers(err, set, nil)
 	}
-	defer s.leave(v)
-	if notice := v.notices(); notice != "" {
+	defer s.endCall(v)
+	if notice := v.pendingNotices(); notice != "" {
 		grpc.SetHeader(ctx, metadata.Pairs(headerNotice, notice))
 	}
-	resp, err = handler(context.WithValue(ctx, sessionKey{}, v), req)
-	return resp, s.told(err, set, v)
+	resp, err = handler(context.WithValue(ctx, sessionContextKey{}, v), req)
+	return resp, s.setTrailers(err, set, v)
 }
 
-// recovered ends a call that panicked. Danger: a message that the library does not expect, as a DoPut without
-// a descriptor, would end the whole process.
-func (s *Server) recovered(method string, err *error) {
+// recoverCall ends a call that panicked. Danger: a message that the library does not expect, as a DoPut
+// without a descriptor, would end the whole process.
+func (s *Server) recoverCall(method string, err *error) {
 	if r := recover(); r != nil {
 		s.log.Error("call panicked", "method", method, "reason", fmt.Sprint(r),
 			slog.String("stack", string(debug.Stack())))
-		*err = fault(codes.InvalidArgument, "the call is not understood")
+		*err = invalidCall(codes.InvalidArgument, "the call is not understood")
 	}
 }
 
-// told sets the trailers of a call's end.
-func (s *Server) told(err error, set func(metadata.MD), v *session) error {
-	var e *ended
+// setTrailers sets the trailers of a call's end.
+func (s *Server) setTrailers(err error, set func(metadata.MD), v *session) error {
+	var e *callError
 	if errors.As(err, &e) {
 		if e.Pushback != 0 {
 			set(metadata.Pairs(headerPush, e.PushbackText()))
 		}
 		err = e
 	} else if _, ok := status.FromError(err); !ok && err != nil {
-		err = &ended{grpcstatus.Fault(codes.Unknown, err.Error())}
+		err = &callError{grpcstatus.InvalidCall(codes.Unknown, err.Error())}
 	}
 	if v != nil {
-		if notice := v.notices(); notice != "" {
+		if notice := v.pendingNotices(); notice != "" {
 			set(metadata.Pairs(headerNotice, notice))
 		}
 	}
 	return err
 }
 
-// notices are what the session's lanes have to tell.
-func (v *session) notices() string {
+// pendingNotices are what the session's lanes have to tell.
+func (v *session) pendingNotices() string {
 	var out []string
-	for _, t := range v.lanes() {
+	for _, t := range v.scopes() {
 		t.mu.Lock()
-		if t.notice != "" && t.over == nil {
+		if t.notice != "" && t.endVerdict == nil {
 			out = append(out, t.notice)
 		}
 		t.mu.Unlock()
@@ -384,7 +394,7 @@
 				Value: flight.SetSessionOptionsResultErrorInvalidValue}
 			continue
 		}
-		if !v.set(key, text) {
+		if !v.setOption(key, text) {
 			res.Errors[key] = &flight.SetSessionOptionsResultError{
 				Value: flight.SetSessionOptionsResultErrorInvalidName}
 		}
@@ -392,8 +402,8 @@
 	return res, nil
 }
 
-// set sets an option; text "" is back to the default. It returns false where there is none of the name.
-func (v *session) set(key, text string) bool {
+// setOption sets an option; text "" is back to the default. It returns false where there is none of the name.
+func (v *session) setOption(key, text string) bool {
 	setting := strings.ToLower(key)
 	if setting == optionSchema {
 		setting = "search_path"
@@ -414,13 +424,13 @@
 	}
 	v.mu.Unlock()
 	if replayed {
-		v.main.mu.Lock()
+		v.defaultScope.mu.Lock()
 		if text == "" {
-			v.main.pin.Params.Default(setting)
+			v.defaultScope.affinity.Params.ResetSetting(setting)
 		} else {
-			v.main.pin.Params.Put(setting, text)
+			v.defaultScope.affinity.Params.ChangeSetting(setting, text)
 		}
-		v.main.mu.Unlock()
+		v.defaultScope.mu.Unlock()
 	}
 	return true
 }
@@ -466,6 +476,6 @@
 // CloseSession ends the session. Its open transactions are rolled back.
 func (s *Server) CloseSession(ctx context.Context,
 	_ *flight.CloseSessionRequest) (*flight.CloseSessionResult, error) {
-	s.end(sessionOf(ctx).token, "its client closed it")
+	s.endSession(sessionOf(ctx).token, "its client closed it")
 	return &flight.CloseSessionResult{Status: flight.CloseSessionResultClosed}, nil
 }
--- a/internal/frontend/flightsql/ticket/golden_test.go
+++ b/internal/frontend/flightsql/ticket/golden_test.go
@@ -17,10 +17,10 @@
 	key := []byte("a key for golden files, 32 bytes")
 	for name, want := range map[string]*Ticket{
 		"read": {Nonce: 1, Session: "0123456789abcdef0123456789abcdef", Text: "select 1",
-			Bind: []byte{0, 0, 0, 0, 0, 1, 0, 1}, Until: 5 * time.Minute},
-		"write": {Nonce: 1 << 60, Session: "conn-00/user", Lane: "tx-0123456789abcdef0123456789abcdef",
-			Text: "insert into t values ($1) -- ä", Types: "\x00\x00\x00\x19",
-			Bind: []byte{0, 0, 0, 1, 0, 0, 0, 1, 'x', 0, 0}, Until: 90*time.Second + 7, Once: true},
+			BindBody: []byte{0, 0, 0, 0, 0, 1, 0, 1}, ExpiresAt: 5 * time.Minute},
+		"write": {Nonce: 1 << 60, Session: "conn-00/user", Transaction: "tx-0123456789abcdef0123456789abcdef",
+			Text: "insert into t values ($1) -- ä", ParameterTypes: "\x00\x00\x00\x19",
+			BindBody: []byte{0, 0, 0, 1, 0, 0, 0, 1, 'x', 0, 0}, ExpiresAt: 90*time.Second + 7, SingleUse: true},
 		"empty": {},
 	} {
 		file := filepath.Join("testdata", name+".ticket")
--- a/internal/frontend/pgfrontend/pgsession/golden_test.go
+++ b/internal/frontend/pgfrontend/pgsession/golden_test.go
@@ -16,21 +16,21 @@
 type event func(s *Session)
 
 // send has the client send bytes.
-func send(b []byte) event { return func(s *Session) { s.Data(b) } }
+func send(b []byte) event { return func(s *Session) { s.Receive(b) } }
 
 // finish ends the query that is out as an engine's answer does.
 func finish(kind enginequery.Kind, tag string, status byte, b []byte, failed bool) event {
 	return func(s *Session) {
 		if tag != "" {
-			s.Tag(tag)
+			s.CommandComplete(tag)
 		}
-		s.Pin.Ready(0, status)
-		s.Done(kind, b, failed)
+		s.Affinity.ReadyForQuery(0, status)
+		s.QueryEnded(kind, b, failed)
 	}
 }
 
 // copyMode is the engine's CopyInResponse.
-func copyMode(s *Session) { s.Copy() }
+func copyMode(s *Session) { s.StartCopyIn() }
 
 func startup(parameters ...string) event {
 	return send(pgwire.AppendStartup(nil, pgwire.Version30, parameters...))
@@ -178,12 +178,16 @@
 			finish(enginequery.Simple, "", 'I', failed, true)}},
 		{"copy and terminate", []event{user, query("copy t from stdin"), copyMode,
 			send(pgwire.Append(nil, 'X', nil))}},
-		{"ended from our side", []event{user, func(s *Session) { s.End("57P01", "over") },
-			func(s *Session) { s.End("57P01", "again") }}},
+		{"ended from our side", []event{user, func(s *Session) { s.Terminate("57P01", "over") },
+			func(s *Session) { s.Terminate("57P01", "again") }}},
 	} {
 		fmt.Fprintf(&got, "== %s\n", c.name)
-		s := New(&Config{Version: "16.0 (cresspass)", MaxPending: 64, MaxNames: 2}, 7, strings.Repeat("k",
-			32))
+		s := New(
+			&Config{ServerVersion: "16.0 (cresspass)", MaxPending: 64, MaxPrepared: 2},
+			7,
+			strings.Repeat("k",
+				32),
+		)
 		for _, e := range c.events {
 			e(s)
 			transcribe(&got, s)
@@ -204,21 +208,40 @@
 		fmt.Fprintf(w, "client %q %q\n", b[0], b[5:n])
 		b = b[n:]
 	}
-	if a := s.Ask(); a != nil {
+	if a := s.TakeQuery(); a != nil {
 		fmt.Fprintf(w, "engine kind %d text %q types %q bind %q describe %v portal %q more %v rows %d\n",
 			a.Kind,
-			a.Text, a.Types, a.Bind, a.Describe, a.Portal, a.More, a.Rows)
-		fmt.Fprintf(w, "       bound %v pinned %v begins %v rest %v settings %q key %q copies %v\n", a.Bound,
-			a.Pinned, a.Begins, a.Rest, sessionparams.Diff(nil, a.Settings), a.Key(), a.Copies())
+			a.Text, a.ParameterTypes, a.BindBody, a.WithDescribe, a.Portal, a.ContinuePortal, a.MaxRows)
+		fmt.Fprintf(
+			w,
+			"       bound %v pinned %v begins %v rest %v settings %q key %q copies %v\n",
+			a.Sticky,
+			a.Stateful,
+			a.MayBecomeSticky,
+			a.OutsideTransaction,
+			sessionparams.Diff(nil, a.Settings),
+			a.PrepareKey(),
+			a.MayCopyIn(),
+		)
 	}
-	if b, end := s.Copied(); len(b) > 0 || end != 0 {
+	if b, end := s.TakeCopyData(); len(b) > 0 || end != 0 {
 		fmt.Fprintf(w, "copy %q end %d\n", b, end)
 	}
-	if r := s.Cancel(); r != nil {
+	if r := s.CancelRequest(); r != nil {
 		fmt.Fprintf(w, "cancel %d %q\n", r.PID, r.Secret)
 	}
-	fmt.Fprintf(w, "started %v busy %v over %v full %v user %q database %q application %q timeout %v\n",
-		s.Started(), s.Busy(), s.Over(), s.Full(), s.User, s.Database, s.Application, s.Timeout)
+	fmt.Fprintf(
+		w,
+		"started %v busy %v over %v full %v user %q database %q application %q timeout %v\n",
+		s.Started(),
+		s.Busy(),
+		s.Closing(),
+		s.Backlogged(),
+		s.User,
+		s.Database,
+		s.Application,
+		s.StatementTimeout,
+	)
 }
 
 // compareGolden compares a text with a file under testdata; with UPDATE_GOLDEN set it writes the file first.
--- a/internal/frontend/pgfrontend/pgsession/local.go
+++ b/internal/frontend/pgfrontend/pgsession/local.go
@@ -11,47 +11,48 @@
 	"cresspass/internal/protocol/sqlscan"
 )
 
-// here tells whether statements are answered on the spot. While the session is kept on an engine connection,
-// everything goes there: the engine's own settings count. But names of prepared statements are kept here.
-func (s *Session) here(parsed []sqlscan.Statement) (local bool) {
+// allLocal tells whether statements are answered on the spot. While the session is kept on an engine
+// connection, everything goes there: the engine's own settings count. But names of prepared statements are
+// kept here.
+func (s *Session) allLocal(parsed []sqlscan.Statement) (local bool) {
 	if len(parsed) == 1 && parsed[0].Words[0] == "DEALLOCATE" &&
-		s.statements[deallocated(&parsed[0])] != nil {
+		s.statements[deallocateName(&parsed[0])] != nil {
 		return true
 	}
-	if s.Pin.Bound() || len(parsed) == 0 {
+	if s.Affinity.Bound() || len(parsed) == 0 {
 		return false
 	}
 	for i := range parsed {
-		if !s.served(&parsed[i]) {
+		if !s.isLocal(&parsed[i]) {
 			return false
 		}
 	}
 	return true
 }
 
-// served reports whether a free session's statement is answered on the spot: it asks for what is so anyway,
+// isLocal reports whether a free session's statement is answered on the spot: it asks for what is so anyway,
 // or is about what is kept here. All else about settings is an engine's to judge, and is replayed or pins.
-func (s *Session) served(st *sqlscan.Statement) bool {
+func (s *Session) isLocal(st *sqlscan.Statement) bool {
 	switch st.Words[0] {
 	case "SET":
-		name, value, ok := sessionparams.Assignment(st)
-		return ok && st.Words[1] != "LOCAL" && s.Pin.Params.Want().Text(name) == "" &&
-			(own[name] || s.usual(name, value))
+		name, value, ok := sessionparams.ParseAssignment(st)
+		return ok && st.Words[1] != "LOCAL" && s.Affinity.Params.Desired().Statement(name) == "" &&
+			(dispatcherSettings[name] || s.isFixedValue(name, value))
 	case "SHOW":
 		name := strings.ToLower(strings.TrimSpace(st.Text[len("SHOW"):]))
 		if name == "time zone" {
 			name = "timezone"
 		}
-		return known[name] && s.Pin.Params.Want().Text(name) == ""
+		return localSettingNames[name] && s.Affinity.Params.Desired().Statement(name) == ""
 	case "RESET", "DISCARD": // a free session that has set nothing has nothing at an engine
-		return s.Pin.Params.Plain()
+		return s.Affinity.Params.Unchanged()
 	case "DEALLOCATE":
 		return true
 	}
 	return false
 }
 
-func deallocated(st *sqlscan.Statement) string {
+func deallocateName(st *sqlscan.Statement) string {
 	rest := strings.TrimSpace(st.Text[len("DEALLOCATE"):])
 	if len(rest) > 8 && strings.EqualFold(rest[:8], "PREPARE ") {
 		rest = strings.TrimSpace(rest[8:])
@@ -59,29 +60,43 @@
 	return strings.Trim(rest, `"`)
 }
 
-// own are the settings that no engine hears of.
-var own = map[string]bool{"statement_timeout": true, "application_name": true}
-
-// known are the settings that are kept here: those that change no answer, and this dispatcher's own.
-var known = map[string]bool{"statement_timeout": true, "application_name": true, "client_encoding": true,
-	"datestyle": true, "timezone": true, "standard_conforming_strings": true, "extra_float_digits": true,
-	"default_transaction_read_only": true, "server_version": true, "transaction_read_only": true,
-	"transaction isolation level": true, "transaction_isolation": true, "default_transaction_isolation": true,
-	"server_encoding": true, "time zone": true, "integer_datetimes": true}
+// dispatcherSettings are the settings that no engine hears of.
+var dispatcherSettings = map[string]bool{"statement_timeout": true, "application_name": true}
+
+// localSettingNames are the settings that are kept here: those that change no answer, and this dispatcher's
+// own.
+var localSettingNames = map[string]bool{
+	"statement_timeout":             true,
+	"application_name":              true,
+	"client_encoding":               true,
+	"datestyle":                     true,
+	"timezone":                      true,
+	"standard_conforming_strings":   true,
+	"extra_float_digits":            true,
+	"default_transaction_read_only": true,
+	"server_version":                true,
+	"transaction_read_only":         true,
+	"transaction isolation level":   true,
+	"transaction_isolation":         true,
+	"default_transaction_isolation": true,
+	"server_encoding":               true,
+	"time zone":                     true,
+	"integer_datetimes":             true,
+}
 
 type settingError struct{ code, message string }
 
-// begin takes a setting of the startup packet. One that is replayed is put in force on the engine that runs
-// the first statement, and refused there where it is wrong.
-func (s *Session) begin(name, value string) *settingError {
+// applyStartupSetting takes a setting of the startup packet. One that is replayed is put in force on the
+// engine that runs the first statement, and refused there where it is wrong.
+func (s *Session) applyStartupSetting(name, value string) *settingError {
 	name = strings.ToLower(strings.TrimSpace(name))
 	switch {
-	case own[name] || s.usual(name, value):
-		return s.set(name, value)
+	case dispatcherSettings[name] || s.isFixedValue(name, value):
+		return s.setLocal(name, value)
 	case sessionparams.Replayed(name):
-		s.Pin.Params.Start(name, value)
+		s.Affinity.Params.SetAtStartup(name, value)
 		if shown := sessionparams.Reported(name); shown != "" {
-			s.keep("started "+strings.ToLower(shown), value)
+			s.storeLocal("started "+strings.ToLower(shown), value)
 		}
 		return nil
 	}
@@ -89,14 +104,14 @@
 		fmt.Sprintf("setting %s to %s is not served: engines would not hear of it", name, value)}
 }
 
-func plainly(value string) string {
+func normalizedValue(value string) string {
 	return strings.ToLower(strings.Trim(strings.TrimSpace(value), "'\""))
 }
 
-// usual reports whether a setting asks for what is so anyway, on engines and here. Danger: a setting that was
-// taken and not obeyed would change answers without a word.
-func (s *Session) usual(name, value string) bool {
-	plain := plainly(value)
+// isFixedValue reports whether a setting asks for what is so anyway, on engines and here. Danger: a setting
+// that was taken and not obeyed would change answers without a word.
+func (s *Session) isFixedValue(name, value string) bool {
+	plain := normalizedValue(value)
 	switch name {
 	case "client_encoding":
 		p := strings.ReplaceAll(plain, "-", "")
@@ -115,50 +130,50 @@
 	return false
 }
 
-// set takes a setting that is kept here, or that asks for what is so anyway.
-func (s *Session) set(name, value string) *settingError {
-	plain := plainly(value)
+// setLocal takes a setting that is kept here, or that asks for what is so anyway.
+func (s *Session) setLocal(name, value string) *settingError {
+	plain := normalizedValue(value)
 	switch name {
 	case "statement_timeout":
-		d, ok := milliseconds(plain)
+		d, ok := parseTimeout(plain)
 		if plain == "default" {
 			d, ok = 0, true
 		}
 		if !ok {
 			return &settingError{"22023", fmt.Sprintf("statement_timeout: %q is no time", plain)}
 		}
-		s.Timeout = d
+		s.StatementTimeout = d
 	case "application_name":
 		s.Application = strings.Trim(strings.TrimSpace(value), "'\"")
 	default:
-		s.keep(name, strings.Trim(strings.TrimSpace(value), "'\""))
+		s.storeLocal(name, strings.Trim(strings.TrimSpace(value), "'\""))
 	}
 	return nil
 }
 
-func (s *Session) keep(name, value string) {
-	if s.settings == nil {
-		s.settings = map[string]string{}
+func (s *Session) storeLocal(name, value string) {
+	if s.localSettings == nil {
+		s.localSettings = map[string]string{}
 	}
-	s.settings[name] = value
+	s.localSettings[name] = value
 }
 
-// serve answers a statement on the spot. It returns false where it ended in an error.
-func (s *Session) serve(st *sqlscan.Statement, describe bool) bool {
+// executeLocal answers a statement on the spot. It returns false where it ended in an error.
+func (s *Session) executeLocal(st *sqlscan.Statement, describe bool) bool {
 	var err *settingError
 	switch st.Words[0] {
 	case "SET":
-		name, value, _ := sessionparams.Assignment(st)
-		err = s.set(name, value)
+		name, value, _ := sessionparams.ParseAssignment(st)
+		err = s.setLocal(name, value)
 	case "RESET", "DISCARD":
 		if st.Words[1] == "ALL" || st.Words[1] == "STATEMENT_TIMEOUT" {
-			s.Timeout = 0
+			s.StatementTimeout = 0
 		}
 		if st.Words[0] == "DISCARD" && st.Words[1] == "ALL" {
 			clear(s.statements)
 		}
 	case "DEALLOCATE":
-		if name := deallocated(st); strings.EqualFold(name, "all") {
+		if name := deallocateName(st); strings.EqualFold(name, "all") {
 			clear(s.statements)
 		} else if s.statements[name] == nil {
 			err = &settingError{"26000", fmt.Sprintf("prepared statement %q does not exist", name)}
@@ -166,19 +181,19 @@
 			delete(s.statements, name)
 		}
 	case "SHOW":
-		name, value, ok := s.shown(st)
+		name, value, ok := s.showValue(st)
 		if !ok {
 			err = &settingError{"42704", fmt.Sprintf("SHOW: %q is not known here", name)}
 			break
 		}
 		if describe {
-			s.out = append(s.out, column(name)...)
+			s.out = append(s.out, textRowDescription(name)...)
 		}
 		row := binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value)))
 		s.out = pgwire.Append(s.out, 'D', append(row, value...))
 	}
 	if err != nil {
-		s.fail(err.code, err.message)
+		s.failStatement(err.code, err.message)
 		return false
 	}
 	tag := st.Words[0]
@@ -189,24 +204,24 @@
 	return true
 }
 
-func (s *Session) shown(st *sqlscan.Statement) (name, value string, ok bool) {
+func (s *Session) showValue(st *sqlscan.Statement) (name, value string, ok bool) {
 	name = strings.ToLower(strings.TrimSpace(st.Text[len("SHOW"):]))
 	switch name {
 	case "statement_timeout":
-		if s.Timeout == 0 {
+		if s.StatementTimeout == 0 {
 			return name, "0", true
 		}
-		return name, fmt.Sprintf("%dms", s.Timeout/time.Millisecond), true
+		return name, fmt.Sprintf("%dms", s.StatementTimeout/time.Millisecond), true
 	case "application_name":
 		return name, s.Application, true
 	case "server_version":
-		return name, s.cfg.Version, true
+		return name, s.cfg.ServerVersion, true
 	case "transaction_read_only":
 		return name, "off", true
 	case "transaction isolation level", "transaction_isolation", "default_transaction_isolation":
 		return "transaction_isolation", "read committed", true
 	}
-	if value, ok = s.settings[name]; ok {
+	if value, ok = s.localSettings[name]; ok {
 		return name, value, true
 	}
 	value, ok = map[string]string{"client_encoding": "UTF8", "server_encoding": "UTF8",
@@ -217,17 +232,17 @@
 	return name, value, ok
 }
 
-// columns describes what a statement served here returns.
-func (s *Session) columns(st *statement) []byte {
+// localDescription describes what a statement served here returns.
+func (s *Session) localDescription(st *statement) []byte {
 	if len(st.parsed) == 1 && st.parsed[0].Words[0] == "SHOW" {
-		name, _, _ := s.shown(&st.parsed[0])
-		return column(name)
+		name, _, _ := s.showValue(&st.parsed[0])
+		return textRowDescription(name)
 	}
 	return pgwire.Append(nil, 'n', nil)
 }
 
-// column is a RowDescription of one text column.
-func column(name string) []byte {
+// textRowDescription is a RowDescription of one text column.
+func textRowDescription(name string) []byte {
 	b := append([]byte{0, 1}, name...)
 	b = append(b, 0, 0, 0, 0, 0, 0, 0) // end of name, table, column number
 	b = append(b, 0, 0, 0, 25, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0, 0)
--- a/internal/frontend/thriftserver/golden_test.go
+++ b/internal/frontend/thriftserver/golden_test.go
@@ -15,7 +15,7 @@
 	const long = "0123456789012345678901234567890123456789 and more"
 	good := func(seq int32, pairs ...string) []byte {
 		usual := []string{"verb", "quick", "limit", "100", "txn", ticket(int(seq))}
-		return call(seq, append(usual, pairs...)...)
+		return dispatchFrame(seq, append(usual, pairs...)...)
 	}
 	for _, c := range []struct {
 		name  string
@@ -27,7 +27,7 @@
 		{"txn_form", good(3, "txn", long)},
 		{"verb_unknown", good(4, "verb", "none")},
 		{"no_statement", thrift.AppendDispatch(nil, 5, [][2]string{{"verb", "quick"}, {"limit", "100"},
-			{"txn", ticket(5)}}, nil)[thrift.FrameHeader:]},
+			{"txn", ticket(5)}}, nil)[thrift.FrameHeaderBytes:]},
 		{"team_too_long", good(6, "team", string(make([]byte, 257)))},
 		{"unique_form", good(7, "unique", "xyz")},
 		{"unique_wanted", good(8, "verb", "load")},
@@ -37,24 +37,24 @@
 		{"limit_no_number", good(12, "limit", "NaN")},
 		{"cpu_no_number", good(13, "cpu", "much")},
 		{"heap_too_large", good(14, "heap_mb", "1e10")},
-		{"cancel", thrift.AppendCancel(nil, 15, 1)[thrift.FrameHeader:]}, // no reply
-		{"alive", thrift.AppendAlive(nil, 16)[thrift.FrameHeader:]},
-		{"reply", thrift.AppendAnswer(nil, "alive", 17, true)[thrift.FrameHeader:]}, // ends the connection
+		{"cancel", thrift.AppendCancel(nil, 15, 1)[thrift.FrameHeaderBytes:]}, // no reply
+		{"alive", thrift.AppendAlive(nil, 16)[thrift.FrameHeaderBytes:]},
+		{"reply", thrift.AppendAnswer(nil, "alive", 17, true)[thrift.FrameHeaderBytes:]}, // ends the connection
 	} {
 		checkReply(t, New(&cfg), c.name, c.frame, good(1))
 	}
-	full, now := New(&cfg), zero
-	full.Connect(now, 1)
-	for seq := range int32(OpenMost) {
-		full.Message(now, 1, full.Read(good(seq+100)))
+	full, now := New(&cfg), startOfTest
+	full.AddConn(now, 1)
+	for seq := range int32(MaxOpenRequests) {
+		full.HandleMessage(now, 1, full.Decode(good(seq+100)))
 	}
-	reply := full.Message(now, 1, full.Read(good(99))).Say
+	reply := full.HandleMessage(now, 1, full.Decode(good(99))).Reply
 	compareGolden(t, "too_many_open", reply)
 	leaving := New(&cfg)
-	leaving.Connect(now, 1)
-	leaving.Leave()
-	compareGolden(t, "alive_leaving", leaving.Message(now, 1,
-		leaving.Read(thrift.AppendAlive(nil, 3)[thrift.FrameHeader:])).Say)
+	leaving.AddConn(now, 1)
+	leaving.Drain()
+	compareGolden(t, "alive_leaving", leaving.HandleMessage(now, 1,
+		leaving.Decode(thrift.AppendAlive(nil, 3)[thrift.FrameHeaderBytes:])).Reply)
 	// A call of a method that does not exist, and one that is cut.
 	unknown := []byte{0x80, 1, 0, 1, 0, 0, 0, 1, 'x', 0, 0, 0, 1, 0}
 	checkReply(t, New(&cfg), "unknown_method_call", unknown, good(1))
@@ -68,13 +68,13 @@
 }
 
 // checkReply compares the reply to a frame that comes after another one on a new connection.
-func checkReply(t *testing.T, b *State, name string, frame, before []byte) {
+func checkReply(t *testing.T, b *Registry, name string, frame, before []byte) {
 	t.Helper()
-	b.Connect(zero, 1)
+	b.AddConn(startOfTest, 1)
 	if name != "taken" {
-		b.Message(zero, 1, b.Read(before))
+		b.HandleMessage(startOfTest, 1, b.Decode(before))
 	}
-	compareGolden(t, name, b.Message(zero, 1, b.Read(frame)).Say)
+	compareGolden(t, name, b.HandleMessage(startOfTest, 1, b.Decode(frame)).Reply)
 }
 
 // compareGolden compares a reply with the recorded bytes of testdata/golden.
--- a/internal/frontend/thriftserver/front_test.go
+++ b/internal/frontend/thriftserver/registry_test.go
@@ -12,34 +12,34 @@
 )
 
 var cfg = cresspass.Config{Classes: []cresspass.Class{{Name: "quick"},
-	{Name: "load", Effect: cresspass.Keyed}}}
+	{Name: "load", Effect: cresspass.IdempotentWithKey}}}
 
-var zero = time.Unix(1e9, 0)
+var startOfTest = time.Unix(1e9, 0)
 
 func ticket(n int) string { return fmt.Sprintf("%016x", n) }
 
-// call is a client's request as the Thrift codec of this repository writes it.
-func call(seq int32, pairs ...string) []byte {
+// dispatchFrame is a client's request as the Thrift codec of this repository writes it.
+func dispatchFrame(seq int32, pairs ...string) []byte {
 	var fields [][2]string
 	for i := 0; i < len(pairs); i += 2 {
 		fields = append(fields, [2]string{pairs[i], pairs[i+1]})
 	}
-	return thrift.AppendDispatch(nil, seq, fields, []byte("SELECT a FROM t_3.u"))[thrift.FrameHeader:]
+	return thrift.AppendDispatch(nil, seq, fields, []byte("SELECT a FROM t_3.u"))[thrift.FrameHeaderBytes:]
 }
 
-// TestOneEnd: whatever clients send, take back and break off, each request that was taken has one end: it
-// is answered where it was asked, taken back, or ends with its connection. No two that are open share a
-// number on a connection or an id, and no connection is given away that is in use.
-func TestOneEnd(t *testing.T) {
+// TestRequestEndsOnce: whatever clients send, take back and break off, each request that was taken has one
+// end: it is answered where it was asked, taken back, or ends with its connection. No two that are open
+// share a number on a connection or an id, and no connection is given away that is in use.
+func TestRequestEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, now := New(&cfg), zero
-		open := map[cresspass.QueryID]Place{}
+		b, now := New(&cfg), startOfTest
+		open := map[cresspass.QueryID]ReplyTarget{}
 		tickets := map[string]cresspass.QueryID{}
 		unwritten := map[ConnID]int{}
 		alive := map[ConnID]bool{}
 		ending, partly := map[ConnID]bool{}, map[ConnID]bool{}
 		end := func(q *Request, how string) {
-			if at, ok := open[q.ID]; !ok || at != (Place{q.Conn, q.Seq}) {
+			if at, ok := open[q.ID]; !ok || at != (ReplyTarget{q.Conn, q.Seq}) {
 				t.Fatalf("request %d of %+v %s, it is open: %v, at %+v", q.ID, q.Conn, how, ok, at)
 			}
 			delete(open, q.ID)
@@ -60,55 +60,63 @@
 			switch rapid.IntRange(0, 12).Draw(t, "step") {
 			case 0:
 				if !alive[id] {
-					b.Connect(now, id)
+					b.AddConn(now, id)
 					alive[id], unwritten[id], ending[id], partly[id] = true, 0, false, false
 				}
 			case 1, 2, 3, 4:
 				frame := rapid.SampledFrom([][]byte{
-					call(int32(rapid.IntRange(1, 50).Draw(t, "seq")), "verb", "quick", "limit", "100", "txn",
-						ticket(rapid.IntRange(1, 60).Draw(t, "txn"))),
-					call(1, "verb", "load", "limit", "100", "txn", ticket(1)),
-					call(2, "verb", "quick", "limit", "-1", "txn", ticket(2)),
-					call(2, "verb", "quick", "limit", "NaN", "txn", ticket(2)),
-					call(3, "verb", "none", "limit", "100", "txn", ticket(3)),
-					call(4, "verb", "quick", "limit", "100", "txn", "x"),
-					thrift.AppendAlive(nil, 9)[thrift.FrameHeader:],
+					dispatchFrame(
+						int32(rapid.IntRange(1, 50).Draw(t, "seq")),
+						"verb",
+						"quick",
+						"limit",
+						"100",
+						"txn",
+						ticket(rapid.IntRange(1, 60).Draw(t, "txn")),
+					),
+					dispatchFrame(1, "verb", "load", "limit", "100", "txn", ticket(1)),
+					dispatchFrame(2, "verb", "quick", "limit", "-1", "txn", ticket(2)),
+					dispatchFrame(2, "verb", "quick", "limit", "NaN", "txn", ticket(2)),
+					dispatchFrame(3, "verb", "none", "limit", "100", "txn", ticket(3)),
+					dispatchFrame(4, "verb", "quick", "limit", "100", "txn", "x"),
+					thrift.AppendAlive(nil, 9)[thrift.FrameHeaderBytes:],
 					thrift.AppendCancel(nil, 1,
-						int32(rapid.IntRange(1, 50).Draw(t, "back")))[thrift.FrameHeader:],
+						int32(rapid.IntRange(1, 50).Draw(t, "back")))[thrift.FrameHeaderBytes:],
 					{0x80, 1, 0, 1, 0xff}, {},
 				}).Draw(t, "frame")
-				v := b.Message(now, id, b.Read(frame))
+				v := b.HandleMessage(now, id, b.Decode(frame))
 				switch partly[id] = false; {
-				case (!alive[id] || ending[id]) && !v.End:
+				case (!alive[id] || ending[id]) && !v.EndOfInput:
 					t.Fatal("a message on no connection, or on one that ends, was read")
-				case v.Taken != nil:
-					q := v.Taken
+				case v.Accepted != nil:
+					q := v.Accepted
 					of := 0
 					for other, at := range open {
 						if at.Conn == q.Conn {
 							of++
 						}
-						if other == q.ID || at == (Place{q.Conn, q.Seq}) {
+						if other == q.ID || at == (ReplyTarget{q.Conn, q.Seq}) {
 							t.Fatalf("%+v taken beside %d at %+v", q, other, at)
 						}
 					}
-					if _, twice := tickets[q.Ticket]; twice || of >= OpenMost || v.Event.Query != q.ID ||
-						!q.Until.After(now) || v.Event.TimeLeft <= 0 || v.Say != nil {
+					if _, twice := tickets[q.Ticket]; twice || of >= MaxOpenRequests || v.Event.Query != q.ID ||
+						!q.Deadline.After(now) || v.Event.RemainingDeadline <= 0 ||
+						v.Reply != nil {
 						t.Fatalf("%+v taken, its id is open: %v, of %d open, %+v", q, twice, of, v.Event)
 					}
-					open[q.ID], tickets[q.Ticket] = Place{q.Conn, q.Seq}, q.ID
-				case v.Back != nil:
-					end(v.Back, "taken back")
-				case v.Bad && v.Say == nil:
+					open[q.ID], tickets[q.Ticket] = ReplyTarget{q.Conn, q.Seq}, q.ID
+				case v.Cancelled != nil:
+					end(v.Cancelled, "taken back")
+				case v.Invalid && v.Reply == nil:
 					t.Fatal("a request at fault is not told why")
 				}
-				if v.Say != nil {
+				if v.Reply != nil {
 					unwritten[id]++
 				}
 			case 5, 6:
 				q := cresspass.QueryID(rapid.IntRange(1, 40).Draw(t, "answers"))
 				at, is := open[q]
-				to, ok := b.Answer(now, q)
+				to, ok := b.ClaimReply(now, q)
 				if ok != is || ok && to != at {
 					t.Fatalf("answer to %d: %v at %+v, open: %v at %+v", q, ok, to, is, at)
 				}
@@ -123,29 +131,29 @@
 				}
 			case 7:
 				if n := unwritten[id]; n > 0 && alive[id] {
-					b.Written(now, id, n)
+					b.RepliesWritten(now, id, n)
 					unwritten[id] = 0
 				}
 			case 8:
 				spoilt := rapid.Bool().Draw(t, "spoilt")
 				ended := []*Request{}
 				if spoilt {
-					ended = b.Spoilt(id)
+					ended = b.EndMalformed(id)
 					unwritten[id] += len(ended)
 					ending[id] = alive[id]
 				} else {
-					ended = b.Closed(id)
+					ended = b.RemoveConn(id)
 					alive[id] = false
 				}
 				for _, q := range ended {
 					end(q, "ended")
 				}
-				late := b.Read(call(70, "verb", "quick", "limit", "9", "txn", ticket(99)))
-				if v := b.Message(now, id, late); !v.End {
+				late := b.Decode(dispatchFrame(70, "verb", "quick", "limit", "9", "txn", ticket(99)))
+				if v := b.HandleMessage(now, id, late); !v.EndOfInput {
 					t.Fatalf("a message after the end: %+v", v)
 				}
 			case 9:
-				which, ok := b.Victim(now, 500*time.Millisecond)
+				which, ok := b.EvictionCandidate(now, 500*time.Millisecond)
 				if !ok {
 					break
 				}
@@ -158,14 +166,14 @@
 					t.Fatalf("connection %d is to go, %d messages are not written", which, unwritten[which])
 				}
 			case 10:
-				if ok := b.Begin(now, id); ok != (alive[id] && !ending[id]) {
+				if ok := b.BeginMessage(now, id); ok != (alive[id] && !ending[id]) {
 					t.Fatalf("a message begins: %v; alive %v, ending %v", ok, alive[id], ending[id])
 				} else if ok {
 					partly[id] = true
 				}
 			case 11:
 				wasUsed := used(id)
-				ended, last := b.Overdue(id)
+				ended, last := b.ReadTimedOut(id)
 				for _, q := range ended {
 					end(q, "overdue")
 				}
@@ -182,22 +190,22 @@
 					t.Fatalf("retired: %v, want %v", ok, want)
 				}
 				ending[id] = was || ok
-				for _, other := range b.Unused() {
+				for _, other := range b.UnusedConns() {
 					if ending[other] || partly[other] || unwritten[other] > 0 || used(other) {
 						t.Fatalf("connection %d is told to be unused", other)
 					}
 				}
 			}
-			if b.Open() != len(open) {
-				t.Fatalf("%d open, want %d", b.Open(), len(open))
+			if b.OpenRequests() != len(open) {
+				t.Fatalf("%d open, want %d", b.OpenRequests(), len(open))
 			}
 		}
 	})
 }
 
-// TestVictim: a crowd of connections that say nothing drives out neither a client that just connected nor
-// one with a request open.
-func TestVictim(t *testing.T) {
+// TestEvictionCandidate: a crowd of connections that say nothing drives out neither a client that just
+// connected nor one with a request open.
+func TestEvictionCandidate(t *testing.T) {
 	ms := time.Millisecond
 	type seen struct {
 		busy, spoke bool
@@ -217,25 +225,25 @@
 		"half for long": {[]seen{{spoke: true, silent: 600 * ms, partly: true},
 			{spoke: true, silent: ms}}, 1},
 	} {
-		b, now := New(&cfg), zero.Add(time.Hour)
+		b, now := New(&cfg), startOfTest.Add(time.Hour)
 		for i, s := range c.conns {
 			id, at := ConnID(i+1), now.Add(-s.silent)
-			b.Connect(at, id)
+			b.AddConn(at, id)
 			if s.spoke {
-				b.Message(at, id, b.Read(thrift.AppendAlive(nil, 1)[thrift.FrameHeader:]))
-				b.Written(at, id, 1)
+				b.HandleMessage(at, id, b.Decode(thrift.AppendAlive(nil, 1)[thrift.FrameHeaderBytes:]))
+				b.RepliesWritten(at, id, 1)
 			}
 			if s.partly {
-				b.Begin(at, id)
+				b.BeginMessage(at, id)
 			}
 			if s.busy {
-				ask := b.Read(call(1, "verb", "quick", "limit", "9", "txn", ticket(i)))
-				if v := b.Message(at, id, ask); v.Bad {
-					t.Fatalf("%s", v.Say)
+				ask := b.Decode(dispatchFrame(1, "verb", "quick", "limit", "9", "txn", ticket(i)))
+				if v := b.HandleMessage(at, id, ask); v.Invalid {
+					t.Fatalf("%s", v.Reply)
 				}
 			}
 		}
-		if got, ok := b.Victim(now, 500*ms); got != c.want || ok != (c.want > 0) {
+		if got, ok := b.EvictionCandidate(now, 500*ms); got != c.want || ok != (c.want > 0) {
 			t.Errorf("%s: %d %v, want %d", name, got, ok, c.want)
 		}
 	}
--- a/internal/invariant/counter.go
+++ b/internal/invariant/counter.go
@@ -14,23 +14,23 @@
 	log *slog.Logger
 
 	mu       sync.Mutex
-	stale    map[Name]uint64
+	withheld map[Name]uint64
 	violated map[Name]uint64
 }
 
 // NewCounter returns a Counter that logs violations.
 func NewCounter(log *slog.Logger) *Counter {
-	return &Counter{log: log, stale: map[Name]uint64{}, violated: map[Name]uint64{}}
+	return &Counter{log: log, withheld: map[Name]uint64{}, violated: map[Name]uint64{}}
 }
 
-// Count takes in a verdict on an act for a request, by the id that its client gave it. It reports whether the
-// act may be done.
-func (c *Counter) Count(v Verdict, request string) bool {
+// Record takes in a verdict on an act for a request, by the id that its client gave it. It reports whether
+// the act may be done.
+func (c *Counter) Record(v Result, request string) bool {
 	if v.OK() {
 		return true
 	}
 	c.mu.Lock()
-	counts := c.stale
+	counts := c.withheld
 	if v.Kind == Violated {
 		counts = c.violated
 	}
@@ -43,8 +43,8 @@
 	return false
 }
 
-// Story logs what is known of a request that a violation concerns.
-func (c *Counter) Story(request, story string) {
+// LogTrace logs what is known of a request that a violation concerns.
+func (c *Counter) LogTrace(request, story string) {
 	c.log.Error("story of a request", "request", request, "events", story)
 }
 
@@ -59,11 +59,11 @@
 func (c *Counter) Withheld() map[Name]uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return maps.Clone(c.stale)
+	return maps.Clone(c.withheld)
 }
 
-// Text writes counts as name=count, in the order of names.
-func Text(counts map[Name]uint64) string {
+// FormatCounts writes counts as name=count, in the order of names.
+func FormatCounts(counts map[Name]uint64) string {
 	var parts []string
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
 		parts = append(parts, fmt.Sprintf("%s=%d", name, counts[name]))
--- a/internal/invariant/golden_test.go
+++ b/internal/invariant/golden_test.go
@@ -36,9 +36,21 @@
 // TestGoldenNames: the names of the invariants are keys of the health answer and values in the log, so they
 // outlive every rename in the code.
 func TestGoldenNames(t *testing.T) {
-	names := []Name{SentAfterEnd, SentTooLate, SentToDrained, SentOutOfOrder, SentOutsideLife, SentWrongPlace,
-		RepeatedUnsafe, RepeatedBeside, RepeatedLate, RepeatedOverBudget, AnsweredTwice, ClosedWithOpen,
-		TakenOutsideLife}
+	names := []Name{
+		SentAfterEnd,
+		SentAfterDeadline,
+		SentToDraining,
+		SentOutOfOrder,
+		SentWhileNotServing,
+		SentToIneligible,
+		RetriedNonIdempotent,
+		RetriedConcurrently,
+		RetriedAfterWindow,
+		RetriedOverBudget,
+		AnsweredTwice,
+		ClosedInFlight,
+		AcceptedWhileNotServing,
+	}
 	var now strings.Builder
 	for _, name := range names {
 		now.WriteString(string(name) + "\n")
@@ -65,9 +77,9 @@
 			handler = slog.NewJSONHandler(&log, options)
 		}
 		counter := NewCounter(slog.New(handler))
-		counter.Count(violated(RepeatedUnsafe, "%d attempts may have run", 2), "17")
-		counter.Count(violated(SentOutOfOrder, "key %q has query %d out", "a\"b", 3), "t-4")
-		counter.Count(stale(SentTooLate, "%v after the client's time", time.Second), "18")
+		counter.Record(violated(RetriedNonIdempotent, "%d attempts may have run", 2), "17")
+		counter.Record(violated(SentOutOfOrder, "key %q has query %d out", "a\"b", 3), "t-4")
+		counter.Record(stale(SentAfterDeadline, "%v after the client's time", time.Second), "18")
 		written := log.String()
 		if want := golden(t, "violations."+format+".log", written); written != want {
 			t.Errorf("%s: logged\n%s, want\n%s", format, written, want)
@@ -80,7 +92,7 @@
 		if err := os.WriteFile(path, []byte(whole), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if found, err := Logged(path); err != nil || !slices.Equal(found, lines) || len(found) != 4 {
+		if found, err := ReadViolations(path); err != nil || !slices.Equal(found, lines) || len(found) != 4 {
 			t.Errorf("%s: found %q, %v, want %q", format, found, err, lines)
 		}
 	}
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -12,25 +12,25 @@
 // The invariants, by the act that they guard.
 const (
 	// Of sending.
-	SentAfterEnd    Name = "sent_after_end"    // nothing is sent for a request that has ended
-	SentTooLate     Name = "sent_too_late"     // nothing is sent once the client's time is over
-	SentToDrained   Name = "sent_to_drained"   // nothing new goes to a compute node that takes none
-	SentOutOfOrder  Name = "sent_out_of_order" // of an ordering key one request is out at a time
-	SentOutsideLife Name = "sent_outside_life" // nothing is sent before the start or after the end
-	SentWrongPlace  Name = "sent_wrong_place"  // a bound request goes only where it is bound to
+	SentAfterEnd        Name = "sent_after_end"    // nothing is sent for a request that has ended
+	SentAfterDeadline   Name = "sent_too_late"     // nothing is sent once the client's time is over
+	SentToDraining      Name = "sent_to_drained"   // nothing new goes to a compute node that takes none
+	SentOutOfOrder      Name = "sent_out_of_order" // of an ordering key one request is out at a time
+	SentWhileNotServing Name = "sent_outside_life" // nothing is sent before the start or after the end
+	SentToIneligible    Name = "sent_wrong_place"  // a bound request goes only where it is bound to
 
 	// Of repeating.
-	RepeatedUnsafe     Name = "repeated_unsafe"      // an unsafe request goes again only when no attempt ran
-	RepeatedBeside     Name = "repeated_beside"      // one attempt of a request is out at a time
-	RepeatedLate       Name = "repeated_late"        // a keyed request goes again inside its window only
-	RepeatedOverBudget Name = "repeated_over_budget" // further attempts stay within their budget
+	RetriedNonIdempotent Name = "repeated_unsafe"      // an unsafe request goes again only when no attempt ran
+	RetriedConcurrently  Name = "repeated_beside"      // one attempt of a request is out at a time
+	RetriedAfterWindow   Name = "repeated_late"        // a keyed request goes again inside its window only
+	RetriedOverBudget    Name = "repeated_over_budget" // further attempts stay within their budget
 
 	// Of closing.
 	AnsweredTwice  Name = "answered_twice"   // a request has one final answer
-	ClosedWithOpen Name = "closed_with_open" // no connection is closed with a request open on it
+	ClosedInFlight Name = "closed_with_open" // no connection is closed with a request open on it
 
 	// Of starting.
-	TakenOutsideLife Name = "taken_outside_life" // no request is taken before the start or after the end
+	AcceptedWhileNotServing Name = "taken_outside_life" // no request is taken before the start or after the end
 )
 
 // Kind says what a refusal of the Ledger means.
@@ -43,22 +43,22 @@
 	Violated      // never lawful: a defect of the dispatcher
 )
 
-// Verdict is what the Ledger says to an act.
-type Verdict struct {
+// Result is what the Ledger says to an act.
+type Result struct {
 	Kind   Kind
 	Name   Name
 	Detail string
 }
 
 // OK reports whether the act may be done.
-func (v Verdict) OK() bool { return v.Kind == Allowed }
+func (v Result) OK() bool { return v.Kind == Allowed }
 
-func (v Verdict) String() string { return fmt.Sprintf("%s: %s", v.Name, v.Detail) }
+func (v Result) String() string { return fmt.Sprintf("%s: %s", v.Name, v.Detail) }
 
-func stale(name Name, format string, args ...any) Verdict {
-	return Verdict{Stale, name, fmt.Sprintf(format, args...)}
+func stale(name Name, format string, args ...any) Result {
+	return Result{Stale, name, fmt.Sprintf(format, args...)}
 }
 
-func violated(name Name, format string, args ...any) Verdict {
-	return Verdict{Violated, name, fmt.Sprintf(format, args...)}
+func violated(name Name, format string, args ...any) Result {
+	return Result{Violated, name, fmt.Sprintf(format, args...)}
 }
--- a/internal/invariant/logged.go
+++ b/internal/invariant/violation_log.go
@@ -9,18 +9,18 @@
 // violatedMessage is the message of a violation in the log.
 const violatedMessage = "invariant violated"
 
-// lineMost is the longest line of a log that is read, in bytes.
-const lineMost = 1 << 20
+// maxLineBytes is the longest line of a log that is read, in bytes.
+const maxLineBytes = 1 << 20
 
-// Logged returns the lines of a dispatcher's log that tell of violated invariants or of a crash.
-func Logged(path string) (lines []string, err error) {
+// ReadViolations returns the lines of a dispatcher's log that tell of violated invariants or of a crash.
+func ReadViolations(path string) (lines []string, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
 	in := bufio.NewScanner(f)
-	in.Buffer(nil, lineMost)
+	in.Buffer(nil, maxLineBytes)
 	for in.Scan() {
 		line := in.Text()
 		crash := strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:")
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -19,18 +19,19 @@
 	"cresspass/internal/membership/validation"
 )
 
-// counted counts what a transport sends in packets; streams are of joins and exchanges of state now and then.
-type counted struct {
+// countingTransport counts what a transport sends in packets; streams are of joins and exchanges of state
+// now and then.
+type countingTransport struct {
 	*memberlist.NetTransport
 	bytes *atomic.Int64
 }
 
-func (c counted) WriteTo(b []byte, addr string) (time.Time, error) {
+func (c countingTransport) WriteTo(b []byte, addr string) (time.Time, error) {
 	c.bytes.Add(int64(len(b)))
 	return c.NetTransport.WriteTo(b, addr)
 }
 
-func (c counted) WriteToAddress(b []byte, addr memberlist.Address) (time.Time, error) {
+func (c countingTransport) WriteToAddress(b []byte, addr memberlist.Address) (time.Time, error) {
 	c.bytes.Add(int64(len(b)))
 	return c.NetTransport.WriteToAddress(b, addr)
 }
@@ -47,7 +48,7 @@
 				for i := range 63 {
 					engines[cresspass.EngineID(fmt.Sprint("10.0.0.", i, ":5432"))] = 16
 				}
-				var all []*Peers
+				var all []*Service
 				begin := time.Now()
 				for i := range n {
 					name := fmt.Sprintf("d%03d", i)
@@ -56,22 +57,37 @@
 					if err != nil {
 						b.Fatal(err)
 					}
-					p, err := New(Config{Config: gossip.Config{Name: name, Born: 1, Claim: -1, Rate: 50000,
-						Believe: validation.DefaultLimits(2), Seed: uint64(i),
-						Ordinals: ordinal.Limits{Still: 2 * time.Second, Grace: 30 * time.Second, Least: 1}},
-						Listen: fmt.Sprint("127.0.0.1:", transport.GetAutoBindPort()),
-						Keys:   [][]byte{key(1)}, Seeds: seeds(all),
-						Transport: counted{transport, &bytes}},
+					p, err := New(
+						Config{
+							Config: gossip.Config{
+								Name:           name,
+								Incarnation:    1,
+								OrdinalClaim:   -1,
+								BytesPerSecond: 50000,
+								Validation:     validation.DefaultLimits(2),
+								RandomSeed:     uint64(i),
+								Ordinals: ordinal.Limits{
+									SettleTime: 2 * time.Second,
+									LossGrace:  30 * time.Second,
+									MinCount:   1,
+								},
+							},
+							Listen:    fmt.Sprint("127.0.0.1:", transport.GetAutoBindPort()),
+							Keys:      [][]byte{key(1)},
+							Seeds:     seeds(all),
+							Transport: countingTransport{transport, &bytes},
+						},
 						observation.New(name, observation.DefaultLimits()),
-						slog.New(slog.NewTextHandler(io.Discard, nil)))
+						slog.New(slog.NewTextHandler(io.Discard, nil)),
+					)
 					if err != nil {
 						b.Fatal(err)
 					}
-					p.Roster(engines)
+					p.SetEngines(engines)
 					all = append(all, p)
 				}
 				b.ReportMetric(time.Since(begin).Seconds(), "s-to-start")
-				for !agreed(all) && time.Since(begin) < 3*time.Minute {
+				for !converged(all) && time.Since(begin) < 3*time.Minute {
 					time.Sleep(100 * time.Millisecond)
 				}
 				b.ReportMetric(time.Since(begin).Seconds(), "s-to-agree")
@@ -83,7 +99,7 @@
 					wg.Add(1)
 					go func() {
 						defer wg.Done()
-						p.Die()
+						p.Abort()
 					}()
 				}
 				wg.Wait()
@@ -92,7 +108,7 @@
 	}
 }
 
-func seeds(all []*Peers) []string {
+func seeds(all []*Service) []string {
 	if len(all) == 0 {
 		return nil
 	}
--- a/internal/membership/clocksync/clock.go
+++ b/internal/membership/clocksync/clock.go
@@ -9,61 +9,61 @@
 )
 
 const (
-	keep = 10 * time.Second       // a word counts for so long
-	near = 250 * time.Millisecond // closer clocks are alike: words are late by their way
-	most = 1 << 62                // later times cannot be
+	sampleTTL = 10 * time.Second       // a word counts for so long
+	tolerance = 250 * time.Millisecond // closer clocks are alike: words are late by their way
+	maxClock  = 1 << 62                // later times cannot be
 )
 
-// word is what a member said that the fleet's clock is, as what is to be added to ours.
-type word struct{ at, ahead time.Duration }
+// sample is what a member said that the fleet's clock is, as what is to be added to ours.
+type sample struct{ receivedAt, offset time.Duration }
 
 // Clock is one member's. Make one with New. It is for one goroutine at a time.
 type Clock struct {
-	ahead time.Duration
-	words map[string]word
-	all   []time.Duration // of Step
+	offset  time.Duration
+	samples map[string]sample
+	scratch []time.Duration // of Step
 }
 
 // New returns the clock of a member that has heard nobody: its own.
-func New() *Clock { return &Clock{words: map[string]word{}} }
+func New() *Clock { return &Clock{samples: map[string]sample{}} }
 
 // At is the fleet's clock at a time of ours.
-func (c *Clock) At(now time.Duration) time.Duration { return now + c.ahead }
+func (c *Clock) At(now time.Duration) time.Duration { return now + c.offset }
 
-// Hear takes what a member says that the fleet's clock is now.
-func (c *Clock) Hear(now time.Duration, name string, says time.Duration) {
-	if says >= 0 && says < most {
-		c.words[name] = word{now, says - now}
+// AddSample takes what a member says that the fleet's clock is now.
+func (c *Clock) AddSample(now time.Duration, name string, says time.Duration) {
+	if says >= 0 && says < maxClock {
+		c.samples[name] = sample{now, says - now}
 	}
 }
 
 // Forget drops a member's word.
-func (c *Clock) Forget(name string) { delete(c.words, name) }
+func (c *Clock) Forget(name string) { delete(c.samples, name) }
 
-// Step follows the median of all words, ours among them, and reports whether the clock was moved. Of an
+// Sync follows the median of all words, ours among them, and reports whether the clock was moved. Of an
 // even number the later of the two in the middle counts, so that two halves of a healed split, or a fleet
 // of two, choose alike. Danger: a median that was followed at each step would be behind by the way of the
 // words, again and again, and the fleet's clock would run slow.
-func (c *Clock) Step(now time.Duration) (moved bool) {
-	all, close := append(c.all[:0], c.ahead), 1
-	for name, w := range c.words {
-		if now-w.at > keep {
-			delete(c.words, name)
+func (c *Clock) Sync(now time.Duration) (moved bool) {
+	all, close := append(c.scratch[:0], c.offset), 1
+	for name, w := range c.samples {
+		if now-w.receivedAt > sampleTTL {
+			delete(c.samples, name)
 			continue
 		}
-		all = append(all, w.ahead)
-		if d := w.ahead - c.ahead; d > -near && d < near {
+		all = append(all, w.offset)
+		if d := w.offset - c.offset; d > -tolerance && d < tolerance {
 			close++
 		}
 	}
-	if c.all = all; 2*close > len(all) { // the median is one of them
+	if c.scratch = all; 2*close > len(all) { // the median is one of them
 		return false
 	}
 	slices.Sort(all)
 	median := all[len(all)/2]
-	if d := median - c.ahead; d > -near && d < near {
+	if d := median - c.offset; d > -tolerance && d < tolerance {
 		return false
 	}
-	c.ahead = median
+	c.offset = median
 	return true
 }
--- a/internal/membership/clocksync/clock_test.go
+++ b/internal/membership/clocksync/clock_test.go
@@ -13,7 +13,7 @@
 // time and words late by up to 100 ms: within 40 rounds in which each hears a few by chance, the honest
 // ones differ by less than a hub's turn can bear, and newcomers and a healed split change nothing but those
 // who are fewer.
-func TestOneClock(t *testing.T) {
+func TestClocksConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 60).Draw(t, "members")
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -39,12 +39,12 @@
 						says = time.Duration(r.Int64N(int64(1000 * time.Hour)))
 					}
 					if k != i && side(i) == side(k) {
-						c.Hear(now-born[i], fmt.Sprint(k), says)
+						c.AddSample(now-born[i], fmt.Sprint(k), says)
 					}
 				}
 			}
 			for i, c := range all {
-				c.Step(now - born[i])
+				c.Sync(now - born[i])
 			}
 		}
 		spread := func() time.Duration {
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -15,15 +15,15 @@
 // at once.
 func TestGoldenMetadata(t *testing.T) {
 	for file, m := range map[string]ordinal.Member{
-		"metadata-claim.bin":    {Name: "hall-a-1", Born: 1764633600000000001, Claim: 258},
-		"metadata-no-claim.bin": {Name: "hall-a-1", Born: 0x0102030405060708, Claim: -1},
+		"metadata-claim.bin":    {Name: "hall-a-1", Incarnation: 1764633600000000001, Claim: 258},
+		"metadata-no-claim.bin": {Name: "hall-a-1", Incarnation: 0x0102030405060708, Claim: -1},
 	} {
 		path := filepath.Join("testdata", file)
 		if os.Getenv("UPDATE_GOLDEN") != "" { // only a change of the form may need it
 			if err := os.MkdirAll("testdata", 0o755); err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(path, meta(m), 0o644); err != nil {
+			if err := os.WriteFile(path, encodeMetadata(m), 0o644); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -31,15 +31,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !bytes.Equal(meta(m), stored) {
-			t.Errorf("%s: this version writes %x, the file has %x", file, meta(m), stored)
+		if !bytes.Equal(encodeMetadata(m), stored) {
+			t.Errorf("%s: this version writes %x, the file has %x", file, encodeMetadata(m), stored)
 		}
-		if got, ok := member(&memberlist.Node{Name: m.Name, Meta: stored}); !ok || got != m {
+		if got, ok := decodeMember(&memberlist.Node{Name: m.Name, Meta: stored}); !ok || got != m {
 			t.Errorf("%s: read as %+v, %v", file, got, ok)
 		}
 	}
 	for _, cut := range [][]byte{nil, make([]byte, 9), make([]byte, 11)} {
-		if _, ok := member(&memberlist.Node{Name: "x", Meta: cut}); ok {
+		if _, ok := decodeMember(&memberlist.Node{Name: "x", Meta: cut}); ok {
 			t.Errorf("%d bytes were read", len(cut))
 		}
 	}
--- a/internal/membership/gossip/golden_test.go
+++ b/internal/membership/gossip/golden_test.go
@@ -37,18 +37,30 @@
 }
 
 // goldenRecords have every field set, the greatest and the least values among them.
-func goldenRecords() []observation.Told {
-	return []observation.Told{
-		{Key: observation.Key{Engine: "10.0.0.1:5432", Fact: observation.Health}, Observer: "hall-a-1",
+func goldenRecords() []observation.Observation {
+	return []observation.Observation{
+		{Key: observation.Key{Engine: "10.0.0.1:5432", Property: observation.Health}, Observer: "hall-a-1",
 			Age: 1500 * time.Millisecond, Seq: 42, Value: 1, Hops: 2},
-		{Key: observation.Key{Engine: "10.0.0.2:5432", Fact: observation.Load}, Observer: "hall-b-2",
+		{Key: observation.Key{Engine: "10.0.0.2:5432", Property: observation.Load}, Observer: "hall-b-2",
 			Age: 0, Seq: 1, Value: 12.25, Hops: 0},
-		{Key: observation.Key{Engine: "[::1]:5432", Fact: observation.Warmth}, Observer: "hall-c-3",
+		{Key: observation.Key{Engine: "[::1]:5432", Property: observation.Uptime}, Observer: "hall-c-3",
 			Age: 4294967295 * time.Millisecond, Seq: 1<<64 - 1, Value: 86400.5, Hops: 255},
-		{Key: observation.Key{Fact: observation.Weight, Class: "c/dash/scale"}, Observer: "(former)",
-			Age: time.Hour, Seq: 7, Value: 0.0625, Hops: 11},
-		{Key: observation.Key{Fact: observation.Weight, Class: "k/std/\"dash\"/*"}, Observer: "",
-			Age: time.Millisecond, Seq: 8, Value: 3, Hops: 1},
+		{
+			Key:      observation.Key{Property: observation.ModelParameter, Parameter: "c/dash/scale"},
+			Observer: "(former)",
+			Age:      time.Hour,
+			Seq:      7,
+			Value:    0.0625,
+			Hops:     11,
+		},
+		{
+			Key:      observation.Key{Property: observation.ModelParameter, Parameter: "k/std/\"dash\"/*"},
+			Observer: "",
+			Age:      time.Millisecond,
+			Seq:      8,
+			Value:    3,
+			Hops:     1,
+		},
 	}
 }
 
@@ -59,7 +71,7 @@
 	for i := range digest {
 		digest[i] = uint64(i)<<56 | 0x0102030405060708*uint64(i)
 	}
-	records := Encode(goldenRecords())
+	records := EncodeObservations(goldenRecords())
 	if len(records) != 1 {
 		t.Fatalf("%d pieces", len(records))
 	}
@@ -76,7 +88,7 @@
 		{"packet-6-bootstrap-empty.bin", 6, nil},
 		{"packet-7-name-conflict.bin", 7, binary.BigEndian.AppendUint64(nil, 1764633600123456789)},
 	} {
-		want := header{kind: kind(c.kind), born: 1764633600000000001, seq: 0x0102030405060708,
+		want := header{kind: packetKind(c.kind), incarnation: 1764633600000000001, seq: 0x0102030405060708,
 			clock: 25*time.Hour + 123*time.Millisecond, name: "hall-a-1"}
 		stored := golden(t, c.file, want.append(c.data))
 		h, data, ok := readHeader(stored)
@@ -96,14 +108,19 @@
 			if c.kind == 5 {
 				data = data[2:]
 			}
-			if all, err := Decode(data); err != nil || !reflect.DeepEqual(all, goldenRecords()) {
+			if all, err := DecodeObservations(data); err != nil || !reflect.DeepEqual(all, goldenRecords()) {
 				t.Errorf("%s: read as %+v, %v", c.file, all, err)
 			}
 		}
-		receiver := one("b", 1, 0)
-		receiver.Alive(24*time.Hour, ordinal.Member{Name: "hall-a-1", Born: want.born, Claim: 0})
-		receiver.Packet(24*time.Hour, stored)
-		if st := receiver.Stats(); st.Taken != 1 || st.Unread != 0 || st.Unknown != 0 || st.Old != 0 {
+		receiver := newTestNode("b", 1, 0)
+		receiver.MemberAlive(
+			24*time.Hour,
+			ordinal.Member{Name: "hall-a-1", Incarnation: want.incarnation, Claim: 0},
+		)
+		receiver.HandlePacket(24*time.Hour, stored)
+		if st := receiver.Stats(); st.PacketsAccepted != 1 || st.PacketsMalformed != 0 ||
+			st.PacketsFromUnknown != 0 ||
+			st.PacketsReplayed != 0 {
 			t.Errorf("%s: a member's packet: %+v", c.file, st)
 		}
 	}
@@ -112,22 +129,22 @@
 // What a dispatcher has learnt, in as many pieces as packets need, joined: so it stands in the state folder
 // and in a hand-over.
 func TestGoldenStoredRecords(t *testing.T) {
-	var all []observation.Told
+	var all []observation.Observation
 	for i := range 60 {
 		for _, r := range goldenRecords() {
 			r.Seq, r.Value = r.Seq+uint64(i), r.Value+float64(i)
 			all = append(all, r)
 		}
 	}
-	pieces := Encode(all)
+	pieces := EncodeObservations(all)
 	if len(pieces) < 2 {
 		t.Fatalf("%d pieces", len(pieces))
 	}
 	stored := golden(t, "observations.bin", bytes.Join(pieces, nil))
-	if read, err := Decode(stored); err != nil || !reflect.DeepEqual(read, all) {
+	if read, err := DecodeObservations(stored); err != nil || !reflect.DeepEqual(read, all) {
 		t.Errorf("read as %+v, %v", read, err)
 	}
-	if _, err := Decode(stored[:len(stored)-1]); err != errCut {
+	if _, err := DecodeObservations(stored[:len(stored)-1]); err != errTruncated {
 		t.Errorf("cut short: %v", err)
 	}
 }
--- a/internal/membership/modelstate/golden_test.go
+++ b/internal/membership/modelstate/golden_test.go
@@ -39,7 +39,7 @@
 	classes, kinds := []string{"dash", "we/ird \"class\""}, []string{"std", "big/1"}
 	values := map[string]float64{}
 	n := 0.0
-	want := Together(classes, kinds, func(name string) (float64, bool) {
+	want := Assemble(classes, kinds, func(name string) (float64, bool) {
 		if _, known := values[name]; !known {
 			n++
 			values[name] = n / 8
@@ -47,7 +47,7 @@
 		return values[name], true
 	})
 	snapshot := golden(t, "snapshot.json", want)
-	apart, err := Apart(snapshot)
+	apart, err := Flatten(snapshot)
 	if err != nil || !reflect.DeepEqual(apart, values) {
 		t.Errorf("read as %v, want %v: %v", apart, values, err)
 	}
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	get := func(name string) (float64, bool) { v, ok := stored[name]; return v, ok }
-	if again := Together(classes, kinds, get); !bytes.Equal(again, snapshot) {
+	if again := Assemble(classes, kinds, get); !bytes.Equal(again, snapshot) {
 		t.Errorf("put together: %s", again)
 	}
 }
--- a/internal/membership/observation/bench_test.go
+++ b/internal/membership/observation/bench_test.go
@@ -20,37 +20,46 @@
 	for i := range observers {
 		observers[i] = fmt.Sprintf("dispatcher-%03d", i)
 	}
-	tell := func(i int) (string, []Told) {
+	tell := func(i int) (string, []Observation) {
 		o := observers[i%members]
-		return o, []Told{{Key: health(names[i/members%engines]), Observer: o, Seq: uint64(i), Value: 1}}
+		return o, []Observation{
+			{Key: healthKey(names[i/members%engines]), Observer: o, Seq: uint64(i), Value: 1},
+		}
 	}
 	b.Run("sample", func(b *testing.B) {
-		before := heap()
+		before := heapBytes()
 		s := New("me", DefaultLimits())
-		s.Roster(names)
+		s.SetEngines(names)
 		for i := range members * engines {
 			from, told := tell(i)
-			s.Hear(time.Hour, from, told)
+			s.Receive(time.Hour, from, told)
 		}
-		kept := heap() - before
+		kept := heapBytes() - before
 		for i := 0; b.Loop(); i++ {
 			from, told := tell(i)
-			s.Hear(time.Hour+time.Duration(i), from, told)
+			s.Receive(time.Hour+time.Duration(i), from, told)
 		}
 		b.ReportMetric(kept, "bytes-kept")
 		runtime.KeepAlive(s)
 	})
 	b.Run("plain map", func(b *testing.B) {
-		before := heap()
+		before := heapBytes()
 		all := map[Key]map[string]Record{}
-		hear := func(now time.Duration, from string, t *Told) {
+		hear := func(now time.Duration, from string, t *Observation) {
 			of := all[t.Key]
 			if of == nil {
 				of = map[string]Record{}
 				all[t.Key] = of
 			}
-			r := Record{Observer: t.Observer, At: now - t.Age, Seq: t.Seq, Value: t.Value, Hops: 1, Via: from}
-			if old, ok := of[t.Observer]; !ok || r.fresher(&old) {
+			r := Record{
+				Observer:   t.Observer,
+				ObservedAt: now - t.Age,
+				Seq:        t.Seq,
+				Value:      t.Value,
+				Hops:       1,
+				ReportedBy: from,
+			}
+			if old, ok := of[t.Observer]; !ok || r.supersedes(&old) {
 				of[t.Observer] = r
 			}
 		}
@@ -58,7 +67,7 @@
 			from, told := tell(i)
 			hear(time.Hour, from, &told[0])
 		}
-		kept := heap() - before
+		kept := heapBytes() - before
 		for i := 0; b.Loop(); i++ {
 			from, told := tell(i)
 			hear(time.Hour+time.Duration(i), from, &told[0])
@@ -68,10 +77,10 @@
 	})
 	b.Run("digest", func(b *testing.B) {
 		s := New("me", DefaultLimits())
-		s.Roster(names)
+		s.SetEngines(names)
 		for i := range members * engines {
 			from, told := tell(i)
-			s.Hear(time.Hour, from, told)
+			s.Receive(time.Hour, from, told)
 		}
 		for b.Loop() {
 			s.Digest(time.Hour)
@@ -79,7 +88,7 @@
 	})
 }
 
-func heap() float64 {
+func heapBytes() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/membership/observation/golden_test.go
+++ b/internal/membership/observation/golden_test.go
@@ -37,30 +37,30 @@
 // Two versions in one fleet have the same digest for the same evidence: otherwise each would take the other
 // for one that lacks everything, and answer with all it has, once a second. The numbers of facts are sent.
 func TestGoldenDigest(t *testing.T) {
-	if Health != 0 || Load != 1 || Warmth != 2 || Weight != 3 {
-		t.Errorf("facts are sent as %d, %d, %d, %d", Health, Load, Warmth, Weight)
+	if Health != 0 || Load != 1 || Uptime != 2 || ModelParameter != 3 {
+		t.Errorf("facts are sent as %d, %d, %d, %d", Health, Load, Uptime, ModelParameter)
 	}
 	s := New("hall-a-1", DefaultLimits())
 	var engines []string
 	for i := range 40 {
 		engines = append(engines, fmt.Sprintf("10.0.0.%d:5432", i))
 	}
-	s.Roster(engines)
+	s.SetEngines(engines)
 	now := time.Hour
 	for i, e := range engines {
-		values := map[Fact]float64{Health: float64(i % 2), Load: float64(i) * 1.7,
-			Warmth: float64(i * i * 100)}
+		values := map[Property]float64{Health: float64(i % 2), Load: float64(i) * 1.7,
+			Uptime: float64(i * i * 100)}
 		for f, v := range values {
 			for o := range i % 5 {
-				s.Hear(now, fmt.Sprint("p", o), []Told{{Key: Key{Engine: e, Fact: f}, Seq: 1,
+				s.Receive(now, fmt.Sprint("p", o), []Observation{{Key: Key{Engine: e, Property: f}, Seq: 1,
 					Observer: fmt.Sprint("p", o), Age: time.Second, Value: v}})
 			}
 			if i%3 == 0 {
-				s.See(now, Key{Engine: e, Fact: f}, v)
+				s.Observe(now, Key{Engine: e, Property: f}, v)
 			}
 		}
 	}
-	s.See(now, Key{Fact: Weight, Class: "c/dash/scale"}, 2) // in no digest
+	s.Observe(now, Key{Property: ModelParameter, Parameter: "c/dash/scale"}, 2) // in no digest
 	var written []byte
 	for _, v := range s.Digest(now) {
 		written = binary.BigEndian.AppendUint64(written, v)
@@ -72,7 +72,7 @@
 func TestGoldenRanks(t *testing.T) {
 	ranks := map[string]uint32{}
 	for _, name := range []string{"", "a", "hall-a-1", "hall-b-2", "(former)", "d000", "d499"} {
-		ranks[name] = rank(name)
+		ranks[name] = observerRank(name)
 	}
 	written, err := json.MarshalIndent(ranks, "", "\t")
 	if err != nil {
--- a/internal/membership/ordinal/ordinal_test.go
+++ b/internal/membership/ordinal/assigner_test.go
@@ -8,21 +8,24 @@
 	"pgregory.net/rapid"
 )
 
-var limits = Limits{Still: time.Second, Grace: 5 * time.Second, Least: 1}
+var limits = Limits{SettleTime: time.Second, LossGrace: 5 * time.Second, MinCount: 1}
 
 // Whatever comes, goes, returns and splits: when the network has healed and been still, all have ordinals of
 // their own below one count, those that never left keep theirs, and nothing changes any more.
-func TestAgreement(t *testing.T) {
+func TestAssignersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 9).Draw(t, "members")
 		now := time.Duration(0)
-		var all []*Agreement
+		var all []*Assigner
 		born := uint64(0)
-		start := func(i int) *Agreement {
+		start := func(i int) *Assigner {
 			born++
-			return New(Member{Name: fmt.Sprint("d", i), Born: born, Claim: rapid.IntRange(-1, 3).Draw(t,
-				"claim")},
-				limits, now)
+			return New(
+				Member{Name: fmt.Sprint("d", i), Incarnation: born, Claim: rapid.IntRange(-1, 3).Draw(t,
+					"claim")},
+				limits,
+				now,
+			)
 		}
 		for i := range n {
 			all = append(all, start(i))
@@ -36,14 +39,14 @@
 						continue
 					}
 					if side[i] == side[k] {
-						a.Alive(now, o.Self())
+						a.MemberAlive(now, o.Self())
 					} else {
-						a.Gone(now, o.Self().Name, false)
+						a.MemberLost(now, o.Self().Name, false)
 					}
 				}
 			}
 			for _, a := range all {
-				a.Step(now)
+				a.Update(now)
 			}
 		}
 		for range rapid.IntRange(0, 40).Draw(t, "rounds") {
@@ -61,7 +64,7 @@
 		}
 		seen := map[int]string{}
 		for _, a := range all {
-			v, changed := a.Step(now)
+			v, changed := a.Update(now)
 			if other := seen[v.Ordinal]; other != "" || v.Ordinal < 0 || v.Ordinal >= v.Count ||
 				v.Count != n || changed {
 				t.Fatalf("%s has %+v (changed %v), as has %q; %d members", a.self.Name, v, changed, other, n)
@@ -81,31 +84,33 @@
 
 // A split: for the grace the others still count; a member that says that it leaves does not; a twin that was
 // born later has the name.
-func TestSplitLeaveTwin(t *testing.T) {
-	a := New(Member{Name: "a", Born: 1, Claim: 0}, limits, 0)
+func TestSplitLeaveDuplicateName(t *testing.T) {
+	a := New(Member{Name: "a", Incarnation: 1, Claim: 0}, limits, 0)
 	for i, name := range []string{"b", "c", "d"} {
-		a.Alive(0, Member{Name: name, Born: 1, Claim: i + 1})
+		a.MemberAlive(0, Member{Name: name, Incarnation: 1, Claim: i + 1})
 	}
 	at := func(now time.Duration, want View, how string) {
 		t.Helper()
-		if v, _ := a.Step(now); v != want {
+		if v, _ := a.Update(now); v != want {
 			t.Errorf("%s: %+v, want %+v", how, v, want)
 		}
 	}
 	at(500*time.Millisecond, View{0, 1}, "the list is not still")
 	at(time.Second, View{0, 4}, "still")
-	a.Gone(2*time.Second, "c", false)
-	a.Gone(2*time.Second, "d", false)
+	a.MemberLost(2*time.Second, "c", false)
+	a.MemberLost(2*time.Second, "d", false)
 	at(6*time.Second, View{0, 4}, "within the grace of a loss")
-	a.Alive(6500*time.Millisecond, Member{Name: "c", Born: 1, Claim: 2})
+	a.MemberAlive(6500*time.Millisecond, Member{Name: "c", Incarnation: 1, Claim: 2})
 	at(7*time.Second, View{0, 4}, "the grace of the other is over, the list not still")
 	at(8*time.Second, View{0, 3}, "one is gone")
-	a.Gone(8*time.Second, "b", true)
+	a.MemberLost(8*time.Second, "b", true)
 	at(9*time.Second, View{0, 2}, "one left")
-	a.Alive(9*time.Second, Member{Name: "c", Born: 0, Claim: 0})
+	a.MemberAlive(9*time.Second, Member{Name: "c", Incarnation: 0, Claim: 0})
 	at(10*time.Second, View{0, 2}, "the word of an earlier life")
-	if a.Twin(Member{Name: "a", Born: 1}) || !a.Twin(Member{Name: "a", Born: 2}) || a.Twin(Member{Name: "b",
-		Born: 9}) {
+	if a.SupersededBy(Member{Name: "a", Incarnation: 1}) ||
+		!a.SupersededBy(Member{Name: "a", Incarnation: 2}) ||
+		a.SupersededBy(Member{Name: "b",
+			Incarnation: 9}) {
 		t.Error("who has the name")
 	}
 }
--- a/internal/membership/replayguard/replay_test.go
+++ b/internal/membership/replayguard/window_test.go
@@ -21,11 +21,11 @@
 			}
 			far := rapid.SampledFrom([]int{3, 70, 1100, 3000}).Draw(t, "far")
 			seq := uint64(max(0, int(top)+rapid.IntRange(-far, far).Draw(t, "step")))
-			got := w.Take(b, seq)
+			got := w.Accept(b, seq)
 			if b > born && seq > 0 {
 				born, top = b, 0
 			}
-			want := seq > 0 && b == born && !taken[[2]uint64{b, seq}] && (seq > top || top-seq < width)
+			want := seq > 0 && b == born && !taken[[2]uint64{b, seq}] && (seq > top || top-seq < windowSize)
 			if got != want {
 				t.Fatalf("life %d message %d after %d: taken %v, want %v", b, seq, top, got, want)
 			}
--- a/internal/oserr/oserr.go
+++ b/internal/oserr/oserr.go
@@ -9,26 +9,26 @@
 )
 
 var (
-	ownMachine = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
+	localErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EINTR}
-	oneConnection = []syscall.Errno{syscall.ECONNABORTED, syscall.ENETDOWN, syscall.EPROTO,
+	perConnectionErrors = []syscall.Errno{syscall.ECONNABORTED, syscall.ENETDOWN, syscall.EPROTO,
 		syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP,
 		syscall.ENETUNREACH, syscall.EINTR}
-	transient = []syscall.Errno{syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM}
+	transientErrors = []syscall.Errno{syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM}
 )
 
-// OwnMachine reports whether a call failed by our own machine, which tells nothing of the other side.
-func OwnMachine(err error) bool { return isOne(err, ownMachine) }
+// IsLocal reports whether a call failed by our own machine, which tells nothing of the other side.
+func IsLocal(err error) bool { return isAny(err, localErrors) }
 
-// OfOneConnection reports whether an accept failed by the connection that it was to take. Linux passes on
+// IsPerConnection reports whether an accept failed by the connection that it was to take. Linux passes on
 // what befell that connection; others wait behind it, and there is nothing to wait for (accept(2), "Error
 // handling").
-func OfOneConnection(err error) bool { return isOne(err, oneConnection) }
+func IsPerConnection(err error) bool { return isAny(err, perConnectionErrors) }
 
-// Transient reports whether a call that does not wait failed in a way that tells nothing of its connection.
-func Transient(err error) bool { return isOne(err, transient) }
+// IsTransient reports whether a call that does not wait failed in a way that tells nothing of its connection.
+func IsTransient(err error) bool { return isAny(err, transientErrors) }
 
-func isOne(err error, of []syscall.Errno) bool {
+func isAny(err error, of []syscall.Errno) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(of, errno)
 }
--- a/internal/overload/guard_test.go
+++ b/internal/overload/limiter_test.go
@@ -12,9 +12,13 @@
 // met.
 func TestLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := Limits{Open: rapid.IntRange(0, 5).Draw(t, "open"), PerUser: rapid.IntRange(0, 3).Draw(t, "user"),
-			Files: 100, FilesLeft: 10,
-			HeldBytes: 1000}
+		l := Limits{
+			OpenQueries:         rapid.IntRange(0, 5).Draw(t, "open"),
+			ConnectionsPerUser:  rapid.IntRange(0, 3).Draw(t, "user"),
+			FileDescriptors:     100,
+			ReservedDescriptors: 10,
+			BufferedBytes:       1000,
+		}
 		g := New(l)
 		open, users := 0, map[string]int{}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
@@ -22,9 +26,10 @@
 			switch rapid.IntRange(0, 3).Draw(t, "kind") {
 			case 0:
 				held := int64(rapid.SampledFrom([]int{0, 999, 1000}).Draw(t, "held"))
-				g.Held("a", held)
-				why, ok := g.Query("a")
-				if want := (l.Open == 0 || open < l.Open) && held < 1000; ok != want || ok != (why == "") {
+				g.SetBufferedBytes("a", held)
+				why, ok := g.AcquireQuery("a")
+				if want := (l.OpenQueries == 0 || open < l.OpenQueries) && held < 1000; ok != want ||
+					ok != (why == "") {
 					t.Fatalf("%d open, %d held, limits %+v: %v %q", open, held, l, ok, why)
 				}
 				if ok {
@@ -33,12 +38,12 @@
 			case 1:
 				if open > 0 {
 					open--
-					g.Ended("a")
+					g.ReleaseQuery("a")
 				}
 			case 2:
 				files := rapid.SampledFrom([]int{5, 89, 90}).Draw(t, "files")
-				why, ok := g.Connect(user, files)
-				if want := (l.PerUser == 0 || users[user] < l.PerUser) && files < 90; ok != want ||
+				why, ok := g.AcquireUserConnection(user, files)
+				if want := (l.ConnectionsPerUser == 0 || users[user] < l.ConnectionsPerUser) && files < 90; ok != want ||
 					ok != (why == "") {
 					t.Fatalf("%d of %s, %d files, limits %+v: %v %q", users[user], user, files, l, ok, why)
 				}
@@ -48,23 +53,23 @@
 			case 3:
 				if users[user] > 0 {
 					users[user]--
-					g.Disconnect(user)
+					g.ReleaseUserConnection(user)
 				}
 			}
 		}
 		for name, n := range users {
 			for range n {
-				g.Disconnect(name)
+				g.ReleaseUserConnection(name)
 			}
 		}
-		if g.Open() != open || len(g.users) != 0 {
-			t.Fatalf("%d open, want %d; users %v", g.Open(), open, g.users)
+		if g.OpenQueries() != open || len(g.userConnections) != 0 {
+			t.Fatalf("%d open, want %d; users %v", g.OpenQueries(), open, g.userConnections)
 		}
 	})
 }
 
 func TestLag(t *testing.T) {
-	g := New(Limits{Lag: 50 * time.Millisecond})
+	g := New(Limits{LoopLag: 50 * time.Millisecond})
 	var story strings.Builder
 	for i := range 60 {
 		d := time.Millisecond
@@ -72,7 +77,7 @@
 		if i == 3 || i >= 10 && i < 16 || i == 40 {
 			d = 80 * time.Millisecond
 		}
-		if in, changed := g.Lag(d); changed {
+		if in, changed := g.ObserveLag(d); changed {
 			story.WriteString(map[bool]string{true: "in ", false: "out "}[in])
 		}
 	}
