--- a/internal/overload/stall/stall.go
+++ b/internal/overload/stall/stall.go
@@ -5,44 +5,47 @@
 
 import "time"
 
-// Every is the pace of the heartbeat.
-const Every = 50 * time.Millisecond
+// HeartbeatInterval is the pace of the heartbeat.
+const HeartbeatInterval = 50 * time.Millisecond
 
 const (
-	// late is how far behind its time a heartbeat is when the process counts as stalled.
-	late = 50 * time.Millisecond
-	// catchUp is how long after a stall there may be something that came during it and was not read yet.
-	catchUp = 2 * Every
+	// lateThreshold is how far behind its time a heartbeat is when the process counts as stalled.
+	lateThreshold = 50 * time.Millisecond
+	// catchUpPeriod is how long after a stall there may be something that came during it and was not read
+	// yet.
+	catchUpPeriod = 2 * HeartbeatInterval
 )
 
-// Meter is what a heartbeat showed. It is for one goroutine at a time.
-type Meter struct {
-	last     time.Duration // the last beat
-	from, to time.Duration // the last stall
+// Detector is what a heartbeat showed. It is for one goroutine at a time.
+type Detector struct {
+	lastBeat             time.Duration // the last beat
+	stallBegin, stallEnd time.Duration // the last stall
 }
 
-// NewMeter returns a Meter of a process that runs at now.
-func NewMeter(now time.Duration) *Meter { return &Meter{last: now} }
+// NewDetector returns a Meter of a process that runs at now.
+func NewDetector(now time.Duration) *Detector { return &Detector{lastBeat: now} }
 
 // Beat takes in a beat of the heart.
-func (m *Meter) Beat(now time.Duration) {
-	if m.behind(now) {
-		m.from, m.to = m.last, now
+func (m *Detector) Beat(now time.Duration) {
+	if m.isLate(now) {
+		m.stallBegin, m.stallEnd = m.lastBeat, now
 	}
-	m.last = now
+	m.lastBeat = now
 }
 
-// behind reports whether a beat that comes only now is late.
-func (m *Meter) behind(now time.Duration) bool { return now-m.last > Every+late }
+// isLate reports whether a beat that comes only now is late.
+func (m *Detector) isLate(now time.Duration) bool {
+	return now-m.lastBeat > HeartbeatInterval+lateThreshold
+}
 
-// Waited returns how long something that is read now may have lain there, if there was nothing at since.
-func (m *Meter) Waited(now, since time.Duration) time.Duration {
-	from := m.last // it may go on
-	if !m.behind(now) {
-		if m.to == 0 || since >= m.to || now-m.to > catchUp {
+// ReadDelay returns how long something that is read now may have lain there, if there was nothing at since.
+func (m *Detector) ReadDelay(now, since time.Duration) time.Duration {
+	from := m.lastBeat // it may go on
+	if !m.isLate(now) {
+		if m.stallEnd == 0 || since >= m.stallEnd || now-m.stallEnd > catchUpPeriod {
 			return 0
 		}
-		from = m.from
+		from = m.stallBegin
 	}
 	return max(now-max(from, since), 0)
 }
--- a/internal/overload/stall/stall_test.go
+++ b/internal/overload/stall/stall_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// TestWaited: what is read in a stall, or soon after one, may have come at its beginning, but not before
+// TestReadDelay: what is read in a stall, or soon after one, may have come at its beginning, but not before
 // nothing was there.
-func TestWaited(t *testing.T) {
+func TestReadDelay(t *testing.T) {
 	const ms = time.Millisecond
-	m := NewMeter(1000 * ms)
-	for at := 1050 * ms; at <= 1500*ms; at += Every {
+	m := NewDetector(1000 * ms)
+	for at := 1050 * ms; at <= 1500*ms; at += HeartbeatInterval {
 		m.Beat(at + 10*ms) // a little late, as ever
 	}
 	want := func(what string, now, since, waited time.Duration) {
 		t.Helper()
-		if got := m.Waited(now*ms, since*ms); got != waited*ms {
+		if got := m.ReadDelay(now*ms, since*ms); got != waited*ms {
 			t.Errorf("%s: %v, want %v", what, got, waited*ms)
 		}
 	}
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -16,33 +16,33 @@
 	"cresspass/internal/protocol/nodehttp"
 )
 
-var errCopy = errors.New("platform: an answer that may be a copy of an earlier one")
+var errDuplicateResponse = errors.New("platform: an answer that may be a copy of an earlier one")
 
-const probeWait = 350 * time.Millisecond // for the answer
+const healthCheckTimeout = 350 * time.Millisecond // for the answer
 
 // attempt is one query on one compute node: the shell of a computenode.Machine.
 type attempt struct {
-	s      *service
-	q      *thriftserver.Request
-	number int
-	engine cresspass.EngineID
-	addr   string
-	grant  string
-	rank   string
-	until  time.Time // the client's wait ends
-	latest time.Time // it must not begin later
-	begun  time.Time
-	alone  bool // nothing may run beside it
+	service        *service
+	request        *thriftserver.Request
+	number         int
+	engine         cresspass.EngineID
+	addr           string
+	memoryGrant    string
+	priority       string
+	clientDeadline time.Time // the client's wait ends
+	startBy        time.Time // it must not begin later
+	decidedAt      time.Time
+	exclusive      bool // nothing may run beside it
 
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	doubted duplicateresponse.Fingerprint // of the last answer, if it may have been another's; run's alone
+	suspected duplicateresponse.Fingerprint // of the last answer, if it may have been another's; run's alone
 
-	mu      sync.Mutex
-	conn    *nodeConn
-	stopped bool
-	outcome cresspass.Outcome // with which it was stopped
+	mu          sync.Mutex
+	conn        *nodeConn
+	stopped     bool
+	stopOutcome cresspass.Outcome // with which it was stopped
 }
 
 // stop has the attempt end as soon as its compute node knows, with an outcome.
@@ -52,228 +52,254 @@
 	if a.stopped {
 		return
 	}
-	a.stopped, a.outcome = true, outcome
+	a.stopped, a.stopOutcome = true, outcome
 	a.cancel()
 	if a.conn != nil {
 		a.conn.interrupt()
 	}
 }
 
-// hold makes a connection the one that stop interrupts. It reports whether the attempt goes on.
-func (a *attempt) hold(c *nodeConn) bool {
+// attach makes a connection the one that stop interrupts. It reports whether the attempt goes on.
+func (a *attempt) attach(conn *nodeConn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.conn = c
+	a.conn = conn
 	return !a.stopped
 }
 
 // run plays the attempt and posts its one outcome.
 func (a *attempt) run() {
-	m := computenode.Machine{Alone: a.alone}
-	var c *nodeConn // of the last call, while it is whole
-	release := func(good bool) {
-		if c != nil {
-			a.hold(nil)
-			a.s.pool.put(c, good)
-			c = nil
+	machine := computenode.Machine{Exclusive: a.exclusive}
+	var conn *nodeConn // of the last call, while it is whole
+	release := func(reusable bool) {
+		if conn != nil {
+			a.attach(nil)
+			a.service.pool.put(conn, reusable)
+			conn = nil
 		}
 	}
-	ev := cresspass.Event{Type: cresspass.AttemptDone, Query: a.q.ID, Attempt: a.number, Engine: a.engine}
-	now := func() time.Duration { return time.Since(a.begun) }
-	stopSeen := false
-	step := m.Next(now(), computenode.Event{Type: computenode.Begin})
+	done := cresspass.Event{
+		Type:    cresspass.AttemptDone,
+		Query:   a.request.ID,
+		Attempt: a.number,
+		Engine:  a.engine,
+	}
+	elapsed := func() time.Duration { return time.Since(a.decidedAt) }
+	stopHandled := false
+	step := machine.Next(elapsed(), computenode.Event{Type: computenode.Begin})
 	for step.Type != computenode.End {
-		a.note(step.Note)
-		if step.Fresh || step.Type == computenode.Ask && a.s.pool.wanted() {
+		a.postProgress(step.Progress)
+		if step.FreshConn || step.Type == computenode.Poll && a.service.pool.hasWaiters() {
 			// A broken one is closed; where others wait for a connection, this query goes to the end of
 			// their line.
-			release(!step.Fresh)
+			release(!step.FreshConn)
 		}
-		var got computenode.Event
-		got, c = a.do(step, c)
-		if got.Answer != nil {
-			if r, ok := meter(got.Answer.Header["x-meter"], a.s.reportFields); ok {
-				ev.Report, ev.HasReport = r, true
+		var event computenode.Event
+		event, conn = a.execute(step, conn)
+		if event.Response != nil {
+			if report, ok := parseLoadReport(event.Response.Header["x-meter"], a.service.reportFields); ok {
+				done.LoadReport, done.HasLoadReport = report, true
 			}
-			if got.Answer.Close {
+			if event.Response.Close {
 				release(false)
 			}
 		}
 		a.mu.Lock()
-		stopped := a.stopped && !stopSeen
+		stopped := a.stopped && !stopHandled
 		a.mu.Unlock()
-		if !stopped || got.Type == computenode.Answered || got.Type == computenode.Broken {
-			step = m.Next(now(), got)
+		if !stopped || event.Type == computenode.ResponseReceived || event.Type == computenode.ResponseLost {
+			step = machine.Next(elapsed(), event)
 		}
 		if stopped && step.Type != computenode.End {
 			if mutated(noGiveUp) {
-				step = computenode.Step{Type: computenode.End, Outcome: a.outcome}
+				step = computenode.Step{Type: computenode.End, Outcome: a.stopOutcome}
 				break
 			}
-			stopSeen = true
+			stopHandled = true
 			release(false) // it was interrupted
-			step = m.Next(now(), computenode.Event{Type: computenode.Stop, Outcome: a.outcome})
+			step = machine.Next(elapsed(), computenode.Event{Type: computenode.Stop, Outcome: a.stopOutcome})
 		}
 	}
 	release(true)
-	ev.Outcome, ev.Took = step.Outcome, now()
-	if step.Outcome == cresspass.OK {
-		ev.Finished = a.s.front.serve(a.q.ID, step.Pages)
+	done.Outcome, done.Elapsed = step.Outcome, elapsed()
+	if step.Outcome == cresspass.OutcomeOK {
+		done.QueryFinished = a.service.frontend.respondResult(a.request.ID, step.Pages)
 	}
 	a.cancel()
-	a.s.ended(a, ev.Outcome)
-	a.s.loop.Post(ev)
+	a.service.attemptEnded(a, done.Outcome)
+	a.service.loop.Post(done)
 }
 
-// do carries out a step on a connection, or on another where there is none. Nothing interrupts a Delete.
-func (a *attempt) do(step computenode.Step, c *nodeConn) (computenode.Event, *nodeConn) {
+// execute carries out a step on a connection, or on another where there is none. Nothing interrupts a Delete.
+func (a *attempt) execute(step computenode.Step, conn *nodeConn) (computenode.Event, *nodeConn) {
 	ctx := a.ctx
 	if step.Type == computenode.Delete {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithDeadline(context.Background(), a.begun.Add(step.Until))
+		ctx, cancel = context.WithDeadline(context.Background(), a.decidedAt.Add(step.Deadline))
 		defer cancel()
 	}
-	sleep(ctx, step.Pause)
-	w := want{a.engine, a.addr, step.Fresh, step.Type == computenode.Delete, a.begun.Add(step.Due)}
+	sleep(ctx, step.Delay)
+	wanted := connRequest{
+		a.engine,
+		a.addr,
+		step.FreshConn,
+		step.Type == computenode.Delete,
+		a.decidedAt.Add(step.Due),
+	}
 	for {
-		if c == nil {
+		if conn == nil {
 			var err error
-			if c, err = a.s.pool.getPatiently(ctx, w); err != nil {
-				return computenode.Event{Type: a.unreached(err)}, nil
+			if conn, err = a.service.pool.getWithRetry(ctx, wanted); err != nil {
+				return computenode.Event{Type: a.classifyDialError(err)}, nil
 			}
 		}
-		if step.Type != computenode.Delete && !a.hold(c) {
-			return computenode.Event{Type: computenode.Unreached}, c
+		if step.Type != computenode.Delete && !a.attach(conn) {
+			return computenode.Event{Type: computenode.Unreachable}, conn
 		}
 		if step.Type == computenode.Start {
-			if why, ok := a.mayBegin(); !ok {
-				return computenode.Event{Type: why}, c
+			if why, ok := a.mayStart(); !ok {
+				return computenode.Event{Type: why}, conn
 			}
 		}
-		used, written := !c.rested.IsZero(), time.Now()
-		answer, err := a.call(step, c)
-		if err == nil && a.believes(c, time.Since(written), answer) {
-			return computenode.Event{Type: computenode.Answered, Answer: answer}, c
+		reused, sentAt := !conn.idleSince.IsZero(), time.Now()
+		response, err := a.call(step, conn)
+		if err == nil && a.acceptResponse(conn, time.Since(sentAt), response) {
+			return computenode.Event{Type: computenode.ResponseReceived, Response: response}, conn
 		}
-		a.hold(nil)
-		a.s.pool.put(c, false)
-		if c = nil; errors.Is(err, errUnsure) { // nothing was written
-			if used && ctx.Err() == nil { // its compute node closed it in this moment
-				w.fresh = true
+		a.attach(nil)
+		a.service.pool.put(conn, false)
+		if conn = nil; errors.Is(err, errNotWritten) { // nothing was written
+			if reused && ctx.Err() == nil { // its compute node closed it in this moment
+				wanted.fresh = true
 				continue
 			}
-			return computenode.Event{Type: computenode.Unreached}, nil
+			return computenode.Event{Type: computenode.Unreachable}, nil
 		}
 		if err == nil {
-			err = errCopy
+			err = errDuplicateResponse
 		}
-		a.s.events.Add(a.event(eventlog.Broken, err.Error()))
+		a.service.events.Add(a.event(eventlog.ResponseUnreadable, err.Error()))
 		if step.Type != computenode.Delete {
-			a.s.broken.Add(1)
-			if errors.Is(err, nodehttp.ErrSpoilt) {
-				a.s.spoilt.Add(1)
+			a.service.brokenCalls.Add(1)
+			if errors.Is(err, nodehttp.ErrMalformed) {
+				a.service.malformedResponses.Add(1)
 			}
 		}
-		return computenode.Event{Type: computenode.Broken, Reset: errors.Is(err, syscall.ECONNRESET) ||
+		return computenode.Event{Type: computenode.ResponseLost, Reset: errors.Is(err, syscall.ECONNRESET) ||
 			errors.Is(err, syscall.EPIPE)}, nil
 	}
 }
 
-// believes reports whether an answer is that of the last call. One that may be a copy of an earlier answer is
-// not: the call is then made again on a new connection, and its answer there tells which it was.
-func (a *attempt) believes(c *nodeConn, took time.Duration, answer *nodehttp.Answer) bool {
-	if a.doubted != 0 {
-		a.s.pool.again(a.doubted, answer)
-		a.doubted = 0
+// acceptResponse reports whether an answer is that of the last call. One that may be a copy of an earlier
+// answer is not: the call is then made again on a new connection, and its answer there tells which it was.
+func (a *attempt) acceptResponse(conn *nodeConn, took time.Duration, response *nodehttp.Response) bool {
+	if a.suspected != 0 {
+		a.service.pool.recordRetry(a.suspected, response)
+		a.suspected = 0
 	}
-	f, suspect := a.s.pool.suspect(c, took, answer)
+	fingerprint, suspect := a.service.pool.checkDuplicate(conn, took, response)
 	if suspect {
-		a.doubted = f
+		a.suspected = fingerprint
 	}
 	return !suspect || mutated(believeCopies)
 }
 
-// mayBegin looks again, in the moment in which the query is written. Danger: since the module decided, the
+// mayStart looks again, in the moment in which the query is written. Danger: since the module decided, the
 // attempt may have waited for a connection and for a dial, and its client, its compute node, its time or its
 // budget may have gone meanwhile.
-func (a *attempt) mayBegin() (computenode.EventType, bool) {
+func (a *attempt) mayStart() (computenode.EventType, bool) {
 	if mutated(noLookAtBegin) {
 		return 0, true
 	}
-	if !a.s.front.awaited(a.q) {
-		a.s.events.Add(a.event(eventlog.Withheld, "its client has gone"))
-		return computenode.Unwanted, false
+	if !a.service.frontend.clientWaiting(a.request) {
+		a.service.events.Add(a.event(eventlog.AttemptWithheld, "its client has gone"))
+		return computenode.NotNeeded, false
 	}
-	if !time.Now().Before(a.latest) {
-		a.s.events.Add(a.event(eventlog.Withheld, "its decision holds no longer"))
+	if !time.Now().Before(a.startBy) {
+		a.service.events.Add(a.event(eventlog.AttemptWithheld, "its decision holds no longer"))
 		return computenode.Withheld, false
 	}
-	why, v := a.s.acts.begin(a)
+	why, v := a.service.guard.beginAttempt(a)
 	if !v.OK() {
-		a.s.events.Add(a.event(eventlog.Withheld, v.String()))
+		a.service.events.Add(a.event(eventlog.AttemptWithheld, v.String()))
 		return why, false
 	}
-	a.s.events.Add(a.event(eventlog.Written, ""))
+	a.service.events.Add(a.event(eventlog.AttemptSent, ""))
 	return 0, true
 }
 
 // event is an event of this attempt.
-func (a *attempt) event(what eventlog.What, why string) eventlog.Event {
-	return eventlog.Event{What: what, Request: a.q.Ticket, Attempt: a.number, Node: string(a.engine),
-		Why: why}
+func (a *attempt) event(what eventlog.Kind, why string) eventlog.Event {
+	return eventlog.Event{Kind: what, RequestID: a.request.Ticket, Attempt: a.number, Node: string(a.engine),
+		Reason: why}
 }
 
 // outcomeText names an outcome in the event log.
 func outcomeText(o cresspass.Outcome) string {
 	switch o {
-	case cresspass.OK:
+	case cresspass.OutcomeOK:
 		return "good"
-	case cresspass.Failed:
+	case cresspass.OutcomeFailed:
 		return "failed"
-	case cresspass.Full:
+	case cresspass.OutcomeRejected:
 		return "turned away"
-	case cresspass.Reset:
+	case cresspass.OutcomeConnectionReset:
 		return "reset"
-	case cresspass.TimedOut:
+	case cresspass.OutcomeTimedOut:
 		return "no answer"
-	case cresspass.ConnectFailed:
+	case cresspass.OutcomeConnectFailed:
 		return "no connection"
-	case cresspass.Moot:
+	case cresspass.OutcomeNotStarted:
 		return "moot"
-	case cresspass.Cancelled:
+	case cresspass.OutcomeCancelled:
 		return "given up"
 	}
 	return strconv.Itoa(int(o))
 }
 
 // call makes a step's call.
-func (a *attempt) call(step computenode.Step, c *nodeConn) (*nodehttp.Answer, error) {
-	path := "/x/" + a.q.Ticket
+func (a *attempt) call(step computenode.Step, conn *nodeConn) (*nodehttp.Response, error) {
+	path := "/x/" + a.request.Ticket
 	switch step.Type {
 	case computenode.Start:
-		left := max(time.Until(a.until).Milliseconds(), 1)
+		remainingMs := max(time.Until(a.clientDeadline).Milliseconds(), 1)
 		if mutated(fullDeadline) {
-			left += a.q.Until.Sub(a.begun).Milliseconds()
+			remainingMs += a.request.Deadline.Sub(a.decidedAt).Milliseconds()
 		}
-		return c.call(step.Wait, "POST", "/x", a.q.Body, "X-Ticket", a.q.Ticket,
-			"X-Queue", a.q.Class, "X-Max-Ms", strconv.FormatInt(left, 10), "X-Nonce", a.q.Nonce,
-			"Grant-Mb", a.grant, "Rank", a.rank)
+		return conn.roundTrip(
+			step.Timeout,
+			"POST",
+			"/x",
+			a.request.Body,
+			"X-Ticket",
+			a.request.Ticket,
+			"X-Queue",
+			a.request.Class,
+			"X-Max-Ms",
+			strconv.FormatInt(remainingMs, 10),
+			"X-Nonce",
+			a.request.Nonce,
+			"Grant-Mb",
+			a.memoryGrant,
+			"Rank",
+			a.priority,
+		)
 	case computenode.Delete:
-		return c.call(step.Wait, "DELETE", path, nil)
+		return conn.roundTrip(step.Timeout, "DELETE", path, nil)
 	}
-	return c.call(step.Wait, "GET", path+"/"+strconv.Itoa(step.Page), nil)
+	return conn.roundTrip(step.Timeout, "GET", path+"/"+strconv.Itoa(step.Page), nil)
 }
 
-// unreached says what it means that no connection was had. Danger: a compute node that drains closes its
-// listener and runs on, so its refusal is none of a process that is not there.
-func (a *attempt) unreached(err error) computenode.EventType {
+// classifyDialError says what it means that no connection was had. Danger: a compute node that drains closes
+// its listener and runs on, so its refusal is none of a process that is not there.
+func (a *attempt) classifyDialError(err error) computenode.EventType {
 	switch {
-	case errors.Is(err, errNoSlot):
-		return computenode.NoRoom
-	case errors.Is(err, syscall.ECONNREFUSED) && !a.s.watch.drains(a.engine):
-		return computenode.Refused
+	case errors.Is(err, errNoDescriptor):
+		return computenode.NoDescriptor
+	case errors.Is(err, syscall.ECONNREFUSED) && !a.service.watcher.draining(a.engine):
+		return computenode.ConnRefused
 	}
-	return computenode.Unreached
+	return computenode.Unreachable
 }
 
 // sleep waits, or until the context ends.
@@ -289,51 +315,60 @@
 	}
 }
 
-// note passes a note on.
-func (a *attempt) note(n computenode.Note) {
+// postProgress passes a note on.
+func (a *attempt) postProgress(n computenode.Progress) {
 	if n.Type != 0 {
-		a.s.loop.Post(cresspass.Event{Type: cresspass.Progress, Query: a.q.ID, Attempt: a.number,
-			Engine: a.engine, Note: n.Type, Value: n.Value})
+		a.service.loop.Post(
+			cresspass.Event{Type: cresspass.ProgressReported, Query: a.request.ID, Attempt: a.number,
+				Engine: a.engine, Note: n.Type, Value: n.Value},
+		)
 	}
 }
 
-// probe asks a compute node for its load, or whether it is there.
-func (s *service) probe(engine cresspass.EngineID, addr string) {
-	ev := cresspass.Event{Type: cresspass.ProbeDone, Engine: engine, Outcome: cresspass.TimedOut}
+// checkHealth asks a compute node for its load, or whether it is there.
+func (s *service) checkHealth(engine cresspass.EngineID, addr string) {
+	result := cresspass.Event{
+		Type:    cresspass.HealthCheckDone,
+		Engine:  engine,
+		Outcome: cresspass.OutcomeTimedOut,
+	}
 	path := "/ping"
 	if len(s.reportFields) > 0 {
 		path = "/load"
 	}
-	var c *nodeConn
+	var conn *nodeConn
 	var begun time.Time
 	var err error
 	for {
 		begun = time.Now()
 		// Danger: that there is no descriptor tells nothing of the compute node, which would be shunned.
-		c, err = s.pool.getPatiently(s.watch.life, want{engine: engine, addr: addr, spare: true, due: begun})
-		if !errors.Is(err, errNoSlot) || s.watch.life.Err() != nil {
+		conn, err = s.pool.getWithRetry(
+			s.watcher.ctx,
+			connRequest{engine: engine, addr: addr, urgent: true, dueAt: begun},
+		)
+		if !errors.Is(err, errNoDescriptor) || s.watcher.ctx.Err() != nil {
 			break
 		}
 	}
 	if err != nil {
-		ev.Outcome = cresspass.ConnectFailed
+		result.Outcome = cresspass.OutcomeConnectFailed
 	} else {
-		r, err := c.call(probeWait, "GET", path, nil)
+		response, err := conn.roundTrip(healthCheckTimeout, "GET", path, nil)
 		switch {
 		case err != nil:
-			ev.Outcome = cresspass.Reset
+			result.Outcome = cresspass.OutcomeConnectionReset
 			var timeout interface{ Timeout() bool }
 			if errors.As(err, &timeout) && timeout.Timeout() {
-				ev.Outcome = cresspass.TimedOut
+				result.Outcome = cresspass.OutcomeTimedOut
 			}
-		case r.Status == 200:
-			ev.Outcome = cresspass.OK
-			ev.Report, ev.HasReport = meter(r.Header["x-meter"], s.reportFields)
+		case response.Status == 200:
+			result.Outcome = cresspass.OutcomeOK
+			result.LoadReport, result.HasLoadReport = parseLoadReport(response.Header["x-meter"], s.reportFields)
 		default:
-			ev.Outcome = cresspass.Failed
+			result.Outcome = cresspass.OutcomeFailed
 		}
-		s.pool.put(c, err == nil && !r.Close)
+		s.pool.put(conn, err == nil && !response.Close)
 	}
-	ev.Took = time.Since(begun)
-	s.loop.Post(ev)
+	result.Elapsed = time.Since(begun)
+	s.loop.Post(result)
 }
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -29,21 +29,21 @@
 		MemoryMB float64 `json:"memory_mb"`
 		Sockets  int     `json:"sockets"` // descriptors of all kinds
 	} `json:"limits"`
-	Board string `json:"board"`
-	Known struct {
-		Rev     uint64       `json:"rev"`
-		Notices []sse.Notice `json:"notices"`
+	DiscoveryAddr string `json:"board"`
+	Known         struct {
+		Rev     uint64           `json:"rev"`
+		Notices []sse.WatchEvent `json:"notices"`
 	} `json:"known"`
 	Settings json.RawMessage `json:"settings"`
 
-	Module         cresspass.Config `json:"-"` // of Settings
-	ConnectTimeout time.Duration    `json:"-"`
-	ConnIdle       time.Duration    `json:"-"` // after which compute nodes close
+	Module          cresspass.Config `json:"-"` // of Settings
+	ConnectTimeout  time.Duration    `json:"-"`
+	ConnIdleTimeout time.Duration    `json:"-"` // after which compute nodes close
 }
 
 // Load reads a configuration from a file.
 func Load(path string) (*Config, error) {
-	data, err := readPatiently(path)
+	data, err := readFileWithRetry(path)
 	if err != nil {
 		return nil, fmt.Errorf("platform: %w", err)
 	}
@@ -56,17 +56,17 @@
 
 // How often a file is read again where the machine fails for a moment.
 const (
-	readAgain = 20 * time.Millisecond
-	readTries = 10
+	fileRetryDelay   = 20 * time.Millisecond
+	maxFileReadTries = 10
 )
 
-// readPatiently reads a file, and again where the machine has no descriptor or memory for it.
-func readPatiently(path string) (data []byte, err error) {
-	for range readTries {
-		if data, err = os.ReadFile(path); err == nil || !oserr.OwnMachine(err) {
+// readFileWithRetry reads a file, and again where the machine has no descriptor or memory for it.
+func readFileWithRetry(path string) (data []byte, err error) {
+	for range maxFileReadTries {
+		if data, err = os.ReadFile(path); err == nil || !oserr.IsLocal(err) {
 			break
 		}
-		time.Sleep(readAgain)
+		time.Sleep(fileRetryDelay)
 	}
 	return data, err
 }
@@ -77,14 +77,14 @@
 	if err := json.Unmarshal(data, c); err != nil {
 		return nil, err
 	}
-	if c.Listen == "" || c.Board == "" {
-		return nil, fmt.Errorf("listen is %q and board is %q; both are needed", c.Listen, c.Board)
+	if c.Listen == "" || c.DiscoveryAddr == "" {
+		return nil, fmt.Errorf("listen is %q and board is %q; both are needed", c.Listen, c.DiscoveryAddr)
 	}
 	seed, err := strconv.ParseUint(c.Seed, 16, 64)
 	if err != nil {
 		return nil, fmt.Errorf("seed %q: want hex digits", c.Seed)
 	}
-	settings, err := flatten(c.Settings)
+	settings, err := flattenSettings(c.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -101,13 +101,13 @@
 		return otherwise
 	}
 	c.ConnectTimeout = micros("limits.connect-timeout-us", 250*time.Millisecond)
-	c.ConnIdle = micros("limits.conn-idle-us", 10*time.Second)
+	c.ConnIdleTimeout = micros("limits.conn-idle-us", 10*time.Second)
 	return c, nil
 }
 
-// flatten turns nested settings into the simulator's pairs: paths with dots, lists of plain values set
-// apart by commas, lists of objects with their length under count.
-func flatten(data []byte) ([]wire.Setting, error) {
+// flattenSettings turns nested settings into the simulator's pairs: paths with dots, lists of plain values
+// set apart by commas, lists of objects with their length under count.
+func flattenSettings(data []byte) ([]wire.Setting, error) {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.UseNumber()
 	var tree map[string]any
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -42,24 +42,35 @@
 
 // TestGoldenConfig: a configuration as the platform writes it keeps its keys and what they mean.
 func TestGoldenConfig(t *testing.T) {
-	r := &rig{t: t, board: &notices{}, sockets: 256}
-	r.board.add(true, "s-1", "127.0.0.1:1", "up")
+	r := &harness{t: t, discovery: &fakeDiscovery{}, sockets: 256}
+	r.discovery.add(true, "s-1", "127.0.0.1:1", "up")
 	compareGolden(t, "config.json", r.config("127.0.0.1:2"))
 	cfg, err := Load(filepath.Join("testdata", "config.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := fmt.Sprintln(cfg.Name, cfg.Listen, cfg.Seed, cfg.Limits.Cores, cfg.Limits.MemoryMB,
-		cfg.Limits.Sockets, cfg.Board, cfg.Known.Rev, cfg.ConnectTimeout, cfg.ConnIdle, cfg.Module.Seed,
-		cfg.Module.ReportFields)
+	got := fmt.Sprintln(
+		cfg.Name,
+		cfg.Listen,
+		cfg.Seed,
+		cfg.Limits.Cores,
+		cfg.Limits.MemoryMB,
+		cfg.Limits.Sockets,
+		cfg.DiscoveryAddr,
+		cfg.Known.Rev,
+		cfg.ConnectTimeout,
+		cfg.ConnIdleTimeout,
+		cfg.Module.Seed,
+		cfg.Module.LoadReportFields,
+	)
 	want := fmt.Sprintln("n0", "127.0.0.1:0", "8c1f30d27a5be964", 1, 64, 256, "127.0.0.1:2", 1,
 		250*time.Millisecond, 15*time.Second, uint64(0x8c1f30d27a5be964)>>1, []string{"load_share", "depth"})
 	if got != want {
 		t.Errorf("got  %swant %s", got, want)
 	}
-	if n := cfg.Known.Notices; len(n) != 1 || n[0].Rev != 1 || n[0].Pool == nil || !n[0].Pool.Full ||
-		len(n[0].Pool.Servers) != 1 || n[0].Pool.Servers[0].ID != "s-1" ||
-		n[0].Pool.Servers[0].Addr != "127.0.0.1:1" || n[0].Pool.Servers[0].State != "up" {
+	if n := cfg.Known.Notices; len(n) != 1 || n[0].Revision != 1 || n[0].List == nil || !n[0].List.Full ||
+		len(n[0].List.Endpoints) != 1 || n[0].List.Endpoints[0].ID != "s-1" ||
+		n[0].List.Endpoints[0].Addr != "127.0.0.1:1" || n[0].List.Endpoints[0].State != "up" {
 		t.Errorf("known: %+v", n)
 	}
 	var classes []string
@@ -157,60 +168,60 @@
 
 // TestGoldenRequests: what compute nodes and the notice board are sent keeps its bytes.
 func TestGoldenRequests(t *testing.T) {
-	r := &rig{t: t, node: newNode(t), board: newNotices(t), sockets: 256,
+	r := &harness{t: t, node: newFakeNode(t), discovery: newFakeDiscovery(t), sockets: 256,
 		path: filepath.Join(t.TempDir(), "config.json")}
 	r.node.pages = 2
-	toNode, nodeAddr := newRecorder(t, address(r.node.Server))
-	toBoard, boardAddr := newRecorder(t, address(r.board.Server))
-	r.board.add(true, "s-1", nodeAddr, "up")
+	toNode, nodeAddr := newRecorder(t, serverAddr(r.node.Server))
+	toBoard, boardAddr := newRecorder(t, serverAddr(r.discovery.Server))
+	r.discovery.add(true, "s-1", nodeAddr, "up")
 	if err := os.WriteFile(r.path, r.config(boardAddr), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	r.serve()
+	r.startService()
 	a := r.dial()
-	a.served(1, 2)
-	a.ask(fields(ticket(2), "load", "8000", "unique", strings.Repeat("ab", 16)))
-	if h := a.hear(); h.kind != "answer" {
+	a.mustServe(1, 2)
+	a.send(requestFields(ticket(2), "load", "8000", "unique", strings.Repeat("ab", 16)))
+	if h := a.receive(); h.kind != "answer" {
 		t.Fatalf("keyed: %+v", h)
 	}
-	r.node.withhold(0, ticket(3))
-	seq := a.ask(fields(ticket(3), "quick", "60000"))
-	within(t, "it is asked about", func() bool { return r.node.count("GET 0 "+ticket(3)) > 0 })
-	a.net.Write(thrift.AppendCancel(nil, 99, seq))
-	within(t, "it is given up", func() bool { return r.node.count("DELETE "+ticket(3)) == 1 })
-	r.probe("s-1", nodeAddr)
+	r.node.keepRunning(0, ticket(3))
+	seq := a.send(requestFields(ticket(3), "quick", "60000"))
+	eventually(t, "it is asked about", func() bool { return r.node.callCount("GET 0 "+ticket(3)) > 0 })
+	a.conn.Write(thrift.AppendCancel(nil, 99, seq))
+	eventually(t, "it is given up", func() bool { return r.node.callCount("DELETE "+ticket(3)) == 1 })
+	r.checkHealth("s-1", nodeAddr)
 	compareGolden(t, "node_requests.txt", []byte(strings.Join(toNode.requests(), "\n----\n")))
-	within(t, "the board is asked", func() bool { return len(toBoard.requests()) > 0 })
+	eventually(t, "the board is asked", func() bool { return len(toBoard.requests()) > 0 })
 	compareGolden(t, "discovery_request.txt", []byte(strings.Join(toBoard.requests(), "\n----\n")))
 }
 
 // TestGoldenReplies: what clients are answered keeps its bytes.
 func TestGoldenReplies(t *testing.T) {
-	r := newRig(t, 256)
+	r := newHarness(t, 256)
 	r.node.pages = 2
 	a := r.dial()
 	var got bytes.Buffer
 	reply := func(name string) {
 		t.Helper()
 		var head [4]byte
-		if _, err := io.ReadFull(a.in, head[:]); err != nil {
+		if _, err := io.ReadFull(a.reader, head[:]); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 		frame := make([]byte, int(head[2])<<8|int(head[3]))
-		if _, err := io.ReadFull(a.in, frame); err != nil {
+		if _, err := io.ReadFull(a.reader, frame); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 		fmt.Fprintf(&got, "%s\n%s", name, hex.Dump(append(head[:], frame...)))
 	}
-	a.net.Write(thrift.AppendAlive(nil, 100))
+	a.conn.Write(thrift.AppendAlive(nil, 100))
 	reply("alive")
-	a.ask(fields(ticket(1), "quick", "2000"))
+	a.send(requestFields(ticket(1), "quick", "2000"))
 	reply("answer of two pages")
-	a.ask(fields(ticket(2), "quick", "1"))
+	a.send(requestFields(ticket(2), "quick", "1"))
 	reply("shed, with a time to come back")
-	a.ask(fields(ticket(3), "quack", "2000"))
+	a.send(requestFields(ticket(3), "quack", "2000"))
 	reply("fault of the request")
-	a.net.Write([]byte{0, 0, 0, 17, 0x80, 1, 0, 1, 0, 0, 0, 4, 'n', 'o', 'n', 'e', 0, 0, 0, 9, 0})
+	a.conn.Write([]byte{0, 0, 0, 17, 0x80, 1, 0, 1, 0, 0, 0, 4, 'n', 'o', 'n', 'e', 0, 0, 0, 9, 0})
 	reply("no such method")
 	compareGolden(t, "client_replies.txt", got.Bytes())
 }
--- a/internal/platform/rig_test.go
+++ b/internal/platform/harness_test.go
@@ -21,20 +21,20 @@
 	"cresspass/internal/protocol/thrift"
 )
 
-// node stands in for a compute node.
-type node struct {
+// fakeNode stands in for a compute node.
+type fakeNode struct {
 	*httptest.Server
 	mu      sync.Mutex
 	calls   []string // "POST", "GET 0", ..., "DELETE", with the ticket behind
 	headers http.Header
-	answer  func(w http.ResponseWriter, r *http.Request, call, ticket string) bool // false: the usual answer
+	handler func(w http.ResponseWriter, r *http.Request, call, ticket string) bool // false: the usual answer
 	pages   int
 
 	known map[string]bool // tickets of queries that came
 }
 
-func newNode(t *testing.T) *node {
-	n := &node{pages: 1, known: map[string]bool{}}
+func newFakeNode(t *testing.T) *fakeNode {
+	n := &fakeNode{pages: 1, known: map[string]bool{}}
 	n.Server = httptest.NewServer(n)
 	t.Cleanup(n.Close)
 	return n
@@ -42,7 +42,7 @@
 
 func row(ticket string, page int) string { return fmt.Sprintf("%s\t%d\t;'\"\n", ticket, page) }
 
-func (n *node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (n *fakeNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	io.ReadAll(r.Body)
 	parts := strings.Split(strings.Trim(r.URL.Path, "/"), "/")
 	call, ticket, page := r.Method, r.Header.Get("X-Ticket"), 0
@@ -58,7 +58,7 @@
 	if r.Method == "POST" {
 		n.headers, n.known[ticket] = r.Header, true
 	}
-	answer, pages, known := n.answer, n.pages, n.known[ticket]
+	answer, pages, known := n.handler, n.pages, n.known[ticket]
 	n.mu.Unlock()
 	if r.Method == "GET" && len(parts) > 1 && !known { // nothing is made up for a query that never came
 		w.WriteHeader(500)
@@ -79,23 +79,23 @@
 	io.WriteString(w, row(ticket, page))
 }
 
-func (n *node) set(f func(w http.ResponseWriter, r *http.Request, call, ticket string) bool) {
+func (n *fakeNode) setHandler(f func(w http.ResponseWriter, r *http.Request, call, ticket string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.answer = f
+	n.handler = f
 }
 
 // forget has a query not have come.
-func (n *node) forget(ticket string) {
+func (n *fakeNode) forget(ticket string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.known, ticket)
 }
 
-// withhold has queries of some tickets run on for ever: each question is answered without news, after a
+// keepRunning has queries of some tickets run on for ever: each question is answered without news, after a
 // pause.
-func (n *node) withhold(pause time.Duration, tickets ...string) {
-	n.set(func(w http.ResponseWriter, _ *http.Request, call, ticket string) bool {
+func (n *fakeNode) keepRunning(pause time.Duration, tickets ...string) {
+	n.setHandler(func(w http.ResponseWriter, _ *http.Request, call, ticket string) bool {
 		if call == "DELETE" || !slices.Contains(tickets, ticket) {
 			return false
 		}
@@ -105,8 +105,8 @@
 	})
 }
 
-// count tells how many calls began with some words.
-func (n *node) count(words string) (sum int) {
+// callCount tells how many calls began with some words.
+func (n *fakeNode) callCount(words string) (sum int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, c := range n.calls {
@@ -117,58 +117,58 @@
 	return sum
 }
 
-func reset(w http.ResponseWriter) {
+func resetConn(w http.ResponseWriter) {
 	c, _, _ := w.(http.Hijacker).Hijack()
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
-func raw(w http.ResponseWriter, text string) {
+func writeRaw(w http.ResponseWriter, text string) {
 	c, b, _ := w.(http.Hijacker).Hijack()
 	b.WriteString(text)
 	b.Flush()
 	time.AfterFunc(100*time.Millisecond, func() { c.Close() })
 }
 
-// notices stands in for a notice board: it tells what was added, from the number asked for.
-type notices struct {
+// fakeDiscovery stands in for a notice board: it tells what was added, from the number asked for.
+type fakeDiscovery struct {
 	*httptest.Server
-	mu    sync.Mutex
-	list  []string
-	froms []string
-	cut   int  // breaks off in the middle of the next event, so many times
-	mute  bool // keeps open and says nothing
+	mu           sync.Mutex
+	events       []string
+	lastEventIDs []string
+	truncate     int  // breaks off in the middle of the next event, so many times
+	silent       bool // keeps open and says nothing
 }
 
-func newNotices(t *testing.T) *notices {
-	b := &notices{}
+func newFakeDiscovery(t *testing.T) *fakeDiscovery {
+	b := &fakeDiscovery{}
 	b.Server = httptest.NewServer(b)
 	t.Cleanup(func() { b.CloseClientConnections(); b.Close() })
 	return b
 }
 
-func (b *notices) add(full bool, id, addr, state string) {
+func (b *fakeDiscovery) add(full bool, id, addr, state string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.list = append(b.list, fmt.Sprintf(`{"rev":%d,"pool":{"version":1,"full":%v,"servers":[{"id":%q,`+
+	b.events = append(b.events, fmt.Sprintf(`{"rev":%d,"pool":{"version":1,"full":%v,"servers":[{"id":%q,`+
 		`"addr":%q,"zone":"z","kind":"k","cell":0,"state":%q,"weight":1,"started_ms":0}]}}`,
-		len(b.list)+1, full, id, addr, state))
+		len(b.events)+1, full, id, addr, state))
 }
 
-func (b *notices) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (b *fakeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	from := 0
 	fmt.Sscan(r.Header.Get("Last-Event-ID"), &from)
 	b.mu.Lock()
-	b.froms = append(b.froms, r.Header.Get("Last-Event-ID"))
+	b.lastEventIDs = append(b.lastEventIDs, r.Header.Get("Last-Event-ID"))
 	b.mu.Unlock()
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(200)
 	w.(http.Flusher).Flush()
 	for i := 0; r.Context().Err() == nil; i++ {
 		b.mu.Lock()
-		list, mute, cut := b.list, b.mute, b.cut
+		list, mute, cut := b.events, b.silent, b.truncate
 		if from < len(list) && cut > 0 {
-			b.cut--
+			b.truncate--
 		}
 		b.mu.Unlock()
 		for ; from < len(list) && !mute; from++ {
@@ -187,25 +187,25 @@
 	}
 }
 
-func (b *notices) asked() []string {
+func (b *fakeDiscovery) polledFrom() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]string(nil), b.froms...)
+	return append([]string(nil), b.lastEventIDs...)
 }
 
-// rig is a dispatcher with its stand-ins.
-type rig struct {
+// harness is a dispatcher with its stand-ins.
+type harness struct {
 	*service
-	t       *testing.T
-	node    *node
-	board   *notices
-	path    string
-	sockets int
+	t         *testing.T
+	node      *fakeNode
+	discovery *fakeDiscovery
+	path      string
+	sockets   int
 }
 
-func address(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
+func serverAddr(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
 
-func (r *rig) config(board string) []byte {
+func (r *harness) config(board string) []byte {
 	settings := `{"classes":[{"name":"quick","aim-us":400000,"deadline-us":2000000,"importance":1.0,` +
 		`"semantics":"safe","window-us":0},{"name":"load","aim-us":400000,"deadline-us":8000000,` +
 		`"importance":5.0,"semantics":"keyed","key-scope":"all","window-us":9000000},{"name":"turn",` +
@@ -220,7 +220,7 @@
 		`"max-retry-after-us":2000000,"connect-timeout-us":250000,"conn-idle-us":15000000},` +
 		`"rules":{"grace-to-answer-us":5000,"stop-sending-within-us":2000000},"peers-total":1,"ordinal":0,` +
 		`"tick-us":1000,"tenants":[],"zone":"z","membership-mode":"push"}`
-	known := fmt.Sprintf(`{"rev":1,"notices":[%s]}`, r.board.list[0])
+	known := fmt.Sprintf(`{"rev":1,"notices":[%s]}`, r.discovery.events[0])
 	data, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0",
 		"seed":   "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": r.sockets},
@@ -232,19 +232,19 @@
 	return data
 }
 
-func newRig(t *testing.T, sockets int) *rig {
-	r := &rig{t: t, node: newNode(t), board: newNotices(t), sockets: sockets}
-	r.board.add(true, "s-1", address(r.node.Server), "up")
+func newHarness(t *testing.T, sockets int) *harness {
+	r := &harness{t: t, node: newFakeNode(t), discovery: newFakeDiscovery(t), sockets: sockets}
+	r.discovery.add(true, "s-1", serverAddr(r.node.Server), "up")
 	r.path = filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(r.path, r.config(address(r.board.Server)), 0o600); err != nil {
+	if err := os.WriteFile(r.path, r.config(serverAddr(r.discovery.Server)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	r.serve()
+	r.startService()
 	return r
 }
 
-// serve starts the dispatcher by the rig's configuration.
-func (r *rig) serve() {
+// startService starts the dispatcher by the rig's configuration.
+func (r *harness) startService() {
 	r.t.Helper()
 	cfg, err := Load(r.path)
 	if err != nil {
@@ -254,30 +254,32 @@
 	if r.service, err = start(cfg, r.path, log); err != nil {
 		r.t.Fatal(err)
 	}
-	r.t.Cleanup(r.stop)
+	r.t.Cleanup(r.close)
 }
 
-// asker is a client's connection.
-type asker struct {
-	t    *testing.T
-	net  net.Conn
-	in   *bufio.Reader
-	next int32
+// testClient is a client's connection.
+type testClient struct {
+	t       *testing.T
+	conn    net.Conn
+	reader  *bufio.Reader
+	lastSeq int32
 }
 
-func (r *rig) dial() *asker {
-	c, err := net.Dial("tcp", r.front.ln.Addr().String())
+func (r *harness) dial() *testClient {
+	c, err := net.Dial("tcp", r.frontend.listener.Addr().String())
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(20 * time.Second))
-	return newAsker(r.t, c)
+	return newTestClient(r.t, c)
 }
 
-func newAsker(t *testing.T, c net.Conn) *asker { return &asker{t: t, net: c, in: bufio.NewReader(c)} }
+func newTestClient(t *testing.T, c net.Conn) *testClient {
+	return &testClient{t: t, conn: c, reader: bufio.NewReader(c)}
+}
 
-func fields(ticket, class, limit string, more ...string) [][2]string {
+func requestFields(ticket, class, limit string, more ...string) [][2]string {
 	f := [][2]string{{"txn", ticket}, {"verb", class}, {"limit", limit}, {"cpu", "300.0"}, {"heap_mb", "64"}}
 	for i := 0; i+1 < len(more); i += 2 {
 		f = append(f, [2]string{more[i], more[i+1]})
@@ -287,50 +289,50 @@
 
 func ticket(n int) string { return fmt.Sprintf("%016x", n) }
 
-// ask sends a request and returns its number.
-func (a *asker) ask(f [][2]string) int32 {
-	a.next++
-	b := thrift.AppendDispatch(nil, a.next, f, []byte("SELECT 1 FROM sales_3.t"))
-	if _, err := a.net.Write(b); err != nil {
+// send sends a request and returns its number.
+func (a *testClient) send(f [][2]string) int32 {
+	a.lastSeq++
+	b := thrift.AppendDispatch(nil, a.lastSeq, f, []byte("SELECT 1 FROM sales_3.t"))
+	if _, err := a.conn.Write(b); err != nil {
 		a.t.Fatal(err)
 	}
-	return a.next
+	return a.lastSeq
 }
 
-// heard is an answer as a client reads it: "answer", "shed", "fault", "exception", or an error.
-type heard struct {
+// reply is an answer as a client reads it: "answer", "shed", "fault", "exception", or an error.
+type reply struct {
 	kind string
 	seq  int32
 	text string
 }
 
-func (a *asker) hear() heard {
+func (a *testClient) receive() reply {
 	var head [4]byte
-	if _, err := io.ReadFull(a.in, head[:]); err != nil {
-		return heard{kind: "closed"}
+	if _, err := io.ReadFull(a.reader, head[:]); err != nil {
+		return reply{kind: "closed"}
 	}
 	b := make([]byte, binary.BigEndian.Uint32(head[:]))
-	if _, err := io.ReadFull(a.in, b); err != nil {
-		return heard{kind: "cut"}
+	if _, err := io.ReadFull(a.reader, b); err != nil {
+		return reply{kind: "cut"}
 	}
 	h, err := thrift.ParseRequest(b)
 	if err != nil {
 		a.t.Fatal(err)
 	}
 	at := 4 + 4 + len(h.Name) + 4
-	out := heard{kind: "exception", seq: h.Seq, text: string(b[at:])}
+	out := reply{kind: "exception", seq: h.Seq, text: string(b[at:])}
 	if h.Type == thrift.Reply {
 		out.kind = map[byte]string{0: "answer", 1: "shed", 2: "fault"}[b[at+2]]
 	}
 	return out
 }
 
-// served asks once and wants its own result of some pages.
-func (a *asker) served(n, pages int) {
+// mustServe asks once and wants its own result of some pages.
+func (a *testClient) mustServe(n, pages int) {
 	a.t.Helper()
 	id := ticket(n)
-	seq := a.ask(fields(id, "quick", "2000"))
-	h := a.hear()
+	seq := a.send(requestFields(id, "quick", "2000"))
+	h := a.receive()
 	if h.kind != "answer" || h.seq != seq {
 		a.t.Fatalf("request %d: %s for %d: %q", n, h.kind, h.seq, h.text)
 	}
@@ -341,8 +343,8 @@
 	}
 }
 
-// within waits for something to become true.
-func within(t *testing.T, what string, ok func() bool) {
+// eventually waits for something to become true.
+func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for range 1000 {
 		if ok() {
--- a/internal/platform/meter.go
+++ b/internal/platform/loadreport.go
@@ -6,12 +6,13 @@
 	"strings"
 )
 
-// meterNames are the names of a load report's values on the sockets, with those that the settings have.
-var meterNames = map[string]string{"inflight": "concurrent", "queue": "depth", "util": "load_share",
+// loadReportAliases are the names of a load report's values on the sockets, with those that the settings
+// have.
+var loadReportAliases = map[string]string{"inflight": "concurrent", "queue": "depth", "util": "load_share",
 	"latency_ms": "mean_ms", "qps": "tps", "eps": "err_ps"}
 
-// meter reads a load report (name:value, set apart by semicolons) into the settings' order.
-func meter(text string, fields []string) ([]float64, bool) {
+// parseLoadReport reads a load report (name:value, set apart by semicolons) into the settings' order.
+func parseLoadReport(text string, fields []string) ([]float64, bool) {
 	if text == "" || len(fields) == 0 {
 		return nil, false
 	}
@@ -25,7 +26,7 @@
 			return nil, false
 		}
 		for i, f := range fields {
-			if f == name || f == meterNames[name] {
+			if f == name || f == loadReportAliases[name] {
 				values[i] = v
 				found++
 			}
--- a/internal/platform/process_test.go
+++ b/internal/platform/process_test.go
@@ -28,29 +28,29 @@
 	return program
 }
 
-// process is the real program among a rig's stand-ins, started as the platform does.
-type process struct {
-	rig   *rig
-	at    string // where it listens
-	cmd   *exec.Cmd
-	log   bytes.Buffer
-	ended chan error
+// testProcess is the real program among a rig's stand-ins, started as the platform does.
+type testProcess struct {
+	harness *harness
+	addr    string // where it listens
+	cmd     *exec.Cmd
+	log     bytes.Buffer
+	ended   chan error
 }
 
 // startProgram starts the program once the rig was prepared, and waits until it listens.
-func startProgram(t *testing.T, prepare func(r *rig)) *process {
+func startProgram(t *testing.T, prepare func(r *harness)) *testProcess {
 	t.Helper()
 	program := buildProgram(t)
-	r := &rig{t: t, node: newNode(t), board: newNotices(t), sockets: 256,
+	r := &harness{t: t, node: newFakeNode(t), discovery: newFakeDiscovery(t), sockets: 256,
 		path: filepath.Join(t.TempDir(), "c.json")}
-	r.board.add(true, "s-1", address(r.node.Server), "up")
+	r.discovery.add(true, "s-1", serverAddr(r.node.Server), "up")
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &process{rig: r, at: free.Addr().String(), ended: make(chan error, 1)}
+	p := &testProcess{harness: r, addr: free.Addr().String(), ended: make(chan error, 1)}
 	free.Close()
-	p.config(r.board)
+	p.writeConfig(r.discovery)
 	prepare(r)
 	p.cmd = exec.Command(program, "node")
 	p.cmd.Stdout, p.cmd.Stderr = &p.log, &p.log
@@ -60,8 +60,8 @@
 	}
 	t.Cleanup(func() { p.cmd.Process.Kill() })
 	go func() { p.ended <- p.cmd.Wait() }()
-	within(t, "the dispatcher listens", func() bool {
-		conn, err := net.Dial("tcp", p.at)
+	eventually(t, "the dispatcher listens", func() bool {
+		conn, err := net.Dial("tcp", p.addr)
 		if err == nil {
 			conn.Close()
 		}
@@ -70,23 +70,23 @@
 	return p
 }
 
-// config writes the configuration, with a notice board.
-func (p *process) config(b *notices) {
-	data := bytes.Replace(p.rig.config(address(b.Server)), []byte("127.0.0.1:0"), []byte(p.at), 1)
-	if err := os.WriteFile(p.rig.path, data, 0o600); err != nil {
-		p.rig.t.Fatal(err)
+// writeConfig writes the configuration, with a notice board.
+func (p *testProcess) writeConfig(b *fakeDiscovery) {
+	data := bytes.Replace(p.harness.config(serverAddr(b.Server)), []byte("127.0.0.1:0"), []byte(p.addr), 1)
+	if err := os.WriteFile(p.harness.path, data, 0o600); err != nil {
+		p.harness.t.Fatal(err)
 	}
 }
 
 // dial connects to it as a client does.
-func (p *process) dial() *asker {
-	conn, err := net.Dial("tcp", p.at)
+func (p *testProcess) dial() *testClient {
+	conn, err := net.Dial("tcp", p.addr)
 	if err != nil {
-		p.rig.t.Fatal(err)
+		p.harness.t.Fatal(err)
 	}
-	p.rig.t.Cleanup(func() { conn.Close() })
+	p.harness.t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(20 * time.Second))
-	return newAsker(p.rig.t, conn)
+	return newTestClient(p.harness.t, conn)
 }
 
 // TestProcess starts the real program as the platform does, and counts final answers: served over several
@@ -102,68 +102,68 @@
 			t.Errorf("a bad start: %v, %q", err, out)
 		}
 	}
-	p := startProgram(t, func(r *rig) {
+	p := startProgram(t, func(r *harness) {
 		r.node.pages = 3
-		r.node.withhold(50*time.Millisecond, ticket(3))
+		r.node.keepRunning(50*time.Millisecond, ticket(3))
 	})
-	r, c, log, ended, dial, config := p.rig, p.cmd, &p.log, p.ended, p.dial, p.config
+	r, c, log, ended, dial, config := p.harness, p.cmd, &p.log, p.ended, p.dial, p.writeConfig
 	a := dial()
-	a.net.Write(thrift.AppendAlive(nil, 99))
-	if h := a.hear(); h.kind != "answer" {
+	a.conn.Write(thrift.AppendAlive(nil, 99))
+	if h := a.receive(); h.kind != "answer" {
 		t.Fatalf("alive: %+v\n%s", h, log.String())
 	}
-	a.served(1, 3)
-	a.ask(fields(ticket(2), "quick", "1")) // no time is left for it
-	if h := a.hear(); h.kind != "shed" || !strings.Contains(h.text, "later") {
+	a.mustServe(1, 3)
+	a.send(requestFields(ticket(2), "quick", "1")) // no time is left for it
+	if h := a.receive(); h.kind != "shed" || !strings.Contains(h.text, "later") {
 		t.Errorf("no time left: %+v", h)
 	}
-	a.ask(fields(ticket(4), "quack", "1000"))
-	if h := a.hear(); h.kind != "fault" {
+	a.send(requestFields(ticket(4), "quack", "1000"))
+	if h := a.receive(); h.kind != "fault" {
 		t.Errorf("unknown class: %+v", h)
 	}
-	seq := a.ask(fields(ticket(3), "quick", "60000"))
-	within(t, "the query is sent", func() bool { return r.node.count("POST "+ticket(3)) == 1 })
-	a.net.Write(thrift.AppendCancel(nil, 98, seq))
-	within(t, "it is given up", func() bool { return r.node.count("DELETE "+ticket(3)) > 0 })
-	a.served(5, 3) // the next thing heard is no answer to what was cancelled
+	seq := a.send(requestFields(ticket(3), "quick", "60000"))
+	eventually(t, "the query is sent", func() bool { return r.node.callCount("POST "+ticket(3)) == 1 })
+	a.conn.Write(thrift.AppendCancel(nil, 98, seq))
+	eventually(t, "it is given up", func() bool { return r.node.callCount("DELETE "+ticket(3)) > 0 })
+	a.mustServe(5, 3) // the next thing heard is no answer to what was cancelled
 
-	moved, second := newNotices(t), newNode(t)
-	moved.list = append([]string(nil), r.board.list...)
-	moved.add(false, "s-1", address(r.node.Server), "draining")
-	moved.add(false, "s-2", address(second.Server), "up")
+	moved, second := newFakeDiscovery(t), newFakeNode(t)
+	moved.events = append([]string(nil), r.discovery.events...)
+	moved.add(false, "s-1", serverAddr(r.node.Server), "draining")
+	moved.add(false, "s-2", serverAddr(second.Server), "up")
 	config(moved)
 	c.Process.Signal(syscall.SIGHUP)
-	within(t, "queries go by the new board", func() bool {
-		n := second.count("POST")
-		a.served(1000+int(time.Now().UnixNano()%1e9), 1)
-		return second.count("POST") > n
+	eventually(t, "queries go by the new board", func() bool {
+		n := second.callCount("POST")
+		a.mustServe(1000+int(time.Now().UnixNano()%1e9), 1)
+		return second.callCount("POST") > n
 	})
-	second.withhold(50*time.Millisecond, ticket(7))
-	a.ask(fields(ticket(7), "quick", "60000"))
-	within(t, "a query is open", func() bool { return second.count("POST "+ticket(7)) == 1 })
+	second.keepRunning(50*time.Millisecond, ticket(7))
+	a.send(requestFields(ticket(7), "quick", "60000"))
+	eventually(t, "a query is open", func() bool { return second.callCount("POST "+ticket(7)) == 1 })
 	begun := time.Now()
 	c.Process.Signal(syscall.SIGTERM)
-	dial().served(8, 1)
-	if h := a.hear(); h.kind != "shed" {
+	dial().mustServe(8, 1)
+	if h := a.receive(); h.kind != "shed" {
 		t.Errorf("open at the end: %+v", h)
 	}
-	if err := <-ended; err != nil || time.Since(begun) > waitMost+endSlack+time.Second {
+	if err := <-ended; err != nil || time.Since(begun) > maxShutdownWait+exitMargin+time.Second {
 		t.Errorf("ended %v after %v\n%s", err, time.Since(begun), log.String())
 	}
-	if h := a.hear(); h.kind != "closed" {
+	if h := a.receive(); h.kind != "closed" {
 		t.Errorf("one answer too many: %s", fmt.Sprint(h))
 	}
 }
 
-// TestTermAtAnyMomentOfTheStart: a SIGTERM that comes while the process starts ends it, whenever it comes: by
+// TestSigtermDuringStartup: a SIGTERM that comes while the process starts ends it, whenever it comes: by
 // the signal itself, or in good order.
-func TestTermAtAnyMomentOfTheStart(t *testing.T) {
+func TestSigtermDuringStartup(t *testing.T) {
 	const tries, step, at, endsBy = 3, time.Millisecond, 40, 5 * time.Second
 	program := buildProgram(t)
-	r := &rig{t: t, node: newNode(t), board: newNotices(t), sockets: 256,
+	r := &harness{t: t, node: newFakeNode(t), discovery: newFakeDiscovery(t), sockets: 256,
 		path: filepath.Join(t.TempDir(), "c.json")}
-	r.board.add(true, "s-1", address(r.node.Server), "up")
-	if err := os.WriteFile(r.path, r.config(address(r.board.Server)), 0o600); err != nil {
+	r.discovery.add(true, "s-1", serverAddr(r.node.Server), "up")
+	if err := os.WriteFile(r.path, r.config(serverAddr(r.discovery.Server)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var lost atomic.Int32
--- a/internal/platform/service.go
+++ b/internal/platform/service.go
@@ -28,41 +28,41 @@
 )
 
 const (
-	heapShare    = 0.55                   // of the memory limit, from which the collector works harder
-	newAfterTerm = 650 * time.Millisecond // in which connections and requests still come after SIGTERM
-	waitMost     = 3 * time.Second        // of the longest deadline that the platform waits after SIGTERM
-	answersBy    = 400 * time.Millisecond // after that, all queries must have their answers...
-	lastWords    = 500 * time.Millisecond // ...those that have none, against all expectation, get one...
-	endSlack     = 600 * time.Millisecond // ...and the dispatcher ends; it would be killed at 700 ms
-	lookEvery    = 10 * time.Second       // of the figures in the log
-	sweepEvery   = 500 * time.Millisecond
-	reloadAgain  = 200 * time.Millisecond // before a configuration that can't be read is read again...
-	reloadTries  = 10                     // ...so often: it may be half written...
-	reloadSlow   = time.Second            // ...and from then on
-	eventsKept   = 1024                   // in memory, for the story of a request
+	softMemoryFraction = 0.55                   // of the memory limit, from which the collector works harder
+	acceptAfterTerm    = 650 * time.Millisecond // in which connections and requests still come after SIGTERM
+	maxShutdownWait    = 3 * time.Second        // of the longest deadline that the platform waits after SIGTERM
+	answerMargin       = 400 * time.Millisecond // after that, all queries must have their answers...
+	lastAnswerMargin   = 500 * time.Millisecond // ...those that have none, against all expectation, get one...
+	exitMargin         = 600 * time.Millisecond // ...and the dispatcher ends; it would be killed at 700 ms
+	statsInterval      = 10 * time.Second       // of the figures in the log
+	sweepInterval      = 500 * time.Millisecond
+	reloadRetryDelay   = 200 * time.Millisecond // before a configuration that can't be read is read again...
+	fastReloadTries    = 10                     // ...so often: it may be half written...
+	slowReloadDelay    = time.Second            // ...and from then on
+	eventLogSize       = 1024                   // in memory, for the story of a request
 )
 
 // service is a running dispatcher on the platform.
 type service struct {
 	cfg          *Config
-	path         string
+	configPath   string
 	log          *slog.Logger
 	system       *system
 	events       *eventlog.Log
 	clock        dispatch.Clock
 	loop         *dispatch.Loop
 	reportFields []string
-	pool         *pool
-	front        *front
-	watch        *watcher
-	acts         *acts
-	stalls       *stalls
+	pool         *nodePool
+	frontend     *frontend
+	watcher      *watcher
+	guard        *requestGuard
+	stalls       *stallMonitor
 
 	mu       sync.Mutex
 	attempts map[attemptKey]*attempt
 	outcomes map[cresspass.Outcome]uint64 // of attempts
 
-	spoilt, broken, unread, shut atomic.Uint64
+	malformedResponses, brokenCalls, malformedMessages, evictedClients atomic.Uint64
 }
 
 type attemptKey struct {
@@ -79,7 +79,7 @@
 		return err
 	}
 	if cfg.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB * heapShare * (1 << 20)))
+		debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB * softMemoryFraction * (1 << 20)))
 	}
 	if cfg.Limits.Cores > 0 {
 		runtime.GOMAXPROCS(int(math.Ceil(cfg.Limits.Cores)))
@@ -88,52 +88,77 @@
 	if err != nil {
 		return err
 	}
-	return s.live(all)
+	return s.run(all)
 }
 
 // start brings a dispatcher up. It serves from then on.
 func start(cfg *Config, path string, log *slog.Logger) (*service, error) {
-	s := &service{cfg: cfg, path: path, log: log, system: newSystem(), clock: dispatch.Monotonic(),
-		reportFields: cfg.Module.ReportFields, attempts: map[attemptKey]*attempt{},
-		outcomes: map[cresspass.Outcome]uint64{}}
-	s.stalls = newStalls(s.clock)
-	s.events = eventlog.New(eventsKept, log)
-	s.acts = newActs(&cfg.Module, invariant.NewCounter(log), s.events)
+	s := &service{
+		cfg:          cfg,
+		configPath:   path,
+		log:          log,
+		system:       newSystem(),
+		clock:        dispatch.NewMonotonicClock(),
+		reportFields: cfg.Module.LoadReportFields,
+		attempts:     map[attemptKey]*attempt{},
+		outcomes:     map[cresspass.Outcome]uint64{},
+	}
+	s.stalls = newStallMonitor(s.clock)
+	s.events = eventlog.New(eventLogSize, log)
+	s.guard = newRequestGuard(&cfg.Module, invariant.NewCounter(log), s.events)
 	core, err := dispatch.NewCore(cfg.Module, s.clock())
 	if err != nil {
 		return nil, err
 	}
-	s.loop = dispatch.NewLoop(core, s.clock, s.do)
-	s.loop.Paced(cfg.Module.Tick)
+	s.loop = dispatch.NewLoop(core, s.clock, s.execute)
+	s.loop.SetMinStepInterval(cfg.Module.BatchInterval)
 	sockets := cfg.Limits.Sockets
 	if sockets <= 0 {
 		sockets = 1024
 	}
-	b := newBudget(sockets)
-	s.pool = newPool(s.system, b, cfg.ConnectTimeout, cfg.ConnIdle)
-	s.watch = newWatcher(s, cfg.Board)
-	if err := s.watch.learn(cfg.Known.Notices); err != nil {
+	b := newDescriptorBudget(sockets)
+	s.pool = newNodePool(s.system, b, cfg.ConnectTimeout, cfg.ConnIdleTimeout)
+	s.watcher = newWatcher(s, cfg.DiscoveryAddr)
+	if err := s.watcher.applyKnown(cfg.Known.Notices); err != nil {
 		return nil, err
 	}
-	ln, err := netlisten.OpenWith(cfg.Listen, s.system.listen)
+	ln, err := netlisten.OpenFunc(cfg.Listen, s.system.listen)
 	if err != nil {
 		return nil, fmt.Errorf("platform: %w", err)
 	}
-	s.front = newFront(s, ln.(*net.TCPListener), b)
-	log.Info("serving", "name", cfg.Name, "listen", ln.Addr().String(), "board", cfg.Board,
-		"gateways", cfg.Module.Gateways, "classes", len(cfg.Module.Classes), "nodes", s.watch.known(),
-		"sockets", sockets, "memory_mb", cfg.Limits.MemoryMB, "cores", cfg.Limits.Cores)
-	s.acts.serve(true)
+	s.frontend = newFrontend(s, ln.(*net.TCPListener), b)
+	log.Info(
+		"serving",
+		"name",
+		cfg.Name,
+		"listen",
+		ln.Addr().String(),
+		"board",
+		cfg.DiscoveryAddr,
+		"gateways",
+		cfg.Module.GatewayCount,
+		"classes",
+		len(cfg.Module.Classes),
+		"nodes",
+		s.watcher.engineCount(),
+		"sockets",
+		sockets,
+		"memory_mb",
+		cfg.Limits.MemoryMB,
+		"cores",
+		cfg.Limits.Cores,
+	)
+	s.guard.setServing(true)
 	go s.loop.Run()
-	go s.watch.run()
-	go s.stalls.run(s.watch.life)
-	go s.front.run()
+	go s.watcher.run()
+	go s.stalls.run(s.watcher.ctx)
+	go s.frontend.run()
 	return s, nil
 }
 
-// live waits for signals and for the end.
-func (s *service) live(signals <-chan os.Signal) error {
-	look, sweep := time.NewTicker(lookEvery), time.NewTicker(sweepEvery)
+// run waits for signals and for the end.
+func (s *service) run(signals <-chan os.Signal) error {
+	look, sweep := time.NewTicker(statsInterval), time.NewTicker(sweepInterval)
 	defer look.Stop()
 	defer sweep.Stop()
 	var lastCall, last, end, again <-chan time.Time
@@ -144,10 +169,10 @@
 			return
 		}
 		// Danger: the old discovery tells nothing more, so the file is wanted however long it takes.
-		if tries++; tries < reloadTries {
-			again = time.After(reloadAgain)
+		if tries++; tries < fastReloadTries {
+			again = time.After(reloadRetryDelay)
 		} else {
-			again = time.After(reloadSlow)
+			again = time.After(slowReloadDelay)
 		}
 	}
 	for {
@@ -164,34 +189,39 @@
 				continue
 			}
 			s.log.Info("leaving", "signal", sig.String())
-			s.changed("leaving")
-			s.front.mu.Lock()
-			s.front.state.Leave()
-			s.front.mu.Unlock()
+			s.recordChange("leaving")
+			s.frontend.mu.Lock()
+			s.frontend.state.Drain()
+			s.frontend.mu.Unlock()
 			longest := time.Duration(0)
 			for _, c := range s.cfg.Module.Classes {
 				longest = max(longest, c.Deadline)
 			}
-			longest = min(longest, waitMost)
+			longest = min(longest, maxShutdownWait)
 			// Danger: the platform kills what is still there, and with it queries that nobody then answers.
 			if !mutated(noEnding) {
-				s.loop.Post(cresspass.Event{Type: cresspass.Ending, TimeLeft: longest + answersBy})
+				s.loop.Post(
+					cresspass.Event{
+						Type:              cresspass.ShutdownScheduled,
+						RemainingDeadline: longest + answerMargin,
+					},
+				)
 			}
-			lastCall, end = time.After(newAfterTerm), time.After(longest+endSlack)
-			last = time.After(max(longest+lastWords, newAfterTerm))
-			sweep.Reset(sweepEvery / 10)
+			lastCall, end = time.After(acceptAfterTerm), time.After(longest+exitMargin)
+			last = time.After(max(longest+lastAnswerMargin, acceptAfterTerm))
+			sweep.Reset(sweepInterval / 10)
 		case <-lastCall:
-			s.changed("takes no new connections")
-			s.front.lastCall()
+			s.recordChange("takes no new connections")
+			s.frontend.drainBacklog()
 			lastCall = nil
 		case <-sweep.C:
 			s.pool.sweep()
 			if end != nil && lastCall == nil {
-				s.front.closeIdle()
+				s.frontend.retireUnused()
 				// Danger: a query that was given up runs on until its compute node knows, and the next life
 				// of this name would send the next of its key beside it.
-				if s.front.over() && s.attemptsOut() == 0 {
-					s.look()
+				if s.frontend.finished() && s.openAttempts() == 0 {
+					s.logStats()
 					return nil
 				}
 			}
@@ -199,20 +229,20 @@
 			if mutated(noEnding) {
 				continue
 			}
-			s.changed("answers what is left")
-			s.front.finish()
-			s.acts.serve(false)
+			s.recordChange("answers what is left")
+			s.frontend.abortAll()
+			s.guard.setServing(false)
 		case <-look.C:
-			s.look()
+			s.logStats()
 		case <-end:
-			s.look()
+			s.logStats()
 			return nil
 		}
 	}
 }
 
-// attemptsOut is how many attempts have not ended.
-func (s *service) attemptsOut() int {
+// openAttempts is how many attempts have not ended.
+func (s *service) openAttempts() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.attempts)
@@ -221,18 +251,18 @@
 // reload reads the configuration again, and reports whether it could be read. Danger: one that can't must not
 // end the dispatcher.
 func (s *service) reload() bool {
-	cfg, err := Load(s.path)
+	cfg, err := Load(s.configPath)
 	if err != nil {
 		s.log.Error("configuration is left as it was", "error", err)
 		return false
 	}
-	s.log.Info("configuration read again", "board", cfg.Board)
-	s.changed("configuration read again, discovery at " + cfg.Board)
+	s.log.Info("configuration read again", "board", cfg.DiscoveryAddr)
+	s.recordChange("configuration read again, discovery at " + cfg.DiscoveryAddr)
 	if !mutated(deafToReload) {
-		s.watch.move(cfg.Board)
+		s.watcher.redirect(cfg.DiscoveryAddr)
 	}
 	// Danger: the discovery at its new address may be slow, and what the file knows counts as told.
-	if err := s.watch.learn(cfg.Known.Notices); err != nil {
+	if err := s.watcher.applyKnown(cfg.Known.Notices); err != nil {
 		s.log.Error("known events of the configuration left out", "error", err)
 	}
 	now, then := cfg.Module, s.cfg.Module
@@ -243,31 +273,68 @@
 	return true
 }
 
-// changed enters a change of the dispatcher's own state.
-func (s *service) changed(what string) {
-	s.events.Add(eventlog.Event{What: eventlog.Changed, Attempt: -1, Why: what})
+// recordChange enters a change of the dispatcher's own state.
+func (s *service) recordChange(what string) {
+	s.events.Add(eventlog.Event{Kind: eventlog.StateChanged, Attempt: -1, Reason: what})
 }
 
-// look writes figures to the log.
-func (s *service) look() {
+// logStats writes figures to the log.
+func (s *service) logStats() {
 	st := s.stats()
 	s.pool.mu.Lock()
-	open, waiting := s.pool.state.Open(), s.pool.state.Waiting()
-	dials, reused, crowded, longest := s.pool.dials, s.pool.reused, s.pool.crowded, s.pool.longest
+	open, waiting := s.pool.state.OpenConns(), s.pool.state.Waiting()
+	dials, reused, crowded, longest := s.pool.dials, s.pool.reused, s.pool.queued, s.pool.longestWait
 	suspected := s.pool.suspected
-	s.pool.longest = 0
+	s.pool.longestWait = 0
 	s.pool.mu.Unlock()
 	s.mu.Lock()
 	ends := fmt.Sprint(s.outcomes)
 	s.mu.Unlock()
-	s.log.Info("figures", "core", fmt.Sprintf("%+v", st), "ends", ends, "clients", s.front.size(),
-		"nodes", open, "waiting", waiting, "dials", dials, "reused", reused, "crowded", crowded,
-		"longest", longest, "suspected", suspected,
-		"spoilt", s.spoilt.Load(), "broken", s.broken.Load(), "unread", s.unread.Load(),
-		"shut", s.shut.Load(), "lag", s.loop.Lag(),
-		"closed", s.front.closes(), "violations", invariant.Text(s.acts.counter.Violations()),
-		"withheld", invariant.Text(s.acts.counter.Withheld()),
-		"board", s.watch.asked.Load(), "goroutines", runtime.NumGoroutine(), "heap", heapBytes())
+	s.log.Info(
+		"figures",
+		"core",
+		fmt.Sprintf("%+v", st),
+		"ends",
+		ends,
+		"clients",
+		s.frontend.connCount(),
+		"nodes",
+		open,
+		"waiting",
+		waiting,
+		"dials",
+		dials,
+		"reused",
+		reused,
+		"crowded",
+		crowded,
+		"longest",
+		longest,
+		"suspected",
+		suspected,
+		"spoilt",
+		s.malformedResponses.Load(),
+		"broken",
+		s.brokenCalls.Load(),
+		"unread",
+		s.malformedMessages.Load(),
+		"shut",
+		s.evictedClients.Load(),
+		"lag",
+		s.loop.TakeLongestStep(),
+		"closed",
+		s.frontend.closeCounts(),
+		"violations",
+		invariant.FormatCounts(s.guard.counter.Violations()),
+		"withheld",
+		invariant.FormatCounts(s.guard.counter.Withheld()),
+		"board",
+		s.watcher.calls.Load(),
+		"goroutines",
+		runtime.NumGoroutine(),
+		"heap",
+		heapBytes(),
+	)
 }
 
 // heapBytes is how much memory the heap holds.
@@ -280,102 +347,111 @@
 }
 
 func (s *service) stats() (st dispatch.Stats) {
-	s.loop.Ask(func(c *dispatch.Core) { st = c.Stats() })
+	s.loop.Inspect(func(c *dispatch.Core) { st = c.Stats() })
 	return st
 }
 
-// stop ends what start began. Attempts under way end by themselves.
-func (s *service) stop() {
-	s.front.ln.Close()
-	s.front.closeAll()
-	s.watch.stop()
+// close ends what start began. Attempts under way end by themselves.
+func (s *service) close() {
+	s.frontend.listener.Close()
+	s.frontend.closeAll()
+	s.watcher.stop()
 	s.mu.Lock()
 	for _, a := range s.attempts {
-		a.stop(cresspass.Cancelled)
+		a.stop(cresspass.OutcomeCancelled)
 	}
 	s.mu.Unlock()
 	s.loop.Close()
 	s.pool.closeAll()
 }
 
-// clientGone ends a request for which nobody waits.
-func (s *service) clientGone(q *thriftserver.Request, why string) {
-	s.acts.end(q, false)
-	s.events.Add(eventlog.Event{What: eventlog.Gone, Request: q.Ticket, Attempt: -1, Why: why})
-	s.loop.Post(cresspass.Event{Type: cresspass.ClientGone, Query: q.ID, Outcome: cresspass.Cancelled})
+// clientLeft ends a request for which nobody waits.
+func (s *service) clientLeft(q *thriftserver.Request, why string) {
+	s.guard.complete(q, false)
+	s.events.Add(eventlog.Event{Kind: eventlog.ClientGone, RequestID: q.Ticket, Attempt: -1, Reason: why})
+	s.loop.Post(
+		cresspass.Event{Type: cresspass.QueryAbandoned, Query: q.ID, Outcome: cresspass.OutcomeCancelled},
+	)
 }
 
-// ended takes an attempt out of the books.
-func (s *service) ended(a *attempt, o cresspass.Outcome) {
-	s.acts.done(a, o)
-	s.events.Add(a.event(eventlog.Ended, outcomeText(o)))
+// attemptEnded takes an attempt out of the books.
+func (s *service) attemptEnded(a *attempt, o cresspass.Outcome) {
+	s.guard.endAttempt(a, o)
+	s.events.Add(a.event(eventlog.AttemptEnded, outcomeText(o)))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.outcomes[o]++
-	delete(s.attempts, attemptKey{a.q.ID, a.number})
+	delete(s.attempts, attemptKey{a.request.ID, a.number})
 }
 
-// do carries out what the core puts out. It never waits.
-func (s *service) do(o *dispatch.Output) {
-	switch o.Type {
-	case dispatch.Start:
-		s.begin(o)
-	case dispatch.Stop:
+// execute carries out what the core puts out. It never waits.
+func (s *service) execute(output *dispatch.Output) {
+	switch output.Type {
+	case dispatch.StartAttempt:
+		s.startAttempt(output)
+	case dispatch.StopAttempt:
 		s.mu.Lock()
-		a := s.attempts[attemptKey{o.Query, o.Attempt}]
+		a := s.attempts[attemptKey{output.Query, output.Attempt}]
 		s.mu.Unlock()
 		if a != nil {
-			s.events.Add(a.event(eventlog.Stopped, outcomeText(o.Outcome)))
-			a.stop(o.Outcome)
+			s.events.Add(a.event(eventlog.AttemptStopped, outcomeText(output.Outcome)))
+			a.stop(output.Outcome)
 		}
-	case dispatch.Refuse:
-		s.front.replyError(o.Query, thrift.Shed, o.Wait, o.Reason)
-	case dispatch.Fail:
-		s.front.replyError(o.Query, thrift.Fault, 0, o.Reason)
-	case dispatch.Probe:
-		if addr := s.watch.addr(o.Engine); addr != "" {
-			go s.probe(o.Engine, addr)
+	case dispatch.RejectQuery:
+		s.frontend.respondError(output.Query, thrift.ShedException, output.RetryAfter, output.Reason)
+	case dispatch.FailQuery:
+		s.frontend.respondError(output.Query, thrift.FaultException, 0, output.Reason)
+	case dispatch.CheckHealth:
+		if addr := s.watcher.engineAddr(output.Engine); addr != "" {
+			go s.checkHealth(output.Engine, addr)
 		} else {
-			s.loop.Post(cresspass.Event{Type: cresspass.ProbeDone, Engine: o.Engine,
-				Outcome: cresspass.ConnectFailed})
+			s.loop.Post(cresspass.Event{Type: cresspass.HealthCheckDone, Engine: output.Engine,
+				Outcome: cresspass.OutcomeConnectFailed})
 		}
-	case dispatch.CloseIdle:
-		s.pool.closeIdle(o.Engine)
-	case dispatch.Log:
-		s.log.Info(o.Text)
+	case dispatch.CloseIdleConnections:
+		s.pool.closeIdleTo(output.Engine)
+	case dispatch.WriteLog:
+		s.log.Info(output.Text)
 	}
 }
 
-// begin starts an attempt.
-func (s *service) begin(o *dispatch.Output) {
-	q, addr := s.front.get(o.Query), s.watch.addr(o.Engine)
-	if q == nil || addr == "" { // its client has gone, or the compute node
-		outcome := cresspass.Moot
-		if q != nil {
-			outcome = cresspass.ConnectFailed
+// startAttempt starts an attempt.
+func (s *service) startAttempt(output *dispatch.Output) {
+	request, addr := s.frontend.request(output.Query), s.watcher.engineAddr(output.Engine)
+	if request == nil || addr == "" { // its client has gone, or the compute node
+		outcome := cresspass.OutcomeNotStarted
+		if request != nil {
+			outcome = cresspass.OutcomeConnectFailed
 		}
-		s.loop.Post(cresspass.Event{Type: cresspass.AttemptDone, Query: o.Query, Attempt: o.Attempt,
-			Engine: o.Engine, Outcome: outcome})
+		s.loop.Post(cresspass.Event{Type: cresspass.AttemptDone, Query: output.Query, Attempt: output.Attempt,
+			Engine: output.Engine, Outcome: outcome})
 		return
 	}
-	a := &attempt{s: s, q: q, number: o.Attempt, engine: o.Engine, addr: addr, until: q.Until,
-		begun: time.Now()}
-	a.latest = a.begun.Add(o.Within)
+	a := &attempt{
+		service:        s,
+		request:        request,
+		number:         output.Attempt,
+		engine:         output.Engine,
+		addr:           addr,
+		clientDeadline: request.Deadline,
+		decidedAt:      time.Now(),
+	}
+	a.startBy = a.decidedAt.Add(output.StartWithin)
 	for _, c := range s.cfg.Module.Classes {
-		if c.Name == q.Class {
-			a.alone = c.Effect != cresspass.Safe || c.InOrder
+		if c.Name == request.Class {
+			a.exclusive = c.Effect != cresspass.Idempotent || c.OrderedByKey
 		}
 	}
-	if o.MemoryMB > 0 {
-		a.grant = strconv.FormatInt(int64(math.Ceil(o.MemoryMB)), 10)
+	if output.MemoryGrantMB > 0 {
+		a.memoryGrant = strconv.FormatInt(int64(math.Ceil(output.MemoryGrantMB)), 10)
 	}
-	if o.Priority >= 0 {
-		a.rank = strconv.Itoa(o.Priority)
+	if output.Priority >= 0 {
+		a.priority = strconv.Itoa(output.Priority)
 	}
-	s.events.Add(a.event(eventlog.Decided, ""))
+	s.events.Add(a.event(eventlog.AttemptStarted, ""))
 	a.ctx, a.cancel = context.WithCancel(context.Background()) // the module stops it in time
 	s.mu.Lock()
-	s.attempts[attemptKey{o.Query, o.Attempt}] = a
+	s.attempts[attemptKey{output.Query, output.Attempt}] = a
 	s.mu.Unlock()
 	go a.run()
 }
--- a/internal/platform/fault_test.go
+++ b/internal/platform/systemerror_test.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// TestOwnMachineFails: where a connection to a compute node fails by our own machine, for a moment, the
-// compute node is not blamed, and the query is served once the moment is over.
-func TestOwnMachineFails(t *testing.T) {
+// TestLocalDialErrorsNotBlamedOnNode: where a connection to a compute node fails by our own machine, for a
+// moment, the compute node is not blamed, and the query is served once the moment is over.
+func TestLocalDialErrorsNotBlamedOnNode(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENETUNREACH,
 		syscall.ENFILE, syscall.EMFILE, syscall.ENOMEM} {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -48,20 +48,20 @@
 					return dial(ctx, timeout, addr)
 				}
 			})
-			r := newRig(t, 256)
-			within(t, "discovery is asked", func() bool { return len(r.board.asked()) > 0 })
+			r := newHarness(t, 256)
+			eventually(t, "discovery is asked", func() bool { return len(r.discovery.polledFrom()) > 0 })
 			fails.Store(3)
-			r.dial().served(1, 1)
-			if n := r.ends(cresspass.ConnectFailed); n != 0 {
+			r.dial().mustServe(1, 1)
+			if n := r.endedWith(cresspass.OutcomeConnectFailed); n != 0 {
 				t.Errorf("%d attempts count against the compute node", n)
 			}
 		})
 	}
 }
 
-// TestInterruptedLook: a look at a socket that is interrupted, or fails for want of memory, tells nothing: a
+// TestPeekErrors: a look at a socket that is interrupted, or fails for want of memory, tells nothing: a
 // request that is there is taken, and no connection is closed over it.
-func TestInterruptedLook(t *testing.T) {
+func TestPeekErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			var fails atomic.Int32
@@ -74,12 +74,12 @@
 					return 0, errno
 				}
 			})
-			r := newRig(t, 256)
+			r := newHarness(t, 256)
 			a := r.dial()
-			a.served(1, 1)
+			a.mustServe(1, 1)
 			fails.Store(2)
-			a.net.SetDeadline(time.Now().Add(3 * time.Second))
-			a.served(2, 1)
+			a.conn.SetDeadline(time.Now().Add(3 * time.Second))
+			a.mustServe(2, 1)
 		})
 	}
 }
@@ -87,24 +87,24 @@
 // TestSlowDiscovery: a discovery that takes longer for its answer than a healthy one, each time, is heard all
 // the same.
 func TestSlowDiscovery(t *testing.T) {
-	r := newRig(t, 256)
-	slow := newNotices(t)
-	slow.add(true, "s-1", address(r.node.Server), "up")
-	slow.add(false, "s-2", address(r.node.Server), "up")
+	r := newHarness(t, 256)
+	slow := newFakeDiscovery(t)
+	slow.add(true, "s-1", serverAddr(r.node.Server), "up")
+	slow.add(false, "s-2", serverAddr(r.node.Server), "up")
 	at := slow.Config.Handler
 	slow.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		select {
-		case <-time.After(quietMost + 500*time.Millisecond):
+		case <-time.After(streamSilenceTimeout + 500*time.Millisecond):
 			at.ServeHTTP(w, q)
 		case <-q.Context().Done():
 		}
 	})
-	r.watch.move(address(slow.Server))
-	within(t, "the slow discovery is heard", func() bool { return r.watch.addr("s-2") != "" })
+	r.watcher.redirect(serverAddr(slow.Server))
+	eventually(t, "the slow discovery is heard", func() bool { return r.watcher.engineAddr("s-2") != "" })
 }
 
-// startFromPipe starts the program with a pipe for its configuration, which it waits for.
-func startFromPipe(t *testing.T) (c *exec.Cmd, pipe string, ended chan error) {
+// startWithConfigPipe starts the program with a pipe for its configuration, which it waits for.
+func startWithConfigPipe(t *testing.T) (c *exec.Cmd, pipe string, ended chan error) {
 	t.Helper()
 	program := buildProgram(t)
 	pipe = filepath.Join(t.TempDir(), "pipe")
@@ -122,10 +122,10 @@
 	return c, pipe, ended
 }
 
-// opened waits until the program reads from the pipe, and returns its other end.
-func opened(t *testing.T, pipe string) (f *os.File) {
+// openPipe waits until the program reads from the pipe, and returns its other end.
+func openPipe(t *testing.T, pipe string) (f *os.File) {
 	t.Helper()
-	within(t, "the program reads its configuration", func() (ok bool) {
+	eventually(t, "the program reads its configuration", func() (ok bool) {
 		var err error
 		f, err = os.OpenFile(pipe, os.O_WRONLY|syscall.O_NONBLOCK, 0)
 		return err == nil
@@ -134,10 +134,10 @@
 	return f
 }
 
-// TestReloadBeforeTheStart: SIGHUP before the configuration is read does not end the dispatcher.
-func TestReloadBeforeTheStart(t *testing.T) {
-	c, pipe, ended := startFromPipe(t)
-	f := opened(t, pipe)
+// TestSighupDuringStartup: SIGHUP before the configuration is read does not end the dispatcher.
+func TestSighupDuringStartup(t *testing.T) {
+	c, pipe, ended := startWithConfigPipe(t)
+	f := openPipe(t, pipe)
 	c.Process.Signal(syscall.SIGHUP)
 	select {
 	case err := <-ended:
@@ -150,10 +150,10 @@
 	}
 }
 
-// TestTermAfterManyReloads: a signal to end is not lost behind many to reload, while one of them still
+// TestSigtermAfterManySighups: a signal to end is not lost behind many to reload, while one of them still
 // waits for its file.
-func TestTermAfterManyReloads(t *testing.T) {
-	r := newRig(t, 256)
+func TestSigtermAfterManySighups(t *testing.T) {
+	r := newHarness(t, 256)
 	all, stop := signals.Notify()
 	defer stop()
 	for range 16 { // nobody takes them yet
@@ -163,20 +163,20 @@
 	syscall.Kill(os.Getpid(), syscall.SIGTERM)
 	time.Sleep(10 * time.Millisecond)
 	ended := make(chan error, 1)
-	go func() { ended <- r.live(all) }()
+	go func() { ended <- r.run(all) }()
 	select {
 	case err := <-ended:
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(waitMost + endSlack + 3*time.Second):
+	case <-time.After(maxShutdownWait + exitMargin + 3*time.Second):
 		t.Error("it does not end")
 	}
 }
 
-// TestAcceptFails: an accept that fails by the moment costs no client its connection, and no wait; where
+// TestAcceptErrors: an accept that fails by the moment costs no client its connection, and no wait; where
 // descriptors have run out, an idle connection makes room.
-func TestAcceptFails(t *testing.T) {
+func TestAcceptErrors(t *testing.T) {
 	for errno, room := range map[syscall.Errno]bool{syscall.ECONNABORTED: false, syscall.ENOBUFS: false,
 		syscall.ENETDOWN: false, syscall.EMFILE: true, syscall.ENFILE: true} {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -190,55 +190,55 @@
 					return accept(ln)
 				}
 			})
-			r := newRig(t, 256)
+			r := newHarness(t, 256)
 			idle := r.dial()
-			idle.served(1, 1)
-			time.Sleep(muteFor + 50*time.Millisecond)
+			idle.mustServe(1, 1)
+			time.Sleep(silentClientGrace + 50*time.Millisecond)
 			fails.Store(2)
-			r.dial().served(2, 1) // taken by the accept under way
-			r.dial().served(3, 1)
-			if kept := r.front.size() == 3; kept == room {
+			r.dial().mustServe(2, 1) // taken by the accept under way
+			r.dial().mustServe(3, 1)
+			if kept := r.frontend.connCount() == 3; kept == room {
 				t.Errorf("the idle connection is kept: %v", kept)
 			}
 		})
 	}
 }
 
-// TestEndWaitsForGiveUps: a dispatcher that ends does not leave before its compute nodes know what was given
-// up: the next life of its name would send the next query of a key beside one that runs on.
-func TestEndWaitsForGiveUps(t *testing.T) {
-	r := newRig(t, 256)
+// TestShutdownWaitsForDeletes: a dispatcher that ends does not leave before its compute nodes know what was
+// given up: the next life of its name would send the next query of a key beside one that runs on.
+func TestShutdownWaitsForDeletes(t *testing.T) {
+	r := newHarness(t, 256)
 	a := r.dial()
-	seq := r.held(a, 1)
-	usual := r.node.answer
+	seq := r.sendHeld(a, 1)
+	usual := r.node.handler
 	given := make(chan struct{})
 	tell := sync.OnceFunc(func() { close(given) })
-	r.node.set(func(w http.ResponseWriter, q *http.Request, call, id string) bool {
+	r.node.setHandler(func(w http.ResponseWriter, q *http.Request, call, id string) bool {
 		if call == "DELETE" {
-			time.Sleep(newAfterTerm + 700*time.Millisecond) // longer than the rest of the end takes
+			time.Sleep(acceptAfterTerm + 700*time.Millisecond) // longer than the rest of the end takes
 			tell()
 			return false
 		}
 		return usual(w, q, call, id)
 	})
 	signals, ended := make(chan os.Signal, 1), make(chan error, 1)
-	go func() { ended <- r.live(signals) }()
+	go func() { ended <- r.run(signals) }()
 	signals <- syscall.SIGTERM
-	a.net.Write(thrift.AppendCancel(nil, 99, seq))
-	a.net.Close()
+	a.conn.Write(thrift.AppendCancel(nil, 99, seq))
+	a.conn.Close()
 	select {
 	case <-given:
 		<-ended
 	case <-ended:
 		t.Error("it ended before the query was given up")
-	case <-time.After(waitMost + endSlack + time.Second):
+	case <-time.After(maxShutdownWait + exitMargin + time.Second):
 		t.Error("it does not end")
 	}
 }
 
-// TestStartsWhileTheMachineFails: a socket or an address that is not to be had for a moment delays a
+// TestStartRetriesListenErrors: a socket or an address that is not to be had for a moment delays a
 // start, and does not end it; an address that stays taken does.
-func TestStartsWhileTheMachineFails(t *testing.T) {
+func TestStartRetriesListenErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOBUFS, syscall.ENFILE, syscall.EADDRINUSE} {
 		var fails atomic.Int32
 		fails.Store(3)
@@ -251,36 +251,36 @@
 				return listen(addr)
 			}
 		})
-		newRig(t, 256).dial().served(1, 1)
+		newHarness(t, 256).dial().mustServe(1, 1)
 	}
 }
 
-// TestConfigurationReadAtLast: a new configuration that can't be read for longer than a file is half
+// TestReloadRetriesMissingFile: a new configuration that can't be read for longer than a file is half
 // written is read when it can be.
-func TestConfigurationReadAtLast(t *testing.T) {
-	r := newRig(t, 256)
-	moved := newNotices(t)
-	moved.add(true, "s-1", address(r.node.Server), "up")
-	whole := r.config(address(moved.Server))
+func TestReloadRetriesMissingFile(t *testing.T) {
+	r := newHarness(t, 256)
+	moved := newFakeDiscovery(t)
+	moved.add(true, "s-1", serverAddr(r.node.Server), "up")
+	whole := r.config(serverAddr(moved.Server))
 	if err := os.Remove(r.path); err != nil {
 		t.Fatal(err)
 	}
 	signals, ended := make(chan os.Signal, 4), make(chan error, 1)
-	go func() { ended <- r.live(signals) }()
+	go func() { ended <- r.run(signals) }()
 	signals <- syscall.SIGHUP
-	time.Sleep((reloadTries + 3) * reloadAgain)
+	time.Sleep((fastReloadTries + 3) * reloadRetryDelay)
 	if err := os.WriteFile(r.path, whole, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	within(t, "the new board is asked", func() bool { return len(moved.asked()) > 0 })
+	eventually(t, "the new board is asked", func() bool { return len(moved.polledFrom()) > 0 })
 	signals <- syscall.SIGTERM
 	<-ended
 }
 
-// TestReadLate: a request that waited unread, behind accepts that fail, is told to its compute node with
-// the time that its client has left by then, and 0.15 s more at most; one that comes after is told all of
-// its time.
-func TestReadLate(t *testing.T) {
+// TestDeadlineAfterAcceptDelay: a request that waited unread, behind accepts that fail, is told to its
+// compute node with the time that its client has left by then, and 0.15 s more at most; one that comes after
+// is told all of its time.
+func TestDeadlineAfterAcceptDelay(t *testing.T) {
 	const waits = 600 * time.Millisecond
 	var failing atomic.Bool
 	withSystem(t, func(s *system) {
@@ -292,18 +292,18 @@
 			return accept(ln)
 		}
 	})
-	r := newRig(t, 256)
-	r.dial().served(9, 1)
+	r := newHarness(t, 256)
+	r.dial().mustServe(9, 1)
 	time.Sleep(20 * time.Millisecond) // the next accept waits
 	failing.Store(true)
-	r.dial().served(1, 1) // taken by that one
+	r.dial().mustServe(1, 1) // taken by that one
 	a := r.dial()
-	a.ask(fields(ticket(2), "quick", "2000"))
+	a.send(requestFields(ticket(2), "quick", "2000"))
 	time.Sleep(waits)
 	failing.Store(false)
 	told := func() int64 {
 		t.Helper()
-		if h := a.hear(); h.kind != "answer" {
+		if h := a.receive(); h.kind != "answer" {
 			t.Fatalf("%+v", h)
 		}
 		r.node.mu.Lock()
@@ -314,22 +314,22 @@
 	if ms, left := told(), 2000-waits.Milliseconds(); ms > left+150 || ms < left-250 {
 		t.Errorf("told %d ms, where %d are left", ms, left)
 	}
-	a.ask(fields(ticket(3), "quick", "2000"))
+	a.send(requestFields(ticket(3), "quick", "2000"))
 	if ms := told(); ms < 1750 {
 		t.Errorf("the next one: told %d ms of 2000", ms)
 	}
 	a = r.dial()
-	a.ask(fields(ticket(4), "quick", "2000"))
+	a.send(requestFields(ticket(4), "quick", "2000"))
 	if ms := told(); ms < 1750 {
 		t.Errorf("on a new connection: told %d ms of 2000", ms)
 	}
 }
 
-// TestSecondCopyLate: a second copy of an answer that comes later than connections are left to rest is not
-// taken for the answer to the next query's call.
-func TestSecondCopyLate(t *testing.T) {
-	r := newRig(t, 256)
-	r.node.set(func(w http.ResponseWriter, _ *http.Request, call, id string) bool {
+// TestLateDuplicateResponse: a second copy of an answer that comes later than connections are left to rest
+// is not taken for the answer to the next query's call.
+func TestLateDuplicateResponse(t *testing.T) {
+	r := newHarness(t, 256)
+	r.node.setHandler(func(w http.ResponseWriter, _ *http.Request, call, id string) bool {
 		if call != "POST" || id != ticket(1) {
 			return false
 		}
@@ -338,14 +338,14 @@
 			len(row(id, 0)), row(id, 0))
 		b.WriteString(text)
 		b.Flush()
-		time.Sleep(3 * restFor)
+		time.Sleep(3 * reuseDelay)
 		b.WriteString(text)
 		b.Flush()
 		time.AfterFunc(time.Second, func() { c.Close() })
 		return true
 	})
 	a := r.dial()
-	a.served(1, 1)
-	time.Sleep(2 * restFor)
-	a.served(2, 1)
+	a.mustServe(1, 1)
+	time.Sleep(2 * reuseDelay)
+	a.mustServe(2, 1)
 }
--- a/internal/protocol/nodehttp/nodehttp.go
+++ b/internal/protocol/nodehttp/response.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	// BodyMost is the longest body that is read, in bytes: a page holds 6,000 at most.
-	BodyMost = 8 << 10
-	headMost = 4 << 10 // bytes of the status line and headers together
-	infoMost = 8       // 1xx answers before the final one
+	// MaxBodyBytes is the longest body that is read, in bytes: a page holds 6,000 at most.
+	MaxBodyBytes     = 8 << 10
+	maxHeadBytes     = 4 << 10 // bytes of the status line and headers together
+	maxInformational = 8       // 1xx answers before the final one
 )
 
-// Answer is a final answer. Header's names are in lower case.
-type Answer struct {
+// Response is a final answer. Header's names are in lower case.
+type Response struct {
 	Status int
 	Header map[string]string
 	Body   []byte
 	Close  bool // the connection ends with it
 }
 
-// ErrSpoilt is wrapped by errors that tell of bytes which are no answer.
-var ErrSpoilt = errors.New("spoilt answer")
+// ErrMalformed is wrapped by errors that tell of bytes which are no answer.
+var ErrMalformed = errors.New("spoilt answer")
 
-func spoilt(format string, args ...any) error {
-	return fmt.Errorf("nodehttp: "+format+": %w", append(args, ErrSpoilt)...)
+func malformed(format string, args ...any) error {
+	return fmt.Errorf("nodehttp: "+format+": %w", append(args, ErrMalformed)...)
 }
 
 // AppendRequest adds a request with a body and headers, given in pairs; pairs without a value are left out.
@@ -59,13 +59,14 @@
 	return append(b, body...)
 }
 
-// Read reads one final answer; 1xx answers before it are passed over. An error of the reader itself is
-// returned as it is, with io.ErrUnexpectedEOF for an end inside an answer and io.EOF before its first byte.
-func Read(r *bufio.Reader) (*Answer, error) {
+// ReadResponse reads one final answer; 1xx answers before it are passed over. An error of the reader itself
+// is returned as it is, with io.ErrUnexpectedEOF for an end inside an answer and io.EOF before its first
+// byte.
+func ReadResponse(r *bufio.Reader) (*Response, error) {
 	if _, err := r.Peek(1); err != nil {
 		return nil, err
 	}
-	for range infoMost {
+	for range maxInformational {
 		a, err := readHead(r)
 		if err != nil {
 			return nil, err
@@ -74,43 +75,43 @@
 			return a, readBody(r, a)
 		}
 		if a.Status == 101 {
-			return nil, spoilt("a change of protocol")
+			return nil, malformed("a change of protocol")
 		}
 	}
-	return nil, spoilt("more than %d 1xx answers", infoMost)
+	return nil, malformed("more than %d 1xx answers", maxInformational)
 }
 
-// line reads a line of a head, without its end, and takes its length from what is left for the head.
-func line(r *bufio.Reader, left *int) ([]byte, error) {
+// readLine reads a line of a head, without its end, and takes its length from what is left for the head.
+func readLine(r *bufio.Reader, left *int) ([]byte, error) {
 	b, err := r.ReadSlice('\n')
 	if err == bufio.ErrBufferFull || len(b) > *left {
-		return nil, spoilt("a head of more than %d bytes", headMost)
+		return nil, malformed("a head of more than %d bytes", maxHeadBytes)
 	}
 	if err != nil {
-		return nil, inside(err)
+		return nil, insideResponse(err)
 	}
 	*left -= len(b)
 	return bytes.TrimSuffix(b[:len(b)-1], []byte("\r")), nil
 }
 
-func readHead(r *bufio.Reader) (*Answer, error) {
-	left := headMost
-	first, err := line(r, &left)
+func readHead(r *bufio.Reader) (*Response, error) {
+	left := maxHeadBytes
+	first, err := readLine(r, &left)
 	if err != nil {
 		return nil, err
 	}
 	status := string(first)
 	if len(status) < 12 || status[:7] != "HTTP/1." || status[7] != '1' && status[7] != '0' ||
 		status[8] != ' ' || len(status) > 12 && status[12] != ' ' {
-		return nil, spoilt("status line %.40q", status)
+		return nil, malformed("status line %.40q", status)
 	}
 	code, err := strconv.Atoi(status[9:12])
 	if err != nil || code < 100 || code > 599 {
-		return nil, spoilt("status %.40q", status)
+		return nil, malformed("status %.40q", status)
 	}
-	a := &Answer{Status: code, Header: map[string]string{}, Close: status[7] == '0'}
+	a := &Response{Status: code, Header: map[string]string{}, Close: status[7] == '0'}
 	for {
-		b, err := line(r, &left)
+		b, err := readLine(r, &left)
 		if err != nil {
 			return nil, err
 		}
@@ -118,12 +119,12 @@
 			return a, nil
 		}
 		name, value, ok := bytes.Cut(b, []byte(":"))
-		if !ok || !token(name) || !text(value) {
-			return nil, spoilt("header %.40q", b)
+		if !ok || !isToken(name) || !isFieldValue(value) {
+			return nil, malformed("header %.40q", b)
 		}
 		key, v := strings.ToLower(string(name)), strings.TrimSpace(string(value))
 		if was, twice := a.Header[key]; twice && was != v {
-			return nil, spoilt("header %s twice, %.20q and %.20q", key, was, v)
+			return nil, malformed("header %s twice, %.20q and %.20q", key, was, v)
 		}
 		a.Header[key] = v
 		if key == "connection" && strings.EqualFold(v, "close") {
@@ -132,7 +133,7 @@
 	}
 }
 
-func token(b []byte) bool {
+func isToken(b []byte) bool {
 	for _, c := range b {
 		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_') {
 			return false
@@ -141,7 +142,7 @@
 	return len(b) > 0
 }
 
-func text(b []byte) bool {
+func isFieldValue(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' && c != '\t' || c >= 0x7f {
 			return false
@@ -150,61 +151,61 @@
 	return true
 }
 
-func readBody(r *bufio.Reader, a *Answer) error {
+func readBody(r *bufio.Reader, a *Response) error {
 	if a.Status == 204 || a.Status == 304 {
 		return nil
 	}
 	length, told := a.Header["content-length"]
 	if coding := a.Header["transfer-encoding"]; coding != "" {
 		if told || !strings.EqualFold(coding, "chunked") {
-			return spoilt("transfer coding %.20q, length %.20q", coding, length)
+			return malformed("transfer coding %.20q, length %.20q", coding, length)
 		}
 		return readChunks(r, a)
 	}
 	if !told { // danger: a body up to the connection's end can be cut off unseen
-		return spoilt("a body without a length")
+		return malformed("a body without a length")
 	}
 	n, err := strconv.ParseUint(length, 10, 63)
-	if err != nil || n > BodyMost {
-		return spoilt("a body of %.20q bytes, at most %d", length, BodyMost)
+	if err != nil || n > MaxBodyBytes {
+		return malformed("a body of %.20q bytes, at most %d", length, MaxBodyBytes)
 	}
 	a.Body = make([]byte, n)
-	return full(r, a.Body)
+	return readFull(r, a.Body)
 }
 
-func full(r io.Reader, b []byte) error {
+func readFull(r io.Reader, b []byte) error {
 	_, err := io.ReadFull(r, b)
-	return inside(err)
+	return insideResponse(err)
 }
 
-// inside is an error where an answer has begun.
-func inside(err error) error {
+// insideResponse is an error where an answer has begun.
+func insideResponse(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-func readChunks(r *bufio.Reader, a *Answer) error {
-	left := headMost
+func readChunks(r *bufio.Reader, a *Response) error {
+	left := maxHeadBytes
 	for {
-		b, err := line(r, &left)
+		b, err := readLine(r, &left)
 		if err != nil {
 			return err
 		}
 		size, _, _ := strings.Cut(string(b), ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 63)
-		if err != nil || n > BodyMost || len(a.Body)+int(n) > BodyMost {
-			return spoilt("a chunk of %.20q bytes", size)
+		if err != nil || n > MaxBodyBytes || len(a.Body)+int(n) > MaxBodyBytes {
+			return malformed("a chunk of %.20q bytes", size)
 		}
 		if n > 0 {
 			at := len(a.Body)
 			a.Body = append(a.Body, make([]byte, n)...)
-			if err := full(r, a.Body[at:]); err != nil {
+			if err := readFull(r, a.Body[at:]); err != nil {
 				return err
 			}
 		}
-		b, err = line(r, &left)
+		b, err = readLine(r, &left)
 		if err != nil {
 			return err
 		}
@@ -212,7 +213,7 @@
 			return nil
 		}
 		if len(b) != 0 {
-			return spoilt("%.20q after a chunk", b)
+			return malformed("%.20q after a chunk", b)
 		}
 	}
 }
--- a/internal/protocol/nodehttp/nodehttp_test.go
+++ b/internal/protocol/nodehttp/response_test.go
@@ -8,33 +8,33 @@
 	"testing"
 )
 
-func TestRead(t *testing.T) {
+func TestReadResponse(t *testing.T) {
 	const ok, chunked = "HTTP/1.1 200 OK\r\n", "Transfer-Encoding: chunked\r\n\r\n"
 	const info = "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 H\r\nA: b\r\n\r\n"
 	for name, c := range map[string]struct {
 		in     string
 		status int
 		body   string
-		err    error // nil: none; ErrSpoilt or an end
+		err    error // nil: none; ErrMalformed or an end
 	}{
 		"length":        {ok + "Content-Length: 3\r\nPage-Count: 1\r\n\r\nabc", 200, "abc", nil},
 		"chunks":        {ok + chunked + "2\r\nab\r\n1;x=y\r\nc\r\n0\r\n\r\n", 200, "abc", nil},
 		"1xx before":    {info + "HTTP/1.1 204 No\r\n\r\n", 204, "", nil},
-		"1xx for ever":  {strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", 50), 0, "", ErrSpoilt},
+		"1xx for ever":  {strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", 50), 0, "", ErrMalformed},
 		"another copy":  {strings.Repeat("HTTP/1.1 202 A\r\nContent-Length: 0\r\n\r\n", 2), 202, "", nil},
-		"noise":         {"\x00\xff\x13noise\r\n\r\n", 0, "", ErrSpoilt},
-		"three GB":      {ok + "Content-Length: 3221225472\r\n\r\nabc", 0, "", ErrSpoilt},
-		"chunk too big": {ok + "Transfer-Encoding: chunked\r\n\r\nffffffffff\r\n", 0, "", ErrSpoilt},
-		"negative":      {ok + "Content-Length: -1\r\n\r\n", 0, "", ErrSpoilt},
-		"two lengths":   {ok + "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", 0, "", ErrSpoilt},
-		"no length":     {"HTTP/1.1 200 OK\r\n\r\nabc", 0, "", ErrSpoilt},
-		"endless head":  {"HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 4000), 0, "", ErrSpoilt},
-		"endless line":  {"HTTP/1.1 200 " + strings.Repeat("O", 9000), 0, "", ErrSpoilt},
+		"noise":         {"\x00\xff\x13noise\r\n\r\n", 0, "", ErrMalformed},
+		"three GB":      {ok + "Content-Length: 3221225472\r\n\r\nabc", 0, "", ErrMalformed},
+		"chunk too big": {ok + "Transfer-Encoding: chunked\r\n\r\nffffffffff\r\n", 0, "", ErrMalformed},
+		"negative":      {ok + "Content-Length: -1\r\n\r\n", 0, "", ErrMalformed},
+		"two lengths":   {ok + "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", 0, "", ErrMalformed},
+		"no length":     {"HTTP/1.1 200 OK\r\n\r\nabc", 0, "", ErrMalformed},
+		"endless head":  {"HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 4000), 0, "", ErrMalformed},
+		"endless line":  {"HTTP/1.1 200 " + strings.Repeat("O", 9000), 0, "", ErrMalformed},
 		"cut in body":   {ok + "Content-Length: 3\r\n\r\nab", 0, "", io.ErrUnexpectedEOF},
 		"cut in head":   {"HTTP/1.1 200 OK\r\nConte", 0, "", io.ErrUnexpectedEOF},
 		"nothing":       {"", 0, "", io.EOF},
 	} {
-		a, err := Read(bufio.NewReader(strings.NewReader(c.in)))
+		a, err := ReadResponse(bufio.NewReader(strings.NewReader(c.in)))
 		if c.err != nil {
 			if !errors.Is(err, c.err) {
 				t.Errorf("%s: error %v, want %v", name, err, c.err)
@@ -47,13 +47,13 @@
 	}
 }
 
-// FuzzRead: whatever comes, reading ends without a panic, and no body passes its bound.
-func FuzzRead(f *testing.F) {
+// FuzzReadResponse: whatever comes, reading ends without a panic, and no body passes its bound.
+func FuzzReadResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		a, err := Read(bufio.NewReaderSize(strings.NewReader(string(b)), 4096))
-		if err == nil && (len(a.Body) > BodyMost || len(a.Body) > len(b)) {
+		a, err := ReadResponse(bufio.NewReaderSize(strings.NewReader(string(b)), 4096))
+		if err == nil && (len(a.Body) > MaxBodyBytes || len(a.Body) > len(b)) {
 			t.Errorf("a body of %d bytes", len(a.Body))
 		}
 	})
--- a/internal/protocol/thrift/golden_test.go
+++ b/internal/protocol/thrift/golden_test.go
@@ -37,11 +37,11 @@
 		"dispatch_empty":   AppendAnswer(nil, "dispatch", 7, true),
 		"alive_true":       AppendAnswer(nil, "alive", 2, true),
 		"alive_false":      AppendAnswer(nil, "alive", 2, false),
-		"shed_later":       AppendRaised(nil, "dispatch", 7, Shed, [2]string{"later", "250"}),
-		"shed":             AppendRaised(nil, "dispatch", 7, Shed),
-		"fault_reason":     AppendRaised(nil, "dispatch", 7, Fault, [2]string{"reason", "no statement"}),
-		"unknown_method":   AppendException(nil, "select", 3, 1, "unknown method"),
-		"protocol_error":   AppendException(nil, "dispatch", 4, 7, "thrift: message ends inside a value"),
+		"shed_later":       AppendDeclaredException(nil, "dispatch", 7, ShedException, [2]string{"later", "250"}),
+		"shed":             AppendDeclaredException(nil, "dispatch", 7, ShedException),
+		"fault_reason":     AppendDeclaredException(nil, "dispatch", 7, FaultException, [2]string{"reason", "no statement"}),
+		"unknown_method":   AppendApplicationException(nil, "select", 3, 1, "unknown method"),
+		"protocol_error":   AppendApplicationException(nil, "dispatch", 4, 7, "thrift: message ends inside a value"),
 		"append_to_others": AppendAlive([]byte("earlier bytes"), 2),
 	} {
 		checkGolden(t, name, frame)
@@ -55,7 +55,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r, err := ParseRequest(frame[FrameHeader:])
+		r, err := ParseRequest(frame[FrameHeaderBytes:])
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
@@ -68,7 +68,7 @@
 		t.Errorf("dispatch: %+v", r)
 	}
 	r = read("cancel_oneway")
-	if r.Type != Oneway || r.Name != "cancelRequest" || r.Seq != 9 || r.Number != 7 {
+	if r.Type != Oneway || r.Name != "cancelRequest" || r.Seq != 9 || r.CancelSeq != 7 {
 		t.Errorf("cancel: %+v", r)
 	}
 	if r = read("alive_call"); r.Type != Call || r.Name != "alive" || r.Seq != 2 {
--- a/internal/protocol/thrift/thrift.go
+++ b/internal/protocol/thrift/message.go
@@ -39,15 +39,15 @@
 const (
 	versionMask = 0xffff0000
 	version1    = 0x80010000
-	depthMost   = 16 // structs and lists inside one another
-	// MethodMost is the longest name of a method, in bytes.
-	MethodMost = 64
-	// FieldsMost is how many entries the fields of a request may have.
-	FieldsMost = 64
+	maxDepth    = 16 // structs and lists inside one another
+	// MaxMethodBytes is the longest name of a method, in bytes.
+	MaxMethodBytes = 64
+	// MaxFields is how many entries the fields of a request may have.
+	MaxFields = 64
 )
 
-// FrameHeader is the length of the number before a frame, in bytes.
-const FrameHeader = 4
+// FrameHeaderBytes is the length of the number before a frame, in bytes.
+const FrameHeaderBytes = 4
 
 // Header is how a message begins.
 type Header struct {
@@ -59,24 +59,24 @@
 // Request holds the arguments of the front's methods, as far as a message had them.
 type Request struct {
 	Header
-	Fields map[string]string // dispatch, 1
-	Body   []byte            // dispatch, 2; it points into the frame
-	Number int32             // cancelRequest, 1
+	Fields    map[string]string // dispatch, 1
+	Body      []byte            // dispatch, 2; it points into the frame
+	CancelSeq int32             // cancelRequest, 1
 }
 
-var errShort = errors.New("thrift: message ends inside a value")
+var errTruncated = errors.New("thrift: message ends inside a value")
 
 type decoder struct {
-	data []byte
-	at   int
+	data   []byte
+	offset int
 }
 
 func (d *decoder) take(n int) ([]byte, error) {
-	if n < 0 || n > len(d.data)-d.at {
-		return nil, errShort
+	if n < 0 || n > len(d.data)-d.offset {
+		return nil, errTruncated
 	}
-	b := d.data[d.at : d.at+n]
-	d.at += n
+	b := d.data[d.offset : d.offset+n]
+	d.offset += n
 	return b, nil
 }
 
@@ -128,8 +128,8 @@
 	if err != nil {
 		return h, err
 	}
-	if len(name) > MethodMost {
-		return h, fmt.Errorf("thrift: a method's name of %d bytes, at most %d", len(name), MethodMost)
+	if len(name) > MaxMethodBytes {
+		return h, fmt.Errorf("thrift: a method's name of %d bytes, at most %d", len(name), MaxMethodBytes)
 	}
 	h.Name = string(name)
 	h.Seq, err = d.i32()
@@ -157,11 +157,11 @@
 		}
 		switch {
 		case kind == typeMap && id == 1 && r.Name == "dispatch":
-			r.Fields, err = d.texts()
+			r.Fields, err = d.stringMap()
 		case kind == typeString && id == 2 && r.Name == "dispatch":
 			r.Body, err = d.bytes()
 		case kind == typeI32 && id == 1 && r.Name == "cancelRequest":
-			r.Number, err = d.i32()
+			r.CancelSeq, err = d.i32()
 		default:
 			err = d.skip(kind, 0)
 		}
@@ -169,21 +169,21 @@
 			return r, err
 		}
 	}
-	if d.at != len(frame) {
-		return r, fmt.Errorf("thrift: %d bytes after the message's end", len(frame)-d.at)
+	if d.offset != len(frame) {
+		return r, fmt.Errorf("thrift: %d bytes after the message's end", len(frame)-d.offset)
 	}
 	return r, nil
 }
 
-func (d *decoder) texts() (map[string]string, error) {
+func (d *decoder) stringMap() (map[string]string, error) {
 	head, err := d.take(6)
 	if err != nil {
 		return nil, err
 	}
 	n := int32(binary.BigEndian.Uint32(head[2:]))
-	if n < 0 || n > FieldsMost || n > 0 && (head[0] != typeString || head[1] != typeString) {
+	if n < 0 || n > MaxFields || n > 0 && (head[0] != typeString || head[1] != typeString) {
 		return nil, fmt.Errorf("thrift: a map of %d entries of types %d and %d, want at most %d of texts", n,
-			head[0], head[1], FieldsMost)
+			head[0], head[1], MaxFields)
 	}
 	m := make(map[string]string, n)
 	for range n {
@@ -202,7 +202,7 @@
 
 // skip passes over a value that nobody asked for.
 func (d *decoder) skip(kind byte, depth int) (err error) {
-	if depth > depthMost {
+	if depth > maxDepth {
 		return errors.New("thrift: values lie too deep in one another")
 	}
 	switch kind {
@@ -242,8 +242,8 @@
 		if err != nil {
 			return err
 		}
-		if int(n) < 0 || int(n) > len(d.data)-d.at { // each value has a byte at least
-			return errShort
+		if int(n) < 0 || int(n) > len(d.data)-d.offset { // each value has a byte at least
+			return errTruncated
 		}
 		for range n {
 			for _, k := range kinds {
@@ -258,7 +258,7 @@
 	return err
 }
 
-func appendText[T ~string | ~[]byte](b []byte, s T) []byte {
+func appendString[T ~string | ~[]byte](b []byte, s T) []byte {
 	b = binary.BigEndian.AppendUint32(b, uint32(len(s)))
 	return append(b, s...)
 }
@@ -267,32 +267,32 @@
 	return binary.BigEndian.AppendUint16(append(b, kind), id)
 }
 
-func appendTexts(b []byte, id uint16, m [][2]string) []byte {
+func appendStringMap(b []byte, id uint16, m [][2]string) []byte {
 	b = append(appendField(b, typeMap, id), typeString, typeString)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(m)))
 	for _, e := range m {
-		b = appendText(appendText(b, e[0]), e[1])
+		b = appendString(appendString(b, e[0]), e[1])
 	}
 	return b
 }
 
-// begin opens a frame; end writes its length.
-func begin(b []byte, t MessageType, name string, seq int32) []byte {
+// beginFrame opens a frame; end writes its length.
+func beginFrame(b []byte, t MessageType, name string, seq int32) []byte {
 	b = append(b, 0, 0, 0, 0)
 	b = binary.BigEndian.AppendUint32(b, version1|uint32(t))
-	b = appendText(b, name)
+	b = appendString(b, name)
 	return binary.BigEndian.AppendUint32(b, uint32(seq))
 }
 
-func end(b []byte, from int) []byte {
-	binary.BigEndian.PutUint32(b[from:], uint32(len(b)-from-FrameHeader))
+func endFrame(b []byte, from int) []byte {
+	binary.BigEndian.PutUint32(b[from:], uint32(len(b)-from-FrameHeaderBytes))
 	return b
 }
 
 // AppendAnswer adds a frame with an Answer whose body is the parts, one after another.
 func AppendAnswer(b []byte, name string, seq int32, good bool, parts ...[]byte) []byte {
 	from := len(b)
-	b = begin(b, Reply, name, seq)
+	b = beginFrame(b, Reply, name, seq)
 	b = appendField(b, typeStruct, 0)
 	n := 0
 	for _, p := range parts {
@@ -302,61 +302,61 @@
 	for _, p := range parts {
 		b = append(b, p...)
 	}
-	b = appendTexts(b, 2, nil)
+	b = appendStringMap(b, 2, nil)
 	b = appendField(b, typeBool, 3)
 	if good {
 		b = append(b, 1)
 	} else {
 		b = append(b, 0)
 	}
-	return end(append(b, typeStop, typeStop), from)
+	return endFrame(append(b, typeStop, typeStop), from)
 }
 
 // The exceptions of the front's dispatch, by their field in its result.
 const (
-	Shed  uint16 = 1
-	Fault uint16 = 2
+	ShedException  uint16 = 1
+	FaultException uint16 = 2
 )
 
-// AppendRaised adds a frame with one of the method's own exceptions.
-func AppendRaised(b []byte, name string, seq int32, which uint16, fields ...[2]string) []byte {
+// AppendDeclaredException adds a frame with one of the method's own exceptions.
+func AppendDeclaredException(b []byte, name string, seq int32, which uint16, fields ...[2]string) []byte {
 	from := len(b)
-	b = begin(b, Reply, name, seq)
+	b = beginFrame(b, Reply, name, seq)
 	b = appendField(b, typeStruct, which)
-	b = appendTexts(b, 1, fields)
-	return end(append(b, typeStop, typeStop), from)
+	b = appendStringMap(b, 1, fields)
+	return endFrame(append(b, typeStop, typeStop), from)
 }
 
-// AppendException adds a frame with an application exception of some type (7: protocol error, 1: unknown
-// method).
-func AppendException(b []byte, name string, seq int32, kind int32, text string) []byte {
+// AppendApplicationException adds a frame with an application exception of some type (7: protocol error, 1:
+// unknown method).
+func AppendApplicationException(b []byte, name string, seq int32, kind int32, text string) []byte {
 	from := len(b)
-	b = begin(b, Exception, name, seq)
-	b = appendText(appendField(b, typeString, 1), text)
+	b = beginFrame(b, Exception, name, seq)
+	b = appendString(appendField(b, typeString, 1), text)
 	b = binary.BigEndian.AppendUint32(appendField(b, typeI32, 2), uint32(kind))
-	return end(append(b, typeStop), from)
+	return endFrame(append(b, typeStop), from)
 }
 
 // AppendDispatch adds a frame that asks; it is the clients' side.
 func AppendDispatch(b []byte, seq int32, fields [][2]string, body []byte) []byte {
 	from := len(b)
-	b = begin(b, Call, "dispatch", seq)
-	b = appendTexts(b, 1, fields)
-	b = appendText(appendField(b, typeString, 2), body)
-	return end(append(b, typeStop), from)
+	b = beginFrame(b, Call, "dispatch", seq)
+	b = appendStringMap(b, 1, fields)
+	b = appendString(appendField(b, typeString, 2), body)
+	return endFrame(append(b, typeStop), from)
 }
 
 // AppendCancel adds a frame that takes a request back; it is the clients' side.
 func AppendCancel(b []byte, seq, number int32) []byte {
 	from := len(b)
-	b = begin(b, Oneway, "cancelRequest", seq)
+	b = beginFrame(b, Oneway, "cancelRequest", seq)
 	b = binary.BigEndian.AppendUint32(appendField(b, typeI32, 1), uint32(number))
-	return end(append(b, typeStop), from)
+	return endFrame(append(b, typeStop), from)
 }
 
 // AppendAlive adds a frame that asks whether a dispatcher is there; it is the clients' side.
 func AppendAlive(b []byte, seq int32) []byte {
 	from := len(b)
-	b = begin(b, Call, "alive", seq)
-	return end(append(appendField(b, typeBool, 1), 0, typeStop), from)
+	b = beginFrame(b, Call, "alive", seq)
+	return endFrame(append(appendField(b, typeBool, 1), 0, typeStop), from)
 }
--- a/internal/protocol/thrift/thrift_test.go
+++ b/internal/protocol/thrift/message_test.go
@@ -10,35 +10,35 @@
 // error.
 func TestRequestRoundTrip(t *testing.T) {
 	frame := AppendDispatch(nil, 7, [][2]string{{"verb", "report"}, {"txn", "00ff"}}, []byte("SELECT 1"))
-	if n := binary.BigEndian.Uint32(frame); int(n) != len(frame)-FrameHeader {
-		t.Fatalf("frame tells %d bytes of %d", n, len(frame)-FrameHeader)
+	if n := binary.BigEndian.Uint32(frame); int(n) != len(frame)-FrameHeaderBytes {
+		t.Fatalf("frame tells %d bytes of %d", n, len(frame)-FrameHeaderBytes)
 	}
-	r, err := ParseRequest(frame[FrameHeader:])
+	r, err := ParseRequest(frame[FrameHeaderBytes:])
 	if err != nil || r.Name != "dispatch" || r.Seq != 7 || r.Type != Call || r.Fields["verb"] != "report" ||
 		r.Fields["txn"] != "00ff" || string(r.Body) != "SELECT 1" {
 		t.Fatalf("%+v, %v", r, err)
 	}
-	for i := FrameHeader; i < len(frame); i++ {
-		if _, err := ParseRequest(frame[FrameHeader:i]); err == nil {
+	for i := FrameHeaderBytes; i < len(frame); i++ {
+		if _, err := ParseRequest(frame[FrameHeaderBytes:i]); err == nil {
 			t.Fatalf("no error for the first %d bytes of %d", i, len(frame))
 		}
 	}
-	if _, err := ParseRequest(append(frame[FrameHeader:], 0)); err == nil {
+	if _, err := ParseRequest(append(frame[FrameHeaderBytes:], 0)); err == nil {
 		t.Error("no error for a byte too many")
 	}
-	r, err = ParseRequest(AppendCancel(nil, 9, 7)[FrameHeader:])
-	if err != nil || r.Name != "cancelRequest" || r.Type != Oneway || r.Number != 7 {
+	r, err = ParseRequest(AppendCancel(nil, 9, 7)[FrameHeaderBytes:])
+	if err != nil || r.Name != "cancelRequest" || r.Type != Oneway || r.CancelSeq != 7 {
 		t.Errorf("%+v, %v", r, err)
 	}
-	if r, err = ParseRequest(AppendAlive(nil, 2)[FrameHeader:]); err != nil || r.Name != "alive" {
+	if r, err = ParseRequest(AppendAlive(nil, 2)[FrameHeaderBytes:]); err != nil || r.Name != "alive" {
 		t.Errorf("%+v, %v", r, err)
 	}
 }
 
 // FuzzRequest: whatever comes, reading ends without a panic and keeps within the frame.
 func FuzzRequest(f *testing.F) {
-	f.Add(AppendDispatch(nil, 1, [][2]string{{"verb", "x"}}, []byte("SELECT 1"))[FrameHeader:])
-	f.Add(AppendCancel(nil, 1, 2)[FrameHeader:])
+	f.Add(AppendDispatch(nil, 1, [][2]string{{"verb", "x"}}, []byte("SELECT 1"))[FrameHeaderBytes:])
+	f.Add(AppendCancel(nil, 1, 2)[FrameHeaderBytes:])
 	f.Add([]byte{0x80, 1, 0, 1, 0, 0, 0, 1, 'x', 0, 0, 0, 1, 15, 0, 1, 12, 0x7f, 0xff, 0xff, 0xff})
 	f.Add(append([]byte{0x80, 1, 0, 1, 0, 0, 0, 0, 0, 0, 0, 1}, bytes.Repeat([]byte{12, 0, 9}, 40)...))
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/rehearsal/day.go
+++ b/internal/rehearsal/day.go
@@ -371,14 +371,14 @@
 	r := m.Rules
 	f := rulecheck.Figures{Classes: map[string]rulecheck.Class{}, AnswerGrace: r.AnswerGrace,
 		DrainGrace: r.DrainGrace,
-		ColdFrom:   r.ColdFrom, ColdFor: r.ColdFor, ColdMultiple: r.ColdMultiple, ColdWindow: r.ColdWindow,
-		OrderRest: r.OrderRest, HasBudget: r.HasBudget, BudgetFree: r.BudgetFree, BudgetShare: r.BudgetShare,
-		BudgetLookBack: r.BudgetLookBack, Skew: 50 * time.Millisecond}
+		ColdFrom:   r.SlowStartFrom, ColdFor: r.SlowStartDuration, ColdMultiple: r.SlowStartOverloadFactor, ColdWindow: r.SlowStartWindow,
+		OrderRest: r.OrderSettleDelay, HasBudget: r.HasRetryBudget, BudgetFree: r.RetryBudgetFree, BudgetShare: r.RetryBudgetRatio,
+		BudgetLookBack: r.RetryBudgetWindow, Skew: 50 * time.Millisecond}
 	for _, c := range m.Classes {
 		f.Classes[c.Name] = rulecheck.Class{Effect: [...]string{"safe", "keyed", "unsafe"}[c.Effect],
-			Scope: [...]string{"all", "zone", "cell"}[c.Scope], Window: c.Window, Deadline: c.Deadline,
-			InOrder: c.InOrder,
-			Kinds:   c.Kinds, Zones: c.Zones}
+			Scope: [...]string{"all", "zone", "cell"}[c.DeduplicationScope], Window: c.DeduplicationWindow, Deadline: c.Deadline,
+			InOrder: c.OrderedByKey,
+			Kinds:   c.AllowedKinds, Zones: c.AllowedZones}
 	}
 	return f
 }
--- a/internal/rehearsal/day_test.go
+++ b/internal/rehearsal/day_test.go
@@ -87,8 +87,10 @@
 		t.Fatal(err)
 	}
 	at := time.Now()
-	log := &rulecheck.Log{Asks: []*rulecheck.Ask{{ID: "q", Class: "lookup", Dispatcher: "d0", At: at, Finals: 2,
-		Final: at}}}
+	log := &rulecheck.Log{
+		Asks: []*rulecheck.Ask{{ID: "q", Class: "lookup", Dispatcher: "d0", At: at, Finals: 2,
+			Final: at}},
+	}
 	r := &Result{Day: d, Seed: 5, Log: log, Verdicts: rulecheck.Judge(d.Figures(), log), Samples: []Sample{{
 		At:    time.Second,
 		Class: "lookup", Took: time.Millisecond}}, Watches: []Watch{{At: time.Second, Threads: make([]float64,
--- a/internal/rehearsal/newcomers.go
+++ b/internal/rehearsal/newcomers.go
@@ -16,14 +16,21 @@
 
 // CompareReturns plays a day with a return of dispatchers for each way in which they talk, and sums up what
 // clients of those that returned got in the times since. Each rule must hold on each day.
-func CompareReturns(ctx context.Context, d *Day, program []string, first, seeds, jobs int) (*simulation.Comparison,
+func CompareReturns(
+	ctx context.Context,
+	d *Day,
+	program []string,
+	first, seeds, jobs int,
+) (*simulation.Comparison,
 	error) {
 	i := slices.IndexFunc(d.Troubles, func(t Trouble) bool { return t.Kind == "return" })
 	if i < 0 || seeds < 1 {
 		return nil, fmt.Errorf("%s: a day with a return, and seeds, are wanted", d.Name)
 	}
 	back := d.Troubles[i].At + d.Troubles[i].For
-	out := &simulation.Comparison{Windows: []time.Duration{10 * time.Second, 30 * time.Second, 60 * time.Second}}
+	out := &simulation.Comparison{
+		Windows: []time.Duration{10 * time.Second, 30 * time.Second, 60 * time.Second},
+	}
 	for _, arm := range returnArms {
 		out.Arms = append(out.Arms, simulation.Arm{Name: arm.name})
 		out.Got = append(out.Got, make([][]simulation.Since, seeds))
@@ -69,15 +76,19 @@
 }
 
 // ends are the model's, of the kit's.
-var ends = map[Answer]simulation.End{Served: simulation.Served, Refused: simulation.Refused, Failed: simulation.Failed,
-	GaveUp: simulation.GaveUp}
+var ends = map[Answer]simulation.End{
+	Served:  simulation.Served,
+	Refused: simulation.Refused,
+	Failed:  simulation.Failed,
+	GaveUp:  simulation.GaveUp,
+}
 
 // Asks returns a day's tries in the model's terms, their classes numbered in the settings'
 // order; -1: sessions, which are of none.
 func (r *Result) Asks() (out []simulation.Ask) {
 	numbers, aims := map[string]int{}, map[string]time.Duration{}
 	for i, c := range r.Day.Module.Classes {
-		numbers[c.Name], aims[c.Name] = i, c.Aim
+		numbers[c.Name], aims[c.Name] = i, c.LatencyObjective
 	}
 	for _, v := range r.Samples {
 		number, known := numbers[v.Class]
--- a/internal/rehearsal/run.go
+++ b/internal/rehearsal/run.go
@@ -268,7 +268,12 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
 	}
-	r := &run{day: d, options: o, recorder: rulecheck.NewRecorder(), faults: make([]standin.Faults, d.Engines)}
+	r := &run{
+		day:      d,
+		options:  o,
+		recorder: rulecheck.NewRecorder(),
+		faults:   make([]standin.Faults, d.Engines),
+	}
 	defer r.end()
 	if err := r.raise(ctx); err != nil {
 		return nil, err
@@ -351,19 +356,24 @@
 func (r *run) raise(ctx context.Context) error {
 	d := r.day
 	for _, c := range d.Module.Classes {
-		r.window = max(r.window, c.Window)
+		r.window = max(r.window, c.DeduplicationWindow)
 	}
 	kind := enginemodel.Kind{MemoryMB: d.MemoryMB, SpillCost: 2.5, WarmSets: 4,
 		WarmSaves: 0.3,
-		ColdFrom:  d.Module.Rules.ColdFrom, ColdFor: d.Module.Rules.ColdFor,
-		ColdMultiple: d.Module.Rules.ColdMultiple,
-		ColdWindow:   d.Module.Rules.ColdWindow}
+		ColdFrom:  d.Module.Rules.SlowStartFrom, ColdFor: d.Module.Rules.SlowStartDuration,
+		ColdMultiple: d.Module.Rules.SlowStartOverloadFactor,
+		ColdWindow:   d.Module.Rules.SlowStartWindow}
 	cfg := make([]standin.EngineConfig, d.Engines)
 	for i := range cfg {
 		kind.Cores = d.cores(i)
 		kind.MaxJobs = int(8 * kind.Cores)
-		cfg[i] = standin.EngineConfig{Kind: kind, Seed: r.options.Seed, ProgressEvery: d.Module.ProgressEvery,
-			ReportEvery: 200 * time.Millisecond, Window: r.window}
+		cfg[i] = standin.EngineConfig{
+			Kind:          kind,
+			Seed:          r.options.Seed,
+			ProgressEvery: d.Module.ProgressInterval,
+			ReportEvery:   200 * time.Millisecond,
+			Window:        r.window,
+		}
 	}
 	var err error
 	if r.rig, err = testbed.New(cfg...); err != nil {
@@ -532,7 +542,7 @@
 		return // another trouble has brought it back
 	}
 	if sleep(ctx, min(time.Second, after/2)) {
-		r.rig.Change(i, func(v *eds.Engine) { v.State = eds.Gone })
+		r.rig.Change(i, func(v *eds.Engine) { v.State = eds.StateRemoved })
 	}
 	sleep(ctx, after-min(time.Second, after/2))
 	if ctx.Err() != nil {
@@ -546,12 +556,12 @@
 		return
 	}
 	r.fault(i, func(f *standin.Faults) { f.DieAfterRows = 0 })
-	r.rig.Change(i, func(v *eds.Engine) { v.State, v.Started = eds.On, e.Started() })
+	r.rig.Change(i, func(v *eds.Engine) { v.State, v.Started = eds.StateActive, e.Started() })
 }
 
 // drain has an engine told to drain, and come back as a new process.
 func (r *run) drain(ctx context.Context, i int, after time.Duration) {
-	r.rig.Change(i, func(v *eds.Engine) { v.State = eds.Draining })
+	r.rig.Change(i, func(v *eds.Engine) { v.State = eds.StateDraining })
 	if sleep(ctx, after) {
 		r.rig.Engines[i].Die()
 		r.restart(ctx, i, 500*time.Millisecond)
@@ -637,7 +647,7 @@
 		}
 	case "preemption":
 		each(func(i int) {
-			r.rig.Change(i, func(v *eds.Engine) { v.State = eds.Draining })
+			r.rig.Change(i, func(v *eds.Engine) { v.State = eds.StateDraining })
 			if sleep(ctx, 2*time.Second) {
 				r.rig.Engines[i].Die()
 				r.restart(ctx, i, t.For)
@@ -722,7 +732,7 @@
 				defer wg.Done()
 				p.kill()
 				if !r.options.NoState {
-					r.fail(storage.Unlearn(filepath.Join(r.options.Dir, fmt.Sprintf("state-%d", i))))
+					r.fail(storage.RemoveModelState(filepath.Join(r.options.Dir, fmt.Sprintf("state-%d", i))))
 				}
 				sleep(ctx, t.For)
 				r.fail(p.back(context.Background()))
@@ -794,7 +804,7 @@
 		}
 	}
 	for _, p := range r.dispatchers {
-		lines, err := invariant.Logged(p.log.Name())
+		lines, err := invariant.ReadViolations(p.log.Name())
 		if err != nil {
 			lines = append(lines, err.Error())
 		}
@@ -826,7 +836,7 @@
 		fmt.Sscanf(t.Node, "cresspass-%s", &v.Dispatcher)
 		v.Dispatcher = "d" + v.Dispatcher
 		for _, e := range t.List {
-			if e.State == eds.On {
+			if e.State == eds.StateActive {
 				v.Engines[e.Address] = rulecheck.Place{Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
 					Cores:   r.day.Module.KindCores[slices.Index(r.day.Module.KindNames, e.Kind)],
 					Started: e.Started}
--- a/internal/rehearsal/testbed/rig.go
+++ b/internal/rehearsal/testbed/rig.go
@@ -78,7 +78,7 @@
 			r.Close()
 			return nil, err
 		}
-		entry := eds.Engine{Address: e.Addr(), State: eds.On, Kind: "std", Zone: "a"}
+		entry := eds.Engine{Address: e.Addr(), State: eds.StateActive, Kind: "std", Zone: "a"}
 		if cfg.Cold {
 			entry.Started = e.Started()
 		}
@@ -140,13 +140,13 @@
 	if err != nil {
 		return nil, err
 	}
-	s, err := server.StartWith(cfg, log, ln, decide)
+	s, err := server.StartWithDecider(cfg, log, ln, decide)
 	if err != nil {
 		ln.Close()
 		return nil, err
 	}
 	select {
-	case <-s.Listed():
+	case <-s.ListReady():
 		return s, nil
 	case <-time.After(10 * time.Second):
 		s.Close()
--- a/internal/server/accept_test.go
+++ b/internal/server/accept_test.go
@@ -31,13 +31,13 @@
 	return l.Listener.Accept()
 }
 
-// TestFrontsOutliveFailedAccepts: an accept that fails by the machine, or by the connection that it was to
+// TestFrontendsSurviveFailedAccepts: an accept that fails by the machine, or by the connection that it was to
 // take, ends no front.
-func TestFrontsOutliveFailedAccepts(t *testing.T) {
+func TestFrontendsSurviveFailedAccepts(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS,
 		syscall.EPROTO, syscall.ENOMEM} {
 		t.Run(errno.Error(), func(t *testing.T) {
-			var lns []*failingListener
+			var listeners []*failingListener
 			for range 2 {
 				ln, err := net.Listen("tcp", "127.0.0.1:0")
 				if err != nil {
@@ -45,24 +45,24 @@
 				}
 				l := &failingListener{Listener: ln, errno: errno}
 				l.fails.Store(3)
-				lns = append(lns, l)
+				listeners = append(listeners, l)
 			}
-			r := engines(t, 1)
+			r := startEngines(t, 1)
 			cfg, err := config.Parse("test.hcl", []byte(flightSettings+fmt.Sprintf(
 				"listen = \"127.0.0.1:0\"\nroster { eds = %q }\n", r.Roster.Addr())))
 			if err != nil {
 				t.Fatal(err)
 			}
-			cfg.FlightListener = lns[1]
-			s, err := server.StartOn(cfg, slog.New(slog.DiscardHandler), lns[0])
+			cfg.FlightListener = listeners[1]
+			s, err := server.StartOnListener(cfg, slog.New(slog.DiscardHandler), listeners[0])
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(s.Close)
-			<-s.Listed()
-			c := dial(t, s)
+			<-s.ListReady()
+			c := dialServer(t, s)
 			c.send(&pgproto3.Query{String: "select 1"})
-			c.until("Z")
+			c.readUntil("Z")
 			f := dialFlight(t, s, "")
 			limit, cancel := context.WithTimeout(f.ctx, 5*time.Second)
 			defer cancel()
--- a/internal/server/bench_test.go
+++ b/internal/server/benchmark_test.go
@@ -28,15 +28,18 @@
 )
 
 // benchSettings admit all: the way is measured, not the decision to refuse.
-const benchSettings = settings + `
+const benchSettings = baseSettings + `
 max_clients = 20000
 `
 
-// BenchmarkWay measures statements through the dispatcher and straight to an engine, the same client, in one
-// run. The engine answers at once. One iteration is one statement.
-func BenchmarkWay(b *testing.B) {
-	r, err := testbed.New(standin.EngineConfig{Kind: testbed.Kind(64, 4096)}, standin.EngineConfig{Kind: testbed.Kind(64,
-		4096)})
+// BenchmarkStatementPath measures statements through the dispatcher and straight to an engine, the same
+// client, in one run. The engine answers at once. One iteration is one statement.
+func BenchmarkStatementPath(b *testing.B) {
+	r, err := testbed.New(
+		standin.EngineConfig{Kind: testbed.Kind(64, 4096)},
+		standin.EngineConfig{Kind: testbed.Kind(64,
+			4096)},
+	)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -61,16 +64,19 @@
 			if way == "direct" {
 				addr = r.Engines[0].Addr()
 			}
-			b.Run(fmt.Sprintf("%s/%d", way, conns), func(b *testing.B) { statements(b, addr, conns) })
+			b.Run(
+				fmt.Sprintf("%s/%d", way, conns),
+				func(b *testing.B) { benchmarkStatements(b, addr, conns) },
+			)
 		}
 	}
 }
 
-// text tells a cost of a fiftieth of the aim, the least that the module believes: what it learns at 30,000
-// statements a second of a tenth of a millisecond each is not the matter here.
-const text = "select $1::text /*work_ms='0',cost_ms='200'*/"
+// benchmarkStatement tells a cost of a fiftieth of the aim, the least that the module believes: what it
+// learns at 30,000 statements a second of a tenth of a millisecond each is not the matter here.
+const benchmarkStatement = "select $1::text /*work_ms='0',cost_ms='200'*/"
 
-func statements(b *testing.B, addr string, conns int) {
+func benchmarkStatements(b *testing.B, addr string, conns int) {
 	ctx := context.Background()
 	var wg sync.WaitGroup
 	var left, refused atomic.Int64
@@ -86,7 +92,7 @@
 		}
 		defer c.Close(ctx)
 		run := func() bool {
-			_, err := c.Exec(ctx, text, "x")
+			_, err := c.Exec(ctx, benchmarkStatement, "x")
 			var e *pgconn.PgError
 			if errors.As(err, &e) && e.Code == "53000" {
 				refused.Add(1)
@@ -131,9 +137,9 @@
 	b.ReportMetric(float64(refused.Load())/float64(b.N), "refused")
 }
 
-// BenchmarkIdle measures what an idle client holds in the dispatcher: 10,000 of them, in kB each. The clients
-// are in a process of their own, as one process may not have so many files.
-func BenchmarkIdle(b *testing.B) {
+// BenchmarkIdleClient measures what an idle client holds in the dispatcher: 10,000 of them, in kB each. The
+// clients are in a process of their own, as one process may not have so many files.
+func BenchmarkIdleClient(b *testing.B) {
 	r, err := testbed.New(standin.EngineConfig{Kind: testbed.Kind(8, 4096)})
 	if err != nil {
 		b.Fatal(err)
@@ -171,11 +177,11 @@
 	}
 }
 
-// idle is the process of BenchmarkIdle that holds the clients.
-func idle(to string) error {
+// holdIdleClients is the process of BenchmarkIdleClient that holds the clients.
+func holdIdleClients(target string) error {
 	var addr string
 	var n int
-	if _, err := fmt.Sscan(to, &addr, &n); err != nil {
+	if _, err := fmt.Sscan(target, &addr, &n); err != nil {
 		return err
 	}
 	hello, err := (&pgproto3.StartupMessage{ProtocolVersion: 3 << 16,
@@ -210,15 +216,15 @@
 
 // BenchmarkCore measures the core alone: a query taken, sent and answered, with 40 engines and 200 gateways.
 func BenchmarkCore(b *testing.B) {
-	cfg := cresspass.Config{Seed: 1, Gateways: 200, Tick: 5 * time.Millisecond, MayCancel: true,
+	cfg := cresspass.Config{Seed: 1, GatewayCount: 200, BatchInterval: 5 * time.Millisecond, MayCancel: true,
 		KindNames: []string{"std"},
-		KindCores: []float64{16}, Classes: []cresspass.Class{{Name: "q", Aim: time.Second,
-			Deadline: 5 * time.Second, Worth: 1}}}
+		KindCores: []float64{16}, Classes: []cresspass.Class{{Name: "q", LatencyObjective: time.Second,
+			Deadline: 5 * time.Second, PriorityWeight: 1}}}
 	core, err := dispatch.NewCore(cfg, time.Hour)
 	if err != nil {
 		b.Fatal(err)
 	}
-	list := cresspass.Event{Type: cresspass.EngineList, Listing: cresspass.ListFull}
+	list := cresspass.Event{Type: cresspass.EngineListReceived, ListType: cresspass.ListComplete}
 	for i := range 40 {
 		list.Engines = append(list.Engines, cresspass.EngineInfo{ID: cresspass.EngineID(fmt.Sprint("e", i)),
 			Kind: "std"})
@@ -230,13 +236,13 @@
 	for b.Loop() {
 		id++
 		now += 100 * time.Microsecond
-		for _, o := range core.Step(now, []cresspass.Event{{Type: cresspass.QueryTaken, Query: id, Class: "q",
-			TimeLeft: 5 * time.Second}}) {
-			if o.Type == dispatch.Start {
+		for _, o := range core.Step(now, []cresspass.Event{{Type: cresspass.QueryArrived, Query: id, Class: "q",
+			RemainingDeadline: 5 * time.Second}}) {
+			if o.Type == dispatch.StartAttempt {
 				now += 50 * time.Microsecond
 				core.Step(now, []cresspass.Event{{Type: cresspass.AttemptDone, Query: o.Query,
 					Attempt: o.Attempt,
-					Engine:  o.Engine, Outcome: cresspass.OK, Took: 100 * time.Millisecond, Finished: true}})
+					Engine:  o.Engine, Outcome: cresspass.OutcomeOK, Elapsed: 100 * time.Millisecond, QueryFinished: true}})
 				break
 			}
 		}
--- a/internal/server/copy_test.go
+++ b/internal/server/copy_in_test.go
@@ -16,8 +16,8 @@
 )
 
 // COPY by the ordinary drivers, alone and in transactions.
-func TestCopyInByDrivers(t *testing.T) {
-	_, s := raise(t, 3, settings)
+func TestCopyInThroughDrivers(t *testing.T) {
+	_, s := startDispatcher(t, 3, baseSettings)
 	ctx := context.Background()
 	c := connect(t, s, "")
 	rows := make([][]any, 20000)
@@ -36,14 +36,14 @@
 	if err != nil || tag.RowsAffected() != 300000 {
 		t.Errorf("copied %v, %v", tag, err)
 	}
-	bad := &brokenReader{strings.NewReader("a\n")}
-	if _, err = c.PgConn().CopyFrom(ctx, bad, "copy t from stdin"); code(err) != "57014" {
+	bad := &failingReader{strings.NewReader("a\n")}
+	if _, err = c.PgConn().CopyFrom(ctx, bad, "copy t from stdin"); sqlState(err) != "57014" {
 		t.Errorf("a copy that its client fails: %v", err)
 	}
 	if err := c.QueryRow(ctx, "select 1 /*echo='on'*/").Scan(new(string), new(string)); err != nil {
 		t.Error("after a failed copy: ", err)
 	}
-	db, err := sql.Open("postgres", url(s, ""))
+	db, err := sql.Open("postgres", connectionString(s, ""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,9 +72,9 @@
 	}
 }
 
-type brokenReader struct{ r *strings.Reader }
+type failingReader struct{ r *strings.Reader }
 
-func (b *brokenReader) Read(p []byte) (int, error) {
+func (b *failingReader) Read(p []byte) (int, error) {
 	if b.r.Len() == 0 {
 		return 0, errors.New("the source broke")
 	}
@@ -83,11 +83,11 @@
 
 // A client pushes a copy as fast as it can to an engine that takes 64 kB in 20 ms: what is under way stays
 // bounded, others are served, and when the client goes the engine undoes the copy and is free again.
-func TestCopyInPushesBack(t *testing.T) {
-	r, s := raise(t, 1, settings)
-	c := dial(t, s)
+func TestCopyInAppliesBackPressure(t *testing.T) {
+	r, s := startDispatcher(t, 1, baseSettings)
+	c := dialServer(t, s)
 	c.send(&pgproto3.Query{String: "copy t from stdin /*chunk_ms='20',id='push'*/"})
-	if seen := c.until("CopyInResponse"); len(seen) != 1 {
+	if seen := c.readUntil("CopyInResponse"); len(seen) != 1 {
 		t.Fatal(seen)
 	}
 	chunk, _ := (&pgproto3.CopyData{Data: make([]byte, 64<<10)}).Encode(nil)
@@ -95,9 +95,9 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		c.c.SetWriteDeadline(time.Now().Add(1500 * time.Millisecond))
+		c.conn.SetWriteDeadline(time.Now().Add(1500 * time.Millisecond))
 		for written.Load() < 1<<30 {
-			n, err := c.c.Write(chunk)
+			n, err := c.conn.Write(chunk)
 			written.Add(int64(n))
 			if err != nil {
 				var late net.Error
@@ -108,17 +108,17 @@
 			}
 		}
 	}()
-	other := dial(t, s)
-	odd := dial(t, s) // a query in the midst of a copy fails the copy, and is not run
+	other := dialServer(t, s)
+	odd := dialServer(t, s) // a query in the midst of a copy fails the copy, and is not run
 	odd.send(&pgproto3.Query{String: "copy t from stdin"}, &pgproto3.CopyData{Data: []byte("a\n")},
 		&pgproto3.Query{String: "insert into t values (1) /*id='odd'*/"}, &pgproto3.Query{String: "select 1"})
-	if seen := append(odd.until("Z"), odd.until("Z")...); countOf(seen, "E:57014") != 1 ||
-		countOf(seen, "C") != 2 { // CopyInResponse and CommandComplete
+	if seen := append(odd.readUntil("Z"), odd.readUntil("Z")...); countPrefix(seen, "E:57014") != 1 ||
+		countPrefix(seen, "C") != 2 { // CopyInResponse and CommandComplete
 		t.Errorf("a query in a copy: %v", seen)
 	}
 	for range 20 {
 		other.send(&pgproto3.Query{String: "select 1 /*echo='served'*/"})
-		if seen := other.until("Z"); countOf(seen, "D:served") != 1 {
+		if seen := other.readUntil("Z"); countPrefix(seen, "D:served") != 1 {
 			t.Errorf("beside a copy: %v", seen)
 		}
 	}
@@ -128,10 +128,10 @@
 	if ahead := written.Load() - int64(took); ahead > 32<<20 || took < 1<<20 {
 		t.Errorf("%d bytes under way, %d taken by the engine", ahead, took)
 	}
-	if n := s.Pending(); n > 1<<20 {
+	if n := s.PendingBytes(); n > 1<<20 {
 		t.Errorf("%d bytes wait for clients", n)
 	}
-	c.c.Close()
+	c.conn.Close()
 	eventually(t, "the engine has undone the copy", func() bool {
 		for _, v := range r.Engines[0].Runs() {
 			if v.ID == "push" {
--- a/internal/server/hard_test.go
+++ b/internal/server/fault_test.go
@@ -24,50 +24,50 @@
 	"cresspass/internal/standin"
 )
 
-// raw is a client that shows each message.
-type raw struct {
-	t *testing.T
-	c net.Conn
-	f *pgproto3.Frontend
+// wireClient is a client that shows each message.
+type wireClient struct {
+	t        *testing.T
+	conn     net.Conn
+	frontend *pgproto3.Frontend
 
 	pid    uint32
 	secret []byte
 }
 
-func dial(t *testing.T, s *server.Server) *raw {
+func dialServer(t *testing.T, s *server.Server) *wireClient {
 	t.Helper()
-	return dialAt(t, s.Addr())
+	return dialAddress(t, s.Addr())
 }
 
-func dialAt(t *testing.T, addr string) *raw {
+func dialAddress(t *testing.T, addr string) *wireClient {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	r := &raw{t: t, c: c, f: pgproto3.NewFrontend(c, c)}
+	r := &wireClient{t: t, conn: c, frontend: pgproto3.NewFrontend(c, c)}
 	r.send(&pgproto3.StartupMessage{ProtocolVersion: 3 << 16, Parameters: map[string]string{"user": "u"}})
-	r.until("Z")
+	r.readUntil("Z")
 	return r
 }
 
-func (r *raw) send(all ...pgproto3.FrontendMessage) {
+func (r *wireClient) send(all ...pgproto3.FrontendMessage) {
 	r.t.Helper()
 	for _, m := range all {
-		r.f.Send(m)
+		r.frontend.Send(m)
 	}
-	if err := r.f.Flush(); err != nil {
+	if err := r.frontend.Flush(); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-// until reads up to a message of a kind and returns all kinds in order, errors with their code.
-func (r *raw) until(kind string) (seen []string) {
+// readUntil reads up to a message of a kind and returns all kinds in order, errors with their code.
+func (r *wireClient) readUntil(kind string) (seen []string) {
 	r.t.Helper()
-	r.c.SetReadDeadline(time.Now().Add(15 * time.Second))
+	r.conn.SetReadDeadline(time.Now().Add(15 * time.Second))
 	for {
-		m, err := r.f.Receive()
+		m, err := r.frontend.Receive()
 		if err != nil {
 			r.t.Fatalf("after %v: %v", seen, err)
 		}
@@ -97,7 +97,7 @@
 	}
 }
 
-func countOf(seen []string, prefix string) (n int) {
+func countPrefix(seen []string, prefix string) (n int) {
 	for _, k := range seen {
 		if strings.HasPrefix(k, prefix) {
 			n++
@@ -106,7 +106,7 @@
 	return n
 }
 
-func query(t *testing.T, c *pgx.Conn, text string) (rows int, err error) {
+func queryRowCount(t *testing.T, c *pgx.Conn, text string) (rows int, err error) {
 	t.Helper()
 	r, err := c.Query(context.Background(), text, pgx.QueryExecModeSimpleProtocol)
 	if err != nil {
@@ -130,16 +130,16 @@
 
 // An engine that dies before a byte of its answer went out costs the client nothing; after, it costs exactly
 // one error.
-func TestEngineDiesMidAnswer(t *testing.T) {
-	r, s := raise(t, 2, settings)
+func TestEngineDiesMidResponse(t *testing.T) {
+	r, s := startDispatcher(t, 2, baseSettings)
 	for _, e := range r.Engines {
 		e.Set(standin.Faults{DieAfterRows: 5})
 	}
-	c := dial(t, s)
+	c := dialServer(t, s)
 	// 5 rows of 20 bytes are held back, so the second engine may try, and dies too: then none is left.
 	r.Engines[0].Set(standin.Faults{})
 	c.send(&pgproto3.Query{String: "select 1 /*rows='20'*/"})
-	if seen := c.until("Z"); countOf(seen, "D") != 20 || countOf(seen, "E") != 0 {
+	if seen := c.readUntil("Z"); countPrefix(seen, "D") != 20 || countPrefix(seen, "E") != 0 {
 		t.Fatalf("answer in spite of a death: %v", seen)
 	}
 	// Rows beyond what is held back have gone out when the engine dies.
@@ -149,10 +149,10 @@
 	}
 	before := s.Stats()
 	c.send(&pgproto3.Query{String: "select 1 /*rows='100',row_bytes='500'*/"})
-	seen := c.until("Z")
-	if n := countOf(seen, "D"); n == 0 || n > 50 || countOf(seen, "E") != 1 || countOf(seen,
+	seen := c.readUntil("Z")
+	if n := countPrefix(seen, "D"); n == 0 || n > 50 || countPrefix(seen, "E") != 1 || countPrefix(seen,
 		"E:08007") != 1 ||
-		seen[len(seen)-2] != "E:08007" || countOf(seen, "C") != 0 {
+		seen[len(seen)-2] != "E:08007" || countPrefix(seen, "C") != 0 {
 		t.Fatalf("%d rows, then %v", n, seen[max(0, len(seen)-4):])
 	}
 	// The client has its answer a moment before the loop has the attempt's end.
@@ -164,9 +164,13 @@
 
 // A client that goes, or cancels, while its query runs or waits: the engine's work stops, and the next query
 // on that engine's connection gets its own answer.
-func TestClientGoes(t *testing.T) {
-	r, s := raise(t, 1, strings.Replace(settings, `connect_timeout = "500ms"`, `connect_timeout = "500ms"
-  max_connections = 2`, 1))
+func TestClientDisconnects(t *testing.T) {
+	r, s := startDispatcher(
+		t,
+		1,
+		strings.Replace(baseSettings, `connect_timeout = "500ms"`, `connect_timeout = "500ms"
+  max_connections = 2`, 1),
+	)
 	// Canceled late, so that a connection put back too early would have its next query struck.
 	r.Engines[0].Set(standin.Faults{SlowCancel: 100 * time.Millisecond})
 	runs := func() (running, cancelled int) {
@@ -180,20 +184,21 @@
 		}
 		return
 	}
-	for i, go_ := range []func(c *raw){
-		func(c *raw) { c.c.Close() },
-		func(c *raw) { c.c.(*net.TCPConn).SetLinger(0); c.c.Close() },
-		func(c *raw) { c.send(&pgproto3.Terminate{}); c.c.Close() },
+	for i, disconnect := range []func(c *wireClient){
+		func(c *wireClient) { c.conn.Close() },
+		func(c *wireClient) { c.conn.(*net.TCPConn).SetLinger(0); c.conn.Close() },
+		func(c *wireClient) { c.send(&pgproto3.Terminate{}); c.conn.Close() },
 	} {
-		c := dial(t, s)
+		c := dialServer(t, s)
 		c.send(&pgproto3.Query{String: "select 1 /*work_ms='60000'*/"})
 		eventually(t, "query runs", func() bool { n, _ := runs(); return n == 1 })
-		go_(c)
-		other := dial(t, s) // at once, while the cancel is still on its way
+		disconnect(c)
+		other := dialServer(t, s) // at once, while the cancel is still on its way
 		for n := range 5 {
 			text := fmt.Sprintf("own-%d-%d", i, n)
 			other.send(&pgproto3.Query{String: "select 1 /*work_ms='30',echo='" + text + "'*/"})
-			if seen := other.until("Z"); countOf(seen, "D:"+text) != 1 || countOf(seen, "E") != 0 {
+			if seen := other.readUntil("Z"); countPrefix(seen, "D:"+text) != 1 ||
+				countPrefix(seen, "E") != 0 {
 				t.Fatalf("way %d: next query got %v", i, seen)
 			}
 		}
@@ -212,17 +217,17 @@
 	if err := pc.CancelRequest(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := res.ReadAll(); code(err) != "57014" {
+	if _, err := res.ReadAll(); sqlState(err) != "57014" {
 		t.Fatalf("cancelled query: %v", err)
 	}
-	if n, err := query(t, c, "select 1 /*rows='2'*/"); n != 2 || err != nil {
+	if n, err := queryRowCount(t, c, "select 1 /*rows='2'*/"); n != 2 || err != nil {
 		t.Fatalf("after the cancel: %d rows, %v", n, err)
 	}
 	// A client that goes while its query is held: nothing of it is ever sent.
-	c2 := dial(t, s)
+	c2 := dialServer(t, s)
 	c2.send(&pgproto3.Query{String: "select 1 /*class='nowhere',id='held'*/"})
 	time.Sleep(30 * time.Millisecond)
-	c2.c.Close()
+	c2.conn.Close()
 	eventually(t, "all ended", func() bool { return s.Stats().Open == 0 })
 	for _, v := range r.Engines[0].Runs() {
 		if v.ID == "held" {
@@ -233,9 +238,9 @@
 
 // A pipeline of ten whose third is refused: two answers, one error, the rest skipped up to Sync, and the next
 // works.
-func TestPipelineSkipsAfterRefusal(t *testing.T) {
-	r, s := raise(t, 1, settings)
-	c := dial(t, s)
+func TestPipelineSkipsAfterRejection(t *testing.T) {
+	r, s := startDispatcher(t, 1, baseSettings)
+	c := dialServer(t, s)
 	var all []pgproto3.FrontendMessage
 	for i := range 10 {
 		class := "lookup"
@@ -247,7 +252,7 @@
 			&pgproto3.Execute{})
 	}
 	c.send(append(all, &pgproto3.Sync{})...)
-	if got := strings.Join(c.until("Z"), " "); got != "1 2 D:"+strings.Repeat("v",
+	if got := strings.Join(c.readUntil("Z"), " "); got != "1 2 D:"+strings.Repeat("v",
 		20)+" C 1 2 D:"+strings.Repeat("v", 20)+
 		" C 1 2 E:53000 Z" {
 		t.Errorf("pipeline answered by %s", got)
@@ -256,22 +261,22 @@
 		t.Errorf("%d queries came to the engine, want 2", n)
 	}
 	c.send(&pgproto3.Query{String: "select 1 /*echo='x'*/"})
-	if seen := c.until("Z"); countOf(seen, "D:x") != 1 {
+	if seen := c.readUntil("Z"); countPrefix(seen, "D:x") != 1 {
 		t.Errorf("after the pipeline: %v", seen)
 	}
 }
 
 // An answer that comes late meets that of a second attempt: the client gets one. So does one from an engine
 // that has left the list, and an engine that came back under its old address serves.
-func TestLateAnswers(t *testing.T) {
-	r, s := raise(t, 2, settings)
+func TestLateResponses(t *testing.T) {
+	r, s := startDispatcher(t, 2, baseSettings)
 	c := connect(t, s, "")
 	for _, e := range r.Engines {
 		e.Set(standin.Faults{Hang: true})
 	}
 	done := make(chan error, 1)
 	go func() {
-		n, err := query(t, c, "select 1 /*rows='3',cost_ms='80',work_ms='50',id='late'*/")
+		n, err := queryRowCount(t, c, "select 1 /*rows='3',cost_ms='80',work_ms='50',id='late'*/")
 		if err == nil && n != 3 {
 			err = fmt.Errorf("%d rows", n)
 		}
@@ -294,12 +299,12 @@
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	if n, err := query(t, c, "select 1 /*rows='7'*/"); n != 7 || err != nil {
+	if n, err := queryRowCount(t, c, "select 1 /*rows='7'*/"); n != 7 || err != nil {
 		t.Fatalf("next query: %d rows, %v", n, err)
 	}
 
 	go func() {
-		n, err := query(t, c, "select 1 /*rows='4',cost_ms='500',work_ms='400',id='gone'*/")
+		n, err := queryRowCount(t, c, "select 1 /*rows='4',cost_ms='500',work_ms='400',id='gone'*/")
 		if err == nil && n != 4 {
 			err = fmt.Errorf("%d rows", n)
 		}
@@ -316,18 +321,18 @@
 	if err := r.Engines[0].Restart(); err != nil {
 		t.Fatal(err)
 	}
-	r.Change(0, func(e *eds.Engine) { e.State, e.Started = eds.On, r.Engines[0].Started() })
+	r.Change(0, func(e *eds.Engine) { e.State, e.Started = eds.StateActive, r.Engines[0].Started() })
 	eventually(t, "the new process serves", func() bool {
-		n, err := query(t, c, "select 1 /*rows='2'*/")
+		n, err := queryRowCount(t, c, "select 1 /*rows='2'*/")
 		return n == 2 && err == nil
 	})
 }
 
 // Bytes that are no protocol, from clients: each ends its own connection with FATAL 08P01 and nothing else.
-func TestGarbageFromClients(t *testing.T) {
-	_, s := raise(t, 1, strings.Replace(settings, "hold_back",
+func TestMalformedClientMessages(t *testing.T) {
+	_, s := startDispatcher(t, 1, strings.Replace(baseSettings, "hold_back",
 		"startup_timeout = \"3s\"\nhold_back", 1))
-	good := dial(t, s)
+	good := dialServer(t, s)
 	start, _ := (&pgproto3.StartupMessage{ProtocolVersion: 3 << 16,
 		Parameters: map[string]string{"user": "u"}}).Encode(nil)
 	for name, b := range map[string][]byte{
@@ -366,7 +371,7 @@
 		t.Errorf("half a startup packet: %q", got)
 	}
 	good.send(&pgproto3.Query{String: "select 1 /*echo='still'*/"})
-	if seen := good.until("Z"); countOf(seen, "D:still") != 1 {
+	if seen := good.readUntil("Z"); countPrefix(seen, "D:still") != 1 {
 		t.Errorf("a client that was there all along: %v", seen)
 	}
 	eventually(t, "all have gone", func() bool { return s.Clients() == 1 })
@@ -375,10 +380,10 @@
 // A thousand connections opened and left: no more than the limit are let in, and those beyond it are told
 // 53300 or closed. A client that was there all along is served. The time for a startup packet is long here:
 // on a busy machine one that came late would be told of that and not of the limit.
-func TestMoreClientsThanLetIn(t *testing.T) {
-	_, s := raise(t, 1, strings.Replace(settings, "hold_back",
+func TestClientLimit(t *testing.T) {
+	_, s := startDispatcher(t, 1, strings.Replace(baseSettings, "hold_back",
 		"startup_timeout = \"1m\"\nmax_clients = 500\nhold_back", 1))
-	good := dial(t, s)
+	good := dialServer(t, s)
 	start, _ := (&pgproto3.StartupMessage{ProtocolVersion: 3 << 16,
 		Parameters: map[string]string{"user": "u"}}).Encode(nil)
 	var open []net.Conn
@@ -409,7 +414,7 @@
 		t.Errorf("%d let in at a limit of 500, %d told something else", in, odd)
 	}
 	good.send(&pgproto3.Query{String: "select 1 /*echo='still'*/"})
-	if seen := good.until("Z"); countOf(seen, "D:still") != 1 {
+	if seen := good.readUntil("Z"); countPrefix(seen, "D:still") != 1 {
 		t.Errorf("a client that was there all along: %v", seen)
 	}
 	eventually(t, "all have gone", func() bool { return s.Clients() == 1 })
@@ -417,19 +422,19 @@
 
 // Engines whose answers are no protocol, are cut off, fail or are full: each query still has one final
 // answer, and the good engine's.
-func TestBadEngines(t *testing.T) {
-	r, s := raise(t, 4, settings)
+func TestFaultyEngines(t *testing.T) {
+	r, s := startDispatcher(t, 4, baseSettings)
 	r.Engines[0].Set(standin.Faults{Garbage: true})
 	r.Engines[1].Set(standin.Faults{Cut: 1})
 	r.Engines[2].Set(standin.Faults{Full: true})
 	c := connect(t, s, "")
 	served := 0
 	for i := range 60 {
-		n, err := query(t, c, fmt.Sprintf("select 1 /*rows='4',id='b%d'*/", i))
+		n, err := queryRowCount(t, c, fmt.Sprintf("select 1 /*rows='4',id='b%d'*/", i))
 		switch {
 		case err == nil && n == 4:
 			served++
-		case code(err) != "53000" && code(err) != "08007":
+		case sqlState(err) != "53000" && sqlState(err) != "08007":
 			t.Fatalf("query %d: %d rows, %v", i, n, err)
 		}
 	}
@@ -454,25 +459,29 @@
 
 // A client that does not read stops the reading of its own answer; others go on, and memory stays bounded.
 func TestSlowReader(t *testing.T) {
-	r, s := raise(t, 1, strings.Replace(settings, "hold_back", "client_buffer = 65536\nhold_back", 1))
-	slow := dial(t, s)
-	slow.c.(*net.TCPConn).SetReadBuffer(4096)
+	r, s := startDispatcher(
+		t,
+		1,
+		strings.Replace(baseSettings, "hold_back", "client_buffer = 65536\nhold_back", 1),
+	)
+	slow := dialServer(t, s)
+	slow.conn.(*net.TCPConn).SetReadBuffer(4096)
 	slow.send(&pgproto3.Query{String: "select 1 /*rows='200000',row_bytes='1000'*/"})
 	time.Sleep(300 * time.Millisecond)
-	other := dial(t, s)
+	other := dialServer(t, s)
 	for range 20 {
 		other.send(&pgproto3.Query{String: "select 1"})
-		if seen := other.until("Z"); countOf(seen, "C") != 1 {
+		if seen := other.readUntil("Z"); countPrefix(seen, "C") != 1 {
 			t.Fatalf("another client got %v", seen)
 		}
 	}
-	if p := s.Pending(); p > 2<<20 {
+	if p := s.PendingBytes(); p > 2<<20 {
 		t.Errorf("%d bytes wait for clients; a client's limit is 64 kB and a message", p)
 	}
 	if n := r.Engines[0].Runs()[0]; n.Outcome != "" {
 		t.Errorf("the engine has sent 200 MB to a client that does not read: %s", n.Outcome)
 	}
-	slow.c.Close()
+	slow.conn.Close()
 	eventually(t, "all ended", func() bool { return s.Stats().Open == 0 && s.Stats().Running == 0 })
 }
 
@@ -505,7 +514,7 @@
 		places[relay.Addr()] = rulecheck.Place{Zone: "a", Kind: "std", Cores: 16}
 	}
 	r.Publish()
-	s, err := r.Dispatch(strings.Replace(settings, "engines {", "engines {\n  user = \"d0\"", 1), nil)
+	s, err := r.Dispatch(strings.Replace(baseSettings, "engines {", "engines {\n  user = \"d0\"", 1), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -513,7 +522,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := time.Now()
+	listedAt := time.Now()
 	r.Engines[1].Set(standin.Faults{Cut: 0.05, ErrorShare: 0.05})
 	r.Engines[2].Set(standin.Faults{LoseShare: 0.02, SlowCancel: 30 * time.Millisecond})
 	var wg sync.WaitGroup
@@ -539,9 +548,9 @@
 						return
 					}
 				}
-				err := mixed(c, i)
+				err := runMixedRequest(c, i)
 				mu.Lock()
-				ends[code(err)]++
+				ends[sqlState(err)]++
 				mu.Unlock()
 			}
 		}()
@@ -562,8 +571,8 @@
 		v.Close()
 	}
 	log := rec.Stop(20 * time.Second)
-	log.Told = []rulecheck.Told{{At: told, Dispatcher: "d0", Engines: places}}
-	parsed, err := config.Parse("x", []byte(settings+"\nroster { eds = \"127.0.0.1:1\" }"))
+	log.Told = []rulecheck.Told{{At: listedAt, Dispatcher: "d0", Engines: places}}
+	parsed, err := config.Parse("x", []byte(baseSettings+"\nroster { eds = \"127.0.0.1:1\" }"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -592,9 +601,9 @@
 	t.Logf("ends %v, books %+v", ends, st)
 }
 
-// mixed puts request i: a lookup, a report, a load or a write, over the simple or the extended protocol; some
-// clients give up early.
-func mixed(c *pgx.Conn, i int) error {
+// runMixedRequest puts request i: a lookup, a report, a load or a write, over the simple or the extended
+// protocol; some clients give up early.
+func runMixedRequest(c *pgx.Conn, i int) error {
 	ctx := context.Background()
 	class, head, more := "lookup", "select n, value from t where id = ", ",rows='3',work_ms='5'"
 	switch i % 10 {
--- a/internal/server/flight_bench_test.go
+++ b/internal/server/flight_benchmark_test.go
@@ -12,8 +12,8 @@
 	"cresspass/internal/standin"
 )
 
-// million asks for a million rows of four columns, about 50 bytes each.
-const million = "select 1 /*columns='int8,float8,text,timestamp',rows='1000000',work_ms='0'*/"
+// millionRowsStatement asks for a million rows of four columns, about 50 bytes each.
+const millionRowsStatement = "select 1 /*columns='int8,float8,text,timestamp',rows='1000000',work_ms='0'*/"
 
 // BenchmarkMillionRows measures a million rows straight from an engine, through the PostgreSQL front and
 // through Flight SQL, in one run. One iteration is one query.
@@ -51,7 +51,7 @@
 			}
 			defer c.Close(ctx)
 			for b.Loop() {
-				rd := c.ExecParams(ctx, million, nil, nil, nil, []int16{1})
+				rd := c.ExecParams(ctx, millionRowsStatement, nil, nil, nil, []int16{1})
 				n := 0
 				for rd.NextRow() {
 					n++
@@ -67,7 +67,7 @@
 		c := dialFlight(b, s, "u")
 		batches := 0
 		for b.Loop() {
-			fi, err := c.Execute(c.ctx, million)
+			fi, err := c.Execute(c.ctx, millionRowsStatement)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/server/flighthard_test.go
+++ b/internal/server/flight_fault_test.go
@@ -26,8 +26,8 @@
 	"cresspass/internal/standin"
 )
 
-// ranOf counts the runs of a name over all engines.
-func ranOf(r *testbed.Rig, id string) (n int) {
+// countRuns counts the runs of a name over all engines.
+func countRuns(r *testbed.Rig, id string) (n int) {
 	for _, e := range r.Engines {
 		for _, v := range e.Runs() {
 			if v.ID == id {
@@ -38,9 +38,9 @@
 	return n
 }
 
-// promised is what an error's ErrorInfo says of a run.
-func promised(err error) string {
-	if i := info(err); i != nil {
+// reportedRun is what an error's ErrorInfo says of a run.
+func reportedRun(err error) string {
+	if i := errorInfo(err); i != nil {
 		return i.Reason + " " + i.Metadata["ran"]
 	}
 	return status.Convert(err).Message()
@@ -49,7 +49,7 @@
 // An engine that dies after three batches: the client has those, as far as the error did not overtake them,
 // and one error, which no retry policy repeats and which promises nothing.
 func TestFlightEngineDiesAfterThreeBatches(t *testing.T) {
-	r, s := raise(t, 2, flightSettings)
+	r, s := startDispatcher(t, 2, flightSettings)
 	for _, e := range r.Engines {
 		e.Set(standin.Faults{DieAfterRows: 15})
 	}
@@ -68,17 +68,17 @@
 		batches++
 	}
 	if err := rd.Err(); batches < 1 || batches > 3 || status.Code(err) != codes.Unknown ||
-		promised(err) != "FAILED unknown" {
-		t.Errorf("%d batches and %v (%s)", batches, err, promised(err))
+		reportedRun(err) != "FAILED unknown" {
+		t.Errorf("%d batches and %v (%s)", batches, err, reportedRun(err))
 	}
-	if n := ranOf(r, "dies"); n != 1 {
+	if n := countRuns(r, "dies"); n != 1 {
 		t.Errorf("it ran %d times", n)
 	}
 }
 
 // Tickets: forged, another session's, old, cancelled before their fetching, fetched twice at once and again.
 func TestFlightTickets(t *testing.T) {
-	r, s := raise(t, 2, flightSettings)
+	r, s := startDispatcher(t, 2, flightSettings)
 	a, b := dialFlight(t, s, "a"), dialFlight(t, s, "b")
 	get := func(c *flightClient, fi *flight.FlightInfo) error {
 		_, err := c.rows(c.ctx, fi)
@@ -116,14 +116,14 @@
 			t.Error(err)
 		}
 	}
-	if n := ranOf(r, "once"); served != 1 || refused != 7 || n != 1 {
+	if n := countRuns(r, "once"); served != 1 || refused != 7 || n != 1 {
 		t.Errorf("eight fetches: %d served, %d refused, %d runs", served, refused, n)
 	}
-	if err := get(a, write); status.Code(err) != codes.FailedPrecondition || ranOf(r, "once") != 1 {
+	if err := get(a, write); status.Code(err) != codes.FailedPrecondition || countRuns(r, "once") != 1 {
 		t.Errorf("fetched again: %v", err)
 	}
 	read := issue("select 1 /*id='twice'*/") // what changes nothing may be fetched again
-	if err := errors.Join(get(a, read), get(a, read)); err != nil || ranOf(r, "twice") != 2 {
+	if err := errors.Join(get(a, read), get(a, read)); err != nil || countRuns(r, "twice") != 2 {
 		t.Errorf("a read fetched twice: %v", err)
 	}
 	cancelled := issue("insert into t values (1) /*id='never'*/")
@@ -131,12 +131,12 @@
 	if err != nil || res.Status != flight.CancelStatusCancelled {
 		t.Errorf("cancel between: %v %v", res, err)
 	}
-	if err := get(a, cancelled); status.Code(err) != codes.FailedPrecondition || ranOf(r, "never") != 0 {
+	if err := get(a, cancelled); status.Code(err) != codes.FailedPrecondition || countRuns(r, "never") != 0 {
 		t.Errorf("fetched after its cancel: %v", err)
 	}
 	long := issue("insert into t values (1) /*id='long',work_ms='4000'*/")
 	go func() { ends <- get(a, long) }()
-	eventually(t, "it runs", func() bool { return ranOf(r, "long") == 1 })
+	eventually(t, "it runs", func() bool { return countRuns(r, "long") == 1 })
 	if res, err := a.CancelFlightInfo(a.ctx, &flight.CancelFlightInfoRequest{Info: long}); err != nil ||
 		res.Status != flight.CancelStatusCancelled {
 		t.Errorf("cancel of what runs: %v %v", res, err)
@@ -156,8 +156,8 @@
 			e.Set(standin.Faults{Full: full})
 		}
 		switch err := get(a, refusal); {
-		case full && (status.Code(err) != codes.ResourceExhausted || promised(err) != "REFUSED false"):
-			t.Errorf("refused: %v (%s)", err, promised(err))
+		case full && (status.Code(err) != codes.ResourceExhausted || reportedRun(err) != "REFUSED false"):
+			t.Errorf("refused: %v (%s)", err, reportedRun(err))
 		case !full && err != nil:
 			t.Errorf("a ticket whose statement was refused: %v", err)
 		}
@@ -165,8 +165,8 @@
 }
 
 // The time left is grpc-timeout's; a call that is taken back ends its query at the engine.
-func TestFlightDeadlineAndGoing(t *testing.T) {
-	r, s := raise(t, 1, flightSettings)
+func TestFlightDeadlineAndCancel(t *testing.T) {
+	r, s := startDispatcher(t, 1, flightSettings)
 	c := dialFlight(t, s, "u")
 	for i, end := range []codes.Code{codes.DeadlineExceeded, codes.Canceled} {
 		id := fmt.Sprint("gone", i)
@@ -185,7 +185,7 @@
 			t.Errorf("%v: served", end)
 		}
 		eventually(t, "nothing runs", func() bool { st := s.Stats(); return st.Open == 0 && st.Running == 0 })
-		if n := ranOf(r, id); n > 1 {
+		if n := countRuns(r, id); n > 1 {
 			t.Errorf("%s ran %d times", id, n)
 		}
 	}
@@ -203,7 +203,7 @@
 			rd.Release()
 		}
 	}
-	eventually(t, "no bytes wait", func() bool { return s.Pending() == 0 })
+	eventually(t, "no bytes wait", func() bool { return s.PendingBytes() == 0 })
 	md := metadata.AppendToOutgoingContext(c.ctx, "grpc-previous-rpc-attempts", "1")
 	if fi, err := c.Execute(md, "select 1"); err != nil {
 		t.Error(err)
@@ -214,9 +214,13 @@
 
 // A transaction whose session expires is rolled back, and its client is told so; one whose engine drains has
 // a notice, may commit within the grace, and is ended after it.
-func TestFlightTransactionsEnd(t *testing.T) {
-	r, s := raise(t, 2, strings.Replace(flightSettings, "flight {", "flight {\n  session_rest = \"400ms\"",
-		1))
+func TestFlightTransactionsExpireAndDrain(t *testing.T) {
+	r, s := startDispatcher(
+		t,
+		2,
+		strings.Replace(flightSettings, "flight {", "flight {\n  session_rest = \"400ms\"",
+			1),
+	)
 	c := dialFlight(t, s, "u")
 	begin := func() *flightsql.Txn {
 		tx, err := c.BeginTransaction(c.ctx)
@@ -229,7 +233,7 @@
 		return tx
 	}
 	tx := begin()
-	eventually(t, "the session expires", func() bool { return s.Kept() == 0 })
+	eventually(t, "the session expires", func() bool { return s.StickySessions() == 0 })
 	if err := tx.Commit(c.ctx); status.Code(err) != codes.Unauthenticated ||
 		!strings.Contains(err.Error(), "rested for too long") {
 		t.Errorf("a commit after the session's end: %v", err)
@@ -241,7 +245,7 @@
 	for _, wait := range []bool{false, true} {
 		tx = begin()
 		for i := range r.Engines {
-			r.Change(i, func(e *eds.Engine) { e.State = eds.Draining })
+			r.Change(i, func(e *eds.Engine) { e.State = eds.StateDraining })
 		}
 		var header metadata.MD
 		eventually(t, "a notice", func() bool {
@@ -253,7 +257,7 @@
 		if wait {
 			eventually(t, "it is ended", func() bool {
 				c.GetSessionOptions(c.ctx, &flight.GetSessionOptionsRequest{}) // the session itself lives on
-				return s.Kept() == 0
+				return s.StickySessions() == 0
 			})
 			if err := tx.Commit(c.ctx); status.Code(err) != codes.FailedPrecondition ||
 				!strings.Contains(err.Error(), "drains") {
@@ -263,7 +267,7 @@
 			t.Errorf("a commit within the grace: %v", err)
 		}
 		for i := range r.Engines {
-			r.Change(i, func(e *eds.Engine) { e.State = eds.On })
+			r.Change(i, func(e *eds.Engine) { e.State = eds.StateActive })
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
@@ -271,7 +275,7 @@
 
 // A stream that is left unread stops the reading of its engine, holds bounded memory, and others go on.
 func TestFlightUnreadStream(t *testing.T) {
-	_, s := raise(t, 1, strings.Replace(flightSettings, `deadline = "5s"`, `deadline = "120s"`, 1))
+	_, s := startDispatcher(t, 1, strings.Replace(flightSettings, `deadline = "5s"`, `deadline = "120s"`, 1))
 	slow, other := dialFlight(t, s, "slow"), dialFlight(t, s, "other")
 	fi, err := slow.Execute(slow.ctx, "select 1 /*rows='400000',row_bytes='200',work_ms='0'*/")
 	if err != nil {
@@ -290,7 +294,7 @@
 	}
 	for begin := time.Now(); time.Since(begin) < unread; {
 		time.Sleep(10 * time.Millisecond)
-		most = max(most, s.Pending())
+		most = max(most, s.PendingBytes())
 		if _, err := other.query("select 1 /*work_ms='0'*/"); err != nil {
 			t.Fatal(err)
 		}
@@ -310,7 +314,7 @@
 
 // Ten thousand streams over ten connections: each has one end, served or refused, and none is left.
 func TestFlightTenThousandStreams(t *testing.T) {
-	_, s := raise(t, 3, flightSettings)
+	_, s := startDispatcher(t, 3, flightSettings)
 	var mu sync.Mutex
 	ends := map[string]int{}
 	var wg sync.WaitGroup
@@ -329,7 +333,7 @@
 				_, err := c.rows(ctx, fi)
 				end := "served"
 				if err != nil {
-					end = fmt.Sprint(status.Code(err), " ", promised(err))
+					end = fmt.Sprint(status.Code(err), " ", reportedRun(err))
 				}
 				mu.Lock()
 				ends[end]++
@@ -354,7 +358,7 @@
 
 // A client that opens calls only to reset them is sent away, and others are served meanwhile.
 func TestFlightRapidReset(t *testing.T) {
-	_, s := raise(t, 1, flightSettings)
+	_, s := startDispatcher(t, 1, flightSettings)
 	other := dialFlight(t, s, "other")
 	nc, err := net.Dial("tcp", s.FlightAddr())
 	if err != nil {
--- a/internal/server/flight_test.go
+++ b/internal/server/flight_test.go
@@ -30,7 +30,7 @@
 	"cresspass/internal/server"
 )
 
-const flightSettings = settings + "flight {\n  listen = \"127.0.0.1:0\"\n  ticket_life = \"2s\"\n}\n"
+const flightSettings = baseSettings + "flight {\n  listen = \"127.0.0.1:0\"\n  ticket_life = \"2s\"\n}\n"
 
 // flightClient is a client of the raw protocol, with a session.
 type flightClient struct {
@@ -68,7 +68,7 @@
 		for i := range int(rec.NumRows()) {
 			var row []string
 			for _, col := range rec.Columns() {
-				v, null, err := arrowbatch.Text(col, i)
+				v, null, err := arrowbatch.PostgresText(col, i)
 				if err != nil {
 					return nil, err
 				}
@@ -91,17 +91,18 @@
 	return c.rows(c.ctx, info)
 }
 
-// caller is a front's client as the suite sees it: rows as text, errors as SQLSTATE and what they promise.
-type caller interface {
+// suiteClient is a front's client as the suite sees it: rows as text, errors as SQLSTATE and what they
+// promise.
+type suiteClient interface {
 	query(t *testing.T, text string, params ...string) ([][]string, string)
 	exec(t *testing.T, text string, params ...string) (int64, string)
 	begin(t *testing.T) (end func(commit bool) string)
 	set(t *testing.T, name, value string)
 }
 
-type pgCaller struct{ c *pgx.Conn }
+type pgSuiteClient struct{ conn *pgx.Conn }
 
-func pgCode(err error) string {
+func pgSQLState(err error) string {
 	if err == nil {
 		return ""
 	}
@@ -129,14 +130,14 @@
 	return nil
 }
 
-func (p pgCaller) run(text string, params []string) ([][]string, string, int64) {
+func (p pgSuiteClient) run(text string, params []string) ([][]string, string, int64) {
 	args := make([][]byte, len(params))
 	for i, v := range params {
 		if v != `\N` {
 			args[i] = []byte(v)
 		}
 	}
-	r := p.c.PgConn().ExecParams(context.Background(), text, args, nil, nil, nil).Read()
+	r := p.conn.PgConn().ExecParams(context.Background(), text, args, nil, nil, nil).Read()
 	var out [][]string
 	for _, row := range r.Rows {
 		var vals []string
@@ -149,26 +150,26 @@
 		}
 		out = append(out, vals)
 	}
-	return out, pgCode(r.Err), r.CommandTag.RowsAffected()
+	return out, pgSQLState(r.Err), r.CommandTag.RowsAffected()
 }
 
-func (p pgCaller) query(_ *testing.T, text string, params ...string) ([][]string, string) {
+func (p pgSuiteClient) query(_ *testing.T, text string, params ...string) ([][]string, string) {
 	rows, code, _ := p.run(text, params)
 	return rows, code
 }
 
-func (p pgCaller) exec(_ *testing.T, text string, params ...string) (int64, string) {
+func (p pgSuiteClient) exec(_ *testing.T, text string, params ...string) (int64, string) {
 	_, code, n := p.run(text, params)
 	return n, code
 }
 
-func (p pgCaller) begin(t *testing.T) func(bool) string {
+func (p pgSuiteClient) begin(t *testing.T) func(bool) string {
 	if _, code := p.exec(t, "begin"); code != "" {
 		t.Fatal(code)
 	}
 	return func(commit bool) string {
 		text := map[bool]string{true: "commit", false: "rollback"}[commit]
-		failed := p.c.PgConn().TxStatus() == 'E'
+		failed := p.conn.PgConn().TxStatus() == 'E'
 		_, code := p.exec(t, text)
 		if code == "" && commit && failed {
 			code = "aborted"
@@ -177,20 +178,20 @@
 	}
 }
 
-func (p pgCaller) set(t *testing.T, name, value string) {
+func (p pgSuiteClient) set(t *testing.T, name, value string) {
 	if _, code := p.exec(t, "set "+name+" = '"+value+"'"); code != "" {
 		t.Fatal(code)
 	}
 }
 
-// flCaller is the raw Flight SQL client; in a transaction its statements carry its id.
-type flCaller struct {
-	c  *flightClient
-	tx *flightsql.Txn
+// flightSuiteClient is the raw Flight SQL client; in a transaction its statements carry its id.
+type flightSuiteClient struct {
+	client *flightClient
+	tx     *flightsql.Txn
 }
 
-// info is the ErrorInfo of a call's error.
-func info(err error) *errdetails.ErrorInfo {
+// errorInfo is the ErrorInfo of a call's error.
+func errorInfo(err error) *errdetails.ErrorInfo {
 	for _, d := range status.Convert(err).Details() {
 		if i, ok := d.(*errdetails.ErrorInfo); ok {
 			return i
@@ -199,11 +200,11 @@
 	return nil
 }
 
-func flCode(err error) string {
+func flightSQLState(err error) string {
 	if err == nil {
 		return ""
 	}
-	if i := info(err); i != nil && i.Metadata["sqlstate"] != "" {
+	if i := errorInfo(err); i != nil && i.Metadata["sqlstate"] != "" {
 		return i.Metadata["sqlstate"]
 	}
 	if strings.Contains(err.Error(), "it was rolled back") {
@@ -212,13 +213,13 @@
 	return err.Error()
 }
 
-func (f *flCaller) prepare(text string, params []string) (*flightsql.PreparedStatement, error) {
+func (f *flightSuiteClient) prepare(text string, params []string) (*flightsql.PreparedStatement, error) {
 	var p *flightsql.PreparedStatement
 	var err error
 	if f.tx != nil {
-		p, err = f.tx.Prepare(f.c.ctx, text)
+		p, err = f.tx.Prepare(f.client.ctx, text)
 	} else {
-		p, err = f.c.Prepare(f.c.ctx, text)
+		p, err = f.client.Prepare(f.client.ctx, text)
 	}
 	if err != nil || len(params) == 0 {
 		return p, err
@@ -245,49 +246,49 @@
 	return arrow.NewSchema(fields, nil)
 }
 
-func (f *flCaller) query(t *testing.T, text string, params ...string) ([][]string, string) {
+func (f *flightSuiteClient) query(t *testing.T, text string, params ...string) ([][]string, string) {
 	var fi *flight.FlightInfo
 	var err error
 	switch {
 	case len(params) > 0:
 		p, e := f.prepare(text, params)
 		if e != nil {
-			return nil, flCode(e)
+			return nil, flightSQLState(e)
 		}
-		defer p.Close(f.c.ctx)
-		fi, err = p.Execute(f.c.ctx)
+		defer p.Close(f.client.ctx)
+		fi, err = p.Execute(f.client.ctx)
 	case f.tx != nil:
-		fi, err = f.tx.Execute(f.c.ctx, text)
+		fi, err = f.tx.Execute(f.client.ctx, text)
 	default:
-		fi, err = f.c.Execute(f.c.ctx, text)
+		fi, err = f.client.Execute(f.client.ctx, text)
 	}
 	if err != nil {
-		return nil, flCode(err)
+		return nil, flightSQLState(err)
 	}
-	rows, err := f.c.rows(f.c.ctx, fi)
-	return rows, flCode(err)
+	rows, err := f.client.rows(f.client.ctx, fi)
+	return rows, flightSQLState(err)
 }
 
-func (f *flCaller) exec(t *testing.T, text string, params ...string) (n int64, code string) {
+func (f *flightSuiteClient) exec(t *testing.T, text string, params ...string) (n int64, code string) {
 	var err error
 	switch {
 	case len(params) > 0:
 		p, e := f.prepare(text, params)
 		if e != nil {
-			return 0, flCode(e)
+			return 0, flightSQLState(e)
 		}
-		defer p.Close(f.c.ctx)
-		n, err = p.ExecuteUpdate(f.c.ctx)
+		defer p.Close(f.client.ctx)
+		n, err = p.ExecuteUpdate(f.client.ctx)
 	case f.tx != nil:
-		n, err = f.tx.ExecuteUpdate(f.c.ctx, text)
+		n, err = f.tx.ExecuteUpdate(f.client.ctx, text)
 	default:
-		n, err = f.c.ExecuteUpdate(f.c.ctx, text)
+		n, err = f.client.ExecuteUpdate(f.client.ctx, text)
 	}
-	return n, flCode(err)
+	return n, flightSQLState(err)
 }
 
-func (f *flCaller) begin(t *testing.T) func(bool) string {
-	tx, err := f.c.BeginTransaction(f.c.ctx)
+func (f *flightSuiteClient) begin(t *testing.T) func(bool) string {
+	tx, err := f.client.BeginTransaction(f.client.ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -295,26 +296,26 @@
 	return func(commit bool) string {
 		f.tx = nil
 		if commit {
-			return flCode(tx.Commit(f.c.ctx))
+			return flightSQLState(tx.Commit(f.client.ctx))
 		}
-		return flCode(tx.Rollback(f.c.ctx))
+		return flightSQLState(tx.Rollback(f.client.ctx))
 	}
 }
 
-func (f *flCaller) set(t *testing.T, name, value string) {
+func (f *flightSuiteClient) set(t *testing.T, name, value string) {
 	o, err := flight.NewSessionOptionValue(value)
 	if err != nil {
 		t.Fatal(err)
 	}
-	res, err := f.c.SetSessionOptions(f.c.ctx, &flight.SetSessionOptionsRequest{
+	res, err := f.client.SetSessionOptions(f.client.ctx, &flight.SetSessionOptionsRequest{
 		SessionOptions: map[string]*flight.SessionOptionValue{name: &o}})
 	if err != nil || len(res.Errors) > 0 {
 		t.Fatal(err, res)
 	}
 }
 
-// same reports whether two texts are one value of a type.
-func same(m *pgtype.Map, oid uint32, a, b string) bool {
+// equalValues reports whether two texts are one value of a type.
+func equalValues(m *pgtype.Map, oid uint32, a, b string) bool {
 	decode := func(v string) any {
 		if v == `\N` {
 			return nil
@@ -346,12 +347,12 @@
 
 // The suite is written once and run over both fronts: the same statements give the same values, counts and
 // refusals.
-func TestSuiteOverBothFronts(t *testing.T) {
-	_, s := raise(t, 3, flightSettings)
+func TestSuiteOverBothFrontends(t *testing.T) {
+	_, s := startDispatcher(t, 3, flightSettings)
 	m := pgtype.NewMap()
-	pg := pgCaller{connect(t, s, "")}
-	fl := &flCaller{c: dialFlight(t, s, "u")}
-	both := func(f func(c caller) any) {
+	pg := pgSuiteClient{connect(t, s, "")}
+	fl := &flightSuiteClient{client: dialFlight(t, s, "u")}
+	both := func(f func(c suiteClient) any) {
 		t.Helper()
 		if a, b := f(pg), f(fl); !reflect.DeepEqual(a, b) {
 			t.Errorf("PostgreSQL gives %v, Flight SQL %v", a, b)
@@ -370,15 +371,16 @@
 			oid = typ.OID
 		}
 		for i := range a {
-			if !same(m, oid, a[i][0], b[i][0]) || a[i][1] != b[i][1] {
+			if !equalValues(m, oid, a[i][0], b[i][0]) || a[i][1] != b[i][1] {
 				t.Errorf("%s, row %d: PostgreSQL gives %q, Flight SQL %q", name, i, a[i], b[i])
 				break
 			}
 		}
 		v := a[7][0]
 		text = "select $1::" + name + " /*echo_params='1'*/" // and back as a parameter
-		for _, c := range []caller{pg, fl} {
-			if got, code := c.query(t, text, v); code != "" || len(got) != 1 || !same(m, oid, got[0][0], v) {
+		for _, c := range []suiteClient{pg, fl} {
+			if got, code := c.query(t, text, v); code != "" || len(got) != 1 ||
+				!equalValues(m, oid, got[0][0], v) {
 				t.Errorf("%s: %q comes back as %q %s from %T", name, v, got, code, c)
 			}
 		}
@@ -391,15 +393,15 @@
 		"select 'syntax error'", "select 1 from tmp_none", "insert into t values (1) returning a",
 		"show search_path",
 		"select 1 /*class='none'*/", "select 1 /*wait_ms='1',work_ms='50',cost_ms='5000'*/", ""} {
-		both(func(c caller) any { rows, code := c.query(t, q); return end{fmt.Sprint(rows), code} })
+		both(func(c suiteClient) any { rows, code := c.query(t, q); return end{fmt.Sprint(rows), code} })
 	}
-	both(func(c caller) any { n, code := c.exec(t, "insert into t values (1)"); return end{n, code} })
-	both(func(c caller) any {
+	both(func(c suiteClient) any { n, code := c.exec(t, "insert into t values (1)"); return end{n, code} })
+	both(func(c suiteClient) any {
 		n, code := c.exec(t, "insert into t select $1::text", "x")
 		return end{n,
 			code}
 	})
-	both(func(c caller) any { // a transaction finds what it left; the next does not
+	both(func(c suiteClient) any { // a transaction finds what it left; the next does not
 		finish := c.begin(t)
 		_, a := c.exec(t, "create temp table tmp_s (a int)")
 		_, b := c.query(t, "select 1 from tmp_s")
@@ -409,7 +411,7 @@
 		_, g := c.query(t, "select 1 from tmp_s")
 		return []string{a, b, d, e, f, g}
 	})
-	both(func(c caller) any { // settings follow the session to any engine
+	both(func(c suiteClient) any { // settings follow the session to any engine
 		c.set(t, "search_path", "mine")
 		var out []any
 		for range 6 {
@@ -418,21 +420,21 @@
 		}
 		return out
 	})
-	pg.c.Close(context.Background())
-	eventually(t, "all sessions are free", func() bool { return s.Kept() == 0 })
+	pg.conn.Close(context.Background())
+	eventually(t, "all sessions are free", func() bool { return s.StickySessions() == 0 })
 }
 
 // The same over database/sql, with pgx's driver and Arrow's: both fronts give the same to the same program.
-func TestDatabaseSQLOverBothFronts(t *testing.T) {
-	_, s := raise(t, 2, flightSettings)
+func TestDatabaseSQLOverBothFrontends(t *testing.T) {
+	_, s := startDispatcher(t, 2, flightSettings)
 	program := func(db *sql.DB) (out []string) {
 		defer db.Close()
 		ctx := context.Background()
 		note := func(what string, err error, values ...any) {
 			end := ""
 			if err != nil {
-				if end = pgCode(err); len(end) != 5 {
-					end = flCode(err)
+				if end = pgSQLState(err); len(end) != 5 {
+					end = flightSQLState(err)
 				}
 			}
 			out = append(out, fmt.Sprint(what, " ", values, " ", end))
@@ -495,7 +497,7 @@
 		db.SetMaxOpenConns(1)
 		return db
 	}
-	a := program(open("pgx", url(s, "")))
+	a := program(open("pgx", connectionString(s, "")))
 	b := program(open("flightsql", "flightsql://u:p@"+s.FlightAddr()))
 	if len(a) < 18 || len(a) != len(b) {
 		t.Fatalf("%d and %d lines:\n%s\n\n%s", len(a), len(b), strings.Join(a, "\n"), strings.Join(b, "\n"))
@@ -509,7 +511,7 @@
 
 // What drivers ask at connect, savepoints, and the session's end.
 func TestFlightCatalogsAndSavepoints(t *testing.T) {
-	_, s := raise(t, 2, flightSettings)
+	_, s := startDispatcher(t, 2, flightSettings)
 	c := dialFlight(t, s, "u")
 	for name, call := range map[string]struct {
 		f    func() (*flight.FlightInfo, error)
@@ -590,7 +592,7 @@
 	if fi, err = tx.Execute(c.ctx, "select 1 from tmp_none"); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.rows(c.ctx, fi); flCode(err) != "42P01" {
+	if _, err := c.rows(c.ctx, fi); flightSQLState(err) != "42P01" {
 		t.Errorf("a table that is not there: %v", err)
 	}
 	if err := tx.RollbackSavepoint(c.ctx, p); err != nil {
--- a/internal/server/invariant_test.go
+++ b/internal/server/invariant_test.go
@@ -13,24 +13,24 @@
 	"cresspass/internal/standin"
 )
 
-// TestServeIsGuarded: where the module would break a rule, the dispatcher's books do not let it: a statement
-// that changes data and may have run is not sent again, and the attempt is counted.
-func TestServeIsGuarded(t *testing.T) {
+// TestInvariantGuardBlocksUnsafeRetry: where the module would break a rule, the dispatcher's books do not
+// let it: a statement that changes data and may have run is not sent again, and the attempt is counted.
+func TestInvariantGuardBlocksUnsafeRetry(t *testing.T) {
 	const mayRepeatUnsafe = 2 // the rule that the decider has no guard for
-	r := engines(t, 3)
+	r := startEngines(t, 3)
 	for _, e := range r.Engines {
 		e.Set(standin.Faults{ErrorShare: 1})
 	}
-	s, err := r.DispatchWith(settings, nil, func(m cresspass.Config) (dispatch.Decider, error) {
+	s, err := r.DispatchWith(baseSettings, nil, func(m cresspass.Config) (dispatch.Decider, error) {
 		return baseline.New("", mayRepeatUnsafe, m)
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Close)
-	c := dial(t, s)
+	c := dialServer(t, s)
 	c.send(&pgproto3.Query{String: "insert into t select 1 /*id='once'*/"})
-	if seen := strings.Join(c.until("Z"), " "); !strings.Contains(seen, "E") {
+	if seen := strings.Join(c.readUntil("Z"), " "); !strings.Contains(seen, "E") {
 		t.Errorf("the client was told %q", seen)
 	}
 	ran := 0
@@ -42,7 +42,7 @@
 		}
 	}
 	violated, _ := s.Invariants()
-	if ran != 1 || violated[invariant.RepeatedUnsafe] == 0 {
+	if ran != 1 || violated[invariant.RetriedNonIdempotent] == 0 {
 		t.Errorf("it ran %d times, want once; violations %v", ran, violated)
 	}
 }
--- a/internal/server/orphan_test.go
+++ b/internal/server/orphan_cleanup_test.go
@@ -17,27 +17,27 @@
 	"cresspass/internal/standin"
 )
 
-// wall stands between a dispatcher and an engine. After Lose the dispatcher's side is closed and new
-// connections are let through, but the engine's side of the old ones stays open without a word, as when the
-// dispatcher's machine is lost.
-type wall struct {
-	ln     net.Listener
-	target string
-	mu     sync.Mutex
-	lost   bool
-	sides  [][2]net.Conn
-	work   sync.WaitGroup
+// partitionProxy stands between a dispatcher and an engine. After Lose the dispatcher's side is closed and
+// new connections are let through, but the engine's side of the old ones stays open without a word, as when
+// the dispatcher's machine is lost.
+type partitionProxy struct {
+	ln          net.Listener
+	target      string
+	mu          sync.Mutex
+	partitioned bool
+	connections [][2]net.Conn
+	wait        sync.WaitGroup
 }
 
-func newWall(t *testing.T, target string) *wall {
+func newPartitionProxy(t *testing.T, target string) *partitionProxy {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &wall{ln: ln, target: target}
-	w.work.Add(1)
+	w := &partitionProxy{ln: ln, target: target}
+	w.wait.Add(1)
 	go func() {
-		defer w.work.Done()
+		defer w.wait.Done()
 		for {
 			in, err := ln.Accept()
 			if err != nil {
@@ -49,15 +49,15 @@
 				continue
 			}
 			w.mu.Lock()
-			w.sides = append(w.sides, [2]net.Conn{in, out})
+			w.connections = append(w.connections, [2]net.Conn{in, out})
 			w.mu.Unlock()
-			w.work.Add(2)
-			go func() { defer w.work.Done(); io.Copy(in, out); in.Close() }()
+			w.wait.Add(2)
+			go func() { defer w.wait.Done(); io.Copy(in, out); in.Close() }()
 			go func() {
-				defer w.work.Done()
+				defer w.wait.Done()
 				io.Copy(out, in)
 				w.mu.Lock()
-				lost := w.lost
+				lost := w.partitioned
 				w.mu.Unlock()
 				if !lost {
 					out.Close()
@@ -68,22 +68,22 @@
 	t.Cleanup(func() {
 		ln.Close()
 		w.mu.Lock()
-		for _, s := range w.sides {
+		for _, s := range w.connections {
 			s[0].Close()
 			s[1].Close()
 		}
 		w.mu.Unlock()
-		w.work.Wait()
+		w.wait.Wait()
 	})
 	return w
 }
 
-// Lose cuts the dispatcher off.
-func (w *wall) Lose() {
+// Partition cuts the dispatcher off.
+func (w *partitionProxy) Partition() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.lost = true
-	for _, s := range w.sides {
+	w.partitioned = true
+	for _, s := range w.connections {
 		s[0].Close()
 	}
 }
@@ -91,36 +91,39 @@
 // A dispatcher is lost with sessions open: one rests in a transaction, one holds a lock by its session, one
 // runs a long statement. The engine hears nothing of it. The next life on the same state finds them and ends
 // them, so that their locks come free; other programs' sessions stay.
-func TestOrphansAreEnded(t *testing.T) {
-	r, err := testbed.New(standin.EngineConfig{Kind: testbed.Kind(8, 4096)}, standin.EngineConfig{Kind: testbed.Kind(8,
-		4096)})
+func TestOrphanedSessionsAreTerminated(t *testing.T) {
+	r, err := testbed.New(
+		standin.EngineConfig{Kind: testbed.Kind(8, 4096)},
+		standin.EngineConfig{Kind: testbed.Kind(8,
+			4096)},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.Close)
-	var walls []*wall
+	var proxies []*partitionProxy
 	for i := range r.Engines {
-		walls = append(walls, newWall(t, r.Engines[i].Addr()))
-		r.Change(i, func(e *eds.Engine) { e.Address = walls[i].ln.Addr().String() })
+		proxies = append(proxies, newPartitionProxy(t, r.Engines[i].Addr()))
+		r.Change(i, func(e *eds.Engine) { e.Address = proxies[i].ln.Addr().String() })
 	}
 	first, second := t.TempDir(), t.TempDir()
-	s, err := r.Dispatch(settings+"state = \""+first+"\"\n", nil)
+	s, err := r.Dispatch(baseSettings+"state = \""+first+"\"\n", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	say := func(c *raw, text string) []string {
+	simpleQuery := func(c *wireClient, text string) []string {
 		c.send(&pgproto3.Query{String: text})
-		return c.until("Z")
+		return c.readUntil("Z")
 	}
-	inTx, locked, runs := dial(t, s), dial(t, s), dial(t, s)
-	say(inTx, "begin")
-	say(inTx, "select pg_advisory_lock(1)")
-	say(locked, "select pg_advisory_lock(2)")
-	say(runs, "begin")
-	say(runs, "select pg_advisory_lock(3)")
+	inTx, locked, runs := dialServer(t, s), dialServer(t, s), dialServer(t, s)
+	simpleQuery(inTx, "begin")
+	simpleQuery(inTx, "select pg_advisory_lock(1)")
+	simpleQuery(locked, "select pg_advisory_lock(2)")
+	simpleQuery(runs, "begin")
+	simpleQuery(runs, "select pg_advisory_lock(3)")
 	runs.send(&pgproto3.Query{String: "insert into t values (1) /*work_ms='60000'*/"})
-	other := dialAt(t, r.Engines[0].Addr()) // another program's session on the same engine
-	say(other, "begin")
+	other := dialAddress(t, r.Engines[0].Addr()) // another program's session on the same engine
+	simpleQuery(other, "begin")
 	time.Sleep(250 * time.Millisecond) // they are noted
 	files, err := filepath.Glob(filepath.Join(first, "*"))
 	if err != nil || len(files) == 0 {
@@ -135,8 +138,8 @@
 			t.Fatal(err)
 		}
 	}
-	for _, w := range walls {
-		w.Lose()
+	for _, w := range proxies {
+		w.Partition()
 	}
 	s.Close()
 	open := func() (n int) {
@@ -148,13 +151,13 @@
 	if n := open(); n < 3 { // two transactions of the lost dispatcher's, one of the other program's
 		t.Fatalf("%d sessions stand at the engines: nothing to find", n)
 	}
-	for _, w := range walls {
+	for _, w := range proxies {
 		w.mu.Lock()
-		w.lost = false
+		w.partitioned = false
 		w.mu.Unlock()
 	}
 	began := time.Now()
-	s, err = r.Dispatch(settings+"state = \""+second+"\"\n", nil)
+	s, err = r.Dispatch(baseSettings+"state = \""+second+"\"\n", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -163,14 +166,14 @@
 	t.Logf("ended %v after the return", time.Since(began).Round(time.Millisecond))
 	for _, key := range []string{"1", "2", "3"} {
 		for i := range r.Engines { // asked at the engines, as a lock is one engine's
-			c := dialAt(t, r.Engines[i].Addr())
-			if seen := say(c, "select pg_advisory_lock("+key+")"); countOf(seen, "E") != 0 {
+			c := dialAddress(t, r.Engines[i].Addr())
+			if seen := simpleQuery(c, "select pg_advisory_lock("+key+")"); countPrefix(seen, "E") != 0 {
 				t.Errorf("lock %s: %v", key, seen)
 			}
-			c.c.Close()
+			c.conn.Close()
 		}
 	}
-	if seen := say(other, "select 1"); countOf(seen, "E") != 0 {
+	if seen := simpleQuery(other, "select 1"); countPrefix(seen, "E") != 0 {
 		t.Errorf("another program's session: %v", seen)
 	}
 }
--- a/internal/server/guard_test.go
+++ b/internal/server/overload_test.go
@@ -15,32 +15,40 @@
 
 // Answers that clients leave untaken use up the memory for answers; newcomers are refused until it is free
 // again.
-func TestAnswerMemory(t *testing.T) {
-	_, s := raise(t, 1, strings.Replace(settings, "hold_back", "max_answer_memory = 100000\nhold_back", 1))
-	slow := dial(t, s)
-	slow.c.(*net.TCPConn).SetReadBuffer(4096)
+func TestResponseMemoryLimit(t *testing.T) {
+	_, s := startDispatcher(
+		t,
+		1,
+		strings.Replace(baseSettings, "hold_back", "max_answer_memory = 100000\nhold_back", 1),
+	)
+	slow := dialServer(t, s)
+	slow.conn.(*net.TCPConn).SetReadBuffer(4096)
 	slow.send(&pgproto3.Query{String: "select 1 /*rows='100000',row_bytes='1000'*/"})
-	c := dial(t, s)
+	c := dialServer(t, s)
 	var seen []string
 	eventually(t, "a refusal", func() bool {
 		c.send(&pgproto3.Query{String: "select 1"})
-		seen = c.until("Z")
-		return countOf(seen, "E:53000") == 1
+		seen = c.readUntil("Z")
+		return countPrefix(seen, "E:53000") == 1
 	})
-	slow.c.Close()
+	slow.conn.Close()
 	eventually(t, "room again", func() bool {
 		c.send(&pgproto3.Query{String: "select 1"})
-		return countOf(c.until("Z"), "C") == 1
+		return countPrefix(c.readUntil("Z"), "C") == 1
 	})
 }
 
 // At a limit of its own the dispatcher refuses newcomers at once, with the reason, and serves on what it has.
-func TestOwnLimits(t *testing.T) {
-	_, s := raise(t, 1, strings.Replace(settings, "hold_back", "max_held = 2\nmax_per_user = 4\nhold_back",
-		1))
-	var running []*raw
+func TestOverloadLimits(t *testing.T) {
+	_, s := startDispatcher(
+		t,
+		1,
+		strings.Replace(baseSettings, "hold_back", "max_held = 2\nmax_per_user = 4\nhold_back",
+			1),
+	)
+	var running []*wireClient
 	for range 2 {
-		c := dial(t, s)
+		c := dialServer(t, s)
 		c.send(&pgproto3.Query{String: "select 1 /*work_ms='400'*/"})
 		running = append(running, c)
 	}
@@ -54,19 +62,19 @@
 		t.Errorf("a third query after %v: %v", time.Since(begin), err)
 	}
 	for _, c := range running {
-		if seen := c.until("Z"); countOf(seen, "C") != 1 {
+		if seen := c.readUntil("Z"); countPrefix(seen, "C") != 1 {
 			t.Errorf("what was taken before got %v", seen)
 		}
 	}
 	if _, err := third.Exec(context.Background(), "select 1", pgx.QueryExecModeSimpleProtocol); err != nil {
 		t.Errorf("after it: %v", err)
 	}
-	dial(t, s)
-	if _, err := pgx.Connect(context.Background(), url(s, "")); code(err) != "53300" ||
+	dialServer(t, s)
+	if _, err := pgx.Connect(context.Background(), connectionString(s, "")); sqlState(err) != "53300" ||
 		!strings.Contains(err.Error(), `user "u" has 4 connections`) {
 		t.Errorf("a fifth connection of a user: %v", err)
 	}
-	if c, err := pgx.Connect(context.Background(), strings.Replace(url(s, ""), "u:p@", "other@",
+	if c, err := pgx.Connect(context.Background(), strings.Replace(connectionString(s, ""), "u:p@", "other@",
 		1)); err != nil {
 		t.Errorf("another user: %v", err)
 	} else {
--- a/internal/server/record_test.go
+++ b/internal/server/recording_test.go
@@ -13,10 +13,10 @@
 
 // What a dispatcher took is in its folder once it has ended: one entry a query, by outcome, one shape for
 // texts that differ in literals, and no text.
-func TestRecords(t *testing.T) {
-	r := engines(t, 1)
+func TestQueriesAreRecorded(t *testing.T) {
+	r := startEngines(t, 1)
 	dir := t.TempDir()
-	s, err := r.Dispatch(settings+fmt.Sprintf("\nrecord {\n  dir = %q\n}\n", dir), nil)
+	s, err := r.Dispatch(baseSettings+fmt.Sprintf("\nrecord {\n  dir = %q\n}\n", dir), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) {
 	if to := os.Getenv("CRESSPASS_IDLE"); to != "" {
-		if err := idle(to); err != nil {
+		if err := holdIdleClients(to); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -31,8 +31,8 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("github.com/hashicorp/memberlist.(*Memberlist).probe"))
 }
 
-// settings has a class of each effect; the client's time is short so that tests are.
-const settings = `
+// baseSettings has a class of each effect; the client's time is short so that tests are.
+const baseSettings = `
 default_class = "lookup"
 write_class   = "write"
 hold_back     = 4096
@@ -73,8 +73,8 @@
 }
 `
 
-// engines raises stand-in engines and their list.
-func engines(t *testing.T, n int) *testbed.Rig {
+// startEngines raises stand-in engines and their list.
+func startEngines(t *testing.T, n int) *testbed.Rig {
 	t.Helper()
 	cfg := make([]standin.EngineConfig, n)
 	for i := range cfg {
@@ -88,9 +88,9 @@
 	return r
 }
 
-func raise(t *testing.T, n int, settings string) (*testbed.Rig, *server.Server) {
+func startDispatcher(t *testing.T, n int, settings string) (*testbed.Rig, *server.Server) {
 	t.Helper()
-	r := engines(t, n)
+	r := startEngines(t, n)
 	s, err := r.Dispatch(settings, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -99,13 +99,13 @@
 	return r, s
 }
 
-func url(s *server.Server, options string) string {
+func connectionString(s *server.Server, options string) string {
 	return "postgres://u:p@" + s.Addr() + "/db?sslmode=disable" + options
 }
 
 func connect(t *testing.T, s *server.Server, options string) *pgx.Conn {
 	t.Helper()
-	c, err := pgx.Connect(context.Background(), url(s, options))
+	c, err := pgx.Connect(context.Background(), connectionString(s, options))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,7 +113,7 @@
 	return c
 }
 
-func code(err error) string {
+func sqlState(err error) string {
 	var e *pgconn.PgError
 	if errors.As(err, &e) {
 		return e.Code
@@ -122,8 +122,8 @@
 }
 
 // Each client library and way to ask gets rows from an engine.
-func TestClientsAreAnswered(t *testing.T) {
-	_, s := raise(t, 2, settings)
+func TestClientsAreServed(t *testing.T) {
+	_, s := startDispatcher(t, 2, baseSettings)
 	ctx := context.Background()
 	for _, mode := range []string{"cache_statement", "cache_describe", "describe_exec", "exec",
 		"simple_protocol"} {
@@ -145,12 +145,12 @@
 		if tag, err := c.Exec(ctx, "insert into t values ($1)", "x"); err != nil || tag.RowsAffected() != 1 {
 			t.Fatal(mode, tag, err)
 		}
-		if _, err := c.Exec(ctx, "select 'syntax error'"); code(err) != "42601" {
+		if _, err := c.Exec(ctx, "select 'syntax error'"); sqlState(err) != "42601" {
 			t.Fatal(mode, err)
 		}
 
 	}
-	db, err := sql.Open("postgres", url(s, ""))
+	db, err := sql.Open("postgres", connectionString(s, ""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -166,7 +166,7 @@
 		t.Fatal(err)
 	}
 	st := s.Stats()
-	if st.Taken == 0 || st.Taken != st.Served || st.Open != 0 || st.Overdue != 0 {
+	if st.Arrived == 0 || st.Arrived != st.Served || st.Open != 0 || st.Overdue != 0 {
 		t.Errorf("books: %+v", st)
 	}
 }
--- a/internal/server/level_test.go
+++ b/internal/server/session_balance_test.go
@@ -11,14 +11,14 @@
 	"cresspass/internal/dispatch"
 )
 
-// unlevel keeps from a module what it is told of sessions.
-type unlevel struct{ dispatch.Decider }
+// sessionBlindDecider keeps from a module what it is told of sessions.
+type sessionBlindDecider struct{ dispatch.Decider }
 
-func (u unlevel) Handle(now time.Duration, events []cresspass.Event,
+func (u sessionBlindDecider) Handle(now time.Duration, events []cresspass.Event,
 	actions []cresspass.Action) []cresspass.Action {
 	kept := events[:0]
 	for _, ev := range events {
-		if ev.Stays = false; ev.Type != cresspass.SessionKept {
+		if ev.OpensSession = false; ev.Type != cresspass.SessionCountChanged {
 			kept = append(kept, ev)
 		}
 	}
@@ -27,25 +27,25 @@
 
 // A third of the engines restart; their sessions come again, and so do new ones. With what the module is told
 // of sessions at rest they come to be level; without it they would pile up where nothing runs.
-func TestSessionsAreLevelled(t *testing.T) {
-	spread := func(told bool) (most, least int) {
-		r := engines(t, 6)
-		s, err := r.DispatchWith(settings, nil, func(m cresspass.Config) (dispatch.Decider, error) {
+func TestStickySessionsAreBalanced(t *testing.T) {
+	spread := func(reportSessions bool) (maxSessions, minSessions int) {
+		r := startEngines(t, 6)
+		s, err := r.DispatchWith(baseSettings, nil, func(m cresspass.Config) (dispatch.Decider, error) {
 			g, err := cresspass.New(m)
-			if told || err != nil {
+			if reportSessions || err != nil {
 				return g, err
 			}
-			return unlevel{g}, nil
+			return sessionBlindDecider{g}, nil
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer s.Close()
-		open := map[*raw]bool{}
+		open := map[*wireClient]bool{}
 		session := func() {
-			c := dial(t, s)
+			c := dialServer(t, s)
 			c.send(&pgproto3.Query{String: "create temp table tmp_level (a int)"})
-			if seen := c.until("Z"); countOf(seen, "E") == 0 {
+			if seen := c.readUntil("Z"); countPrefix(seen, "E") == 0 {
 				open[c] = true
 			}
 		}
@@ -62,13 +62,13 @@
 		time.Sleep(300 * time.Millisecond) // the lost sessions' clients come again
 		lost := 0
 		for c := range open {
-			c.c.SetReadDeadline(time.Now().Add(time.Millisecond))
-			if _, err := c.c.Read(make([]byte, 1)); err == nil {
+			c.conn.SetReadDeadline(time.Now().Add(time.Millisecond))
+			if _, err := c.conn.Read(make([]byte, 1)); err == nil {
 				lost++
-				c.c.Close()
+				c.conn.Close()
 				delete(open, c)
 			}
-			c.c.SetReadDeadline(time.Time{})
+			c.conn.SetReadDeadline(time.Time{})
 		}
 		for range lost + 60 {
 			session()
@@ -77,13 +77,13 @@
 		for _, e := range r.Engines {
 			all = append(all, e.Sessions())
 		}
-		most, least = slices.Max(all), slices.Min(all)
-		t.Logf("told of sessions: %v; %d lost; sessions on engines %v", told, lost, all)
-		return most, least
+		maxSessions, minSessions = slices.Max(all), slices.Min(all)
+		t.Logf("told of sessions: %v; %d lost; sessions on engines %v", reportSessions, lost, all)
+		return maxSessions, minSessions
 	}
-	most, least := spread(true)
-	if most > 2*least || least == 0 {
-		t.Errorf("from %d to %d sessions on an engine", least, most)
+	maxSessions, minSessions := spread(true)
+	if maxSessions > 2*minSessions || minSessions == 0 {
+		t.Errorf("from %d to %d sessions on an engine", minSessions, maxSessions)
 	}
 	spread(false) // for the figures
 }
--- /dev/null
+++ b/internal/server/stale_statement_test.go
@@ -0,0 +1,93 @@
+package server_test
+
+import (
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/jackc/pgx/v5/pgproto3"
+
+	"cresspass/internal/discovery/eds"
+)
+
+// gatedProxy is an engine's address at which connections come up only once it is opened.
+type gatedProxy struct {
+	net.Listener
+	arrivals chan struct{} // one for each connection
+	opened   chan struct{} // closed: they go through
+}
+
+func newGatedProxy(t *testing.T, engine string) *gatedProxy {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	g := &gatedProxy{ln, make(chan struct{}, 16), make(chan struct{})}
+	t.Cleanup(func() { ln.Close() })
+	go func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			g.arrivals <- struct{}{}
+			go g.forward(c, engine)
+		}
+	}()
+	return g
+}
+
+func (g *gatedProxy) forward(c net.Conn, engine string) {
+	defer c.Close()
+	<-g.opened
+	far, err := net.Dial("tcp", engine)
+	if err != nil {
+		return
+	}
+	defer far.Close()
+	go io.Copy(c, far)
+	io.Copy(far, c)
+}
+
+// TestStaleStatementIsNotSent: a statement that waits for its engine's connection is not sent when,
+// meanwhile, its client has gone, or its engine was told to drain and the grace is over; also where it
+// changes data, which once begun runs to its end.
+func TestStaleStatementIsNotSent(t *testing.T) {
+	for name, invalidate := range map[string]func(t *testing.T, w *pendingStatement){
+		"its client has gone": func(t *testing.T, w *pendingStatement) { w.client.conn.Close() },
+		"its engine drains":   func(t *testing.T, w *pendingStatement) { w.drain() },
+	} {
+		t.Run(name, func(t *testing.T) {
+			r, s := startDispatcher(t, 1, strings.Replace(baseSettings, `drain_grace = "500ms"`,
+				`drain_grace = "100ms"`, 1))
+			g := newGatedProxy(t, r.Engines[0].Addr())
+			r.Change(0, func(e *eds.Engine) { e.Address = g.Addr().String() })
+			eventually(t, "the gate is on the list", func() bool { return s.EngineActive(g.Addr().String()) })
+			w := &pendingStatement{client: dialServer(t, s), drain: func() {
+				r.Change(0, func(e *eds.Engine) { e.State = eds.StateDraining })
+				eventually(t, "the drain is known", func() bool { return !s.EngineActive(g.Addr().String()) })
+				time.Sleep(200 * time.Millisecond) // the grace is over
+			}}
+			w.client.send(&pgproto3.Query{String: "insert into t select 1"})
+			<-g.arrivals
+			invalidate(t, w)
+			eventually(t, "the dispatcher knows", func() bool {
+				return name != "its client has gone" || s.Clients() == 0
+			})
+			close(g.opened)
+			eventually(t, "nothing is under way", func() bool { return s.Stats().Running == 0 })
+			if runs := r.Engines[0].Runs(); len(runs) != 0 {
+				t.Errorf("%d statements were sent: %+v", len(runs), runs[0])
+			}
+		})
+	}
+}
+
+// pendingStatement is a statement whose engine's connection has not come up.
+type pendingStatement struct {
+	client *wireClient
+	drain  func()
+}
--- a/internal/server/pin_bench_test.go
+++ b/internal/server/sticky_session_benchmark_test.go
@@ -12,11 +12,14 @@
 	"cresspass/internal/standin"
 )
 
-// BenchmarkPinned measures a statement of a session in a transaction against one of a free session, the same
-// client.
-func BenchmarkPinned(b *testing.B) {
-	r, err := testbed.New(standin.EngineConfig{Kind: testbed.Kind(64, 4096)}, standin.EngineConfig{Kind: testbed.Kind(64,
-		4096)})
+// BenchmarkStickyStatement measures a statement of a session in a transaction against one of a free session,
+// the same client.
+func BenchmarkStickyStatement(b *testing.B) {
+	r, err := testbed.New(
+		standin.EngineConfig{Kind: testbed.Kind(64, 4096)},
+		standin.EngineConfig{Kind: testbed.Kind(64,
+			4096)},
+	)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -40,7 +43,7 @@
 				}
 			}
 			for b.Loop() {
-				if _, err := c.Exec(ctx, text, "x"); err != nil {
+				if _, err := c.Exec(ctx, benchmarkStatement, "x"); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -48,9 +51,9 @@
 	}
 }
 
-// BenchmarkIdlePinned measures what an idle session in a transaction holds, client, dispatcher and stand-in
-// together, in kB each: the three share this process.
-func BenchmarkIdlePinned(b *testing.B) {
+// BenchmarkIdleStickySession measures what an idle session in a transaction holds, client, dispatcher and
+// stand-in together, in kB each: the three share this process.
+func BenchmarkIdleStickySession(b *testing.B) {
 	r, err := testbed.New(standin.EngineConfig{Kind: testbed.Kind(64, 4096)})
 	if err != nil {
 		b.Fatal(err)
