--- a/internal/server/pinhard_test.go
+++ b/internal/server/sticky_session_fault_test.go
@@ -14,26 +14,26 @@
 	"cresspass/internal/rehearsal/testbed"
 )
 
-// open begins a transaction on the engine of a number, and returns the session.
-func open(t *testing.T, r *testbed.Rig, addr string, at int) *raw {
+// openSessionOn begins a transaction on the engine of a number, and returns the session.
+func openSessionOn(t *testing.T, r *testbed.Rig, addr string, at int) *wireClient {
 	t.Helper()
 	for i := range r.Engines { // the choice is the module's: for the moment there is no other engine
-		if i != at && r.State(i) == eds.On {
+		if i != at && r.State(i) == eds.StateActive {
 			r.Change(i, func(e *eds.Engine) { e.State = "" })
-			defer r.Change(i, func(e *eds.Engine) { e.State = eds.On })
+			defer r.Change(i, func(e *eds.Engine) { e.State = eds.StateActive })
 		}
 	}
 	for n := range 1000 { // an engine that died is passed over for a while
-		c := dialAt(t, addr)
+		c := dialAddress(t, addr)
 		id := fmt.Sprintf("open-%p-%d", c, n)
 		c.send(&pgproto3.Query{String: "begin /*id='" + id + "'*/"})
-		c.until("Z")
+		c.readUntil("Z")
 		for _, v := range r.Engines[at].Runs() {
 			if v.ID == id {
 				return c
 			}
 		}
-		c.c.Close()
+		c.conn.Close()
 		time.Sleep(5 * time.Millisecond)
 	}
 	t.Fatal("no session came to the engine")
@@ -44,19 +44,19 @@
 // it is. The grace is long, as the test is of what happens inside it.
 func TestDrainBetweenParseAndExecute(t *testing.T) {
 	const short, long = `drain_grace = "500ms"`, `drain_grace = "10s"`
-	r, s := raise(t, 2, strings.Replace(settings, short, long, 1))
-	inTx, free := open(t, r, s.Addr(), 0), dial(t, s)
-	for _, c := range []*raw{inTx, free} {
+	r, s := startDispatcher(t, 2, strings.Replace(baseSettings, short, long, 1))
+	inTx, free := openSessionOn(t, r, s.Addr(), 0), dialServer(t, s)
+	for _, c := range []*wireClient{inTx, free} {
 		c.send(&pgproto3.Parse{Name: "p", Query: "select $1::text"}, &pgproto3.Describe{ObjectType: 'S',
 			Name: "p"}, &pgproto3.Sync{})
-		c.until("Z")
+		c.readUntil("Z")
 	}
-	r.Change(0, func(e *eds.Engine) { e.State = eds.Draining })
+	r.Change(0, func(e *eds.Engine) { e.State = eds.StateDraining })
 	time.Sleep(50 * time.Millisecond)
-	for i, c := range []*raw{inTx, free} {
+	for i, c := range []*wireClient{inTx, free} {
 		c.send(&pgproto3.Bind{PreparedStatement: "p", Parameters: [][]byte{[]byte(fmt.Sprint("x", i,
 			";rows=2"))}}, &pgproto3.Execute{}, &pgproto3.Sync{})
-		if seen := c.until("Z"); countOf(seen, "D") != 2 {
+		if seen := c.readUntil("Z"); countPrefix(seen, "D") != 2 {
 			t.Errorf("session %d: %v", i, seen)
 		}
 	}
@@ -70,63 +70,71 @@
 		}
 	}
 	inTx.send(&pgproto3.Query{String: "commit"})
-	if seen := inTx.until("Z"); countOf(seen, "C") != 1 {
+	if seen := inTx.readUntil("Z"); countPrefix(seen, "C") != 1 {
 		t.Errorf("commit inside the grace: %v", seen)
 	}
 }
 
 // The drain notice in the moment a COMMIT is under way, and the engine's death there: what the client is told
 // is what the engine did, or that it is not known.
-func TestDrainAndDeathAtCommit(t *testing.T) {
-	r, s := raise(t, 1, settings)
+func TestDrainAndEngineLossAtCommit(t *testing.T) {
+	r, s := startDispatcher(t, 1, baseSettings)
 	ends := map[string]int{}
 	for i := range 30 {
-		c := open(t, r, s.Addr(), 0)
+		c := openSessionOn(t, r, s.Addr(), 0)
 		id := fmt.Sprint("c", i)
 		c.send(&pgproto3.Query{String: "commit /*id='" + id + "',state_ms='" + fmt.Sprint(i%3) + "'*/"})
 		time.Sleep(time.Duration(i*37%1500) * time.Microsecond)
-		death := i%5 == 4
-		if death {
+		engineLost := i%5 == 4
+		if engineLost {
 			r.Engines[0].Die()
 		} else {
-			r.Change(0, func(e *eds.Engine) { e.State = eds.Draining })
+			r.Change(0, func(e *eds.Engine) { e.State = eds.StateDraining })
 		}
-		seen, told := c.rest(), ""
+		seen, reported := c.readToEnd(), ""
 		for _, m := range seen {
 			if m == "C" || strings.HasPrefix(m, "E:") {
-				told += m
+				reported += m
 			}
 		}
-		did := false
+		committed := false
 		for _, v := range r.Engines[0].Runs() {
-			did = did || v.ID == id
+			committed = committed || v.ID == id
 		}
 		switch {
-		case told == "C" && did, told == "E:08007" && death, told == "CE:57P02" && death:
-		case told == "E:08006" && death && !did: // the COMMIT had not gone out: rolled back, as it says
+		case reported == "C" && committed,
+			reported == "E:08007" && engineLost,
+			reported == "CE:57P02" && engineLost:
+		case reported == "E:08006" && engineLost && !committed: // the COMMIT had not gone out: rolled back, as it says
 		default:
-			t.Errorf("%d: the client was told %q, the engine committed: %v, death %v", i, seen, did, death)
+			t.Errorf(
+				"%d: the client was told %q, the engine committed: %v, death %v",
+				i,
+				seen,
+				committed,
+				engineLost,
+			)
 		}
-		ends[told]++
-		c.c.Close()
-		if death {
+		ends[reported]++
+		c.conn.Close()
+		if engineLost {
 			if err := r.Engines[0].Restart(); err != nil {
 				t.Fatal(err)
 			}
 		}
 		r.Change(0, func(e *eds.Engine) {
-			e.State, e.Started = eds.On, r.Engines[0].Started().Add(-time.Hour)
+			e.State, e.Started = eds.StateActive, r.Engines[0].Started().Add(-time.Hour)
 		})
 	}
 	t.Logf("told %v", ends)
 }
 
-// rest reads what comes until ReadyForQuery, a FATAL error or the end of the connection.
-func (r *raw) rest() (seen []string) {
-	r.c.SetReadDeadline(time.Now().Add(10 * time.Second))
-	defer r.c.SetReadDeadline(time.Time{})
+// readToEnd reads what comes until ReadyForQuery, a FATAL error or the end of the connection.
+func (r *wireClient) readToEnd() (seen []string) {
+	r.conn.SetReadDeadline(time.Now().Add(10 * time.Second))
+	defer r.conn.SetReadDeadline(time.Time{})
 	for {
-		m, err := r.f.Receive()
+		m, err := r.frontend.Receive()
 		if err != nil {
 			return append(seen, "closed")
 		}
@@ -146,34 +154,34 @@
 // A transaction whose client stops reading amid an answer is ended with the client's time, so that it does
 // not hold its locks at the engine for as long as the client pleases.
 func TestClientStopsReadingInATransaction(t *testing.T) {
-	r, s := raise(t, 1, strings.Replace(settings, `deadline = "5s"`, `deadline = "1s"`, 1))
-	c := dial(t, s)
+	r, s := startDispatcher(t, 1, strings.Replace(baseSettings, `deadline = "5s"`, `deadline = "1s"`, 1))
+	c := dialServer(t, s)
 	c.send(&pgproto3.Query{String: "begin"})
-	c.until("Z")
+	c.readUntil("Z")
 	c.send(&pgproto3.Query{String: "select pg_advisory_lock(7)"})
-	c.until("Z")
+	c.readUntil("Z")
 	c.send(&pgproto3.Query{String: "select 1 /*rows='400000',row_bytes='200'*/"}) // 80 MB
 	time.Sleep(300 * time.Millisecond)
 	if n := r.Engines[0].Sessions(); n != 1 {
 		t.Fatalf("%d sessions", n)
 	}
 	eventually(t, "the engine is free of it", func() bool { return r.Engines[0].Sessions() == 0 })
-	other := dial(t, s)
+	other := dialServer(t, s)
 	other.send(&pgproto3.Query{String: "select pg_advisory_lock(7)"})
-	if seen := other.until("Z"); countOf(seen, "E") != 0 {
+	if seen := other.readUntil("Z"); countPrefix(seen, "E") != 0 {
 		t.Errorf("the lock: %v", seen)
 	}
 }
 
 // A cancel that arrives as the transaction ends and its connection changes hands never strikes the next
 // client's statement.
-func TestCancelAsTheConnectionChangesHands(t *testing.T) {
-	r, s := raise(t, 1, settings)
-	b := dial(t, s)
+func TestCancelDuringConnectionHandOver(t *testing.T) {
+	r, s := startDispatcher(t, 1, baseSettings)
+	b := dialServer(t, s)
 	for i := range 60 {
-		a := dial(t, s)
+		a := dialServer(t, s)
 		a.send(&pgproto3.Query{String: "begin"})
-		a.until("Z")
+		a.readUntil("Z")
 		var wg sync.WaitGroup
 		wg.Add(1)
 		go func() {
@@ -186,15 +194,15 @@
 			}
 		}()
 		a.send(&pgproto3.Query{String: "commit /*state_ms='" + fmt.Sprint(i%2) + "'*/"})
-		a.rest()
+		a.readToEnd()
 		for range 4 {
 			b.send(&pgproto3.Query{String: "select 1 /*work_ms='1'*/"})
-			if seen := b.until("Z"); countOf(seen, "E") != 0 {
+			if seen := b.readUntil("Z"); countPrefix(seen, "E") != 0 {
 				t.Fatalf("%d: the next client was told %v", i, seen)
 			}
 		}
 		wg.Wait()
-		a.c.Close()
+		a.conn.Close()
 	}
 	for _, v := range r.Engines[0].Runs() {
 		if v.Outcome == "cancelled" {
@@ -206,14 +214,18 @@
 // A thousand sessions on an engine that drains: each is told at once, those in transactions may finish, and
 // all have left within the grace. No new session goes there.
 func TestThousandSessionsDrain(t *testing.T) {
-	r, s := raise(t, 2, strings.Replace(settings, "engines {", "engines {\n  max_connections = 2000", 1))
+	r, s := startDispatcher(
+		t,
+		2,
+		strings.Replace(baseSettings, "engines {", "engines {\n  max_connections = 2000", 1),
+	)
 	r.Change(1, func(e *eds.Engine) { e.State = "" })
 	time.Sleep(50 * time.Millisecond)
 	const n = 1000
-	all := make([]*raw, n)
+	all := make([]*wireClient, n)
 	var wg sync.WaitGroup
 	gate := make(chan struct{}, 50)
-	each := func(do func(i int, c *raw)) {
+	each := func(do func(i int, c *wireClient)) {
 		for i := range all {
 			wg.Add(1)
 			gate <- struct{}{}
@@ -222,47 +234,47 @@
 		wg.Wait()
 	}
 	for i := range all {
-		all[i] = dial(t, s)
+		all[i] = dialServer(t, s)
 	}
-	each(func(i int, c *raw) {
+	each(func(i int, c *wireClient) {
 		text := "create temp table tmp_t (a int)"
 		if i%2 == 0 {
 			text = "begin"
 		}
 		for range 50 { // a thousand at once are more than are admitted; a refused one comes again
 			c.send(&pgproto3.Query{String: text})
-			if seen := c.rest(); seen[0] == "C" {
+			if seen := c.readToEnd(); seen[0] == "C" {
 				break
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 	})
-	if got := r.Engines[0].Sessions(); got != n || s.Kept() != n {
-		t.Fatalf("%d sessions at the engine, %d kept", got, s.Kept())
+	if got := r.Engines[0].Sessions(); got != n || s.StickySessions() != n {
+		t.Fatalf("%d sessions at the engine, %d kept", got, s.StickySessions())
 	}
-	r.Change(1, func(e *eds.Engine) { e.State = eds.On })
-	r.Change(0, func(e *eds.Engine) { e.State = eds.Draining })
-	told := time.Now()
+	r.Change(1, func(e *eds.Engine) { e.State = eds.StateActive })
+	r.Change(0, func(e *eds.Engine) { e.State = eds.StateDraining })
+	drainedAt := time.Now()
 	gate = make(chan struct{}, n)
 	var mu sync.Mutex
 	ends := map[string]int{}
-	each(func(i int, c *raw) {
+	each(func(i int, c *wireClient) {
 		if i%4 == 0 { // in a transaction, and done in time
 			c.send(&pgproto3.Query{String: "commit"})
 		}
-		end := fmt.Sprint(c.rest())
+		end := fmt.Sprint(c.readToEnd())
 		mu.Lock()
 		ends[end]++
 		mu.Unlock()
 	})
 	eventually(t, "the engine is left", func() bool { return r.Engines[0].Sessions() == 0 })
-	took := time.Since(told)
+	took := time.Since(drainedAt)
 	t.Logf("%v; the engine was left by all after %v", ends, took.Round(time.Millisecond))
 	if ends["[C Z]"] != n/4 || ends["[E:57P01]"] != 3*n/4 {
 		t.Errorf("ends %v", ends)
 	}
 	for _, v := range r.Engines[0].Runs() {
-		if v.Class == "BEGIN" && v.Begun.After(told.Add(400*time.Millisecond)) {
+		if v.Class == "BEGIN" && v.Begun.After(drainedAt.Add(400*time.Millisecond)) {
 			t.Error("a session was opened on a draining engine")
 		}
 	}
--- a/internal/server/session_test.go
+++ b/internal/server/sticky_session_test.go
@@ -22,8 +22,8 @@
 	"cresspass/internal/standin"
 )
 
-// where tells on which engines the statements of a session ran, by the session's name in their ids.
-func where(engines []*standin.Engine, session string) map[int]int {
+// runsByEngine tells on which engines the statements of a session ran, by the session's name in their ids.
+func runsByEngine(engines []*standin.Engine, session string) map[int]int {
 	out := map[int]int{}
 	for i, e := range engines {
 		for _, v := range e.Runs() {
@@ -37,8 +37,8 @@
 
 // Transactions of ordinary drivers, temporary tables and settings find what the session left, on one engine;
 // what is left is gone for the next session.
-func TestSessionsStay(t *testing.T) {
-	r, s := raise(t, 3, settings)
+func TestSessionsAreSticky(t *testing.T) {
+	r, s := startDispatcher(t, 3, baseSettings)
 	var engines []*standin.Engine
 	for _, e := range r.Engines {
 		engines = append(engines, e.Engine)
@@ -61,17 +61,17 @@
 		if err := tx.Commit(ctx); err != nil {
 			t.Fatal(mode, err)
 		}
-		if got := where(engines, name); len(got) != 1 {
+		if got := runsByEngine(engines, name); len(got) != 1 {
 			t.Errorf("%s: a transaction ran on engines %v", mode, got)
 		}
 		// A failed transaction stays failed until its end.
 		if tx, err = c.Begin(ctx); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := tx.Exec(ctx, "select 'syntax error'"); code(err) != "42601" {
+		if _, err := tx.Exec(ctx, "select 'syntax error'"); sqlState(err) != "42601" {
 			t.Errorf("%s: %v", mode, err)
 		}
-		if _, err := tx.Exec(ctx, "select 1"); code(err) != "25P02" {
+		if _, err := tx.Exec(ctx, "select 1"); sqlState(err) != "25P02" {
 			t.Errorf("%s: in a failed transaction: %v", mode, err)
 		}
 		if err := tx.Rollback(ctx); err != nil {
@@ -85,7 +85,7 @@
 			}
 		}
 		other := connect(t, s, "&default_query_exec_mode="+mode)
-		if _, err := other.Exec(ctx, "select 1 from tmp_a"); code(err) != "42P01" {
+		if _, err := other.Exec(ctx, "select 1 from tmp_a"); sqlState(err) != "42P01" {
 			t.Errorf("%s: another session sees the table: %v", mode, err)
 		}
 		if i%2 == 0 { // freed by its word, else by the client's going
@@ -93,14 +93,14 @@
 				t.Error(mode, err)
 			}
 			c.DeallocateAll(ctx)
-			if _, err := c.Exec(ctx, "select 1 from tmp_a"); code(err) != "42P01" {
+			if _, err := c.Exec(ctx, "select 1 from tmp_a"); sqlState(err) != "42P01" {
 				t.Errorf("%s: after discard all: %v", mode, err)
 			}
 		}
 		c.Close(ctx)
 		other.Close(ctx)
 	}
-	db, err := sql.Open("postgres", url(s, ""))
+	db, err := sql.Open("postgres", connectionString(s, ""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,11 +120,11 @@
 // A drain in a transaction: it may finish inside the grace; one that does not is told 57P01. A session pinned
 // by state is told at once and ended at the limit. New sessions go elsewhere. An engine's death after COMMIT
 // was sent leaves its outcome unknown, and says so.
-func TestSessionsEndPlainly(t *testing.T) {
-	r, s := raise(t, 2, settings)
-	on := func(c *raw, id string) int {
+func TestSessionsEndOnDrainAndEngineLoss(t *testing.T) {
+	r, s := startDispatcher(t, 2, baseSettings)
+	on := func(c *wireClient, id string) int {
 		c.send(&pgproto3.Query{String: "begin /*id='" + id + "'*/"})
-		c.until("Z")
+		c.readUntil("Z")
 		for i, e := range r.Engines {
 			for _, v := range e.Runs() {
 				if v.ID == id {
@@ -136,41 +136,56 @@
 		return 0
 	}
 	at := 0
-	quick, slow, pinned := open(t, r, s.Addr(), at), open(t, r, s.Addr(), at), open(t, r, s.Addr(), at)
+	quick, slow, pinned := openSessionOn(
+		t,
+		r,
+		s.Addr(),
+		at,
+	), openSessionOn(
+		t,
+		r,
+		s.Addr(),
+		at,
+	), openSessionOn(
+		t,
+		r,
+		s.Addr(),
+		at,
+	)
 	eventually(t, "both engines are known again", func() bool {
-		c := dial(t, s)
-		defer c.c.Close()
+		c := dialServer(t, s)
+		defer c.conn.Close()
 		return on(c, fmt.Sprintf("%p", c)) != at
 	})
 	pinned.send(&pgproto3.Query{String: "create temp table tmp_x (a int); commit"})
-	pinned.until("Z")
-	r.Change(at, func(e *eds.Engine) { e.State = eds.Draining })
-	if seen := pinned.until("NoticeResponse"); len(seen) != 1 {
+	pinned.readUntil("Z")
+	r.Change(at, func(e *eds.Engine) { e.State = eds.StateDraining })
+	if seen := pinned.readUntil("NoticeResponse"); len(seen) != 1 {
 		t.Errorf("a pinned session was told %v", seen)
 	}
 	quick.send(&pgproto3.Query{String: "insert into t values (1); commit"})
-	if seen := quick.until("Z"); countOf(seen, "C") < 2 {
+	if seen := quick.readUntil("Z"); countPrefix(seen, "C") < 2 {
 		t.Errorf("a commit inside the grace got %v", seen)
 	}
-	for name, c := range map[string]*raw{"in a transaction": slow, "pinned": pinned} {
-		if seen := c.until("E:57P01"); len(seen) != 1 {
+	for name, c := range map[string]*wireClient{"in a transaction": slow, "pinned": pinned} {
+		if seen := c.readUntil("E:57P01"); len(seen) != 1 {
 			t.Errorf("%s: %v", name, seen)
 		}
 	}
 	for i := range 10 {
-		c := dial(t, s)
+		c := dialServer(t, s)
 		if got := on(c, fmt.Sprint("n", i)); got == at {
 			t.Fatal("a new session went to a draining engine")
 		}
-		c.c.Close()
+		c.conn.Close()
 	}
 	// Death after COMMIT.
 	other := 1 - at
-	c := dial(t, s)
+	c := dialServer(t, s)
 	on(c, "last")
 	r.Engines[other].Set(standin.Faults{Cut: 1})
 	c.send(&pgproto3.Query{String: "insert into t values (1); commit"})
-	if seen := c.until("E:08007"); len(seen) == 0 {
+	if seen := c.readUntil("E:08007"); len(seen) == 0 {
 		t.Errorf("lost after commit: %v", seen)
 	}
 	eventually(t, "all ended", func() bool { st := s.Stats(); return st.Open == 0 && st.Running == 0 })
@@ -180,21 +195,24 @@
 // and nobody else does. What was rolled back, or failed, is not in force; a startup packet's wrong value is
 // told by the engine at each statement, and no query runs without what was asked for.
 func TestSettingsAreReplayed(t *testing.T) {
-	r, s := raise(t, 3, settings)
-	sessions := []*raw{dial(t, s), dial(t, s), dial(t, s)}
-	say := func(c *raw, text string) []string {
+	r, s := startDispatcher(t, 3, baseSettings)
+	sessions := []*wireClient{dialServer(t, s), dialServer(t, s), dialServer(t, s)}
+	simpleQuery := func(c *wireClient, text string) []string {
 		c.send(&pgproto3.Query{String: text})
-		return c.until("Z")
-	}
-	say(sessions[0], "set search_path = a, b")
-	say(sessions[1], "set search_path = c")
-	if seen := say(sessions[1], "set time zone 'Asia/Tokyo'"); countOf(seen, "ParameterStatus") != 1 {
+		return c.readUntil("Z")
+	}
+	simpleQuery(sessions[0], "set search_path = a, b")
+	simpleQuery(sessions[1], "set search_path = c")
+	if seen := simpleQuery(sessions[1], "set time zone 'Asia/Tokyo'"); countPrefix(
+		seen,
+		"ParameterStatus",
+	) != 1 {
 		t.Errorf("the engine's news of a setting was not passed on: %v", seen)
 	}
-	say(sessions[2], "begin; set search_path = d; rollback")
-	say(sessions[2], "set search_path = e; select 'syntax error'")
-	say(sessions[2], "set datestyle = wrong")
-	if n := s.Kept(); n != 0 {
+	simpleQuery(sessions[2], "begin; set search_path = d; rollback")
+	simpleQuery(sessions[2], "set search_path = e; select 'syntax error'")
+	simpleQuery(sessions[2], "set datestyle = wrong")
+	if n := s.StickySessions(); n != 0 {
 		t.Errorf("%d sessions are kept for settings that are replayed", n)
 	}
 	want := [][]string{{"D:a, b"}, {"D:c", "D:Asia/Tokyo"}, {"D:"}}
@@ -206,7 +224,7 @@
 				defer wg.Done()
 				for k, name := range []string{"search_path", "timezone"}[:len(want[n])] {
 					c.send(&pgproto3.Query{String: fmt.Sprintf("show %s /*id='s%d-%d'*/", name, n, i)})
-					if seen := c.until("Z"); len(seen) < 2 || seen[1] != want[n][k] {
+					if seen := c.readUntil("Z"); len(seen) < 2 || seen[1] != want[n][k] {
 						t.Errorf("session %d: %s is %v, want %s", n, name, seen, want[n][k])
 					}
 				}
@@ -219,7 +237,7 @@
 		engines = append(engines, e.Engine)
 	}
 	for n := range sessions {
-		if got := where(engines, fmt.Sprint("s", n)); len(got) < 2 {
+		if got := runsByEngine(engines, fmt.Sprint("s", n)); len(got) < 2 {
 			t.Errorf("session %d ran on engines %v only", n, got)
 		}
 	}
@@ -229,22 +247,22 @@
 		t.Errorf("told of time zone %q at the start", got)
 	}
 	for range 5 {
-		if got, err := shown(ctx, c, "search_path"); got != "x,y" || err != nil {
+		if got, err := showSetting(ctx, c, "search_path"); got != "x,y" || err != nil {
 			t.Errorf("search_path of the startup packet: %q, %v", got, err)
 		}
 	}
 	c.Exec(ctx, "set search_path = z")
 	c.Exec(ctx, "reset search_path")
-	if got, err := shown(ctx, c, "search_path"); got != "x,y" || err != nil {
+	if got, err := showSetting(ctx, c, "search_path"); got != "x,y" || err != nil {
 		t.Errorf("after RESET: %q, %v", got, err)
 	}
 	bad := connect(t, s, "&datestyle=wrong")
 	for range 3 {
-		if _, err := bad.Exec(ctx, "select 1 /*id='without'*/"); code(err) != "22023" {
+		if _, err := bad.Exec(ctx, "select 1 /*id='without'*/"); sqlState(err) != "22023" {
 			t.Errorf("with a wrong setting of the startup packet: %v", err)
 		}
 	}
-	if got := where(engines, "without"); len(got) > 0 {
+	if got := runsByEngine(engines, "without"); len(got) > 0 {
 		t.Errorf("run without its settings on %v", got)
 	}
 	if _, err := c.Exec(ctx, "select 1"); err != nil {
@@ -252,8 +270,8 @@
 	}
 }
 
-// shown asks an engine for a setting in the simple protocol.
-func shown(ctx context.Context, c *pgx.Conn, name string) (string, error) {
+// showSetting asks an engine for a setting in the simple protocol.
+func showSetting(ctx context.Context, c *pgx.Conn, name string) (string, error) {
 	all, err := c.PgConn().Exec(ctx, "show "+name).ReadAll()
 	if err != nil || len(all) != 1 || len(all[0].Rows) != 1 {
 		return "", fmt.Errorf("%v, %v", all, err)
@@ -264,56 +282,57 @@
 // A statement in doubt: a function that makes a temporary table pins its session, which finds it again and
 // nobody else does; one that changes a setting behind everybody's back does so too. A query that was answered
 // by other hands leaves nothing to the next on its connection.
-func TestDoubtPins(t *testing.T) {
-	_, s := raise(t, 2, settings+"sessions {\n  harmless = [\"geo_*\"]\n}\n")
-	a, b := dial(t, s), dial(t, s)
-	say := func(c *raw, text string) []string {
+func TestUnknownEffectsMakeSessionSticky(t *testing.T) {
+	_, s := startDispatcher(t, 2, baseSettings+"sessions {\n  harmless = [\"geo_*\"]\n}\n")
+	a, b := dialServer(t, s), dialServer(t, s)
+	simpleQuery := func(c *wireClient, text string) []string {
 		c.send(&pgproto3.Query{String: text})
-		return c.until("Z")
+		return c.readUntil("Z")
 	}
-	say(a, "select geo_area(1)")
-	if n := s.Kept(); n != 0 {
+	simpleQuery(a, "select geo_area(1)")
+	if n := s.StickySessions(); n != 0 {
 		t.Error("a function that the settings call harmless pins")
 	}
-	say(a, "select make_temp(1)")
+	simpleQuery(a, "select make_temp(1)")
 	for range 10 {
-		if seen := say(a, "select 1 from tmp_made"); countOf(seen, "E") != 0 || s.Kept() != 1 {
-			t.Fatalf("a table made by a function: %v, %d kept", seen, s.Kept())
+		if seen := simpleQuery(a, "select 1 from tmp_made"); countPrefix(seen, "E") != 0 ||
+			s.StickySessions() != 1 {
+			t.Fatalf("a table made by a function: %v, %d kept", seen, s.StickySessions())
 		}
-		if seen := say(b, "select 1 from tmp_made"); countOf(seen, "E:42P01") != 1 {
+		if seen := simpleQuery(b, "select 1 from tmp_made"); countPrefix(seen, "E:42P01") != 1 {
 			t.Fatalf("another's table: %v", seen)
 		}
 	}
-	say(a, "discard all")
-	if n := s.Kept(); n != 0 {
+	simpleQuery(a, "discard all")
+	if n := s.StickySessions(); n != 0 {
 		t.Error("DISCARD ALL does not free")
 	}
-	say(a, "select geo_sneaky_set(1)") // known as harmless, and it is not: the engine tells
-	if n := s.Kept(); n != 1 {
+	simpleQuery(a, "select geo_sneaky_set(1)") // known as harmless, and it is not: the engine tells
+	if n := s.StickySessions(); n != 1 {
 		t.Error("a setting changed by a function goes unnoticed")
 	}
 	for range 10 {
-		if seen := say(b, "select 1; show timezone"); countOf(seen, "D:Mars") != 0 {
+		if seen := simpleQuery(b, "select 1; show timezone"); countPrefix(seen, "D:Mars") != 0 {
 			t.Fatalf("another's setting: %v", seen)
 		}
 	}
 	// The client's time is over while its statement runs; what it leaves is nobody's.
-	c := dial(t, s)
-	say(c, "set statement_timeout = 150")
+	c := dialServer(t, s)
+	simpleQuery(c, "set statement_timeout = 150")
 	for range 4 {
-		seen := say(c, "create temp table tmp_late (a int) /*state_ms='400'*/")
-		if countOf(seen, "E") != 1 {
+		seen := simpleQuery(c, "create temp table tmp_late (a int) /*state_ms='400'*/")
+		if countPrefix(seen, "E") != 1 {
 			t.Fatalf("a statement that takes longer than its client's time: %v", seen)
 		}
 		c.send(&pgproto3.Query{String: "set statement_timeout = 0"})
-		c.until("Z")
-		say(c, "set statement_timeout = 150")
+		c.readUntil("Z")
+		simpleQuery(c, "set statement_timeout = 150")
 	}
 	time.Sleep(600 * time.Millisecond)
 	for range 16 { // each keeps its connection, so that all that there are come to be used
-		d := dial(t, s)
-		say(d, "begin")
-		if seen := say(d, "select 1 from tmp_late"); countOf(seen, "E:42P01") != 1 {
+		d := dialServer(t, s)
+		simpleQuery(d, "begin")
+		if seen := simpleQuery(d, "select 1 from tmp_late"); countPrefix(seen, "E:42P01") != 1 {
 			t.Errorf("a table left by a query that was answered: %v", seen)
 		}
 	}
@@ -321,17 +340,17 @@
 
 // Hundreds of sessions with drains, deaths, and clients that go: no session's statements are on two engines,
 // and no connection is handed on with a transaction open or a table left.
-func TestSessionsUnderTrouble(t *testing.T) {
-	r, s := raise(t, 4, settings)
+func TestSessionsUnderFaults(t *testing.T) {
+	r, s := startDispatcher(t, 4, baseSettings)
 	var engines []*standin.Engine
 	for _, e := range r.Engines {
 		engines = append(engines, e.Engine)
 	}
 	stop := make(chan struct{})
-	var trouble sync.WaitGroup
-	trouble.Add(1)
+	var faults sync.WaitGroup
+	faults.Add(1)
 	go func() {
-		defer trouble.Done()
+		defer faults.Done()
 		for i := 0; ; i++ {
 			select {
 			case <-stop:
@@ -340,7 +359,7 @@
 			}
 			n := i % 3 // the fourth is left alone
 			if i%2 == 0 {
-				r.Change(n, func(e *eds.Engine) { e.State = eds.Draining })
+				r.Change(n, func(e *eds.Engine) { e.State = eds.StateDraining })
 				time.Sleep(500 * time.Millisecond)
 			}
 			r.Engines[n].Die()
@@ -349,7 +368,7 @@
 				t.Error(err)
 				return
 			}
-			r.Change(n, func(e *eds.Engine) { e.State, e.Started = eds.On, r.Engines[n].Started() })
+			r.Change(n, func(e *eds.Engine) { e.State, e.Started = eds.StateActive, r.Engines[n].Started() })
 		}
 	}()
 	var wg sync.WaitGroup
@@ -363,7 +382,7 @@
 		go func() {
 			defer wg.Done()
 			defer func() { <-gate }()
-			end := one(s.Addr(), fmt.Sprintf("u%d", i), i)
+			end := runSession(s.Addr(), fmt.Sprintf("u%d", i), i)
 			mu.Lock()
 			ends[end]++
 			mu.Unlock()
@@ -371,11 +390,11 @@
 	}
 	wg.Wait()
 	close(stop)
-	trouble.Wait()
+	faults.Wait()
 	for i := range sessions {
 		// A BEGIN whose engine died under it may be tried on another: no session is open yet.
-		open := where(engines, fmt.Sprintf("u%d", i))
-		begun := where(engines, fmt.Sprintf("u%d-0", i))
+		open := runsByEngine(engines, fmt.Sprintf("u%d", i))
+		begun := runsByEngine(engines, fmt.Sprintf("u%d-0", i))
 		for at := range open {
 			if len(open) > 1 && open[at] == 1 && begun[at] == 1 {
 				delete(open, at)
@@ -392,9 +411,9 @@
 	eventually(t, "all ended", func() bool { st := s.Stats(); return st.Open == 0 && st.Running == 0 })
 }
 
-// one is a session: it sees that it finds nothing of another's, then works in a transaction that uses a
-// temporary table.
-func one(addr, name string, i int) string {
+// runSession is a session: it sees that it finds nothing of another's, then works in a transaction that uses
+// a temporary table.
+func runSession(addr, name string, i int) string {
 	ctx := context.Background()
 	c, err := pgx.Connect(ctx,
 		"postgres://u@"+addr+"/db?sslmode=disable&default_query_exec_mode=simple_protocol")
@@ -413,7 +432,7 @@
 		}
 		time.Sleep(time.Duration(rand.IntN(20)) * time.Millisecond)
 		if _, err := c.Exec(ctx, fmt.Sprintf("%s /*id='%s-%d'*/", text, name, n)); err != nil {
-			return code(err)
+			return sqlState(err)
 		}
 	}
 	return "done"
@@ -422,44 +441,48 @@
 // Limits of kept sessions: one too many is refused before anything ran, a transaction at rest is ended, and a
 // statement that was refused leaves its session free.
 func TestSessionLimits(t *testing.T) {
-	_, s := raise(t, 2, settings+"sessions {\n  max = 2\n  idle_in_transaction = \"400ms\"\n}\n")
-	a, b, c := dial(t, s), dial(t, s), dial(t, s)
-	for _, x := range []*raw{a, b} {
+	_, s := startDispatcher(
+		t,
+		2,
+		baseSettings+"sessions {\n  max = 2\n  idle_in_transaction = \"400ms\"\n}\n",
+	)
+	a, b, c := dialServer(t, s), dialServer(t, s), dialServer(t, s)
+	for _, x := range []*wireClient{a, b} {
 		x.send(&pgproto3.Query{String: "begin"})
-		x.until("Z")
+		x.readUntil("Z")
 	}
 	c.send(&pgproto3.Query{String: "begin"})
-	if seen := c.until("Z"); countOf(seen, "E:53000") != 1 {
+	if seen := c.readUntil("Z"); countPrefix(seen, "E:53000") != 1 {
 		t.Errorf("a third session of two: %v", seen)
 	}
 	c.send(&pgproto3.Query{String: "select 1 /*echo='free'*/"})
-	if seen := c.until("Z"); countOf(seen, "D:free") != 1 {
+	if seen := c.readUntil("Z"); countPrefix(seen, "D:free") != 1 {
 		t.Errorf("after the refusal: %v", seen)
 	}
-	for _, x := range []*raw{a, b} {
-		if seen := x.until("E:25P03"); len(seen) != 1 {
+	for _, x := range []*wireClient{a, b} {
+		if seen := x.readUntil("E:25P03"); len(seen) != 1 {
 			t.Errorf("a transaction at rest: %v", seen)
 		}
 	}
 	eventually(t, "room again", func() bool {
 		c.send(&pgproto3.Query{String: "begin"})
-		return countOf(c.until("Z"), "E") == 0
+		return countPrefix(c.readUntil("Z"), "E") == 0
 	})
 	c.send(&pgproto3.Query{String: "rollback"})
-	c.until("Z")
+	c.readUntil("Z")
 	c.send(&pgproto3.Query{String: "select pg_advisory_lock(1) /*class='nowhere'*/"})
-	if seen := c.until("Z"); countOf(seen, "E:53000") != 1 {
+	if seen := c.readUntil("Z"); countPrefix(seen, "E:53000") != 1 {
 		t.Errorf("a statement that no engine takes: %v", seen)
 	}
-	if n := s.Kept(); n != 0 {
+	if n := s.StickySessions(); n != 0 {
 		t.Errorf("%d sessions are kept", n)
 	}
 }
 
 // What a recorded script of statements gives at an engine directly it gives through the dispatcher with
 // three: the same messages to the byte, but for what names the server or the moment.
-func TestScriptGivesTheSame(t *testing.T) {
-	_, s := raise(t, 3, settings)
+func TestScriptMatchesDirectConnection(t *testing.T) {
+	_, s := startDispatcher(t, 3, baseSettings)
 	direct, err := standin.NewEngine(standin.EngineConfig{Kind: testbed.Kind(8, 4096)})
 	if err != nil {
 		t.Fatal(err)
@@ -513,8 +536,8 @@
 
 // Random sessions: whatever a client says in whatever order, through the dispatcher with three engines it
 // gets the bytes that one engine gives it.
-func TestRandomSessionsGiveTheSame(t *testing.T) {
-	_, s := raise(t, 3, settings)
+func TestRandomSessionsMatchDirectConnection(t *testing.T) {
+	_, s := startDispatcher(t, 3, baseSettings)
 	direct, err := standin.NewEngine(standin.EngineConfig{Kind: testbed.Kind(8, 4096)})
 	if err != nil {
 		t.Fatal(err)
@@ -553,14 +576,14 @@
 			rt.Fatalf("%d messages through the dispatcher, %d directly", len(through), len(at))
 		}
 	})
-	eventually(t, "all sessions are free", func() bool { return s.Kept() == 0 })
+	eventually(t, "all sessions are free", func() bool { return s.StickySessions() == 0 })
 }
 
 // The pool and the batches of pgx, and psql's way of opening a transaction with each statement.
 func TestPoolsAndBatches(t *testing.T) {
-	r, s := raise(t, 3, settings)
+	r, s := startDispatcher(t, 3, baseSettings)
 	ctx := context.Background()
-	pool, err := pgxpool.New(ctx, url(s, "&pool_max_conns=16"))
+	pool, err := pgxpool.New(ctx, connectionString(s, "&pool_max_conns=16"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -592,40 +615,44 @@
 		engines = append(engines, e.Engine)
 	}
 	for i := range 60 {
-		got := where(engines, fmt.Sprintf("p%d", i))
+		got := runsByEngine(engines, fmt.Sprintf("p%d", i))
 		for _, n := range got {
 			if len(got) != 1 || n != 6 {
 				t.Errorf("transaction %d ran on %v", i, got)
 			}
 		}
 	}
-	eventually(t, "all sessions are free", func() bool { return s.Kept() == 0 })
+	eventually(t, "all sessions are free", func() bool { return s.StickySessions() == 0 })
 }
 
 // Fetching on from portals in a transaction, two of them by turns, and COPY out, which streams.
 func TestPortalsAndCopyOut(t *testing.T) {
-	_, s := raise(t, 2, settings)
-	c := dial(t, s)
+	_, s := startDispatcher(t, 2, baseSettings)
+	c := dialServer(t, s)
 	c.send(&pgproto3.Query{String: "begin"})
-	c.until("Z")
+	c.readUntil("Z")
 	fetch := func(portal string) string {
 		c.send(&pgproto3.Execute{Portal: portal, MaxRows: 2}, &pgproto3.Sync{})
-		seen := c.until("Z")
-		return fmt.Sprint(countOf(seen, "D"), countOf(seen, "PortalSuspended"), countOf(seen, "C"),
-			countOf(seen, "E"))
+		seen := c.readUntil("Z")
+		return fmt.Sprint(
+			countPrefix(seen, "D"),
+			countPrefix(seen, "PortalSuspended"),
+			countPrefix(seen, "C"),
+			countPrefix(seen, "E"),
+		)
 	}
 	for _, p := range []string{"a", ""} {
 		c.send(&pgproto3.Parse{Name: "s" + p, Query: "select $1::text"}, &pgproto3.Bind{DestinationPortal: p,
 			PreparedStatement: "s" + p,
 			Parameters:        [][]byte{[]byte("x;rows=5")}}, &pgproto3.Sync{})
-		c.until("Z")
+		c.readUntil("Z")
 	}
 	got := []string{fetch("a"), fetch(""), fetch("a"), fetch(""), fetch("a"), fetch("")}
 	if want := "[2 1 0 0 2 1 0 0 2 1 0 0 2 1 0 0 1 0 1 0 1 0 1 0]"; fmt.Sprint(got) != want {
 		t.Errorf("fetched %v, want %s", got, want)
 	}
 	c.send(&pgproto3.Query{String: "commit"})
-	c.until("Z")
+	c.readUntil("Z")
 	if got := fetch("a"); got != "0 0 0 1" {
 		t.Errorf("a portal after its transaction: %s", got)
 	}
--- a/internal/simulation/baseline/baseline.go
+++ b/internal/simulation/baseline/baseline.go
@@ -78,28 +78,30 @@
 func (p *plain) take(ev *cresspass.Event) {
 	q := p.queries[ev.Query]
 	switch ev.Type {
-	case cresspass.EngineList:
-		if ev.Listing == cresspass.ListFailed {
+	case cresspass.EngineListReceived:
+		if ev.ListType == cresspass.ListFailed {
 			return
 		}
 		p.engines = p.engines[:0]
 		for _, e := range ev.Engines {
-			if e.State == cresspass.EngineOn {
+			if e.State == cresspass.EngineActive {
 				p.engines = append(p.engines, e.ID)
 			}
 		}
 		sort.Slice(p.engines, func(a, b int) bool { return p.engines[a] < p.engines[b] })
-	case cresspass.QueryTaken:
-		q = &plainQuery{id: ev.Query, class: p.classes[ev.Class], deadline: p.now + ev.TimeLeft}
+	case cresspass.QueryArrived:
+		q = &plainQuery{id: ev.Query, class: p.classes[ev.Class], deadline: p.now + ev.RemainingDeadline}
 		p.queries[q.id] = q
-		p.do(cresspass.Action{Type: cresspass.SetTimer, Wait: max(ev.TimeLeft-20*time.Millisecond, 1),
-			Label: uint64(q.id)})
+		p.do(
+			cresspass.Action{Type: cresspass.SetTimer, Wait: max(ev.RemainingDeadline-20*time.Millisecond, 1),
+				Label: uint64(q.id)},
+		)
 		p.send(q)
-	case cresspass.TimerDue:
+	case cresspass.TimerFired:
 		if q = p.queries[cresspass.QueryID(ev.Label)]; q != nil && !q.done {
 			p.end(q)
 		}
-	case cresspass.ClientGone:
+	case cresspass.QueryAbandoned:
 		if q != nil {
 			q.done = true
 			p.drop(q)
@@ -112,10 +114,10 @@
 		q.out = false
 		q.ran = q.ran || !ev.Outcome.NeverRan()
 		switch {
-		case q.done || ev.Finished:
+		case q.done || ev.QueryFinished:
 			q.done = true
 			p.drop(q)
-		case q.tries < max(p.cfg.MaxAttempts, 1) && (q.class.Effect == cresspass.Safe || !q.ran) &&
+		case q.tries < max(p.cfg.MaxAttempts, 1) && (q.class.Effect == cresspass.Idempotent || !q.ran) &&
 			p.now < q.deadline:
 			p.send(q)
 		default:
@@ -132,8 +134,8 @@
 
 func (p *plain) end(q *plainQuery) {
 	q.done = true
-	if q.class.Effect == cresspass.Safe || !q.ran && !q.out {
-		p.do(cresspass.Action{Type: cresspass.Refuse, Query: q.id})
+	if q.class.Effect == cresspass.Idempotent || !q.ran && !q.out {
+		p.do(cresspass.Action{Type: cresspass.Reject, Query: q.id})
 	} else {
 		p.do(cresspass.Action{Type: cresspass.Fail, Query: q.id})
 	}
@@ -176,18 +178,18 @@
 		c := &cfg.Classes[i]
 		switch rule {
 		case 2:
-			c.Effect = cresspass.Safe
+			c.Effect = cresspass.Idempotent
 		case 5:
-			c.InOrder = false
+			c.OrderedByKey = false
 		case 6:
-			c.Kinds, c.Zones = nil, nil
+			c.AllowedKinds, c.AllowedZones = nil, nil
 		}
 	}
 	switch rule {
 	case 4:
-		cfg.Rules.ColdMultiple, cfg.Rules.ColdFor = 0, 0
+		cfg.Rules.SlowStartOverloadFactor, cfg.Rules.SlowStartDuration = 0, 0
 	case 7:
-		cfg.Rules.HasBudget = false
+		cfg.Rules.HasRetryBudget = false
 	}
 	g, err := cresspass.New(cfg)
 	if err != nil || rule == 0 {
@@ -202,13 +204,13 @@
 	m.buf = append(m.buf[:0], events...)
 	for i := range m.buf {
 		switch ev := &m.buf[i]; {
-		case m.rule == 1 && ev.Type == cresspass.QueryTaken:
-			ev.TimeLeft *= 3
-		case m.rule == 3 && ev.Type == cresspass.EngineList:
+		case m.rule == 1 && ev.Type == cresspass.QueryArrived:
+			ev.RemainingDeadline *= 3
+		case m.rule == 3 && ev.Type == cresspass.EngineListReceived:
 			ev.Engines = append([]cresspass.EngineInfo(nil), ev.Engines...)
 			for j := range ev.Engines {
 				if ev.Engines[j].State == cresspass.EngineDraining {
-					ev.Engines[j].State = cresspass.EngineOn
+					ev.Engines[j].State = cresspass.EngineActive
 				}
 			}
 		}
--- a/internal/simulation/converge.go
+++ b/internal/simulation/converge.go
@@ -17,7 +17,7 @@
 		if !m.Up {
 			continue
 		}
-		st, clock := m.Talker.Stats(), m.Talker.Clock(m.now(f.Queue))
+		st, clock := m.Talker.Stats(), m.Talker.FleetClock(m.now(f.Queue))
 		if up++; up == 1 {
 			early, late = clock, clock
 		}
@@ -46,7 +46,7 @@
 	for _, m := range f.All {
 		if m.Up {
 			up++
-			if o := m.Talker.Store().Opinion(m.now(f.Queue), k); o.Known && o.Value == value {
+			if o := m.Talker.Store().Assess(m.now(f.Queue), k); o.Known && o.Value == value {
 				known++
 			}
 		}
@@ -75,7 +75,7 @@
 		list[engineID(i)] = 16
 	}
 	f := NewMembers(q, seed, n, w, DefaultDetection(), TalkConfig(1, 4),
-		func(t *gossip.Talker) { t.Roster(list) })
+		func(t *gossip.Node) { t.SetEngines(list) })
 	out := Convergence{Members: n}
 	for i := range n {
 		q.In(f.part(2*time.Second), func() { f.Start(i, -1, 0) })
@@ -95,7 +95,7 @@
 	var see func(m *Member)
 	see = func(m *Member) {
 		if m.Up {
-			m.Talker.Saw(m.now(q), engineID(f.random.IntN(engines)), true, -1)
+			m.Talker.RecordAttempt(m.now(q), engineID(f.random.IntN(engines)), true, -1)
 		}
 		q.In(time.Second, func() { see(m) })
 	}
@@ -110,9 +110,9 @@
 		out.BytesSecond += b / float64(n)
 		out.BytesMost = max(out.BytesMost, b)
 	}
-	k := observation.Key{Engine: string(engineID(0)), Fact: observation.Warmth}
+	k := observation.Key{Engine: string(engineID(0)), Property: observation.Uptime}
 	first := f.All[0]
-	first.Talker.Store().See(first.now(q), k, 77)
+	first.Talker.Store().Observe(first.now(q), k, 77)
 	out.Known = until(func() bool { return f.Known(k, 77) == 1 })
 	for i := range max(n/10, 1) {
 		f.Stop(i, false)
--- a/internal/simulation/experiment/calibrate.go
+++ b/internal/simulation/experiment/calibrate.go
@@ -78,7 +78,11 @@
 				return
 			}
 			defer os.RemoveAll(dir)
-			r, err := rehearsal.Play(ctx, d, rehearsal.Options{Seed: uint64(i + 1), Program: program, Dir: dir})
+			r, err := rehearsal.Play(
+				ctx,
+				d,
+				rehearsal.Options{Seed: uint64(i + 1), Program: program, Dir: dir},
+			)
 			results[i] <- played{r, err}
 		}()
 	}
--- a/internal/simulation/experiment/experiment.go
+++ b/internal/simulation/experiment/experiment.go
@@ -250,8 +250,14 @@
 // FromDay returns a day of the rehearsal as the model plays it. What clients do over several statements, by
 // Flight SQL or by giving up early, is not modelled, nor troubles of bytes on the wire: those are left out.
 func FromDay(d *rehearsal.Day, seed uint64) simulation.Config {
-	c := simulation.Config{Seed: seed, Dispatchers: d.Dispatchers, Length: d.Length, Weather: simulation.Calm(),
-		Travel: 300 * time.Microsecond, Module: d.Module}
+	c := simulation.Config{
+		Seed:        seed,
+		Dispatchers: d.Dispatchers,
+		Length:      d.Length,
+		Weather:     simulation.Calm(),
+		Travel:      300 * time.Microsecond,
+		Module:      d.Module,
+	}
 	r := &d.Module.Rules
 	for i := range d.Engines {
 		kind := d.Kinds[i%len(d.Kinds)]
@@ -260,8 +266,8 @@
 			Cell: i / 2,
 			Machine: enginemodel.Kind{Cores: cores, MemoryMB: d.MemoryMB, SpillCost: 2.5, WarmSets: 4,
 				WarmSaves: 0.3,
-				ColdFrom:  r.ColdFrom, ColdFor: r.ColdFor, ColdMultiple: r.ColdMultiple,
-				ColdWindow: r.ColdWindow,
+				ColdFrom:  r.SlowStartFrom, ColdFor: r.SlowStartDuration, ColdMultiple: r.SlowStartOverloadFactor,
+				ColdWindow: r.SlowStartWindow,
 				MaxJobs:    int(8 * cores)}})
 	}
 	for _, t := range d.Traffic {
@@ -344,7 +350,12 @@
 		if e.Threads > 0 {
 			threads = e.Threads
 		}
-		r := simulation.Replay{At: e.At, Traffic: i, Dispatcher: dispatchers[e.Dispatcher], Told: e.Cost.Seconds()}
+		r := simulation.Replay{
+			At:         e.At,
+			Traffic:    i,
+			Dispatcher: dispatchers[e.Dispatcher],
+			Told:       e.Cost.Seconds(),
+		}
 		switch {
 		case e.Outcome == recording.Served && least[e.Fingerprint] > 0:
 			// It took what it took. Danger: one shape has quick and long queries, a long way apart; cut to a
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -257,7 +257,7 @@
 		threads = max(threads, n)
 	}
 	f.members = NewMembers(f.queue, cfg.Seed, cfg.Dispatchers, cfg.Weather, DefaultDetection(),
-		TalkConfig(cfg.Dispatchers, threads), func(t *gossip.Talker) { t.Roster(cores) })
+		TalkConfig(cfg.Dispatchers, threads), func(t *gossip.Node) { t.SetEngines(cores) })
 	for i := range cfg.Dispatchers {
 		d := &dispatcher{fleet: f, number: i, zone: zoneOf(cfg.Engines, i)}
 		f.dispatchers = append(f.dispatchers, d)
@@ -392,7 +392,7 @@
 	}
 	f.out.Asks = append(f.out.Asks, Ask{Class: a.traffic, Dispatcher: d.number, At: a.first, Took: took,
 		End:  how,
-		Late: took > a.class.Aim})
+		Late: took > a.class.LatencyObjective})
 }
 
 // look keeps how the engines stand, twice a second.
@@ -438,15 +438,17 @@
 	d.up, d.zero, d.timer = true, now-day, math.MaxInt64
 	d.asks, d.jobs, d.line = map[cresspass.QueryID]*ask{}, map[jobKey]*job{}, nil
 	cfg := f.cfg.Module
-	cfg.Ordinal, cfg.Gateways, cfg.Seed = d.number, f.cfg.Dispatchers, f.cfg.Seed+uint64(d.number)+1000*d.life
-	cfg.MayTell = f.cfg.Talk != Silent
+	cfg.Ordinal, cfg.GatewayCount, cfg.Seed = d.number, f.cfg.Dispatchers, f.cfg.Seed+uint64(
+		d.number,
+	)+1000*d.life
+	cfg.MayGossip = f.cfg.Talk != Silent
 	g, err := decider(f, &cfg, d.clock())
 	if err != nil {
 		return err
 	}
 	d.decider = g
 	d.sends, d.takes = nil, nil
-	d.core = dispatch.NewCoreWith(g, cfg, d.clock())
+	d.core = dispatch.NewCoreWithDecider(g, cfg, d.clock())
 	if f.cfg.Talk != Silent {
 		wait := time.Duration(0)
 		if f.cfg.Talk == Newcomers && !first {
@@ -476,8 +478,8 @@
 		}
 		age := time.Duration(0)
 		now := d.member.now(f.queue)
-		data := modelstate.Together(names, cfg.KindNames, func(name string) (float64, bool) {
-			b, ok := d.member.Talker.Store().Begin(now, name)
+		data := modelstate.Assemble(names, cfg.KindNames, func(name string) (float64, bool) {
+			b, ok := d.member.Talker.Store().InitialParameter(now, name)
 			age = max(age, b.Age)
 			return b.Value, ok
 		})
@@ -554,10 +556,10 @@
 	d.asks[a.id] = a
 	d.takes = append(d.takes, f.queue.Now())
 	left := a.class.Deadline - (f.queue.Now() - a.first)
-	d.step(cresspass.Event{Type: cresspass.QueryTaken, Query: a.id, Class: a.class.Name,
-		TimeLeft: max(left, 1),
-		HasCost:  a.told > 0, Cost: time.Duration(a.told * float64(time.Second)), Key: a.key,
-		Tables: float64(a.tables), IsRepeat: a.tries > 0, IsWrite: a.class.Effect != cresspass.Safe})
+	d.step(cresspass.Event{Type: cresspass.QueryArrived, Query: a.id, Class: a.class.Name,
+		RemainingDeadline: max(left, 1),
+		HasCostEstimate:   a.told > 0, CostEstimate: time.Duration(a.told * float64(time.Second)), Key: a.key,
+		TableGroup: float64(a.tables), IsRetry: a.tries > 0, IsWrite: a.class.Effect != cresspass.Idempotent})
 }
 
 // step hands events to the core and carries out what it wants.
@@ -573,7 +575,7 @@
 
 // arm sets the event of its next timer.
 func (d *dispatcher) arm() {
-	next, ok := d.core.Next()
+	next, ok := d.core.NextWakeup()
 	at := max(next+d.zero, d.fleet.queue.Now()+time.Microsecond)
 	if !ok || at >= d.timer {
 		return
@@ -625,29 +627,29 @@
 func (d *dispatcher) do(o dispatch.Output) {
 	f := d.fleet
 	switch o.Type {
-	case dispatch.Start:
+	case dispatch.StartAttempt:
 		d.send(o)
-	case dispatch.Stop:
+	case dispatch.StopAttempt:
 		if j := d.jobs[jobKey{o.Query, o.Attempt}]; j != nil {
 			d.takeBack(j)
 			d.post(0, cresspass.Event{Type: cresspass.AttemptDone, Query: o.Query, Attempt: o.Attempt,
 				Engine: o.Engine, Outcome: o.Outcome})
 		}
-	case dispatch.Refuse, dispatch.Fail:
+	case dispatch.RejectQuery, dispatch.FailQuery:
 		a := d.asks[o.Query]
 		delete(d.asks, o.Query)
 		if a != nil {
 			how := Refused
-			if o.Type == dispatch.Fail {
+			if o.Type == dispatch.FailQuery {
 				how = Failed
 			}
-			f.end(a, d, how, o.Wait)
+			f.end(a, d, how, o.RetryAfter)
 		}
-	case dispatch.Probe:
+	case dispatch.CheckHealth:
 		d.probe(o.Engine)
-	case dispatch.Tell:
+	case dispatch.SendToPeer:
 		if d.member != nil {
-			d.member.Talker.Tell(d.member.now(f.queue), o.Peer, o.Data)
+			d.member.Talker.SendMessage(d.member.now(f.queue), o.Peer, o.Data)
 			f.members.Carry(d.member)
 		}
 	}
@@ -659,7 +661,7 @@
 	a, e := d.asks[o.Query], f.byID[o.Engine]
 	ev := cresspass.Event{Type: cresspass.AttemptDone, Query: o.Query, Attempt: o.Attempt, Engine: o.Engine}
 	if a == nil || e == nil {
-		ev.Outcome = cresspass.ConnectFailed
+		ev.Outcome = cresspass.OutcomeConnectFailed
 		d.post(0, ev)
 		return
 	}
@@ -674,8 +676,8 @@
 		}
 		if !e.up || e.faults.errors > 0 && f.chance.Float64() < e.faults.errors {
 			delete(d.jobs, jobKey{o.Query, o.Attempt})
-			if ev.Outcome = cresspass.ConnectFailed; e.up {
-				ev.Outcome = cresspass.Failed
+			if ev.Outcome = cresspass.OutcomeConnectFailed; e.up {
+				ev.Outcome = cresspass.OutcomeFailed
 			}
 			d.post(f.cfg.Travel, ev)
 			return
@@ -686,7 +688,7 @@
 			tables = fmt.Sprint(a.tables)
 		}
 		j.running = e.model.Start(f.queue.Now(), enginemodel.Job{Work: a.work, Threads: t.Threads,
-			NeedMB: t.NeedMB, GrantMB: o.MemoryMB, Tables: tables, Loads: t.Loads,
+			NeedMB: t.NeedMB, GrantMB: o.MemoryGrantMB, Tables: tables, Loads: t.Loads,
 			Priority: max(o.Priority, 0)})
 		if e.model.Fallen() {
 			f.fall(e)
@@ -694,7 +696,7 @@
 		}
 		if j.running == nil {
 			delete(d.jobs, jobKey{o.Query, o.Attempt})
-			ev.Outcome = cresspass.Full
+			ev.Outcome = cresspass.OutcomeRejected
 			d.post(f.cfg.Travel, ev)
 		} else {
 			e.jobs[j.running] = j
@@ -742,27 +744,27 @@
 			f.end(a, d, Served, 0)
 		}
 		if d.member != nil {
-			d.member.Talker.Saw(d.member.now(f.queue), j.e.id, true, -1)
+			d.member.Talker.RecordAttempt(d.member.now(f.queue), j.e.id, true, -1)
 		}
 		d.step(cresspass.Event{Type: cresspass.AttemptDone, Query: j.query, Attempt: j.attempt,
 			Engine:  j.e.id,
-			Outcome: cresspass.OK, Took: f.queue.Now() - j.at, Finished: true, Report: report,
-			HasReport: has})
+			Outcome: cresspass.OutcomeOK, Elapsed: f.queue.Now() - j.at, QueryFinished: true, LoadReport: report,
+			HasLoadReport: has})
 	})
 }
 
 // heard carries out what the others have to do with its module.
-func (d *dispatcher) heard(o gossip.Output) {
+func (d *dispatcher) heard(o gossip.Action) {
 	switch o.Type {
-	case gossip.Message:
-		d.post(0, cresspass.Event{Type: cresspass.PeerMessage, Peer: o.From, Data: o.Data})
-	case gossip.View:
-		d.post(0, cresspass.Event{Type: cresspass.FleetCount, Peer: o.View.Ordinal,
-			Value: float64(o.View.Count),
-			Took:  o.Clock})
-	case gossip.Down:
-		d.post(0, cresspass.Event{Type: cresspass.EngineDown, Engine: cresspass.EngineID(o.Engine)})
-	case gossip.Begun:
+	case gossip.DeliverMessage:
+		d.post(0, cresspass.Event{Type: cresspass.PeerMessageReceived, Peer: o.From, Data: o.Data})
+	case gossip.UpdateView:
+		d.post(0, cresspass.Event{Type: cresspass.MembershipChanged, Peer: o.View.Ordinal,
+			Value:   float64(o.View.Count),
+			Elapsed: o.Clock})
+	case gossip.ReportEngineDown:
+		d.post(0, cresspass.Event{Type: cresspass.EngineReportedDown, Engine: cresspass.EngineID(o.Engine)})
+	case gossip.CompleteBootstrap:
 		if d.asked {
 			d.begin()
 		}
@@ -776,13 +778,13 @@
 		if d.life != life || !d.up {
 			return
 		}
-		if all, err := modelstate.Apart(d.core.Snapshot()); err == nil {
+		if all, err := modelstate.Flatten(d.core.Snapshot()); err == nil {
 			if d.number < f.cfg.Liars {
 				for name := range all {
 					all[name] = 100
 				}
 			}
-			d.member.Talker.Learnt(d.member.now(f.queue), all)
+			d.member.Talker.RecordModelState(d.member.now(f.queue), all)
 		}
 		d.snapshots(life)
 	})
@@ -802,11 +804,11 @@
 						data = append(data, 0x0f)
 					}
 				}
-				d.member.Talker.Tell(now, -1, data)
+				d.member.Talker.SendMessage(now, -1, data)
 			}
 			for _, e := range f.engines {
-				d.member.Talker.Store().See(now, observation.Key{Engine: string(e.id),
-					Fact: observation.Health}, 0)
+				d.member.Talker.Store().Observe(now, observation.Key{Engine: string(e.id),
+					Property: observation.Health}, 0)
 			}
 			f.members.Carry(d.member)
 		}
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -51,7 +51,7 @@
 			served++
 		}
 	}
-	if s := f.out.Stats[1]; served < len(f.out.Asks)/2 || s.Sent == 0 || s.Taken == 0 {
+	if s := f.out.Stats[1]; served < len(f.out.Asks)/2 || s.PacketsSent == 0 || s.PacketsAccepted == 0 {
 		t.Errorf("%d of %d served, %+v", served, len(f.out.Asks), s)
 	}
 	if _, err := NewFleet(Config{Dispatchers: 1, Engines: Same(1, "none", small(1, Silent,
--- a/internal/simulation/members.go
+++ b/internal/simulation/members.go
@@ -33,12 +33,12 @@
 type Member struct {
 	Number int
 	Name   string
-	Talker *gossip.Talker
+	Talker *gossip.Node
 	Up     bool
 	life   uint64
 	zero   time.Duration // the model's time at which its clock would have been zero
 	slow   time.Duration // it hears and does all so much later
-	Do     func(o gossip.Output)
+	Do     func(o gossip.Action)
 }
 
 // now is a member's own clock.
@@ -54,13 +54,13 @@
 	random  *rand.Rand
 	lives   uint64
 	named   map[string]*Member
-	engines func(t *gossip.Talker)
+	engines func(t *gossip.Node)
 }
 
 // NewMembers returns a fleet of so many, none of which is up. What differs between members is put into
 // config; engines tells a new one which engines there are.
 func NewMembers(q *Queue, seed uint64, n int, w Weather, d Detection, config gossip.Config,
-	engines func(t *gossip.Talker)) *Members {
+	engines func(t *gossip.Node)) *Members {
 	f := &Members{Queue: q, Net: NewNetwork(q, seed, n, w), config: config, detect: d, engines: engines,
 		random: rand.New(rand.NewPCG(seed, 78)), named: map[string]*Member{}}
 	for i := range n {
@@ -72,9 +72,18 @@
 
 // TalkConfig is what the program's dispatchers have, with a least count.
 func TalkConfig(least int, threads float64) gossip.Config {
-	return gossip.Config{Claim: -1, Rate: 50000, Believe: validation.DefaultLimits(threads), Wait: time.Second,
-		Ordinals: ordinal.Limits{Still: 2 * time.Second, Grace: 30 * time.Second, Left: 2 * time.Second,
-			Least: least}}
+	return gossip.Config{
+		OrdinalClaim:     -1,
+		BytesPerSecond:   50000,
+		Validation:       validation.DefaultLimits(threads),
+		BootstrapTimeout: time.Second,
+		Ordinals: ordinal.Limits{
+			SettleTime: 2 * time.Second,
+			LossGrace:  30 * time.Second,
+			LeaveGrace: 2 * time.Second,
+			MinCount:   least,
+		},
+	}
 }
 
 // Start has a member begin a life, with a claim to an ordinal (-1: none). Its clock begins now, whatever
@@ -84,14 +93,14 @@
 	f.lives++
 	m.life, m.Up, m.zero = f.lives, true, f.Queue.Now()-day
 	c := f.config
-	c.Name, c.Born, c.Claim, c.Wait, c.Seed = m.Name, m.life, claim, wait, f.random.Uint64()
+	c.Name, c.Incarnation, c.OrdinalClaim, c.BootstrapTimeout, c.RandomSeed = m.Name, m.life, claim, wait, f.random.Uint64()
 	m.Talker = gossip.New(c, observation.New(m.Name, observation.DefaultLimits()), m.now(f.Queue))
 	if f.engines != nil {
 		f.engines(m.Talker)
 	}
 	for _, o := range f.All { // who joins is told of all by a seed
 		if o != m && o.Up && f.Net.Open(o.Number, i) && f.Net.Open(i, o.Number) {
-			m.Talker.Alive(m.now(f.Queue), o.Talker.Self())
+			m.Talker.MemberAlive(m.now(f.Queue), o.Talker.Self())
 		}
 	}
 	f.say(m)
@@ -111,7 +120,7 @@
 		}
 		f.Queue.In(after, func() {
 			if o.Up && m.life == life && o != m {
-				o.Talker.Gone(o.now(f.Queue), m.Name, left)
+				o.Talker.MemberLost(o.now(f.Queue), m.Name, left)
 			}
 		})
 	}
@@ -128,7 +137,7 @@
 	for _, o := range f.All {
 		f.Queue.In(f.part(f.detect.Gossip), func() {
 			if o.Up && o != m && m.Up && m.life == life && f.near(m.Number, o.Number) {
-				o.Talker.Alive(o.now(f.Queue), m.Talker.Self())
+				o.Talker.MemberAlive(o.now(f.Queue), m.Talker.Self())
 			}
 		})
 	}
@@ -155,7 +164,7 @@
 			if m != o && side(m.Number) != side(o.Number) {
 				f.Queue.In(f.detect.LostLeast+f.part(f.detect.Found-f.detect.LostLeast), func() {
 					if o.Up && !f.near(m.Number, o.Number) {
-						o.Talker.Gone(o.now(f.Queue), m.Name, false)
+						o.Talker.MemberLost(o.now(f.Queue), m.Name, false)
 					}
 				})
 			}
@@ -192,9 +201,9 @@
 func (f *Members) Carry(m *Member) {
 	for _, o := range m.Talker.Ready() {
 		switch o.Type {
-		case gossip.Send:
+		case gossip.SendPacket:
 			f.deliver(m, f.named[o.To], o.Data)
-		case gossip.Say:
+		case gossip.BroadcastMetadata:
 			f.say(m)
 		default:
 			if m.Do != nil {
@@ -207,7 +216,7 @@
 func (f *Members) deliver(from, to *Member, data []byte) {
 	take := func() {
 		if to.Up {
-			to.Talker.Packet(to.now(f.Queue), data)
+			to.Talker.HandlePacket(to.now(f.Queue), data)
 		}
 	}
 	carry := func() {
--- a/internal/simulation/members_test.go
+++ b/internal/simulation/members_test.go
@@ -17,8 +17,8 @@
 // fleet has n members begin at once, their clocks as far apart as their begins, with the ordinals they claim.
 func fleet(seed uint64, n int, w Weather, claim func(i int) int) *Members {
 	q := &Queue{}
-	f := NewMembers(q, seed, n, w, DefaultDetection(), TalkConfig(1, 2), func(t *gossip.Talker) {
-		t.Roster(map[cresspass.EngineID]float64{"e0": 8, "e1": 8})
+	f := NewMembers(q, seed, n, w, DefaultDetection(), TalkConfig(1, 2), func(t *gossip.Node) {
+		t.SetEngines(map[cresspass.EngineID]float64{"e0": 8, "e1": 8})
 	})
 	for i := range n {
 		q.At(time.Duration(i)*10*time.Millisecond, func() { f.Start(i, claim(i), 0) })
@@ -199,8 +199,8 @@
 		f.within(t, "agreed", 90*s, func() bool {
 			return f.Agreed(1, s)
 		})
-		k := observation.Key{Engine: "e1", Fact: observation.Warmth}
-		f.All[0].Talker.Store().See(f.All[0].now(f.Queue), k, 9)
+		k := observation.Key{Engine: "e1", Property: observation.Uptime}
+		f.All[0].Talker.Store().Observe(f.All[0].now(f.Queue), k, 9)
 		f.within(t, "known to all", 120*s, func() bool { return f.Known(k, 9) == 1 })
 	})
 }
--- a/internal/simulation/policy.go
+++ b/internal/simulation/policy.go
@@ -69,32 +69,32 @@
 func (c *chooser) take(ev *cresspass.Event) {
 	q := c.queries[ev.Query]
 	switch ev.Type {
-	case cresspass.EngineList:
+	case cresspass.EngineListReceived:
 		c.engines = c.engines[:0]
 		for _, e := range ev.Engines {
-			if e.State == cresspass.EngineOn {
+			if e.State == cresspass.EngineActive {
 				c.engines = append(c.engines, e)
 			}
 		}
-	case cresspass.QueryTaken:
-		q = &choice{class: c.fleet.class(ev.Class), deadline: c.now + ev.TimeLeft}
+	case cresspass.QueryArrived:
+		q = &choice{class: c.fleet.class(ev.Class), deadline: c.now + ev.RemainingDeadline}
 		c.queries[ev.Query] = q
 		c.out = append(c.out, cresspass.Action{Type: cresspass.SetTimer, Label: uint64(ev.Query),
-			Wait: max(ev.TimeLeft-20*time.Millisecond, 1)})
+			Wait: max(ev.RemainingDeadline-20*time.Millisecond, 1)})
 		c.send(ev.Query, q)
-	case cresspass.TimerDue:
+	case cresspass.TimerFired:
 		if q = c.queries[cresspass.QueryID(ev.Label)]; q != nil {
 			c.end(cresspass.QueryID(ev.Label), q)
 		}
-	case cresspass.ClientGone:
+	case cresspass.QueryAbandoned:
 		delete(c.queries, ev.Query)
 	case cresspass.AttemptDone:
 		c.running[ev.Engine]--
 		switch {
 		case q == nil:
-		case ev.Finished:
+		case ev.QueryFinished:
 			delete(c.queries, ev.Query)
-		case q.tries < max(c.cfg.MaxAttempts, 1) && q.class.Effect == cresspass.Safe && c.now < q.deadline:
+		case q.tries < max(c.cfg.MaxAttempts, 1) && q.class.Effect == cresspass.Idempotent && c.now < q.deadline:
 			c.send(ev.Query, q)
 		default:
 			c.end(ev.Query, q)
@@ -104,7 +104,7 @@
 
 func (c *chooser) end(id cresspass.QueryID, q *choice) {
 	delete(c.queries, id)
-	c.out = append(c.out, cresspass.Action{Type: cresspass.Refuse, Query: id, Wait: c.cfg.MaxComeBack},
+	c.out = append(c.out, cresspass.Action{Type: cresspass.Reject, Query: id, Wait: c.cfg.MaxRetryAfter},
 		cresspass.Action{Type: cresspass.Cancel, Query: id, Attempt: q.tries - 1})
 }
 
@@ -157,7 +157,7 @@
 		}
 	}
 	left := math.Min((q.deadline - c.now).Seconds(),
-		(q.class.Aim - (c.fleet.queue.Now() - a.first)).Seconds())
+		(q.class.LatencyObjective - (c.fleet.queue.Now() - a.first)).Seconds())
 	if least > left {
 		return nil
 	}
--- a/internal/simulation/queue.go
+++ b/internal/simulation/queue.go
@@ -1,6 +1,6 @@
-// Package simulation is the project's own emulator of what it balances: a fleet of dispatchers, engines, clients
-// and the network between dispatchers, as discrete events in simulated time. The same module and the same
-// pure packages decide as in service; there is no socket, goroutine or wall clock, and all chance comes
+// Package simulation is the project's own emulator of what it balances: a fleet of dispatchers, engines,
+// clients and the network between dispatchers, as discrete events in simulated time. The same module and the
+// same pure packages decide as in service; there is no socket, goroutine or wall clock, and all chance comes
 // from one seed.
 package simulation
 
--- a/internal/simulation/trouble.go
+++ b/internal/simulation/trouble.go
@@ -55,17 +55,17 @@
 // sent judges a send by the rules that are seen here.
 func (f *Fleet) sent(d *dispatcher, e *engine, attempt int) {
 	now, r := f.queue.Now(), &f.cfg.Module.Rules
-	if e.state != cresspass.EngineOn && e.told > 0 && now > e.told+r.DrainGrace {
+	if e.state != cresspass.EngineActive && e.told > 0 && now > e.told+r.DrainGrace {
 		f.out.Rules.Drained++
 	}
-	if attempt == 0 || !r.HasBudget {
+	if attempt == 0 || !r.HasRetryBudget {
 		return
 	}
-	from := now - r.BudgetLookBack
+	from := now - r.RetryBudgetWindow
 	old := func(at time.Duration) bool { return at < from }
 	d.takes, d.sends = slices.DeleteFunc(d.takes, old), slices.DeleteFunc(d.sends, old)
 	if d.sends = append(d.sends,
-		now); float64(len(d.sends)) > r.BudgetFree+r.BudgetShare*float64(len(d.takes)) {
+		now); float64(len(d.sends)) > r.RetryBudgetFree+r.RetryBudgetRatio*float64(len(d.takes)) {
 		f.out.Rules.Budget++
 	}
 }
@@ -116,11 +116,11 @@
 
 // list is an engine list as a dispatcher hears it, by its own clock.
 func (d *dispatcher) list(all []entry) cresspass.Event {
-	ev := cresspass.Event{Type: cresspass.EngineList, Listing: cresspass.ListFull}
+	ev := cresspass.Event{Type: cresspass.EngineListReceived, ListType: cresspass.ListComplete}
 	for i, e := range d.fleet.engines {
 		info := cresspass.EngineInfo{ID: e.id, State: all[i].state, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell}
 		if all[i].started > 0 {
-			info.Started = all[i].started - d.zero
+			info.StartedAt = all[i].started - d.zero
 		}
 		ev.Engines = append(ev.Engines, info)
 	}
@@ -184,11 +184,11 @@
 		if j.d.life == j.life && j.d.up && j.d.jobs[jobKey{j.query, j.attempt}] == j {
 			delete(j.d.jobs, jobKey{j.query, j.attempt})
 			if j.d.member != nil {
-				j.d.member.Talker.Saw(j.d.member.now(f.queue), e.id, false, -1)
+				j.d.member.Talker.RecordAttempt(j.d.member.now(f.queue), e.id, false, -1)
 			}
 			j.d.post(f.cfg.Travel, cresspass.Event{Type: cresspass.AttemptDone, Query: j.query,
 				Attempt: j.attempt,
-				Engine:  e.id, Outcome: cresspass.Reset})
+				Engine:  e.id, Outcome: cresspass.OutcomeConnectionReset})
 		}
 	}
 	e.model = enginemodel.New(e.Machine, f.queue.Now(), true)
@@ -221,7 +221,7 @@
 	}
 	e.up, e.started, e.faults = true, f.queue.Now(), faults{}
 	e.model = enginemodel.New(e.Machine, f.queue.Now(), true)
-	f.state(e, cresspass.EngineOn)
+	f.state(e, cresspass.EngineActive)
 }
 
 // probe asks an engine for a sign of life.
@@ -231,18 +231,18 @@
 	if e == nil {
 		return
 	}
-	ev := cresspass.Event{Type: cresspass.ProbeDone, Engine: id, Took: 2 * f.cfg.Travel}
+	ev := cresspass.Event{Type: cresspass.HealthCheckDone, Engine: id, Elapsed: 2 * f.cfg.Travel}
 	if !e.up {
-		ev.Outcome = cresspass.ConnectFailed
+		ev.Outcome = cresspass.OutcomeConnectFailed
 	} else {
-		ev.Report, ev.HasReport = f.report(e)
+		ev.LoadReport, ev.HasLoadReport = f.report(e)
 	}
 	d.post(2*f.cfg.Travel, ev)
 }
 
 // report is what an engine tells of itself with an answer, as old as reports are.
 func (f *Fleet) report(e *engine) ([]float64, bool) {
-	fields := f.cfg.Module.ReportFields
+	fields := f.cfg.Module.LoadReportFields
 	if len(fields) == 0 {
 		return nil, false
 	}
@@ -445,7 +445,7 @@
 	f.die(e)
 	f.queue.In(min(time.Second, back/2), func() { // the roster knows only whether it runs, a second late
 		if !e.up {
-			f.state(e, cresspass.EngineGone)
+			f.state(e, cresspass.EngineRemoved)
 		}
 	})
 	f.queue.In(back, func() { f.rise(e) })
--- a/internal/simulation/trouble_test.go
+++ b/internal/simulation/trouble_test.go
@@ -16,11 +16,11 @@
 		c.Returns = nil
 		c.Length = 12 * time.Second
 		r := &c.Module.Rules
-		r.ColdFrom, r.ColdFor, r.ColdMultiple, r.ColdWindow = 0.3, 10*time.Second, 3, time.Second
+		r.SlowStartFrom, r.SlowStartDuration, r.SlowStartOverloadFactor, r.SlowStartWindow = 0.3, 10*time.Second, 3, time.Second
 		for i := range c.Engines {
 			m := &c.Engines[i].Machine
-			m.ColdFrom, m.ColdFor, m.ColdMultiple, m.ColdWindow = r.ColdFrom, r.ColdFor, r.ColdMultiple,
-				r.ColdWindow
+			m.ColdFrom, m.ColdFor, m.ColdMultiple, m.ColdWindow = r.SlowStartFrom, r.SlowStartDuration, r.SlowStartOverloadFactor,
+				r.SlowStartWindow
 		}
 		for range rapid.IntRange(0, 4).Draw(t, "troubles") {
 			c.Troubles = append(c.Troubles, Trouble{Kind: rapid.SampledFrom(Troubles()).Draw(t, "kind"),
@@ -88,11 +88,11 @@
 		c.ListLate = late
 		c.Returns, c.Policy, c.Uneven, c.Dispatchers, c.Length = nil, policy, uneven, 20, 40*time.Second
 		r := &c.Module.Rules
-		r.ColdFrom, r.ColdFor, r.ColdMultiple, r.ColdWindow = 0.3, 15*time.Second, 2, time.Second
+		r.SlowStartFrom, r.SlowStartDuration, r.SlowStartOverloadFactor, r.SlowStartWindow = 0.3, 15*time.Second, 2, time.Second
 		for i := range c.Engines {
 			m := &c.Engines[i].Machine
-			m.ColdFrom, m.ColdFor, m.ColdMultiple, m.ColdWindow = r.ColdFrom, r.ColdFor, r.ColdMultiple,
-				r.ColdWindow
+			m.ColdFrom, m.ColdFor, m.ColdMultiple, m.ColdWindow = r.SlowStartFrom, r.SlowStartDuration, r.SlowStartOverloadFactor,
+				r.SlowStartWindow
 		}
 		for i := range c.Traffic {
 			c.Traffic[i].Rate *= 0.75
--- a/internal/soak/dispatcher.go
+++ b/internal/soak/dispatcher.go
@@ -405,7 +405,7 @@
 
 // violations returns what the dispatcher itself logged of violated invariants, and panics.
 func (d *dispatcher) violations() (lines []string) {
-	lines, err := invariant.Logged(filepath.Join(d.dir, "log"))
+	lines, err := invariant.ReadViolations(filepath.Join(d.dir, "log"))
 	if err != nil {
 		lines = append(lines, err.Error())
 	}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -638,7 +638,7 @@
 				tag = "DEALLOCATE ALL"
 			}
 		case "SET":
-			name, value, _ := sessionparams.Assignment(st)
+			name, value, _ := sessionparams.ParseAssignment(st)
 			if value = strings.Trim(value, "'"); value == "wrong" {
 				c.fail("22023", "invalid value for parameter "+name)
 				return true
@@ -660,7 +660,7 @@
 			}
 			tag = "SET"
 		case "RESET":
-			if ch, ok := sessionparams.Of(st); ok && ch.Name != "" {
+			if ch, ok := sessionparams.ChangeOf(st); ok && ch.Name != "" {
 				delete(c.settings, ch.Name)
 			} else {
 				clear(c.settings)
--- a/internal/standin/roster.go
+++ b/internal/standin/roster.go
@@ -149,7 +149,7 @@
 				return status.Error(codes.Unavailable, "out of reach")
 			default:
 			}
-			a, err := eds.Assignment(r.service, &list)
+			a, err := eds.NewAssignment(r.service, &list)
 			if err != nil {
 				return err
 			}
--- a/internal/storage/fault_test.go
+++ b/internal/storage/fault_test.go
@@ -8,13 +8,14 @@
 	"time"
 )
 
-// faulty is a disk whose calls fail as planned: one plan entry for each call of its kind, nil for none.
-type faulty struct {
+// faultyFileStub is a disk whose calls fail as planned: one plan entry for each call of its kind, nil for
+// none.
+type faultyFileStub struct {
 	File
 	writes, syncs, truncates []error
 }
 
-func planned(plan *[]error) error {
+func nextPlanned(plan *[]error) error {
 	if len(*plan) == 0 {
 		return nil
 	}
@@ -23,33 +24,33 @@
 	return err
 }
 
-func (f *faulty) Write(b []byte) (int, error) {
-	if err := planned(&f.writes); err != nil {
+func (f *faultyFileStub) Write(b []byte) (int, error) {
+	if err := nextPlanned(&f.writes); err != nil {
 		n, _ := f.File.Write(b[:len(b)/2])
 		return n, err
 	}
 	return f.File.Write(b)
 }
 
-func (f *faulty) Sync() error {
-	if err := planned(&f.syncs); err != nil {
+func (f *faultyFileStub) Sync() error {
+	if err := nextPlanned(&f.syncs); err != nil {
 		return err
 	}
 	return f.File.Sync()
 }
 
-func (f *faulty) Truncate(size int64) error {
-	if err := planned(&f.truncates); err != nil {
+func (f *faultyFileStub) Truncate(size int64) error {
+	if err := nextPlanned(&f.truncates); err != nil {
 		return err
 	}
 	return f.File.Truncate(size)
 }
 
-// TestAcknowledgedSurvives: whatever calls of the disk fail between, a record whose append was
-// acknowledged is read after a restart.
-func TestAcknowledgedSurvives(t *testing.T) {
+// TestAcknowledgedRecordsSurviveDiskFaults: whatever calls of the disk fail between, a record whose append
+// was acknowledged is read after a restart.
+func TestAcknowledgedRecordsSurviveDiskFaults(t *testing.T) {
 	var none error
-	for name, disk := range map[string]faulty{
+	for name, disk := range map[string]faultyFileStub{
 		"a sync fails, then a write": {syncs: []error{none, syscall.EIO},
 			writes: []error{none, none, none, syscall.ENOSPC}},
 		"a write fails, and its truncate": {writes: []error{none, syscall.ENOSPC},
@@ -60,21 +61,21 @@
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			l, _, _ := openLog(t, dir)
-			disk.File = l.f
-			l.f = &disk
+			disk.File = l.file
+			l.file = &disk
 			var acknowledged []uint64
 			for id := range uint64(6) {
-				if l.Append([]Record{Sent(load(id, t0))}) == nil {
+				if l.Append([]Record{WriteSentRecord(testWrite(id, t0))}) == nil {
 					acknowledged = append(acknowledged, id)
 				}
 			}
 			l.Close()
 			l, records, _ := openLog(t, dir)
 			defer l.Close()
-			book := NewBook()
-			book.Take(records)
+			book := NewState()
+			book.Apply(records)
 			var read []uint64
-			for _, known := range book.Open(Instant{Wall: t0}) {
+			for _, known := range book.PendingWrites(Instant{Wall: t0}) {
 				read = append(read, known.ID)
 			}
 			slices.Sort(read)
@@ -88,23 +89,32 @@
 	}
 }
 
-// TestDiskIsWellAgain: what a failing disk did not take is written when it is well again, without another
-// record; whoever waits for a record is told only then.
-func TestDiskIsWellAgain(t *testing.T) {
+// TestPendingRecordsAreWrittenOnceTheDiskRecovers: what a failing disk did not take is written when it is
+// well again, without another record; whoever waits for a record is told only then.
+func TestPendingRecordsAreWrittenOnceTheDiskRecovers(t *testing.T) {
 	dir := t.TempDir()
 	l, _, _ := openLog(t, dir)
-	l.f = &faulty{File: l.f, writes: []error{syscall.ENOSPC, syscall.ENOSPC}, truncates: []error{syscall.EIO},
-		syncs: []error{syscall.EIO}}
-	s := &Store{log: l, book: NewBook(), slog: slog.New(slog.DiscardHandler), queue: make(chan entry, 8),
-		done: make(chan struct{})}
+	l.file = &faultyFileStub{
+		File:      l.file,
+		writes:    []error{syscall.ENOSPC, syscall.ENOSPC},
+		truncates: []error{syscall.EIO},
+		syncs:     []error{syscall.EIO},
+	}
+	s := &Store{
+		log:    l,
+		state:  NewState(),
+		logger: slog.New(slog.DiscardHandler),
+		queue:  make(chan queuedRecord, 8),
+		done:   make(chan struct{}),
+	}
 	go s.run()
-	durable := s.PutDurable(Sent(load(1, t0)))
+	durable := s.PutDurable(WriteSentRecord(testWrite(1, t0)))
 	select {
 	case <-durable:
 	case <-time.After(10 * time.Second):
 		t.Fatal("the record was never durable")
 	}
-	records, err := Peek(dir)
+	records, err := ReadUnlocked(dir)
 	if err != nil || len(records) != 1 {
 		t.Errorf("told that it is durable, and %d records are there, %v", len(records), err)
 	}
@@ -116,36 +126,37 @@
 	}
 }
 
-// TestWindowsAreRealTime: a wall clock that steps between two lives of a process shortens no window; after
-// another boot of the machine nobody knows what has passed, and the whole window counts.
-func TestWindowsAreRealTime(t *testing.T) {
-	sent := Instant{Wall: t0, Boot: "one", Up: time.Hour}
-	l := load(1, sent.Wall)
-	l.Boot, l.Up = sent.Boot, sent.Up
-	book := NewBook()
-	book.Take([]Record{Sent(l)})
+// TestWindowsIgnoreWallClockSteps: a wall clock that steps between two lives of a process shortens no
+// window; after another boot of the machine nobody knows what has passed, and the whole window counts.
+func TestWindowsIgnoreWallClockSteps(t *testing.T) {
+	sent := Instant{Wall: t0, BootID: "one", SinceBoot: time.Hour}
+	l := testWrite(1, sent.Wall)
+	l.BootID, l.SentSinceBoot = sent.BootID, sent.SinceBoot
+	book := NewState()
+	book.Apply([]Record{WriteSentRecord(l)})
 	for _, c := range []struct {
 		back Instant
-		want Verdict
+		want Decision
 		wait time.Duration
 	}{
-		{Instant{t0.Add(time.Hour), "one", time.Hour + time.Second}, Refuse, 14 * time.Second},
-		{Instant{t0.Add(-time.Hour), "one", time.Hour + time.Second}, Refuse, 14 * time.Second},
-		{Instant{t0.Add(-time.Hour), "one", time.Hour + time.Minute}, Go, 0},
-		{Instant{t0.Add(time.Hour), "two", time.Second}, Refuse, 15 * time.Second},
+		{Instant{t0.Add(time.Hour), "one", time.Hour + time.Second}, Reject, 14 * time.Second},
+		{Instant{t0.Add(-time.Hour), "one", time.Hour + time.Second}, Reject, 14 * time.Second},
+		{Instant{t0.Add(-time.Hour), "one", time.Hour + time.Minute}, Allow, 0},
+		{Instant{t0.Add(time.Hour), "two", time.Second}, Reject, 15 * time.Second},
 	} {
-		if v, wait := Return(book, c.back, 0).Judge(0, l.Class, "", l.Hash); v != c.want || wait != c.wait {
+		if v, wait := NewRecoveryGuard(book, c.back, 0).Check(0, l.Class, "", l.Hash); v != c.want ||
+			wait != c.wait {
 			t.Errorf("back at %+v: verdict %d, wait %v; want %d, %v", c.back, v, wait, c.want, c.wait)
 		}
 	}
 }
 
-// TestOpensOnAFailingDisk: a folder whose disk takes nothing yet is opened all the same, with what it
+// TestOpenStoreOnFailingDisk: a folder whose disk takes nothing yet is opened all the same, with what it
 // holds, and the disk has all of it once it is well.
-func TestOpensOnAFailingDisk(t *testing.T) {
+func TestOpenStoreOnFailingDisk(t *testing.T) {
 	dir := t.TempDir()
 	l, _, _ := openLog(t, dir)
-	if err := l.Append([]Record{Sent(load(1, t0))}); err != nil {
+	if err := l.Append([]Record{WriteSentRecord(testWrite(1, t0))}); err != nil {
 		t.Fatal(err)
 	}
 	l.Close()
@@ -153,7 +164,7 @@
 	newFile = func(path string) (File, error) {
 		f, err := create(path)
 		if fails--; err == nil && fails >= 0 {
-			return &faulty{File: f, writes: []error{syscall.ENOSPC}}, nil
+			return &faultyFileStub{File: f, writes: []error{syscall.ENOSPC}}, nil
 		}
 		return f, err
 	}
@@ -162,10 +173,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if open := book.Open(Instant{Wall: t0}); len(open) != 1 {
+	if open := book.PendingWrites(Instant{Wall: t0}); len(open) != 1 {
 		t.Errorf("%d loads are remembered, want 1", len(open))
 	}
-	<-s.PutDurable(Sent(load(2, t0)))
+	<-s.PutDurable(WriteSentRecord(testWrite(2, t0)))
 	if err := s.Close(); err != nil {
 		t.Error(err)
 	}
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -24,30 +24,34 @@
 
 const goldenBoot = "3e1c0b1a-7b5a-4c8e-9a53-1f2d3c4b5a69"
 
-var goldenWrites = []Load{
+var goldenWrites = []WriteAttempt{
 	{ID: 0x1122334455667788, Class: "load", Key: "repo-7", Hash: 18446744073709551615,
-		Engine: "127.0.0.1:7001", At: goldenTime, Boot: goldenBoot, Up: 90 * time.Minute,
-		Window: 15 * time.Second, All: true},
+		Engine: "127.0.0.1:7001", SentAt: goldenTime, BootID: goldenBoot, SentSinceBoot: 90 * time.Minute,
+		Window: 15 * time.Second, AllEngines: true},
 	// Without an ordering key, and of a machine whose boot is not known.
-	{ID: 2, Class: "write", Engine: "127.0.0.1:7002", Hash: 9, At: goldenTime.Add(time.Second).UTC(),
+	{ID: 2, Class: "write", Engine: "127.0.0.1:7002", Hash: 9, SentAt: goldenTime.Add(time.Second).UTC(),
 		Window: 500 * time.Millisecond},
-	{ID: 3, Class: "write", Engine: "127.0.0.1:7002", Hash: 10, At: goldenTime, Window: time.Minute},
+	{ID: 3, Class: "write", Engine: "127.0.0.1:7002", Hash: 10, SentAt: goldenTime, Window: time.Minute},
 }
 
 var goldenSessions = []orphanedsession.Session{
 	{ID: 41, Engine: "127.0.0.1:7001", PID: 4294967295, Secret: []byte{0, 1, 2, 255},
-		Life: "cresspass-0-1badcafe"},
-	{ID: 42, Engine: "127.0.0.1:7002", PID: 17, Life: "cresspass-0-2badcafe"},
+		IncarnationName: "cresspass-0-1badcafe"},
+	{ID: 42, Engine: "127.0.0.1:7002", PID: 17, IncarnationName: "cresspass-0-2badcafe"},
 }
 
 // goldenRecords returns a record of every kind, as a dispatcher that was killed leaves them.
 func goldenRecords() []Record {
 	return []Record{
-		Life("cresspass-0-1badcafe"), Born(1767600000123456789),
-		Learnt(goldenTime, []byte("\x00model state\xff")),
-		Kept(goldenSessions[0]), Sent(goldenWrites[0]), Sent(goldenWrites[1]), Sent(goldenWrites[2]),
-		Ended(goldenWrites[2].ID), Freed(goldenSessions[0].ID), Life("cresspass-0-2badcafe"), Swept(),
-		Kept(goldenSessions[1]), Born(1767600000123456790),
+		IncarnationNameRecord("cresspass-0-1badcafe"), IncarnationNumberRecord(1767600000123456789),
+		ModelStateRecord(goldenTime, []byte("\x00model state\xff")),
+		StickySessionRecord(
+			goldenSessions[0],
+		), WriteSentRecord(goldenWrites[0]), WriteSentRecord(goldenWrites[1]), WriteSentRecord(goldenWrites[2]),
+		WriteEndedRecord(
+			goldenWrites[2].ID,
+		), SessionReleasedRecord(goldenSessions[0].ID), IncarnationNameRecord("cresspass-0-2badcafe"), OrphansCleanedRecord(),
+		StickySessionRecord(goldenSessions[1]), IncarnationNumberRecord(1767600000123456790),
 	}
 }
 
@@ -86,7 +90,7 @@
 // A log of every kind of record keeps its bytes: today's encoder writes them and today's decoder reads them.
 func TestGoldenLog(t *testing.T) {
 	want := goldenRecords()
-	written := header()
+	written := encodeHeader()
 	for _, r := range want {
 		written = appendRecord(written, r)
 	}
@@ -99,91 +103,92 @@
 	if !slices.EqualFunc(records, want, same) {
 		t.Fatalf("read %v, want %v", records, want)
 	}
-	book := NewBook()
-	if odd := book.Take(records); odd != 0 {
+	book := NewState()
+	if odd := book.Apply(records); odd != 0 {
 		t.Errorf("%d records were not read", odd)
 	}
-	now := Instant{Wall: goldenTime.Add(time.Second), Boot: goldenBoot,
-		Up: 90*time.Minute + time.Second}
-	open := book.Open(now)
+	now := Instant{Wall: goldenTime.Add(time.Second), BootID: goldenBoot,
+		SinceBoot: 90*time.Minute + time.Second}
+	open := book.PendingWrites(now)
 	if len(open) != 2 {
 		t.Fatalf("open: %+v", open)
 	}
 	for i, got := range open {
 		want := goldenWrites[i]
-		if !got.At.Equal(want.At) && want.Boot != "" {
-			t.Errorf("sent at %v, want %v", got.At, want.At)
+		if !got.SentAt.Equal(want.SentAt) && want.BootID != "" {
+			t.Errorf("sent at %v, want %v", got.SentAt, want.SentAt)
 		}
-		got.At, want.At = time.Time{}, time.Time{}
-		if want.Boot == "" { // of an unknown boot: counts from now on
-			want.Boot, want.Up = now.Boot, now.Up
+		got.SentAt, want.SentAt = time.Time{}, time.Time{}
+		if want.BootID == "" { // of an unknown boot: counts from now on
+			want.BootID, want.SentSinceBoot = now.BootID, now.SinceBoot
 		}
 		if got != want {
 			t.Errorf("read %+v, want %+v", got, want)
 		}
 	}
-	if kept := book.Kept(); len(kept) != 1 || !reflect.DeepEqual(kept[0], goldenSessions[1]) {
+	if kept := book.StickySessions(); len(kept) != 1 || !reflect.DeepEqual(kept[0], goldenSessions[1]) {
 		t.Errorf("sessions: %+v", kept)
 	}
-	if lives := book.Lives(); !reflect.DeepEqual(lives, []string{"cresspass-0-2badcafe"}) {
+	if lives := book.IncarnationNames(); !reflect.DeepEqual(lives, []string{"cresspass-0-2badcafe"}) {
 		t.Errorf("names: %q", lives)
 	}
-	data, age := book.Learnt(goldenTime.Add(time.Minute))
+	data, age := book.ModelState(goldenTime.Add(time.Minute))
 	if string(data) != "\x00model state\xff" || age.Truncate(time.Millisecond) != time.Minute {
 		t.Errorf("model state %q of age %v", data, age)
 	}
-	if book.Born() != 1767600000123456790 || book.Clean() {
-		t.Errorf("number %d, clean %v", book.Born(), book.Clean())
+	if book.LastIncarnation() != 1767600000123456790 || book.CleanShutdown() {
+		t.Errorf("number %d, clean %v", book.LastIncarnation(), book.CleanShutdown())
 	}
 }
 
 // A log that was rewritten holds the fewest records, in this order.
 func TestGoldenRewrittenLog(t *testing.T) {
-	book := NewBook()
-	book.Take(goldenRecords())
-	written := header()
-	for _, r := range book.Records(Instant{Wall: goldenTime, Boot: goldenBoot,
-		Up: 90*time.Minute + time.Second}) {
+	book := NewState()
+	book.Apply(goldenRecords())
+	written := encodeHeader()
+	for _, r := range book.Compacted(Instant{Wall: goldenTime, BootID: goldenBoot,
+		SinceBoot: 90*time.Minute + time.Second}) {
 		written = appendRecord(written, r)
 	}
 	stored := golden(t, "log-rewritten.bin", written)
 	if !bytes.Equal(written, stored) {
 		t.Errorf("the log is rewritten as\n%q, it was\n%q", written, stored)
 	}
-	again := NewBook()
-	if odd := again.Take(openGolden(t, stored)); odd != 0 {
+	again := NewState()
+	if odd := again.Apply(openGolden(t, stored)); odd != 0 {
 		t.Errorf("%d records were not read", odd)
 	}
-	if len(again.Open(Instant{Wall: goldenTime})) != 2 || len(again.Kept()) != 1 || len(again.Lives()) != 1 ||
-		again.Born() != 1767600000123456790 {
+	if len(again.PendingWrites(Instant{Wall: goldenTime})) != 2 || len(again.StickySessions()) != 1 ||
+		len(again.IncarnationNames()) != 1 ||
+		again.LastIncarnation() != 1767600000123456790 {
 		t.Errorf("read %+v", again)
 	}
 }
 
 // A dispatcher that stopped in good order leaves no sessions, and its writes that had no end.
 func TestGoldenStoppedLog(t *testing.T) {
-	written := header()
-	for _, r := range append(goldenRecords(), Stopped()) {
+	written := encodeHeader()
+	for _, r := range append(goldenRecords(), CleanShutdownRecord()) {
 		written = appendRecord(written, r)
 	}
 	stored := golden(t, "log-stopped.bin", written)
 	if !bytes.Equal(written, stored) {
 		t.Errorf("the log is written as\n%q, it was\n%q", written, stored)
 	}
-	book := NewBook()
-	if odd := book.Take(openGolden(t, stored)); odd != 0 {
+	book := NewState()
+	if odd := book.Apply(openGolden(t, stored)); odd != 0 {
 		t.Errorf("%d records were not read", odd)
 	}
-	if !book.Clean() || len(book.Kept()) != 0 || len(book.Lives()) != 0 ||
-		len(book.Open(Instant{Wall: goldenTime})) != 2 {
+	if !book.CleanShutdown() || len(book.StickySessions()) != 0 || len(book.IncarnationNames()) != 0 ||
+		len(book.PendingWrites(Instant{Wall: goldenTime})) != 2 {
 		t.Errorf("read %+v", book)
 	}
 }
 
 // The numbers of the kinds stand in stored logs.
 func TestGoldenKinds(t *testing.T) {
-	for want, r := range map[Kind]Record{1: Sent(Load{}), 2: Ended(1), 3: Learnt(goldenTime, nil),
-		4: Stopped(), 5: Life("x"), 6: Kept(orphanedsession.Session{}), 7: Freed(1), 8: Swept(), 9: Born(1)} {
+	for want, r := range map[Kind]Record{1: WriteSentRecord(WriteAttempt{}), 2: WriteEndedRecord(1), 3: ModelStateRecord(goldenTime, nil),
+		4: CleanShutdownRecord(), 5: IncarnationNameRecord("x"), 6: StickySessionRecord(orphanedsession.Session{}), 7: SessionReleasedRecord(1), 8: OrphansCleanedRecord(), 9: IncarnationNumberRecord(1)} {
 		if r.Kind != want {
 			t.Errorf("kind %d, want %d: %q", r.Kind, want, r.Payload)
 		}
@@ -199,7 +204,7 @@
 	later := `{"class":"load","key":"k","hash":6,"engine":"e","at":"2026-01-05T08:00:00Z",` +
 		`"boot":"b","up":1000000000,"window":15000000000,"all":false,"later":[1]}`
 	session := `{"engine":"e","pid":3,"secret":"AAEC/w==","life":"cresspass-0-1","later":1}`
-	written := header()
+	written := encodeHeader()
 	for _, r := range []Record{{1, append(bytes.Clone(id), old...)},
 		{1, append([]byte{8, 0, 0, 0, 0, 0, 0, 0}, later...)}, {6, append(bytes.Clone(id), session...)},
 		{200, []byte("later")}, {1, append(bytes.Clone(id), "{"...)}} {
@@ -209,22 +214,31 @@
 	if !bytes.Equal(written, stored) {
 		t.Errorf("the log is written as\n%q, it was\n%q", written, stored)
 	}
-	book := NewBook()
-	if odd := book.Take(openGolden(t, stored)); odd != 2 {
+	book := NewState()
+	if odd := book.Apply(openGolden(t, stored)); odd != 2 {
 		t.Errorf("%d records were not read, want 2", odd)
 	}
 	at := time.Date(2026, 1, 5, 8, 0, 0, 0, time.UTC)
-	open := book.Open(Instant{Wall: at})
-	want := []Load{
-		{ID: 7, Class: "load", Key: "k", Hash: 5, Engine: "e", At: at, Window: 15 * time.Second, All: true},
-		{ID: 8, Class: "load", Key: "k", Hash: 6, Engine: "e", At: at, Window: 15 * time.Second}}
+	open := book.PendingWrites(Instant{Wall: at})
+	want := []WriteAttempt{
+		{
+			ID:         7,
+			Class:      "load",
+			Key:        "k",
+			Hash:       5,
+			Engine:     "e",
+			SentAt:     at,
+			Window:     15 * time.Second,
+			AllEngines: true,
+		},
+		{ID: 8, Class: "load", Key: "k", Hash: 6, Engine: "e", SentAt: at, Window: 15 * time.Second}}
 	if !reflect.DeepEqual(open, want) {
 		t.Errorf("read %+v, want %+v", open, want)
 	}
 	kept := []orphanedsession.Session{{ID: 7, Engine: "e", PID: 3, Secret: []byte{0, 1, 2, 255},
-		Life: "cresspass-0-1"}}
-	if !reflect.DeepEqual(book.Kept(), kept) {
-		t.Errorf("read %+v, want %+v", book.Kept(), kept)
+		IncarnationName: "cresspass-0-1"}}
+	if !reflect.DeepEqual(book.StickySessions(), kept) {
+		t.Errorf("read %+v, want %+v", book.StickySessions(), kept)
 	}
 }
 
@@ -255,7 +269,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Put(Stopped())
+	s.Put(CleanShutdownRecord())
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/storage/instant.go
+++ b/internal/storage/instant.go
@@ -11,18 +11,18 @@
 // Instant is a moment as far as it can be told across the lives of a process. The wall clock may step between
 // two lives; the time since the machine's boot does not, and counts as long as the boot is the same.
 type Instant struct {
-	Wall time.Time
-	Boot string        // names the machine's boot; "": not known
-	Up   time.Duration // since that boot
+	Wall      time.Time
+	BootID    string        // names the machine's boot; "": not known
+	SinceBoot time.Duration // since that boot
 }
 
 // Now is the present moment.
 func Now() Instant {
 	now := Instant{Wall: time.Now()}
-	id, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
-	var since unix.Timespec
-	if err == nil && unix.ClockGettime(unix.CLOCK_BOOTTIME, &since) == nil {
-		now.Boot, now.Up = strings.TrimSpace(string(id)), time.Duration(since.Nano())
+	bootID, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
+	var sinceBoot unix.Timespec
+	if err == nil && unix.ClockGettime(unix.CLOCK_BOOTTIME, &sinceBoot) == nil {
+		now.BootID, now.SinceBoot = strings.TrimSpace(string(bootID)), time.Duration(sinceBoot.Nano())
 	}
 	return now
 }
@@ -32,10 +32,10 @@
 // remembered for the whole of it.
 func (now Instant) Sub(then Instant) time.Duration {
 	switch {
-	case now.Boot != then.Boot:
+	case now.BootID != then.BootID:
 		return 0
-	case now.Boot != "":
-		return max(now.Up-then.Up, 0)
+	case now.BootID != "":
+		return max(now.SinceBoot-then.SinceBoot, 0)
 	}
 	return max(now.Wall.Sub(then.Wall), 0)
 }
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -23,12 +23,12 @@
 // The checksum is CRC-32C over kind and payload. A record that is cut short or does not fit its checksum ends
 // the log: what follows it was never acknowledged, or cannot be told from noise.
 const (
-	headerText    = "cresspass state"
-	formVersion   = 1
-	recordMost    = 1 << 24
-	recordHead    = 8
-	compactFactor = 4
-	compactLeast  = 1 << 16
+	headerMagic       = "cresspass state"
+	formatVersion     = 1
+	maxRecordSize     = 1 << 24
+	recordHeaderSize  = 8
+	compactionFactor  = 4
+	compactionMinSize = 1 << 16
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -49,37 +49,37 @@
 	return append(append(out, byte(r.Kind)), r.Payload...)
 }
 
-func header() []byte { return append([]byte(headerText), formVersion, '\n') }
+func encodeHeader() []byte { return append([]byte(headerMagic), formatVersion, '\n') }
 
 var (
-	// ErrForm is the kind of error for a file that is no log of this version.
-	ErrForm = errors.New("state: the file has another form")
-	// ErrHeld is the kind of error for a folder that another process holds.
-	ErrHeld = errors.New("state: another process holds the folder")
+	// ErrFormat is the kind of error for a file that is no log of this version.
+	ErrFormat = errors.New("state: the file has another form")
+	// ErrLocked is the kind of error for a folder that another process holds.
+	ErrLocked = errors.New("state: another process holds the folder")
 
-	errUnwritten = errors.New("state: the log was not rewritten since it was opened")
+	errNotRewritten = errors.New("state: the log was not rewritten since it was opened")
 )
 
-// read returns the records up to the first that cannot be believed, and how many bytes they take.
-func read(b []byte) (records []Record, good int, err error) {
-	h := header()
+// decodeLog returns the records up to the first that cannot be believed, and how many bytes they take.
+func decodeLog(b []byte) (records []Record, validSize int, err error) {
+	h := encodeHeader()
 	if len(b) < len(h) || string(b[:len(h)]) != string(h) {
-		return nil, 0, ErrForm
+		return nil, 0, ErrFormat
 	}
-	at := len(h)
-	for len(b)-at >= recordHead {
-		n := int(binary.LittleEndian.Uint32(b[at:]))
-		if n < 1 || n > recordMost || len(b)-at-recordHead < n {
+	offset := len(h)
+	for len(b)-offset >= recordHeaderSize {
+		size := int(binary.LittleEndian.Uint32(b[offset:]))
+		if size < 1 || size > maxRecordSize || len(b)-offset-recordHeaderSize < size {
 			break
 		}
-		body := b[at+recordHead : at+recordHead+n]
-		if crc32.Checksum(body, castagnoli) != binary.LittleEndian.Uint32(b[at+4:]) {
+		body := b[offset+recordHeaderSize : offset+recordHeaderSize+size]
+		if crc32.Checksum(body, castagnoli) != binary.LittleEndian.Uint32(b[offset+4:]) {
 			break
 		}
 		records = append(records, Record{Kind(body[0]), body[1:]})
-		at += recordHead + n
+		offset += recordHeaderSize + size
 	}
-	return records, at, nil
+	return records, offset, nil
 }
 
 // File is what a log is written to.
@@ -92,18 +92,18 @@
 
 // Log is an open log. It is for one goroutine at a time.
 type Log struct {
-	path string
-	f    File
-	size int64 // bytes that are durable
-	torn bool  // behind them may stand bytes of an append that failed
-	base int64 // size after it was last rewritten
-	lock *os.File
-	make func(path string) (File, error)
+	path          string
+	file          File
+	durableSize   int64 // bytes that are durable
+	tornTail      bool  // behind them may stand bytes of an append that failed
+	compactedSize int64 // size after it was last rewritten
+	lockFile      *os.File
+	createFile    func(path string) (File, error)
 }
 
 // Open opens the log in a folder, alone, and returns what it holds. note is told, in words, of anything that
 // was not believed; such a file is set aside under the name damaged.
-func Open(dir string, note func(string)) (*Log, []Record, error) {
+func Open(dir string, warn func(string)) (*Log, []Record, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, err
 	}
@@ -113,9 +113,9 @@
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		lock.Close()
-		return nil, nil, fmt.Errorf("%w: %s: %v", ErrHeld, dir, err)
+		return nil, nil, fmt.Errorf("%w: %s: %v", ErrLocked, dir, err)
 	}
-	l := &Log{path: filepath.Join(dir, "state"), lock: lock, make: newFile}
+	l := &Log{path: filepath.Join(dir, "state"), lockFile: lock, createFile: newFile}
 	b, err := os.ReadFile(l.path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		lock.Close()
@@ -123,32 +123,32 @@
 	}
 	var records []Record
 	if err == nil {
-		var good int
-		if records, good, err = read(b); err != nil {
-			note(fmt.Sprintf("%s is set aside: %v", l.path, err))
+		var validSize int
+		if records, validSize, err = decodeLog(b); err != nil {
+			warn(fmt.Sprintf("%s is set aside: %v", l.path, err))
 			if err := os.Rename(l.path, l.path+".damaged"); err != nil {
 				lock.Close()
 				return nil, nil, err
 			}
-		} else if good < len(b) {
-			note(fmt.Sprintf("%s: the last %d bytes are not believed", l.path, len(b)-good))
+		} else if validSize < len(b) {
+			warn(fmt.Sprintf("%s: the last %d bytes are not believed", l.path, len(b)-validSize))
 		}
 	}
 	// Always rewritten: what is appended must not stand behind bytes that were not believed. Where the disk
 	// does not take it yet, the old file stays as it is, and nothing is appended until a rewriting succeeds.
 	if err := l.Rewrite(records); err != nil {
-		note(fmt.Sprintf("%s is not written yet: %v", l.path, err))
+		warn(fmt.Sprintf("%s is not written yet: %v", l.path, err))
 	}
 	return l, records, nil
 }
 
-// Peek returns what a folder's log holds, whoever holds the folder, and changes nothing.
-func Peek(dir string) ([]Record, error) {
+// ReadUnlocked returns what a folder's log holds, whoever holds the folder, and changes nothing.
+func ReadUnlocked(dir string) ([]Record, error) {
 	b, err := os.ReadFile(filepath.Join(dir, "state"))
 	if err != nil {
 		return nil, err
 	}
-	records, _, err := read(b)
+	records, _, err := decodeLog(b)
 	return records, err
 }
 
@@ -162,45 +162,47 @@
 // Append adds records and makes them durable. After an error the log holds what it held before, and the next
 // call begins by cutting off what the failed one may have left.
 func (l *Log) Append(records []Record) error {
-	if l.f == nil {
-		return errUnwritten
+	if l.file == nil {
+		return errNotRewritten
 	}
 	// Danger: behind half a record nothing would be read, and bytes whose sync failed may be anything.
-	if l.torn {
-		if err := l.f.Truncate(l.size); err != nil {
-			return fmt.Errorf("state: cut back to %d bytes: %w", l.size, err)
+	if l.tornTail {
+		if err := l.file.Truncate(l.durableSize); err != nil {
+			return fmt.Errorf("state: cut back to %d bytes: %w", l.durableSize, err)
 		}
-		l.torn = false
+		l.tornTail = false
 	}
 	var out []byte
 	for _, r := range records {
 		out = appendRecord(out, r)
 	}
-	l.torn = true
-	if _, err := l.f.Write(out); err != nil {
+	l.tornTail = true
+	if _, err := l.file.Write(out); err != nil {
 		// A full disk has less to hold this way; where it fails, the next call does it first.
-		l.torn = l.f.Truncate(l.size) != nil
+		l.tornTail = l.file.Truncate(l.durableSize) != nil
 		return fmt.Errorf("state: append: %w", err)
 	}
-	if err := l.f.Sync(); err != nil {
+	if err := l.file.Sync(); err != nil {
 		return fmt.Errorf("state: sync: %w", err)
 	}
-	l.torn = false
-	l.size += int64(len(out))
+	l.tornTail = false
+	l.durableSize += int64(len(out))
 	return nil
 }
 
-// Grown reports whether the log is worth being rewritten.
-func (l *Log) Grown() bool { return l.size > compactLeast && l.size > compactFactor*l.base }
+// NeedsCompaction reports whether the log is worth being rewritten.
+func (l *Log) NeedsCompaction() bool {
+	return l.durableSize > compactionMinSize && l.durableSize > compactionFactor*l.compactedSize
+}
 
 // Rewrite replaces the whole log, or leaves it as it was.
 func (l *Log) Rewrite(records []Record) error {
-	out := header()
+	out := encodeHeader()
 	for _, r := range records {
 		out = appendRecord(out, r)
 	}
 	next := l.path + ".new"
-	f, err := l.make(next)
+	f, err := l.createFile(next)
 	if err != nil {
 		return err
 	}
@@ -213,10 +215,10 @@
 	if err != nil {
 		return errors.Join(fmt.Errorf("state: rewrite: %w", err), f.Close(), os.Remove(next))
 	}
-	if l.f != nil {
-		l.f.Close()
+	if l.file != nil {
+		l.file.Close()
 	}
-	l.f, l.size, l.base, l.torn = f, int64(len(out)), int64(len(out)), false
+	l.file, l.durableSize, l.compactedSize, l.tornTail = f, int64(len(out)), int64(len(out)), false
 	if d, err := os.Open(filepath.Dir(l.path)); err == nil {
 		err = d.Sync()
 		d.Close()
@@ -227,11 +229,11 @@
 
 // Close closes the log and lets go of the folder.
 func (l *Log) Close() error {
-	if l.f == nil {
-		return l.lock.Close()
+	if l.file == nil {
+		return l.lockFile.Close()
 	}
-	return errors.Join(l.f.Close(), l.lock.Close())
+	return errors.Join(l.file.Close(), l.lockFile.Close())
 }
 
-// Unwritten reports whether the log could not be written since it was opened.
-func (l *Log) Unwritten() bool { return l.f == nil }
+// NeedsRewrite reports whether the log could not be written since it was opened.
+func (l *Log) NeedsRewrite() bool { return l.file == nil }
--- a/internal/storage/state_test.go
+++ b/internal/storage/state_test.go
@@ -16,8 +16,8 @@
 
 var t0 = time.UnixMilli(1767600000000)
 
-func load(id uint64, at time.Time) Load {
-	return Load{ID: id, Class: "load", Key: fmt.Sprint("k", id%3), Hash: id, Engine: "e", At: at,
+func testWrite(id uint64, at time.Time) WriteAttempt {
+	return WriteAttempt{ID: id, Class: "load", Key: fmt.Sprint("k", id%3), Hash: id, Engine: "e", SentAt: at,
 		Window: 15 * time.Second}
 }
 
@@ -33,21 +33,21 @@
 
 // Power lost at any byte: whatever is left of the file, what was acknowledged before the cut is read and
 // nothing else, and the log can be written on. A bit turned anywhere loses at most what stands from there on.
-func TestPowerLostAtAnyByte(t *testing.T) {
+func TestLogCutOrFlippedAtAnyByte(t *testing.T) {
 	dir := t.TempDir()
 	l, _, _ := openLog(t, dir)
 	var want []Record
 	var ends []int // of each record in the file
 	for i := range uint64(6) {
-		r := Sent(load(i, t0))
+		r := WriteSentRecord(testWrite(i, t0))
 		if i%2 == 1 {
-			r = Ended(i - 1)
+			r = WriteEndedRecord(i - 1)
 		}
 		if err := l.Append([]Record{r}); err != nil {
 			t.Fatal(err)
 		}
 		want = append(want, r)
-		ends = append(ends, int(l.size))
+		ends = append(ends, int(l.durableSize))
 	}
 	l.Close()
 	path := filepath.Join(dir, "state")
@@ -69,7 +69,7 @@
 			for whatever < len(ends) && ends[whatever] <= n {
 				whatever++
 			}
-			if n < len(header()) {
+			if n < len(encodeHeader()) {
 				whatever = 0
 				if _, err := os.Stat(path + ".damaged"); err != nil || len(notes) == 0 {
 					t.Fatalf("cut at %d, flip %v: a file of another form was not set aside", n, flip)
@@ -78,7 +78,7 @@
 			if len(got) != whatever || whatever > 0 && !reflect.DeepEqual(got, want[:whatever]) {
 				t.Fatalf("cut at %d, flip %v: %d records, want %d", n, flip, len(got), whatever)
 			}
-			if err := l.Append([]Record{Stopped()}); err != nil {
+			if err := l.Append([]Record{CleanShutdownRecord()}); err != nil {
 				t.Fatal(err)
 			}
 			l.Close()
@@ -91,10 +91,10 @@
 	}
 }
 
-func TestOneProcessForAFolder(t *testing.T) {
+func TestDirectoryIsLockedByOneProcess(t *testing.T) {
 	dir := t.TempDir()
 	l, _, _ := openLog(t, dir)
-	if _, _, err := Open(dir, func(string) {}); !errors.Is(err, ErrHeld) {
+	if _, _, err := Open(dir, func(string) {}); !errors.Is(err, ErrLocked) {
 		t.Errorf("a second opening: %v", err)
 	}
 	l.Close()
@@ -102,34 +102,34 @@
 	l.Close()
 }
 
-// full is a disk on which only so many bytes have room.
-type full struct {
+// fullDisk is a disk on which only so many bytes have room.
+type fullDisk struct {
 	File
-	room int
+	capacity int
 }
 
-func (f *full) Write(b []byte) (int, error) {
-	if len(b) > f.room {
-		n, _ := f.File.Write(b[:f.room])
-		f.room = 0
+func (f *fullDisk) Write(b []byte) (int, error) {
+	if len(b) > f.capacity {
+		n, _ := f.File.Write(b[:f.capacity])
+		f.capacity = 0
 		return n, errors.New("no space left on device")
 	}
-	f.room -= len(b)
+	f.capacity -= len(b)
 	return f.File.Write(b)
 }
 
 func TestDiskFull(t *testing.T) {
 	dir := t.TempDir()
 	l, _, _ := openLog(t, dir)
-	disk := &full{File: l.f, room: 200}
-	l.f = disk
+	disk := &fullDisk{File: l.file, capacity: 200}
+	l.file = disk
 	kept := 0
 	for i := range uint64(20) {
-		err := l.Append([]Record{Sent(load(i, t0))})
+		err := l.Append([]Record{WriteSentRecord(testWrite(i, t0))})
 		if err == nil {
 			kept++
-		} else if disk.room = 0; i == 10 {
-			disk.room = 1 << 20 // there is room again
+		} else if disk.capacity = 0; i == 10 {
+			disk.capacity = 1 << 20 // there is room again
 		}
 	}
 	if err := l.Rewrite(nil); err != nil {
@@ -140,8 +140,9 @@
 	if len(got) != 0 || len(notes) != 0 {
 		t.Errorf("%d records, notes %v", len(got), notes)
 	}
-	l.f = &full{File: l.f, room: 100}
-	if l.Append([]Record{Sent(load(1, t0))}) == nil && l.Append([]Record{Sent(load(2, t0))}) == nil {
+	l.file = &fullDisk{File: l.file, capacity: 100}
+	if l.Append([]Record{WriteSentRecord(testWrite(1, t0))}) == nil &&
+		l.Append([]Record{WriteSentRecord(testWrite(2, t0))}) == nil {
 		t.Error("two records of 150 bytes fitted into 100")
 	}
 	l.Close()
@@ -156,43 +157,43 @@
 
 // The book against a plain list of what is out, through a log that is read again at random, with clocks that
 // jump.
-func TestBookAgainstList(t *testing.T) {
+func TestStateAgainstReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		book, out := NewBook(), map[uint64]Load{}
+		book, out := NewState(), map[uint64]WriteAttempt{}
 		var records []Record
 		now := t0
 		for id := range uint64(rapid.IntRange(1, 50).Draw(t, "steps")) {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "pass")) * time.Millisecond)
 			var r Record
 			if rapid.Bool().Draw(t, "send") {
-				l := load(id, now)
-				out[id], r = l, Sent(l)
+				l := testWrite(id, now)
+				out[id], r = l, WriteSentRecord(l)
 			} else {
 				end := uint64(rapid.IntRange(0, int(id)).Draw(t, "end"))
 				delete(out, end)
-				r = Ended(end)
+				r = WriteEndedRecord(end)
 			}
 			records = append(records, r)
-			book.Take([]Record{r})
+			book.Apply([]Record{r})
 			if rapid.IntRange(0, 5).Draw(t, "again") == 0 { // a death, or a rewriting
-				again := NewBook()
+				again := NewState()
 				if rapid.Bool().Draw(t, "rewritten") {
-					records = book.Records(Instant{Wall: now})
+					records = book.Compacted(Instant{Wall: now})
 				}
-				again.Take(records)
+				again.Apply(records)
 				book = again
 			}
 			want := 0
 			for _, l := range out {
-				if now.Sub(l.At) <= l.Window {
+				if now.Sub(l.SentAt) <= l.Window {
 					want++
 				}
 			}
-			if got := book.Open(Instant{Wall: now}); len(got) != want {
+			if got := book.PendingWrites(Instant{Wall: now}); len(got) != want {
 				t.Fatalf("%d open, want %d", len(got), want)
 			}
-			for _, l := range book.Open(Instant{Wall: now.Add(-time.Hour)}) { // a clock that jumped back
-				if l.At.After(now.Add(-time.Hour)) {
+			for _, l := range book.PendingWrites(Instant{Wall: now.Add(-time.Hour)}) { // a clock that jumped back
+				if l.SentAt.After(now.Add(-time.Hour)) {
 					t.Fatalf("a load from the future: %+v", l)
 				}
 			}
@@ -200,40 +201,40 @@
 	})
 }
 
-func TestReturnedDispatcher(t *testing.T) {
-	book := NewBook()
-	zone, all := load(1, t0), load(2, t0)
-	all.All = true
-	book.Take([]Record{Sent(zone), Sent(all)})
+func TestRecoveryGuard(t *testing.T) {
+	book := NewState()
+	zone, all := testWrite(1, t0), testWrite(2, t0)
+	all.AllEngines = true
+	book.Apply([]Record{WriteSentRecord(zone), WriteSentRecord(all)})
 	back := t0.Add(time.Second)
-	r := Return(book, Instant{Wall: back}, 500*time.Millisecond)
+	r := NewRecoveryGuard(book, Instant{Wall: back}, 500*time.Millisecond)
 	for _, c := range []struct {
 		after time.Duration
 		key   string
 		hash  uint64
-		want  Verdict
+		want  Decision
 		wait  time.Duration
 	}{
 		// the same load, one group drops it
-		{0, "k1", 1, Refuse, 14 * time.Second},
+		{0, "k1", 1, Reject, 14 * time.Second},
 		// the same load, all drop it: its key rests
-		{0, "k2", 2, Rest, 500 * time.Millisecond},
-		{0, "k1", 9, Rest, 500 * time.Millisecond},                          // another load with the key
-		{0, "k9", 9, Go, 0},                                                 // another key
-		{600 * time.Millisecond, "k2", 2, Go, 0},                            // rested
-		{600 * time.Millisecond, "k1", 1, Refuse, 13400 * time.Millisecond}, // still in its window
-		{15 * time.Second, "k1", 1, Go, 0},                                  // over
+		{0, "k2", 2, Delay, 500 * time.Millisecond},
+		{0, "k1", 9, Delay, 500 * time.Millisecond},                         // another load with the key
+		{0, "k9", 9, Allow, 0},                                              // another key
+		{600 * time.Millisecond, "k2", 2, Allow, 0},                         // rested
+		{600 * time.Millisecond, "k1", 1, Reject, 13400 * time.Millisecond}, // still in its window
+		{15 * time.Second, "k1", 1, Allow, 0},                               // over
 	} {
-		if v, wait := r.Judge(c.after, "load", c.key, c.hash); v != c.want || wait != c.wait {
+		if v, wait := r.Check(c.after, "load", c.key, c.hash); v != c.want || wait != c.wait {
 			t.Errorf("after %v key %s: verdict %d, wait %v", c.after, c.key, v, wait)
 		}
 	}
-	if r.Left() != 0 {
-		t.Errorf("%d loads are remembered past their windows", r.Left())
+	if r.Remaining() != 0 {
+		t.Errorf("%d loads are remembered past their windows", r.Remaining())
 	}
 }
 
-func TestStoreKeepsWhatIsOut(t *testing.T) {
+func TestStoreKeepsPendingWrites(t *testing.T) {
 	dir := t.TempDir()
 	quiet := slog.New(slog.DiscardHandler)
 	s, _, err := OpenStore(dir, quiet)
@@ -242,28 +243,29 @@
 	}
 	now := time.Now()
 	for i := range uint64(3000) {
-		for !s.Put(Sent(load(i, now))) {
+		for !s.Put(WriteSentRecord(testWrite(i, now))) {
 			time.Sleep(time.Millisecond)
 		}
 		if i != 1234 {
-			for !s.Put(Ended(i)) {
+			for !s.Put(WriteEndedRecord(i)) {
 				time.Sleep(time.Millisecond)
 			}
 		}
 	}
-	s.Put(Learnt(now, []byte("abc")))
+	s.Put(ModelStateRecord(now, []byte("abc")))
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if info, _ := os.Stat(filepath.Join(dir, "state")); info.Size() > 10*compactLeast {
+	if info, _ := os.Stat(filepath.Join(dir, "state")); info.Size() > 10*compactionMinSize {
 		t.Errorf("%d bytes for one load", info.Size())
 	}
 	s, book, err := OpenStore(dir, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	data, age := book.Learnt(now.Add(time.Minute))
-	if open := book.Open(Instant{Wall: now}); len(open) != 1 || open[0].ID != 1234 || string(data) != "abc" ||
+	data, age := book.ModelState(now.Add(time.Minute))
+	if open := book.PendingWrites(Instant{Wall: now}); len(open) != 1 || open[0].ID != 1234 ||
+		string(data) != "abc" ||
 		age > 61*time.Second {
 		t.Errorf("open %v, learnt %q of age %v", open, data, age)
 	}
@@ -281,15 +283,15 @@
 			}
 			defer l.Close()
 			if !sync {
-				l.f = unsynced{l.f}
+				l.file = fileWithoutSync{l.file}
 			}
 			for i := uint64(0); b.Loop(); i++ {
-				l.Append([]Record{Sent(load(i, t0))})
-				l.Append([]Record{Ended(i)})
-				if l.Grown() {
+				l.Append([]Record{WriteSentRecord(testWrite(i, t0))})
+				l.Append([]Record{WriteEndedRecord(i)})
+				if l.NeedsCompaction() {
 					l.Rewrite(nil)
 					if !sync {
-						l.f = unsynced{l.f}
+						l.file = fileWithoutSync{l.file}
 					}
 				}
 			}
@@ -302,7 +304,7 @@
 			defer db.Close()
 			db.Update(func(tx *bbolt.Tx) error { _, err := tx.CreateBucket([]byte("l")); return err })
 			for i := uint64(0); b.Loop(); i++ {
-				r := Sent(load(i, t0))
+				r := WriteSentRecord(testWrite(i, t0))
 				db.Update(func(tx *bbolt.Tx) error {
 					return tx.Bucket([]byte("l")).Put(r.Payload[:8],
 						r.Payload[8:])
@@ -313,9 +315,9 @@
 	}
 }
 
-type unsynced struct{ File }
+type fileWithoutSync struct{ File }
 
-func (unsynced) Sync() error { return nil }
+func (fileWithoutSync) Sync() error { return nil }
 
 // BenchmarkOpen measures how long a return waits for its state: 10,000 loads that were sent and have ended,
 // 100 that are out.
@@ -328,14 +330,14 @@
 	now := time.Now()
 	var records []Record
 	for i := range uint64(10100) {
-		if records = append(records, Sent(load(i, now))); i < 10000 {
-			records = append(records, Ended(i))
+		if records = append(records, WriteSentRecord(testWrite(i, now))); i < 10000 {
+			records = append(records, WriteEndedRecord(i))
 		}
 	}
 	if err := l.Append(records); err != nil {
 		b.Fatal(err)
 	}
-	size := l.size
+	size := l.durableSize
 	l.Close()
 	whole, _ := os.ReadFile(filepath.Join(dir, "state"))
 	for b.Loop() {
@@ -344,10 +346,10 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		book := NewBook()
-		book.Take(records)
-		if len(book.Open(Instant{Wall: now})) != 100 {
-			b.Fatal(len(book.Open(Instant{Wall: now})))
+		book := NewState()
+		book.Apply(records)
+		if len(book.PendingWrites(Instant{Wall: now})) != 100 {
+			b.Fatal(len(book.PendingWrites(Instant{Wall: now})))
 		}
 		l.Close()
 	}
--- a/internal/timingwheel/wheel.go
+++ b/internal/timingwheel/wheel.go
@@ -1,5 +1,6 @@
-// Package timingwheel has a hierarchical timing wheel (Varghese and Lauck 1987, scheme 7) for timers that are set
-// in great number, never withdrawn, and may fire up to a tick late but never early. It reads no clock.
+// Package timingwheel has a hierarchical timing wheel (Varghese and Lauck 1987, scheme 7) for timers that
+// are set in great number, never withdrawn, and may fire up to a tick late but never early. It reads no
+// clock.
 package timingwheel
 
 import (
@@ -8,105 +9,105 @@
 )
 
 const (
-	slotBits = 8
-	slots    = 1 << slotBits
-	levels   = 4
+	bitsPerLevel  = 8
+	slotsPerLevel = 1 << bitsPerLevel
+	levels        = 4
 )
 
-type entry[T any] struct {
-	tick  uint64
-	value T
+type timer[T any] struct {
+	expiry uint64
+	value  T
 }
 
 // Wheel holds timers with values of type T. Setting one and firing it take constant time each.
 type Wheel[T any] struct {
-	tick  time.Duration
-	now   uint64 // ticks up to here have fired
-	count int
-	slot  [levels][slots][]entry[T]
-	used  [levels][slots / 64]uint64
-	free  [][]entry[T] // emptied slots, for use again
+	resolution  time.Duration
+	currentTick uint64 // ticks up to here have fired
+	count       int
+	slots       [levels][slotsPerLevel][]timer[T]
+	occupied    [levels][slotsPerLevel / 64]uint64
+	spare       [][]timer[T] // emptied slots, for use again
 }
 
 // New returns a wheel that begins at a time and fires at whole multiples of tick, in which all durations are
 // measured from the same zero. It spans 2^32 ticks; later timers fire and are set again inside.
 func New[T any](now, tick time.Duration) *Wheel[T] {
-	return &Wheel[T]{tick: tick, now: uint64(now / tick)}
+	return &Wheel[T]{resolution: tick, currentTick: uint64(now / tick)}
 }
 
 // Len is the number of timers that wait.
 func (w *Wheel[T]) Len() int { return w.count }
 
-// Set adds a timer due at a time; one that is past fires at the next tick.
-func (w *Wheel[T]) Set(due time.Duration, value T) {
-	at := uint64((due + w.tick - 1) / w.tick)
+// Schedule adds a timer due at a time; one that is past fires at the next tick.
+func (w *Wheel[T]) Schedule(due time.Duration, value T) {
+	expiry := uint64((due + w.resolution - 1) / w.resolution)
 	w.count++
-	w.put(entry[T]{max(at, w.now+1), value})
+	w.insert(timer[T]{max(expiry, w.currentTick+1), value})
 }
 
-func (w *Wheel[T]) put(e entry[T]) {
-	ahead := e.tick - w.now
+func (w *Wheel[T]) insert(pending timer[T]) {
+	ahead := pending.expiry - w.currentTick
 	level := 0
-	for level < levels-1 && ahead >= 1<<(slotBits*(level+1)) {
+	for level < levels-1 && ahead >= 1<<(bitsPerLevel*(level+1)) {
 		level++
 	}
-	at := min(e.tick, w.now+1<<(slotBits*levels)-1)
-	i := at >> (slotBits * level) & (slots - 1)
-	list := w.slot[level][i]
-	if list == nil && len(w.free) > 0 {
-		list = w.free[len(w.free)-1]
-		w.free = w.free[:len(w.free)-1]
+	expiry := min(pending.expiry, w.currentTick+1<<(bitsPerLevel*levels)-1)
+	slot := expiry >> (bitsPerLevel * level) & (slotsPerLevel - 1)
+	list := w.slots[level][slot]
+	if list == nil && len(w.spare) > 0 {
+		list = w.spare[len(w.spare)-1]
+		w.spare = w.spare[:len(w.spare)-1]
 	}
-	w.slot[level][i] = append(list, e)
-	w.used[level][i/64] |= 1 << (i % 64)
+	w.slots[level][slot] = append(list, pending)
+	w.occupied[level][slot/64] |= 1 << (slot % 64)
 }
 
-// take empties a slot.
-func (w *Wheel[T]) take(level int, i uint64) []entry[T] {
-	list := w.slot[level][i]
-	w.slot[level][i] = nil
-	w.used[level][i/64] &^= 1 << (i % 64)
+// takeSlot empties a slot.
+func (w *Wheel[T]) takeSlot(level int, i uint64) []timer[T] {
+	list := w.slots[level][i]
+	w.slots[level][i] = nil
+	w.occupied[level][i/64] &^= 1 << (i % 64)
 	return list
 }
 
-func (w *Wheel[T]) give(list []entry[T]) {
-	if cap(list) > 0 && len(w.free) < slots {
+func (w *Wheel[T]) recycle(list []timer[T]) {
+	if cap(list) > 0 && len(w.spare) < slotsPerLevel {
 		clear(list)
-		w.free = append(w.free, list[:0])
+		w.spare = append(w.spare, list[:0])
 	}
 }
 
 // Advance brings the wheel to a time and calls fire for every timer that is due, in the order of their ticks.
 // fire may set timers.
 func (w *Wheel[T]) Advance(now time.Duration, fire func(T)) {
-	to := uint64(now / w.tick)
-	for w.now < to {
+	targetTick := uint64(now / w.resolution)
+	for w.currentTick < targetTick {
 		next := w.nextTick()
-		if next > to {
-			w.now = to
+		if next > targetTick {
+			w.currentTick = targetTick
 			return
 		}
-		w.now = next
+		w.currentTick = next
 		for level := levels - 1; level > 0; level-- { // the coarse ones first: they fall to the finer ones
-			if w.now&(1<<(slotBits*level)-1) == 0 {
-				list := w.take(level, w.now>>(slotBits*level)&(slots-1))
+			if w.currentTick&(1<<(bitsPerLevel*level)-1) == 0 {
+				list := w.takeSlot(level, w.currentTick>>(bitsPerLevel*level)&(slotsPerLevel-1))
 				for _, e := range list {
-					if e.tick <= w.now {
+					if e.expiry <= w.currentTick {
 						w.count--
 						fire(e.value)
 					} else {
-						w.put(e)
+						w.insert(e)
 					}
 				}
-				w.give(list)
+				w.recycle(list)
 			}
 		}
-		list := w.take(0, w.now&(slots-1))
+		list := w.takeSlot(0, w.currentTick&(slotsPerLevel-1))
 		for _, e := range list {
 			w.count--
 			fire(e.value)
 		}
-		w.give(list)
+		w.recycle(list)
 	}
 }
 
@@ -114,13 +115,13 @@
 func (w *Wheel[T]) nextTick() uint64 {
 	best := ^uint64(0)
 	for level := range levels {
-		shift := slotBits * level
-		here := w.now >> shift
-		for ahead := uint64(1); ahead <= slots; {
-			i := (here + ahead) & (slots - 1)
-			if word := w.used[level][i/64] >> (i % 64); word != 0 {
+		shift := bitsPerLevel * level
+		here := w.currentTick >> shift
+		for ahead := uint64(1); ahead <= slotsPerLevel; {
+			i := (here + ahead) & (slotsPerLevel - 1)
+			if word := w.occupied[level][i/64] >> (i % 64); word != 0 {
 				ahead += uint64(bits.TrailingZeros64(word))
-				if ahead <= slots {
+				if ahead <= slotsPerLevel {
 					best = min(best, (here+ahead)<<shift)
 				}
 				break
@@ -131,10 +132,10 @@
 	return best
 }
 
-// Next returns the time until which nothing fires, and whether any timer waits at all.
-func (w *Wheel[T]) Next() (due time.Duration, ok bool) {
+// NextExpiry returns the time until which nothing fires, and whether any timer waits at all.
+func (w *Wheel[T]) NextExpiry() (due time.Duration, ok bool) {
 	if w.count == 0 {
 		return 0, false
 	}
-	return time.Duration(w.nextTick()) * w.tick, true
+	return time.Duration(w.nextTick()) * w.resolution, true
 }
--- a/internal/timingwheel/wheel_test.go
+++ b/internal/timingwheel/wheel_test.go
@@ -13,7 +13,7 @@
 const ms = time.Millisecond
 
 // The wheel against a plain list: the same timers at the same ticks, in any pattern of waits and steps.
-func TestAgainstList(t *testing.T) {
+func TestWheelMatchesList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "start"))
 		w := New[int](now, ms)
@@ -22,7 +22,7 @@
 			if rapid.Bool().Draw(t, "set") {
 				wait := time.Duration(rapid.SampledFrom([]int64{0, 1, 900, 1e6, 255e6, 256e6, 257e6, 7e9,
 					66e9, 5e13}).Draw(t, "wait"))
-				w.Set(now+wait, id)
+				w.Schedule(now+wait, id)
 				due[id] = max((now+wait+ms-1)/ms, now/ms+1) * ms
 				continue
 			}
@@ -43,7 +43,8 @@
 				}
 				first = min(first, d)
 			}
-			if next, ok := w.Next(); ok != (len(due) > 0) || ok && (next > first || next <= now/ms*ms) ||
+			if next, ok := w.NextExpiry(); ok != (len(due) > 0) ||
+				ok && (next > first || next <= now/ms*ms) ||
 				w.Len() != len(due) {
 				t.Fatalf("at %v next %v %v, first due %v of %d", now, next, ok, first, len(due))
 			}
@@ -51,12 +52,12 @@
 	})
 }
 
-type timerHeap []entry[int]
+type timerHeap []timer[int]
 
 func (h timerHeap) Len() int           { return len(h) }
-func (h timerHeap) Less(i, j int) bool { return h[i].tick < h[j].tick }
+func (h timerHeap) Less(i, j int) bool { return h[i].expiry < h[j].expiry }
 func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *timerHeap) Push(v any)        { *h = append(*h, v.(entry[int])) }
+func (h *timerHeap) Push(v any)        { *h = append(*h, v.(timer[int])) }
 func (h *timerHeap) Pop() any {
 	old := *h
 	v := old[len(old)-1]
@@ -74,7 +75,7 @@
 				if i == n {
 					b.ResetTimer()
 				}
-				w.Set(now+4*time.Second+time.Duration(r.Int64N(16e9)), i)
+				w.Schedule(now+4*time.Second+time.Duration(r.Int64N(16e9)), i)
 				now += step
 				w.Advance(now, func(int) {})
 			}
@@ -85,10 +86,10 @@
 				if i == n {
 					b.ResetTimer()
 				}
-				heap.Push(&h, entry[int]{uint64((now + 4*time.Second + time.Duration(r.Int64N(16e9))) / ms),
+				heap.Push(&h, timer[int]{uint64((now + 4*time.Second + time.Duration(r.Int64N(16e9))) / ms),
 					i})
 				now += step
-				for len(h) > 0 && h[0].tick <= uint64(now/ms) {
+				for len(h) > 0 && h[0].expiry <= uint64(now/ms) {
 					heap.Pop(&h)
 				}
 			}
--- a/internal/wire/peer.go
+++ b/internal/wire/peer.go
@@ -50,10 +50,17 @@
 func (b *BatchWriter) Stop(instance int) { fmt.Fprintf(b.w, "retire dispatcher=%d\n", instance) }
 
 var (
-	scopes = map[cresspass.Listing]string{cresspass.ListChanges: "delta", cresspass.ListFull: "full",
-		cresspass.ListCached: "cached", cresspass.ListFailed: "failed"}
-	states = map[cresspass.EngineState]string{cresspass.EngineOn: "on", cresspass.EngineDraining: "fading",
-		cresspass.EngineGone: "off"}
+	scopes = map[cresspass.EngineListType]string{
+		cresspass.ListIncremental: "delta",
+		cresspass.ListComplete:    "full",
+		cresspass.ListCached:      "cached",
+		cresspass.ListFailed:      "failed",
+	}
+	states = map[cresspass.EngineState]string{
+		cresspass.EngineActive:   "on",
+		cresspass.EngineDraining: "fading",
+		cresspass.EngineRemoved:  "off",
+	}
 )
 
 func float(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
@@ -76,14 +83,14 @@
 // Event writes one event of an instance. It returns false where the protocol has no such event: those of
 // sessions, of membership, and of a dispatcher that was told to leave.
 func (b *BatchWriter) Event(instance int, e *cresspass.Event) bool {
-	name := map[cresspass.EventType]string{cresspass.EngineList: "sync", cresspass.QueryTaken: "ask",
-		cresspass.TimerDue: "alarm", cresspass.PeerMessage: "message", cresspass.ProbeDone: "check_result",
-		cresspass.AttemptDone: "closed_attempt", cresspass.Progress: "notice",
-		cresspass.StreamBegun: "flowing", cresspass.ClientGone: "gone"}[e.Type]
+	name := map[cresspass.EventType]string{cresspass.EngineListReceived: "sync", cresspass.QueryArrived: "ask",
+		cresspass.TimerFired: "alarm", cresspass.PeerMessageReceived: "message", cresspass.HealthCheckDone: "check_result",
+		cresspass.AttemptDone: "closed_attempt", cresspass.ProgressReported: "notice",
+		cresspass.ResponseStarted: "flowing", cresspass.QueryAbandoned: "gone"}[e.Type]
 	if name == "" {
 		return false
 	}
-	if e.Type == cresspass.EngineList && e.Listing != cresspass.ListFailed {
+	if e.Type == cresspass.EngineListReceived && e.ListType != cresspass.ListFailed {
 		b.sheet = (b.sheet + 1) % sheetCount
 		b.list(e.Engines)
 	}
@@ -95,40 +102,51 @@
 	}
 	attempt := func() { fmt.Fprintf(b.w, " op-id=%d trial=%d node=%s", e.Query, e.Attempt, e.Engine) }
 	report := func() {
-		if e.HasReport {
-			text("health-info", floats(e.Report))
+		if e.HasLoadReport {
+			text("health-info", floats(e.LoadReport))
 		}
 	}
 	switch e.Type {
-	case cresspass.EngineList:
-		fmt.Fprintf(b.w, " scope=%s sheet=%d", scopes[e.Listing], b.sheet)
-	case cresspass.QueryTaken:
+	case cresspass.EngineListReceived:
+		fmt.Fprintf(b.w, " scope=%s sheet=%d", scopes[e.ListType], b.sheet)
+	case cresspass.QueryArrived:
 		fmt.Fprintf(b.w, " op-id=%d tables=%s opts=%d budget-us=%d ram-mb=%s cost-us=%d", e.Query,
-			float(e.Tables), bit(e.HasCost, 1)|bit(e.IsRepeat, 2)|bit(e.IsWrite, 4),
-			e.TimeLeft.Microseconds(), float(e.MemoryMB), e.Cost.Microseconds())
+			float(e.TableGroup), bit(e.HasCostEstimate, 1)|bit(e.IsRetry, 2)|bit(e.IsWrite, 4),
+			e.RemainingDeadline.Microseconds(), float(e.MemoryEstimateMB), e.CostEstimate.Microseconds())
 		text("category", word(e.Class))
 		text("object", word(e.Key))
 		text("project", word(e.Tenant))
-	case cresspass.TimerDue:
+	case cresspass.TimerFired:
 		fmt.Fprintf(b.w, " label=%d", e.Label)
-	case cresspass.PeerMessage:
+	case cresspass.PeerMessageReceived:
 		fmt.Fprintf(b.w, " sender=%d msg=%s", e.Peer, digits(e.Data))
-	case cresspass.ProbeDone:
-		fmt.Fprintf(b.w, " node=%s disposition=%d duration-us=%d", e.Engine, e.Outcome, e.Took.Microseconds())
+	case cresspass.HealthCheckDone:
+		fmt.Fprintf(
+			b.w,
+			" node=%s disposition=%d duration-us=%d",
+			e.Engine,
+			e.Outcome,
+			e.Elapsed.Microseconds(),
+		)
 		report()
 	case cresspass.AttemptDone:
 		attempt()
-		note := uint64(e.WorkDone.Milliseconds())<<12 | min(uint64(math.Ceil(max(e.NeededMB, 0)/4)), 4095)
+		note := uint64(
+			e.ActualCost.Milliseconds(),
+		)<<12 | min(
+			uint64(math.Ceil(max(e.ActualMemoryMB, 0)/4)),
+			4095,
+		)
 		fmt.Fprintf(b.w, " disposition=%d duration-us=%d finished=%d note=%d", e.Outcome,
-			e.Took.Microseconds(), bit(e.Finished, 1), note)
+			e.Elapsed.Microseconds(), bit(e.QueryFinished, 1), note)
 		report()
-	case cresspass.Progress:
+	case cresspass.ProgressReported:
 		attempt()
 		fmt.Fprintf(b.w, " topic=%d x=%s", e.Note, float(e.Value))
-	case cresspass.StreamBegun:
+	case cresspass.ResponseStarted:
 		attempt()
-		fmt.Fprintf(b.w, " duration-us=%d", e.Took.Microseconds())
-	case cresspass.ClientGone:
+		fmt.Fprintf(b.w, " duration-us=%d", e.Elapsed.Microseconds())
+	case cresspass.QueryAbandoned:
 		fmt.Fprintf(b.w, " op-id=%d", e.Query)
 	}
 	b.w.WriteByte('\n')
@@ -139,7 +157,7 @@
 	fmt.Fprintf(b.w, "roster sheet=%d elements=%d\n", b.sheet, len(engines))
 	for _, e := range engines {
 		fmt.Fprintf(b.w, "entry node=%s state=%s block=%d size=%s start-time-us=%d", e.ID, states[e.State],
-			e.Cell, float(e.Size), e.Started.Microseconds())
+			e.Cell, float(e.Size), e.StartedAt.Microseconds())
 		if e.Kind != "" {
 			fmt.Fprintf(b.w, " flavor=%s", word(e.Kind))
 		}
@@ -185,78 +203,84 @@
 			out = append(out, Setting{path, strings.Join(text, ",")})
 		}
 	}
-	// The wire's numbers have 63 bits. Danger: were the last bit the one to go, two dispatchers of numbers that
-	// follow one another would choose alike.
+	// The wire's numbers have 63 bits. Danger: were the last bit the one to go, two dispatchers of numbers
+	// that follow one another would choose alike.
 	out = append(out, Setting{"rng-seed", strconv.FormatUint(c.Seed&math.MaxInt64, 10)})
 	add("ordinal", strconv.Itoa(c.Ordinal))
-	add("peers-total", strconv.Itoa(c.Gateways))
+	add("peers-total", strconv.Itoa(c.GatewayCount))
 	add("zone", word(c.Zone))
-	micros("tick-us", c.Tick)
+	micros("tick-us", c.BatchInterval)
 	mode := "push"
-	if c.AskList {
+	if c.PollEngineList {
 		mode = "ask"
 	}
 	add("membership-mode", mode)
 	list("specifics.class-threads", c.ClassThreads)
-	flags("specifics.writes-tables", c.ClassLoads)
-	flags("specifics.yields-to-loads", c.ClassWaits)
+	flags("specifics.writes-tables", c.ClassIsBulkLoad)
+	flags("specifics.yields-to-loads", c.ClassWaitsForBulkLoad)
 	words("shapes", c.KindNames)
 	list("specifics.cpu-of-kind", c.KindCores)
 	list("specifics.kind-memory-mb", c.KindMemoryMB)
-	number("over-share-worth", c.OverShareWorth)
+	number("over-share-worth", c.OverQuotaPriorityWeight)
 	add("limits.max-attempts", strconv.Itoa(c.MaxAttempts))
-	micros("limits.max-retry-after-us", c.MaxComeBack)
+	micros("limits.max-retry-after-us", c.MaxRetryAfter)
 	flag("limits.cancel", c.MayCancel)
-	flag("limits.may-duplicate", c.MayDuplicate)
-	flag("limits.may-probe", c.MayProbe)
-	flag("limits.may-tell", c.MayTell)
-	flag("limits.retry-after", c.MayComeBack)
-	words("feedback.columns", c.ReportFields)
-	flag("specifics.takes-grants", c.TakesGrants)
-	flag("specifics.takes-priority", c.TakesPriority)
+	flag("limits.may-duplicate", c.MayHedge)
+	flag("limits.may-probe", c.MayCheckHealth)
+	flag("limits.may-tell", c.MayGossip)
+	flag("limits.retry-after", c.MaySendRetryAfter)
+	words("feedback.columns", c.LoadReportFields)
+	flag("specifics.takes-grants", c.AcceptsMemoryGrants)
+	flag("specifics.takes-priority", c.AcceptsPriority)
 	number("specifics.max-grant-share", c.MaxGrantShare)
-	micros("specifics.progress-pace-us", c.ProgressEvery)
-	flag("specifics.bills", c.TellsCost)
-	add("specifics.when-short", map[cresspass.Shortage]string{cresspass.ShortageWait: "wait",
-		cresspass.ShortageShrink: "shrink", cresspass.ShortagePage: "page"}[c.WhenShort])
+	micros("specifics.progress-pace-us", c.ProgressInterval)
+	flag("specifics.bills", c.ReportsCost)
+	add("specifics.when-short", map[cresspass.MemoryShortage]string{cresspass.ShortageQueues: "wait",
+		cresspass.ShortageShrinksGrant: "shrink", cresspass.ShortagePages: "page"}[c.OnMemoryShortage])
 	r := &c.Rules
 	micros("rules.grace-to-answer-us", r.AnswerGrace)
 	micros("rules.stop-sending-within-us", r.DrainGrace)
-	number("rules.cold-from", r.ColdFrom)
-	micros("rules.ramp-time-us", r.ColdFor)
-	number("rules.overload-factor", r.ColdMultiple)
-	micros("rules.overload-for-us", r.ColdWindow)
-	micros("rules.must-ask-in-us", r.AskWithin)
-	micros("rules.settle-after-doubt-us", r.OrderRest)
-	if r.HasBudget {
-		number("rules.free-resends", r.BudgetFree)
-		number("rules.further-ratio", r.BudgetShare)
+	number("rules.cold-from", r.SlowStartFrom)
+	micros("rules.ramp-time-us", r.SlowStartDuration)
+	number("rules.overload-factor", r.SlowStartOverloadFactor)
+	micros("rules.overload-for-us", r.SlowStartWindow)
+	micros("rules.must-ask-in-us", r.EngineListPollInterval)
+	micros("rules.settle-after-doubt-us", r.OrderSettleDelay)
+	if r.HasRetryBudget {
+		number("rules.free-resends", r.RetryBudgetFree)
+		number("rules.further-ratio", r.RetryBudgetRatio)
 		out = append(out, Setting{"rules.look-back-us",
-			strconv.FormatInt(r.BudgetLookBack.Microseconds(), 10)})
+			strconv.FormatInt(r.RetryBudgetWindow.Microseconds(), 10)})
 	}
 	add("classes.count", strconv.Itoa(len(c.Classes)))
 	for i, k := range c.Classes {
 		at := fmt.Sprintf("classes.%d.", i)
 		add(at+"name", word(k.Name))
-		micros(at+"aim-us", k.Aim)
-		number(at+"aim-stretch", k.AimStretch)
+		micros(at+"aim-us", k.LatencyObjective)
+		number(at+"aim-stretch", k.ObjectiveStretch)
 		micros(at+"deadline-us", k.Deadline)
-		number(at+"importance", k.Worth)
-		number(at+"late-value", k.LateValue)
-		micros(at+"window-us", k.Window)
-		flag(at+"in-turn", k.InOrder)
-		words(at+"bound-to", k.Kinds)
-		words(at+"runs-in", k.Zones)
-		add(at+"semantics", map[cresspass.Effect]string{cresspass.Safe: "safe", cresspass.Keyed: "keyed",
-			cresspass.Unsafe: "unsafe"}[k.Effect])
-		add(at+"key-scope", map[cresspass.Scope]string{cresspass.ScopeAll: "all", cresspass.ScopeZone: "zone",
-			cresspass.ScopeCell: "cell"}[k.Scope])
+		number(at+"importance", k.PriorityWeight)
+		number(at+"late-value", k.LateAnswerValue)
+		micros(at+"window-us", k.DeduplicationWindow)
+		flag(at+"in-turn", k.OrderedByKey)
+		words(at+"bound-to", k.AllowedKinds)
+		words(at+"runs-in", k.AllowedZones)
+		add(
+			at+"semantics",
+			map[cresspass.Effect]string{cresspass.Idempotent: "safe", cresspass.IdempotentWithKey: "keyed",
+				cresspass.NotIdempotent: "unsafe"}[k.Effect],
+		)
+		add(
+			at+"key-scope",
+			map[cresspass.DeduplicationScope]string{cresspass.ScopeAll: "all", cresspass.ScopeZone: "zone",
+				cresspass.ScopeCell: "cell"}[k.DeduplicationScope],
+		)
 	}
 	add("tenants.count", strconv.Itoa(len(c.Tenants)))
 	for i, t := range c.Tenants {
 		at := fmt.Sprintf("tenants.%d.", i)
 		add(at+"name", word(t.Name))
-		number(at+"quota-per-s", t.Quota)
+		number(at+"quota-per-s", t.QuotaPerSecond)
 		number(at+"share", t.Share)
 	}
 	return out
@@ -298,28 +322,28 @@
 		case "defer":
 			a.Type, a.Wait, a.Label = cresspass.SetTimer, p.micros("delay-us", true), p.whole("label", true)
 		case "list_all":
-			a.Type = cresspass.FetchList
+			a.Type = cresspass.FetchEngineList
 		case "let_go":
-			a.Type = cresspass.CloseIdle
+			a.Type = cresspass.CloseIdleConnections
 		case "share":
 			to, err := strconv.Atoi(p.text("recipient"))
 			if err != nil {
 				p.bad("recipient", "a peer's number or -1")
 			}
-			a.Type, a.Peer, a.Data = cresspass.Tell, to, p.bytes("msg")
+			a.Type, a.Peer, a.Data = cresspass.SendToPeer, to, p.bytes("msg")
 		case "deny":
-			a.Type, a.Wait = cresspass.Refuse, p.micros("not-before-for-us", false)
+			a.Type, a.Wait = cresspass.Reject, p.micros("not-before-for-us", false)
 		case "finish_error":
 			a.Type = cresspass.Fail
 		case "touch":
-			a.Type = cresspass.Probe
+			a.Type = cresspass.CheckHealth
 		case "retract":
 			a.Type, a.Attempt = cresspass.Cancel, int(p.whole("trial", true))
 		case "allot":
-			a.Type, a.Priority = cresspass.SetTerms, int(p.whole("rank", true))
-			a.MemoryMB = p.number("workspace-mb")
+			a.Type, a.Priority = cresspass.SetResources, int(p.whole("rank", true))
+			a.MemoryGrantMB = p.number("workspace-mb")
 		case "follow":
-			a.Type, a.On = cresspass.Subscribe, p.flag("want")
+			a.Type, a.Enabled = cresspass.SubscribeEngineList, p.flag("want")
 		default:
 			return actions, rr.r.fault("%q is no action", name)
 		}
--- a/internal/wire/peer_test.go
+++ b/internal/wire/peer_test.go
@@ -17,22 +17,61 @@
 
 // TestSettingsComeBack: what is written of a configuration is read as it was.
 func TestSettingsComeBack(t *testing.T) {
-	want := cresspass.Config{Seed: 99, Ordinal: 3, Gateways: 40, Zone: "z", Tick: 5 * us, AskList: true,
-		Classes: []cresspass.Class{{Name: "a", Aim: 7 * us, AimStretch: 1.5, Deadline: 9 * us, Worth: 2,
-			LateValue: 0.25, Effect: cresspass.Keyed, Scope: cresspass.ScopeZone, Window: 3 * us,
-			InOrder: true,
-			Kinds:   []string{"k", "l"}, Zones: []string{"z"}}, {Name: "b", Deadline: us,
-			Effect: cresspass.Unsafe}},
-		ClassThreads: []float64{1, 2.5}, ClassLoads: []bool{false, true}, ClassWaits: []bool{true, false},
-		KindNames: []string{"k", "l"}, KindCores: []float64{8, 16}, KindMemoryMB: []float64{1e6, 2},
-		Tenants: []cresspass.Tenant{{Name: "t", Quota: 3, Share: 0.5}}, OverShareWorth: 0.1,
-		Rules: cresspass.Rules{AnswerGrace: us, DrainGrace: 2 * us, ColdFrom: 0.4, ColdFor: 3 * us,
-			ColdMultiple: 3, ColdWindow: 4 * us, AskWithin: 5 * us, OrderRest: 6 * us, HasBudget: true,
-			BudgetFree: 2, BudgetShare: 0.1, BudgetLookBack: 7 * us},
-		MaxAttempts: 6, MaxComeBack: 8 * us, MayCancel: true, MayDuplicate: true, MayProbe: true,
-		MayTell: true, MayComeBack: true, ReportFields: []string{"concurrent", "x0"}, TakesGrants: true,
-		TakesPriority: true, MaxGrantShare: 0.4, WhenShort: cresspass.ShortagePage, ProgressEvery: 9 * us,
-		TellsCost: true}
+	want := cresspass.Config{
+		Seed:           99,
+		Ordinal:        3,
+		GatewayCount:   40,
+		Zone:           "z",
+		BatchInterval:  5 * us,
+		PollEngineList: true,
+		Classes: []cresspass.Class{
+			{Name: "a", LatencyObjective: 7 * us, ObjectiveStretch: 1.5, Deadline: 9 * us, PriorityWeight: 2,
+				LateAnswerValue: 0.25, Effect: cresspass.IdempotentWithKey, DeduplicationScope: cresspass.ScopeZone, DeduplicationWindow: 3 * us,
+				OrderedByKey: true,
+				AllowedKinds: []string{"k", "l"}, AllowedZones: []string{"z"}},
+			{Name: "b", Deadline: us,
+				Effect: cresspass.NotIdempotent},
+		},
+		ClassThreads: []float64{
+			1,
+			2.5,
+		},
+		ClassIsBulkLoad:         []bool{false, true},
+		ClassWaitsForBulkLoad:   []bool{true, false},
+		KindNames:               []string{"k", "l"},
+		KindCores:               []float64{8, 16},
+		KindMemoryMB:            []float64{1e6, 2},
+		Tenants:                 []cresspass.Tenant{{Name: "t", QuotaPerSecond: 3, Share: 0.5}},
+		OverQuotaPriorityWeight: 0.1,
+		Rules: cresspass.Rules{
+			AnswerGrace:             us,
+			DrainGrace:              2 * us,
+			SlowStartFrom:           0.4,
+			SlowStartDuration:       3 * us,
+			SlowStartOverloadFactor: 3,
+			SlowStartWindow:         4 * us,
+			EngineListPollInterval:  5 * us,
+			OrderSettleDelay:        6 * us,
+			HasRetryBudget:          true,
+			RetryBudgetFree:         2,
+			RetryBudgetRatio:        0.1,
+			RetryBudgetWindow:       7 * us,
+		},
+		MaxAttempts:         6,
+		MaxRetryAfter:       8 * us,
+		MayCancel:           true,
+		MayHedge:            true,
+		MayCheckHealth:      true,
+		MayGossip:           true,
+		MaySendRetryAfter:   true,
+		LoadReportFields:    []string{"concurrent", "x0"},
+		AcceptsMemoryGrants: true,
+		AcceptsPriority:     true,
+		MaxGrantShare:       0.4,
+		OnMemoryShortage:    cresspass.ShortagePages,
+		ProgressInterval:    9 * us,
+		ReportsCost:         true,
+	}
 	got, err := ConfigOf(SettingsOf(&want))
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%v\n got %+v\nwant %+v", err, got, want)
@@ -53,50 +92,57 @@
 				e.Attempt, e.Engine = whole("attempt"), cresspass.EngineID(name("engine"))
 			}
 			report := func() {
-				if e.HasReport = rapid.Bool().Draw(t, "reports"); e.HasReport {
-					e.Report = rapid.SliceOfN(number, 1, 3).Draw(t, "report")
+				if e.HasLoadReport = rapid.Bool().Draw(t, "reports"); e.HasLoadReport {
+					e.LoadReport = rapid.SliceOfN(number, 1, 3).Draw(t, "report")
 				}
 			}
-			e.Type = cresspass.EventType(rapid.IntRange(0, int(cresspass.ClientGone)).Draw(t, "type"))
+			e.Type = cresspass.EventType(rapid.IntRange(0, int(cresspass.QueryAbandoned)).Draw(t, "type"))
 			switch e.Type {
-			case cresspass.EngineList:
-				e.Query, e.Listing = 0, cresspass.Listing(rapid.IntRange(0, 3).Draw(t, "listing"))
+			case cresspass.EngineListReceived:
+				e.Query, e.ListType = 0, cresspass.EngineListType(rapid.IntRange(0, 3).Draw(t, "listing"))
 				for range rapid.IntRange(1, 3).Draw(t, "engines") {
-					if e.Listing != cresspass.ListFailed {
+					if e.ListType != cresspass.ListFailed {
 						e.Engines = append(e.Engines, cresspass.EngineInfo{
 							ID:    cresspass.EngineID(name("engine")),
 							State: cresspass.EngineState(rapid.IntRange(0, 2).Draw(t, "state")),
 							Kind:  name("kind"), Zone: name("zone"), Cell: whole("cell"),
-							Size: number.Draw(t, "size"), Started: micros("started")})
+							Size: number.Draw(t, "size"), StartedAt: micros("started")})
 					}
 				}
-			case cresspass.QueryTaken:
-				e.Tables, e.Class, e.TimeLeft = number.Draw(t, "tables"), name("class"), micros("left")
-				e.HasCost, e.IsRepeat = rapid.Bool().Draw(t, "costs"), rapid.Bool().Draw(t, "repeats")
-				e.IsWrite, e.MemoryMB = rapid.Bool().Draw(t, "writes"), number.Draw(t, "memory")
-				e.Cost, e.Key, e.Tenant = micros("cost"), name("key"), "t"+name("tenant")
-			case cresspass.TimerDue:
+			case cresspass.QueryArrived:
+				e.TableGroup, e.Class, e.RemainingDeadline = number.Draw(
+					t,
+					"tables",
+				), name(
+					"class",
+				), micros(
+					"left",
+				)
+				e.HasCostEstimate, e.IsRetry = rapid.Bool().Draw(t, "costs"), rapid.Bool().Draw(t, "repeats")
+				e.IsWrite, e.MemoryEstimateMB = rapid.Bool().Draw(t, "writes"), number.Draw(t, "memory")
+				e.CostEstimate, e.Key, e.Tenant = micros("cost"), name("key"), "t"+name("tenant")
+			case cresspass.TimerFired:
 				e.Query, e.Label = 0, uint64(whole("label"))
-			case cresspass.PeerMessage:
+			case cresspass.PeerMessageReceived:
 				e.Query, e.Peer = 0, whole("peer")
 				e.Data = rapid.SliceOfN(rapid.Byte(), 1, 9).Draw(t, "data")
-			case cresspass.ProbeDone:
+			case cresspass.HealthCheckDone:
 				e.Query, e.Engine = 0, cresspass.EngineID(name("engine"))
-				e.Outcome, e.Took = cresspass.Outcome(whole("outcome")), micros("took")
+				e.Outcome, e.Elapsed = cresspass.Outcome(whole("outcome")), micros("took")
 				report()
 			case cresspass.AttemptDone:
 				attempt()
-				e.Outcome, e.Took = cresspass.Outcome(whole("outcome")), micros("took")
-				e.Finished = rapid.Bool().Draw(t, "finished")
-				e.WorkDone = time.Duration(rapid.IntRange(0, 1<<20).Draw(t, "work")) * time.Millisecond
-				e.NeededMB = 4 * float64(rapid.IntRange(0, 4095).Draw(t, "needed"))
+				e.Outcome, e.Elapsed = cresspass.Outcome(whole("outcome")), micros("took")
+				e.QueryFinished = rapid.Bool().Draw(t, "finished")
+				e.ActualCost = time.Duration(rapid.IntRange(0, 1<<20).Draw(t, "work")) * time.Millisecond
+				e.ActualMemoryMB = 4 * float64(rapid.IntRange(0, 4095).Draw(t, "needed"))
 				report()
-			case cresspass.Progress:
+			case cresspass.ProgressReported:
 				attempt()
 				e.Note, e.Value = cresspass.NoteType(whole("note")), number.Draw(t, "value")
-			case cresspass.StreamBegun:
+			case cresspass.ResponseStarted:
 				attempt()
-				e.Took = micros("took")
+				e.Elapsed = micros("took")
 			}
 			want = append(want, e)
 		}
@@ -124,12 +170,15 @@
 // TestReplies: actions come back as they were decided; what can't be one is an error that says where.
 func TestReplies(t *testing.T) {
 	want := []cresspass.Action{{Type: cresspass.Send, Query: 1, Engine: "a:1", Wait: 3 * us},
-		{Type: cresspass.SetTimer, Wait: us, Label: 9}, {Type: cresspass.FetchList},
-		{Type: cresspass.CloseIdle, Engine: "a:1"}, {Type: cresspass.Tell, Peer: -1, Data: []byte("hi")},
-		{Type: cresspass.Refuse, Query: 2, Wait: us}, {Type: cresspass.Fail, Query: 3},
-		{Type: cresspass.Probe, Engine: "b:2"}, {Type: cresspass.Cancel, Query: 4, Attempt: 2},
-		{Type: cresspass.SetTerms, Query: 5, Priority: 2, MemoryMB: 1.5},
-		{Type: cresspass.Subscribe, On: true}}
+		{Type: cresspass.SetTimer, Wait: us, Label: 9}, {Type: cresspass.FetchEngineList},
+		{
+			Type:   cresspass.CloseIdleConnections,
+			Engine: "a:1",
+		}, {Type: cresspass.SendToPeer, Peer: -1, Data: []byte("hi")},
+		{Type: cresspass.Reject, Query: 2, Wait: us}, {Type: cresspass.Fail, Query: 3},
+		{Type: cresspass.CheckHealth, Engine: "b:2"}, {Type: cresspass.Cancel, Query: 4, Attempt: 2},
+		{Type: cresspass.SetResources, Query: 5, Priority: 2, MemoryGrantMB: 1.5},
+		{Type: cresspass.SubscribeEngineList, Enabled: true}}
 	var wired bytes.Buffer
 	w := bufio.NewWriter(&wired)
 	for i := range want {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -147,10 +147,14 @@
 	case "retire":
 		m.Type = Stop
 	case "sync":
-		e.Type = cresspass.EngineList
-		e.Listing = choose(p, "scope", map[string]cresspass.Listing{"delta": cresspass.ListChanges,
-			"full": cresspass.ListFull, "cached": cresspass.ListCached, "failed": cresspass.ListFailed})
-		if e.Listing != cresspass.ListFailed {
+		e.Type = cresspass.EngineListReceived
+		e.ListType = choose(
+			p,
+			"scope",
+			map[string]cresspass.EngineListType{"delta": cresspass.ListIncremental,
+				"full": cresspass.ListComplete, "cached": cresspass.ListCached, "failed": cresspass.ListFailed},
+		)
+		if e.ListType != cresspass.ListFailed {
 			if n := p.whole("sheet", true); n >= sheetCount {
 				p.bad("sheet", "a list number from 0 to 15")
 			} else {
@@ -158,53 +162,53 @@
 			}
 		}
 	case "ask":
-		e.Type = cresspass.QueryTaken
+		e.Type = cresspass.QueryArrived
 		e.Query = cresspass.QueryID(p.whole("op-id", true))
-		e.Tables = p.number("tables")
+		e.TableGroup = p.number("tables")
 		opts := p.whole("opts", false)
-		e.HasCost, e.IsRepeat, e.IsWrite = opts&1 != 0, opts&2 != 0, opts&4 != 0
-		e.TimeLeft = p.micros("budget-us", true)
+		e.HasCostEstimate, e.IsRetry, e.IsWrite = opts&1 != 0, opts&2 != 0, opts&4 != 0
+		e.RemainingDeadline = p.micros("budget-us", true)
 		e.Class = p.text("category")
 		e.Key = p.text("object")
-		e.MemoryMB = p.number("ram-mb")
+		e.MemoryEstimateMB = p.number("ram-mb")
 		if e.Tenant = p.text("project"); e.Tenant == "0" {
 			e.Tenant = ""
 		}
-		e.Cost = p.micros("cost-us", false)
+		e.CostEstimate = p.micros("cost-us", false)
 	case "alarm":
-		e.Type = cresspass.TimerDue
+		e.Type = cresspass.TimerFired
 		e.Label = p.whole("label", true)
 	case "message":
-		e.Type = cresspass.PeerMessage
+		e.Type = cresspass.PeerMessageReceived
 		e.Peer = int(p.whole("sender", true))
 		e.Data = p.bytes("msg")
 	case "check_result":
-		e.Type = cresspass.ProbeDone
+		e.Type = cresspass.HealthCheckDone
 		e.Engine = cresspass.EngineID(p.text("node"))
 		e.Outcome = cresspass.Outcome(p.whole("disposition", true))
-		e.Took = p.micros("duration-us", false)
-		e.Report, e.HasReport = p.row("health-info")
+		e.Elapsed = p.micros("duration-us", false)
+		e.LoadReport, e.HasLoadReport = p.row("health-info")
 	case "closed_attempt":
 		e.Type = cresspass.AttemptDone
 		p.attempt(e)
 		e.Outcome = cresspass.Outcome(p.whole("disposition", true))
-		e.Took = p.micros("duration-us", false)
-		e.Finished = p.flag("finished")
+		e.Elapsed = p.micros("duration-us", false)
+		e.QueryFinished = p.flag("finished")
 		note := p.whole("note", false)
-		e.WorkDone = time.Duration(note>>12) * time.Millisecond
-		e.NeededMB = float64(note&4095) * 4
-		e.Report, e.HasReport = p.row("health-info")
+		e.ActualCost = time.Duration(note>>12) * time.Millisecond
+		e.ActualMemoryMB = float64(note&4095) * 4
+		e.LoadReport, e.HasLoadReport = p.row("health-info")
 	case "notice":
-		e.Type = cresspass.Progress
+		e.Type = cresspass.ProgressReported
 		p.attempt(e)
 		e.Note = cresspass.NoteType(p.whole("topic", true))
 		e.Value = p.number("x")
 	case "flowing":
-		e.Type = cresspass.StreamBegun
+		e.Type = cresspass.ResponseStarted
 		p.attempt(e)
-		e.Took = p.micros("duration-us", false)
+		e.Elapsed = p.micros("duration-us", false)
 	case "gone":
-		e.Type = cresspass.ClientGone
+		e.Type = cresspass.QueryAbandoned
 		e.Query = cresspass.QueryID(p.whole("op-id", true))
 	default:
 		return nil // a later protocol's event
@@ -240,10 +244,10 @@
 		}
 		list = append(list, cresspass.EngineInfo{
 			ID: cresspass.EngineID(p.must("node")),
-			State: choose(p, "state", map[string]cresspass.EngineState{"on": cresspass.EngineOn,
-				"fading": cresspass.EngineDraining, "off": cresspass.EngineGone}),
+			State: choose(p, "state", map[string]cresspass.EngineState{"on": cresspass.EngineActive,
+				"fading": cresspass.EngineDraining, "off": cresspass.EngineRemoved}),
 			Kind: p.text("flavor"), Zone: p.text("area"), Cell: int(p.whole("block", false)),
-			Size: p.number("size"), Started: p.micros("start-time-us", false),
+			Size: p.number("size"), StartedAt: p.micros("start-time-us", false),
 		})
 		if p.err != nil {
 			return p.err
@@ -393,31 +397,31 @@
 		}
 	case cresspass.SetTimer:
 		fmt.Fprintf(w, "defer dispatcher=%d delay-us=%d label=%d", instance, a.Wait.Microseconds(), a.Label)
-	case cresspass.FetchList:
+	case cresspass.FetchEngineList:
 		fmt.Fprintf(w, "list_all dispatcher=%d", instance)
-	case cresspass.CloseIdle:
+	case cresspass.CloseIdleConnections:
 		fmt.Fprintf(w, "let_go dispatcher=%d node=%s", instance, a.Engine)
-	case cresspass.Tell:
+	case cresspass.SendToPeer:
 		fmt.Fprintf(w, "share dispatcher=%d recipient=%d msg=%s", instance, a.Peer, digits(a.Data))
-	case cresspass.Refuse:
+	case cresspass.Reject:
 		fmt.Fprintf(w, "deny dispatcher=%d op-id=%d", instance, a.Query)
 		if a.Wait > 0 {
 			fmt.Fprintf(w, " not-before-for-us=%d", a.Wait.Microseconds())
 		}
 	case cresspass.Fail:
 		fmt.Fprintf(w, "finish_error dispatcher=%d op-id=%d", instance, a.Query)
-	case cresspass.Probe:
+	case cresspass.CheckHealth:
 		fmt.Fprintf(w, "touch dispatcher=%d node=%s", instance, a.Engine)
 	case cresspass.Cancel:
 		fmt.Fprintf(w, "retract dispatcher=%d op-id=%d trial=%d", instance, a.Query, a.Attempt)
-	case cresspass.SetTerms:
+	case cresspass.SetResources:
 		fmt.Fprintf(w, "allot dispatcher=%d op-id=%d rank=%d workspace-mb=%s", instance, a.Query,
-			a.Priority, strconv.FormatFloat(a.MemoryMB, 'f', -1, 64))
+			a.Priority, strconv.FormatFloat(a.MemoryGrantMB, 'f', -1, 64))
 	case cresspass.Log:
 		fmt.Fprintf(w, "emit dispatcher=%d words=%s", instance, oneLine(a.Text))
-	case cresspass.Subscribe:
+	case cresspass.SubscribeEngineList:
 		want := 0
-		if a.On {
+		if a.Enabled {
 			want = 1
 		}
 		fmt.Fprintf(w, "follow dispatcher=%d want=%d", instance, want)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -31,22 +31,22 @@
 		want cresspass.Event
 	}{
 		{"ask dispatcher=1 op-id=9 tables=11 opts=7 budget-us=240 category=short object=ff ram-mb=3 cost-us=12 later=x",
-			cresspass.Event{Type: cresspass.QueryTaken, Query: 9, Tables: 11, HasCost: true, IsRepeat: true, IsWrite: true,
-				TimeLeft: 240 * time.Microsecond, Class: "short", Key: "ff", MemoryMB: 3, Cost: 12 * time.Microsecond}},
-		{"alarm dispatcher=1 label=77", cresspass.Event{Type: cresspass.TimerDue, Label: 77}},
-		{"gone dispatcher=1 op-id=5", cresspass.Event{Type: cresspass.ClientGone, Query: 5}},
-		{"message dispatcher=1 sender=2 msg=6869", cresspass.Event{Type: cresspass.PeerMessage, Peer: 2, Data: []byte("hi")}},
+			cresspass.Event{Type: cresspass.QueryArrived, Query: 9, TableGroup: 11, HasCostEstimate: true, IsRetry: true, IsWrite: true,
+				RemainingDeadline: 240 * time.Microsecond, Class: "short", Key: "ff", MemoryEstimateMB: 3, CostEstimate: 12 * time.Microsecond}},
+		{"alarm dispatcher=1 label=77", cresspass.Event{Type: cresspass.TimerFired, Label: 77}},
+		{"gone dispatcher=1 op-id=5", cresspass.Event{Type: cresspass.QueryAbandoned, Query: 5}},
+		{"message dispatcher=1 sender=2 msg=6869", cresspass.Event{Type: cresspass.PeerMessageReceived, Peer: 2, Data: []byte("hi")}},
 		{"check_result dispatcher=1 disposition=110 duration-us=7 node=a:1 health-info=0.5,3",
-			cresspass.Event{Type: cresspass.ProbeDone, Outcome: cresspass.TimedOut, Took: 7 * time.Microsecond, Engine: "a:1",
-				Report: []float64{0.5, 3}, HasReport: true}},
+			cresspass.Event{Type: cresspass.HealthCheckDone, Outcome: cresspass.OutcomeTimedOut, Elapsed: 7 * time.Microsecond, Engine: "a:1",
+				LoadReport: []float64{0.5, 3}, HasLoadReport: true}},
 		{"closed_attempt dispatcher=1 op-id=5 trial=2 node=a:1 disposition=0 duration-us=7 finished=1 note=69728",
-			cresspass.Event{Type: cresspass.AttemptDone, Query: 5, Attempt: 2, Engine: "a:1", Took: 7 * time.Microsecond,
-				Finished: true, WorkDone: 17 * time.Millisecond, NeededMB: 384}},
-		{"notice dispatcher=1 op-id=5 trial=0 node=a:1 topic=1 x=0.5", cresspass.Event{Type: cresspass.Progress, Query: 5,
-			Engine: "a:1", Note: cresspass.NoteShareDone, Value: 0.5}},
-		{"flowing dispatcher=1 op-id=5 trial=0 node=a:1 duration-us=3", cresspass.Event{Type: cresspass.StreamBegun, Query: 5,
-			Engine: "a:1", Took: 3 * time.Microsecond}},
-		{"sync dispatcher=1 scope=failed revision=3", cresspass.Event{Type: cresspass.EngineList, Listing: cresspass.ListFailed}},
+			cresspass.Event{Type: cresspass.AttemptDone, Query: 5, Attempt: 2, Engine: "a:1", Elapsed: 7 * time.Microsecond,
+				QueryFinished: true, ActualCost: 17 * time.Millisecond, ActualMemoryMB: 384}},
+		{"notice dispatcher=1 op-id=5 trial=0 node=a:1 topic=1 x=0.5", cresspass.Event{Type: cresspass.ProgressReported, Query: 5,
+			Engine: "a:1", Note: cresspass.NoteFractionDone, Value: 0.5}},
+		{"flowing dispatcher=1 op-id=5 trial=0 node=a:1 duration-us=3", cresspass.Event{Type: cresspass.ResponseStarted, Query: 5,
+			Engine: "a:1", Elapsed: 3 * time.Microsecond}},
+		{"sync dispatcher=1 scope=failed revision=3", cresspass.Event{Type: cresspass.EngineListReceived, ListType: cresspass.ListFailed}},
 	} {
 		if got := one(t, c.line+"\n"); got.Instance != 1 || !reflect.DeepEqual(got.Event, c.want) {
 			t.Errorf("%s:\n got %+v\nwant %+v", c.line, got.Event, c.want)
@@ -64,19 +64,27 @@
 		t.Fatal(err)
 	}
 	first, second := b.Messages[0].Event.Engines[0], b.Messages[1].Event.Engines[0]
-	if first.ID != "a:1" || first.Cell != 2 || second.ID != "b:1" || second.State != cresspass.EngineGone {
+	if first.ID != "a:1" || first.Cell != 2 || second.ID != "b:1" || second.State != cresspass.EngineRemoved {
 		t.Errorf("got %+v and %+v", first, second)
 	}
 }
 
-func TestSettings(t *testing.T) {
-	c := one(t, "provision dispatcher=3 rng-seed=8 peers-total=4 tick-us=5000 membership-mode=ask shapes=s,b "+
-		"specifics.cpu-of-kind=8,16 specifics.when-short=page classes.count=1 classes.0.name=x classes.0.semantics=keyed "+
-		"classes.0.key-scope=cell classes.0.deadline-us=6000000 classes.0.bound-to=b rules.look-back-us=7 unknown=1\n").Config
-	if c.Gateways != 4 || !c.AskList || c.KindCores[1] != 16 || c.WhenShort != cresspass.ShortagePage || !c.Rules.HasBudget {
+func TestConfigErrors(t *testing.T) {
+	c := one(
+		t,
+		"provision dispatcher=3 rng-seed=8 peers-total=4 tick-us=5000 membership-mode=ask shapes=s,b "+
+			"specifics.cpu-of-kind=8,16 specifics.when-short=page classes.count=1 classes.0.name=x classes.0.semantics=keyed "+
+			"classes.0.key-scope=cell classes.0.deadline-us=6000000 classes.0.bound-to=b rules.look-back-us=7 unknown=1\n",
+	).Config
+	if c.GatewayCount != 4 || !c.PollEngineList || c.KindCores[1] != 16 ||
+		c.OnMemoryShortage != cresspass.ShortagePages ||
+		!c.Rules.HasRetryBudget {
 		t.Errorf("got %+v", c)
 	}
-	if k := c.Classes[0]; k.Effect != cresspass.Keyed || k.Scope != cresspass.ScopeCell || k.Kinds[0] != "b" || k.Deadline != 6*time.Second {
+	if k := c.Classes[0]; k.Effect != cresspass.IdempotentWithKey ||
+		k.DeduplicationScope != cresspass.ScopeCell ||
+		k.AllowedKinds[0] != "b" ||
+		k.Deadline != 6*time.Second {
 		t.Errorf("got class %+v", k)
 	}
 }
@@ -85,14 +93,16 @@
 	for _, lines := range []string{"ask\n", "ask dispatcher=1 op-id=x budget-us=1\neob\n", "alarm dispatcher=1 label\neob\n",
 		"sync dispatcher=1 scope=odd sheet=0\neob\n", "=x\neob\n", "alarm dispatcher=1 label=1\n"} {
 		_, err := NewReader(strings.NewReader(opening + lines)).Next()
-		if err == nil || !strings.HasPrefix(err.Error(), "line 2: ") || !strings.Contains(err.Error(), "expected") {
+		if err == nil || !strings.HasPrefix(err.Error(), "line 2: ") ||
+			!strings.Contains(err.Error(), "expected") {
 			t.Errorf("%q: error %v", lines, err)
 		}
 	}
 	if _, err := NewReader(strings.NewReader("")).Next(); err != io.EOF {
 		t.Errorf("empty input: %v, want EOF", err)
 	}
-	if b, err := NewReader(strings.NewReader(opening + "novelty dispatcher=1 a=b\neob\n")).Next(); err != nil || len(b.Messages) != 0 {
+	if b, err := NewReader(strings.NewReader(opening + "novelty dispatcher=1 a=b\neob\n")).Next(); err != nil ||
+		len(b.Messages) != 0 {
 		t.Errorf("unknown event: %v", err)
 	}
 }
@@ -105,16 +115,16 @@
 		{cresspass.Action{Type: cresspass.Send, Query: 5, Engine: "a:1", Wait: time.Millisecond},
 			"dispatch dispatcher=3 op-id=5 node=a:1 patience-us=1000"},
 		{cresspass.Action{Type: cresspass.SetTimer, Wait: time.Second, Label: 7}, "defer dispatcher=3 delay-us=1000000 label=7"},
-		{cresspass.Action{Type: cresspass.Refuse, Query: 5, Wait: time.Millisecond}, "deny dispatcher=3 op-id=5 not-before-for-us=1000"},
+		{cresspass.Action{Type: cresspass.Reject, Query: 5, Wait: time.Millisecond}, "deny dispatcher=3 op-id=5 not-before-for-us=1000"},
 		{cresspass.Action{Type: cresspass.Fail, Query: 5}, "finish_error dispatcher=3 op-id=5"},
 		{cresspass.Action{Type: cresspass.Cancel, Query: 5, Attempt: 1}, "retract dispatcher=3 op-id=5 trial=1"},
-		{cresspass.Action{Type: cresspass.SetTerms, Query: 5, Priority: 2, MemoryMB: 64.5},
+		{cresspass.Action{Type: cresspass.SetResources, Query: 5, Priority: 2, MemoryGrantMB: 64.5},
 			"allot dispatcher=3 op-id=5 rank=2 workspace-mb=64.5"},
-		{cresspass.Action{Type: cresspass.Tell, Peer: -1, Data: []byte("hi")}, "share dispatcher=3 recipient=-1 msg=6869"},
-		{cresspass.Action{Type: cresspass.Probe, Engine: "a:1"}, "touch dispatcher=3 node=a:1"},
-		{cresspass.Action{Type: cresspass.CloseIdle, Engine: "a:1"}, "let_go dispatcher=3 node=a:1"},
-		{cresspass.Action{Type: cresspass.FetchList}, "list_all dispatcher=3"},
-		{cresspass.Action{Type: cresspass.Subscribe, On: true}, "follow dispatcher=3 want=1"},
+		{cresspass.Action{Type: cresspass.SendToPeer, Peer: -1, Data: []byte("hi")}, "share dispatcher=3 recipient=-1 msg=6869"},
+		{cresspass.Action{Type: cresspass.CheckHealth, Engine: "a:1"}, "touch dispatcher=3 node=a:1"},
+		{cresspass.Action{Type: cresspass.CloseIdleConnections, Engine: "a:1"}, "let_go dispatcher=3 node=a:1"},
+		{cresspass.Action{Type: cresspass.FetchEngineList}, "list_all dispatcher=3"},
+		{cresspass.Action{Type: cresspass.SubscribeEngineList, Enabled: true}, "follow dispatcher=3 want=1"},
 		{cresspass.Action{Type: cresspass.Log, Text: "two\nlines"}, "emit dispatcher=3 words=two lines"},
 	} {
 		var out strings.Builder
@@ -130,7 +140,9 @@
 // FuzzReader: no input makes the reader panic, and every error but the end names its line.
 func FuzzReader(f *testing.F) {
 	f.Add(opening + "alarm dispatcher=1 label=1\neob\n")
-	f.Add(opening + "roster sheet=15 elements=1\nentry state=on node=a:1\nsync dispatcher=1 scope=full sheet=15\neob\n")
+	f.Add(
+		opening + "roster sheet=15 elements=1\nentry state=on node=a:1\nsync dispatcher=1 scope=full sheet=15\neob\n",
+	)
 	f.Add("clock now-us=-1\nroster sheet=0 elements=9999999\neob\n")
 	f.Add(opening + "closed_attempt dispatcher=1 op-id=1 disposition=0 note=99999999999 health-info=,\neob\n")
 	f.Fuzz(func(t *testing.T, text string) {
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -7,57 +7,58 @@
 )
 
 // A successor starts from what was learnt, the less the older it is, and takes nothing of a broken snapshot.
-func TestSnapshotFadesWithAge(t *testing.T) {
-	b := newBench(t, testConfig(), std("e1"))
+func TestSnapshotDecaysWithAge(t *testing.T) {
+	b := newHarness(t, allRulesConfig(), standardEngine("e1"))
 	for id := range QueryID(200) {
-		for _, a := range b.ask(id+1, "short", "") {
-			b.at(900*ms, ended(a, 0, OK, 900*ms))
+		for _, a := range b.submit(id+1, "short", "") {
+			b.advance(900*ms, attemptDoneEvent(a, 0, OutcomeOK, 900*ms))
 		}
 	}
-	was := b.g.classes["short"].scale
+	was := b.g.classes["short"].baseScale
 	if was < 1.5 {
 		t.Fatalf("scale %v: nothing was learnt", was)
 	}
 	data := b.g.Snapshot()
 	last := math.Inf(1)
 	for _, age := range []time.Duration{0, 10 * time.Minute, time.Hour, 24 * time.Hour} {
-		g, err := New(testConfig())
+		g, err := New(allRulesConfig())
 		if err != nil {
 			t.Fatal(err)
 		}
 		if err := g.Restore(data, age); err != nil {
 			t.Fatal(err)
 		}
-		scale := g.classes["short"].scale
-		if scale > last || age == 0 && math.Abs(scale-was) > 1e-9 || age > 20*time.Hour && math.Abs(scale-1) > 1e-6 {
+		scale := g.classes["short"].baseScale
+		if scale > last || age == 0 && math.Abs(scale-was) > 1e-9 ||
+			age > 20*time.Hour && math.Abs(scale-1) > 1e-6 {
 			t.Errorf("age %v: scale %v, learnt %v", age, scale, was)
 		}
 		last = scale
 	}
-	g, _ := New(testConfig())
+	g, _ := New(allRulesConfig())
 	for _, bad := range []string{"", "{", `{"version":9}`, `{"version":1,"classes":[{"name":"short","scale":-1,"work":1,"grant":1}]}`,
 		`{"version":1,"classes":[{"name":"short","scale":1,"work":1,"grant":1}],"kinds":{"std":[[1]]}}`} {
 		if g.Restore([]byte(bad), 0) == nil {
 			t.Errorf("snapshot %q was taken", bad)
 		}
 	}
-	other := testConfig() // other classes: bases by name, weights not at all
+	other := allRulesConfig() // other classes: bases by name, weights not at all
 	other.Classes = other.Classes[1:]
-	other.ClassThreads, other.ClassLoads = nil, nil
+	other.ClassThreads, other.ClassIsBulkLoad = nil, nil
 	if g, err := New(other); err != nil || g.Restore(data, 0) != nil || g.kinds["std"].weights[0][0] != 0 {
 		t.Error("a snapshot of other classes")
 	}
 }
 
 func FuzzRestore(f *testing.F) {
-	g, _ := New(testConfig())
+	g, _ := New(allRulesConfig())
 	f.Add(g.Snapshot())
 	f.Fuzz(func(t *testing.T, data []byte) {
-		g, _ := New(testConfig())
+		g, _ := New(allRulesConfig())
 		if g.Restore(data, time.Minute) == nil {
-			for _, c := range g.order {
-				if math.IsNaN(c.scale) || c.scale <= 0 || math.IsNaN(c.work) {
-					t.Fatalf("class %s: scale %v, work %v", c.Name, c.scale, c.work)
+			for _, c := range g.classList {
+				if math.IsNaN(c.baseScale) || c.baseScale <= 0 || math.IsNaN(c.meanWork) {
+					t.Fatalf("class %s: scale %v, work %v", c.Name, c.baseScale, c.meanWork)
 				}
 			}
 		}
