--- a/internal/storage/faults.go
+++ b/internal/storage/faults.go
@@ -11,9 +11,12 @@
 
 // This file is the faulty disk of the fault soak. It is in no other build.
 
+// faultRateVariable is the environment variable with the share of calls that fail.
+const faultRateVariable = "CRESSPASS_DISK_FAULTS"
+
 func init() {
-	share, err := strconv.ParseFloat(os.Getenv("CRESSPASS_DISK_FAULTS"), 64)
-	if err != nil || share <= 0 {
+	rate, err := strconv.ParseFloat(os.Getenv(faultRateVariable), 64)
+	if err != nil || rate <= 0 {
 		return
 	}
 	newFile = func(path string) (File, error) {
@@ -21,33 +24,33 @@
 		if err != nil {
 			return nil, err
 		}
-		return &faultyFile{f, share}, nil
+		return &faultyFile{f, rate}, nil
 	}
 }
 
-// faultyFile is a file of which a share of the calls fails: writes after half of their bytes.
+// faultyFile is a file of which a share of the calls fails. A write that fails has written some of its bytes.
 type faultyFile struct {
 	File
-	share float64
+	rate float64
 }
 
 func (f *faultyFile) Write(b []byte) (int, error) {
-	if rand.Float64() < f.share {
-		n, _ := f.File.Write(b[:rand.IntN(len(b)+1)])
+	if rand.Float64() < f.rate {
+		n, _ := f.File.Write(b[:rand.IntN(len(b)+1)]) // the call fails either way
 		return n, syscall.ENOSPC
 	}
 	return f.File.Write(b)
 }
 
 func (f *faultyFile) Sync() error {
-	if rand.Float64() < f.share {
+	if rand.Float64() < f.rate {
 		return syscall.EIO
 	}
 	return f.File.Sync()
 }
 
 func (f *faultyFile) Truncate(size int64) error {
-	if rand.Float64() < f.share {
+	if rand.Float64() < f.rate {
 		return syscall.EIO
 	}
 	return f.File.Truncate(size)
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -45,12 +45,10 @@
 	return []Record{
 		IncarnationNameRecord("cresspass-0-1badcafe"), IncarnationNumberRecord(1767600000123456789),
 		ModelStateRecord(goldenTime, []byte("\x00model state\xff")),
-		StickySessionRecord(
-			goldenSessions[0],
-		), WriteSentRecord(goldenWrites[0]), WriteSentRecord(goldenWrites[1]), WriteSentRecord(goldenWrites[2]),
-		WriteEndedRecord(
-			goldenWrites[2].ID,
-		), SessionReleasedRecord(goldenSessions[0].ID), IncarnationNameRecord("cresspass-0-2badcafe"), OrphansCleanedRecord(),
+		StickySessionRecord(goldenSessions[0]), WriteSentRecord(goldenWrites[0]),
+		WriteSentRecord(goldenWrites[1]), WriteSentRecord(goldenWrites[2]),
+		WriteEndedRecord(goldenWrites[2].ID), SessionReleasedRecord(goldenSessions[0].ID),
+		IncarnationNameRecord("cresspass-0-2badcafe"), OrphansCleanedRecord(),
 		StickySessionRecord(goldenSessions[1]), IncarnationNumberRecord(1767600000123456790),
 	}
 }
@@ -103,13 +101,13 @@
 	if !slices.EqualFunc(records, want, same) {
 		t.Fatalf("read %v, want %v", records, want)
 	}
-	book := NewState()
-	if odd := book.Apply(records); odd != 0 {
-		t.Errorf("%d records were not read", odd)
+	state := NewState()
+	if unreadable := state.Apply(records); unreadable != 0 {
+		t.Errorf("%d records were not read", unreadable)
 	}
 	now := Instant{Wall: goldenTime.Add(time.Second), BootID: goldenBoot,
 		SinceBoot: 90*time.Minute + time.Second}
-	open := book.PendingWrites(now)
+	open := state.PendingWrites(now)
 	if len(open) != 2 {
 		t.Fatalf("open: %+v", open)
 	}
@@ -126,27 +124,27 @@
 			t.Errorf("read %+v, want %+v", got, want)
 		}
 	}
-	if kept := book.StickySessions(); len(kept) != 1 || !reflect.DeepEqual(kept[0], goldenSessions[1]) {
+	if kept := state.StickySessions(); len(kept) != 1 || !reflect.DeepEqual(kept[0], goldenSessions[1]) {
 		t.Errorf("sessions: %+v", kept)
 	}
-	if lives := book.IncarnationNames(); !reflect.DeepEqual(lives, []string{"cresspass-0-2badcafe"}) {
+	if lives := state.IncarnationNames(); !reflect.DeepEqual(lives, []string{"cresspass-0-2badcafe"}) {
 		t.Errorf("names: %q", lives)
 	}
-	data, age := book.ModelState(goldenTime.Add(time.Minute))
+	data, age := state.ModelState(goldenTime.Add(time.Minute))
 	if string(data) != "\x00model state\xff" || age.Truncate(time.Millisecond) != time.Minute {
 		t.Errorf("model state %q of age %v", data, age)
 	}
-	if book.LastIncarnation() != 1767600000123456790 || book.CleanShutdown() {
-		t.Errorf("number %d, clean %v", book.LastIncarnation(), book.CleanShutdown())
+	if state.LastIncarnation() != 1767600000123456790 || state.CleanShutdown() {
+		t.Errorf("number %d, clean %v", state.LastIncarnation(), state.CleanShutdown())
 	}
 }
 
 // A log that was rewritten holds the fewest records, in this order.
 func TestGoldenRewrittenLog(t *testing.T) {
-	book := NewState()
-	book.Apply(goldenRecords())
+	state := NewState()
+	state.Apply(goldenRecords())
 	written := encodeHeader()
-	for _, r := range book.Compacted(Instant{Wall: goldenTime, BootID: goldenBoot,
+	for _, r := range state.Compacted(Instant{Wall: goldenTime, BootID: goldenBoot,
 		SinceBoot: 90*time.Minute + time.Second}) {
 		written = appendRecord(written, r)
 	}
@@ -155,8 +153,8 @@
 		t.Errorf("the log is rewritten as\n%q, it was\n%q", written, stored)
 	}
 	again := NewState()
-	if odd := again.Apply(openGolden(t, stored)); odd != 0 {
-		t.Errorf("%d records were not read", odd)
+	if unreadable := again.Apply(openGolden(t, stored)); unreadable != 0 {
+		t.Errorf("%d records were not read", unreadable)
 	}
 	if len(again.PendingWrites(Instant{Wall: goldenTime})) != 2 || len(again.StickySessions()) != 1 ||
 		len(again.IncarnationNames()) != 1 ||
@@ -175,20 +173,29 @@
 	if !bytes.Equal(written, stored) {
 		t.Errorf("the log is written as\n%q, it was\n%q", written, stored)
 	}
-	book := NewState()
-	if odd := book.Apply(openGolden(t, stored)); odd != 0 {
-		t.Errorf("%d records were not read", odd)
+	state := NewState()
+	if unreadable := state.Apply(openGolden(t, stored)); unreadable != 0 {
+		t.Errorf("%d records were not read", unreadable)
 	}
-	if !book.CleanShutdown() || len(book.StickySessions()) != 0 || len(book.IncarnationNames()) != 0 ||
-		len(book.PendingWrites(Instant{Wall: goldenTime})) != 2 {
-		t.Errorf("read %+v", book)
+	if !state.CleanShutdown() || len(state.StickySessions()) != 0 || len(state.IncarnationNames()) != 0 ||
+		len(state.PendingWrites(Instant{Wall: goldenTime})) != 2 {
+		t.Errorf("read %+v", state)
 	}
 }
 
 // The numbers of the kinds stand in stored logs.
 func TestGoldenKinds(t *testing.T) {
-	for want, r := range map[Kind]Record{1: WriteSentRecord(WriteAttempt{}), 2: WriteEndedRecord(1), 3: ModelStateRecord(goldenTime, nil),
-		4: CleanShutdownRecord(), 5: IncarnationNameRecord("x"), 6: StickySessionRecord(orphanedsession.Session{}), 7: SessionReleasedRecord(1), 8: OrphansCleanedRecord(), 9: IncarnationNumberRecord(1)} {
+	for want, r := range map[Kind]Record{
+		1: WriteSentRecord(WriteAttempt{}),
+		2: WriteEndedRecord(1),
+		3: ModelStateRecord(goldenTime, nil),
+		4: CleanShutdownRecord(),
+		5: IncarnationNameRecord("x"),
+		6: StickySessionRecord(orphanedsession.Session{}),
+		7: SessionReleasedRecord(1),
+		8: OrphansCleanedRecord(),
+		9: IncarnationNumberRecord(1),
+	} {
 		if r.Kind != want {
 			t.Errorf("kind %d, want %d: %q", r.Kind, want, r.Payload)
 		}
@@ -214,12 +221,12 @@
 	if !bytes.Equal(written, stored) {
 		t.Errorf("the log is written as\n%q, it was\n%q", written, stored)
 	}
-	book := NewState()
-	if odd := book.Apply(openGolden(t, stored)); odd != 2 {
-		t.Errorf("%d records were not read, want 2", odd)
+	state := NewState()
+	if unreadable := state.Apply(openGolden(t, stored)); unreadable != 2 {
+		t.Errorf("%d records were not read, want 2", unreadable)
 	}
 	at := time.Date(2026, 1, 5, 8, 0, 0, 0, time.UTC)
-	open := book.PendingWrites(Instant{Wall: at})
+	open := state.PendingWrites(Instant{Wall: at})
 	want := []WriteAttempt{
 		{
 			ID:         7,
@@ -237,8 +244,8 @@
 	}
 	kept := []orphanedsession.Session{{ID: 7, Engine: "e", PID: 3, Secret: []byte{0, 1, 2, 255},
 		IncarnationName: "cresspass-0-1"}}
-	if !reflect.DeepEqual(book.StickySessions(), kept) {
-		t.Errorf("read %+v, want %+v", book.StickySessions(), kept)
+	if !reflect.DeepEqual(state.StickySessions(), kept) {
+		t.Errorf("read %+v, want %+v", state.StickySessions(), kept)
 	}
 }
 
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -1,7 +1,3 @@
-// Package storage keeps what a dispatcher must still know after it died: which loads it had sent and not seen
-// end, and what its module had learnt. It is a log of checksummed records in one file, written by a goroutine
-// off the way of queries, and rewritten whole when it has grown. What is unreadable is set aside, and the
-// dispatcher starts as if new. Book holds the decisions, without I/O; Store is the file.
 package storage
 
 import (
@@ -10,6 +6,7 @@
 	"fmt"
 	"hash/crc32"
 	"io"
+	"log/slog"
 	"os"
 	"path/filepath"
 	"syscall"
@@ -20,27 +17,44 @@
 //	header: "cresspass state" version(1) 0x0a
 //	record: length(4) checksum(4) kind(1) payload
 //
-// The checksum is CRC-32C over kind and payload. A record that is cut short or does not fit its checksum ends
-// the log: what follows it was never acknowledged, or cannot be told from noise.
+// The checksum is CRC-32C over kind and payload, and the length counts both. A record that is cut short or
+// does not fit its checksum ends the log: what follows it was never acknowledged, or cannot be told from
+// noise.
+const (
+	headerMagic      = "cresspass state"
+	formatVersion    = 1
+	maxRecordSize    = 1 << 24
+	recordHeaderSize = 8
+)
+
+// A log is compacted once it is larger than compactionMinSize and than compactionFactor times what it was
+// when it was last rewritten.
 const (
-	headerMagic       = "cresspass state"
-	formatVersion     = 1
-	maxRecordSize     = 1 << 24
-	recordHeaderSize  = 8
 	compactionFactor  = 4
 	compactionMinSize = 1 << 16
 )
 
+// The files in a state directory.
+const (
+	logName         = "state"
+	lockName        = "lock"
+	damagedSuffix   = ".damaged"
+	temporarySuffix = ".new"
+
+	directoryMode = 0o700
+	fileMode      = 0o600
+)
+
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Kind says what a record holds.
-type Kind byte
+var (
+	// ErrFormat reports a file that is no log of this version.
+	ErrFormat = errors.New("storage: not a state log of this version")
+	// ErrLocked reports a directory that another process has locked.
+	ErrLocked = errors.New("storage: another process has locked the state directory")
 
-// Record is one entry of the log.
-type Record struct {
-	Kind    Kind
-	Payload []byte
-}
+	errNotRewritten = errors.New("storage: the state log has not been rewritten since it was opened")
+)
 
 func appendRecord(out []byte, r Record) []byte {
 	out = binary.LittleEndian.AppendUint32(out, uint32(len(r.Payload)+1))
@@ -51,22 +65,13 @@
 
 func encodeHeader() []byte { return append([]byte(headerMagic), formatVersion, '\n') }
 
-var (
-	// ErrFormat is the kind of error for a file that is no log of this version.
-	ErrFormat = errors.New("state: the file has another form")
-	// ErrLocked is the kind of error for a folder that another process holds.
-	ErrLocked = errors.New("state: another process holds the folder")
-
-	errNotRewritten = errors.New("state: the log was not rewritten since it was opened")
-)
-
-// decodeLog returns the records up to the first that cannot be believed, and how many bytes they take.
+// decodeLog returns the records up to the first that is damaged, and the size of all before it.
 func decodeLog(b []byte) (records []Record, validSize int, err error) {
-	h := encodeHeader()
-	if len(b) < len(h) || string(b[:len(h)]) != string(h) {
+	header := encodeHeader()
+	if len(b) < len(header) || string(b[:len(header)]) != string(header) {
 		return nil, 0, ErrFormat
 	}
-	offset := len(h)
+	offset := len(header)
 	for len(b)-offset >= recordHeaderSize {
 		size := int(binary.LittleEndian.Uint32(b[offset:]))
 		if size < 1 || size > maxRecordSize || len(b)-offset-recordHeaderSize < size {
@@ -93,58 +98,75 @@
 // Log is an open log. It is for one goroutine at a time.
 type Log struct {
 	path          string
-	file          File
-	durableSize   int64 // bytes that are durable
-	tornTail      bool  // behind them may stand bytes of an append that failed
+	file          File  // nil until the log was rewritten once
+	durableSize   int64 // bytes that are on the disk
+	tornTail      bool  // bytes of a failed append may stand behind them
 	compactedSize int64 // size after it was last rewritten
 	lockFile      *os.File
 	createFile    func(path string) (File, error)
 }
 
-// Open opens the log in a folder, alone, and returns what it holds. note is told, in words, of anything that
-// was not believed; such a file is set aside under the name damaged.
-func Open(dir string, warn func(string)) (*Log, []Record, error) {
-	if err := os.MkdirAll(dir, 0o700); err != nil {
+// Open locks a directory and opens its log, and returns what it holds. What could not be read is logged; a
+// file of another form is set aside under the suffix .damaged. A disk that fails does not keep the log from
+// being opened: see NeedsRewrite.
+func Open(dir string, logger *slog.Logger) (*Log, []Record, error) {
+	if err := os.MkdirAll(dir, directoryMode); err != nil {
 		return nil, nil, err
 	}
-	lock, err := os.OpenFile(filepath.Join(dir, "lock"), os.O_CREATE|os.O_RDWR, 0o600)
+	lockFile, err := lockDirectory(dir)
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		lock.Close()
-		return nil, nil, fmt.Errorf("%w: %s: %v", ErrLocked, dir, err)
-	}
-	l := &Log{path: filepath.Join(dir, "state"), lockFile: lock, createFile: newFile}
-	b, err := os.ReadFile(l.path)
-	if err != nil && !errors.Is(err, os.ErrNotExist) {
-		lock.Close()
+	l := &Log{path: filepath.Join(dir, logName), lockFile: lockFile, createFile: newFile}
+	records, err := l.readFile(logger)
+	if err != nil {
+		lockFile.Close()
 		return nil, nil, err
 	}
-	var records []Record
-	if err == nil {
-		var validSize int
-		if records, validSize, err = decodeLog(b); err != nil {
-			warn(fmt.Sprintf("%s is set aside: %v", l.path, err))
-			if err := os.Rename(l.path, l.path+".damaged"); err != nil {
-				lock.Close()
-				return nil, nil, err
-			}
-		} else if validSize < len(b) {
-			warn(fmt.Sprintf("%s: the last %d bytes are not believed", l.path, len(b)-validSize))
-		}
-	}
-	// Always rewritten: what is appended must not stand behind bytes that were not believed. Where the disk
-	// does not take it yet, the old file stays as it is, and nothing is appended until a rewriting succeeds.
+	// The log is always rewritten, so that nothing is appended behind bytes that were not believed. Where
+	// the disk does not take it yet, the old file stays as it is, and nothing is appended until a rewrite
+	// succeeds.
 	if err := l.Rewrite(records); err != nil {
-		warn(fmt.Sprintf("%s is not written yet: %v", l.path, err))
+		logger.Warn("state log not rewritten at open", "path", l.path, "error", err)
 	}
 	return l, records, nil
 }
 
-// ReadUnlocked returns what a folder's log holds, whoever holds the folder, and changes nothing.
+func lockDirectory(dir string) (*os.File, error) {
+	lockFile, err := os.OpenFile(filepath.Join(dir, lockName), os.O_CREATE|os.O_RDWR, fileMode)
+	if err != nil {
+		return nil, err
+	}
+	if err := syscall.Flock(int(lockFile.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+		lockFile.Close()
+		return nil, fmt.Errorf("%w: %s: %w", ErrLocked, dir, err)
+	}
+	return lockFile, nil
+}
+
+// readFile returns the records of the file, none where there is no file, and sets one of another form aside.
+func (l *Log) readFile(logger *slog.Logger) ([]Record, error) {
+	b, err := os.ReadFile(l.path)
+	if errors.Is(err, os.ErrNotExist) {
+		return nil, nil
+	}
+	if err != nil {
+		return nil, err
+	}
+	records, validSize, err := decodeLog(b)
+	if err != nil {
+		logger.Warn("state log set aside", "path", l.path+damagedSuffix, "error", err)
+		return nil, os.Rename(l.path, l.path+damagedSuffix)
+	}
+	if validSize < len(b) {
+		logger.Warn("state log has a damaged tail", "path", l.path, "discarded_bytes", len(b)-validSize)
+	}
+	return records, nil
+}
+
+// ReadUnlocked returns what a directory's log holds, whichever process has locked it, and changes nothing.
 func ReadUnlocked(dir string) ([]Record, error) {
-	b, err := os.ReadFile(filepath.Join(dir, "state"))
+	b, err := os.ReadFile(filepath.Join(dir, logName))
 	if err != nil {
 		return nil, err
 	}
@@ -156,7 +178,7 @@
 var newFile = create
 
 func create(path string) (File, error) {
-	return os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, 0o600)
+	return os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, fileMode)
 }
 
 // Append adds records and makes them durable. After an error the log holds what it held before, and the next
@@ -165,10 +187,11 @@
 	if l.file == nil {
 		return errNotRewritten
 	}
-	// Danger: behind half a record nothing would be read, and bytes whose sync failed may be anything.
+	// A reader stops at half a record, and bytes whose sync failed may be anything: records behind either
+	// would be lost after a restart, although they were acknowledged.
 	if l.tornTail {
 		if err := l.file.Truncate(l.durableSize); err != nil {
-			return fmt.Errorf("state: cut back to %d bytes: %w", l.durableSize, err)
+			return fmt.Errorf("storage: truncate state log to %d bytes: %w", l.durableSize, err)
 		}
 		l.tornTail = false
 	}
@@ -178,56 +201,64 @@
 	}
 	l.tornTail = true
 	if _, err := l.file.Write(out); err != nil {
-		// A full disk has less to hold this way; where it fails, the next call does it first.
+		// This frees space on a full disk; where it fails, the next call does it first.
 		l.tornTail = l.file.Truncate(l.durableSize) != nil
-		return fmt.Errorf("state: append: %w", err)
+		return fmt.Errorf("storage: append to state log: %w", err)
 	}
 	if err := l.file.Sync(); err != nil {
-		return fmt.Errorf("state: sync: %w", err)
+		return fmt.Errorf("storage: sync state log: %w", err)
 	}
 	l.tornTail = false
 	l.durableSize += int64(len(out))
 	return nil
 }
 
-// NeedsCompaction reports whether the log is worth being rewritten.
+// NeedsCompaction reports whether the log has grown so much that it is worth rewriting.
 func (l *Log) NeedsCompaction() bool {
 	return l.durableSize > compactionMinSize && l.durableSize > compactionFactor*l.compactedSize
 }
 
-// Rewrite replaces the whole log, or leaves it as it was.
+// Rewrite replaces the whole log. Where it fails before the rename, the log is as it was; where only the
+// sync of the directory fails, the new log is in use and may be lost in a power cut.
 func (l *Log) Rewrite(records []Record) error {
 	out := encodeHeader()
 	for _, r := range records {
 		out = appendRecord(out, r)
 	}
-	next := l.path + ".new"
-	f, err := l.createFile(next)
+	temporary := l.path + temporarySuffix
+	file, err := l.createFile(temporary)
 	if err != nil {
 		return err
 	}
-	if _, err = f.Write(out); err == nil {
-		err = f.Sync()
+	if _, err = file.Write(out); err == nil {
+		err = file.Sync()
 	}
 	if err == nil {
-		err = os.Rename(next, l.path)
+		err = os.Rename(temporary, l.path)
 	}
 	if err != nil {
-		return errors.Join(fmt.Errorf("state: rewrite: %w", err), f.Close(), os.Remove(next))
+		return errors.Join(fmt.Errorf("storage: rewrite state log: %w", err), file.Close(),
+			os.Remove(temporary))
 	}
 	if l.file != nil {
-		l.file.Close()
+		_ = l.file.Close() // of a file that has no name any more
 	}
-	l.file, l.durableSize, l.compactedSize, l.tornTail = f, int64(len(out)), int64(len(out)), false
-	if d, err := os.Open(filepath.Dir(l.path)); err == nil {
-		err = d.Sync()
-		d.Close()
-		return err
+	l.file, l.durableSize, l.compactedSize, l.tornTail = file, int64(len(out)), int64(len(out)), false
+	return syncDirectory(filepath.Dir(l.path))
+}
+
+// syncDirectory makes a rename in a directory durable. One that cannot be opened is passed over.
+func syncDirectory(dir string) error {
+	d, err := os.Open(dir)
+	if err != nil {
+		return nil // the renamed log is in use either way
 	}
-	return nil
+	err = d.Sync()
+	_ = d.Close() // it was opened for reading only
+	return err
 }
 
-// Close closes the log and lets go of the folder.
+// Close closes the log and unlocks the directory.
 func (l *Log) Close() error {
 	if l.file == nil {
 		return l.lockFile.Close()
--- /dev/null
+++ b/internal/storage/recovery_test.go
@@ -0,0 +1,64 @@
+package storage
+
+import (
+	"testing"
+	"time"
+)
+
+func TestRecoveryGuard(t *testing.T) {
+	state := NewState()
+	zone, all := testWrite(1, t0), testWrite(2, t0)
+	all.AllEngines = true
+	state.Apply([]Record{WriteSentRecord(zone), WriteSentRecord(all)})
+	restartedAt := t0.Add(time.Second)
+	r := NewRecoveryGuard(state, Instant{Wall: restartedAt}, 500*time.Millisecond)
+	for _, c := range []struct {
+		after time.Duration
+		key   string
+		hash  uint64
+		want  Decision
+		wait  time.Duration
+	}{
+		// the same write, one group drops it
+		{0, "k1", 1, Reject, 14 * time.Second},
+		// the same write, all drop it: only its key is not used for a while
+		{0, "k2", 2, Delay, 500 * time.Millisecond},
+		{0, "k1", 9, Delay, 500 * time.Millisecond},                         // another write with the key
+		{0, "k9", 9, Allow, 0},                                              // another key
+		{600 * time.Millisecond, "k2", 2, Allow, 0},                         // the key may be used again
+		{600 * time.Millisecond, "k1", 1, Reject, 13400 * time.Millisecond}, // still in its window
+		{15 * time.Second, "k1", 1, Allow, 0},                               // over
+	} {
+		if v, wait := r.Check(c.after, "load", c.key, c.hash); v != c.want || wait != c.wait {
+			t.Errorf("after %v key %s: %v for %v; want %v for %v", c.after, c.key, v, wait, c.want, c.wait)
+		}
+	}
+	if r.Remaining() != 0 {
+		t.Errorf("%d writes are remembered past their windows", r.Remaining())
+	}
+}
+
+// A wall clock that steps between two incarnations of a process shortens no window; after another boot of the
+// machine nobody knows what time has passed, and the whole window counts.
+func TestWindowsIgnoreWallClockSteps(t *testing.T) {
+	sent := Instant{Wall: t0, BootID: "one", SinceBoot: time.Hour}
+	l := testWrite(1, sent.Wall)
+	l.BootID, l.SentSinceBoot = sent.BootID, sent.SinceBoot
+	state := NewState()
+	state.Apply([]Record{WriteSentRecord(l)})
+	for _, c := range []struct {
+		at   Instant
+		want Decision
+		wait time.Duration
+	}{
+		{Instant{t0.Add(time.Hour), "one", time.Hour + time.Second}, Reject, 14 * time.Second},
+		{Instant{t0.Add(-time.Hour), "one", time.Hour + time.Second}, Reject, 14 * time.Second},
+		{Instant{t0.Add(-time.Hour), "one", time.Hour + time.Minute}, Allow, 0},
+		{Instant{t0.Add(time.Hour), "two", time.Second}, Reject, 15 * time.Second},
+	} {
+		if v, wait := NewRecoveryGuard(state, c.at, 0).Check(0, l.Class, "", l.Hash); v != c.want ||
+			wait != c.wait {
+			t.Errorf("restarted at %+v: %v for %v; want %v for %v", c.at, v, wait, c.want, c.wait)
+		}
+	}
+}
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -10,21 +10,34 @@
 	"time"
 )
 
-// Store keeps a book in a folder. Put never blocks: a goroutine writes, in batches. What the disk does not
-// take is written again until it does; what does not fit the queue is dropped and counted.
+const (
+	// queueCapacity is how many records may wait for the writer, maxPending how many the writer keeps while
+	// the disk fails.
+	queueCapacity = 1 << 16
+	maxPending    = 1 << 14
+	// batchInterval is how long records are collected before they are made durable together.
+	batchInterval = 2 * time.Millisecond
+	// retryInterval is the time after which a failed write is tried again.
+	retryInterval = 100 * time.Millisecond
+)
+
+// Store keeps the state of a dispatcher in a directory. Put never blocks: a goroutine writes, in batches.
+// What the disk does not take is written again until it does; what does not fit the queue is dropped and
+// counted.
 type Store struct {
-	log          *Log
-	state        *State
 	logger       *slog.Logger
 	queue        chan queuedRecord
-	done         chan struct{}
-	mu           sync.RWMutex // of closed, so that nothing is put into a closed queue
+	done         chan struct{} // closed when the writer has ended
+	mu           sync.RWMutex  // of closed, so that nothing is sent on a closed queue
 	closed       bool
 	dropped      atomic.Uint64
 	failedWrites atomic.Uint64
 
+	// Of the writer's goroutine, and of Close after its end.
+	log          *Log
+	state        *State         // what all records taken add up to, durable or not
 	pending      []queuedRecord // not durable yet, in their order
-	needsRewrite bool           // more was pending than is kept: only a rewrite makes the log true again
+	needsRewrite bool           // the log lacks records that pending no longer has
 }
 
 // queuedRecord is a record on its way to the disk.
@@ -33,62 +46,49 @@
 	durable chan struct{} // closed once it is; nil: nobody waits
 }
 
-// queueCapacity is how many records may wait to be taken by the writer, maxPending how many the writer keeps
-// while the disk fails.
-const (
-	queueCapacity = 1 << 16
-	maxPending    = 1 << 14
-)
-
-// batchInterval is how long records are gathered before they are made durable together, retryInterval the
-// time after which a failed write is tried again.
-const (
-	batchInterval = 2 * time.Millisecond
-	retryInterval = 100 * time.Millisecond
-)
-
-// OpenStore opens a folder and returns its store and what is in force.
+// OpenStore opens a directory and returns its store and the state in which it was left.
 func OpenStore(dir string, logger *slog.Logger) (*Store, *State, error) {
-	l, records, err := Open(dir, func(s string) { logger.Warn("state", "note", s) })
+	log, records, err := Open(dir, logger)
 	if err != nil {
 		return nil, nil, err
 	}
 	recovered := NewState()
 	if unreadable := recovered.Apply(records); unreadable > 0 {
-		logger.Warn("state", "unread records", unreadable)
+		logger.Warn("state log has unreadable records", "records", unreadable)
 	}
 	current := NewState()
 	current.Apply(records)
-	s := &Store{log: l, state: current, logger: logger, queue: make(chan queuedRecord, queueCapacity),
-		done: make(chan struct{}), needsRewrite: l.NeedsRewrite()}
+	s := &Store{log: log, state: current, logger: logger, queue: make(chan queuedRecord, queueCapacity),
+		done: make(chan struct{}), needsRewrite: log.NeedsRewrite()}
 	go s.run()
 	return s, recovered, nil
 }
 
-// RemoveModelState takes what the module had learnt out of a folder that nobody holds, and leaves all else.
+// RemoveModelState takes what the decision module had learned out of a directory that no process has locked,
+// and leaves all else.
 func RemoveModelState(dir string) error {
-	l, records, err := Open(dir, func(string) {})
+	log, records, err := Open(dir, slog.New(slog.DiscardHandler))
 	if err != nil {
 		return err
 	}
 	records = slices.DeleteFunc(records, func(r Record) bool { return r.Kind == kindModelState })
-	return errors.Join(l.Rewrite(records), l.Close())
+	return errors.Join(log.Rewrite(records), log.Close())
 }
 
-// Put has a record written. It returns false where it was dropped.
-func (s *Store) Put(r Record) bool { return s.put(queuedRecord{record: r}) }
+// Put has a record written. It returns false where the record was dropped.
+func (s *Store) Put(r Record) bool { return s.enqueue(queuedRecord{record: r}) }
 
 // PutDurable has a record written, and returns a channel that is closed once it is durable; nil: it was
 // dropped.
 func (s *Store) PutDurable(r Record) <-chan struct{} {
-	e := queuedRecord{r, make(chan struct{})}
-	if !s.put(e) {
+	q := queuedRecord{r, make(chan struct{})}
+	if !s.enqueue(q) {
 		return nil
 	}
-	return e.durable
+	return q.durable
 }
 
-func (s *Store) put(e queuedRecord) bool {
+func (s *Store) enqueue(q queuedRecord) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	if s.closed {
@@ -96,7 +96,7 @@
 		return false
 	}
 	select {
-	case s.queue <- e:
+	case s.queue <- q:
 		return true
 	default:
 		s.dropped.Add(1)
@@ -107,8 +107,8 @@
 // Counts returns how many records were dropped, and how many writes failed.
 func (s *Store) Counts() (dropped, failed uint64) { return s.dropped.Load(), s.failedWrites.Load() }
 
-// Close writes what waits and closes the folder. What is put after it is dropped. The error tells of records
-// that the disk did not take.
+// Close writes what is queued and closes the directory. What is put after it is dropped. The error names the
+// records that the disk did not take.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	if !s.closed {
@@ -118,12 +118,13 @@
 	s.mu.Unlock()
 	<-s.done
 	var lost error
-	if n := len(s.pending); n > 0 || s.needsRewrite {
-		lost = fmt.Errorf("state: %d records not written", n)
+	if s.hasBacklog() {
+		lost = fmt.Errorf("storage: %d records not written", len(s.pending))
 	}
 	return errors.Join(lost, s.log.Close())
 }
 
+// run is the writer's goroutine. It ends once the queue is closed and empty.
 func (s *Store) run() {
 	defer close(s.done)
 	for {
@@ -146,17 +147,17 @@
 	}
 }
 
-// collectBatch returns an entry with those that come soon after it.
+// collectBatch returns a record with those that come soon after it.
 func (s *Store) collectBatch(first queuedRecord) []queuedRecord {
 	batch := []queuedRecord{first}
 	limit := time.After(batchInterval)
 	for len(batch) < queueCapacity {
 		select {
-		case e, ok := <-s.queue:
+		case q, ok := <-s.queue:
 			if !ok {
 				return batch
 			}
-			batch = append(batch, e)
+			batch = append(batch, q)
 		case <-limit:
 			return batch
 		}
@@ -164,7 +165,7 @@
 	return batch
 }
 
-// hasBacklog reports whether the log lacks records.
+// hasBacklog reports whether the log lacks records that were taken.
 func (s *Store) hasBacklog() bool { return len(s.pending) > 0 || s.needsRewrite }
 
 // writeBatch makes a batch durable, with all that is pending.
@@ -172,24 +173,24 @@
 	s.state.Apply(recordsOf(batch))
 	s.pending = append(s.pending, batch...)
 	if err := s.flush(); err != nil {
-		// A full disk costs what a restart would know until it has room again, never a query.
+		// A full disk costs what a restart would know until there is space again, never a query.
 		if s.failedWrites.Add(1) == 1 {
-			s.logger.Error("state not written", "error", err)
+			s.logger.Error("state log not written", "error", err)
 		}
 		if len(s.pending) > maxPending {
 			s.pending, s.needsRewrite = nil, true
 		}
 		return
 	}
-	for _, e := range s.pending {
-		if e.durable != nil {
-			close(e.durable)
+	for _, q := range s.pending {
+		if q.durable != nil {
+			close(q.durable)
 		}
 	}
 	s.pending = nil
 }
 
-// flush appends what is pending, or rewrites the log where that is worth it or needed.
+// flush appends what is pending, or rewrites the log where that is needed or worth it.
 func (s *Store) flush() error {
 	if s.needsRewrite {
 		if err := s.log.Rewrite(s.state.Compacted(Now())); err != nil {
@@ -205,16 +206,16 @@
 		if err := s.log.Rewrite(s.state.Compacted(Now())); err != nil {
 			// The records are durable in the old log. Whether the new one took its place is not known.
 			s.needsRewrite = true
-			s.logger.Warn("state not rewritten", "error", err)
+			s.logger.Warn("state log not compacted", "error", err)
 		}
 	}
 	return nil
 }
 
-func recordsOf(entries []queuedRecord) []Record {
-	out := make([]Record, len(entries))
-	for i := range entries {
-		out[i] = entries[i].record
+func recordsOf(queued []queuedRecord) []Record {
+	records := make([]Record, len(queued))
+	for i := range queued {
+		records[i] = queued[i].record
 	}
-	return out
+	return records
 }
