--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -12,274 +12,239 @@
 
 const ms = time.Millisecond
 
+// The classes of testConfig, and the deduplication window of the second.
+const (
+	idempotentClass    = "safe"
+	keyedClass         = "keyed"
+	notIdempotentClass = "unsafe"
+	keyedWindow        = time.Second
+)
+
 func testConfig() cresspass.Config {
-	return cresspass.Config{
-		Seed:              1,
-		GatewayCount:      1,
-		BatchInterval:     5 * ms,
-		MayCancel:         true,
-		MaySendRetryAfter: true,
-		MaxAttempts:       3,
-		MaxRetryAfter:     time.Second,
-		KindNames:         []string{"std"},
-		KindCores:         []float64{4},
-		Rules: cresspass.Rules{
-			AnswerGrace:      50 * ms,
-			DrainGrace:       time.Second,
-			OrderSettleDelay: 200 * ms,
-		},
+	return cresspass.Config{Seed: 1, GatewayCount: 1, BatchInterval: 5 * ms, MayCancel: true,
+		MaySendRetryAfter: true, MaxAttempts: 3, MaxRetryAfter: time.Second, KindNames: []string{"std"},
+		KindCores: []float64{4},
+		Rules: cresspass.Rules{AnswerGrace: 50 * ms, DrainGrace: time.Second,
+			OrderSettleDelay: 200 * ms},
 		Classes: []cresspass.Class{
-			{Name: "safe", LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: 1},
-			{
-				Name:                "keyed",
-				LatencyObjective:    500 * ms,
-				Deadline:            2 * time.Second,
-				PriorityWeight:      1,
-				Effect:              cresspass.IdempotentWithKey,
-				DeduplicationWindow: time.Second,
-				OrderedByKey:        true,
-			},
-			{
-				Name:             "unsafe",
-				LatencyObjective: 500 * ms,
-				Deadline:         2 * time.Second,
-				PriorityWeight:   1,
-				Effect:           cresspass.NotIdempotent,
-			},
-		},
-	}
+			{Name: idempotentClass, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: 1},
+			{Name: keyedClass, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: 1,
+				Effect: cresspass.IdempotentWithKey, DeduplicationWindow: keyedWindow, OrderedByKey: true},
+			{Name: notIdempotentClass, LatencyObjective: 500 * ms, Deadline: 2 * time.Second,
+				PriorityWeight: 1, Effect: cresspass.NotIdempotent},
+		}}
 }
 
 func engineList(n int) cresspass.Event {
-	ev := cresspass.Event{Type: cresspass.EngineListReceived, ListType: cresspass.ListComplete}
+	event := cresspass.Event{Type: cresspass.EngineListReceived, ListType: cresspass.ListComplete}
 	for i := range n {
-		ev.Engines = append(ev.Engines, cresspass.EngineInfo{ID: cresspass.EngineID(fmt.Sprint("e", i)),
-			Kind: "std"})
+		event.Engines = append(event.Engines, cresspass.EngineInfo{
+			ID: cresspass.EngineID(fmt.Sprint("e", i)), Kind: "std"})
 	}
-	return ev
+	return event
 }
 
-// What a shell may see of a query, whatever comes in whatever order.
+// observedQuery is what a shell sees of a query, whatever events come in whatever order.
 type observedQuery struct {
 	class          string
 	deadline       time.Duration
-	ends           int // Refuse, Fail, or an attempt that finished it
+	ends           int // rejections, failures, and attempts that finished it
 	clientGone     bool
 	nextAttempt    int
 	running        map[int]cresspass.EngineID // started, no outcome reported
 	stopped        map[int]bool
 	mayHaveRun     bool
-	startedAt      map[int]time.Duration // when each attempt was started
-	firstRunAt     time.Duration         // the first of those that may have run was
+	startedAt      map[int]time.Duration // of each attempt
+	firstRunAt     time.Duration         // when the first was started of those that may have run
 	endedThisBatch int                   // attempt whose outcome came in this batch, plus 1
 }
 
-// The contract of Core under any events: attempts are numbered in turn, one end for each query, nothing
-// started after it, an end by the deadline, stops only of what runs and once, no unsafe attempt after a
-// doubtful one.
+// contractChecker drives a Core with drawn events, and checks each output against what a shell may see.
+type contractChecker struct {
+	*rapid.T
+	core    *Core
+	now     time.Duration
+	queries map[cresspass.QueryID]*observedQuery
+	ids     []cresspass.QueryID
+}
+
+// TestCoreContract: the contract of Core under any events. Attempts are numbered in turn; each query has one
+// end, by its deadline, and nothing is started after it; an attempt is stopped only while it runs, and once;
+// a query that is not idempotent is not started again once it may have run.
 func TestCoreContract(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		now := time.Hour
-		core, err := NewCore(testConfig(), now)
+		core, err := NewCore(testConfig(), time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
-		all := map[cresspass.QueryID]*observedQuery{}
-		var ids []cresspass.QueryID
-		apply := func(out []Output) {
-			for _, o := range out {
-				q := all[o.Query]
-				switch o.Type {
-				case StartAttempt:
-					if q.ends > 0 || q.clientGone || o.Attempt != q.nextAttempt {
-						t.Fatalf("query %d (%+v): started attempt %d", o.Query, q, o.Attempt)
-					}
-					if q.class == "unsafe" && q.mayHaveRun {
-						t.Fatalf("unsafe query %d: started again after a doubt", o.Query)
-					}
-					// What is written within Within comes inside the client's time, and inside the window of
-					// what may have run before.
-					if o.StartWithin <= 0 || now+o.StartWithin > q.deadline {
-						t.Fatalf("query %d, deadline %v: to begin within %v from %v", o.Query, q.deadline,
-							o.StartWithin, now)
-					}
-					if q.class == "keyed" && q.mayHaveRun && now+o.StartWithin >= q.firstRunAt+time.Second {
-						t.Fatalf(
-							"keyed query %d, first ran at %v: again within %v from %v",
-							o.Query,
-							q.firstRunAt,
-							o.StartWithin,
-							now,
-						)
-					}
-					q.nextAttempt++
-					q.running[o.Attempt], q.startedAt[o.Attempt] = o.Engine, now
-				case StopAttempt:
-					// One whose outcome came later in the same batch may still be named.
-					if _, ok := q.running[o.Attempt]; !ok && q.endedThisBatch != o.Attempt+1 ||
-						q.stopped[o.Attempt] {
-						t.Fatalf("query %d: stop of attempt %d, which does not run or was stopped", o.Query,
-							o.Attempt)
-					}
-					q.stopped[o.Attempt] = true
-				case RejectQuery, FailQuery:
-					if q.ends++; q.ends > 1 || q.clientGone {
-						t.Fatalf("query %d: a second end, or one for a client that is gone: %+v", o.Query, q)
-					}
-					if o.Type == RejectQuery && q.class == "unsafe" && (q.mayHaveRun || len(q.running) > 0) {
-						t.Fatalf("unsafe query %d refused though it may have run", o.Query)
-					}
-				}
-			}
-		}
-		apply(core.Step(now, []cresspass.Event{engineList(3)}))
+		c := &contractChecker{T: t, core: core, now: time.Hour,
+			queries: map[cresspass.QueryID]*observedQuery{}}
+		c.step([]cresspass.Event{engineList(3)})
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			now += time.Duration(rapid.SampledFrom([]int{0, 1, 7, 60, 400, 1500}).Draw(t, "pass")) * ms
+			c.now += time.Duration(rapid.SampledFrom([]int{0, 1, 7, 60, 400, 1500}).Draw(t, "pass")) * ms
 			var events []cresspass.Event
 			for range rapid.IntRange(0, 3).Draw(t, "events") {
-				kind := rapid.IntRange(0, 9).Draw(t, "kind")
-				if kind < 4 || len(ids) == 0 {
-					id := cresspass.QueryID(len(ids) + 1)
-					class := rapid.SampledFrom([]string{"safe", "keyed", "unsafe"}).Draw(t, "class")
-					left := time.Duration(rapid.SampledFrom([]int{3, 100, 1000, 2000}).Draw(t, "left")) * ms
-					ids = append(ids, id)
-					all[id] = &observedQuery{
-						class:     class,
-						deadline:  now + left,
-						running:   map[int]cresspass.EngineID{},
-						stopped:   map[int]bool{},
-						startedAt: map[int]time.Duration{},
-					}
-					events = append(events, cresspass.Event{Type: cresspass.QueryArrived, Query: id,
-						Class: class, Key: "k", RemainingDeadline: left})
-					continue
-				}
-				id := rapid.SampledFrom(ids).Draw(t, "query")
-				q := all[id]
-				switch {
-				case kind == 4 && q.ends == 0 && !q.clientGone:
-					q.clientGone = true
-					ev := cresspass.Event{Type: cresspass.QueryAbandoned, Query: id}
-					if rapid.Bool().Draw(t, "cancel") {
-						ev.Outcome = cresspass.OutcomeCancelled
-					}
-					events = append(events, ev)
-				case kind == 5: // what nobody asked for
-					events = append(events, cresspass.Event{Type: cresspass.AttemptDone, Query: id,
-						Attempt: 9, Engine: "e0"},
-						cresspass.Event{Type: cresspass.ProgressReported, Query: id + 1000,
-							Note: cresspass.NoteFractionDone, Value: 2})
-				case len(q.running) > 0:
-					n := 0
-					for n = range q.running {
-						break
-					}
-					o := rapid.SampledFrom([]cresspass.Outcome{cresspass.OutcomeOK, cresspass.OutcomeOK, cresspass.OutcomeFailed,
-						cresspass.OutcomeRejected,
-						cresspass.OutcomeConnectionReset, cresspass.OutcomeConnectFailed}).
-						Draw(t, "outcome")
-					if q.stopped[n] {
-						o = cresspass.OutcomeCancelled
-					}
-					ev := cresspass.Event{Type: cresspass.AttemptDone, Query: id, Attempt: n,
-						Engine: q.running[n], Outcome: o, Elapsed: 30 * ms}
-					if o == cresspass.OutcomeOK && q.ends == 0 && !q.clientGone {
-						ev.QueryFinished = true
-						q.ends++
-					}
-					if !o.NeverRan() && (!q.mayHaveRun || q.startedAt[n] < q.firstRunAt) {
-						q.mayHaveRun, q.firstRunAt = true, q.startedAt[n]
-					}
-					delete(q.running, n)
-					q.endedThisBatch = n + 1
-					events = append(events, ev)
-				}
+				events = append(events, c.drawEvents()...)
 			}
-			apply(core.Step(now, events))
-			for _, q := range all {
+			c.step(events)
+			for _, q := range c.queries {
 				q.endedThisBatch = 0
 			}
 		}
 		for range 200 { // let all timers fire
-			now += 20 * ms
-			apply(core.Step(now, nil))
+			c.now += 20 * ms
+			c.step(nil)
 		}
-		for id, q := range all {
-			if q.ends == 0 && !q.clientGone {
-				t.Fatalf("query %d, deadline long past, has no end: %+v", id, q)
+		c.checkEnd()
+	})
+}
+
+// step has the core take events, and checks its outputs.
+func (c *contractChecker) step(events []cresspass.Event) {
+	for _, o := range c.core.Step(c.now, events) {
+		q := c.queries[o.Query]
+		switch o.Type {
+		case StartAttempt:
+			c.checkStart(o, q)
+		case StopAttempt:
+			// One whose outcome came later in the same batch may still be named.
+			_, running := q.running[o.Attempt]
+			if !running && q.endedThisBatch != o.Attempt+1 || q.stopped[o.Attempt] {
+				c.Fatalf("query %d: stop of attempt %d, which does not run or was stopped", o.Query,
+					o.Attempt)
 			}
-			for n, e := range q.running { // late outcomes of what was never reported
-				core.Step(now, []cresspass.Event{{Type: cresspass.AttemptDone, Query: id, Attempt: n,
-					Engine: e, Outcome: cresspass.OutcomeConnectionReset}})
+			q.stopped[o.Attempt] = true
+		case RejectQuery, FailQuery:
+			if q.ends++; q.ends > 1 || q.clientGone {
+				c.Fatalf("query %d: a second end, or one for a client that is gone: %+v", o.Query, q)
+			}
+			mayHaveRun := q.mayHaveRun || len(q.running) > 0
+			if o.Type == RejectQuery && q.class == notIdempotentClass && mayHaveRun {
+				c.Fatalf("unsafe query %d refused though it may have run", o.Query)
 			}
 		}
-		if st := core.Stats(); st.Open != 0 || st.Running != 0 || st.Overdue != 0 || len(core.queries) != 0 ||
-			st.Arrived != st.Served+st.Rejected+st.Failed+st.Abandoned {
-			t.Fatalf("books do not close: %+v, %d queries kept", st, len(core.queries))
-		}
-	})
+	}
 }
 
-// A query of which the module lost sight still ends, as a failure that is counted as a defect.
-func TestOverdueQueryEnds(t *testing.T) {
-	core, err := NewCore(testConfig(), time.Hour)
-	if err != nil {
-		t.Fatal(err)
+func (c *contractChecker) checkStart(o Output, q *observedQuery) {
+	if q.ends > 0 || q.clientGone || o.Attempt != q.nextAttempt {
+		c.Fatalf("query %d (%+v): started attempt %d", o.Query, q, o.Attempt)
 	}
-	core.Step(time.Hour, []cresspass.Event{{Type: cresspass.QueryArrived, Query: 1, Class: "safe",
-		RemainingDeadline: time.Second}})
-	core.decider, err = cresspass.New(testConfig()) // a module that knows nothing of it
-	if err != nil {
-		t.Fatal(err)
+	if q.class == notIdempotentClass && q.mayHaveRun {
+		c.Fatalf("unsafe query %d: started again after a doubt", o.Query)
 	}
-	out := core.Step(time.Hour+1100*ms, nil)
-	if st := core.Stats(); len(out) == 0 || out[0].Type != FailQuery || st.Overdue != 1 || st.Open != 0 {
-		t.Errorf("outputs %+v, books %+v", out, st)
+	// What is sent within StartWithin comes before the deadline, and inside the deduplication window of what
+	// may have run before.
+	if o.StartWithin <= 0 || c.now+o.StartWithin > q.deadline {
+		c.Fatalf("query %d, deadline %v: to begin within %v from %v", o.Query, q.deadline, o.StartWithin,
+			c.now)
+	}
+	if q.class == keyedClass && q.mayHaveRun && c.now+o.StartWithin >= q.firstRunAt+keyedWindow {
+		c.Fatalf("keyed query %d, first ran at %v: again within %v from %v", o.Query, q.firstRunAt,
+			o.StartWithin, c.now)
 	}
+	q.nextAttempt++
+	q.running[o.Attempt], q.startedAt[o.Attempt] = o.Engine, c.now
 }
 
-// TestStepInterval: a loop steps once a tick while steps are short, takes a third of the core while they are
-// long, and is never away for long.
-func TestStepInterval(t *testing.T) {
-	for took, want := range map[time.Duration]time.Duration{0: ms, ms / 10: ms, 2 * ms: 6 * ms,
-		time.Second: maxStepInterval} {
-		if got := stepInterval(ms, took); got != want {
-			t.Errorf("a step of %v: %v, want %v", took, got, want)
+// drawEvents draws what happens next: four times in ten an arrival, once a client that goes, once events
+// that nobody asked for, and else an outcome.
+func (c *contractChecker) drawEvents() []cresspass.Event {
+	kind := rapid.IntRange(0, 9).Draw(c.T, "kind")
+	if kind < 4 || len(c.ids) == 0 {
+		return []cresspass.Event{c.drawArrival()}
+	}
+	id := rapid.SampledFrom(c.ids).Draw(c.T, "query")
+	q := c.queries[id]
+	switch {
+	case kind == 4 && q.ends == 0 && !q.clientGone:
+		q.clientGone = true
+		event := cresspass.Event{Type: cresspass.QueryAbandoned, Query: id}
+		if rapid.Bool().Draw(c.T, "cancel") {
+			event.Outcome = cresspass.OutcomeCancelled
+		}
+		return []cresspass.Event{event}
+	case kind == 5: // what nobody asked for
+		return []cresspass.Event{
+			{Type: cresspass.AttemptDone, Query: id, Attempt: 9, Engine: "e0"},
+			{Type: cresspass.ProgressReported, Query: id + 1000, Note: cresspass.NoteFractionDone, Value: 2},
 		}
+	case len(q.running) > 0:
+		return []cresspass.Event{c.drawOutcome(id, q)}
 	}
+	return nil
+}
+
+func (c *contractChecker) drawArrival() cresspass.Event {
+	id := cresspass.QueryID(len(c.ids) + 1)
+	classes := []string{idempotentClass, keyedClass, notIdempotentClass}
+	class := rapid.SampledFrom(classes).Draw(c.T, "class")
+	left := time.Duration(rapid.SampledFrom([]int{3, 100, 1000, 2000}).Draw(c.T, "left")) * ms
+	c.ids = append(c.ids, id)
+	c.queries[id] = &observedQuery{class: class, deadline: c.now + left,
+		running: map[int]cresspass.EngineID{}, stopped: map[int]bool{}, startedAt: map[int]time.Duration{}}
+	return cresspass.Event{Type: cresspass.QueryArrived, Query: id, Class: class, Key: "k",
+		RemainingDeadline: left}
 }
 
-// TestLoopStepsOncePerInterval: however many events come one by one, a paced loop takes them in few steps.
-func TestLoopStepsOncePerInterval(t *testing.T) {
-	steps := &countingDecider{}
-	core := NewCoreWithDecider(steps, testConfig(), 0)
-	l := NewLoop(core, NewMonotonicClock(), func(*Output) {})
-	l.SetMinStepInterval(5 * time.Millisecond)
-	go l.Run()
-	begun := time.Now()
-	for range 200 {
-		l.Post(cresspass.Event{Type: cresspass.TimerFired, Label: 9})
-		time.Sleep(100 * time.Microsecond)
+// drawOutcome ends one of a query's running attempts.
+func (c *contractChecker) drawOutcome(id cresspass.QueryID, q *observedQuery) cresspass.Event {
+	number := 0
+	for number = range q.running {
+		break
+	}
+	outcome := rapid.SampledFrom([]cresspass.Outcome{cresspass.OutcomeOK, cresspass.OutcomeOK,
+		cresspass.OutcomeFailed, cresspass.OutcomeRejected, cresspass.OutcomeConnectionReset,
+		cresspass.OutcomeConnectFailed}).Draw(c.T, "outcome")
+	if q.stopped[number] {
+		outcome = cresspass.OutcomeCancelled
+	}
+	event := cresspass.Event{Type: cresspass.AttemptDone, Query: id, Attempt: number,
+		Engine: q.running[number], Outcome: outcome, Elapsed: 30 * ms}
+	if outcome == cresspass.OutcomeOK && q.ends == 0 && !q.clientGone {
+		event.QueryFinished = true
+		q.ends++
 	}
-	l.Inspect(func(*Core) {})
-	most := int64(time.Since(begun)/(5*time.Millisecond)) + 3
-	l.Close()
-	if steps.events != 200 || steps.steps > most {
-		t.Errorf("%d events in %d steps, at most %d", steps.events, steps.steps, most)
+	if !outcome.NeverRan() && (!q.mayHaveRun || q.startedAt[number] < q.firstRunAt) {
+		q.mayHaveRun, q.firstRunAt = true, q.startedAt[number]
 	}
+	delete(q.running, number)
+	q.endedThisBatch = number + 1
+	return event
 }
 
-// countingDecider is a decider that only counts.
-type countingDecider struct{ steps, events int64 }
+// checkEnd checks that all queries have ended and nothing is left of them.
+func (c *contractChecker) checkEnd() {
+	for id, q := range c.queries {
+		if q.ends == 0 && !q.clientGone {
+			c.Fatalf("query %d, deadline long past, has no end: %+v", id, q)
+		}
+		for number, engine := range q.running { // late outcomes of what was never reported
+			c.core.Step(c.now, []cresspass.Event{{Type: cresspass.AttemptDone, Query: id, Attempt: number,
+				Engine: engine, Outcome: cresspass.OutcomeConnectionReset}})
+		}
+	}
+	if st := c.core.Stats(); st.Open != 0 || st.Running != 0 || st.Overdue != 0 ||
+		len(c.core.queries) != 0 || st.Arrived != st.Served+st.Rejected+st.Failed+st.Abandoned {
+		c.Fatalf("counts do not add up: %+v, %d queries kept", st, len(c.core.queries))
+	}
+}
 
-func (c *countingDecider) Handle(
-	_ time.Duration,
-	events []cresspass.Event,
-	a []cresspass.Action,
-) []cresspass.Action {
-	c.steps++
-	c.events += int64(len(events))
-	return a
+// TestOverdueQueryEnds: a query that the decision module lost still ends, as a failure that is counted as a
+// defect.
+func TestOverdueQueryEnds(t *testing.T) {
+	core, err := NewCore(testConfig(), time.Hour)
+	if err != nil {
+		t.Fatal(err)
+	}
+	core.Step(time.Hour, []cresspass.Event{{Type: cresspass.QueryArrived, Query: 1, Class: idempotentClass,
+		RemainingDeadline: time.Second}})
+	core.decider, err = cresspass.New(testConfig()) // one that knows nothing of it
+	if err != nil {
+		t.Fatal(err)
+	}
+	out := core.Step(time.Hour+1100*ms, nil)
+	if st := core.Stats(); len(out) == 0 || out[0].Type != FailQuery || st.Overdue != 1 || st.Open != 0 {
+		t.Errorf("outputs %+v, counts %+v", out, st)
+	}
 }
-func (c *countingDecider) Snapshot() []byte                    { return nil }
-func (c *countingDecider) Restore([]byte, time.Duration) error { return nil }
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -8,56 +8,54 @@
 	"cresspass"
 )
 
-// Clock tells the time since some zero, as the module counts it; it only advances.
+// Clock returns the time since some zero, in which the decision module counts. It only advances.
 type Clock func() time.Duration
 
-// NewMonotonicClock returns a clock that starts at a day, so that the starts of engines still lie after its
+// clockOffset is the reading of a new monotonic clock.
+const clockOffset = 24 * time.Hour
+
+// NewMonotonicClock returns a clock that starts at one day, so that the start times of engines lie after its
 // zero.
 func NewMonotonicClock() Clock {
-	zero := time.Now().Add(-24 * time.Hour)
+	zero := time.Now().Add(-clockOffset)
 	return func() time.Duration { return time.Since(zero) }
 }
 
-// Loop is the goroutine that owns a Core. Events may be posted from any goroutine and are taken in batches;
-// the shell's do is called in the loop's goroutine for each output, and must not block.
+// Loop is the goroutine that owns a Core. Events may be posted from any goroutine and are handled in batches.
+// The shell's execute function is called in the loop's goroutine for each output, and must not block.
 type Loop struct {
 	core            *Core
 	clock           Clock
 	execute         func(*Output)
-	minStepInterval time.Duration
+	minStepInterval time.Duration // 0: steps are not paced
 
 	mu          sync.Mutex
 	queue       []cresspass.Event
 	inspections []func(*Core)
 	closed      bool
+
 	wake        chan struct{}
 	done        chan struct{}
-	longestStep atomic.Int64 // longest time a batch took since Lag was last called, in nanoseconds
+	longestStep atomic.Int64 // nanoseconds, since TakeLongestStep was last called
 }
 
 // NewLoop returns a loop that is not yet running.
 func NewLoop(core *Core, clock Clock, execute func(*Output)) *Loop {
-	return &Loop{
-		core:    core,
-		clock:   clock,
-		execute: execute,
-		wake:    make(chan struct{}, 1),
-		done:    make(chan struct{}),
-	}
+	return &Loop{core: core, clock: clock, execute: execute, wake: make(chan struct{}, 1),
+		done: make(chan struct{})}
 }
 
-// SetMinStepInterval has steps begin no more often than a tick, and less often while each takes long.
-// Danger: the module looks at every held query in each step, so one step an event fills the core as queries
-// pile up, and answers come too late. It is to be called before Run.
+// SetMinStepInterval paces the loop: steps start no more often than an interval, and less often while each
+// takes long. The decision module looks at every queued query in each step, so that one step for each event
+// would fill the core as queries pile up, and answers would come too late. It must be called before Run.
 func (l *Loop) SetMinStepInterval(interval time.Duration) { l.minStepInterval = interval }
 
-// Of a paced loop.
 const (
-	stepCostFactor  = 3                     // steps take one part of the core in so many
-	maxStepInterval = 10 * time.Millisecond // from one step's beginning to the next, whatever they take
+	stepCostFactor  = 3                     // steps of a paced loop take at most a third of a core
+	maxStepInterval = 10 * time.Millisecond // between the starts of two steps, whatever they take
 )
 
-// stepInterval is the least time from the beginning of a step, which took so long, to that of the next.
+// stepInterval returns the least time from the start of a step, which took so long, to the next one's.
 func stepInterval(minInterval, took time.Duration) time.Duration {
 	return max(minInterval, min(stepCostFactor*took, maxStepInterval))
 }
@@ -75,14 +73,7 @@
 	return true
 }
 
-func (l *Loop) signal() {
-	select {
-	case l.wake <- struct{}{}:
-	default:
-	}
-}
-
-// Inspect has f look at the Core between two steps and waits for it. It returns false where the loop is
+// Inspect calls a function with the Core between two steps and waits for it. It returns false if the loop is
 // closed.
 func (l *Loop) Inspect(inspect func(*Core)) bool {
 	inspected := make(chan struct{})
@@ -102,7 +93,15 @@
 	}
 }
 
-// TakeLongestStep returns the longest time that a batch took since the last call.
+// signal wakes the loop, unless a signal is pending already.
+func (l *Loop) signal() {
+	select {
+	case l.wake <- struct{}{}:
+	default:
+	}
+}
+
+// TakeLongestStep returns the longest time that a step took since the last call.
 func (l *Loop) TakeLongestStep() time.Duration { return time.Duration(l.longestStep.Swap(0)) }
 
 // Close ends the loop and waits for it. Run must have been called.
@@ -118,30 +117,16 @@
 func (l *Loop) Run() {
 	defer close(l.done)
 	var batch []cresspass.Event
-	var inspections []func(*Core)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		l.mu.Lock()
-		batch, l.queue = l.queue, batch[:0]
-		inspections, l.inspections = l.inspections, nil
-		closed := l.closed
-		l.mu.Unlock()
+		events, inspections, closed := l.takePending(batch)
 		if closed {
 			return
 		}
-		now := l.clock()
-		for _, output := range l.core.Step(now, batch) {
-			l.execute(&output)
-		}
-		clear(batch)
-		for _, inspect := range inspections {
-			inspect(l.core)
-		}
-		took := l.clock() - now
-		if int64(took) > l.longestStep.Load() {
-			l.longestStep.Store(int64(took))
-		}
+		batch = events
+		startedAt := l.clock()
+		took := l.step(startedAt, events, inspections)
 		if next, scheduled := l.core.NextWakeup(); scheduled {
 			timer.Reset(max(next-l.clock(), 0))
 		} else {
@@ -152,9 +137,37 @@
 		case <-timer.C:
 		}
 		if l.minStepInterval > 0 {
-			if pause := stepInterval(l.minStepInterval, took) - (l.clock() - now); pause > 0 {
+			pause := stepInterval(l.minStepInterval, took) - (l.clock() - startedAt)
+			if pause > 0 {
 				time.Sleep(pause)
 			}
 		}
 	}
 }
+
+// takePending returns what was posted since the last call. The queue goes on in the memory of spent, a batch
+// that was handled.
+func (l *Loop) takePending(spent []cresspass.Event) (events []cresspass.Event, inspections []func(*Core),
+	closed bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	events, l.queue = l.queue, spent[:0]
+	inspections, l.inspections = l.inspections, nil
+	return events, inspections, l.closed
+}
+
+// step has the core handle a batch, carries out its outputs, and returns how long that took.
+func (l *Loop) step(now time.Duration, batch []cresspass.Event, inspections []func(*Core)) time.Duration {
+	for _, output := range l.core.Step(now, batch) {
+		l.execute(&output)
+	}
+	clear(batch) // so that it keeps nothing alive while its memory waits for the next batch
+	for _, inspect := range inspections {
+		inspect(l.core)
+	}
+	took := l.clock() - now
+	if int64(took) > l.longestStep.Load() {
+		l.longestStep.Store(int64(took))
+	}
+	return took
+}
--- /dev/null
+++ b/internal/dispatch/loop_test.go
@@ -0,0 +1,51 @@
+package dispatch
+
+import (
+	"testing"
+	"time"
+
+	"cresspass"
+)
+
+// TestStepInterval: a loop steps once in the least interval while steps are short, takes a third of the core
+// while they are long, and never pauses for long.
+func TestStepInterval(t *testing.T) {
+	for took, want := range map[time.Duration]time.Duration{0: ms, ms / 10: ms, 2 * ms: 6 * ms,
+		time.Second: maxStepInterval} {
+		if got := stepInterval(ms, took); got != want {
+			t.Errorf("a step of %v: %v, want %v", took, got, want)
+		}
+	}
+}
+
+// TestLoopStepsOncePerInterval: however many events come one by one, a paced loop takes them in few steps.
+func TestLoopStepsOncePerInterval(t *testing.T) {
+	decider := &countingDecider{}
+	core := NewCoreWithDecider(decider, testConfig(), 0)
+	l := NewLoop(core, NewMonotonicClock(), func(*Output) {})
+	l.SetMinStepInterval(5 * time.Millisecond)
+	go l.Run()
+	startedAt := time.Now()
+	for range 200 {
+		l.Post(cresspass.Event{Type: cresspass.TimerFired, Label: 9})
+		time.Sleep(100 * time.Microsecond)
+	}
+	l.Inspect(func(*Core) {})
+	maxSteps := int64(time.Since(startedAt)/(5*time.Millisecond)) + 3
+	l.Close()
+	if decider.events != 200 || decider.steps > maxSteps {
+		t.Errorf("%d events in %d steps, at most %d", decider.events, decider.steps, maxSteps)
+	}
+}
+
+// countingDecider only counts.
+type countingDecider struct{ steps, events int64 }
+
+func (d *countingDecider) Handle(_ time.Duration, events []cresspass.Event,
+	actions []cresspass.Action) []cresspass.Action {
+	d.steps++
+	d.events += int64(len(events))
+	return actions
+}
+func (d *countingDecider) Snapshot() []byte                    { return nil }
+func (d *countingDecider) Restore([]byte, time.Duration) error { return nil }
