--- a/internal/invariant/counter.go
+++ b/internal/invariant/counter.go
@@ -9,7 +9,8 @@
 	"sync"
 )
 
-// Counter counts verdicts by invariant and logs violations. It is for any number of goroutines.
+// Counter counts acts that were not allowed, by invariant, and logs violations. It is for any number of
+// goroutines.
 type Counter struct {
 	log *slog.Logger
 
@@ -23,29 +24,28 @@
 	return &Counter{log: log, withheld: map[Name]uint64{}, violated: map[Name]uint64{}}
 }
 
-// Record takes in a verdict on an act for a request, by the id that its client gave it. It reports whether
-// the act may be done.
-func (c *Counter) Record(v Result, request string) bool {
-	if v.OK() {
+// Record counts the result of a check on an act for a request, named as in the log. It reports whether the
+// act is allowed.
+func (c *Counter) Record(result Result, requestID string) bool {
+	if result.OK() {
 		return true
 	}
 	c.mu.Lock()
 	counts := c.withheld
-	if v.Kind == Violated {
+	if result.Kind == Violated {
 		counts = c.violated
 	}
-	counts[v.Name]++
+	counts[result.Name]++
 	c.mu.Unlock()
-	if v.Kind == Violated {
-		c.log.Error(violatedMessage, "invariant", string(v.Name), "request", request,
-			"detail", v.Detail)
+	if result.Kind == Violated {
+		c.logViolation(result, requestID)
 	}
 	return false
 }
 
-// LogTrace logs what is known of a request that a violation concerns.
-func (c *Counter) LogTrace(request, story string) {
-	c.log.Error("story of a request", "request", request, "events", story)
+// LogTrace logs the events of a request that a violation concerns.
+func (c *Counter) LogTrace(requestID, trace string) {
+	c.log.Error("request trace", "request", requestID, "events", trace)
 }
 
 // Violations returns how often each invariant was violated.
@@ -55,7 +55,7 @@
 	return maps.Clone(c.violated)
 }
 
-// Withheld returns how often an act was stopped that had been lawful when it was decided.
+// Withheld returns how often each invariant stopped an act that had been allowed when it was decided on.
 func (c *Counter) Withheld() map[Name]uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/invariant/golden_test.go
+++ b/internal/invariant/golden_test.go
@@ -61,7 +61,7 @@
 }
 
 // TestGoldenViolationLines: a violation is logged as in the golden files, in both formats of the dispatcher's
-// log, and Logged finds these lines, and those of a crash, and no others.
+// log, and ReadViolations finds these lines, and those of a crash, and no others.
 func TestGoldenViolationLines(t *testing.T) {
 	noTime := func(_ []string, a slog.Attr) slog.Attr {
 		if a.Key == slog.TimeKey {
