--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -23,7 +23,8 @@
 	"cresspass/internal/invariant"
 )
 
-// The files under testdata hold what earlier builds answered and sent. In a hand-over two builds talk.
+// The files under testdata hold what earlier builds answered and sent. In a handover two builds talk to each
+// other.
 var update = flag.Bool("update", false, "write the golden files anew")
 
 func golden(t *testing.T, name string, today []byte) []byte {
@@ -71,7 +72,9 @@
 		if r.URL.Path != "/health" {
 			t.Errorf("health was asked for at %s", r.URL.Path)
 		}
-		w.Write(stored)
+		if _, err := w.Write(stored); err != nil {
+			t.Error(err)
+		}
 	}))
 	defer s.Close()
 	defer http.DefaultClient.CloseIdleConnections()
@@ -84,7 +87,8 @@
 // The names of states stand in the health answer.
 func TestGoldenStates(t *testing.T) {
 	var written strings.Builder
-	for _, s := range []lifecycle.State{lifecycle.Starting, lifecycle.Ready, lifecycle.HandingOver, lifecycle.Draining, lifecycle.Stopped} {
+	for _, s := range []lifecycle.State{lifecycle.Starting, lifecycle.Ready, lifecycle.HandingOver,
+		lifecycle.Draining, lifecycle.Stopped} {
 		fmt.Fprintln(&written, s)
 	}
 	if stored := golden(t, "states.txt", []byte(written.String())); written.String() != string(stored) {
@@ -92,7 +96,7 @@
 	}
 }
 
-// handOver is what both sides say in a hand-over, in order, from testdata.
+// handOver returns what both sides say in a handover, in order, from testdata.
 func handOver(t *testing.T) map[string]string {
 	said := map[string]string{}
 	stored := golden(t, "handover.txt", []byte("successor socket\npredecessor here\nsuccessor serving\n"+
@@ -131,6 +135,13 @@
 	return ln.(*net.TCPListener)
 }
 
+func write(t *testing.T, c net.Conn, text string) {
+	t.Helper()
+	if _, err := c.Write([]byte(text)); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // A successor of an earlier build is served: it says the recorded lines and hears the recorded ones.
 func TestGoldenHandOverToEarlierBuild(t *testing.T) {
 	said := handOver(t)
@@ -146,8 +157,10 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(10 * time.Second))
-	c.Write([]byte(said["request"]))
+	if err := c.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	write(t, c, said["request"])
 	asked := <-events
 	if asked.Type != lifecycle.SuccessorConnected {
 		t.Fatalf("event %+v", asked)
@@ -167,9 +180,11 @@
 		t.Errorf("%d sockets, %v", len(fds), err)
 	}
 	for _, fd := range fds {
-		syscall.Close(fd)
+		if err := syscall.Close(fd); err != nil {
+			t.Error(err)
+		}
 	}
-	c.Write([]byte(said["serving"]))
+	write(t, c, said["serving"])
 	if ev := <-events; ev.Type != lifecycle.SuccessorServing || ev.SuccessorID != asked.SuccessorID {
 		t.Errorf("event %+v", ev)
 	}
@@ -231,7 +246,9 @@
 		if err != nil || len(sockets) != 1 || sockets[0].Addr().String() != given.Addr().String() {
 			t.Fatalf("sockets %v, %v", sockets, err)
 		}
-		sockets[0].Close()
+		if err := sockets[0].Close(); err != nil {
+			t.Error(err)
+		}
 		f.close()
 	}
 }
--- /dev/null
+++ b/internal/daemon/handover_client.go
@@ -0,0 +1,130 @@
+package daemon
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"os"
+	"strings"
+	"syscall"
+	"time"
+
+	"cresspass/internal/config"
+	"cresspass/internal/server"
+)
+
+// predecessorConn is the successor's connection to the dispatcher that it succeeds.
+type predecessorConn struct {
+	conn  *net.UnixConn
+	lines *bufio.Scanner
+}
+
+// takeOverListeners gets the listening sockets of the dispatcher that serves a Unix socket.
+func takeOverListeners(path string) ([]*net.TCPListener, *predecessorConn, error) {
+	if path == "" {
+		return nil, nil, errors.New("the settings name no takeover socket")
+	}
+	c, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
+	if err != nil {
+		return nil, nil, err
+	}
+	listeners, err := requestListeners(c)
+	if err != nil {
+		return nil, nil, errors.Join(err, c.Close())
+	}
+	_ = c.SetDeadline(time.Time{}) // on a connection that was lost the next write fails
+	return listeners, &predecessorConn{conn: c, lines: bufio.NewScanner(c)}, nil
+}
+
+// requestListeners asks for the listening sockets, and waits for them no longer than predecessorTimeout.
+func requestListeners(c *net.UnixConn) ([]*net.TCPListener, error) {
+	if err := c.SetDeadline(time.Now().Add(predecessorTimeout)); err != nil {
+		return nil, err
+	}
+	if _, err := c.Write([]byte(messageRequest + "\n")); err != nil {
+		return nil, err
+	}
+	b, oob := make([]byte, 256), make([]byte, syscall.CmsgSpace(4*maxListeners))
+	n, oobn, _, _, err := c.ReadMsgUnix(b, oob)
+	if err != nil {
+		return nil, fmt.Errorf("no answer: %w", err)
+	}
+	if answer := strings.TrimSpace(string(b[:n])); answer != messageListeners {
+		return nil, rejectedError(answer)
+	}
+	return receiveListeners(oob[:oobn])
+}
+
+func rejectedError(answer string) error {
+	return fmt.Errorf("rejected by the predecessor: %q", answer)
+}
+
+// receiveListeners returns the listening sockets of a control message.
+func receiveListeners(control []byte) ([]*net.TCPListener, error) {
+	messages, err := syscall.ParseSocketControlMessage(control)
+	if err != nil || len(messages) != 1 {
+		return nil, fmt.Errorf("no socket came with the answer: %d control messages, %v", len(messages), err)
+	}
+	fds, err := syscall.ParseUnixRights(&messages[0])
+	if err != nil || len(fds) < 1 || len(fds) > maxListeners {
+		return nil, fmt.Errorf("no socket came with the answer: %d descriptors, %v", len(fds), err)
+	}
+	var listeners []*net.TCPListener
+	for _, fd := range fds {
+		syscall.CloseOnExec(fd)
+		f := os.NewFile(uintptr(fd), "listener")
+		ln, listenErr := net.FileListener(f)
+		_ = f.Close() // the listener has a duplicate of its own
+		if tcp, ok := ln.(*net.TCPListener); ok {
+			listeners = append(listeners, tcp)
+		} else {
+			err = errors.Join(err, listenErr, fmt.Errorf("a socket handed over is %T", ln))
+		}
+	}
+	if err != nil {
+		for _, ln := range listeners {
+			_ = ln.Close() // after an error
+		}
+		return nil, err
+	}
+	return listeners, nil
+}
+
+// startSuccessor starts a dispatcher on a socket beside its predecessor, and notifies that one once it
+// serves. The state directory is the predecessor's until it has drained, so that the successor remembers no
+// writes of its own until then; its endpoint list begins with the predecessor's cached one.
+func startSuccessor(start func(*config.Config, *slog.Logger, net.Listener) (*server.Server, error), o Options,
+	ln *net.TCPListener, predecessor *predecessorConn) (*server.Server, error) {
+	s, err := start(o.Config, o.Logger, ln)
+	if err != nil {
+		return nil, err
+	}
+	select { // a dispatcher without an endpoint list would accept connections and serve none
+	case <-s.ListReady():
+	case <-time.After(endpointListTimeout):
+		s.Close()
+		return nil, fmt.Errorf("no engine list within %v", endpointListTimeout)
+	}
+	if _, err := predecessor.conn.Write([]byte(messageServing + "\n")); err != nil {
+		s.Close()
+		return nil, fmt.Errorf("notify the predecessor: %w", err)
+	}
+	for predecessor.lines.Scan() {
+		switch answer := predecessor.lines.Text(); {
+		case answer == messageDraining:
+			return s, nil
+		case strings.HasPrefix(answer, messageRejected):
+			s.Close()
+			return nil, rejectedError(answer)
+		}
+	}
+	// A predecessor that died in this moment has left the sockets to this process alone: to give up here
+	// would leave nobody to serve them.
+	o.Logger.Warn("predecessor ended before it drained")
+	return s, nil
+}
+
+// close ends the connection; its last answer was read.
+func (p *predecessorConn) close() { _ = p.conn.Close() }
--- /dev/null
+++ b/internal/daemon/health.go
@@ -0,0 +1,134 @@
+package daemon
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"time"
+
+	"cresspass/internal/daemon/lifecycle"
+	"cresspass/internal/invariant"
+	"cresspass/internal/netlisten"
+)
+
+// The paths of health checks.
+const (
+	livePath   = "/live"
+	readyPath  = "/ready"
+	healthPath = "/health"
+)
+
+const (
+	healthHeaderTimeout  = time.Second           // for the header of a health check
+	healthListenInterval = 50 * time.Millisecond // between attempts to listen where the predecessor does yet
+)
+
+// Health is the answer to a health check.
+type Health struct {
+	State       string `json:"state"`
+	Ready       bool   `json:"ready"`
+	LoopLagging bool   `json:"trouble"`
+	Clients     int    `json:"clients"`
+	OpenQueries int    `json:"open"`
+	Accepted    uint64 `json:"taken"`
+	Served      uint64 `json:"served"`
+	Rejected    uint64 `json:"refused"`
+	Failed      uint64 `json:"failed"`
+	Abandoned   uint64 `json:"gone"` // by their clients
+
+	// Violations counts by invariant how often it was violated; any is a defect.
+	Violations map[invariant.Name]uint64 `json:"violations"`
+	// Withheld counts acts that were lawful when they were decided and no longer when they were due.
+	Withheld map[invariant.Name]uint64 `json:"withheld"`
+}
+
+// currentHealth may be called by any goroutine.
+func (d *daemon) currentHealth() Health {
+	stats := d.server.Stats()
+	state := lifecycle.State(d.state.Load())
+	violations, withheld := d.server.Invariants()
+	return Health{
+		State:       state.String(),
+		Ready:       state == lifecycle.Ready || state == lifecycle.HandingOver,
+		LoopLagging: d.server.LoopLagging(),
+		Clients:     d.server.Clients(),
+		OpenQueries: stats.Open,
+		Accepted:    stats.Arrived,
+		Served:      stats.Served,
+		Rejected:    stats.Rejected,
+		Failed:      stats.Failed,
+		Abandoned:   stats.Abandoned,
+		Violations:  violations,
+		Withheld:    withheld,
+	}
+}
+
+// healthHandler answers /live (200 while the process runs), /ready (200 while it takes clients) and /health
+// (JSON). An answer that cannot be written has lost its client, which is nobody else's matter.
+func (d *daemon) healthHandler() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc(livePath, func(w http.ResponseWriter, r *http.Request) {
+		_, _ = io.WriteString(w, "ok\n")
+	})
+	mux.HandleFunc(readyPath, func(w http.ResponseWriter, r *http.Request) {
+		if h := d.currentHealth(); !h.Ready {
+			http.Error(w, h.State, http.StatusServiceUnavailable)
+		}
+	})
+	mux.HandleFunc(healthPath, func(w http.ResponseWriter, r *http.Request) {
+		w.Header().Set("Content-Type", "application/json")
+		_ = json.NewEncoder(w).Encode(d.currentHealth())
+	})
+	return mux
+}
+
+// serveHealth answers health checks at an address until stop is called. In a handover the predecessor still
+// has the address: with retryListen it is tried until it is free.
+func (d *daemon) serveHealth(addr string, retryListen bool) (stop func(), err error) {
+	ln, err := net.Listen("tcp", addr)
+	if err != nil && !retryListen {
+		if ln, err = netlisten.Open(addr); err != nil {
+			return nil, err
+		}
+	}
+	s := &http.Server{Handler: d.healthHandler(), ReadHeaderTimeout: healthHeaderTimeout}
+	ended := make(chan struct{})
+	stopping := make(chan struct{})
+	go func() {
+		defer close(ended)
+		for ln == nil {
+			select {
+			case <-stopping:
+				return
+			case <-time.After(healthListenInterval):
+				ln, _ = net.Listen("tcp", addr) // the predecessor has it yet; the next turn tries again
+			}
+		}
+		err := s.Serve(netlisten.ResilientListener{Listener: ln})
+		if !errors.Is(err, http.ErrServerClosed) {
+			d.logger.Error("health checks not served", "error", err)
+		}
+	}()
+	return func() {
+		close(stopping)
+		_ = s.Close() // the process ends
+		<-ended
+	}, nil
+}
+
+// FetchHealth asks a running daemon for its health.
+func FetchHealth(ctx context.Context, addr string) (h Health, err error) {
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+healthPath, nil)
+	if err != nil {
+		return h, err
+	}
+	resp, err := http.DefaultClient.Do(r)
+	if err != nil {
+		return h, err
+	}
+	defer resp.Body.Close()
+	return h, json.NewDecoder(resp.Body).Decode(&h)
+}
--- a/internal/daemon/lifecycle/machine.go
+++ b/internal/daemon/lifecycle/machine.go
@@ -1,22 +1,23 @@
-// Package lifecycle decides what a daemon does between its start and its end: when it says that it is ready,
-// what a signal means, when a drain is over, and who keeps the listening sockets in a hand-over. It does no
-// I/O and reads no clock: events in, actions out.
+// Package lifecycle decides what a daemon does between its start and its exit: when it reports that it is
+// ready, what a signal means, when a graceful shutdown is over, and who keeps the listening sockets in a
+// handover. It does no I/O and reads no clock: events go in, actions come out.
 package lifecycle
 
 import "time"
 
-// State is where a daemon is in its life.
+// State is where a daemon is between its start and its exit.
 type State int
 
-// The states of a daemon.
+// The states of a daemon, in the order in which it goes through them. Only a handover that fails leads back.
 const (
-	Starting    State = iota // it listens, and knows no engine list yet
+	Starting    State = iota // it listens, and knows no endpoint list yet
 	Ready                    // it serves
 	HandingOver              // it serves, and a successor is about to take its sockets
-	Draining                 // it takes no connection; what runs may end
+	Draining                 // it accepts no connection; what runs may end
 	Stopped                  // it is to exit
 )
 
+// String returns the state's name, which health checks are answered with.
 func (s State) String() string {
 	return [...]string{"starting", "ready", "handing over", "draining", "over"}[s]
 }
@@ -24,35 +25,35 @@
 // EventType is what happened.
 type EventType int
 
-// The events of a life.
+// The events.
 const (
-	EndpointsKnown     EventType = iota // an engine list is in force, told or kept
+	EndpointsKnown     EventType = iota // an endpoint list is in force, received or cached
 	Terminate                           // asked to stop: SIGTERM or SIGINT
 	Reload                              // asked to read the settings again: SIGHUP
 	Drained                             // no client and no query is left
 	Tick                                // time has passed
-	SuccessorConnected                  // a process asks for the sockets; Who names it
-	SuccessorServing                    // the successor says that it serves; Who names it
-	SuccessorLost                       // the successor is gone without having said so; Who names it
+	SuccessorConnected                  // a process asks for the sockets
+	SuccessorServing                    // a successor says that it serves
+	SuccessorLost                       // a successor is gone without having said so
 )
 
 // Event is one thing that happened.
 type Event struct {
 	Type        EventType
-	SuccessorID uint64
+	SuccessorID uint64 // of the successor's events
 }
 
 // ActionType is what is to be done.
 type ActionType int
 
-// The actions of a life.
+// The actions.
 const (
-	NotifyReady     ActionType = iota // tell the service manager, and answer health checks with ready
-	NotifyStopping                    // tell the service manager
-	ReloadConfig                      // read the settings, and apply them whole or not at all
-	SendListeners                     // hand the listening sockets to Who; both listen from then on
-	RejectSuccessor                   // turn Who away
-	StartDrain                        // take no connection; tell idle clients to go; let what runs end
+	NotifyReady     ActionType = iota // notify the service manager, and answer health checks with ready
+	NotifyStopping                    // notify the service manager
+	ReloadConfig                      // read the settings, and apply all or none of them
+	SendListeners                     // send the listening sockets to a successor; both accept from then on
+	RejectSuccessor                   // send a successor away
+	StartDrain                        // accept no connection; send idle clients away; let what runs end
 	ForceClose                        // end all that is left, each query with its one answer
 	Exit
 )
@@ -60,13 +61,13 @@
 // Action is one thing to do.
 type Action struct {
 	Type        ActionType
-	SuccessorID uint64
+	SuccessorID uint64 // of SendListeners and RejectSuccessor
 }
 
-// Config holds a life's times.
+// Config holds the machine's times.
 type Config struct {
-	DrainTimeout    time.Duration // a drain takes no longer
-	HandoverTimeout time.Duration // a successor that has not said within this time that it serves is given up
+	DrainTimeout    time.Duration // after which a drain is cut short
+	HandoverTimeout time.Duration // after which a successor that has not said that it serves is given up
 }
 
 // Machine is a daemon's state machine. It is for one goroutine at a time.
@@ -74,106 +75,122 @@
 	cfg            Config
 	state          State
 	endpointsKnown bool
-	deadline       time.Duration
-	successorID    uint64
+	deadline       time.Duration // of the handover or the drain
+	successorID    uint64        // of the handover
 	forceClosed    bool
-	actions        []Action
+	actions        []Action // of the present step; kept to spare allocations
 }
 
-// New returns a life that starts.
+// New returns the machine of a daemon that starts.
 func New(cfg Config) *Machine { return &Machine{cfg: cfg} }
 
-// State is where the daemon is.
-func (l *Machine) State() State { return l.state }
+// State returns where the daemon is.
+func (m *Machine) State() State { return m.state }
 
-// NextDeadline is when Step must be called with a Tick at the latest, and whether there is such a time.
-func (l *Machine) NextDeadline() (time.Duration, bool) {
-	return l.deadline, l.state == HandingOver || l.state == Draining && !l.forceClosed
+// NextDeadline returns when Step must be called with a Tick at the latest, and whether there is such a time.
+func (m *Machine) NextDeadline() (time.Duration, bool) {
+	return m.deadline, m.state == HandingOver || m.state == Draining && !m.forceClosed
 }
 
-// Step takes an event at a time and returns what is to be done, in order, valid until the next call.
-func (l *Machine) Step(now time.Duration, ev Event) []Action {
-	l.actions = l.actions[:0]
+// Step takes one event and returns what is to be done, in order. The result is valid until the next call.
+func (m *Machine) Step(now time.Duration, ev Event) []Action {
+	m.actions = m.actions[:0]
 	switch ev.Type {
 	case EndpointsKnown:
-		if l.endpointsKnown = true; l.state == Starting {
-			l.state = Ready
-			l.emit(NotifyReady, 0)
+		if m.endpointsKnown = true; m.state == Starting {
+			m.state = Ready
+			m.emit(NotifyReady, 0)
 		}
 	case Reload:
-		if l.state < Draining {
-			l.emit(ReloadConfig, 0)
+		if m.state < Draining {
+			m.emit(ReloadConfig, 0)
 		}
 	case Terminate:
-		switch l.state {
-		case Starting, Ready, HandingOver:
-			if l.state == HandingOver {
-				// Danger: two that drain would leave nobody; the successor is told, and starts on its own or
-				// not at all.
-				l.emit(RejectSuccessor, l.successorID)
-			}
-			l.startDrain(now)
-		case Draining: // asked twice: at once
-			l.forceClose()
-		}
+		m.terminate(now)
 	case SuccessorConnected:
-		if l.state != Ready && l.state != Starting {
-			// one at a time: another is being served, or there is nothing to give any more
-			l.emit(RejectSuccessor, ev.SuccessorID)
-			break
-		}
-		l.state, l.successorID, l.deadline = HandingOver, ev.SuccessorID, now+l.cfg.HandoverTimeout
-		l.emit(SendListeners, ev.SuccessorID)
+		m.beginHandover(now, ev.SuccessorID)
 	case SuccessorServing:
-		if l.state == HandingOver && ev.SuccessorID == l.successorID {
-			l.startDrain(now)
+		if m.state == HandingOver && ev.SuccessorID == m.successorID {
+			m.startDrain(now)
 		}
 	case SuccessorLost:
-		if l.state == HandingOver && ev.SuccessorID == l.successorID {
-			l.abandonHandover()
+		if m.state == HandingOver && ev.SuccessorID == m.successorID {
+			m.abandonHandover()
 		}
 	case Drained:
-		if l.state == Draining {
-			l.state = Stopped
-			l.emit(Exit, 0)
+		if m.state == Draining {
+			m.state = Stopped
+			m.emit(Exit, 0)
 		}
 	case Tick:
-		switch {
-		case now < l.deadline:
-		case l.state == HandingOver:
-			// Danger: a successor that hangs holds the sockets too and takes part of the connections; it is
-			// turned away.
-			l.emit(RejectSuccessor, l.successorID)
-			l.abandonHandover()
-		case l.state == Draining && !l.forceClosed:
-			l.forceClose()
+		if now >= m.deadline {
+			m.timeOut()
 		}
 	}
-	return l.actions
+	return m.actions
+}
+
+// terminate begins a drain, or cuts one short that is under way.
+func (m *Machine) terminate(now time.Duration) {
+	switch m.state {
+	case Starting, Ready:
+		m.startDrain(now)
+	case HandingOver:
+		// If the successor went on, it could drain at the same time, and nobody would be left to serve. It is
+		// rejected, and starts on its own or not at all.
+		m.emit(RejectSuccessor, m.successorID)
+		m.startDrain(now)
+	case Draining:
+		m.forceClose()
+	}
+}
+
+// beginHandover serves one successor at a time. Others are rejected, and all are where there is nothing to
+// hand over any more.
+func (m *Machine) beginHandover(now time.Duration, successorID uint64) {
+	if m.state != Ready && m.state != Starting {
+		m.emit(RejectSuccessor, successorID)
+		return
+	}
+	m.state, m.successorID, m.deadline = HandingOver, successorID, now+m.cfg.HandoverTimeout
+	m.emit(SendListeners, successorID)
+}
+
+// abandonHandover goes on as before a handover that came to nothing.
+func (m *Machine) abandonHandover() {
+	m.successorID, m.state = 0, Ready
+	if !m.endpointsKnown {
+		m.state = Starting
+	}
 }
 
-// abandonHandover goes on as before a hand-over that came to nothing.
-func (l *Machine) abandonHandover() {
-	l.successorID, l.state = 0, Ready
-	if !l.endpointsKnown {
-		l.state = Starting
+// timeOut ends what has passed its deadline.
+func (m *Machine) timeOut() {
+	switch m.state {
+	case HandingOver:
+		// A successor that hangs has the sockets too: connections that the kernel gives to it are never
+		// served unless it is rejected and ends.
+		m.emit(RejectSuccessor, m.successorID)
+		m.abandonHandover()
+	case Draining:
+		m.forceClose()
 	}
 }
 
-func (l *Machine) startDrain(now time.Duration) {
-	l.state, l.deadline = Draining, now+l.cfg.DrainTimeout
-	l.emit(NotifyStopping, 0)
-	l.emit(StartDrain, 0)
+func (m *Machine) startDrain(now time.Duration) {
+	m.state, m.deadline = Draining, now+m.cfg.DrainTimeout
+	m.emit(NotifyStopping, 0)
+	m.emit(StartDrain, 0)
 }
 
-// forceClose cuts what is left; Empty follows, as nothing is.
-func (l *Machine) forceClose() {
-	if !l.forceClosed {
-		l.forceClosed = true
-		l.emit(ForceClose, 0)
+// forceClose ends what is left, once. Drained follows, as then nothing is.
+func (m *Machine) forceClose() {
+	if !m.forceClosed {
+		m.forceClosed = true
+		m.emit(ForceClose, 0)
 	}
 }
 
-func (l *Machine) emit(t ActionType, successorID uint64) {
-	l.actions = append(l.actions, Action{t, successorID})
+func (m *Machine) emit(t ActionType, successorID uint64) {
+	m.actions = append(m.actions, Action{t, successorID})
 }
--- /dev/null
+++ b/internal/daemon/restart_test.go
@@ -0,0 +1,73 @@
+package daemon
+
+import (
+	"context"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+)
+
+// After a dispatcher died with a write whose outcome is unknown, the write's key is not used for a while,
+// and the same write is rejected where only one group of engines would drop it, until its window is over.
+func TestRestartHonorsPendingWrites(t *testing.T) {
+	env := newTestEnv(t)
+	s := env.start(t, "", false)
+	c := env.connect(t)
+	go func() {
+		_, _ = c.Exec(context.Background(), // it ends with its dispatcher
+			"insert into t values (7) /*class='load',key='k',work_ms='60000',id='l'*/")
+	}()
+	for begin := time.Now(); ; time.Sleep(5 * time.Millisecond) {
+		if n := len(env.rig.Engines[0].Runs()) + len(env.rig.Engines[1].Runs()); n == 1 {
+			break
+		}
+		if time.Since(begin) > 5*time.Second {
+			t.Fatal("the write does not run")
+		}
+	}
+	time.Sleep(50 * time.Millisecond)
+	// A copy that is taken while the dispatcher runs is what its death would leave.
+	copyTo := t.TempDir()
+	env.waitForCachedList(t)
+	for _, name := range []string{"state", "list"} {
+		b, err := os.ReadFile(filepath.Join(env.dir, "state", name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := os.MkdirAll(filepath.Join(copyTo, "state"), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(filepath.Join(copyTo, "state", name), b, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	close(s.stop)
+	if err := s.stopAndWait(t); err != nil {
+		t.Error(err)
+	}
+	env.dir = copyTo
+	env.rig.Roster.Away(true) // only the cached list is known
+	s = env.start(t, "", false)
+	if !strings.Contains(s.log.String(), "loads without a known end\"=1") {
+		t.Errorf("the write is not logged: %s", s.log)
+	}
+	c = env.connect(t)
+	defer c.Close(context.Background())
+	begin := time.Now()
+	if _, err := c.Exec(context.Background(),
+		"insert into t values (7) /*class='load',key='k',id='l2'*/"); sqlState(err) != "53000" {
+		t.Errorf("the same write again: %v", err)
+	}
+	if _, err := c.Exec(context.Background(),
+		"insert into t values (8) /*class='load',key='k',id='m'*/"); err != nil {
+		t.Errorf("another write with the key: %v", err)
+	}
+	if took := time.Since(begin); took < 100*time.Millisecond {
+		t.Errorf("the key was not used for %v only", took)
+	}
+	if err := s.stopAndWait(t); err != nil {
+		t.Error(err)
+	}
+}
--- a/internal/daemon/signal_test.go
+++ /dev/null
@@ -1,5 +0,0 @@
-package daemon
-
-import "syscall"
-
-const hup = syscall.SIGHUP
