--- a/internal/dispatch/response/response.go
+++ b/internal/dispatch/response/response.go
@@ -1,223 +1,207 @@
-// Package response holds one query's answer on its way from an engine to its client, and sees to it that
-// there is exactly one final answer, whoever comes first: the engine's last byte, the module's refusal, or
-// the client's going. It does no I/O; bytes leave through a Sink.
+// Package response holds one query's response on its way from an engine to its client. It sees to it that
+// there is exactly one final answer, whichever comes first: the engine's last byte, the decision module's
+// rejection, or the client's going away. It does no I/O: bytes leave through a Sink.
 //
-// An answer waits (bytes are held back, so that a further attempt may still take its place), streams (bytes
-// went out, so it belongs to its attempt) or is done.
+// A response is buffering (bytes are held back, so that another attempt may still take its place), streaming
+// (bytes went out, so it belongs to its attempt) or finished.
 package response
 
 import (
 	"sync"
-	"sync/atomic"
 
 	"cresspass/internal/dispatch/verdict"
 )
 
-// Sink takes an answer's bytes. Its methods are called in order, under the answer's lock; none may block or
-// call the answer.
+// Sink takes a response's bytes. Its methods are called in order, under the response's lock; none may block
+// or call the response.
 type Sink interface {
-	// WritePartial passes on bytes of an answer that is not yet complete: messages of an engine.
+	// WritePartial passes on messages of an engine that do not yet end the response.
 	WritePartial(b []byte)
 	// WriteFinal passes on the last of them; failed tells that they end in an ErrorResponse.
 	WriteFinal(b []byte, failed bool)
-	// WriteVerdict ends the answer by a verdict of ours, whatever went out before.
+	// WriteVerdict ends the response by a verdict of the dispatcher, whatever was written before.
 	WriteVerdict(v *verdict.Verdict)
 }
 
-// BufferBudget bounds the bytes held back by all answers together. The zero value allows nothing.
-type BufferBudget struct {
-	MaxBytes int64 // bytes
-	used     atomic.Int64
-}
-
-// Used is the number of bytes held back now.
-func (b *BufferBudget) Used() int64 { return b.used.Load() }
+// noAttempt is the owner of a response that belongs to no attempt.
+const noAttempt = -1
 
-func (b *BufferBudget) reserve(n int) bool {
-	if b.used.Add(int64(n)) > b.MaxBytes {
-		b.used.Add(-int64(n))
-		return false
-	}
-	return true
-}
-
-// Response is one query's answer. Make one with New.
+// Response is one query's response. Make one with New.
 type Response struct {
 	mu          sync.Mutex
 	sink        Sink
 	budget      *BufferBudget
 	maxBuffered int
-	owner       int // attempt whose bytes count; -1: none
+	owner       int // the attempt whose bytes count
 	buffered    []byte
-	reserved    int
+	reserved    int // bytes of the budget
 	streaming   bool
 	finished    bool
 	doneSignal  chan struct{}
 }
 
-// New returns an answer that holds back up to most bytes, within a budget shared with others.
+// New returns a response that holds back up to maxBuffered bytes, within a budget shared with others.
 func New(sink Sink, budget *BufferBudget, maxBuffered int) *Response {
-	return &Response{
-		sink:        sink,
-		budget:      budget,
-		maxBuffered: maxBuffered,
-		owner:       -1,
-		doneSignal:  make(chan struct{}),
-	}
+	return &Response{sink: sink, budget: budget, maxBuffered: maxBuffered, owner: noAttempt,
+		doneSignal: make(chan struct{})}
 }
 
-// Done is closed once the answer is done.
-func (a *Response) Done() <-chan struct{} { return a.doneSignal }
+// Done returns a channel that is closed once the response is finished.
+func (r *Response) Done() <-chan struct{} { return r.doneSignal }
 
-// BeginAttempt makes an attempt the one whose bytes count. It returns false where the answer is done or
-// streams.
-func (a *Response) BeginAttempt(attempt int) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.finished || a.streaming {
+// BeginAttempt makes an attempt the one whose bytes count. It returns false if the response is streaming or
+// finished.
+func (r *Response) BeginAttempt(attempt int) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.finished || r.streaming {
 		return false
 	}
-	a.discardBuffer()
-	a.owner = attempt
+	r.discardBuffer()
+	r.owner = attempt
 	return true
 }
 
-// Write takes bytes from an attempt. It returns false where they no longer count.
-func (a *Response) Write(attempt int, b []byte) (owner bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.finished || a.owner != attempt {
+// Write takes bytes from an attempt, and holds them back while there is room. It returns false if the
+// response no longer belongs to the attempt.
+func (r *Response) Write(attempt int, b []byte) (owner bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.belongsTo(attempt) {
 		return false
 	}
-	if !a.streaming {
-		if len(a.buffered)+len(b) <= a.maxBuffered && a.budget.reserve(len(b)) {
-			a.reserved += len(b)
-			a.buffered = append(a.buffered, b...)
+	if !r.streaming {
+		if len(r.buffered)+len(b) <= r.maxBuffered && r.budget.reserve(len(b)) {
+			r.reserved += len(b)
+			r.buffered = append(r.buffered, b...)
 			return true
 		}
-		a.streaming = true
-		if len(a.buffered) > 0 {
-			a.sink.WritePartial(a.buffered)
+		r.streaming = true
+		if len(r.buffered) > 0 {
+			r.sink.WritePartial(r.buffered)
 		}
-		a.discardBuffer()
+		r.discardBuffer()
 	}
-	a.sink.WritePartial(b)
+	r.sink.WritePartial(b)
 	return true
 }
 
-// WriteThrough passes an attempt's bytes on at once, whatever may be held back, so that the answer belongs
-// to it. It returns false where they no longer count.
-func (a *Response) WriteThrough(attempt int, b []byte) (owner bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.finished || a.owner != attempt {
+// WriteThrough takes bytes from an attempt and passes them on at once, so that the response belongs to the
+// attempt for good. It returns false if the response no longer belongs to the attempt.
+func (r *Response) WriteThrough(attempt int, b []byte) (owner bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.belongsTo(attempt) {
 		return false
 	}
-	a.streaming = true
-	b = append(a.buffered, b...)
-	a.sink.WritePartial(b)
-	a.discardBuffer()
+	r.streaming = true
+	r.buffered = append(r.buffered, b...)
+	r.sink.WritePartial(r.buffered)
+	r.discardBuffer()
 	return true
 }
 
-// Commit makes the answer an attempt's for good, before its last bytes: from here on it is not disowned, and
-// no other begins. It returns false where the attempt does not count any more.
-func (a *Response) Commit(attempt int) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.finished || a.owner != attempt {
+// Commit makes the response an attempt's for good, before its last bytes: from here on it is not revoked, and
+// no other attempt begins. It returns false if the response no longer belongs to the attempt.
+func (r *Response) Commit(attempt int) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.belongsTo(attempt) {
 		return false
 	}
-	a.streaming = true
+	r.streaming = true
 	return true
 }
 
-// Finish ends the answer with an attempt's last bytes. It returns false where it did not count any more.
-func (a *Response) Finish(attempt int, b []byte, failed bool) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.finished || a.owner != attempt {
+// Finish ends the response with an attempt's last bytes. It returns false if the response no longer belonged
+// to the attempt.
+func (r *Response) Finish(attempt int, b []byte, failed bool) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.belongsTo(attempt) {
 		return false
 	}
-	if len(a.buffered) > 0 {
-		b = append(a.buffered, b...)
+	if len(r.buffered) > 0 {
+		r.buffered = append(r.buffered, b...)
+		b = r.buffered
 	}
-	a.writeFinal(b, failed)
+	r.finished, r.owner = true, noAttempt
+	r.sink.WriteFinal(b, failed)
+	r.discardBuffer()
+	close(r.doneSignal)
 	return true
 }
 
-// FailAttempt tells that an attempt ended without a whole answer. Where its bytes had begun to go out, the
-// client gets the verdict and the answer is done: finished is true. Else what was held is forgotten.
-func (a *Response) FailAttempt(attempt int, failure *verdict.Verdict) (finished bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.finished || a.owner != attempt {
+// FailAttempt tells that an attempt ended without a complete response. If its bytes had begun to go out, the
+// client gets the verdict and the response is finished. Otherwise what was held back is discarded.
+func (r *Response) FailAttempt(attempt int, failure *verdict.Verdict) (finished bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.belongsTo(attempt) {
 		return false
 	}
-	a.owner = -1
-	a.discardBuffer()
-	if a.streaming {
-		a.writeVerdict(failure)
+	r.owner = noAttempt
+	r.discardBuffer()
+	if r.streaming {
+		r.writeVerdict(failure)
 	}
-	return a.finished
+	return r.finished
 }
 
-// Revoke takes the answer from an attempt. It returns false where its bytes have begun to go out, so that it
-// can no longer be replaced, and true where nothing of it will count any more.
-func (a *Response) Revoke(attempt int) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.finished || a.owner != attempt {
+// Revoke takes the response from an attempt. It returns false if the attempt's bytes have begun to go out, so
+// that it can no longer be replaced, and true if nothing of it will count any more.
+func (r *Response) Revoke(attempt int) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.belongsTo(attempt) {
 		return true
 	}
-	if a.streaming {
+	if r.streaming {
 		return false
 	}
-	a.owner = -1
-	a.discardBuffer()
+	r.owner = noAttempt
+	r.discardBuffer()
 	return true
 }
 
-// FinishWithVerdict ends the answer with a verdict of ours. It returns false where it was done.
-func (a *Response) FinishWithVerdict(v *verdict.Verdict) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.finished {
+// FinishWithVerdict ends the response with a verdict of the dispatcher. It returns false if it was finished.
+func (r *Response) FinishWithVerdict(v *verdict.Verdict) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.finished {
 		return false
 	}
-	a.discardBuffer()
-	a.writeVerdict(v)
+	r.discardBuffer()
+	r.writeVerdict(v)
 	return true
 }
 
-// Abandon ends the answer of a client that is gone: nothing more goes out. It returns false where it was
-// done.
-func (a *Response) Abandon() bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.finished {
+// Abandon ends the response to a client that is gone: nothing more is written. It returns false if the
+// response was finished.
+func (r *Response) Abandon() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.finished {
 		return false
 	}
-	a.discardBuffer()
-	a.finished, a.owner = true, -1
-	close(a.doneSignal)
+	r.discardBuffer()
+	r.finished, r.owner = true, noAttempt
+	close(r.doneSignal)
 	return true
 }
 
-func (a *Response) writeVerdict(v *verdict.Verdict) {
-	a.finished, a.owner = true, -1
-	a.sink.WriteVerdict(v)
-	close(a.doneSignal)
-}
+// belongsTo reports whether an attempt's bytes count. The lock is held.
+func (r *Response) belongsTo(attempt int) bool { return !r.finished && r.owner == attempt }
 
-func (a *Response) writeFinal(b []byte, failed bool) {
-	a.finished, a.owner = true, -1
-	a.sink.WriteFinal(b, failed)
-	a.discardBuffer()
-	close(a.doneSignal)
+// writeVerdict ends the response with a verdict. The lock is held.
+func (r *Response) writeVerdict(v *verdict.Verdict) {
+	r.finished, r.owner = true, noAttempt
+	r.sink.WriteVerdict(v)
+	close(r.doneSignal)
 }
 
-func (a *Response) discardBuffer() {
-	a.budget.used.Add(-int64(a.reserved))
-	a.reserved, a.buffered = 0, nil
+// discardBuffer forgets what is held back. The lock is held.
+func (r *Response) discardBuffer() {
+	r.budget.release(r.reserved)
+	r.reserved, r.buffered = 0, nil
 }
--- a/internal/dispatch/verdict/verdict.go
+++ b/internal/dispatch/verdict/verdict.go
@@ -1,8 +1,10 @@
-// Package verdict is the dispatcher's own final answer to a query: what it says of the query and what it
-// promises, in no protocol's terms. Fronts put it into theirs. It does no I/O.
+// Package verdict is the final answer that the dispatcher itself gives to a query: what it says of the query
+// and what it promises, in no protocol's terms. Each front end puts it into the terms of its protocol;
+// clients receive the codes and the texts as they stand here. It does no I/O and decides nothing.
 package verdict
 
 import (
+	"fmt"
 	"time"
 )
 
@@ -11,10 +13,38 @@
 
 // The kinds of verdict.
 const (
-	Rejected       Kind = iota // it did not run, or running it again does no harm: trying again is harmless
-	Failed                     // nothing is promised: it may have run, or run still
-	Cancelled                  // its client took it back
-	InvalidRequest             // it did not run, for what it says; trying again would end the same
+	Rejected       Kind = iota // the query did not run, or is idempotent: a retry does no harm
+	Failed                     // nothing is promised: the query may have run, or run still
+	Cancelled                  // the client cancelled the query
+	InvalidRequest             // the query did not run, for what it says: a retry would end the same
+)
+
+func (k Kind) String() string {
+	switch k {
+	case Rejected:
+		return "rejected"
+	case Failed:
+		return "failed"
+	case Cancelled:
+		return "cancelled"
+	case InvalidRequest:
+		return "invalid request"
+	}
+	return fmt.Sprintf("Kind(%d)", int(k))
+}
+
+// The codes of verdicts, as in "PostgreSQL Error Codes".
+const (
+	codeInsufficientResources   = "53000"
+	codeTransactionStateUnknown = "08007"
+	codeAdminShutdown           = "57P01"
+	codeQueryCanceled           = "57014"
+)
+
+const (
+	detailNotRun  = "The query did not run. It may be tried again."
+	detailNoHarm  = "Trying again is harmless."
+	detailUnknown = "It may have run, or be running still."
 )
 
 // Verdict ends a query without an engine's word.
@@ -22,67 +52,65 @@
 	Kind            Kind
 	Code            string // SQLSTATE
 	Message, Detail string
-	RetryAfter      time.Duration // when to come back; 0: nothing is said
+	RetryAfter      time.Duration // 0: the client is not told
 	MayHaveRun      bool          // an attempt may have run
 }
 
-const (
-	detailNotRun   = "The query did not run. It may be tried again."
-	detailHarmless = "Trying again is harmless."
-	detailUnknown  = "It may have run, or be running still."
-)
-
-// Reject is the module's refusal. ran: an attempt may have run, and a repeat does no harm. last is the last
-// error seen; "": none.
+// Reject is the decision module's rejection. mayHaveRun tells that an attempt may have run, and that a retry
+// does no harm. lastError is the last error seen; "": none.
 func Reject(retryAfter time.Duration, mayHaveRun bool, lastError string) *Verdict {
-	v := &Verdict{Kind: Rejected, Code: "53000", Message: "query refused: no engine would answer it in time",
-		Detail: detailNotRun, RetryAfter: retryAfter, MayHaveRun: mayHaveRun}
+	v := &Verdict{Kind: Rejected, Code: codeInsufficientResources,
+		Message: "query refused: no engine would answer it in time", Detail: detailNotRun,
+		RetryAfter: retryAfter, MayHaveRun: mayHaveRun}
 	if mayHaveRun {
-		v.Detail = detailHarmless
+		v.Detail = detailNoHarm
 	}
 	return v.withLastError(lastError)
 }
 
-// Fail is the module's failure.
+// Fail is the decision module's failure.
 func Fail(lastError string) *Verdict {
-	return (&Verdict{Kind: Failed, Code: "08007", Message: "query failed: its outcome is not known",
-		Detail: detailUnknown, MayHaveRun: true}).withLastError(lastError)
+	v := &Verdict{Kind: Failed, Code: codeTransactionStateUnknown,
+		Message: "query failed: its outcome is not known", Detail: detailUnknown, MayHaveRun: true}
+	return v.withLastError(lastError)
 }
 
-// RejectOverLimit turns a query away for want of room here.
+// RejectOverLimit rejects a query that is over a limit of the dispatcher.
 func RejectOverLimit(reason string) *Verdict {
-	return &Verdict{Kind: Rejected, Code: "53000", Message: "query refused: " + reason, Detail: detailNotRun}
+	return &Verdict{Kind: Rejected, Code: codeInsufficientResources, Message: "query refused: " + reason,
+		Detail: detailNotRun}
 }
 
-// RejectAfterRestart turns a query away whose earlier try, under a former dispatcher, may have run.
+// RejectAfterRestart rejects a query of which an earlier attempt, under a former dispatcher, may have run.
 func RejectAfterRestart(retryAfter time.Duration) *Verdict {
 	v := Reject(retryAfter, false, "")
 	v.Detail = "An earlier try may have run before the dispatcher restarted; this one did not."
 	return v
 }
 
-// ShuttingDown ends a query of a dispatcher that stops. started: an attempt was made.
+// ShuttingDown ends a query of a dispatcher that shuts down. started tells that an attempt was made.
 func ShuttingDown(started bool) *Verdict {
-	v := &Verdict{Kind: Rejected, Code: "57P01", Message: "the dispatcher is shutting down",
+	v := &Verdict{Kind: Rejected, Code: codeAdminShutdown, Message: "the dispatcher is shutting down",
 		Detail: "The query did not run."}
 	if started {
-		v.Kind, v.MayHaveRun, v.Detail = Failed, true, "The query may have run, or be running still."
+		v.Kind, v.MayHaveRun = Failed, true
+		v.Detail = "The query may have run, or be running still."
 	}
 	return v
 }
 
-// Invalid turns a query away for what it says.
+// Invalid rejects a query for what it says.
 func Invalid(code, message string) *Verdict {
 	return &Verdict{Kind: InvalidRequest, Code: code, Message: message}
 }
 
-// CancelledByClient ends a query that its client took back by name.
+// CancelledByClient ends a query that its client cancelled.
 func CancelledByClient() *Verdict {
-	return &Verdict{Kind: Cancelled, Code: "57014", Message: "canceling statement due to user request",
-		MayHaveRun: true}
+	return &Verdict{Kind: Cancelled, Code: codeQueryCanceled,
+		Message: "canceling statement due to user request", MayHaveRun: true}
 }
 
-// ConnectionLost ends a query whose session lost its engine connection, as package pin words it.
+// ConnectionLost ends a query whose session lost its engine connection. Package affinity words it.
 func ConnectionLost(code, message, detail string) *Verdict {
 	return &Verdict{Kind: Failed, Code: code, Message: message, Detail: detail, MayHaveRun: true}
 }
