--- a/internal/frontend/classify/classify_test.go
+++ b/internal/frontend/classify/classify_test.go
@@ -50,67 +50,71 @@
 }
 `
 
-// Tags go before matches, matches in their order before the default; what may write is never in a class that
-// repeats.
+// rejected stands in a table for the class of a statement that is rejected.
+const rejected = "!"
+
+// TestClassOfStatement: tags go before match rules, match rules in their order before the default; what may
+// write is never in an idempotent class.
 func TestClassOfStatement(t *testing.T) {
 	cfg, err := config.Parse("c.hcl", []byte(settings))
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := New(cfg)
+	const simple, execute, describe = enginequery.Simple, enginequery.Execute, enginequery.DescribeStatement
 	for _, v := range []struct {
-		who    Client
-		kind   enginequery.Kind
-		text   string
-		class  string // "!": a fault
-		left   time.Duration
-		tenant string
+		client   Client
+		kind     enginequery.Kind
+		text     string
+		class    string
+		deadline time.Duration
+		tenant   string
 	}{
-		{Client{}, enginequery.Simple, "select 1", "short", 5 * time.Second, ""},
-		{Client{User: "batch"}, enginequery.Simple, "select 1", "long", 20 * time.Second, ""},
-		{Client{Database: "d"}, enginequery.Simple, "select a from b group by a", "long", 20 * time.Second, "t"},
-		{Client{User: "batch"}, enginequery.Simple, "select 1 /*class='short'*/", "short", 5 * time.Second, ""},
-		{Client{}, enginequery.Simple, "select 1 /*class='none'*/", "!", 0, ""},
-		{Client{}, enginequery.Simple, "insert into t values (1)", "once", 20 * time.Second, ""},
-		{Client{}, enginequery.Simple, "insert into t values (1) /*class='short'*/", "once", 20 * time.Second,
-			""},
-		{Client{}, enginequery.Execute, "with x as (delete from t returning 1) select * from x", "once",
+		{Client{}, simple, "select 1", "short", 5 * time.Second, ""},
+		{Client{User: "batch"}, simple, "select 1", "long", 20 * time.Second, ""},
+		{Client{Database: "d"}, simple, "select a from b group by a", "long", 20 * time.Second, "t"},
+		{Client{User: "batch"}, simple, "select 1 /*class='short'*/", "short", 5 * time.Second, ""},
+		{Client{}, simple, "select 1 /*class='none'*/", rejected, 0, ""},
+		{Client{}, simple, "insert into t values (1)", "once", 20 * time.Second, ""},
+		{Client{}, simple, "insert into t values (1) /*class='short'*/", "once", 20 * time.Second, ""},
+		{Client{}, execute, "with x as (delete from t returning 1) select * from x", "once",
 			20 * time.Second, ""},
-		{Client{}, enginequery.Simple, "select 'insert into' from t for update", "short", 5 * time.Second, ""},
-		{Client{}, enginequery.DescribeStatement, "insert into t values (1)", "shape", 2 * time.Second, ""},
-		{Client{Timeout: time.Second}, enginequery.Simple, "select 1", "short", time.Second, ""},
-		{Client{Timeout: time.Second}, enginequery.Simple, "select 1 /*wait_ms='250'*/", "short",
+		{Client{}, simple, "select 'insert into' from t for update", "short", 5 * time.Second, ""},
+		{Client{}, describe, "insert into t values (1)", "shape", 2 * time.Second, ""},
+		{Client{Timeout: time.Second}, simple, "select 1", "short", time.Second, ""},
+		{Client{Timeout: time.Second}, simple, "select 1 /*wait_ms='250'*/", "short",
 			250 * time.Millisecond, ""},
-		{Client{}, enginequery.Simple, "select 1 /*wait_ms='99999'*/", "short", 5 * time.Second, ""},
+		{Client{}, simple, "select 1 /*wait_ms='99999'*/", "short", 5 * time.Second, ""},
 	} {
-		a := &enginequery.Query{Kind: v.kind, Text: v.text, Parsed: sqlscan.Statements(v.text)}
-		ev, fault := c.Classify(1, v.who, a)
-		if v.class == "!" {
-			if fault == nil {
-				t.Errorf("%s: class %q, want a fault", v.text, ev.Class)
+		query := &enginequery.Query{Kind: v.kind, Text: v.text, Parsed: sqlscan.Statements(v.text)}
+		event, err := c.Classify(1, v.client, query)
+		if v.class == rejected {
+			if err == nil {
+				t.Errorf("%s: class %q, want an error", v.text, event.Class)
 			}
 			continue
 		}
-		if ev.AddsNoRetryBudget != (v.kind == enginequery.DescribeStatement) {
-			t.Errorf("%s: uncounted %v", v.text, ev.AddsNoRetryBudget)
+		if event.AddsNoRetryBudget != (v.kind == describe) {
+			t.Errorf("%s: adds no retry budget: %v", v.text, event.AddsNoRetryBudget)
 		}
-		if fault != nil || ev.Class != v.class || ev.RemainingDeadline != v.left || ev.Tenant != v.tenant {
-			t.Errorf(
-				"%s by %+v: class %q, %v, tenant %q, fault %v",
-				v.text,
-				v.who,
-				ev.Class,
-				ev.RemainingDeadline,
-				ev.Tenant,
-				fault,
-			)
+		if err != nil || event.Class != v.class || event.RemainingDeadline != v.deadline ||
+			event.Tenant != v.tenant {
+			t.Errorf("%s by %+v: class %q, %v, tenant %q, error %v", v.text, v.client, event.Class,
+				event.RemainingDeadline, event.Tenant, err)
 		}
 	}
-	ev, _ := c.Classify(1, Client{}, &enginequery.Query{
+}
+
+// TestTags: what a comment says is read, and values that are no numbers count as none.
+func TestTags(t *testing.T) {
+	cfg, err := config.Parse("c.hcl", []byte(settings))
+	if err != nil {
+		t.Fatal(err)
+	}
+	event, _ := New(cfg).Classify(1, Client{}, &enginequery.Query{
 		Text: "select 1 /*key='a%2Fb',tables='7',cost_ms='20',memory_mb='x',repeat='1'*/"})
-	if ev.Key != "a/b" || ev.TableGroup != 7 || !ev.HasCostEstimate || ev.CostEstimate != 20*time.Millisecond ||
-		ev.MemoryEstimateMB != 0 ||
-		!ev.IsRetry {
-		t.Errorf("tags read as %+v", ev)
+	if event.Key != "a/b" || event.TableGroup != 7 || !event.HasCostEstimate ||
+		event.CostEstimate != 20*time.Millisecond || event.MemoryEstimateMB != 0 || !event.IsRetry {
+		t.Errorf("tags read as %+v", event)
 	}
 }
--- a/internal/frontend/classify/golden_test.go
+++ b/internal/frontend/classify/golden_test.go
@@ -9,9 +9,9 @@
 	"cresspass/internal/protocol/sqlscan"
 )
 
-// TestGoldenFaults: clients receive the code and the text of a fault, so they outlive every rename in the
-// code.
-func TestGoldenFaults(t *testing.T) {
+// TestGoldenStatementErrors: clients receive the code and the text of a statement error, so they outlive
+// every rename in the code.
+func TestGoldenStatementErrors(t *testing.T) {
 	cfg, err := config.Parse("c.hcl", []byte(strings.Replace(settings, "write_class    = \"once\"\n", "", 1)))
 	if err != nil {
 		t.Fatal(err)
@@ -23,11 +23,9 @@
 			`the statement may write, its class "short" is one that is repeated, ` +
 				`and the settings name no write_class`},
 	} {
-		_, fault := New(
-			cfg,
-		).Classify(1, Client{}, &enginequery.Query{Text: text, Parsed: sqlscan.Statements(text)})
-		if fault == nil || *fault != want {
-			t.Errorf("%s: fault %+v, want %+v", text, fault, want)
+		query := &enginequery.Query{Text: text, Parsed: sqlscan.Statements(text)}
+		if _, err := New(cfg).Classify(1, Client{}, query); err == nil || *err != want {
+			t.Errorf("%s: error %+v, want %+v", text, err, want)
 		}
 	}
 }
