--- /dev/null
+++ b/attempt.go
@@ -0,0 +1,185 @@
+package cresspass
+
+import (
+	"math"
+	"slices"
+	"time"
+)
+
+// send is the one place where queries are sent.
+func (g *Gateway) send(q *query, e *engine) {
+	if !g.mayAttempt(q) || !g.isNextForKey(q) || !g.mayUse(q, e) || len(q.inFlight) > 0 && !g.cfg.MayHedge {
+		return
+	}
+	g.integrateMix(e)
+	a := &attempt{
+		query:          q,
+		engine:         e,
+		number:         q.attemptCount,
+		sentAt:         g.now,
+		base:           g.baseTime(q),
+		estimate:       g.estimate(q, e),
+		runningSeconds: append([]float64(nil), e.runningSeconds...),
+		overdueRatio:   firstOverdueRatio,
+	}
+	g.setResources(a)
+	send := Action{Type: Send, Query: q.id, Engine: e.ID}
+	if g.rampFraction(e) < 1 && g.cfg.Rules.SlowStartOverloadFactor > 0 {
+		// Danger: a ration is for a moment. Sends that wait for a connection would come to a cold engine
+		// together with those of a later ration.
+		send.StartWithin = g.cfg.Rules.SlowStartWindow / 2
+	}
+	g.emit(send)
+	// Danger: sums come too late for what outlasts them, and gateways would fill the same engines.
+	if g.cfg.MayGossip && g.gatewayCount > 1 && a.base*q.class.threads >= minAnnouncedWork {
+		entry := []peerEntry{{tag: e.tag, load: q.class.threads}}
+		if h := g.aggregator(g.aggregatorTerm()); h != g.cfg.Ordinal {
+			g.sendToPeer(h, peerSendNotice, entry)
+		} else {
+			g.toForward = append(g.toForward, entry...)
+		}
+	}
+	if g.rampFraction(e) < 1 {
+		e.slowStartSends = append(e.slowStartSends, slowStartSend{g.now, g.expectedWork(q)})
+		e.slotEndsAt = 0
+	}
+	g.attemptStarted(a)
+}
+
+func (g *Gateway) cancelAttempt(a *attempt) {
+	if g.cfg.MayCancel && !a.cancelled {
+		a.cancelled = true
+		g.emit(Action{Type: Cancel, Query: a.query.id, Attempt: a.number})
+	}
+}
+
+func (g *Gateway) handleAttemptDone(ev *Event) {
+	a := g.attempts[attemptKey{ev.Query, ev.Attempt}]
+	if a == nil {
+		return
+	}
+	g.attemptEnded(a)
+	q, e := a.query, a.engine
+	if q.orderKey != nil &&
+		(ev.Outcome == OutcomeTimedOut || ev.Outcome == OutcomeConnectionReset || ev.Outcome == OutcomeCancelled) {
+		q.orderKey.settlesAt = max(q.orderKey.settlesAt, g.now+g.cfg.Rules.OrderSettleDelay)
+	}
+	if !ev.Outcome.NeverRan() && (q.firstMaybeRan == nil || a.sentAt < q.firstMaybeRan.sentAt) {
+		q.firstMaybeRan = a
+	}
+	if ev.HasLoadReport {
+		g.applyLoadReport(e, ev.LoadReport)
+	}
+	switch ev.Outcome {
+	case OutcomeOK:
+		e.succeeded++
+		e.lastHeardAt = g.now
+		g.recordHealth(e, true)
+		g.learn(a, ev.Elapsed.Seconds())
+		if ev.ActualCost > 0 && !q.hasCostEstimate { // its aim was a guess
+			q.class.meanWork += meanWorkGain * (ev.ActualCost.Seconds() - q.class.meanWork)
+		}
+		g.adaptGrant(a, ev.ActualMemoryMB)
+	case OutcomeRejected:
+		e.lastHeardAt, e.rejectingUntil = g.now, g.now+rejectionPressureTime
+		e.threadLimit = math.Max(1, e.ownThreads*threadLimitCutFactor)
+	case OutcomeFailed, OutcomeConnectionReset, OutcomeConnectFailed:
+		e.failed++
+		e.lastHeardAt = g.now
+		g.recordHealth(e, false)
+	}
+	if ev.QueryFinished && !q.done {
+		g.removeQuery(q)
+	}
+	switch q.previousEngine = e; {
+	case q.done || len(q.inFlight) > 0 || q.queued:
+	case ev.Outcome == OutcomeNotStarted:
+		g.rejectOrFail(q, ReasonNotStarted)
+	case !g.mayAttempt(q):
+		g.rejectOrFail(q, ReasonNoRetryAllowed)
+	default:
+		g.enqueue(q)
+	}
+}
+
+// handleProgress reads a note on a running attempt. A bad plan is drawn anew for each attempt, so one that is
+// far behind is called off where a fresh run should end well before it.
+func (g *Gateway) handleProgress(ev *Event) {
+	a := g.attempts[attemptKey{ev.Query, ev.Attempt}]
+	if a == nil {
+		return
+	}
+	a.notedAt = g.now
+	switch a.engine.lastHeardAt = g.now; ev.Note {
+	case NoteSpilled:
+		a.spilled = true
+	case NoteFractionDone:
+		q := a.query
+		ran := (g.now - a.sentAt).Seconds()
+		total := ran / math.Max(ev.Value, 1e-3)
+		if g.mayCancelForRetry(a) && q.class.Effect == Idempotent &&
+			total > badPlanRatio*q.estimateSpread*a.estimate &&
+			total-ran > retryAdvantageRatio*q.estimateSpread*a.estimate {
+			g.cancelForRetry(a)
+		}
+	}
+}
+
+type attempt struct {
+	query           *query
+	engine          *engine
+	number          int
+	sentAt, notedAt time.Duration // sent; last note of it
+	base, estimate  float64       // seconds
+	grantMB         float64
+	runningSeconds  []float64 // the engine's integral of the mix when it was sent
+	overdueRatio    float64   // next multiple of the estimate at which it counts as overdue
+
+	cancelled, spilled, presumedLost bool
+}
+
+// attemptKey names an attempt as events do.
+type attemptKey struct {
+	query  QueryID
+	number int
+}
+
+// attemptStarted keeps the books of an attempt being sent, end those of one that got its outcome.
+func (g *Gateway) attemptStarted(a *attempt) {
+	q, e := a.query, a.engine
+	if q.attemptCount > 0 {
+		g.retries = append(g.retries, g.now)
+	}
+	q.attemptCount++
+	q.inFlight = append(q.inFlight, a)
+	if q.orderKey != nil {
+		q.orderKey.running++
+	}
+	e.running = append(e.running, a)
+	e.runningCount[q.class.index]++
+	e.ownThreads += q.class.threads
+	g.ownThreads += q.class.threads
+	g.attempts[attemptKey{q.id, a.number}] = a
+}
+
+func (g *Gateway) attemptEnded(a *attempt) {
+	q, e := a.query, a.engine
+	delete(g.attempts, attemptKey{q.id, a.number})
+	g.releaseThreads(a)
+	if q.orderKey != nil {
+		q.orderKey.running--
+	}
+	same := func(v *attempt) bool { return v == a }
+	e.running, q.inFlight = slices.DeleteFunc(e.running, same), slices.DeleteFunc(q.inFlight, same)
+}
+
+// releaseThreads takes an attempt from what counts as running.
+func (g *Gateway) releaseThreads(a *attempt) {
+	if a.presumedLost {
+		return
+	}
+	g.integrateMix(a.engine)
+	a.engine.runningCount[a.query.class.index]--
+	a.engine.ownThreads -= a.query.class.threads
+	g.ownThreads -= a.query.class.threads
+}
--- /dev/null
+++ b/membership.go
@@ -0,0 +1,26 @@
+package cresspass
+
+import (
+	"math"
+)
+
+// handleMembership has all shares follow the number of gateways. Danger: bounds that were widened as one of
+// few would together be far too wide for many, and would shrink only as engines crowd.
+func (g *Gateway) handleMembership(ordinal int, count float64) {
+	if !(count >= 1 && count < math.MaxInt32) || ordinal < 0 || float64(ordinal) >= count {
+		return
+	}
+	if ordinal != g.cfg.Ordinal ||
+		count != g.gatewayCount { // reports are by ordinals, which may be others' now
+		clear(g.peerReports)
+		g.aggregationRounds = 0
+	}
+	fewer := math.Min(1, g.gatewayCount/count)
+	g.cfg.Ordinal, g.cfg.GatewayCount, g.gatewayCount = ordinal, int(count), count
+	for _, e := range g.engineList {
+		e.threadLimit = math.Max(e.threadLimit*fewer, g.initialThreadLimit(e))
+	}
+	for _, t := range g.cfg.Tenants {
+		g.tenants[t.Name].rate = t.QuotaPerSecond / count
+	}
+}
--- a/peer_message.go
+++ b/peer_message.go
@@ -1,6 +1,8 @@
 package cresspass
 
-import "hash/fnv"
+import (
+	"hash/fnv"
+)
 
 // The form of messages between gateways: a first byte for the type, then entries of an engine's tag in two
 // bytes, its load in threads and, in a report, a byte of two counts. What is told and when, and what is made
