--- /dev/null
+++ b/admission_test.go
@@ -0,0 +1,141 @@
+package cresspass
+
+import (
+	"testing"
+	"time"
+)
+
+func TestQueuedQueriesLeaveEarliestDeadlineFirst(t *testing.T) {
+	cfg := singleClassConfig()
+	cfg.Classes = append(
+		cfg.Classes,
+		Class{Name: "long", LatencyObjective: 9 * time.Second, Deadline: 30 * time.Second},
+	)
+	b := newHarness(t, cfg)
+	b.submit(1, "long", "")
+	b.submit(2, "short", "")
+	got := b.advance(
+		ms,
+		Event{Type: EngineListReceived, ListType: ListComplete, Engines: []EngineInfo{standardEngine("e1")}},
+	)
+	wantActions(t, got, Send, Send)
+	if got[0].Query != 2 {
+		t.Errorf("query %d left first", got[0].Query)
+	}
+}
+
+// TestLateRetriesAreRejected: a client's later try whose aim has passed only keeps an overload alive.
+func TestLateRetriesAreRejected(t *testing.T) {
+	b := newHarness(t, singleClassConfig(), standardEngine("e1"))
+	wantActions(t, b.submit(1, "short", ""), Send)
+	late := Event{
+		Type:              QueryArrived,
+		Query:             2,
+		Class:             "short",
+		RemainingDeadline: 5 * time.Second,
+		HasCostEstimate:   true,
+		CostEstimate:      200 * ms,
+	}
+	late.IsRetry = true
+	wantActions(t, b.advance(ms, late), Reject)
+}
+
+// TestShortFirstAttemptsAreServed: a short wait alone is no sign of a repeat (incident id68ae1).
+func TestShortFirstAttemptsAreServed(t *testing.T) {
+	b := newHarness(t, singleClassConfig(), standardEngine("e1"))
+	wantActions(t, b.submit(1, "short", ""), Send)
+	wantActions(
+		t,
+		b.advance(ms, Event{Type: QueryArrived, Query: 2, Class: "short", RemainingDeadline: 5 * time.Second,
+			HasCostEstimate: true, CostEstimate: 200 * ms}),
+		Send,
+	)
+}
+
+// TestLongQueriesYieldInAnOverload: one very long query earns no more than one of the many it displaces.
+func TestLongQueriesYieldInAnOverload(t *testing.T) {
+	for _, overload := range []bool{false, true} {
+		b := newHarness(t, singleClassConfig(), standardEngine("e1"))
+		for id := range QueryID(60) { // settles the class's mean work
+			b.submit(id+1, "short", "")
+			b.advance(0, attemptDoneEvent(b.lastActions[0], 0, OutcomeOK, 200*ms))
+		}
+		b.g.overloaded = overload
+		got := b.advance(
+			ms,
+			Event{Type: QueryArrived, Query: 99, Class: "short", RemainingDeadline: 10 * time.Second,
+				HasCostEstimate: true, CostEstimate: 3 * time.Second},
+		)
+		if overload {
+			wantActions(t, got, Reject)
+		} else {
+			wantActions(t, got, Send)
+		}
+	}
+}
+
+// TestOverQuotaQueuesUnlessOverloaded: this gateway's part of a quota is a guess where fronts are uneven, so
+// a query beyond it is refused only in an overload, else held like any other (Quebec, a rolling restart).
+func TestOverQuotaQueuesUnlessOverloaded(t *testing.T) {
+	for _, overload := range []bool{false, true} {
+		cfg := singleClassConfig()
+		cfg.Tenants = []Tenant{{Name: "t", QuotaPerSecond: 0.1}}
+		b := newHarness(t, cfg, standardEngine("e1"))
+		for id := range QueryID(10) { // fills the engine up to the bound's cap
+			b.submit(id+1, "short", "")
+		}
+		b.g.overloaded = overload
+		*b.g.tenants["t"] = tokenBucket{rate: 0.05, updatedAt: b.now} // used up
+		ev := Event{
+			Type:              QueryArrived,
+			Query:             99,
+			Class:             "short",
+			Tenant:            "t",
+			RemainingDeadline: 10 * time.Second,
+			HasCostEstimate:   true,
+			CostEstimate:      100 * ms,
+		}
+		if got := b.advance(0, ev); overload {
+			wantActions(t, got, Reject)
+		} else {
+			wantActions(t, got)
+		}
+	}
+}
+
+// TestCrowdedEngineAdmitsByItsThreads: weights start small and learn nothing where nothing ends (Tallinn,
+// big-1).
+func TestCrowdedEngineAdmitsByItsThreads(t *testing.T) {
+	for _, c := range []struct {
+		threads float64
+		want    ActionType
+	}{{0, Send}, {160, Reject}} {
+		b := newHarness(t, largeFleetConfig(), standardEngines(1)...)
+		e := b.g.engineList[0]
+		e.runningCount[len(b.g.classList)], e.loadKnownAt = c.threads, b.now
+		got := b.advance(
+			0,
+			Event{Type: QueryArrived, Query: 1, Class: "short", RemainingDeadline: 10 * time.Second,
+				HasCostEstimate: true, CostEstimate: 250 * ms},
+		)
+		wantActions(t, got, c.want)
+	}
+}
+
+func TestUnfittingQueryIsRejectedOnIdleEngines(t *testing.T) {
+	refused := 0
+	for i := range 20 {
+		cfg := largeFleetConfig()
+		cfg.Ordinal = i
+		b := newHarness(t, cfg, standardEngines(10)...)
+		b.g.fleetLogSlowness = 3 // twenty times slower than the base
+		for _, a := range b.submit(1, "short", "") {
+			if a.Type == Reject {
+				refused++
+			}
+		}
+	}
+	if refused < 15 {
+		t.Errorf("%d of 20 queries that cannot fit were refused", refused)
+	}
+}
--- /dev/null
+++ b/gossip_test.go
@@ -0,0 +1,131 @@
+package cresspass
+
+import (
+	"bytes"
+	"testing"
+)
+
+// TestFleetWideFailuresAddNoLoad: lost answers on all engines were told as four times their load
+// (Wellington, big-2).
+func TestFleetWideFailuresAddNoLoad(t *testing.T) {
+	b := newHarness(t, largeFleetConfig(), standardEngines(4)...)
+	for _, e := range b.g.engineList {
+		e.succeededTotal, e.failedTotal = 70, 30
+	}
+	b.g.peerReports[1] = uniformPeerReport(b, 8)
+	b.g.broadcastAggregate()
+	for _, e := range b.g.engineList {
+		if load := e.runningCount[len(b.g.classList)] / b.g.unobservedShare(e); load > 9 {
+			t.Errorf("8 threads on %s are told as %.1f", e.ID, load)
+		}
+	}
+}
+
+// TestFailingEngineIsReportedAsFuller: what befalls one engine alone still counts against it.
+func TestFailingEngineIsReportedAsFuller(t *testing.T) {
+	b := newHarness(t, largeFleetConfig(), standardEngines(4)...)
+	for _, e := range b.g.engineList {
+		e.succeededTotal = 100
+	}
+	bad := b.g.engineList[0]
+	bad.succeededTotal, bad.failedTotal = 60, 40
+	b.g.peerReports[1] = uniformPeerReport(b, 8)
+	b.g.broadcastAggregate()
+	if load := bad.runningCount[len(b.g.classList)] / b.g.unobservedShare(bad); load < 12 {
+		t.Errorf("8 threads on an engine that fails two in five are told as %.1f", load)
+	}
+}
+
+// uniformPeerReport is a peer's report of the same load on all engines.
+func uniformPeerReport(b *harness, load float64) receivedReport {
+	r := receivedReport{at: b.now}
+	for _, e := range b.g.engineList {
+		r.entries = append(r.entries, peerEntry{tag: e.tag, load: load})
+	}
+	return r
+}
+
+// deliverAggregate tells a gateway of loads on engines, as a hub would.
+func deliverAggregate(b *harness, loads map[EngineID]float64) {
+	var entries []peerEntry
+	for _, e := range b.g.engineList {
+		entries = append(entries, peerEntry{tag: e.tag, load: loads[e.ID]})
+	}
+	for _, data := range encodePeerMessage(peerAggregate, entries) {
+		b.advance(0, Event{Type: PeerMessageReceived, Peer: 3, Data: data})
+	}
+}
+
+func TestPeerLoadDivertsQueries(t *testing.T) {
+	for i := range 20 {
+		cfg := largeFleetConfig()
+		cfg.Ordinal = i
+		b := newHarness(t, cfg, standardEngines(2)...)
+		deliverAggregate(b, map[EngineID]float64{"e00": 100})
+		for _, a := range b.submit(1, "short", "") {
+			if a.Type == Send && a.Engine == "e00" {
+				t.Errorf("gateway %d sent to the engine told to run 100 threads on 8 cores", i)
+			}
+		}
+	}
+}
+
+func TestStalePeerLoadDecays(t *testing.T) {
+	b := newHarness(t, largeFleetConfig(), standardEngines(3)...)
+	deliverAggregate(b, map[EngineID]float64{"e00": 200, "e01": 200, "e02": 200})
+	for range 2400 {
+		b.advance(50*ms, Event{Type: TimerFired})
+	}
+	if got := b.g.estimate(&query{class: b.g.classList[0], rawBase: 0.1}, b.g.engineList[0]); got > 0.2 {
+		t.Errorf("two minutes after the last news Est is still %.2f s for a base of 0.1 s", got)
+	}
+}
+
+func TestAggregatorBroadcastsLoadsAndEjections(t *testing.T) {
+	cfg := largeFleetConfig()
+	b := newHarness(t, cfg, standardEngines(4)...)
+	turn := b.now / aggregatorTermLength
+	for b.g.aggregator(turn) != cfg.Ordinal { // until its turn comes
+		turn++
+	}
+	b.now = turn * aggregatorTermLength
+	bad, fine := engineTag("e00"), engineTag("e01")
+	var told []peerEntry
+	for range 60 {
+		for peer := 1; peer < 6; peer++ {
+			for _, data := range encodePeerMessage(peerLoadReport, []peerEntry{{bad, 0, 0, 3}, {fine, 2, 5, 0}}) {
+				b.advance(0, Event{Type: PeerMessageReceived, Peer: peer, Data: data})
+			}
+		}
+		for _, a := range b.advance(50*ms, Event{Type: TimerFired}) {
+			if a.Type == SendToPeer && a.Peer == -1 {
+				if m, entries := decodePeerMessage(a.Data); m == peerAggregate {
+					told = entries
+				}
+			}
+		}
+	}
+	for _, e := range told {
+		switch {
+		case e.tag == bad && e.load != maxPeerLoad:
+			t.Errorf("an engine that only fails is told with load %v", e.load)
+		case e.tag == fine && (e.load < 10 || e.load == maxPeerLoad):
+			t.Errorf("five gateways with two threads each are told as %v", e.load)
+		}
+	}
+	if len(told) != 4 {
+		t.Errorf("sums of %d engines, want 4", len(told))
+	}
+}
+
+func TestForgedPeerMessagesAreClipped(t *testing.T) {
+	b := newHarness(t, largeFleetConfig(), standardEngines(3)...)
+	for _, peer := range []int{-1, 0, 3, 200, 1 << 30} {
+		for _, data := range [][]byte{nil, {0}, {1}, {2, 1}, {3, 1, 2}, {9, 9, 9, 9}, bytes.Repeat([]byte{2, 255, 255}, 300)} {
+			b.advance(0, Event{Type: PeerMessageReceived, Peer: peer, Data: data})
+		}
+	}
+	if got := b.submit(1, "short", ""); len(got) == 0 || got[0].Type != Send {
+		t.Errorf("after odd messages a query gets %v", got)
+	}
+}
--- /dev/null
+++ b/membership_test.go
@@ -0,0 +1,52 @@
+package cresspass
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+// As the count changes in service all parts follow at once: what a cold engine may be sent, bounds that were
+// widened as one of few, tenants' quotas; and gateways whose clocks began apart take one hub.
+func TestSharesFollowMembership(t *testing.T) {
+	cfg := singleClassConfig()
+	cfg.MayGossip, cfg.GatewayCount, cfg.Tenants = true, 2, []Tenant{{Name: "t", QuotaPerSecond: 100}}
+	b := newHarness(t, cfg, standardEngines(3)...)
+	count := func(ordinal int, n float64, clock time.Duration) {
+		b.advance(ms, Event{Type: MembershipChanged, Peer: ordinal, Value: n, Elapsed: clock})
+	}
+	e := b.g.engineList[0]
+	e.threadLimit = 12
+	if count(1, 6, 0); e.threadLimit != 4 || b.g.tenants["t"].rate != 100.0/6 || b.g.cfg.Ordinal != 1 {
+		t.Errorf(
+			"of 2 to 6: bound %g, quota %g, ordinal %d",
+			e.threadLimit,
+			b.g.tenants["t"].rate,
+			b.g.cfg.Ordinal,
+		)
+	}
+	if count(0, 2, 0); e.threadLimit != 4 || b.g.tenants["t"].rate != 50 || b.g.gatewayCount != 2 {
+		t.Errorf("of 6 to 2: bound %g, quota %g", e.threadLimit, b.g.tenants["t"].rate)
+	}
+	for _, bad := range []Event{{Peer: 2, Value: 2}, {Peer: -1, Value: 3}, {Value: 0.5}, {Value: math.NaN()}} {
+		bad.Type = MembershipChanged
+		if b.advance(ms, bad); b.g.gatewayCount != 2 || b.g.cfg.Ordinal != 0 {
+			t.Errorf("%+v was taken", bad)
+		}
+	}
+	cfg.GatewayCount = 50
+	one, other := newHarness(t, cfg, standardEngines(3)...), newHarness(t, cfg, standardEngines(3)...)
+	other.now += 37 * time.Minute
+	apart := 0
+	for i := range 40 {
+		clock := time.Duration(i) * aggregatorTermLength
+		one.advance(ms, Event{Type: MembershipChanged, Value: 50, Elapsed: clock})
+		other.advance(ms, Event{Type: MembershipChanged, Value: 50, Elapsed: clock + 100*ms})
+		if one.g.aggregator(one.g.aggregatorTerm()) != other.g.aggregator(other.g.aggregatorTerm()) {
+			apart++
+		}
+	}
+	if apart > 0 {
+		t.Errorf("%d of 40 turns had two hubs", apart)
+	}
+}
--- /dev/null
+++ b/placement_test.go
@@ -0,0 +1,132 @@
+package cresspass
+
+import (
+	"testing"
+	"time"
+)
+
+func TestIdleEnginePreferred(t *testing.T) {
+	b := newHarness(t, singleClassConfig(), standardEngine("e1"), standardEngine("e2"), standardEngine("e3"))
+	used := map[EngineID]bool{}
+	for id := range QueryID(3) {
+		wantActions(t, b.submit(id+1, "short", ""), Send)
+		used[b.lastActions[0].Engine] = true
+	}
+	if len(used) != 3 {
+		t.Errorf("three queries went to %d engines", len(used))
+	}
+}
+
+// TestNearTiesSpread: while all weights are zero, estimates are alike; queries must spread all the same.
+func TestNearTiesSpread(t *testing.T) {
+	b := newHarness(t, singleClassConfig(), standardEngine("e1"), standardEngine("e2"))
+	b.g.engines["e2"].logSlowness = 0.1
+	for id := range QueryID(6) {
+		b.submit(id+1, "short", "")
+	}
+	if n1, n2 := b.g.engines["e1"].ownThreads, b.g.engines["e2"].ownThreads; n1 != 3 || n2 != 3 {
+		t.Errorf("threads %v and %v, want 3 and 3", n1, n2)
+	}
+}
+
+// A query whose session is kept on one engine goes there or nowhere, once, and on a draining engine only
+// within the grace.
+func TestStickyEngine(t *testing.T) {
+	cfg := singleClassConfig()
+	cfg.Rules.DrainGrace = time.Second
+	only := func(id QueryID, e EngineID) Event {
+		return Event{
+			Type:              QueryArrived,
+			Query:             id,
+			Class:             "short",
+			RemainingDeadline: 5 * time.Second,
+			HasCostEstimate:   true,
+			CostEstimate:      200 * ms,
+			StickyEngine:      e,
+		}
+	}
+	b := newHarness(t, cfg, standardEngine("e1"), standardEngine("e2"))
+	for id := range QueryID(6) {
+		wantActions(t, b.advance(ms, only(id+1, "e2")), Send)
+		if b.lastActions[0].Engine != "e2" {
+			t.Fatalf("sent to %s", b.lastActions[0].Engine)
+		}
+	}
+	sent := b.lastActions[0]
+	if got := b.advance(10*ms, attemptDoneEvent(sent, 0, OutcomeConnectionReset, 10*ms)); len(got) != 1 ||
+		got[0].Type == Send {
+		t.Errorf("after a reset: %+v", got)
+	}
+	drain := Event{
+		Type:     EngineListReceived,
+		ListType: ListIncremental,
+		Engines:  []EngineInfo{{ID: "e2", Kind: "std", State: EngineDraining}},
+	}
+	b.advance(ms, drain)
+	wantActions(t, b.advance(500*ms, only(11, "e2")), Send)
+	for _, a := range b.advance(600*ms, only(12, "e2")) {
+		if a.Type == Send {
+			t.Error("sent to a draining engine past the grace")
+		}
+	}
+}
+
+// TestLongQueryProbesLoadFirst: a jammed engine answers no query, so only a probe shows it (register, big-2).
+func TestLongQueryProbesLoadFirst(t *testing.T) {
+	b := newHarness(t, loadReportConfig("concurrent"), standardEngines(5)...)
+	long := Event{
+		Type:              QueryArrived,
+		Query:             1,
+		Class:             "short",
+		RemainingDeadline: 10 * time.Second,
+		HasCostEstimate:   true,
+		CostEstimate:      1500 * ms,
+	}
+	got := append([]Action(nil), b.advance(0, long)...)
+	wantActions(t, got, CheckHealth, CheckHealth, CheckHealth)
+	asked := map[EngineID]bool{}
+	var answers []Event
+	for i, a := range got {
+		asked[a.Engine] = true
+		answers = append(
+			answers,
+			healthCheckWithReport(a.Engine, float64(100*min(i, 1))),
+		) // the first alone is free
+	}
+	b.advance(2*ms, answers...)
+	got = b.advance(loadProbeWait, Event{Type: TimerFired, Label: 2})
+	if len(got) != 1 || got[0].Type != Send || len(asked) != 3 {
+		t.Fatalf("after the reports of %d engines: %+v", len(asked), got)
+	}
+	for i, ev := range answers {
+		if i > 0 && ev.Engine == got[0].Engine {
+			t.Errorf("sent to %s, which reports 100 queries", ev.Engine)
+		}
+	}
+	short := Event{
+		Type:              QueryArrived,
+		Query:             2,
+		Class:             "short",
+		RemainingDeadline: 10 * time.Second,
+		HasCostEstimate:   true,
+		CostEstimate:      100 * ms,
+	}
+	wantActions(t, b.advance(ms, short), Send)
+}
+
+func TestManyGatewaysSpreadLikeViews(t *testing.T) {
+	used := map[EngineID]int{}
+	for i := range 50 {
+		cfg := largeFleetConfig()
+		cfg.Ordinal = i
+		b := newHarness(t, cfg, standardEngines(10)...)
+		for _, a := range b.submit(1, "short", "") {
+			if a.Type == Send {
+				used[a.Engine]++
+			}
+		}
+	}
+	if len(used) < 8 {
+		t.Errorf("50 gateways with like views used %d of 10 engines: %v", len(used), used)
+	}
+}
--- /dev/null
+++ b/pressure_test.go
@@ -0,0 +1,169 @@
+package cresspass
+
+import (
+	"testing"
+	"time"
+)
+
+// TestRestartedGatewayDoesNotFlood: an empty fit thinks everything fits; the capped bound must hold it.
+func TestRestartedGatewayDoesNotFlood(t *testing.T) {
+	b := newHarness(t, singleClassConfig(), standardEngine("e1"))
+	for id := range QueryID(100) {
+		b.submit(id+1, "short", "")
+	}
+	if n, most := b.g.engines["e1"].ownThreads, threadLimitEnforcedRatio*8/2; n > most {
+		t.Errorf("%v threads at once, want at most %v", n, most)
+	}
+}
+
+// A moment of very slow answers must not leave a gateway that refuses all for ever: it runs nothing then, so
+// no outcome would ever correct what it believes.
+func TestRecoversFromPessimisticEstimates(t *testing.T) {
+	cfg := Config{
+		Seed:          1,
+		GatewayCount:  1,
+		BatchInterval: 5 * ms,
+		MayCancel:     true,
+		KindNames:     []string{"std"},
+		KindCores:     []float64{64},
+		Classes: []Class{
+			{Name: "q", LatencyObjective: time.Second, Deadline: 30 * time.Second, PriorityWeight: 1},
+		},
+	}
+	b := newHarness(t, cfg, standardEngine("e1"), standardEngine("e2"))
+	id := QueryID(0)
+	ask := func() []Action {
+		id++
+		return b.advance(
+			0,
+			Event{
+				Type:              QueryArrived,
+				Query:             id,
+				Class:             "q",
+				RemainingDeadline: 30 * time.Second,
+				HasCostEstimate:   true,
+				CostEstimate:      20 * ms,
+			},
+		)
+	}
+	for range 40 { // waves of 32 queries that take 400 ms each
+		var sent []Action
+		for range 32 {
+			for _, a := range ask() {
+				if a.Type == Send {
+					sent = append(sent, a)
+				}
+			}
+		}
+		for range 8 {
+			b.advance(50*ms, Event{Type: TimerFired})
+		}
+		for _, a := range sent {
+			b.advance(0, attemptDoneEvent(a, 0, OutcomeOK, 400*ms))
+		}
+	}
+	served, asked := 0, 0
+	for i := range 2000 { // then the engines are as quick as ever
+		if i%5 == 0 {
+			b.advance(10*ms, Event{Type: TimerFired})
+		} else {
+			b.advance(10 * ms)
+		}
+		for _, a := range ask() {
+			if a.Type == Send {
+				b.advance(ms, attemptDoneEvent(a, 0, OutcomeOK, ms))
+				served++
+			}
+		}
+		asked++
+	}
+	if served < asked/2 {
+		t.Errorf("served %d of %d asked over 20 s after the jam", served, asked)
+	}
+}
+
+// Engines that looked slow once, and then got nothing, are no overload of the fleet: what is seen of them
+// fades, and an engine of whose cores we use little is not under our pressure (a recorded day of
+// montreal-est refused a tenth).
+func TestNoOverloadOfIdleEngines(t *testing.T) {
+	cfg := Config{
+		Seed:          1,
+		GatewayCount:  1,
+		BatchInterval: 5 * ms,
+		KindNames:     []string{"std"},
+		KindCores:     []float64{8},
+		Classes: []Class{
+			{
+				Name:             "q",
+				LatencyObjective: time.Second,
+				ObjectiveStretch: 1,
+				Deadline:         10 * time.Second,
+				PriorityWeight:   1,
+			},
+		},
+	}
+	b := newHarness(t, cfg, standardEngine("e1"), standardEngine("e2"), standardEngine("e3"))
+	for _, e := range b.g.engineList {
+		e.logLatency = 1.4 // four times the best
+	}
+	if b.advance(50*ms, Event{Type: TimerFired}); b.g.overloaded {
+		t.Error("idle engines count as an overload")
+	}
+	for _, e := range b.g.engineList {
+		e.ownThreads = 6
+	}
+	if b.advance(50*ms, Event{Type: TimerFired}); !b.g.overloaded {
+		t.Error("slow engines with most of their cores in use count as none")
+	}
+	for range 400 {
+		b.advance(50*ms, Event{Type: TimerFired})
+	}
+	if b.g.overloaded || b.g.engineList[0].logLatency > 0.4 {
+		t.Errorf(
+			"20 s without an answer: latency %.2f, pressed %v",
+			b.g.engineList[0].logLatency,
+			b.g.overloaded,
+		)
+	}
+}
+
+// TestLostAnswersAreNoPressureWhereEnginesReport: overdue attempts read as an overload of half-used engines
+// (register, big-1).
+func TestLostAnswersAreNoPressureWhereEnginesReport(t *testing.T) {
+	b := newHarness(t, loadReportConfig("concurrent"), standardEngines(3)...)
+	for id := range QueryID(30) {
+		b.submit(id+1, "short", "") // none of them is ever answered
+		for range 10 {
+			b.advance(
+				50*ms,
+				Event{Type: TimerFired},
+				healthCheckWithReport("e00", 4),
+				healthCheckWithReport("e01", 4),
+				healthCheckWithReport("e02", 4),
+			)
+		}
+	}
+	if b.g.pressure > 1 || b.g.fleetLogSlowness > 0.5 {
+		t.Errorf(
+			"pressure %.2f, slowness %.2f though engines report half a thread a core",
+			b.g.pressure,
+			b.g.fleetLogSlowness,
+		)
+	}
+}
+
+// TestUseOfCoresGivesNoPressure: it ends at one, so a crowd never shows in it (Montreal grown).
+func TestUseOfCoresGivesNoPressure(t *testing.T) {
+	b := newHarness(t, loadReportConfig("load_share"), standardEngines(3)...)
+	b.g.fleetLogSlowness = 3 // outcomes show a fleet twenty times slower than its bases
+	b.advance(
+		50*ms,
+		healthCheckWithReport("e00", 1),
+		healthCheckWithReport("e01", 1),
+		healthCheckWithReport("e02", 1),
+		Event{Type: TimerFired},
+	)
+	if b.g.pressure < 1 {
+		t.Errorf("pressure %.2f: cores in full use read as calm", b.g.pressure)
+	}
+}
--- /dev/null
+++ b/retry_test.go
@@ -0,0 +1,78 @@
+package cresspass
+
+import (
+	"testing"
+	"time"
+)
+
+// TestBadPlanIsCancelledAndRetried: a note shows an attempt far behind, and a fresh one draws its plan anew.
+func TestBadPlanIsCancelledAndRetried(t *testing.T) {
+	b := newHarness(t, singleClassConfig(), standardEngine("e1"), standardEngine("e2"))
+	b.submit(1, "short", "")
+	first := b.lastActions[0]
+	note := Event{Type: ProgressReported, Query: 1, Engine: first.Engine, Note: NoteFractionDone, Value: 0.1}
+	wantActions(t, b.advance(2*time.Second, note), Cancel)
+	wantActions(t, b.advance(ms, attemptDoneEvent(first, 0, OutcomeCancelled, 2*time.Second)), Send)
+}
+
+// TestLostAnswerIsRetried: a tenth to a third of answers never arrive (Wellington, big-2).
+func TestLostAnswerIsRetried(t *testing.T) {
+	cfg := singleClassConfig()
+	cfg.ProgressInterval = 0
+	b := newHarness(t, cfg, standardEngine("e1"), standardEngine("e2"))
+	b.submit(1, "short", "")
+	first := b.lastActions[0]
+	var got []Action
+	for range 20 {
+		b.g.engines[first.Engine].lastHeardAt = b.now // others' answers arrive
+		if got = b.advance(50*ms, Event{Type: TimerFired}); len(got) > 0 {
+			break
+		}
+	}
+	wantActions(t, got, Cancel)
+	wantActions(t, b.advance(0, attemptDoneEvent(first, 0, OutcomeCancelled, 700*ms)), Send)
+	if b.lastActions[0].Engine == first.Engine {
+		t.Errorf("sent to %s again", first.Engine)
+	}
+}
+
+// TestLongQueryOfUnknownCostIsNoBadPlan: calling off what is only long did its work thrice (Tallinn, big-1).
+func TestLongQueryOfUnknownCostIsNoBadPlan(t *testing.T) {
+	for _, told := range []bool{true, false} {
+		b := newHarness(t, singleClassConfig(), standardEngine("e1"), standardEngine("e2"))
+		b.g.classList[0].baseScale = 0.1
+		ev := Event{Type: QueryArrived, Query: 1, Class: "short", RemainingDeadline: 10 * time.Second}
+		if ev.HasCostEstimate = told; told {
+			ev.CostEstimate = 2 * time.Second
+		}
+		wantActions(t, b.advance(0, ev), Send)
+		note := Event{
+			Type:   ProgressReported,
+			Query:  1,
+			Engine: b.lastActions[0].Engine,
+			Note:   NoteFractionDone,
+			Value:  0.25,
+		}
+		if got := b.advance(200*ms, note); told {
+			wantActions(t, got, Cancel) // 0.8 s for an estimate of 0.2 s
+		} else {
+			wantActions(t, got)
+		}
+	}
+}
+
+func TestLostAttemptReleasesItsThreads(t *testing.T) {
+	b := newHarness(t, largeFleetConfig(), standardEngines(1)...)
+	b.submit(1, "short", "")
+	e := b.g.engineList[0]
+	if e.ownThreads != 1 {
+		t.Fatalf("%v threads running after a send", e.ownThreads)
+	}
+	for range 180 { // nine seconds, with others' answers arriving
+		e.lastHeardAt = b.now
+		b.advance(50*ms, Event{Type: TimerFired})
+	}
+	if e.ownThreads != 0 || b.g.ownThreads != 0 {
+		t.Errorf("an attempt long overdue still holds %v threads", e.ownThreads)
+	}
+}
