--- a/action.go
+++ b/action.go
@@ -1,26 +1,24 @@
 package cresspass
 
-import (
-	"time"
-)
+import "time"
 
-// ActionType tells which fields of an Action count.
+// ActionType says which fields of an Action count.
 type ActionType int
 
 // The actions a gateway can ask for.
 const (
-	Send                 ActionType = iota // Query to Engine, Within; Wait is the attempt's time-out, 0: the deadline
+	Send                 ActionType = iota // Query to Engine, StartWithin; Wait: time-out, 0: the deadline
 	SetTimer                               // Wait, Label
-	FetchEngineList                        // ask for the complete list once
+	FetchEngineList                        // poll the complete list once
 	CloseIdleConnections                   // Engine
 	SendToPeer                             // Peer (-1: all), Data
-	Reject                                 // Query, Reason; Wait is the come-back time, 0: none
+	Reject                                 // Query, Reason; Wait: the Retry-After time, 0: none
 	Fail                                   // Query, Reason
-	CheckHealth                            // Engine
+	CheckHealth                            // Engine; the answer may carry a load report
 	Cancel                                 // Query, Attempt
-	SetResources                           // Query, Priority, MemoryMB
+	SetResources                           // Query, Priority, MemoryGrantMB
 	Log                                    // Text
-	SubscribeEngineList                    // On
+	SubscribeEngineList                    // Enabled
 )
 
 // Reason says why a gateway ended a query without a result. It is for the log alone.
@@ -34,7 +32,7 @@
 	ReasonNotStarted     Reason = "it could not be started"
 )
 
-// Action is one thing a gateway wants done; Type tells which fields count.
+// Action is one thing a gateway wants done; Type says which fields count.
 type Action struct {
 	Type          ActionType
 	Query         QueryID
@@ -48,6 +46,6 @@
 	MemoryGrantMB float64
 	Text          string
 	Enabled       bool
-	Reason        Reason        // with Refuse and Fail
-	StartWithin   time.Duration // with Send: the decision holds for so long; 0: until the deadline
+	Reason        Reason        // with Reject and Fail
+	StartWithin   time.Duration // with Send: the attempt must start within it; 0: before the deadline
 }
--- a/event.go
+++ b/event.go
@@ -1,39 +1,37 @@
 package cresspass
 
-import (
-	"time"
-)
+import "time"
 
-// QueryID names one try of a client's query. The gateway returns it unaltered.
+// QueryID names one attempt of a client to have a query run. The gateway returns it unaltered.
 type QueryID uint64
 
-// EngineID is the address of an engine. It tells nothing of its place, kind or age.
+// EngineID is the address of an engine. It says nothing of its place, kind or age.
 type EngineID string
 
-// EventType tells which fields of an Event count.
+// EventType says which fields of an Event count.
 type EventType int
 
 // The events a gateway takes.
 const (
-	EngineListReceived  EventType = iota // Listing, Engines
-	QueryArrived                         // Query and what is told of it
+	EngineListReceived  EventType = iota // ListType, Engines
+	QueryArrived                         // Query and what is known of it
 	TimerFired                           // Label
 	PeerMessageReceived                  // Peer, Data
-	HealthCheckDone                      // Engine, Outcome, Took, Report
-	AttemptDone                          // Query, Attempt, Engine, Outcome, Took, Finished, cost, Report
+	HealthCheckDone                      // Engine, Outcome, Elapsed, LoadReport
+	AttemptDone                          // Query, Attempt, Engine, Outcome, Elapsed, QueryFinished, costs
 	ProgressReported                     // Query, Attempt, Engine, Note, Value
-	ResponseStarted                      // Query, Attempt, Engine, Took
-	QueryAbandoned                       // Query
-	SessionCountChanged                  // Engine, Value: 1, one more session is kept there; -1, one less
-	MembershipChanged                    // Peer: our ordinal; Value: gateways, this one included; Took: a clock that all of them share
-	EngineReportedDown                   // Engine: others tell that it does not answer
-	ShutdownScheduled                    // RemainingDeadline: until then all queries, newcomers too, must have their final answers
+	ResponseStarted                      // Query, Attempt, Engine, Elapsed
+	QueryAbandoned                       // Query: its client left or cancelled it
+	SessionCountChanged                  // Engine, Value: 1, one more sticky session there; -1, one less
+	MembershipChanged                    // Peer: our ordinal; Value: gateways; Elapsed: their common clock
+	EngineReportedDown                   // Engine: other gateways report that it does not answer
+	ShutdownScheduled                    // RemainingDeadline: all queries, newcomers too, must end in it
 )
 
 // EngineListType says how an EngineListReceived event is to be read.
 type EngineListType int
 
-// The kinds of engine list.
+// The types of engine list.
 const (
 	ListIncremental EngineListType = iota // changed engines only
 	ListComplete                          // the complete list
@@ -62,18 +60,18 @@
 	StartedAt time.Duration // on the gateway's clock; 0: long ago
 }
 
-// Outcome tells how an attempt or a probe ended.
+// Outcome says how an attempt or a health check ended. The numbers are those of the simulator's protocol.
 type Outcome int
 
-// The outcome codes.
+// The outcomes.
 const (
 	OutcomeOK              Outcome = 0
 	OutcomeFailed          Outcome = 5
-	OutcomeRejected        Outcome = 11
+	OutcomeRejected        Outcome = 11 // the engine had no capacity
 	OutcomeConnectionReset Outcome = 104
 	OutcomeTimedOut        Outcome = 110
 	OutcomeConnectFailed   Outcome = 111
-	OutcomeNotStarted      Outcome = 114
+	OutcomeNotStarted      Outcome = 114 // the attempt was given up before it began
 	OutcomeCancelled       Outcome = 125
 )
 
@@ -87,12 +85,12 @@
 
 // The topics of progress notes.
 const (
-	NoteFractionDone NoteType = 1 // Value: share of the work done
+	NoteFractionDone NoteType = 1 // Value: fraction of the work done
 	NoteSpilled      NoteType = 2 // Value: megabytes missing
-	NoteBlocked      NoteType = 3 // Value: 1 for memory, 2 for a load
+	NoteBlocked      NoteType = 3 // Value: 1 by memory, 2 by a bulk load
 )
 
-// Event is one thing that happened to a gateway; Type tells which fields count.
+// Event is one thing that happened to a gateway; Type says which fields count.
 type Event struct {
 	Type    EventType
 	Query   QueryID
@@ -106,21 +104,21 @@
 
 	Class             string
 	TableGroup        float64       // the group of tables the query reads
-	RemainingDeadline time.Duration // until the client gives up this try
+	RemainingDeadline time.Duration // until the client gives up this attempt
 	Key               string
-	StickyEngine      EngineID // the one engine that may run it, where its session is kept there; "": any
-	OpensSession      bool     // its session is to be kept where it runs
+	StickyEngine      EngineID // the one engine that may run it, where its session is; "": any
+	OpensSession      bool     // its session is to stay where it runs
 	Tenant            string
-	HasCostEstimate   bool // Cost is a valid estimate
+	HasCostEstimate   bool // CostEstimate is valid
 	CostEstimate      time.Duration
-	MemoryEstimateMB  float64 // estimate; 0: none
+	MemoryEstimateMB  float64 // 0: none
 	IsRetry           bool
 	IsWrite           bool
-	AddsNoRetryBudget bool          // no request of its own: it raises no budget of further attempts
+	AddsNoRetryBudget bool          // no request of a client's own: it allows no further retries
 	QueryFinished     bool          // the query has its final answer
-	ActualCost        time.Duration // with OK, where costs are told
-	ActualMemoryMB    float64       // with OK, where costs are told
-	LoadReport        []float64     // load report, in the order of LoadReportFields
+	ActualCost        time.Duration // with OutcomeOK, where answers carry costs
+	ActualMemoryMB    float64       // with OutcomeOK, where answers carry costs
+	LoadReport        []float64     // in the order of LoadReportFields
 	HasLoadReport     bool
 
 	Note  NoteType
