--- a/attempt.go
+++ b/attempt.go
@@ -32,9 +32,9 @@
 	g.emit(send)
 	// Danger: sums come too late for what outlasts them, and gateways would fill the same engines.
 	if g.cfg.MayGossip && g.gatewayCount > 1 && a.base*q.class.threads >= minAnnouncedWork {
-		entry := []peerEntry{{tag: e.tag, load: q.class.threads}}
+		entry := []PeerLoad{{Tag: e.tag, Threads: q.class.threads}}
 		if h := g.aggregator(g.aggregatorTerm()); h != g.cfg.Ordinal {
-			g.sendToPeer(h, peerSendNotice, entry)
+			g.sendToPeer(h, PeerSendNotice, entry)
 		} else {
 			g.toForward = append(g.toForward, entry...)
 		}
--- a/engine.go
+++ b/engine.go
@@ -124,7 +124,7 @@
 
 // addEngine makes room for an engine never seen before.
 func (g *Gateway) addEngine(info *EngineInfo) *engine {
-	e := &engine{tag: engineTag(info.ID)}
+	e := &engine{tag: EngineTag(info.ID)}
 	e.runningCount, e.runningSeconds = make(
 		[]float64,
 		len(g.classList)+1,
--- a/gateway.go
+++ b/gateway.go
@@ -243,7 +243,7 @@
 	peerReports              map[int]receivedReport
 	gossipAt                 time.Duration
 	clockOffset              time.Duration // how far the gateways' common clock is ahead of ours
-	toForward                []peerEntry   // entries of sent queries to pass on
+	toForward                []PeerLoad   // entries of sent queries to pass on
 	aggregationRounds        int           // reports sent since this gateway last became a hub; 0: it is none
 	medianLogSlowness        float64       // of the engines' slowness
 	orderKeySweepAt          int           // number of order keys at which those with nothing left are forgotten
--- a/golden_test.go
+++ b/golden_test.go
@@ -114,28 +114,28 @@
 
 // goldenPeerMessages are the four types of message with entries at, between and beyond their limits.
 func goldenPeerMessages() (all []struct {
-	m       peerMessageType
-	entries []peerEntry
+	m       PeerMessageType
+	entries []PeerLoad
 }) {
-	var many []peerEntry
+	var many []PeerLoad
 	for i := range 90 {
 		many = append(
 			many,
-			peerEntry{tag: uint16(i * 727), load: float64(i * 3), succeeded: i % 18, failed: i % 5},
+			PeerLoad{Tag: uint16(i * 727), Threads: float64(i * 3), Succeeded: i % 18, Failed: i % 5},
 		)
 	}
-	few := []peerEntry{{tag: 0, load: 0}, {tag: 0xffff, load: 254.9, succeeded: 15, failed: 15},
+	few := []PeerLoad{{Tag: 0, Threads: 0}, {Tag: 0xffff, Threads: 254.9, Succeeded: 15, Failed: 15},
 		{
-			tag:       engineTag("10.0.0.1:7000"),
-			load:      1e9,
-			succeeded: 99,
-			failed:    99,
-		}, {tag: 0x1234, load: -3, succeeded: 1}}
-	for _, m := range []peerMessageType{1, 2, 3, 4} {
-		for _, entries := range [][]peerEntry{nil, few, many} {
+			Tag:       EngineTag("10.0.0.1:7000"),
+			Threads:   1e9,
+			Succeeded: 99,
+			Failed:    99,
+		}, {Tag: 0x1234, Threads: -3, Succeeded: 1}}
+	for _, m := range []PeerMessageType{1, 2, 3, 4} {
+		for _, entries := range [][]PeerLoad{nil, few, many} {
 			all = append(all, struct {
-				m       peerMessageType
-				entries []peerEntry
+				m       PeerMessageType
+				entries []PeerLoad
 			}{m, entries})
 		}
 	}
@@ -154,12 +154,12 @@
 			read = append(read, fmt.Sprint(int(c.m)))
 		}
 		for _, e := range c.entries {
-			good, bad := min(e.succeeded, 15), min(e.failed, 15)
+			good, bad := min(e.Succeeded, 15), min(e.Failed, 15)
 			if c.m != 1 {
 				good, bad = 0, 0
 			}
-			load := math.Floor(math.Min(math.Max(e.load, 0), 255))
-			read = append(read, fmt.Sprint(int(c.m), " ", e.tag, " ", load, " ", good, " ", bad))
+			load := math.Floor(math.Min(math.Max(e.Threads, 0), 255))
+			read = append(read, fmt.Sprint(int(c.m), " ", e.Tag, " ", load, " ", good, " ", bad))
 		}
 	}
 	data := golden(t, "peer_messages.txt", current.Bytes())
@@ -172,18 +172,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m, entries := decodePeerMessage(message)
+		m, entries := DecodePeerMessage(message)
 		if len(entries) == 0 {
 			got = append(got, fmt.Sprint(int(m)))
 		}
 		for _, e := range entries {
-			got = append(got, fmt.Sprint(int(m), " ", e.tag, " ", e.load, " ", e.succeeded, " ", e.failed))
+			got = append(got, fmt.Sprint(int(m), " ", e.Tag, " ", e.Threads, " ", e.Succeeded, " ", e.Failed))
 		}
 	}
 	if fmt.Sprint(got) != fmt.Sprint(read) {
 		t.Errorf("messages are read as\n%v\nwant\n%v", got, read)
 	}
-	if got := EngineTag("10.0.0.1:7000"); got != engineTag("10.0.0.1:7000") || got != goldenTag {
+	if got := EngineTag("10.0.0.1:7000"); got != goldenTag {
 		t.Errorf("tag of an engine is %#x, want %#x", got, goldenTag)
 	}
 }
--- a/gossip.go
+++ b/gossip.go
@@ -44,17 +44,17 @@
 
 func (g *Gateway) gossip() {
 	if len(g.toForward) > 0 { // a batch of a tick costs far less than a message to all for each query
-		g.sendToPeer(-1, peerForwardedSends, g.toForward)
+		g.sendToPeer(-1, PeerForwardedSends, g.toForward)
 		g.toForward = g.toForward[:0]
 	}
 	if !g.cfg.MayGossip || g.cfg.GatewayCount < 2 || g.now < g.gossipAt {
 		return
 	}
 	g.gossipAt = g.now + peerReportInterval
-	var own []peerEntry
+	var own []PeerLoad
 	for _, e := range g.engineList {
 		if e.ownThreads > 0 || e.succeeded+e.failed > 0 {
-			own = append(own, peerEntry{e.tag, e.ownThreads, e.succeeded, e.failed})
+			own = append(own, PeerLoad{e.tag, e.ownThreads, e.succeeded, e.failed})
 			e.succeeded, e.failed = 0, 0
 		}
 	}
@@ -64,7 +64,7 @@
 		if h := g.aggregator(turn); h == g.cfg.Ordinal {
 			gathers = g.aggregationRounds + 1
 		} else {
-			g.sendToPeer(h, peerLoadReport, own)
+			g.sendToPeer(h, PeerLoadReport, own)
 		}
 	}
 	if g.aggregationRounds = gathers; gathers == 0 {
@@ -90,12 +90,12 @@
 	}
 	for _, r := range g.peerReports {
 		for _, n := range r.entries {
-			if e := g.enginesByTag[n.tag]; e != nil && g.now-r.at < 2*peerReportInterval {
-				e.aggregateLoad += n.load
+			if e := g.enginesByTag[n.Tag]; e != nil && g.now-r.at < 2*peerReportInterval {
+				e.aggregateLoad += n.Threads
 			}
 		}
 	}
-	var sums []peerEntry
+	var sums []PeerLoad
 	for _, e := range g.engineList {
 		worse := math.Max(0, e.failedTotal/(e.failedTotal+e.succeededTotal+1)-bad/(bad+good+1))
 		load := math.Min(e.aggregateLoad*(1+failureCostWeight*worse), maxPeerLoad-1)
@@ -103,34 +103,34 @@
 			load = maxPeerLoad
 		}
 		if e.active {
-			sums = append(sums, peerEntry{tag: e.tag, load: load})
+			sums = append(sums, PeerLoad{Tag: e.tag, Threads: load})
 		}
 		e.succeededTotal, e.failedTotal = e.succeededTotal*peerOutcomeRetention, e.failedTotal*peerOutcomeRetention
 	}
-	g.sendToPeer(-1, peerAggregate, sums)
-	g.applyPeerLoads(peerAggregate, sums)
+	g.sendToPeer(-1, PeerAggregate, sums)
+	g.applyPeerLoads(PeerAggregate, sums)
 }
 
 // applyPeerLoads takes in loads: sums replace what was known, sent queries add to it until the sums hold
 // them.
-func (g *Gateway) applyPeerLoads(m peerMessageType, entries []peerEntry) {
+func (g *Gateway) applyPeerLoads(m PeerMessageType, entries []PeerLoad) {
 	threads, cores := 0.0, 0.0
 	for _, n := range entries {
-		e := g.enginesByTag[n.tag]
+		e := g.enginesByTag[n.Tag]
 		if e == nil {
 			continue
 		}
 		g.integrateMix(e)
 		others := &e.runningCount[len(g.classList)]
-		if m != peerAggregate {
-			e.recentSends += n.load * g.unobservedShare(e)
-			*others += n.load * g.unobservedShare(e)
+		if m != PeerAggregate {
+			e.recentSends += n.Threads * g.unobservedShare(e)
+			*others += n.Threads * g.unobservedShare(e)
 			continue
 		}
-		if n.load < maxPeerLoad {
-			threads, cores = threads+n.load, cores+e.kind.cores
+		if n.Threads < maxPeerLoad {
+			threads, cores = threads+n.Threads, cores+e.kind.cores
 		}
-		*others, e.loadKnownAt = math.Max(0, n.load-e.ownThreads)*g.unobservedShare(e)+e.recentSends, g.now
+		*others, e.loadKnownAt = math.Max(0, n.Threads-e.ownThreads)*g.unobservedShare(e)+e.recentSends, g.now
 	}
 	if cores > 0 {
 		g.fleetLoad, g.peerLoadAt = threads/cores, g.now
@@ -141,26 +141,26 @@
 }
 
 func (g *Gateway) handlePeerMessage(ev *Event) {
-	m, entries := decodePeerMessage(ev.Data)
+	m, entries := DecodePeerMessage(ev.Data)
 	switch {
 	case ev.Peer < 0 || ev.Peer >= g.cfg.GatewayCount:
-	case m == peerLoadReport:
+	case m == PeerLoadReport:
 		g.collectReport(ev.Peer, entries)
-	case m == peerSendNotice:
+	case m == PeerSendNotice:
 		g.toForward = append(g.toForward, entries...)
 		fallthrough
-	case m == peerForwardedSends || m == peerAggregate:
+	case m == PeerForwardedSends || m == PeerAggregate:
 		g.applyPeerLoads(m, entries)
 	}
 }
 
 // collectReport takes in a report.
-func (g *Gateway) collectReport(peer int, entries []peerEntry) {
+func (g *Gateway) collectReport(peer int, entries []PeerLoad) {
 	g.peerReports[peer] = receivedReport{g.now, entries}
 	for _, n := range entries {
-		if e := g.enginesByTag[n.tag]; e != nil {
-			e.succeededTotal += float64(n.succeeded)
-			e.failedTotal += float64(n.failed)
+		if e := g.enginesByTag[n.Tag]; e != nil {
+			e.succeededTotal += float64(n.Succeeded)
+			e.failedTotal += float64(n.Failed)
 		}
 	}
 }
@@ -168,10 +168,10 @@
 // receivedReport is what a peer told of what it runs.
 type receivedReport struct {
 	at      time.Duration
-	entries []peerEntry
+	entries []PeerLoad
 }
 
-func (g *Gateway) sendToPeer(peer int, m peerMessageType, entries []peerEntry) {
+func (g *Gateway) sendToPeer(peer int, m PeerMessageType, entries []PeerLoad) {
 	for _, data := range encodePeerMessage(m, entries) {
 		g.emit(Action{Type: SendToPeer, Peer: peer, Data: data})
 	}
--- a/gossip_test.go
+++ b/gossip_test.go
@@ -40,18 +40,18 @@
 func uniformPeerReport(b *harness, load float64) receivedReport {
 	r := receivedReport{at: b.now}
 	for _, e := range b.g.engineList {
-		r.entries = append(r.entries, peerEntry{tag: e.tag, load: load})
+		r.entries = append(r.entries, PeerLoad{Tag: e.tag, Threads: load})
 	}
 	return r
 }
 
 // deliverAggregate tells a gateway of loads on engines, as a hub would.
 func deliverAggregate(b *harness, loads map[EngineID]float64) {
-	var entries []peerEntry
+	var entries []PeerLoad
 	for _, e := range b.g.engineList {
-		entries = append(entries, peerEntry{tag: e.tag, load: loads[e.ID]})
+		entries = append(entries, PeerLoad{Tag: e.tag, Threads: loads[e.ID]})
 	}
-	for _, data := range encodePeerMessage(peerAggregate, entries) {
+	for _, data := range encodePeerMessage(PeerAggregate, entries) {
 		b.advance(0, Event{Type: PeerMessageReceived, Peer: 3, Data: data})
 	}
 }
@@ -89,17 +89,17 @@
 		turn++
 	}
 	b.now = turn * aggregatorTermLength
-	bad, fine := engineTag("e00"), engineTag("e01")
-	var told []peerEntry
+	bad, fine := EngineTag("e00"), EngineTag("e01")
+	var told []PeerLoad
 	for range 60 {
 		for peer := 1; peer < 6; peer++ {
-			for _, data := range encodePeerMessage(peerLoadReport, []peerEntry{{bad, 0, 0, 3}, {fine, 2, 5, 0}}) {
+			for _, data := range encodePeerMessage(PeerLoadReport, []PeerLoad{{bad, 0, 0, 3}, {fine, 2, 5, 0}}) {
 				b.advance(0, Event{Type: PeerMessageReceived, Peer: peer, Data: data})
 			}
 		}
 		for _, a := range b.advance(50*ms, Event{Type: TimerFired}) {
 			if a.Type == SendToPeer && a.Peer == -1 {
-				if m, entries := decodePeerMessage(a.Data); m == peerAggregate {
+				if m, entries := DecodePeerMessage(a.Data); m == PeerAggregate {
 					told = entries
 				}
 			}
@@ -107,10 +107,10 @@
 	}
 	for _, e := range told {
 		switch {
-		case e.tag == bad && e.load != maxPeerLoad:
-			t.Errorf("an engine that only fails is told with load %v", e.load)
-		case e.tag == fine && (e.load < 10 || e.load == maxPeerLoad):
-			t.Errorf("five gateways with two threads each are told as %v", e.load)
+		case e.Tag == bad && e.Threads != maxPeerLoad:
+			t.Errorf("an engine that only fails is told with load %v", e.Threads)
+		case e.Tag == fine && (e.Threads < 10 || e.Threads == maxPeerLoad):
+			t.Errorf("five gateways with two threads each are told as %v", e.Threads)
 		}
 	}
 	if len(told) != 4 {
--- a/internal/membership/validation/validator.go
+++ b/internal/membership/validation/validator.go
@@ -153,28 +153,29 @@
 }
 
 func (j *Validator) validate(now, clock time.Duration, from, members int, data []byte) Result {
-	report, sums, relayed, loads, ok := cresspass.DecodePeerMessage(data)
-	if !ok {
+	message, loads := cresspass.DecodePeerMessage(data)
+	if message == cresspass.PeerMessageUnknown {
 		return Malformed
 	}
 	if until, caught := j.blockedUntil[from]; caught && now < until {
 		return SenderBlocked
 	}
-	if (sums || relayed) && !cresspass.MayAggregate(from, members, clock) {
+	fromAggregator := message == cresspass.PeerAggregate || message == cresspass.PeerForwardedSends
+	if fromAggregator && !cresspass.MayAggregate(from, members, clock) {
 		return NotAggregator
 	}
 	var w Result
-	switch {
-	case report:
+	switch message {
+	case cresspass.PeerLoadReport:
 		w = j.validateReport(now, from, loads)
-	case sums:
+	case cresspass.PeerAggregate:
 		w = j.validateAggregate(now, from, loads)
 	default:
-		w = j.validateSent(now, from, loads, relayed)
+		w = j.validateSent(now, from, loads, fromAggregator)
 	}
 	// Danger: one that gathers passes on what liars told it; only one's own word is held against it. And a
 	// report of much may be the truth of one that has nearly all clients: it is left out, and heard again.
-	if w == OutOfRange && !sums && !relayed && len(j.blockedUntil) < maxTrackedPeers {
+	if w == OutOfRange && !fromAggregator && len(j.blockedUntil) < maxTrackedPeers {
 		j.blockedUntil[from] = now + j.limits.BlockFor
 	}
 	return w
--- a/internal/membership/validation/validator_test.go
+++ b/internal/membership/validation/validator_test.go
@@ -150,7 +150,8 @@
 			if j.Validate(now, clock, from, 1+rapid.IntRange(0, 600).Draw(t, "members"), data) != Accepted {
 				continue
 			}
-			_, sums, _, loads, _ := cresspass.DecodePeerMessage(data)
+			message, loads := cresspass.DecodePeerMessage(data)
+			sums := message == cresspass.PeerAggregate
 			sick := 0
 			for _, l := range loads {
 				if sums && l.Threads == cresspass.PeerLoadEjected {
--- a/peer_message_test.go
+++ b/peer_message_test.go
@@ -6,28 +6,28 @@
 )
 
 func TestPeerMessagesReadBackAsWritten(t *testing.T) {
-	var entries []peerEntry
+	var entries []PeerLoad
 	for i := range 200 {
 		entries = append(
 			entries,
-			peerEntry{tag: uint16(i * 311), load: float64(i), succeeded: i % 16, failed: i % 7},
+			PeerLoad{Tag: uint16(i * 311), Threads: float64(i), Succeeded: i % 16, Failed: i % 7},
 		)
 	}
-	for _, m := range []peerMessageType{peerLoadReport, peerAggregate, peerSendNotice, peerForwardedSends} {
-		var got []peerEntry
+	for _, m := range []PeerMessageType{PeerLoadReport, PeerAggregate, PeerSendNotice, PeerForwardedSends} {
+		var got []PeerLoad
 		for _, data := range encodePeerMessage(m, entries) {
 			if len(data) > maxPeerMessageBytes {
 				t.Errorf("type %d: message of %d bytes", m, len(data))
 			}
-			kind, part := decodePeerMessage(data)
+			kind, part := DecodePeerMessage(data)
 			if kind != m {
 				t.Errorf("type %d read as %d", m, kind)
 			}
 			got = append(got, part...)
 		}
 		for i, e := range entries {
-			if m != peerLoadReport {
-				e.succeeded, e.failed = 0, 0
+			if m != PeerLoadReport {
+				e.Succeeded, e.Failed = 0, 0
 			}
 			if got[i] != e {
 				t.Fatalf("type %d, entry %d: got %v, want %v", m, i, got[i], e)
@@ -42,9 +42,9 @@
 	f.Add([]byte{3})
 	f.Add([]byte{77, 1, 2, 3})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		m, entries := decodePeerMessage(data)
+		m, entries := DecodePeerMessage(data)
 		for _, e := range entries {
-			if e.load < 0 || e.load > maxPeerLoad || e.succeeded > maxPeerCount || e.failed > maxPeerCount {
+			if e.Threads < 0 || e.Threads > maxPeerLoad || e.Succeeded > maxPeerCount || e.Failed > maxPeerCount {
 				t.Errorf("entry out of its clip: %v", e)
 			}
 		}
