--- a/internal/affinity/orphanedsession/cleanup.go
+++ b/internal/affinity/orphanedsession/cleanup.go
@@ -1,9 +1,11 @@
-// Package orphanedsession decides what a dispatcher that came back does about the sessions that its former
-// life, killed, left open on engines: their clients are gone, and their transactions and locks are nobody's.
-// It does no I/O and reads no clock: engines and ends of visits go in, visits come out.
+// Package orphanedsession decides what a restarted dispatcher does about the sessions that its previous
+// incarnation, killed, left open on engines: their clients are gone, and nobody will end their transactions
+// or release their locks. It does no I/O, reads no clock and takes no lock: engines and the ends of
+// requests go in, requests come out.
 //
-// A connection whose dispatcher was killed is mostly closed by the system, and the engine ends its session by
-// itself; where it runs a statement, or the machine itself was lost, it does not notice for long.
+// The operating system mostly closes the connections of a killed dispatcher, and the engine ends their
+// sessions by itself. Where it runs a statement, or the dispatcher's machine was lost, it does not notice
+// for long.
 package orphanedsession
 
 import (
@@ -11,129 +13,136 @@
 	"time"
 )
 
-// Session is a session that was kept on an engine connection.
+// Session is a session that was sticky on an engine connection. It is stored in the state log as JSON.
 type Session struct {
-	ID              uint64 `json:"-"`
+	ID              uint64 `json:"-"` // the key of its record; 0: not recorded
 	Engine          string `json:"engine"`
 	PID             uint32 `json:"pid"`
 	Secret          []byte `json:"secret"` // of cancel requests
 	IncarnationName string `json:"life"`   // application_name of the connection
 }
 
-// Limits of visits.
+// Limits of requests.
 const (
-	MaxConcurrent = 8                      // engines visited at a time
-	MinBackoff    = 200 * time.Millisecond // after a visit that failed; doubled each time...
-	MaxBackoff    = 10 * time.Second       // ...up to this
-	// GiveUpAfter is when an engine out of reach is taken to be dead, and its sessions with it.
+	MaxConcurrent = 8                      // requests in flight
+	MinBackoff    = 200 * time.Millisecond // after a request that failed; doubled each time
+	MaxBackoff    = 10 * time.Second
+	// GiveUpAfter is when an engine that cannot be reached is taken to be dead, and its sessions with it.
 	GiveUpAfter = 10 * time.Minute
 )
 
-// Request is one call at an engine: cancel what the sessions run, and end all that carry one of the names.
+// Request is one call at an engine: cancel what the sessions run, and terminate all sessions whose
+// application_name is one of the names.
 type Request struct {
 	Engine           string
 	IncarnationNames []string
 	Sessions         []Session
 }
 
+// engineState is how far the cleanup of one engine has come.
 type engineState struct {
 	sessions  []Session
-	listed    bool
 	inFlight  bool
-	backoff   time.Duration
-	notBefore time.Duration // not before
 	done      bool
+	backoff   time.Duration // after the last failure
+	notBefore time.Duration // of the next request
 }
 
-// Cleanup looks for the orphans of former lives. Make one with New.
+// Cleanup plans the requests that end the sessions of previous incarnations. Make one with New.
 type Cleanup struct {
 	incarnationNames []string
 	engines          map[string]*engineState
-	order            []string
+	order            []string // of engines, sorted
 	startedAt        time.Duration
 	inFlight         int
-	listed           bool
+	listed           bool // an engine list has come
 }
 
-// New begins a hunt at a time for the sessions of former lives. lives are their connections' names: also what
-// no record tells of is found by them.
+// New starts a cleanup at a time. The names are the application_name of each previous incarnation's
+// connections: sessions that no record tells of are found by them.
 func New(now time.Duration, incarnationNames []string, sessions []Session) *Cleanup {
-	h := &Cleanup{incarnationNames: incarnationNames, engines: map[string]*engineState{}, startedAt: now}
+	c := &Cleanup{incarnationNames: incarnationNames, engines: map[string]*engineState{}, startedAt: now}
 	for _, s := range sessions {
-		h.engine(s.Engine).sessions = append(h.engine(s.Engine).sessions, s)
+		engine := c.engine(s.Engine)
+		engine.sessions = append(engine.sessions, s)
 	}
-	return h
+	return c
 }
 
-func (h *Cleanup) engine(engine string) *engineState {
-	p := h.engines[engine]
-	if p == nil {
-		p = &engineState{}
-		h.engines[engine] = p
-		h.order = append(h.order, engine)
-		sort.Strings(h.order)
+// engine returns the state of an engine, which it adds if it is new.
+func (c *Cleanup) engine(address string) *engineState {
+	engine := c.engines[address]
+	if engine == nil {
+		engine = &engineState{}
+		c.engines[address] = engine
+		c.order = append(c.order, address)
+		sort.Strings(c.order)
 	}
-	return p
+	return engine
 }
 
-// EnginesListed takes the engines of a list. All of them are visited once, as a session that was young when
-// the dispatcher died may stand in no record; one that is on no list any more is visited where a record
-// names it.
-func (h *Cleanup) EnginesListed(engines []string) {
-	if len(h.incarnationNames) == 0 || len(engines) == 0 {
+// EnginesListed takes the engines of an endpoint list. Each gets one request that succeeds: a session that
+// was young when the dispatcher died may stand in no record. An engine that is no longer listed gets one
+// where a record names it.
+func (c *Cleanup) EnginesListed(addresses []string) {
+	if len(c.incarnationNames) == 0 || len(addresses) == 0 {
 		return
 	}
-	h.listed = true
-	for _, address := range engines {
-		h.engine(address).listed = true
+	c.listed = true
+	for _, address := range addresses {
+		c.engine(address)
 	}
 }
 
-// DueRequests returns the visits that are due.
-func (h *Cleanup) DueRequests(now time.Duration) (out []Request) {
-	if now-h.startedAt >= GiveUpAfter {
-		for _, p := range h.engines {
-			p.done = true
+// DueRequests returns the requests to send now.
+func (c *Cleanup) DueRequests(now time.Duration) (requests []Request) {
+	if now-c.startedAt >= GiveUpAfter {
+		for _, engine := range c.engines {
+			engine.done = true
 		}
 	}
-	for _, engine := range h.order {
-		p := h.engines[engine]
-		if p.done || p.inFlight || now < p.notBefore || h.inFlight >= MaxConcurrent {
+	for _, address := range c.order {
+		engine := c.engines[address]
+		if engine.done || engine.inFlight || now < engine.notBefore || c.inFlight >= MaxConcurrent {
 			continue
 		}
-		p.inFlight = true
-		h.inFlight++
-		out = append(out, Request{Engine: engine, IncarnationNames: h.incarnationNames, Sessions: p.sessions})
+		engine.inFlight = true
+		c.inFlight++
+		requests = append(requests, Request{
+			Engine:           address,
+			IncarnationNames: c.incarnationNames,
+			Sessions:         engine.sessions,
+		})
 	}
-	return out
+	return requests
 }
 
-// RequestDone takes the end of a visit. It returns the sessions that need no record any more.
-func (h *Cleanup) RequestDone(now time.Duration, engine string, ok bool) []Session {
-	p := h.engines[engine]
-	if p == nil || !p.inFlight {
+// RequestDone takes the end of a request. It returns the sessions whose records are no longer needed.
+func (c *Cleanup) RequestDone(now time.Duration, address string, ok bool) []Session {
+	engine := c.engines[address]
+	if engine == nil || !engine.inFlight {
 		return nil
 	}
-	p.inFlight = false
-	h.inFlight--
+	engine.inFlight = false
+	c.inFlight--
 	if ok {
-		p.done = true
-		return p.sessions
+		engine.done = true
+		return engine.sessions
 	}
-	p.backoff = min(max(MinBackoff, 2*p.backoff), MaxBackoff)
-	p.notBefore = now + p.backoff
+	engine.backoff = min(max(MinBackoff, 2*engine.backoff), MaxBackoff)
+	engine.notBefore = now + engine.backoff
 	return nil
 }
 
-// Finished reports whether nothing is left to do: all engines were visited, or given up.
-func (h *Cleanup) Finished() bool {
-	if len(h.incarnationNames) > 0 && !h.listed && len(h.engines) == 0 {
-		return false // no list has come yet
+// Finished reports whether nothing is left to do: every engine has had its request, or was given up.
+func (c *Cleanup) Finished() bool {
+	if len(c.incarnationNames) > 0 && !c.listed && len(c.engines) == 0 {
+		return false // no endpoint list has come yet
 	}
-	for _, p := range h.engines {
-		if !p.done || p.inFlight {
+	for _, engine := range c.engines {
+		if !engine.done || engine.inFlight {
 			return false
 		}
 	}
-	return h.listed || len(h.incarnationNames) == 0
+	return c.listed || len(c.incarnationNames) == 0
 }
--- a/internal/affinity/orphanedsession/cleanup_test.go
+++ b/internal/affinity/orphanedsession/cleanup_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// However visits fail, no engine is visited twice at once, nor after a good visit, nor more at a time than
-// the limit; each that can be reached is visited, and the hunt ends.
+// However requests fail, no engine has two in flight, nor one after a request that succeeded, nor are more in
+// flight than the limit; each engine that can be reached gets one that succeeds, and the cleanup finishes.
 func TestCleanup(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"}
@@ -17,50 +17,50 @@
 			sessions = append(sessions, Session{ID: uint64(i + 1), PID: uint32(i),
 				Engine: rapid.SampledFrom(names).Draw(t, "engine")})
 		}
-		h := New(0, []string{"life"}, sessions)
+		c := New(0, []string{"incarnation"}, sessions)
 		dead := map[string]bool{}
 		for _, n := range names {
 			dead[n] = rapid.IntRange(0, 4).Draw(t, "dead") == 0
 		}
 		listed := names[:rapid.IntRange(1, len(names)).Draw(t, "listed")]
-		out, visited, ended := map[string]bool{}, map[string]bool{}, map[uint64]bool{}
+		inFlight, reached, released := map[string]bool{}, map[string]bool{}, map[uint64]bool{}
 		now := time.Duration(0)
-		for step := 0; !h.Finished(); step++ {
+		for step := 0; !c.Finished(); step++ {
 			if step == 3 {
-				h.EnginesListed(listed)
+				c.EnginesListed(listed)
 			}
-			for _, v := range h.DueRequests(now) {
-				if out[v.Engine] || visited[v.Engine] {
-					t.Fatalf("%s visited again", v.Engine)
+			for _, request := range c.DueRequests(now) {
+				if inFlight[request.Engine] || reached[request.Engine] {
+					t.Fatalf("%s gets another request", request.Engine)
 				}
-				out[v.Engine] = true
+				inFlight[request.Engine] = true
 			}
-			if len(out) > MaxConcurrent {
-				t.Fatalf("%d visits at once", len(out))
+			if len(inFlight) > MaxConcurrent {
+				t.Fatalf("%d requests in flight", len(inFlight))
 			}
 			for _, n := range names {
-				if out[n] && rapid.Bool().Draw(t, "ends") {
+				if inFlight[n] && rapid.Bool().Draw(t, "ends") {
 					ok := !dead[n] && rapid.Bool().Draw(t, "ok")
-					for _, s := range h.RequestDone(now, n, ok) {
-						ended[s.ID] = true
+					for _, s := range c.RequestDone(now, n, ok) {
+						released[s.ID] = true
 					}
-					delete(out, n)
-					visited[n] = visited[n] || ok
+					delete(inFlight, n)
+					reached[n] = reached[n] || ok
 				}
 			}
 			now += time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond
 			if now > GiveUpAfter+time.Hour {
-				t.Fatal("the hunt does not end")
+				t.Fatal("the cleanup does not finish")
 			}
 		}
 		for _, n := range listed {
-			if !dead[n] && !visited[n] && now < GiveUpAfter {
-				t.Fatalf("%s was not visited", n)
+			if !dead[n] && !reached[n] && now < GiveUpAfter {
+				t.Fatalf("%s was not reached", n)
 			}
 		}
 		for _, s := range sessions {
-			if visited[s.Engine] != ended[s.ID] {
-				t.Fatalf("session %d: visited %v, ended %v", s.ID, visited[s.Engine], ended[s.ID])
+			if reached[s.Engine] != released[s.ID] {
+				t.Fatalf("session %d: reached %v, released %v", s.ID, reached[s.Engine], released[s.ID])
 			}
 		}
 	})
--- /dev/null
+++ b/internal/affinity/reason.go
@@ -0,0 +1,47 @@
+package affinity
+
+// Reason is a piece of session state that lives on one engine connection and makes its session sticky.
+type Reason int
+
+// The reasons, with the page of PostgreSQL's documentation that describes the state.
+const (
+	// ReasonSetting: SET without LOCAL of a setting that is not replayed on other connections, or whose
+	// value is not known ("SET").
+	ReasonSetting Reason = iota
+	// ReasonTempTable: a temporary table, view or sequence ("CREATE TABLE": dropped at the end of a
+	// session).
+	ReasonTempTable
+	// ReasonHeldCursor: a cursor WITH HOLD ("DECLARE": remains after the transaction that made it commits).
+	ReasonHeldCursor
+	// ReasonListen: LISTEN ("LISTEN": registrations are cleared when the session ends).
+	ReasonListen
+	// ReasonAdvisoryLock: a session-level advisory lock ("Advisory Locks": held until released or the
+	// session ends).
+	ReasonAdvisoryLock
+	// ReasonPrepared: PREPARE by SQL ("PREPARE": last for the duration of the session).
+	ReasonPrepared
+	// ReasonUnknownEffect: something that may have left state: a DO block, a CALL, LOAD, a function whose
+	// effects are not known, or a statement during which the engine reported a setting that no statement
+	// changes.
+	ReasonUnknownEffect
+	reasonCount
+)
+
+// reasonNone says that nothing makes a session sticky.
+const reasonNone Reason = -1
+
+// String is the text that clients read in notices.
+func (r Reason) String() string {
+	return [...]string{
+		"a session setting",
+		"a temporary table",
+		"a held cursor",
+		"LISTEN",
+		"an advisory lock",
+		"a statement prepared by SQL",
+		"a function or procedure that may have left state",
+	}[r]
+}
+
+// reasonSet has an entry for each Reason.
+type reasonSet [reasonCount]bool
--- a/internal/affinity/session_test.go
+++ b/internal/affinity/session_test.go
@@ -8,22 +8,22 @@
 	"cresspass/internal/protocol/sqlscan"
 )
 
-// runStatement sends a text and answers it by its tags and status.
-func runStatement(s *Session, text, tags string, status byte) {
+// runStatement sends a text and completes it with a tag ("": an error came) and a transaction status.
+func runStatement(s *Session, text, tag string, status byte) {
 	s.StatementsSent(sqlscan.Statements(text))
-	if tags != "" {
-		s.CommandComplete(tags)
+	if tag != "" {
+		s.CommandComplete(tag)
 	}
 	s.ReadyForQuery(0, status)
 }
 
-// The pin table: what a statement leaves, and what frees it.
+// What makes a session sticky, and what releases it.
 func TestStickyReasonTable(t *testing.T) {
 	for _, c := range []struct {
 		text, tag string
 		status    byte
 		want      State
-		frees     string // text and tag alike
+		releases  string // text and, but for RESET and UNLISTEN, its tag
 	}{
 		{"select 1", "SELECT 1", 'I', StateFree, ""},
 		{"begin", "BEGIN", 'T', StateInTransaction, ""},
@@ -46,34 +46,35 @@
 		{"select pg_advisory_lock(1)", "SELECT 1", 'I', StateSticky, "DISCARD ALL"},
 		{"select pg_advisory_xact_lock(1)", "SELECT 1", 'I', StateFree, ""},
 		{"do $$ begin perform 1; end $$", "DO", 'I', StateSticky, "DISCARD ALL"},
-		{"create temp table t (a int)", "", 'I', StateSticky, "DISCARD ALL"}, // an error came: in doubt it pins
+		// An error came: in doubt the session is sticky.
+		{"create temp table t (a int)", "", 'I', StateSticky, "DISCARD ALL"},
 	} {
 		s := NewSession()
 		runStatement(s, c.text, c.tag, c.status)
 		if s.State() != c.want || s.Bound() != (c.want != StateFree) {
 			t.Errorf("%s: %v, bound %v, want %v", c.text, s.State(), s.Bound(), c.want)
 		}
-		if c.frees != "" {
-			runStatement(s, c.frees, "", 'I') // sent, but failed: it frees nothing
+		if c.releases != "" {
+			runStatement(s, c.releases, "", 'I') // sent, but failed: it releases nothing
 			if s.State() != StateSticky {
-				t.Errorf("%s, then %s that failed: %v", c.text, c.frees, s.State())
+				t.Errorf("%s, then %s that failed: %v", c.text, c.releases, s.State())
 			}
-			tag := c.frees
+			tag := c.releases
 			if tag == "RESET ALL" || tag == "UNLISTEN *" {
 				tag = tag[:len(tag)-4]
-				if c.frees == "UNLISTEN *" {
+				if c.releases == "UNLISTEN *" {
 					tag = "UNLISTEN"
 				}
 			}
-			runStatement(s, c.frees, tag, 'I')
+			runStatement(s, c.releases, tag, 'I')
 			if s.State() != StateFree {
-				t.Errorf("%s, then %s: %v", c.text, c.frees, s.State())
+				t.Errorf("%s, then %s: %v", c.text, c.releases, s.State())
 			}
 		}
 	}
 }
 
-// expires reports whether a copy of a session would be ended at a time.
+// expires reports whether a copy of a session would be ended by its drain deadline at a time.
 func expires(s Session, now time.Duration) bool {
 	_, ok := s.Expire(now, true, Limits{})
 	return ok
@@ -84,10 +85,10 @@
 	s := NewSession()
 	s.StatementsSent(sqlscan.Statements("begin"))
 	if !s.ReadyForQuery(10*time.Second, 'T') {
-		t.Error("a transaction's beginning changes nothing")
+		t.Error("the session does not become bound with its transaction")
 	}
 	if _, ok := s.Expire(10900*time.Millisecond, false, l); ok {
-		t.Error("ended before its time")
+		t.Error("ended before its limit")
 	}
 	if _, ok := s.Expire(20*time.Second, true, l); ok {
 		t.Error("ended while its statement runs")
@@ -98,37 +99,20 @@
 	s = NewSession()
 	runStatement(s, "listen x", "LISTEN", 'I')
 	if e, ok := s.Expire(61*time.Second, false, l); !ok || e.Code != "57P01" {
-		t.Errorf("kept for too long: %+v %v", e, ok)
-	}
-	g := NewLimiter(Limits{MaxTotal: 3, MaxPerUser: 2})
-	for _, u := range []string{"a", "a", "b"} {
-		if why, ok := g.Allow(u); !ok {
-			t.Error(why)
-		}
-		g.Add(u)
-	}
-	if why, ok := g.Allow("c"); ok || !strings.Contains(why, "3 sessions") {
-		t.Error("a fourth of three: ", why)
-	}
-	g.Remove("b")
-	if why, ok := g.Allow("a"); ok || !strings.Contains(why, "user") {
-		t.Error("a third of a user's two: ", why)
-	}
-	if _, ok := g.Allow("c"); !ok || g.Total() != 2 {
-		t.Error("room is not given back")
+		t.Errorf("sticky for too long: %+v %v", e, ok)
 	}
 }
 
-// Every order of statements, answers, drain, death and cancel, to a depth of six, on copies of the state: a
-// session that is in a transaction or holds state is bound; an ended one is nothing more; only a commit whose
-// answer did not come is in doubt; a doomed one is due at its limit and never before; and a free one is never
-// told of a drain.
+// Every order of statements, responses, drain and engine loss, to a depth of six, on copies of the state: a
+// session that is in a transaction or has a reason is bound; an ended one stays ended; only after a COMMIT
+// whose response did not come is the outcome unknown; a draining one expires at its deadline and never before;
+// and a free one gets no notice of a drain.
 func TestAllEventOrders(t *testing.T) {
 	type step struct {
 		name string
 		do   func(s *Session)
 	}
-	const limit = 5 * time.Second
+	const deadline = 5 * time.Second
 	steps := []step{
 		{"begin", func(s *Session) { runStatement(s, "begin", "BEGIN", 'T') }},
 		{"statement", func(s *Session) { runStatement(s, "select 1", "SELECT 1", s.txStatus) }},
@@ -145,7 +129,7 @@
 			func(s *Session) { runStatement(s, "create temp table t (a int)", "CREATE TABLE", s.txStatus) },
 		},
 		{"discard", func(s *Session) { runStatement(s, "discard all", "DISCARD ALL", s.txStatus) }},
-		{"drain", func(s *Session) { s.StartDrain(limit) }},
+		{"drain", func(s *Session) { s.StartDrain(deadline) }},
 		{"commit sent, engine lost", func(s *Session) {
 			if s.ended {
 				return
@@ -160,10 +144,10 @@
 			if s.ended {
 				return
 			}
-			was := s.txStatus
+			tx := s.txStatus
 			if e := s.ConnectionLost(false); e.Code == "08007" ||
-				(was != 'I') != (e.Detail == "The transaction was rolled back.") {
-				t.Fatalf("lost at rest in %c: %+v", was, e)
+				(tx != 'I') != (e.Detail == "The transaction was rolled back.") {
+				t.Fatalf("lost while idle in %c: %+v", tx, e)
 			}
 		}},
 	}
@@ -172,38 +156,33 @@
 	explore = func(s Session, path string, depth int) {
 		seen++
 		state := s.State()
-		holds := s.txStatus != 'I' || s.Reason() >= 0
+		mustBind := s.txStatus != 'I' || s.Reason() >= 0
 		switch {
 		case s.ended && (s.Bound() || state != StateEnded):
 			t.Fatalf("%s: ended, yet %v and bound %v", path, state, s.Bound())
-		case !s.ended && s.Bound() != holds:
-			t.Fatalf("%s: bound %v, holds %v", path, s.Bound(), holds)
-		case state == StateFree && (holds || s.draining):
-			t.Fatalf("%s: free, yet it holds", path)
-		case expires(s, limit-1):
-			t.Fatalf("%s: due before its limit", path)
-		case expires(s, limit) != (s.draining && !s.ended):
-			t.Fatalf(
-				"%s: doomed %v, ended %v, due at the limit %v",
-				path,
-				s.draining,
-				s.ended,
-				expires(s, limit),
-			)
+		case !s.ended && s.Bound() != mustBind:
+			t.Fatalf("%s: bound %v, want %v", path, s.Bound(), mustBind)
+		case state == StateFree && (mustBind || s.draining):
+			t.Fatalf("%s: free, yet bound or draining", path)
+		case expires(s, deadline-1):
+			t.Fatalf("%s: expires before its deadline", path)
+		case expires(s, deadline) != (s.draining && !s.ended):
+			t.Fatalf("%s: draining %v, ended %v, expires at the deadline: %v", path, s.draining, s.ended,
+				expires(s, deadline))
 		}
-		if !holds && !s.ended {
-			c := s
-			if c.StartDrain(limit) != "" || c.draining {
-				t.Fatalf("%s: a free session was told of a drain", path)
+		if !mustBind && !s.ended {
+			drained := s
+			if drained.StartDrain(deadline) != "" || drained.draining {
+				t.Fatalf("%s: a free session got a notice of a drain", path)
 			}
 		}
 		if depth == 0 {
 			return
 		}
 		for _, st := range steps {
-			c := s
-			st.do(&c)
-			explore(c, path+" > "+st.name, depth-1)
+			next := s
+			st.do(&next)
+			explore(next, path+" > "+st.name, depth-1)
 		}
 	}
 	explore(*NewSession(), "new", 6)
@@ -212,11 +191,11 @@
 	}
 }
 
-// Danger: what a statement frees is there again when its transaction is rolled back, or when the text sets it
-// anew behind; freed too early, the next client on the connection found it.
+// What a statement releases exists again when its transaction is rolled back, or when a later statement of the
+// same query creates it anew. Released too early, the next client on the connection would find it.
 func TestReleaseIsUndoneByRollback(t *testing.T) {
 	for _, c := range []struct {
-		last, tags string // of one text after SET my.x, LISTEN and a temporary table
+		last, tags string // of one query after SET my.x, LISTEN and a temporary table
 		free       bool
 	}{
 		{"reset all; unlisten *; discard temp", "RESET,UNLISTEN,DISCARD TEMP", true},
--- /dev/null
+++ b/internal/affinity/termination.go
@@ -0,0 +1,92 @@
+package affinity
+
+import "time"
+
+// Termination is why a session ended, in the terms of an error for its client.
+type Termination struct{ Code, Message, Detail string }
+
+// SQLSTATE codes of the errors that end a session.
+const (
+	sqlStateIdleInTransaction  = "25P03" // idle_in_transaction_session_timeout
+	sqlStateAdminShutdown      = "57P01" // admin_shutdown
+	sqlStateCrashShutdown      = "57P02" // crash_shutdown
+	sqlStateConnectionFailure  = "08006" // connection_failure
+	sqlStateTransactionUnknown = "08007" // transaction_resolution_unknown
+)
+
+const (
+	detailRolledBack = "The transaction was rolled back."
+	detailStateLost  = "What was kept there is gone."
+)
+
+// Expire ends a session whose time is over, and says why: its engine drains and the deadline has come, its
+// transaction was idle for too long, or it was sticky for too long. busy says that one of its statements
+// runs. It returns false, and changes nothing, where no limit has been reached.
+func (s *Session) Expire(now time.Duration, busy bool, l Limits) (Termination, bool) {
+	switch {
+	case s.ended || !s.Bound():
+	case s.draining && now >= s.drainDeadline:
+		return s.EndByDrain(), true
+	case !busy && s.txStatus != statusIdle && l.IdleInTransaction > 0 &&
+		now-s.idleSince >= l.IdleInTransaction:
+		s.ended = true
+		return Termination{
+			Code:    sqlStateIdleInTransaction,
+			Message: "terminating connection due to idle-in-transaction timeout",
+			Detail:  detailRolledBack,
+		}, true
+	case !busy && s.txStatus == statusIdle && l.MaxAge > 0 && now-s.boundSince >= l.MaxAge:
+		s.ended = true
+		return Termination{
+			Code:    sqlStateAdminShutdown,
+			Message: "this session was kept on one engine for too long",
+			Detail:  detailStateLost,
+		}, true
+	}
+	return Termination{}, false
+}
+
+// ConnectionLost ends the session because its engine connection is gone. busy says that a statement was in
+// flight. The error says whether what the client last asked for may be in force.
+func (s *Session) ConnectionLost(busy bool) Termination {
+	s.ended = true
+	switch {
+	case busy && s.commitSent:
+		return Termination{
+			Code:    sqlStateTransactionUnknown,
+			Message: "the engine was lost after COMMIT was sent",
+			Detail:  "It is not known whether the transaction is in force.",
+		}
+	case s.txStatus != statusIdle:
+		return Termination{
+			Code:    sqlStateConnectionFailure,
+			Message: "the engine was lost in a transaction",
+			Detail:  detailRolledBack,
+		}
+	case busy:
+		return Termination{
+			Code:    sqlStateConnectionFailure,
+			Message: "the engine of this session was lost",
+			Detail:  "The last statement may have run.",
+		}
+	}
+	return Termination{
+		Code:    sqlStateCrashShutdown,
+		Message: "the engine of this session was lost",
+		Detail:  detailStateLost,
+	}
+}
+
+// EndByDrain ends the session because its engine drains.
+func (s *Session) EndByDrain() Termination {
+	detail := "What was kept there is gone; a new session will be on another engine."
+	if s.txStatus != statusIdle {
+		detail = detailRolledBack
+	}
+	s.ended = true
+	return Termination{
+		Code:    sqlStateAdminShutdown,
+		Message: "the engine that this session was kept on drains",
+		Detail:  detail,
+	}
+}
