--- a/cmd/cresspass/standins.go
+++ b/cmd/cresspass/standins.go
@@ -66,7 +66,7 @@
 	var l eds.List
 	for _, arg := range c.Engines {
 		parts := append(strings.Split(arg, ","), "", "", "")
-		e := eds.Engine{Address: parts[0], Kind: parts[1], Zone: parts[2], State: parts[3]}
+		e := eds.Engine{Address: parts[0], Kind: parts[1], Zone: parts[2], State: eds.EngineState(parts[3])}
 		if e.State == "" {
 			e.State = eds.StateActive
 		}
--- a/internal/discovery/eds/client.go
+++ b/internal/discovery/eds/client.go
@@ -2,76 +2,70 @@
 
 import (
 	"context"
-	"fmt"
+	"errors"
 	"log/slog"
-	"net"
-	"strconv"
 	"time"
 
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
-	endpointv3 "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	endpointservice "github.com/envoyproxy/go-control-plane/envoy/service/endpoint/v3"
 	"google.golang.org/genproto/googleapis/rpc/status"
 	"google.golang.org/grpc"
+	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/credentials/insecure"
-	"google.golang.org/protobuf/types/known/structpb"
 )
 
-// TypeURL is the resource type of endpoint discovery (xDS protocol, "Resource Types").
-const TypeURL = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
-
-// MetadataFilter is the filter name under which an endpoint's kind, start (seconds since 1970) and size
-// stand.
-const MetadataFilter = "cresspass"
-
 // Source is where engine lists come from.
 type Source interface {
 	// Run delivers lists, and failures of the subscription, until the context ends.
 	Run(ctx context.Context, list func(*List), failed func(error))
-	// Refresh asks for the complete list once more.
+	// Refresh requests the complete list once more.
 	Refresh()
 }
 
-// Client subscribes to an endpoint discovery service: state of the world, one resource, over gRPC.
+// Client subscribes to an endpoint discovery service over gRPC: state of the world, one resource. Make one
+// with NewClient.
 type Client struct {
 	Address string // host:port
-	Service string // the ClusterLoadAssignment's name
-	NodeID  string // how we name ourselves
+	Service string // the name of the ClusterLoadAssignment
+	NodeID  string // how the dispatcher identifies itself
 	Log     *slog.Logger
-	refresh chan struct{}
+	refresh chan struct{} // holds at most one request to refresh
 }
 
-// NewClient returns a source that is not yet running.
-func NewClient(address, service, node string, log *slog.Logger) *Client {
+// NewClient returns a client that is not yet running.
+func NewClient(address, service, nodeID string, log *slog.Logger) *Client {
 	return &Client{
 		Address: address,
 		Service: service,
-		NodeID:  node,
+		NodeID:  nodeID,
 		Log:     log,
 		refresh: make(chan struct{}, 1),
 	}
 }
 
-// Refresh asks for the list once more.
-func (s *Client) Refresh() {
+// Refresh requests the complete list once more.
+func (c *Client) Refresh() {
 	select {
-	case s.refresh <- struct{}{}:
-	default:
+	case c.refresh <- struct{}{}:
+	default: // one request is pending already
 	}
 }
 
-// minBackoff and maxBackoff bound the rest between two subscriptions.
+// minBackoff and maxBackoff bound the pause between two subscriptions, which doubles from one to the next.
 const (
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 2 * time.Second
 )
 
+// errRefresh ends a subscription because of Refresh.
+var errRefresh = errors.New("eds: the list was requested again")
+
 // Run subscribes, again and again, until the context ends.
-func (s *Client) Run(ctx context.Context, list func(*List), failed func(error)) {
+func (c *Client) Run(ctx context.Context, list func(*List), failed func(error)) {
 	backoff := minBackoff
 	for ctx.Err() == nil {
-		accepted, err := s.subscribe(ctx, list)
+		accepted, err := c.subscribe(ctx, list)
 		if ctx.Err() != nil {
 			return
 		}
@@ -81,18 +75,21 @@
 		}
 		select {
 		case <-time.After(backoff):
-		case <-s.refresh:
+		case <-c.refresh:
 		case <-ctx.Done():
 		}
 		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// subscribe runs one stream to its end. came tells whether a list was accepted.
-func (s *Client) subscribe(ctx context.Context, list func(*List)) (accepted bool, err error) {
+// endpointStream is one subscription.
+type endpointStream = endpointservice.EndpointDiscoveryService_StreamEndpointsClient
+
+// subscribe runs one subscription to its end. accepted says whether a list was accepted.
+func (c *Client) subscribe(ctx context.Context, list func(*List)) (accepted bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	conn, err := grpc.NewClient(s.Address, grpc.WithTransportCredentials(insecure.NewCredentials()))
+	conn, err := grpc.NewClient(c.Address, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		return false, err
 	}
@@ -101,154 +98,71 @@
 	if err != nil {
 		return false, err
 	}
-	request := func(version, nonce string, rejection error) error {
-		r := &discoveryv3.DiscoveryRequest{VersionInfo: version, ResponseNonce: nonce, TypeUrl: TypeURL,
-			ResourceNames: []string{s.Service}, Node: &corev3.Node{Id: s.NodeID}}
-		if rejection != nil {
-			r.ErrorDetail = &status.Status{Code: 3, Message: rejection.Error()}
-		}
-		return stream.Send(r)
-	}
-	version, nonce := "", ""
-	if err := request(version, nonce, nil); err != nil {
+	if err := c.request(stream, "", "", nil); err != nil {
 		return false, err
 	}
-	responses := make(chan *discoveryv3.DiscoveryResponse)
-	ended := make(chan error, 1)
-	go func() {
-		for {
-			m, err := stream.Recv()
-			if err != nil {
-				ended <- err
-				return
-			}
-			select {
-			case responses <- m:
-			case <-ctx.Done():
-				// Danger: a list that comes in the moment of the end would leave the loop below waiting for
-				// an end that nobody tells.
-				ended <- ctx.Err()
-				return
-			}
-		}
-	}()
+	responses, ended := receive(ctx, stream)
+	acceptedVersion := ""
 	for {
 		select {
 		case err := <-ended:
 			return accepted, err
-		case <-s.refresh:
-			// A new subscription to the same name is answered with the whole resource.
-			return accepted, fmt.Errorf("roster: asked for again")
-		case m := <-responses:
-			l, rejection := s.parseResponse(m)
-			nonce = m.Nonce
+		case <-c.refresh:
+			// The service responds to a new subscription of the same name with the complete resource.
+			return accepted, errRefresh
+		case response := <-responses:
+			l, rejection := c.parseResponse(response)
 			if rejection != nil {
-				s.Log.Warn("engine list refused", "version", m.VersionInfo, "error", rejection)
+				c.Log.Warn("engine list rejected", "version", response.VersionInfo, "error", rejection)
 			} else {
-				version, accepted = m.VersionInfo, true
+				acceptedVersion, accepted = response.VersionInfo, true
 				list(l)
 			}
-			if err := request(version, nonce, rejection); err != nil { // the last good version: a refusal
+			// With a rejection, the last version that was accepted: this is how the protocol rejects a
+			// response.
+			if err := c.request(stream, acceptedVersion, response.Nonce, rejection); err != nil {
 				return accepted, err
 			}
 		}
 	}
 }
 
-// parseResponse takes a response whole, or refuses it whole.
-func (s *Client) parseResponse(m *discoveryv3.DiscoveryResponse) (*List, error) {
-	if m.TypeUrl != TypeURL {
-		return nil, fmt.Errorf("roster: type %q", m.TypeUrl)
-	}
-	l := &List{Version: m.VersionInfo, ReceivedAt: time.Now()}
-	found := false
-	for _, any := range m.Resources {
-		var a endpointv3.ClusterLoadAssignment
-		if err := any.UnmarshalTo(&a); err != nil {
-			return nil, fmt.Errorf("roster: %w", err)
-		}
-		if a.ClusterName != s.Service {
-			continue
-		}
-		found = true
-		for _, group := range a.Endpoints {
-			for _, e := range group.LbEndpoints {
-				v, err := parseEndpoint(group.GetLocality(), e)
-				if err != nil {
-					return nil, err
-				}
-				l.Engines = append(l.Engines, v)
-			}
-		}
-	}
-	if !found {
-		return nil, fmt.Errorf("roster: no resource %q in version %q", s.Service, m.VersionInfo)
-	}
-	return l, l.Validate()
+// request subscribes, or accepts or rejects the response with the nonce.
+func (c *Client) request(stream endpointStream, version, nonce string, rejection error) error {
+	r := &discoveryv3.DiscoveryRequest{
+		VersionInfo:   version,
+		ResponseNonce: nonce,
+		TypeUrl:       TypeURL,
+		ResourceNames: []string{c.Service},
+		Node:          &corev3.Node{Id: c.NodeID},
+	}
+	if rejection != nil {
+		r.ErrorDetail = &status.Status{Code: int32(codes.InvalidArgument), Message: rejection.Error()}
+	}
+	return stream.Send(r)
 }
 
-func parseEndpoint(where *corev3.Locality, e *endpointv3.LbEndpoint) (v Engine, err error) {
-	at := e.GetEndpoint().GetAddress().GetSocketAddress()
-	if at == nil {
-		return v, fmt.Errorf("roster: an endpoint without a socket address")
-	}
-	v.Address = net.JoinHostPort(at.Address, strconv.Itoa(int(at.GetPortValue())))
-	v.Zone = where.GetZone()
-	if sub := where.GetSubZone(); sub != "" {
-		if v.Cell, err = strconv.Atoi(sub); err != nil {
-			return v, fmt.Errorf("roster: engine %s: sub-zone %q is no number of a cell", v.Address, sub)
-		}
-	}
-	switch e.HealthStatus {
-	case corev3.HealthStatus_UNKNOWN, corev3.HealthStatus_HEALTHY, corev3.HealthStatus_DEGRADED:
-		v.State = StateActive // UNKNOWN: no health checking, by the definition of the field
-	case corev3.HealthStatus_DRAINING:
-		v.State = StateDraining
-	default:
-		v.State = StateRemoved
-	}
-	fields := e.GetMetadata().GetFilterMetadata()[MetadataFilter].GetFields()
-	v.Kind, v.Size = fields["kind"].GetStringValue(), fields["size"].GetNumberValue()
-	if t := fields["start"].GetNumberValue(); t > 0 {
-		v.Started = time.UnixMilli(int64(t * 1000))
-	}
-	return v, nil
-}
-
-// NewAssignment is a list as endpoint discovery has it.
-func NewAssignment(service string, l *List) (*endpointv3.ClusterLoadAssignment, error) {
-	out := &endpointv3.ClusterLoadAssignment{ClusterName: service}
-	for _, e := range l.Engines {
-		host, port, err := net.SplitHostPort(e.Address)
-		if err != nil {
-			return nil, err
-		}
-		n, err := strconv.ParseUint(port, 10, 16)
-		if err != nil {
-			return nil, err
-		}
-		health := map[string]corev3.HealthStatus{StateActive: corev3.HealthStatus_HEALTHY,
-			StateDraining: corev3.HealthStatus_DRAINING,
-			StateRemoved:  corev3.HealthStatus_UNHEALTHY}[e.State]
-		meta := map[string]any{"kind": e.Kind, "size": e.Size}
-		if !e.Started.IsZero() {
-			meta["start"] = float64(e.Started.UnixMilli()) / 1000
-		}
-		fields, err := structpb.NewStruct(meta)
-		if err != nil {
-			return nil, err
+// receive passes on what comes by a stream, in a goroutine that ends with the stream or the context; ended
+// then has the reason.
+func receive(ctx context.Context, stream endpointStream) (<-chan *discoveryv3.DiscoveryResponse, <-chan error) {
+	responses := make(chan *discoveryv3.DiscoveryResponse)
+	ended := make(chan error, 1)
+	go func() {
+		for {
+			response, err := stream.Recv()
+			if err != nil {
+				ended <- err
+				return
+			}
+			select {
+			case responses <- response:
+			case <-ctx.Done():
+				// Without this the reader would wait forever for the stream's end, where a response comes
+				// in the moment in which the context ends.
+				ended <- ctx.Err()
+				return
+			}
 		}
-		out.Endpoints = append(out.Endpoints, &endpointv3.LocalityLbEndpoints{
-			Locality: &corev3.Locality{Zone: e.Zone, SubZone: strconv.Itoa(e.Cell)},
-			LbEndpoints: []*endpointv3.LbEndpoint{{HealthStatus: health,
-				Metadata: &corev3.Metadata{
-					FilterMetadata: map[string]*structpb.Struct{MetadataFilter: fields},
-				},
-				HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: &endpointv3.Endpoint{
-					Address: &corev3.Address{Address: &corev3.Address_SocketAddress{
-						SocketAddress: &corev3.SocketAddress{
-							Address: host, PortSpecifier: &corev3.SocketAddress_PortValue{
-								PortValue: uint32(n)}}}}}}}}})
-	}
-	return out, nil
+	}()
+	return responses, ended
 }
--- a/internal/discovery/eds/eds_test.go
+++ b/internal/discovery/eds/eds_test.go
@@ -5,6 +5,7 @@
 	"os"
 	"path/filepath"
 	"reflect"
+	"slices"
 	"testing"
 	"time"
 
@@ -14,6 +15,7 @@
 	"cresspass/internal/discovery/starttime"
 )
 
+// sampleList has an engine in each state.
 func sampleList() *List {
 	return &List{Version: "7", ReceivedAt: time.UnixMilli(1700000000000).UTC(), Engines: []Engine{
 		{Address: "127.0.0.1:7001", State: StateActive, Kind: "std", Zone: "a", Cell: 2, Size: 1.5,
@@ -22,7 +24,7 @@
 		{Address: "127.0.0.1:7003", State: StateRemoved}}}
 }
 
-// A kept list is read back whole, or, cut at any byte or with any bit turned, not at all.
+// A cached list is read back completely or, truncated at any byte or with any bit flipped, not at all.
 func TestCachedListIsCompleteOrRejected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
 	if err := SaveCache(path, sampleList()); err != nil {
@@ -32,13 +34,19 @@
 	if err != nil || !reflect.DeepEqual(l, sampleList()) {
 		t.Fatalf("read back %+v, %v", l, err)
 	}
-	whole, _ := os.ReadFile(path)
-	for n := range whole {
-		for _, b := range [][]byte{whole[:n], append(append(append([]byte{}, whole[:n]...),
-			whole[n]^(1<<(n%8))), whole[n+1:]...)} {
-			os.WriteFile(path, b, 0o600)
+	intact, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for n := range intact {
+		flipped := slices.Clone(intact)
+		flipped[n] ^= 1 << (n % 8)
+		for _, data := range [][]byte{intact[:n], flipped} {
+			if err := os.WriteFile(path, data, 0o600); err != nil {
+				t.Fatal(err)
+			}
 			if _, err := LoadCache(path); !errors.Is(err, ErrCacheDamaged) {
-				t.Fatalf("%d of %d bytes: %v", len(b), len(whole), err)
+				t.Fatalf("%d of %d bytes: %v", len(data), len(intact), err)
 			}
 			if _, err := os.Stat(path); !os.IsNotExist(err) {
 				t.Fatalf("a damaged list was left in place: %v", err)
@@ -50,19 +58,22 @@
 	}
 }
 
-// What Assignment writes, the subscriber reads; a response with anything wrong is refused whole.
+// What NewAssignment writes, the client reads; a response with anything wrong is rejected completely.
 func TestDiscoveryResponses(t *testing.T) {
-	s := NewClient("127.0.0.1:1", "engines", "n", nil)
+	c := NewClient("127.0.0.1:1", "engines", "node", nil)
 	response := func(l *List, service string) *discoveryv3.DiscoveryResponse {
-		a, err := NewAssignment(service, l)
+		assignment, err := NewAssignment(service, l)
+		if err != nil {
+			t.Fatal(err)
+		}
+		resource, err := anypb.New(assignment)
 		if err != nil {
 			t.Fatal(err)
 		}
-		any, _ := anypb.New(a)
 		return &discoveryv3.DiscoveryResponse{VersionInfo: "7", TypeUrl: TypeURL,
-			Resources: []*anypb.Any{any}}
+			Resources: []*anypb.Any{resource}}
 	}
-	l, err := s.parseResponse(response(sampleList(), "engines"))
+	l, err := c.parseResponse(response(sampleList(), "engines"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,27 +89,33 @@
 	}
 	twice := sampleList()
 	twice.Engines[1].Address = twice.Engines[0].Address
-	if _, err := s.parseResponse(response(twice, "engines")); err == nil {
-		t.Error("an engine named twice was believed")
+	if _, err := c.parseResponse(response(twice, "engines")); err == nil {
+		t.Error("an engine named twice was accepted")
 	}
-	if _, err := s.parseResponse(response(sampleList(), "others")); err == nil {
-		t.Error("another service's list was believed")
+	if _, err := c.parseResponse(response(sampleList(), "others")); err == nil {
+		t.Error("another service's list was accepted")
 	}
-	odd := response(sampleList(), "engines")
-	odd.Resources[0].Value = odd.Resources[0].Value[:len(odd.Resources[0].Value)/2]
-	if _, err := s.parseResponse(odd); err == nil {
-		t.Error("half a resource was believed")
+	truncated := response(sampleList(), "engines")
+	value := truncated.Resources[0].Value
+	truncated.Resources[0].Value = value[:len(value)/2]
+	if _, err := c.parseResponse(truncated); err == nil {
+		t.Error("half a resource was accepted")
 	}
+}
+
+// Start times are converted to the module's clock, the same each time that a start is listed.
+func TestEngineInfos(t *testing.T) {
+	l := sampleList()
 	now := 24 * time.Hour
 	started := l.Engines[0].Started
 	clock := starttime.New(starttime.AllStarts, started.Add(3*time.Second), now)
-	clock.Observe(now, "told at once", started.Add(3*time.Second))
+	clock.Observe(now, "started just now", started.Add(3*time.Second))
 	infos := l.EngineInfos(now, clock)
 	if infos[0].StartedAt != now-3*time.Second || infos[1].StartedAt != 0 {
 		t.Errorf("starts %v, %v", infos[0].StartedAt, infos[1].StartedAt)
 	}
 	if again := l.EngineInfos(now+time.Second, clock); again[0].StartedAt != infos[0].StartedAt {
-		t.Errorf("told again: %v, then %v", infos[0].StartedAt, again[0].StartedAt)
+		t.Errorf("listed again: start %v, then %v", infos[0].StartedAt, again[0].StartedAt)
 	}
 	clock = starttime.New(starttime.AllStarts, started.Add(-time.Hour), now)
 	if ahead := l.EngineInfos(now, clock); ahead[0].StartedAt != now {
--- a/internal/discovery/eds/golden_test.go
+++ b/internal/discovery/eds/golden_test.go
@@ -13,8 +13,8 @@
 	"google.golang.org/protobuf/types/known/anypb"
 )
 
-// updateGolden is the environment variable that has the golden files written again. They hold stored and sent
-// forms: a change of their bytes is a change of a format that running dispatchers read.
+// updateGolden is the environment variable that has the golden files written again. They hold stored and
+// sent forms: a change of their bytes is a change of a format that running dispatchers read.
 const updateGolden = "UPDATE_GOLDEN"
 
 // golden returns a file of testdata, which current replaces where updateGolden is set.
--- a/internal/rehearsal/run.go
+++ b/internal/rehearsal/run.go
@@ -314,7 +314,7 @@
 	w := Watch{At: at}
 	for i, e := range r.rig.Engines {
 		up, fallen := e.Up()
-		v := EngineStatus{Cores: r.day.cores(i), Up: up, Fallen: fallen, State: r.rig.State(i)}
+		v := EngineStatus{Cores: r.day.cores(i), Up: up, Fallen: fallen, State: string(r.rig.State(i))}
 		if up {
 			v.Threads = e.Threads()
 		}
--- a/internal/rehearsal/testbed/rig.go
+++ b/internal/rehearsal/testbed/rig.go
@@ -97,7 +97,7 @@
 }
 
 // State is what the list says of an engine; "": nothing.
-func (r *Rig) State(i int) string {
+func (r *Rig) State(i int) eds.EngineState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.Engines[i].Entry.State
