--- /dev/null
+++ b/action.go
@@ -0,0 +1,51 @@
+package cresspass
+
+import "time"
+
+// ActionType says which fields of an Action count.
+type ActionType int
+
+// The actions a gateway can ask for.
+const (
+	Send                 ActionType = iota // Query to Engine, StartWithin; Wait: time-out, 0: the deadline
+	SetTimer                               // Wait, Label
+	FetchEngineList                        // poll the complete list once
+	CloseIdleConnections                   // Engine
+	SendToPeer                             // Peer (-1: all), Data
+	Reject                                 // Query, Reason; Wait: the Retry-After time, 0: none
+	Fail                                   // Query, Reason
+	CheckHealth                            // Engine; the answer may carry a load report
+	Cancel                                 // Query, Attempt
+	SetResources                           // Query, Priority, MemoryGrantMB
+	Log                                    // Text
+	SubscribeEngineList                    // Enabled
+)
+
+// Reason says why a gateway ended a query without a result. It is for the log alone.
+type Reason string
+
+// The reasons.
+const (
+	ReasonDeadline       Reason = "no time is left"
+	ReasonNoEngineFits   Reason = "no engine fits the time left"
+	ReasonNoRetryAllowed Reason = "no further attempt is allowed"
+	ReasonNotStarted     Reason = "it could not be started"
+)
+
+// Action is one thing a gateway wants done; Type says which fields count.
+type Action struct {
+	Type          ActionType
+	Query         QueryID
+	Attempt       int
+	Engine        EngineID
+	Wait          time.Duration
+	Label         uint64
+	Peer          int
+	Data          []byte
+	Priority      int
+	MemoryGrantMB float64
+	Text          string
+	Enabled       bool
+	Reason        Reason        // with Reject and Fail
+	StartWithin   time.Duration // with Send: the attempt must start within it; 0: before the deadline
+}
