--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,6 +1,6 @@
-// Package eventlog keeps the last events of a dispatcher in memory, by request id, and writes them to the log
-// as they happen where its level asks for that. After a fault the events of one request can be read in order,
-// also where the log's level was too high to show them.
+// Package eventlog keeps the last events of a dispatcher in memory, by request, and writes them to the log
+// as they happen if its level is debug. After a fault the events of one request can be read in order, even if
+// the log's level was too high to show them.
 package eventlog
 
 import (
@@ -12,35 +12,37 @@
 	"time"
 )
 
-// Kind says what happened.
+// Kind says what happened. It is the message of the event's log line.
 type Kind string
 
-// The events, in the order in which a request meets them.
+// The kinds of event, in the order in which a request meets them.
 const (
-	RequestReceived    Kind = "taken"     // a client's request was read
-	RequestMalformed   Kind = "rejected"  // a request was itself at fault
-	AttemptStarted     Kind = "decided"   // an attempt is to be made
-	AttemptWithheld    Kind = "withheld"  // it was not written
-	AttemptSent        Kind = "written"   // it was handed to the system
-	ResponseUnreadable Kind = "broken"    // a call of it got no answer that can be read
-	AttemptStopped     Kind = "stopped"   // it is to end
-	AttemptEnded       Kind = "ended"     // it ended
-	RequestAnswered    Kind = "answered"  // the client was given its result
-	RequestRejected    Kind = "refused"   // the client was told that trying again is harmless
-	RequestFailed      Kind = "failed"    // the client was told that it failed
-	ClientGone         Kind = "gone"      // the client waits no longer
-	ConnectionClosed   Kind = "closed"    // a client's connection was closed by us
-	ConnectionLost     Kind = "lost"      // a client's connection was closed by it, or broke
-	StateChanged       Kind = "changed"   // the dispatcher's state changed
-	Discovery          Kind = "discovery" // discovery told something, or did not
+	RequestReceived    Kind = "request received"
+	RequestMalformed   Kind = "request malformed" // it could be read, but is itself at fault
+	AttemptStarted     Kind = "attempt started"   // the decision module wants it
+	AttemptWithheld    Kind = "attempt withheld"  // it was not sent: its decision holds no longer
+	AttemptSent        Kind = "attempt sent"      // its bytes were handed to the system
+	ResponseUnreadable Kind = "response unreadable"
+	AttemptStopped     Kind = "attempt stopped" // it is to end; "attempt ended" follows
+	AttemptEnded       Kind = "attempt ended"
+	RequestAnswered    Kind = "request answered"  // with its result
+	RequestRejected    Kind = "request rejected"  // the client was told that a retry does no harm
+	RequestFailed      Kind = "request failed"    // the client was told that the outcome is not known
+	ClientGone         Kind = "client gone"       // it cancelled the request, or its connection is lost
+	ConnectionClosed   Kind = "connection closed" // a client's connection, by the dispatcher
+	ConnectionLost     Kind = "connection lost"   // a client's connection, by the client or the network
+	StateChanged       Kind = "state changed"     // the dispatcher's own state
 )
 
+// NoAttempt is the Attempt of an event that concerns no attempt.
+const NoAttempt = -1
+
 // Event is one thing that happened. Fields that do not apply are empty.
 type Event struct {
 	Elapsed   time.Duration // since the log was made
 	Kind      Kind
-	RequestID string // the id that the client gave it
-	Attempt   int    // -1: none
+	RequestID string // as the client gave it
+	Attempt   int    // NoAttempt: none
 	Node      string
 	Reason    string
 }
@@ -48,14 +50,14 @@
 func (e Event) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%.3fs %s", e.Elapsed.Seconds(), e.Kind)
-	if e.Attempt >= 0 {
-		fmt.Fprintf(&b, " attempt %d", e.Attempt)
+	if e.Attempt != NoAttempt {
+		fmt.Fprintf(&b, " attempt=%d", e.Attempt)
 	}
 	if e.Node != "" {
-		fmt.Fprintf(&b, " at %s", e.Node)
+		fmt.Fprintf(&b, " node=%s", e.Node)
 	}
 	if e.Reason != "" {
-		fmt.Fprintf(&b, ": %s", e.Reason)
+		fmt.Fprintf(&b, " reason=%q", e.Reason)
 	}
 	return b.String()
 }
@@ -67,8 +69,8 @@
 
 	mu      sync.Mutex
 	ring    []Event
-	next    int
-	wrapped bool
+	next    int  // the place of the next event
+	wrapped bool // the ring is full: the oldest event is at next
 }
 
 // New returns a log of the last so many events.
@@ -86,44 +88,35 @@
 	}
 	l.mu.Unlock()
 	if l.logger.Enabled(context.Background(), slog.LevelDebug) {
-		l.logger.Debug(
-			string(event.Kind),
-			"request",
-			event.RequestID,
-			"attempt",
-			event.Attempt,
-			"node",
-			event.Node,
-			"why",
-			event.Reason,
-		)
+		l.logger.Debug(string(event.Kind), "request", event.RequestID, "attempt", event.Attempt,
+			"node", event.Node, "reason", event.Reason)
 	}
 }
 
 // Events returns what is left of a request's events, the oldest first.
-func (l *Log) Events(request string) (out []Event) {
+func (l *Log) Events(requestID string) (events []Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.wrapped {
-		out = appendMatching(out, l.ring[l.next:], request)
+		events = appendMatching(events, l.ring[l.next:], requestID)
 	}
-	return appendMatching(out, l.ring[:l.next], request)
+	return appendMatching(events, l.ring[:l.next], requestID)
 }
 
-func appendMatching(out, events []Event, request string) []Event {
-	for _, e := range events {
-		if e.RequestID == request {
-			out = append(out, e)
+func appendMatching(matching, events []Event, requestID string) []Event {
+	for _, event := range events {
+		if event.RequestID == requestID {
+			matching = append(matching, event)
 		}
 	}
-	return out
+	return matching
 }
 
-// Trace writes a request's events in one line.
-func (l *Log) Trace(request string) string {
+// Trace returns a request's events as one line.
+func (l *Log) Trace(requestID string) string {
 	var parts []string
-	for _, e := range l.Events(request) {
-		parts = append(parts, e.String())
+	for _, event := range l.Events(requestID) {
+		parts = append(parts, event.String())
 	}
 	return strings.Join(parts, " | ")
 }
