--- a/internal/netlisten/listen.go
+++ b/internal/netlisten/listen.go
@@ -1,5 +1,5 @@
-// Package netlisten opens listeners and accepts connections where the machine fails for a moment: servers
-// that take an error of accept for the listener's end would be deaf from then on.
+// Package netlisten opens listeners and accepts connections on a machine that fails for a moment. Servers
+// that take any error of Accept for the listener's end would accept nothing from then on.
 package netlisten
 
 import (
@@ -13,14 +13,14 @@
 )
 
 const (
-	openRetryInterval   = 50 * time.Millisecond // before a socket is asked for again...
-	openRetryLimit      = 2 * time.Second       // ...until so much has passed
-	acceptRetryInterval = 10 * time.Millisecond // after an accept that failed by the machine
-	maxImmediateRetries = 16                    // accepts in a row that fail by their connections, without a pause
+	openRetryInterval   = 50 * time.Millisecond
+	openRetryLimit      = 2 * time.Second       // after which the last error is returned
+	acceptRetryInterval = 10 * time.Millisecond // after an Accept that failed on the local machine
+	maxImmediateRetries = 16                    // of Accepts in a row that failed by their connections
 )
 
-// Open listens at a TCP address. Where the machine fails for a moment, or the address is yet held by a
-// process that ends, it tries again for a while.
+// Open listens on a TCP address. If the machine fails for a moment, or a process that is ending still holds
+// the address, it retries for a while.
 func Open(addr string) (net.Listener, error) {
 	return OpenFunc(addr, func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) })
 }
@@ -36,16 +36,16 @@
 	}
 }
 
-// ResilientListener is a listener whose Accept fails only by a deadline or once it is closed: what befalls
-// one connection, or the machine for a moment, ends nothing.
+// ResilientListener is a listener whose Accept fails only on a deadline or once the listener is closed. An
+// error of one connection, or of the machine for a moment, does not end it.
 type ResilientListener struct{ net.Listener }
 
 // Accept waits for the next connection.
 func (l ResilientListener) Accept() (net.Conn, error) {
 	for failures := 1; ; failures++ {
-		c, err := l.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		if err == nil || errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
-			return c, err
+			return conn, err
 		}
 		if !oserr.IsPerConnection(err) || failures > maxImmediateRetries {
 			time.Sleep(acceptRetryInterval)
--- a/internal/oserr/oserr.go
+++ b/internal/oserr/oserr.go
@@ -1,5 +1,5 @@
-// Package oserr tells what errors of system calls mean: that they come from our own machine, and tell nothing
-// of the other side, or from one connection alone.
+// Package oserr classifies errors of system calls by what they concern: the local machine, which says
+// nothing of the other side, or one connection alone.
 package oserr
 
 import (
@@ -17,18 +17,18 @@
 	transientErrors = []syscall.Errno{syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM}
 )
 
-// IsLocal reports whether a call failed by our own machine, which tells nothing of the other side.
+// IsLocal reports whether a call failed on the local machine, which says nothing of the other side.
 func IsLocal(err error) bool { return isAny(err, localErrors) }
 
-// IsPerConnection reports whether an accept failed by the connection that it was to take. Linux passes on
-// what befell that connection; others wait behind it, and there is nothing to wait for (accept(2), "Error
-// handling").
+// IsPerConnection reports whether an accept failed by the connection that it was to return. Linux passes on
+// the pending network errors of that connection; others wait behind it, so that the accept is to be retried
+// at once (accept(2), "Error handling").
 func IsPerConnection(err error) bool { return isAny(err, perConnectionErrors) }
 
-// IsTransient reports whether a call that does not wait failed in a way that tells nothing of its connection.
+// IsTransient reports whether a non-blocking call failed in a way that says nothing of its connection.
 func IsTransient(err error) bool { return isAny(err, transientErrors) }
 
-func isAny(err error, of []syscall.Errno) bool {
+func isAny(err error, errnos []syscall.Errno) bool {
 	var errno syscall.Errno
-	return errors.As(err, &errno) && slices.Contains(of, errno)
+	return errors.As(err, &errno) && slices.Contains(errnos, errno)
 }
--- a/internal/timingwheel/wheel_test.go
+++ b/internal/timingwheel/wheel_test.go
@@ -12,7 +12,8 @@
 
 const ms = time.Millisecond
 
-// The wheel against a plain list: the same timers at the same ticks, in any pattern of waits and steps.
+// TestWheelMatchesList: the wheel fires the same timers at the same ticks as a plain list, in any pattern of
+// waits and steps.
 func TestWheelMatchesList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "start"))
@@ -43,9 +44,8 @@
 				}
 				first = min(first, d)
 			}
-			if next, ok := w.NextExpiry(); ok != (len(due) > 0) ||
-				ok && (next > first || next <= now/ms*ms) ||
-				w.Len() != len(due) {
+			next, ok := w.NextExpiry()
+			if ok != (len(due) > 0) || ok && (next > first || next <= now/ms*ms) || w.Len() != len(due) {
 				t.Fatalf("at %v next %v %v, first due %v of %d", now, next, ok, first, len(due))
 			}
 		}
@@ -65,7 +65,8 @@
 	return v
 }
 
-// One operation: a timer is set 4 to 20 s ahead and 100 us pass, with n timers waiting, as queries do.
+// BenchmarkTimers: in one operation a timer is set 4 to 20 s ahead and 100 us pass, with n timers waiting, as
+// queries do.
 func BenchmarkTimers(b *testing.B) {
 	for _, n := range []int{1000, 100000} {
 		step := 12 * time.Second / time.Duration(n)
