--- /dev/null
+++ b/internal/layers/layers_test.go
@@ -0,0 +1,98 @@
+package layers
+
+import (
+	"encoding/json"
+	"errors"
+	"io"
+	"os/exec"
+	"strings"
+	"testing"
+)
+
+// layers lists groups of packages from the programs down to what imports nothing of this module. A package
+// may import packages of its own group and of the groups below it. An entry stands for one package and, where
+// it ends in /..., for the packages below it as well; the longest entry that fits a package counts.
+var layers = [][]string{
+	{"cmd/..."},
+	{"simulation/...", "rehearsal/...", "soak", "standin"}, // for tests and operators only
+	{"daemon"},             // the life cycle of `cresspass serve`
+	{"server", "platform"}, // the two shells that put a dispatcher together
+	{"frontend/..."},
+	{"config", "storage", "membership/..."},
+	{"backend/...", "affinity/...", "discovery/..."},
+	{"dispatch/...", "invariant", "eventlog", "overload/...", "wire", "recording"},
+	{"."}, // the decision module
+	{"protocol/...", "netlisten", "timingwheel", "oserr", "daemon/signals", "daemon/lifecycle"},
+	{"elfcheck", "layers", "experiments", "rehearsals"}, // import nothing of this module
+}
+
+// layerOf returns the index of a package's group, or -1 where no entry fits.
+func layerOf(name string) int {
+	layer, longest := -1, -1
+	for i, group := range layers {
+		for _, entry := range group {
+			base, tree := strings.CutSuffix(entry, "/...")
+			fits := name == base || tree && strings.HasPrefix(name, base+"/")
+			if fits && len(base) > longest {
+				layer, longest = i, len(base)
+			}
+		}
+	}
+	return layer
+}
+
+// TestImportsPointDownwards fails on an import against the layers, and on a package that stands in no layer.
+func TestImportsPointDownwards(t *testing.T) {
+	const module = "cresspass"
+	out, err := exec.Command("go", "list", "-json=ImportPath,Imports", module+"/...").Output()
+	if err != nil {
+		t.Fatalf("go list: %v", err)
+	}
+	short := func(path string) string {
+		if path == module {
+			return "."
+		}
+		return strings.TrimPrefix(strings.TrimPrefix(path, module+"/"), "internal/")
+	}
+	checked := 0
+	for decoder := json.NewDecoder(strings.NewReader(string(out))); ; {
+		var p struct {
+			ImportPath string
+			Imports    []string
+		}
+		if err := decoder.Decode(&p); errors.Is(err, io.EOF) {
+			break
+		} else if err != nil {
+			t.Fatalf("go list: %v", err)
+		}
+		from := layerOf(short(p.ImportPath))
+		if from < 0 {
+			t.Errorf("%s stands in no layer", p.ImportPath)
+			continue
+		}
+		for _, imported := range p.Imports {
+			if imported != module && !strings.HasPrefix(imported, module+"/") {
+				continue
+			}
+			checked++
+			if layerOf(short(imported)) < from {
+				t.Errorf("%s imports %s, which stands above it", p.ImportPath, imported)
+			}
+		}
+	}
+	if checked == 0 {
+		t.Fatal("no import was checked")
+	}
+}
+
+func TestLongestEntryCounts(t *testing.T) {
+	if signals := layerOf("daemon/signals"); signals != layerOf("oserr") {
+		t.Errorf("daemon/signals is in layer %d, want that of oserr", signals)
+	}
+	if daemon := layerOf("daemon"); daemon >= layerOf("server") {
+		t.Errorf("daemon is in layer %d, want one above server", daemon)
+	}
+	if unknown := layerOf("unknown"); unknown != -1 {
+		t.Errorf("unknown is in layer %d, want none", unknown)
+	}
+}
