--- a/internal/backend/computenode/machine_test.go
+++ b/internal/backend/computenode/machine_test.go
@@ -14,23 +14,24 @@
 
 const ms = time.Millisecond
 
-// fakeNode is a compute node behind a network that loses, breaks and spoils, under a hand-driven clock.
+// fakeNode is a compute node behind a network that loses, breaks and corrupts messages, under a hand-driven
+// clock.
 type fakeNode struct {
 	t         *rapid.T
 	now       time.Duration
 	posts     int
-	running   bool // the query is out there
-	ended     bool // it ran to a good end; its result is kept
+	running   bool // the query runs on the compute node
+	ended     bool // it succeeded; its result is stored
 	failed    bool
 	dead      bool
 	reset     bool // the network reset a connection
-	draining  bool // it drains: connections that stand are served, new ones refused
-	connOpen  bool // the last call left a connection
-	pollsLeft int  // questions until it ends
+	draining  bool // open connections are served, new ones refused
+	connOpen  bool // the last call left an open connection
+	pollsLeft int  // polls until the query ends
 	pages     int
 	lastPoll  time.Duration
 	shed      bool
-	faults    int // calls that may yet go wrong
+	faults    int // calls that may still go wrong
 }
 
 func pageRows(n int) []byte { return []byte(fmt.Sprintf("r%d\tx\ty\n", n)) }
@@ -43,10 +44,10 @@
 	return h
 }
 
-// handle is what the compute node does with a call that comes whole, and its answer.
+// handle is what the compute node does with a complete request, and its response.
 func (w *fakeNode) handle(s Step) *nodehttp.Response {
 	if w.running && w.now-w.lastPoll > abandonAfter {
-		w.running = false // nobody asked
+		w.running = false // nobody polled it
 	}
 	w.lastPoll = w.now
 	switch {
@@ -87,51 +88,52 @@
 	}
 }
 
-// perform carries a step out, with whatever befalls it.
+// perform carries a step out, with a fault that is drawn for it.
 func (w *fakeNode) perform(s Step) Event {
 	w.now += s.Delay + ms
-	trouble := "none"
+	fault := "none"
 	if w.faults > 0 {
-		trouble = rapid.SampledFrom([]string{"none", "none", "request lost", "answer lost", "spoilt",
-			"unreached", "no room", "dies", "drains", "reset", "other page"}).Draw(w.t, "trouble")
+		fault = rapid.SampledFrom([]string{"none", "none", "request lost", "response lost", "malformed",
+			"unreachable", "no descriptor", "dies", "drains", "reset", "other page"}).Draw(w.t, "fault")
 		w.faults--
 	}
-	stood := w.connOpen && !s.FreshConn
+	reused := w.connOpen && !s.FreshConn
 	w.connOpen = false
-	switch trouble {
+	switch fault {
 	case "dies":
 		was := w.dead
 		w.dead, w.running, w.ended = true, false, false
-		if stood && !was {
+		if reused && !was {
 			return Event{Type: ResponseLost, Reset: true}
 		}
 	case "drains":
 		w.draining = true
 	}
 	switch {
-	case w.draining && !w.dead && !stood && w.reset:
-		return Event{Type: Unreachable} // where both befall it, only the told drain tells it from a death
-	case w.dead || w.draining && !stood:
+	case w.draining && !w.dead && !reused && w.reset:
+		// After a reset, only a reported drain distinguishes this from a death.
+		return Event{Type: Unreachable}
+	case w.dead || w.draining && !reused:
 		return Event{Type: ConnRefused}
-	case trouble == "unreached":
+	case fault == "unreachable":
 		w.now += maxTransitTimeout
 		return Event{Type: Unreachable}
-	case trouble == "no room":
+	case fault == "no descriptor":
 		return Event{Type: NoDescriptor}
-	case trouble == "request lost":
+	case fault == "request lost":
 		w.now += s.Timeout
 		return Event{Type: ResponseLost}
 	}
 	a := w.handle(s)
-	w.connOpen = trouble == "none"
-	switch trouble {
+	w.connOpen = fault == "none"
+	switch fault {
 	case "reset":
 		w.reset = true
 		return Event{Type: ResponseLost, Reset: true}
-	case "answer lost":
+	case "response lost":
 		w.now += s.Timeout
 		return Event{Type: ResponseLost}
-	case "spoilt":
+	case "malformed":
 		return Event{
 			Type: ResponseReceived,
 			Response: &nodehttp.Response{Status: 200, Header: w.headers("page-count", "1"),
@@ -147,15 +149,15 @@
 	return Event{Type: ResponseReceived, Response: a}
 }
 
-// TestAttempt: whatever befalls its calls, an attempt posts once, ends once, in good time, is not out any
-// more by then, says that it never ran only where it never did, and has no rows but its own, all of them
-// and in order.
+// TestAttempt: whatever faults its calls have, an attempt posts once, ends once, in good time, is no longer
+// in flight by then, reports that it never ran only where it never did, and has no rows but its own, all of
+// them and in order.
 func TestAttempt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &fakeNode{t: t, now: time.Hour, pollsLeft: rapid.IntRange(1, 6).Draw(t, "needs"),
+		w := &fakeNode{t: t, now: time.Hour, pollsLeft: rapid.IntRange(1, 6).Draw(t, "polls"),
 			pages: rapid.IntRange(1, 9).Draw(t, "pages"), failed: rapid.IntRange(0, 5).Draw(t, "failed") == 0,
 			shed:   rapid.IntRange(0, 5).Draw(t, "shed") == 0,
-			faults: rapid.IntRange(0, 30).Draw(t, "troubles")}
+			faults: rapid.IntRange(0, 30).Draw(t, "faults")}
 		stopAt := rapid.IntRange(-20, 12).Draw(t, "stop")
 		m := &Machine{}
 		s := m.Next(w.now, Event{Type: Begin})
@@ -178,7 +180,7 @@
 			t.Fatalf("ended with %d while its query runs on", s.Outcome)
 		}
 		if s.Outcome.NeverRan() && w.posts > 0 && !w.shed {
-			t.Fatalf("ended with %d, but the query came", s.Outcome)
+			t.Fatalf("ended with %d, but the query arrived", s.Outcome)
 		}
 		if s.Outcome == cresspass.OutcomeOK {
 			if len(s.Pages) != w.pages {
@@ -197,32 +199,26 @@
 	})
 }
 
-// TestConnRefusedIsNoProofOfDeath: a refused connection ends an attempt where a reset went before it, and
-// the start was answered or broken by that reset; else it is out until nobody has asked for it for long
-// enough.
+// TestConnRefusedIsNoProofOfDeath: a refused connection ends an attempt only after a reset, and where Start
+// was answered or was broken by that reset; else the attempt is in flight until nobody has polled it for
+// long enough.
 func TestConnRefusedIsNoProofOfDeath(t *testing.T) {
-	news := Event{Type: ResponseReceived, Response: &nodehttp.Response{Status: 202}}
-	silent, reset, refused := Event{
-		Type: ResponseLost,
-	}, Event{
-		Type:  ResponseLost,
-		Reset: true,
-	}, Event{
-		Type: ConnRefused,
-	}
+	running := Event{Type: ResponseReceived, Response: &nodehttp.Response{Status: 202}}
+	lost, reset := Event{Type: ResponseLost}, Event{Type: ResponseLost, Reset: true}
+	refused := Event{Type: ConnRefused}
 	stop := Event{Type: Stop, Outcome: cresspass.OutcomeCancelled}
 	for name, c := range map[string]struct {
 		events []Event
 		atOnce bool
 	}{
-		"dies":                            {[]Event{news, reset}, true},
-		"dies as it starts":               {[]Event{reset}, true},
-		"dies as it is given up":          {[]Event{news, reset, stop}, true},
-		"drains":                          {[]Event{news, silent}, false},
-		"given up as it drains":           {[]Event{news, silent, stop}, false},
-		"start lost, then dies":           {[]Event{silent, news, reset}, false},
-		"start reset and had, then dies":  {[]Event{reset, news, reset}, false},
-		"start lost, given up as it dies": {[]Event{silent, news, reset, stop}, false},
+		"dies":                             {[]Event{running, reset}, true},
+		"dies as it starts":                {[]Event{reset}, true},
+		"dies as it is cancelled":          {[]Event{running, reset, stop}, true},
+		"drains":                           {[]Event{running, lost}, false},
+		"cancelled as it drains":           {[]Event{running, lost, stop}, false},
+		"start lost, then dies":            {[]Event{lost, running, reset}, false},
+		"start reset, came, then dies":     {[]Event{reset, running, reset}, false},
+		"start lost, cancelled, then dies": {[]Event{lost, running, reset, stop}, false},
 	} {
 		m, now := &Machine{}, time.Hour
 		m.Next(now, Event{Type: Begin})
@@ -230,24 +226,23 @@
 			now += 10 * ms
 			m.Next(now, ev)
 		}
-		asked, s := now, m.Next(now, refused)
+		refusedAt, s := now, m.Next(now, refused)
 		for n := 0; s.Type != End && n < 200; n++ {
 			if s.FreshConn {
-				t.Errorf("%s: after a refusal, a connection that stands is not used", name)
+				t.Errorf("%s: after a refusal, an open connection is not used", name)
 			}
 			now += s.Delay + ms
 			s = m.Next(now, refused)
 		}
-		if took := now - asked; s.Type != End || c.atOnce != (took == 0) ||
-			!c.atOnce && took <= abandonAfter ||
-			took > 2*abandonAfter {
+		if took := now - refusedAt; s.Type != End || c.atOnce != (took == 0) ||
+			!c.atOnce && took <= abandonAfter || took > 2*abandonAfter {
 			t.Errorf("%s: ended %v after %v, at once %v", name, s.Type == End, took, c.atOnce)
 		}
 	}
 }
 
-// TestQuickPollsArePaced: a compute node that answers at once, and never with an end, is not asked without a
-// pause.
+// TestQuickPollsArePaced: a compute node that answers at once, and never with an end, is not polled without
+// a pause.
 func TestQuickPollsArePaced(t *testing.T) {
 	m, now := &Machine{}, time.Hour
 	s := m.Next(now, Event{Type: Begin})
@@ -256,47 +251,48 @@
 		s = m.Next(now, Event{Type: ResponseReceived, Response: &nodehttp.Response{Status: 202}})
 	}
 	if now-time.Hour < 90*minPollInterval {
-		t.Errorf("100 questions in %v", now-time.Hour)
+		t.Errorf("100 polls in %v", now-time.Hour)
 	}
 }
 
-// TestDeleteOvertakesStart: a start of which nothing was heard may yet be on its way when a give-up on
-// another connection is answered; the attempt is over only after one that was sent when no start can be on
-// its way.
+// TestDeleteOvertakesStart: a Start of which nothing was heard may still be on its way when a Delete on
+// another connection is answered; the attempt is over only after a Delete that was sent when no Start can
+// be on its way.
 func TestDeleteOvertakesStart(t *testing.T) {
-	gone := Event{Type: ResponseReceived, Response: &nodehttp.Response{Status: 204}}
+	deleted := Event{Type: ResponseReceived, Response: &nodehttp.Response{Status: 204}}
 	stop := Event{Type: Stop, Outcome: cresspass.OutcomeCancelled}
 	for name, c := range map[string]struct {
-		first Event
-		alone bool
-		waits bool
+		first     Event
+		exclusive bool
+		waits     bool
 	}{
-		"nothing heard":   {Event{Type: ResponseLost}, true, true},
-		"reset unheard":   {Event{Type: ResponseLost, Reset: true}, true, true},
-		"start was heard": {Event{Type: ResponseReceived, Response: &nodehttp.Response{Status: 202}}, true, false},
-		"not alone":       {Event{Type: ResponseLost}, false, false},
+		"nothing heard": {Event{Type: ResponseLost}, true, true},
+		"reset unheard": {Event{Type: ResponseLost, Reset: true}, true, true},
+		"start was heard": {Event{Type: ResponseReceived, Response: &nodehttp.Response{Status: 202}}, true,
+			false},
+		"not exclusive": {Event{Type: ResponseLost}, false, false},
 	} {
-		m, now := &Machine{Exclusive: c.alone}, time.Hour
+		m, now := &Machine{Exclusive: c.exclusive}, time.Hour
 		m.Next(now, Event{Type: Begin})
 		now += 50 * ms
 		m.Next(now, c.first)
-		given := now
+		stoppedAt := now
 		s := m.Next(now, stop)
 		deletes := 0
 		for ; s.Type == Delete && deletes < 10; deletes++ {
 			now += s.Delay + ms
-			s = m.Next(now, gone)
+			s = m.Next(now, deleted)
 		}
-		if took := now - given; s.Type != End || s.Outcome != cresspass.OutcomeCancelled ||
+		if took := now - stoppedAt; s.Type != End || s.Outcome != cresspass.OutcomeCancelled ||
 			c.waits != (took >= maxTransitTimeout) ||
 			took > abandonAfter {
-			t.Errorf("%s: ended %v after %v and %d give-ups", name, s.Type == End, took, deletes)
+			t.Errorf("%s: ended %v after %v and %d deletes", name, s.Type == End, took, deletes)
 		}
 	}
 }
 
-// TestDeleteConfirmedByItsOwnResponse: an answer that no Delete gets, as a copy of an earlier one, does not
-// show that a query was given up.
+// TestDeleteConfirmedByItsOwnResponse: a response that no Delete gets, as a duplicate of an earlier one,
+// does not show that a query was cancelled.
 func TestDeleteConfirmedByItsOwnResponse(t *testing.T) {
 	for status, over := range map[int]bool{200: false, 202: false, 204: true, 500: true, 503: false} {
 		m := Machine{Exclusive: true}
--- a/internal/backend/connpool/pool_test.go
+++ b/internal/backend/connpool/pool_test.go
@@ -16,7 +16,7 @@
 	maxIdle = 3 * time.Second
 )
 
-// poolHarness carries a pool's grants out, and holds them against what may be granted.
+// poolHarness carries a pool's grants out, and checks them against what may be granted.
 type poolHarness struct {
 	t           *rapid.T
 	pool        *Pool
@@ -25,7 +25,7 @@
 	waiting     map[uint64]Request            // not granted yet
 	idleSince   map[uint64]time.Duration      // idle connections
 	engines     map[uint64]cresspass.EngineID // of all connections
-	held        map[uint64]uint64             // connection by want
+	held        map[uint64]uint64             // connection by request
 	lastConn    uint64
 	granted     func(want, conn uint64)
 	closingIdle cresspass.EngineID
@@ -56,7 +56,7 @@
 		}
 		w, ok := s.waiting[g.RequestID]
 		if !ok {
-			s.t.Fatalf("%v: want %d granted that does not wait", s.now, g.RequestID)
+			s.t.Fatalf("%v: request %d granted that does not wait", s.now, g.RequestID)
 		}
 		delete(s.waiting, g.RequestID)
 		conn := g.Conn
@@ -87,7 +87,7 @@
 	s.apply(s.pool.Acquire(s.now, w, s.limits))
 }
 
-// finish gives a want's connection back, whole or closed.
+// finish gives a request's connection back, open or closed.
 func (s *poolHarness) finish(want uint64, whole bool) {
 	conn := s.held[want]
 	delete(s.held, want)
@@ -100,7 +100,7 @@
 	s.apply(s.pool.Closed(s.limits))
 }
 
-// advance lets time pass, with the looks that the pool wants and one each 500 ms.
+// advance lets time pass, with the sweeps that the pool schedules and one each 500 ms.
 func (s *poolHarness) advance(to time.Duration) {
 	for {
 		next := s.now - s.now%(500*ms) + 500*ms
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestGrants: whatever callers do, each want has one grant at most, none waits while there is room, and a
-// connection goes only to its compute node, rested, to one at a time.
+// TestGrants: whatever callers do, each request has one grant at most, none waits while there is capacity,
+// and a connection goes only to its compute node, after its least idle time, to one request at a time.
 func TestGrants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newPoolHarness(t, Limits{Capacity: rapid.IntRange(1, 6).Draw(t, "room"), UrgentReserve: 1})
@@ -148,7 +148,7 @@
 				n := rapid.Uint64Range(1, id+1).Draw(t, "leaves")
 				_, waits := s.waiting[n]
 				if s.pool.Cancel(n) != waits {
-					t.Fatalf("want %d left: it waits: %v", n, waits)
+					t.Fatalf("request %d cancelled: it waits: %v", n, waits)
 				}
 				delete(s.waiting, n)
 			case 5:
@@ -184,10 +184,10 @@
 	})
 }
 
-// TestNoQueryAbandoned: queries on many compute nodes, more than there are connections, each asked about
-// again and again by calls that last as long as an answer without news; beside them starts come all the
-// time. A compute node drops what was not asked for in 2 s: none may be. The quick queries of one compute
-// node keep its connections always in use, which others must not wait for.
+// TestNoQueryAbandoned: queries on many compute nodes, more than there are connections, each polled again
+// and again by calls that last as long as a poll without news; beside them queries are started all the
+// time. A compute node drops a query that was not polled for 2 s: none may be. The quick queries of one
+// compute node have its connections always in use, and the others must not wait for these.
 func TestNoQueryAbandoned(t *testing.T) {
 	const (
 		room   = 30
@@ -196,14 +196,14 @@
 	)
 	rapid.Check(t, func(rt *rapid.T) {
 		s := newPoolHarness(rt, Limits{Capacity: room, UrgentReserve: 2})
-		// A connection makes three calls a second, each of which keeps a query for 2 s.
+		// A connection makes three calls a second, each of which keeps a query from being dropped for 2 s.
 		running := rapid.IntRange(room, 4*room).Draw(rt, "running")
 		nodes := rapid.IntRange(1, 40).Draw(rt, "nodes")
 		busy := rapid.IntRange(0, 100).Draw(rt, "busy")
 		type event struct {
 			at   time.Duration
 			want uint64
-			ask  bool // else the call of want ends
+			ask  bool // else the call of the request ends
 		}
 		var due []event
 		query, asked := map[uint64]int{}, make([]time.Duration, running)
@@ -254,7 +254,7 @@
 			}
 			for w := range s.waiting {
 				if q := query[w]; q >= 0 && s.now-asked[q] > forgot {
-					rt.Fatalf("%v: query %d of %d is not asked about for %v", s.now, q, running,
+					rt.Fatalf("%v: query %d of %d was not polled for %v", s.now, q, running,
 						s.now-asked[q])
 				}
 			}
--- a/internal/backend/duplicateresponse/detector_test.go
+++ b/internal/backend/duplicateresponse/detector_test.go
@@ -15,7 +15,8 @@
 	return a
 }
 
-// TestSuspect: what repeats on a connection is suspected where a compute node would hardly repeat it.
+// TestSuspect: a repeated response on a connection is suspected where a compute node would hardly repeat
+// itself.
 func TestSuspect(t *testing.T) {
 	const quick, slow = 2 * time.Millisecond, 250 * time.Millisecond
 	result := response(200, "a\tb\tc\n", "page-count", "1", "x-meter", "inflight:7")
@@ -27,23 +28,23 @@
 	for name, c := range map[string]struct {
 		first, second *nodehttp.Response
 		took          time.Duration
-		copiesSeen    bool
+		duplicateSeen bool
 		want          bool
 	}{
-		"result":              {result, result, quick, false, true},
-		"another load":        {result, loaded, quick, false, false},
-		"another result":      {result, other, quick, false, false},
-		"numbered page":       {numbered, numbered, quick, true, false},
-		"no news, in time":    {silent, silent, slow, false, false},
-		"no news, too soon":   {silent, silent, quick, false, true},
-		"note, at once":       {note, note, quick, true, false},
-		"full":                {full, full, quick, false, false},
-		"full, copies about":  {full, full, quick, true, true},
-		"given up":            {gone, gone, quick, true, false},
-		"error, copies about": {failed, failed, quick, true, true},
+		"result":                 {result, result, quick, false, true},
+		"another load":           {result, loaded, quick, false, false},
+		"another result":         {result, other, quick, false, false},
+		"numbered page":          {numbered, numbered, quick, true, false},
+		"running, in time":       {silent, silent, slow, false, false},
+		"running, too soon":      {silent, silent, quick, false, true},
+		"progress, at once":      {note, note, quick, true, false},
+		"full":                   {full, full, quick, false, false},
+		"full, after duplicate":  {full, full, quick, true, true},
+		"deleted":                {gone, gone, quick, true, false},
+		"error, after duplicate": {failed, failed, quick, true, true},
 	} {
 		d, m := NewDetector(), &History{}
-		if c.copiesSeen {
+		if c.duplicateSeen {
 			d.RecordDuplicate(0)
 		}
 		if _, suspect := d.Suspect(time.Second, c.took, m, c.first); suspect {
@@ -58,8 +59,8 @@
 	}
 }
 
-// TestConstantResult: a result that repeats by itself is suspected once, one that turns out to be another's
-// has refusals suspected for a while.
+// TestConstantResult: a result that a compute node repeats is suspected once; one that turns out to be
+// a duplicate has rejections suspected for a while.
 func TestConstantResult(t *testing.T) {
 	d, m := NewDetector(), &History{}
 	done, full := response(200, "", "page-count", "0"), response(503, "", "x-shed", "1")
@@ -76,13 +77,13 @@
 	}
 	d.Suspect(0, 0, m, full)
 	if _, suspect := d.Suspect(0, 0, m, full); suspect {
-		t.Error("a refusal is suspected, and no copy was seen")
+		t.Error("a rejection is suspected, and no duplicate was seen")
 	}
 	d.Recheck(time.Second, 1, full)
 	if _, suspect := d.Suspect(2*time.Second, 0, m, full); !suspect {
-		t.Error("a refusal is not suspected after a copy")
+		t.Error("a rejection is not suspected after a duplicate")
 	}
 	if _, suspect := d.Suspect(2*time.Second+suspicionPeriod, 0, m, full); suspect {
-		t.Error("a refusal is suspected long after a copy")
+		t.Error("a rejection is suspected long after a duplicate")
 	}
 }
--- a/internal/discovery/sse/follower_test.go
+++ b/internal/discovery/sse/follower_test.go
@@ -21,7 +21,7 @@
 }
 
 // TestParserAnySplit: a stream gives the same events wherever it is cut, and one that breaks off gives no
-// half event.
+// partial event.
 func TestParserAnySplit(t *testing.T) {
 	stream := event(1, true, server("a", "up", 0)) + ": comment\n\n" +
 		event(2, false, server("a", "draining", 0))
@@ -36,7 +36,7 @@
 			t.Fatal(err)
 		}
 		if len(ids) != 1 || ids[0] != 1 {
-			t.Fatalf("cut at %d: events %v before the last is whole", cut, ids)
+			t.Fatalf("cut at %d: events %v before the last is complete", cut, ids)
 		}
 		p.Feed([]byte(stream[len(stream)-1:]), got)
 		if len(ids) != 2 || ids[1] != 2 {
@@ -49,7 +49,7 @@
 	}
 }
 
-// TestParserLineEndings: a stream says the same with each of the line ends that the standard knows, also
+// TestParserLineEndings: a stream gives the same events with each of the line ends of the standard, also
 // where a piece ends between a CR and its LF, and with a byte order mark before it.
 func TestParserLineEndings(t *testing.T) {
 	plain := event(1, true, server("a", "up", 0)) + ": comment\n" +
@@ -82,7 +82,7 @@
 }
 
 // TestClockSecondsAhead: a wall clock that is seconds ahead when the dispatcher starts makes no compute node
-// older that is told of as it starts.
+// look older that is reported as it starts.
 func TestClockSecondsAhead(t *testing.T) {
 	const ahead, zero, news = 5 * time.Second, time.Hour, 300 * time.Millisecond
 	truth := time.UnixMilli(1_000_000_000)
@@ -105,7 +105,7 @@
 	}
 }
 
-// FuzzFollower: whatever a notice board sends, reading it ends without a panic, and the last number never
+// FuzzFollower: whatever a discovery sends, reading it ends without a panic, and the last revision never
 // goes back.
 func FuzzFollower(f *testing.F) {
 	f.Add([]byte(event(1, true, server("a", "up", 0)) + event(2, false, server("a", "removed", 5))))
@@ -124,8 +124,8 @@
 	})
 }
 
-// TestFollower: what was told before is passed over, a gap and what can't be read change nothing, a compute
-// node that left has no address, and starts are on the module's clock.
+// TestFollower: what was applied before is passed over, a gap and what can't be read change nothing, a
+// compute node that was removed has no address, and starts are on the module's clock.
 func TestFollower(t *testing.T) {
 	f := newFollower()
 	take := func(text string) (cresspass.Event, ApplyResult, error) {
@@ -141,17 +141,17 @@
 	}
 	_, v, err = take(event(3, false, server("b", "removed", 0)))
 	if v != Duplicate || err != nil || f.Addr("b") == "" {
-		t.Errorf("told twice: %v, %v", v, err)
+		t.Errorf("reported twice: %v, %v", v, err)
 	}
 	if _, v, err = take(event(5, false, server("b", "removed", 0))); v != Gap || err != nil ||
 		f.LastRevision() != 3 {
 		t.Errorf("gap: %v, %v, last %d", v, err, f.LastRevision())
 	}
 	if _, _, err = take("id: 4\ndata: {\"rev\":4,\"pool\":{\"serv\n\n"); err == nil || f.LastRevision() != 3 {
-		t.Error("half an event was taken")
+		t.Error("a truncated event was applied")
 	}
 	if _, _, err = take(event(4, false, server("b", "confused", 0))); err == nil || f.LastRevision() != 3 {
-		t.Error("an unknown state was taken")
+		t.Error("an unknown state was applied")
 	}
 	_, v, err = take(event(4, false, server("b", "removed", 0)))
 	if v != Applied || err != nil || f.Addr("b") != "" {
@@ -159,21 +159,21 @@
 	}
 	if f.AcceptsQueries("b", f.Addr("b")) || !f.AcceptsQueries("a", f.Addr("a")) ||
 		f.AcceptsQueries("a", "elsewhere:1") {
-		t.Error("takes queries: one that left, not one that is up, or one elsewhere")
+		t.Error("accepts queries: one that was removed, not one that is up, or one elsewhere")
 	}
-	if gone := f.TakeRemoved(); len(gone) != 1 || gone[0] != "b" {
-		t.Errorf("gone: %v", gone)
+	if removed := f.TakeRemoved(); len(removed) != 1 || removed[0] != "b" {
+		t.Errorf("removed: %v", removed)
 	}
 	_, v, _ = take(event(9, true, server("c", "up", 0)))
 	if v != Applied || f.Addr("a") != "" || f.Addr("c") == "" {
-		t.Errorf("a whole list after a gap: %v", v)
+		t.Errorf("a full list after a gap: %v", v)
 	}
 	at := f.Addr("c")
 	if f.AcceptsQueries("a", f.Addr("a")) || !f.AcceptsQueries("c", at) {
-		t.Error("one that a whole list leaves out takes queries, or one on it does not")
+		t.Error("one that a full list leaves out accepts queries, or one on it does not")
 	}
 	if _, v, _ = take(event(10, false, server("c", "draining", 0))); v != Applied || f.Addr("c") != at ||
 		f.AcceptsQueries("c", at) || !f.Draining("c") || f.Draining("a") {
-		t.Error("a draining one takes queries, or has no address for those that it runs")
+		t.Error("a draining one accepts queries, or has no address for those that it runs")
 	}
 }
--- a/internal/discovery/starttime/converter_test.go
+++ b/internal/discovery/starttime/converter_test.go
@@ -11,8 +11,8 @@
 )
 
 // TestNeverOlder: whether the wall clock was right when it was read, behind, or far ahead, and whatever
-// order nodes are told in, none is taken to be older than it is; where the clock was right, or one was
-// told at once, all that are told after it have their true age.
+// order nodes are reported in, none is taken to be older than it is; where the clock was right, or one was
+// reported at once, all that are reported after it have their true age.
 func TestNeverOlder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		truth := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -35,17 +35,17 @@
 				t.Fatalf("started %v ago, taken for %v", delay, now-got)
 			}
 			if prompt && !known && got != want {
-				t.Fatalf("after news without delay: started %v ago, taken for %v", delay, now-got)
+				t.Fatalf("after a report without delay: started %v ago, taken for %v", delay, now-got)
 			}
 			if again := c.Convert(now+time.Minute, id, told); again != got {
-				t.Fatalf("told again: %v, then %v", got, again)
+				t.Fatalf("reported again: %v, then %v", got, again)
 			}
 		}
 	})
 }
 
 // TestFreshObservations: where a wall clock is seconds or minutes ahead, no node is taken to be older than
-// it is when the news of its start come as they are told; one that is young by this clock shows that the
+// it is when the report of its start comes as it was sent; one that is young by this clock shows that the
 // clock is right.
 func TestFreshObservations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -63,7 +63,7 @@
 		}
 	})
 	c := New(RecentStarts, time.Unix(1000, 0), time.Hour)
-	c.ObserveFresh(time.Hour, "late news", time.Unix(995, 0))
+	c.ObserveFresh(time.Hour, "late report", time.Unix(995, 0))
 	c.Observe(time.Hour, "young", time.Unix(1000, 0))
 	if got := c.Convert(time.Hour, "old", time.Unix(990, 0)); got != time.Hour-10*time.Second {
 		t.Errorf("a clock that is right: 10 s taken for %v", time.Hour-got)
--- a/internal/frontend/thriftserver/registry_test.go
+++ b/internal/frontend/thriftserver/registry_test.go
@@ -27,9 +27,9 @@
 	return thrift.AppendDispatch(nil, seq, fields, []byte("SELECT a FROM t_3.u"))[thrift.FrameHeaderBytes:]
 }
 
-// TestRequestEndsOnce: whatever clients send, take back and break off, each request that was taken has one
-// end: it is answered where it was asked, taken back, or ends with its connection. No two that are open
-// share a number on a connection or an id, and no connection is given away that is in use.
+// TestRequestEndsOnce: whatever clients send, cancel and break off, each request that was accepted has one
+// end: it is replied to where it came, is cancelled, or ends with its connection. No two that are open
+// share a number on a connection or an id, and no connection is evicted that is in use.
 func TestRequestEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, now := New(&cfg), startOfTest
@@ -96,19 +96,19 @@
 							of++
 						}
 						if other == q.ID || at == (ReplyTarget{q.Conn, q.Seq}) {
-							t.Fatalf("%+v taken beside %d at %+v", q, other, at)
+							t.Fatalf("%+v accepted beside %d at %+v", q, other, at)
 						}
 					}
 					if _, twice := tickets[q.Ticket]; twice || of >= MaxOpenRequests || v.Event.Query != q.ID ||
 						!q.Deadline.After(now) || v.Event.RemainingDeadline <= 0 ||
 						v.Reply != nil {
-						t.Fatalf("%+v taken, its id is open: %v, of %d open, %+v", q, twice, of, v.Event)
+						t.Fatalf("%+v accepted, its id is open: %v, of %d open, %+v", q, twice, of, v.Event)
 					}
 					open[q.ID], tickets[q.Ticket] = ReplyTarget{q.Conn, q.Seq}, q.ID
 				case v.Cancelled != nil:
-					end(v.Cancelled, "taken back")
+					end(v.Cancelled, "cancelled")
 				case v.Invalid && v.Reply == nil:
-					t.Fatal("a request at fault is not told why")
+					t.Fatal("an invalid request has no reply")
 				}
 				if v.Reply != nil {
 					unwritten[id]++
@@ -118,7 +118,7 @@
 				at, is := open[q]
 				to, ok := b.ClaimReply(now, q)
 				if ok != is || ok && to != at {
-					t.Fatalf("answer to %d: %v at %+v, open: %v at %+v", q, ok, to, is, at)
+					t.Fatalf("reply to %d: %v at %+v, open: %v at %+v", q, ok, to, is, at)
 				}
 				if ok {
 					unwritten[to.Conn]++
@@ -159,11 +159,11 @@
 				}
 				for _, at := range open {
 					if at.Conn == which {
-						t.Fatalf("connection %d is to go, %+v is open there", which, at)
+						t.Fatalf("connection %d is evicted, %+v is open there", which, at)
 					}
 				}
 				if !alive[which] || unwritten[which] > 0 {
-					t.Fatalf("connection %d is to go, %d messages are not written", which, unwritten[which])
+					t.Fatalf("connection %d is evicted, %d messages are not written", which, unwritten[which])
 				}
 			case 10:
 				if ok := b.BeginMessage(now, id); ok != (alive[id] && !ending[id]) {
@@ -192,7 +192,7 @@
 				ending[id] = was || ok
 				for _, other := range b.UnusedConns() {
 					if ending[other] || partly[other] || unwritten[other] > 0 || used(other) {
-						t.Fatalf("connection %d is told to be unused", other)
+						t.Fatalf("connection %d is listed as unused", other)
 					}
 				}
 			}
@@ -203,8 +203,8 @@
 	})
 }
 
-// TestEvictionCandidate: a crowd of connections that say nothing drives out neither a client that just
-// connected nor one with a request open.
+// TestEvictionCandidate: many connections that send nothing evict neither a client that just connected nor
+// one with a request open.
 func TestEvictionCandidate(t *testing.T) {
 	ms := time.Millisecond
 	type seen struct {
@@ -216,10 +216,10 @@
 		conns []seen
 		want  ConnID
 	}{
-		"mute for long": {[]seen{{spoke: true, silent: 3e3 * ms}, {silent: 600 * ms}, {silent: 900 * ms}}, 3},
-		"just made":     {[]seen{{silent: ms}, {spoke: true, silent: ms}, {spoke: true, silent: 9 * ms}}, 3},
-		"open":          {[]seen{{busy: true, spoke: true, silent: 9e3 * ms}, {spoke: true, silent: ms}}, 2},
-		"none can go":   {[]seen{{busy: true, spoke: true, silent: ms}, {silent: 499 * ms}}, 0},
+		"silent":      {[]seen{{spoke: true, silent: 3e3 * ms}, {silent: 600 * ms}, {silent: 900 * ms}}, 3},
+		"just made":   {[]seen{{silent: ms}, {spoke: true, silent: ms}, {spoke: true, silent: 9 * ms}}, 3},
+		"open":        {[]seen{{busy: true, spoke: true, silent: 9e3 * ms}, {spoke: true, silent: ms}}, 2},
+		"none can go": {[]seen{{busy: true, spoke: true, silent: ms}, {silent: 499 * ms}}, 0},
 		"half a message": {[]seen{{spoke: true, silent: 499 * ms, partly: true}, {spoke: true, silent: ms},
 			{silent: 499 * ms, partly: true}}, 2},
 		"half for long": {[]seen{{spoke: true, silent: 600 * ms, partly: true},
--- a/internal/overload/stall/stall_test.go
+++ b/internal/overload/stall/stall_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// TestReadDelay: what is read in a stall, or soon after one, may have come at its beginning, but not before
-// nothing was there.
+// TestReadDelay: what is read in a stall, or soon after one, may have come at its beginning, but not
+// before the time at which nothing was there.
 func TestReadDelay(t *testing.T) {
 	const ms = time.Millisecond
 	m := NewDetector(1000 * ms)
 	for at := 1050 * ms; at <= 1500*ms; at += HeartbeatInterval {
-		m.Beat(at + 10*ms) // a little late, as ever
+		m.Beat(at + 10*ms) // a little late, as usual
 	}
 	want := func(what string, now, since, waited time.Duration) {
 		t.Helper()
--- a/internal/protocol/nodehttp/response_test.go
+++ b/internal/protocol/nodehttp/response_test.go
@@ -20,8 +20,8 @@
 		"length":        {ok + "Content-Length: 3\r\nPage-Count: 1\r\n\r\nabc", 200, "abc", nil},
 		"chunks":        {ok + chunked + "2\r\nab\r\n1;x=y\r\nc\r\n0\r\n\r\n", 200, "abc", nil},
 		"1xx before":    {info + "HTTP/1.1 204 No\r\n\r\n", 204, "", nil},
-		"1xx for ever":  {strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", 50), 0, "", ErrMalformed},
-		"another copy":  {strings.Repeat("HTTP/1.1 202 A\r\nContent-Length: 0\r\n\r\n", 2), 202, "", nil},
+		"endless 1xx":   {strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", 50), 0, "", ErrMalformed},
+		"a duplicate":   {strings.Repeat("HTTP/1.1 202 A\r\nContent-Length: 0\r\n\r\n", 2), 202, "", nil},
 		"noise":         {"\x00\xff\x13noise\r\n\r\n", 0, "", ErrMalformed},
 		"three GB":      {ok + "Content-Length: 3221225472\r\n\r\nabc", 0, "", ErrMalformed},
 		"chunk too big": {ok + "Transfer-Encoding: chunked\r\n\r\nffffffffff\r\n", 0, "", ErrMalformed},
@@ -47,7 +47,7 @@
 	}
 }
 
-// FuzzReadResponse: whatever comes, reading ends without a panic, and no body passes its bound.
+// FuzzReadResponse: whatever comes, reading ends without a panic, and no body is longer than allowed.
 func FuzzReadResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"))
--- a/internal/protocol/thrift/message_test.go
+++ b/internal/protocol/thrift/message_test.go
@@ -6,12 +6,11 @@
 	"testing"
 )
 
-// TestRequestRoundTrip: what the clients' side writes is read as it was meant, and every cut of it is an
-// error.
+// TestRequestRoundTrip: a request is decoded to what was encoded, and every truncation of it is an error.
 func TestRequestRoundTrip(t *testing.T) {
 	frame := AppendDispatch(nil, 7, [][2]string{{"verb", "report"}, {"txn", "00ff"}}, []byte("SELECT 1"))
 	if n := binary.BigEndian.Uint32(frame); int(n) != len(frame)-FrameHeaderBytes {
-		t.Fatalf("frame tells %d bytes of %d", n, len(frame)-FrameHeaderBytes)
+		t.Fatalf("the frame header says %d bytes of %d", n, len(frame)-FrameHeaderBytes)
 	}
 	r, err := ParseRequest(frame[FrameHeaderBytes:])
 	if err != nil || r.Name != "dispatch" || r.Seq != 7 || r.Type != Call || r.Fields["verb"] != "report" ||
