--- a/internal/backend/connpool/pool_test.go
+++ b/internal/backend/connpool/pool_test.go
@@ -27,15 +27,15 @@
 	engines     map[uint64]cresspass.EngineID // of all connections
 	held        map[uint64]uint64             // connection by request
 	lastConn    uint64
-	granted     func(want, conn uint64)
+	granted     func(request, conn uint64)
 	closingIdle cresspass.EngineID
 }
 
-func newPoolHarness(t *rapid.T, l Limits) *poolHarness {
+func newPoolHarness(t *rapid.T, limits Limits) *poolHarness {
 	return &poolHarness{
 		t:         t,
 		pool:      New(minIdle, maxIdle),
-		limits:    l,
+		limits:    limits,
 		waiting:   map[uint64]Request{},
 		held:      map[uint64]uint64{},
 		idleSince: map[uint64]time.Duration{},
@@ -43,76 +43,77 @@
 	}
 }
 
-func (s *poolHarness) apply(grants []Grant) {
+func (h *poolHarness) apply(grants []Grant) {
 	for _, g := range grants {
 		if g.Type == Close {
-			if at, ok := s.idleSince[g.Conn]; !ok ||
-				s.now-at < minIdle && s.engines[g.Conn] != s.closingIdle {
-				s.t.Fatalf("%v: connection %d closed, idle since %v (%v)", s.now, g.Conn, at, ok)
+			if at, ok := h.idleSince[g.Conn]; !ok ||
+				h.now-at < minIdle && h.engines[g.Conn] != h.closingIdle {
+				h.t.Fatalf("%v: connection %d closed, idle since %v (%v)", h.now, g.Conn, at, ok)
 			}
-			delete(s.idleSince, g.Conn)
-			delete(s.engines, g.Conn)
+			delete(h.idleSince, g.Conn)
+			delete(h.engines, g.Conn)
 			continue
 		}
-		w, ok := s.waiting[g.RequestID]
+		req, ok := h.waiting[g.RequestID]
 		if !ok {
-			s.t.Fatalf("%v: request %d granted that does not wait", s.now, g.RequestID)
+			h.t.Fatalf("%v: request %d granted that does not wait", h.now, g.RequestID)
 		}
-		delete(s.waiting, g.RequestID)
+		delete(h.waiting, g.RequestID)
 		conn := g.Conn
 		if g.Type == Dial {
-			s.lastConn++
-			conn = s.lastConn
-			s.engines[conn] = w.Engine
-		} else if at, ok := s.idleSince[conn]; !ok || s.now-at < minIdle || w.Fresh || s.engines[conn] != w.Engine {
-			s.t.Fatalf("%v: %+v got connection %d to %s, idle since %v (%v)", s.now, w, conn,
-				s.engines[conn], at, ok)
+			h.lastConn++
+			conn = h.lastConn
+			h.engines[conn] = req.Engine
+		} else if at, ok := h.idleSince[conn]; !ok || h.now-at < minIdle || req.Fresh ||
+			h.engines[conn] != req.Engine {
+			h.t.Fatalf("%v: %+v got connection %d to %s, idle since %v (%v)", h.now, req, conn,
+				h.engines[conn], at, ok)
 		}
-		delete(s.idleSince, conn)
-		s.held[g.RequestID] = conn
-		if s.granted != nil {
-			s.granted(g.RequestID, conn)
+		delete(h.idleSince, conn)
+		h.held[g.RequestID] = conn
+		if h.granted != nil {
+			h.granted(g.RequestID, conn)
 		}
 	}
-	if open := s.pool.OpenConns(); open != len(s.engines) || open > s.limits.Capacity+s.limits.UrgentReserve {
-		s.t.Fatalf("%v: %d open, %d granted, %+v", s.now, open, len(s.engines), s.limits)
+	if open := h.pool.OpenConns(); open != len(h.engines) || open > h.limits.Capacity+h.limits.UrgentReserve {
+		h.t.Fatalf("%v: %d open, %d granted, %+v", h.now, open, len(h.engines), h.limits)
 	}
-	if s.pool.Waiting() != len(s.waiting) {
-		s.t.Fatalf("%v: %d wait, %d were asked for", s.now, s.pool.Waiting(), len(s.waiting))
+	if h.pool.Waiting() != len(h.waiting) {
+		h.t.Fatalf("%v: %d wait, %d were requested", h.now, h.pool.Waiting(), len(h.waiting))
 	}
 }
 
-func (s *poolHarness) acquire(w Request) {
-	s.waiting[w.ID] = w
-	s.apply(s.pool.Acquire(s.now, w, s.limits))
+func (h *poolHarness) acquire(req Request) {
+	h.waiting[req.ID] = req
+	h.apply(h.pool.Acquire(h.now, req, h.limits))
 }
 
 // finish gives a request's connection back, open or closed.
-func (s *poolHarness) finish(want uint64, whole bool) {
-	conn := s.held[want]
-	delete(s.held, want)
-	if whole {
-		s.idleSince[conn] = s.now
-		s.pool.Release(s.now, s.engines[conn], conn)
+func (h *poolHarness) finish(request uint64, reusable bool) {
+	conn := h.held[request]
+	delete(h.held, request)
+	if reusable {
+		h.idleSince[conn] = h.now
+		h.pool.Release(h.now, h.engines[conn], conn)
 		return
 	}
-	delete(s.engines, conn)
-	s.apply(s.pool.Closed(s.limits))
+	delete(h.engines, conn)
+	h.apply(h.pool.Closed(h.limits))
 }
 
 // advance lets time pass, with the sweeps that the pool schedules and one each 500 ms.
-func (s *poolHarness) advance(to time.Duration) {
+func (h *poolHarness) advance(to time.Duration) {
 	for {
-		next := s.now - s.now%(500*ms) + 500*ms
-		if at, ok := s.pool.NextSweep(); ok {
-			next = min(next, max(at, s.now))
+		next := h.now - h.now%(500*ms) + 500*ms
+		if at, ok := h.pool.NextSweep(); ok {
+			next = min(next, max(at, h.now))
 		}
 		if next > to {
-			s.now = to
+			h.now = to
 			return
 		}
-		s.now = next
-		s.apply(s.pool.Sweep(s.now, s.limits))
+		h.now = next
+		h.apply(h.pool.Sweep(h.now, h.limits))
 	}
 }
 
@@ -120,7 +121,7 @@
 // and a connection goes only to its compute node, after its least idle time, to one request at a time.
 func TestGrants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newPoolHarness(t, Limits{Capacity: rapid.IntRange(1, 6).Draw(t, "room"), UrgentReserve: 1})
+		h := newPoolHarness(t, Limits{Capacity: rapid.IntRange(1, 6).Draw(t, "capacity"), UrgentReserve: 1})
 		id := uint64(0)
 		some := func(m map[uint64]uint64) uint64 {
 			for n := rapid.Uint64Range(1, id+1).Draw(t, "which"); n > 0; n-- {
@@ -134,52 +135,50 @@
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0, 1, 2:
 				id++
-				s.acquire(
-					Request{ID: id, Engine: cresspass.EngineID(rapid.SampledFrom([]string{"a", "b", "c"}).
-						Draw(t, "engine")), Fresh: rapid.Bool().Draw(t, "fresh"),
-						Urgent: rapid.IntRange(0, 9).Draw(t, "spare") == 0,
-						Due:    s.now + time.Duration(rapid.IntRange(0, 2000).Draw(t, "due"))*ms},
-				)
+				engine := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "engine")
+				h.acquire(Request{
+					ID:     id,
+					Engine: cresspass.EngineID(engine),
+					Fresh:  rapid.Bool().Draw(t, "fresh"),
+					Urgent: rapid.IntRange(0, 9).Draw(t, "urgent") == 0,
+					Due:    h.now + time.Duration(rapid.IntRange(0, 2000).Draw(t, "due"))*ms,
+				})
 			case 3:
-				if n := some(s.held); n > 0 {
-					s.finish(n, rapid.Bool().Draw(t, "whole"))
+				if n := some(h.held); n > 0 {
+					h.finish(n, rapid.Bool().Draw(t, "reusable"))
 				}
 			case 4:
 				n := rapid.Uint64Range(1, id+1).Draw(t, "leaves")
-				_, waits := s.waiting[n]
-				if s.pool.Cancel(n) != waits {
+				_, waits := h.waiting[n]
+				if h.pool.Cancel(n) != waits {
 					t.Fatalf("request %d cancelled: it waits: %v", n, waits)
 				}
-				delete(s.waiting, n)
+				delete(h.waiting, n)
 			case 5:
-				s.advance(s.now + time.Duration(rapid.IntRange(1, 800).Draw(t, "passes"))*ms)
+				h.advance(h.now + time.Duration(rapid.IntRange(1, 800).Draw(t, "passes"))*ms)
 			case 6:
-				s.closingIdle = "b"
-				s.apply(s.pool.CloseIdle("b", s.limits))
-				if s.closingIdle = ""; len(s.pool.idle["b"]) > 0 {
-					t.Fatal("dropped connections are idle still")
+				h.closingIdle = "b"
+				h.apply(h.pool.CloseIdle("b", h.limits))
+				if h.closingIdle = ""; len(h.pool.idle["b"]) > 0 {
+					t.Fatal("closed connections are still idle")
 				}
 			}
 		}
-		s.advance(s.now + 100*ms)
-		if s.pool.Waiting() > 0 && s.pool.OpenConns() < s.limits.Capacity {
-			t.Fatalf("%d wait, %d of %d open", s.pool.Waiting(), s.pool.OpenConns(), s.limits.Capacity)
+		h.advance(h.now + 100*ms)
+		if h.pool.Waiting() > 0 && h.pool.OpenConns() < h.limits.Capacity {
+			t.Fatalf("%d wait, %d of %d open", h.pool.Waiting(), h.pool.OpenConns(), h.limits.Capacity)
 		}
-		for rounds := 0; len(s.held)+len(s.waiting) > 0; rounds++ { // all are served in the end
-			for n := range s.held {
-				s.finish(n, true)
+		for rounds := 0; len(h.held)+len(h.waiting) > 0; rounds++ { // all are served in the end
+			for n := range h.held {
+				h.finish(n, true)
 			}
-			if s.advance(s.now + 100*ms); rounds > 200 {
-				t.Fatalf(
-					"%d wait still, %d of %d open",
-					s.pool.Waiting(),
-					s.pool.OpenConns(),
-					s.limits.Capacity,
-				)
+			if h.advance(h.now + 100*ms); rounds > 200 {
+				t.Fatalf("%d still wait, %d of %d open", h.pool.Waiting(), h.pool.OpenConns(),
+					h.limits.Capacity)
 			}
 		}
-		if s.advance(s.now + maxIdle + time.Second); s.pool.OpenConns() > 0 {
-			t.Fatalf("at rest %d are open", s.pool.OpenConns())
+		if h.advance(h.now + maxIdle + time.Second); h.pool.OpenConns() > 0 {
+			t.Fatalf("without calls %d are open", h.pool.OpenConns())
 		}
 	})
 }
@@ -190,52 +189,51 @@
 // compute node have its connections always in use, and the others must not wait for these.
 func TestNoQueryAbandoned(t *testing.T) {
 	const (
-		room   = 30
-		call   = 250 * ms
-		forgot = 2 * time.Second
+		capacity     = 30
+		call         = 250 * ms
+		abandonAfter = 2 * time.Second
 	)
 	rapid.Check(t, func(rt *rapid.T) {
-		s := newPoolHarness(rt, Limits{Capacity: room, UrgentReserve: 2})
+		h := newPoolHarness(rt, Limits{Capacity: capacity, UrgentReserve: 2})
 		// A connection makes three calls a second, each of which keeps a query from being dropped for 2 s.
-		running := rapid.IntRange(room, 4*room).Draw(rt, "running")
+		running := rapid.IntRange(capacity, 4*capacity).Draw(rt, "running")
 		nodes := rapid.IntRange(1, 40).Draw(rt, "nodes")
 		busy := rapid.IntRange(0, 100).Draw(rt, "busy")
 		type event struct {
-			at   time.Duration
-			want uint64
-			ask  bool // else the call of the request ends
+			at      time.Duration // the call of the request ends then
+			request uint64
 		}
 		var due []event
-		query, asked := map[uint64]int{}, make([]time.Duration, running)
+		query, polledAt := map[uint64]int{}, make([]time.Duration, running)
 		id := uint64(0)
 		next := func(q int) {
 			id++
 			query[id] = q
 			engine := "quick"
 			if q < 0 {
-				s.acquire(Request{ID: id, Engine: "quick", Due: s.now + time.Second})
+				h.acquire(Request{ID: id, Engine: "quick", Due: h.now + time.Second})
 				return
 			}
 			engine = fmt.Sprint(q % nodes)
-			s.acquire(Request{ID: id, Engine: cresspass.EngineID(engine),
-				Due: min(s.now+time.Second, asked[q]+forgot-350*ms)})
+			h.acquire(Request{ID: id, Engine: cresspass.EngineID(engine),
+				Due: min(h.now+time.Second, polledAt[q]+abandonAfter-350*ms)})
 		}
-		s.granted = func(want, conn uint64) {
+		h.granted = func(request, conn uint64) {
 			lasts := call
-			if query[want] < 0 {
+			if query[request] < 0 {
 				lasts = 5 * ms
 			}
-			due = append(due, event{s.now + lasts, want, false})
+			due = append(due, event{h.now + lasts, request})
 		}
-		for q := range asked {
+		for q := range polledAt {
 			next(q)
 		}
-		for s.now < 12*time.Second {
-			s.advance(s.now + 5*ms)
+		for h.now < 12*time.Second {
+			h.advance(h.now + 5*ms)
 			for len(due) > 0 { // ends of calls, in any order within the step
 				at := -1
 				for i, e := range due {
-					if e.at <= s.now {
+					if e.at <= h.now {
 						at = i
 						break
 					}
@@ -245,20 +243,20 @@
 				}
 				e := due[at]
 				due = append(due[:at], due[at+1:]...)
-				s.finish(e.want, true)
-				if q := query[e.want]; q >= 0 {
-					asked[q] = s.now
+				h.finish(e.request, true)
+				if q := query[e.request]; q >= 0 {
+					polledAt[q] = h.now
 					next(q)
 				}
-				delete(query, e.want)
+				delete(query, e.request)
 			}
-			for w := range s.waiting {
-				if q := query[w]; q >= 0 && s.now-asked[q] > forgot {
-					rt.Fatalf("%v: query %d of %d was not polled for %v", s.now, q, running,
-						s.now-asked[q])
+			for req := range h.waiting {
+				if q := query[req]; q >= 0 && h.now-polledAt[q] > abandonAfter {
+					rt.Fatalf("%v: query %d of %d was not polled for %v", h.now, q, running,
+						h.now-polledAt[q])
 				}
 			}
-			if int(s.now/ms)%100 < busy && len(s.waiting) < 4*room+running {
+			if int(h.now/ms)%100 < busy && len(h.waiting) < 4*capacity+running {
 				next(-1)
 			}
 		}
