--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -120,7 +120,7 @@
 			}
 			mayHaveRun := q.mayHaveRun || len(q.running) > 0
 			if o.Type == RejectQuery && q.class == notIdempotentClass && mayHaveRun {
-				c.Fatalf("unsafe query %d refused though it may have run", o.Query)
+				c.Fatalf("query %d, not idempotent, rejected though it may have run", o.Query)
 			}
 		}
 	}
@@ -131,16 +131,16 @@
 		c.Fatalf("query %d (%+v): started attempt %d", o.Query, q, o.Attempt)
 	}
 	if q.class == notIdempotentClass && q.mayHaveRun {
-		c.Fatalf("unsafe query %d: started again after a doubt", o.Query)
+		c.Fatalf("query %d, not idempotent: retried though it may have run", o.Query)
 	}
 	// What is sent within StartWithin comes before the deadline, and inside the deduplication window of what
 	// may have run before.
 	if o.StartWithin <= 0 || c.now+o.StartWithin > q.deadline {
-		c.Fatalf("query %d, deadline %v: to begin within %v from %v", o.Query, q.deadline, o.StartWithin,
+		c.Fatalf("query %d, deadline %v: to start within %v from %v", o.Query, q.deadline, o.StartWithin,
 			c.now)
 	}
 	if q.class == keyedClass && q.mayHaveRun && c.now+o.StartWithin >= q.firstRunAt+keyedWindow {
-		c.Fatalf("keyed query %d, first ran at %v: again within %v from %v", o.Query, q.firstRunAt,
+		c.Fatalf("query %d, with a key, first ran at %v: retried within %v from %v", o.Query, q.firstRunAt,
 			o.StartWithin, c.now)
 	}
 	q.nextAttempt++
@@ -148,7 +148,7 @@
 }
 
 // drawEvents draws what happens next: four times in ten an arrival, once a client that goes, once events
-// that nobody asked for, and else an outcome.
+// of what is unknown, and else an outcome.
 func (c *contractChecker) drawEvents() []cresspass.Event {
 	kind := rapid.IntRange(0, 9).Draw(c.T, "kind")
 	if kind < 4 || len(c.ids) == 0 {
@@ -164,7 +164,7 @@
 			event.Outcome = cresspass.OutcomeCancelled
 		}
 		return []cresspass.Event{event}
-	case kind == 5: // what nobody asked for
+	case kind == 5: // events of an unknown attempt and an unknown query
 		return []cresspass.Event{
 			{Type: cresspass.AttemptDone, Query: id, Attempt: 9, Engine: "e0"},
 			{Type: cresspass.ProgressReported, Query: id + 1000, Note: cresspass.NoteFractionDone, Value: 2},
@@ -226,7 +226,7 @@
 	}
 	if st := c.core.Stats(); st.Open != 0 || st.Running != 0 || st.Overdue != 0 ||
 		len(c.core.queries) != 0 || st.Arrived != st.Served+st.Rejected+st.Failed+st.Abandoned {
-		c.Fatalf("counts do not add up: %+v, %d queries kept", st, len(c.core.queries))
+		c.Fatalf("counts do not add up: %+v, %d queries left", st, len(c.core.queries))
 	}
 }
 
--- a/internal/dispatch/response/response.go
+++ b/internal/dispatch/response/response.go
@@ -62,7 +62,7 @@
 	return true
 }
 
-// Write takes bytes from an attempt, and holds them back while there is room. It returns false if the
+// Write takes bytes from an attempt, and buffers them as far as the limits allow. It returns false if the
 // response no longer belongs to the attempt.
 func (r *Response) Write(attempt int, b []byte) (owner bool) {
 	r.mu.Lock()
--- a/internal/frontend/classify/classify.go
+++ b/internal/frontend/classify/classify.go
@@ -90,7 +90,7 @@
 	event.RemainingDeadline = remainingDeadline(class.Deadline, client.Timeout, tags)
 	if event.AddsNoRetryBudget {
 		// What a comment says of cost, memory, key and tables concerns the run of the statement. A
-		// description that were taken to cost as much would be rejected, or queued behind its key.
+		// description that was taken to cost as much would be rejected, or queued behind its key.
 		tags = map[string]string{tagTenant: tags[tagTenant], tagRepeat: tags[tagRepeat]}
 	}
 	applyTags(&event, tags)
@@ -164,7 +164,7 @@
 }
 
 // remainingDeadline returns the least of a class's deadline, the client's timeout and the one that a comment
-// tells.
+// gives.
 func remainingDeadline(deadline, timeout time.Duration, tags map[string]string) time.Duration {
 	if timeout > 0 {
 		deadline = min(deadline, timeout)
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,9 +1,9 @@
 // Package invariant re-checks the safety rules in the moment of an act. A decision is made earlier than it
 // is carried out: between the two lie a wait for a descriptor, a dial, a record on disk.
 //
-// Ledger records what has really happened to requests, without I/O and without a clock; every path asks it
-// before it sends, retries, answers or closes. Counter counts and logs what the Ledger did not allow. Guard
-// is both behind one lock. The package makes no decisions of its own: it only withholds acts.
+// Ledger records what has really happened to requests, without I/O and without a clock; every path checks
+// with it before it sends, retries, answers or closes. Counter counts and logs what the Ledger did not allow.
+// Guard is both behind one lock. The package makes no decisions of its own: it only withholds acts.
 package invariant
 
 import "fmt"
--- a/internal/invariant/ledger.go
+++ b/internal/invariant/ledger.go
@@ -97,7 +97,7 @@
 }
 
 // BeginAttempt asks whether an attempt may be sent now, and enters it if so. EndAttempt is owed for each that
-// may. An attempt of which not a byte could be written asks again.
+// may. An attempt of which not a byte could be written is checked again.
 func (l *Ledger) BeginAttempt(now time.Time, id cresspass.QueryID, attempt int, target Target) Result {
 	r := l.requests[id]
 	switch {
--- a/internal/invariant/violation_log.go
+++ b/internal/invariant/violation_log.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }() // it was only read: nothing is lost
 	scanner := bufio.NewScanner(file)
 	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
