--- a/internal/membership/replayguard/window.go
+++ b/internal/membership/replayguard/window.go
@@ -1,78 +1,63 @@
-// Package replayguard decides whether a message of a peer is new. Messages come late, doubled and out of
-// order, and somebody who listens may send one again. It does no I/O and reads no clock.
+// Package replayguard decides whether a message of a peer is new, by the sender's incarnation and the
+// message's sequence number. Messages come late, twice and out of order, and an eavesdropper may send one
+// again. It owns the record of what was accepted, does no I/O and reads no clock.
 package replayguard
 
-// windowSize is how far behind the newest a message may come: networks put some out of order.
+// windowSize is how far behind the newest message another may be, as networks reorder some.
 const windowSize = 1024
 
-// Window is what was taken of one sender. The zero value has taken nothing.
+const wordBits = 64
+
+// Window is the record of one sender's messages. The zero value has accepted none.
 type Window struct {
-	incarnation uint64 // the sender's life
-	highest     uint64 // greatest number taken
-	accepted    [windowSize / 64]uint64
+	incarnation uint64
+	highest     uint64                        // greatest sequence number accepted
+	accepted    [windowSize / wordBits]uint64 // a bit for each of the windowSize numbers up to highest
 }
 
-// Accept reports whether a message of a life and with a number, from 1 on, is new, and remembers it. Messages
-// of earlier lives, and such as are too far behind, are not.
-func (w *Window) Accept(born, seq uint64) bool {
+// Accept reports whether a message with a sequence number, from 1 on, is new, and remembers it. Messages of
+// earlier incarnations, and those too far behind the newest, are not new.
+func (w *Window) Accept(incarnation, seq uint64) bool {
 	switch {
-	case seq == 0 || born < w.incarnation:
+	case seq == 0 || incarnation < w.incarnation:
 		return false
-	case born > w.incarnation:
-		*w = Window{incarnation: born}
+	case incarnation > w.incarnation:
+		*w = Window{incarnation: incarnation}
 	}
 	if seq > w.highest {
-		if seq-w.highest >= windowSize {
-			clear(w.accepted[:])
-		} else {
-			for n := w.highest + 1; n < seq; n++ {
-				w.mark(n, false)
-			}
-		}
-		w.highest = seq
+		w.advance(seq)
 		w.mark(seq, true)
 		return true
 	}
-	if w.highest-seq >= windowSize || w.accepted[seq%windowSize/64]&(1<<(seq%64)) != 0 {
+	if w.highest-seq >= windowSize || w.isMarked(seq) {
 		return false
 	}
 	w.mark(seq, true)
 	return true
 }
 
-func (w *Window) mark(seq uint64, on bool) {
-	if bit := uint64(1) << (seq % 64); on {
-		w.accepted[seq%windowSize/64] |= bit
+// advance moves the window up to a new highest number. The bits of numbers that were skipped may be set by
+// numbers that have left the window; they are cleared.
+func (w *Window) advance(highest uint64) {
+	if highest-w.highest >= windowSize {
+		clear(w.accepted[:])
 	} else {
-		w.accepted[seq%windowSize/64] &^= bit
+		for skipped := w.highest + 1; skipped < highest; skipped++ {
+			w.mark(skipped, false)
+		}
 	}
+	w.highest = highest
 }
 
-// Guard are those of many senders, a bounded number: the ones heard of last.
-type Guard struct {
-	maxSenders int
-	windows    map[string]*Window
-	senders    []string
+func (w *Window) isMarked(seq uint64) bool {
+	return w.accepted[seq%windowSize/wordBits]&(1<<(seq%wordBits)) != 0
 }
 
-// NewGuard returns windows for up to most senders.
-func NewGuard(most int) *Guard { return &Guard{maxSenders: most, windows: map[string]*Window{}} }
-
-// Accept is Window's, by sender. known says that the sender is a member: of others nothing is remembered, and
-// nothing taken.
-func (w *Guard) Accept(sender string, known bool, born, seq uint64) bool {
-	if !known {
-		return false
-	}
-	v := w.windows[sender]
-	if v == nil {
-		if len(w.senders) >= w.maxSenders {
-			delete(w.windows, w.senders[0])
-			w.senders = w.senders[1:]
-		}
-		v = &Window{}
-		w.windows[sender] = v
-		w.senders = append(w.senders, sender)
+func (w *Window) mark(seq uint64, accepted bool) {
+	word, bit := &w.accepted[seq%windowSize/wordBits], uint64(1)<<(seq%wordBits)
+	if accepted {
+		*word |= bit
+	} else {
+		*word &^= bit
 	}
-	return v.Accept(born, seq)
 }
--- a/internal/membership/replayguard/window_test.go
+++ b/internal/membership/replayguard/window_test.go
@@ -1,38 +1,61 @@
 package replayguard
 
 import (
+	"fmt"
 	"testing"
 
 	"pgregory.net/rapid"
 )
 
-// Against a model that remembers all: nothing is taken twice, nothing of an earlier life, and whatever is new
-// and not far behind is taken.
+// Against a model that remembers everything: nothing is accepted twice, nothing of an earlier incarnation,
+// and whatever is new and not far behind is accepted.
 func TestWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var w Window
-		taken := map[[2]uint64]bool{}
-		born, top := uint64(1), uint64(0)
+		accepted := map[[2]uint64]bool{}
+		current, highest := uint64(1), uint64(0)
 		for range rapid.IntRange(1, 200).Draw(t, "messages") {
-			b := born
-			switch rapid.IntRange(0, 9).Draw(t, "life") {
-			case 0:
-				b = uint64(rapid.IntRange(1, 4).Draw(t, "born"))
+			incarnation := current
+			if rapid.IntRange(0, 9).Draw(t, "other") == 0 {
+				incarnation = uint64(rapid.IntRange(1, 4).Draw(t, "incarnation"))
 			}
 			far := rapid.SampledFrom([]int{3, 70, 1100, 3000}).Draw(t, "far")
-			seq := uint64(max(0, int(top)+rapid.IntRange(-far, far).Draw(t, "step")))
-			got := w.Accept(b, seq)
-			if b > born && seq > 0 {
-				born, top = b, 0
+			seq := uint64(max(0, int(highest)+rapid.IntRange(-far, far).Draw(t, "step")))
+			got := w.Accept(incarnation, seq)
+			if incarnation > current && seq > 0 {
+				current, highest = incarnation, 0
 			}
-			want := seq > 0 && b == born && !taken[[2]uint64{b, seq}] && (seq > top || top-seq < windowSize)
+			want := seq > 0 && incarnation == current && !accepted[[2]uint64{incarnation, seq}] &&
+				(seq > highest || highest-seq < windowSize)
 			if got != want {
-				t.Fatalf("life %d message %d after %d: taken %v, want %v", b, seq, top, got, want)
+				t.Fatalf("incarnation %d message %d after %d: accepted %v, want %v",
+					incarnation, seq, highest, got, want)
 			}
 			if got {
-				taken[[2]uint64{b, seq}] = true
-				top = max(top, seq)
+				accepted[[2]uint64{incarnation, seq}] = true
+				highest = max(highest, seq)
 			}
 		}
 	})
 }
+
+// A guard accepts nothing of unknown senders and remembers nothing of them; it keeps a bounded number of
+// windows, and drops the one of the sender that was heard of first.
+func TestGuard(t *testing.T) {
+	g := NewGuard(2)
+	if g.Accept("x", false, 1, 1) || len(g.windows) != 0 {
+		t.Error("a message of an unknown sender")
+	}
+	for i := range 3 {
+		sender := fmt.Sprint("m", i)
+		if !g.Accept(sender, true, 1, 1) || g.Accept(sender, true, 1, 1) {
+			t.Errorf("%s: not accepted once", sender)
+		}
+	}
+	if len(g.windows) != 2 || len(g.senders) != 2 || g.windows["m0"] != nil {
+		t.Errorf("windows of %v are kept", g.senders)
+	}
+	if g.Accept("m2", true, 1, 1) {
+		t.Error("a message of a sender with a window was accepted twice")
+	}
+}
