--- a/internal/membership/clocksync/clock.go
+++ b/internal/membership/clocksync/clock.go
@@ -1,6 +1,6 @@
-// Package clocksync has the members of a fleet agree on one clock, by which they take turns. Each
-// process's own begins at its birth, and wall clocks may be an hour off; so nobody's is the clock, but the
-// median of what all say theirs is. It does no I/O and reads no clock.
+// Package clocksync has the members of a fleet agree on one clock, by which they take turns as aggregators.
+// Each process's own clock begins when it starts, and wall clocks may be an hour off; so no member's clock
+// is the reference, but the median of what all members say theirs is. It does no I/O and reads no clock.
 package clocksync
 
 import (
@@ -9,61 +9,74 @@
 )
 
 const (
-	sampleTTL = 10 * time.Second       // a word counts for so long
-	tolerance = 250 * time.Millisecond // closer clocks are alike: words are late by their way
-	maxClock  = 1 << 62                // later times cannot be
+	// sampleTTL is how long a member's sample counts.
+	sampleTTL = 10 * time.Second
+	// tolerance is the difference below which clocks agree: samples are late by their time on the network.
+	tolerance = 250 * time.Millisecond
+	// maxClock bounds the clocks that are accepted, so that differences cannot overflow.
+	maxClock = 1 << 62
 )
 
-// sample is what a member said that the fleet's clock is, as what is to be added to ours.
+// sample is a member's clock, as its offset from ours.
 type sample struct{ receivedAt, offset time.Duration }
 
-// Clock is one member's. Make one with New. It is for one goroutine at a time.
+// Clock is one member's estimate of the fleet's clock. Make one with New. It is not safe for concurrent use.
 type Clock struct {
-	offset  time.Duration
+	offset  time.Duration // of the fleet's clock from ours
 	samples map[string]sample
-	scratch []time.Duration // of Step
+	scratch []time.Duration // reused by Sync
 }
 
-// New returns the clock of a member that has heard nobody: its own.
+// New returns the clock of a member that has heard of no other: its own.
 func New() *Clock { return &Clock{samples: map[string]sample{}} }
 
-// At is the fleet's clock at a time of ours.
+// At returns the fleet's clock at a time of the member's own.
 func (c *Clock) At(now time.Duration) time.Duration { return now + c.offset }
 
-// AddSample takes what a member says that the fleet's clock is now.
-func (c *Clock) AddSample(now time.Duration, name string, says time.Duration) {
-	if says >= 0 && says < maxClock {
-		c.samples[name] = sample{now, says - now}
+// AddSample records that a member says that the fleet's clock is now at a time. Impossible times are
+// ignored.
+func (c *Clock) AddSample(now time.Duration, name string, clock time.Duration) {
+	if clock >= 0 && clock < maxClock {
+		c.samples[name] = sample{now, clock - now}
 	}
 }
 
-// Forget drops a member's word.
+// Forget drops a member's sample.
 func (c *Clock) Forget(name string) { delete(c.samples, name) }
 
-// Sync follows the median of all words, ours among them, and reports whether the clock was moved. Of an
-// even number the later of the two in the middle counts, so that two halves of a healed split, or a fleet
-// of two, choose alike. Danger: a median that was followed at each step would be behind by the way of the
-// words, again and again, and the fleet's clock would run slow.
+// Sync moves the clock to the median of all samples, its own among them, where they disagree, and reports
+// whether it was moved. Of an even number the later of the two in the middle counts, so that two halves of a
+// healed split, or a fleet of two, choose alike.
+//
+// A clock that agrees with most samples is left alone: one that followed the median at each step would fall
+// behind by the samples' time on the network, again and again, and the fleet's clock would run slow.
 func (c *Clock) Sync(now time.Duration) (moved bool) {
-	all, close := append(c.scratch[:0], c.offset), 1
-	for name, w := range c.samples {
-		if now-w.receivedAt > sampleTTL {
+	offsets, agreeing := append(c.scratch[:0], c.offset), 1
+	for name, s := range c.samples {
+		if now-s.receivedAt > sampleTTL {
 			delete(c.samples, name)
 			continue
 		}
-		all = append(all, w.offset)
-		if d := w.offset - c.offset; d > -tolerance && d < tolerance {
-			close++
+		offsets = append(offsets, s.offset)
+		if c.agrees(s.offset) {
+			agreeing++
 		}
 	}
-	if c.scratch = all; 2*close > len(all) { // the median is one of them
+	c.scratch = offsets
+	if 2*agreeing > len(offsets) { // the median is one of them
 		return false
 	}
-	slices.Sort(all)
-	median := all[len(all)/2]
-	if d := median - c.offset; d > -tolerance && d < tolerance {
+	slices.Sort(offsets)
+	median := offsets[len(offsets)/2]
+	if c.agrees(median) {
 		return false
 	}
 	c.offset = median
 	return true
 }
+
+// agrees reports whether an offset is, within tolerance, the clock's own.
+func (c *Clock) agrees(offset time.Duration) bool {
+	difference := offset - c.offset
+	return difference > -tolerance && difference < tolerance
+}
--- a/internal/membership/clocksync/clock_test.go
+++ b/internal/membership/clocksync/clock_test.go
@@ -9,68 +9,99 @@
 	"pgregory.net/rapid"
 )
 
+// testFleet is a number of members whose own clocks begin at different times. The first are liars.
+type testFleet struct {
+	now     time.Duration
+	random  *rand.Rand
+	clocks  []*Clock
+	started []time.Duration
+	liars   int
+}
+
+// fleetClock is the fleet's clock as member i has it.
+func (f *testFleet) fleetClock(i int) time.Duration { return f.clocks[i].At(f.now - f.started[i]) }
+
+// round has each member hear up to four others by chance, late by up to 100 ms.
+func (f *testFleet) round() {
+	f.now += time.Second
+	for i, c := range f.clocks {
+		for range 4 {
+			k := f.random.IntN(len(f.clocks))
+			clock := f.fleetClock(k) - time.Duration(f.random.Int64N(int64(100*time.Millisecond)))
+			if k < f.liars {
+				clock = time.Duration(f.random.Int64N(int64(1000 * time.Hour)))
+			}
+			if k != i {
+				c.AddSample(f.now-f.started[i], fmt.Sprint(k), clock)
+			}
+		}
+	}
+	for i, c := range f.clocks {
+		c.Sync(f.now - f.started[i])
+	}
+}
+
+// spread is the greatest difference between the honest members' clocks.
+func (f *testFleet) spread() time.Duration {
+	least, most := f.fleetClock(f.liars), f.fleetClock(f.liars)
+	for i := f.liars; i < len(f.clocks); i++ {
+		least, most = min(least, f.fleetClock(i)), max(most, f.fleetClock(i))
+	}
+	return most - least
+}
+
 // However far apart the clocks of up to 60 members begin, with one in five that says what it likes each
-// time and words late by up to 100 ms: within 40 rounds in which each hears a few by chance, the honest
-// ones differ by less than a hub's turn can bear, and newcomers and a healed split change nothing but those
-// who are fewer.
+// time and samples late by up to 100 ms: within 40 rounds in which each hears a few by chance, the honest
+// ones differ by less than an aggregator's turn can bear, and one that returns changes nothing for the
+// others.
 func TestClocksConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 60).Draw(t, "members")
-		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		liars := 0
+		f := &testFleet{
+			now:    100 * time.Hour,
+			random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)),
+		}
 		if n >= 10 {
-			liars = n / 5
+			f.liars = n / 5
 		}
-		var all []*Clock
-		var born []time.Duration
 		for range n {
-			all = append(all, New())
-			born = append(born, time.Duration(r.Int64N(int64(100*time.Hour))))
+			f.clocks = append(f.clocks, New())
+			f.started = append(f.started, time.Duration(f.random.Int64N(int64(100*time.Hour))))
 		}
-		now := 100 * time.Hour
-		clock := func(i int) time.Duration { return all[i].At(now - born[i]) }
-		round := func(side func(i int) int) {
-			now += time.Second
-			for i, c := range all {
-				for range 4 {
-					k := r.IntN(n)
-					says := clock(k) - time.Duration(r.Int64N(int64(100*time.Millisecond)))
-					if k < liars {
-						says = time.Duration(r.Int64N(int64(1000 * time.Hour)))
-					}
-					if k != i && side(i) == side(k) {
-						c.AddSample(now-born[i], fmt.Sprint(k), says)
-					}
-				}
-			}
-			for i, c := range all {
-				c.Sync(now - born[i])
-			}
-		}
-		spread := func() time.Duration {
-			least, most := clock(liars), clock(liars)
-			for i := liars; i < n; i++ {
-				least, most = min(least, clock(i)), max(most, clock(i))
-			}
-			return most - least
-		}
-		whole := func(int) int { return 0 }
 		for range 40 {
-			round(whole)
+			f.round()
 		}
-		if s := spread(); s > 600*time.Millisecond {
-			t.Fatalf("%d members, %d of them liars: clocks lie %v apart", n, liars, s)
+		if spread := f.spread(); spread > 600*time.Millisecond {
+			t.Fatalf("%d members, %d of them liars: clocks lie %v apart", n, f.liars, spread)
 		}
-		before := clock(n-1) - now
+		before := f.fleetClock(n-1) - f.now
 		if n > 12 {
-			all[n-2], born[n-2] = New(), now // one returns
+			f.clocks[n-2], f.started[n-2] = New(), f.now // one returns
 			for range 40 {
-				round(whole)
+				f.round()
 			}
-			if moved := clock(n-1) - now - before; moved > time.Second || moved < -time.Second ||
-				spread() > 600*time.Millisecond {
-				t.Fatalf("one that returned moved the fleet's clock by %v, spread %v", moved, spread())
+			if moved := f.fleetClock(n-1) - f.now - before; moved > time.Second || moved < -time.Second ||
+				f.spread() > 600*time.Millisecond {
+				t.Fatalf("one that returned moved the fleet's clock by %v, spread %v", moved, f.spread())
 			}
 		}
 	})
 }
+
+// Two halves of a healed split, each with its own clock, come to agree: the later clock counts, also in a
+// fleet of two.
+func TestHealedSplit(t *testing.T) {
+	for _, n := range []int{2, 10} {
+		f := &testFleet{now: 100 * time.Hour, random: rand.New(rand.NewPCG(1, 1))}
+		for i := range n {
+			f.clocks = append(f.clocks, New())
+			f.started = append(f.started, time.Duration(i%2)*time.Hour)
+		}
+		for range 40 {
+			f.round()
+		}
+		if spread := f.spread(); spread > 600*time.Millisecond {
+			t.Errorf("%d members: clocks lie %v apart", n, spread)
+		}
+	}
+}
