--- a/internal/membership/ordinal/assigner.go
+++ b/internal/membership/ordinal/assigner.go
@@ -1,6 +1,6 @@
-// Package ordinal decides which ordinal a dispatcher has among those that send to the same engines, and how
-// many they are, from a list of members that networks make early, late or wrong. All that see the same
-// members say the same. It does no I/O and reads no clock.
+// Package ordinal assigns ordinals to the dispatchers that send to the same engines, and counts them, from a
+// member list that networks deliver early, late or wrong. All assigners that see the same members assign the
+// same. It does no I/O and reads no clock.
 package ordinal
 
 import (
@@ -9,136 +9,157 @@
 	"time"
 )
 
-// Member is a dispatcher as the membership tells of it.
+// Unassigned stands for an ordinal that a member does not have yet.
+const Unassigned = -1
+
+// Member is a dispatcher as the membership announces it.
 type Member struct {
-	Name string // its own among all of the fleet
-	// Incarnation counts the member's lives: a greater one is a later life of the same name.
+	Name string // unique in the fleet
+	// Incarnation counts the processes with this name: a later process has a greater one.
 	Incarnation uint64
-	// Claim is the ordinal that it has, and says so; -1: none yet.
+	// Claim is the ordinal that the member says it has; Unassigned: none yet.
 	Claim int
 }
 
-// Limits of an agreement.
+// Limits of an Assigner.
 type Limits struct {
-	// SettleTime is how long the list must have been as it is before what is told to the module follows it:
-	// each change costs the module its shares.
+	// SettleTime is how long the members must have been unchanged before the view follows them: each change
+	// of the view costs the decision module its fair shares.
 	SettleTime time.Duration
-	// LossGrace is how long a member that was lost still counts. Danger: in a split each side would take the
-	// other's part of the engines at once, and both together send twice as much.
+	// LossGrace is how long a member that was lost still counts. Without it both sides of a network split
+	// would at once take over the other's share of the engines and together send twice as much.
 	LossGrace time.Duration
-	// LeaveGrace is how long a member that said that it leaves still counts. Danger: what it sent a cold
-	// engine just before is in that engine's window yet, and the others would send its part once more.
+	// LeaveGrace is how long a member that announced its leave still counts. Without it the others would
+	// send its share once more while what it last sent to an engine that is warming up still counts there.
 	LeaveGrace time.Duration
-	// MinCount is the number of dispatchers never fallen below, of the settings.
+	// MinCount is a lower bound of the count, from the settings.
 	MinCount int
 }
 
-// View is what a dispatcher tells its module.
+// View is what a dispatcher tells its decision module.
 type View struct {
-	Ordinal int // -1: none yet, as two claim it or the list is not still
+	Ordinal int // Unassigned: none yet, as two claim it or the members have not settled
 	Count   int
 }
 
-// Assigner follows the members. Make one with New. It is for one goroutine at a time.
+// Assigner follows the members of a fleet and assigns their ordinals. Make one with New. It is not safe for
+// concurrent use.
 type Assigner struct {
 	self      Member
 	limits    Limits
 	members   map[string]Member
 	expiry    map[string]time.Duration // until when members that were lost still count
-	changedAt time.Duration            // the list is as it is
+	changedAt time.Duration            // when the members last changed
 	view      View
 	upToDate  bool // the view is of the members as they are
 }
 
-// New returns the agreement of a dispatcher that sees itself only.
-func New(self Member, l Limits, now time.Duration) *Assigner {
-	a := &Assigner{self: self, limits: l, members: map[string]Member{self.Name: self},
-		expiry: map[string]time.Duration{}, changedAt: now, view: View{Ordinal: self.Claim, Count: max(l.MinCount, 1)}}
-	return a
+// New returns the assigner of a dispatcher that sees only itself.
+func New(self Member, limits Limits, now time.Duration) *Assigner {
+	return &Assigner{
+		self:      self,
+		limits:    limits,
+		members:   map[string]Member{self.Name: self},
+		expiry:    map[string]time.Duration{},
+		changedAt: now,
+		view:      View{Ordinal: self.Claim, Count: max(limits.MinCount, 1)},
+	}
 }
 
-// MemberAlive takes a member that is there, or what it says anew.
+// Self returns this dispatcher's metadata, with the ordinal that it has.
+func (a *Assigner) Self() Member { return a.self }
+
+// MemberCount is the number of members that count, lost ones within their grace among them.
+func (a *Assigner) MemberCount() int { return len(a.members) }
+
+// MemberAlive records that a member is present, or that its metadata has changed.
 func (a *Assigner) MemberAlive(now time.Duration, m Member) {
 	old, known := a.members[m.Name]
 	switch {
 	case m.Name == a.self.Name:
-		return // a twin, or our own word come back; ours stands, see Twin
+		return // a duplicate, or an echo of our own metadata: ours stands, see SupersededBy
 	case known && m.Incarnation < old.Incarnation:
-		return // of an earlier life, told late
+		return // an earlier incarnation's, delivered late
 	}
 	delete(a.expiry, m.Name)
+	// A claim does not restart the settle time: of many dispatchers that start at once each would otherwise
+	// wait until the one before it has claimed its ordinal.
 	if !known || old.Incarnation != m.Incarnation {
 		a.changedAt = now
 	}
-	// Danger: were the list not still because of a claim, then of many that begin at once each would wait
-	// for the one before it to have claimed.
 	if !known || old != m {
 		a.members[m.Name] = m
 		a.upToDate = false
 	}
 }
 
-// SupersededBy reports whether a member's word under our own name is another process's: one that was born
-// later has the name, and we are to stop talking; one that was born before is a life that ended.
-func (a *Assigner) SupersededBy(m Member) (yield bool) {
+// SupersededBy reports whether metadata under our own name is that of a later process, which then has the
+// name; that of an earlier one is of a process that has ended.
+func (a *Assigner) SupersededBy(m Member) bool {
 	return m.Name == a.self.Name && m.Incarnation > a.self.Incarnation
 }
 
-// MemberLost takes the loss of a member. left: it said so itself.
+// MemberLost records the loss of a member; left: it announced that it leaves.
 func (a *Assigner) MemberLost(now time.Duration, name string, left bool) {
 	if _, known := a.members[name]; !known || name == a.self.Name {
 		return
 	}
-	until := now + a.limits.LossGrace
+	expiry := now + a.limits.LossGrace
 	if left {
-		until = now + a.limits.LeaveGrace
+		expiry = now + a.limits.LeaveGrace
 	}
-	if was, already := a.expiry[name]; !already || until < was {
-		a.expiry[name] = until
+	if earlier, lost := a.expiry[name]; !lost || expiry < earlier {
+		a.expiry[name] = expiry
 	}
 }
 
-// Update returns the view as of now, and whether it changed since the last call.
-func (a *Assigner) Update(now time.Duration) (v View, changed bool) {
-	for name, until := range a.expiry {
-		if now >= until {
-			delete(a.expiry, name)
-			delete(a.members, name)
-			a.changedAt, a.upToDate = max(a.changedAt, until), false
-		}
-	}
+// Update returns the view as of now, and whether it has changed since the last call.
+func (a *Assigner) Update(now time.Duration) (view View, changed bool) {
+	a.dropExpired(now)
 	if now-a.changedAt < a.limits.SettleTime || a.upToDate {
 		return a.view, false
 	}
 	a.upToDate = true
-	claims := a.assign()
-	v = View{Ordinal: claims[a.self.Name], Count: max(len(a.members), a.limits.MinCount,
-		highestOrdinal(claims)+1)}
-	changed = v != a.view
-	if a.view = v; a.self.Claim != v.Ordinal {
-		a.self.Claim = v.Ordinal
+	ordinals := a.assign()
+	view = View{
+		Ordinal: ordinals[a.self.Name],
+		Count:   max(len(a.members), a.limits.MinCount, highestOrdinal(ordinals)+1),
+	}
+	changed = view != a.view
+	a.view = view
+	if a.self.Claim != view.Ordinal {
+		a.self.Claim = view.Ordinal
 		a.members[a.self.Name] = a.self
 	}
-	return v, changed
+	return view, changed
 }
 
-// highestOrdinal is the greatest ordinal given. Danger: a count that is not above each ordinal would have two
-// modules take one part of the fleet.
-func highestOrdinal(claims map[string]int) int {
-	most := 0
-	for _, n := range claims {
-		most = max(most, n)
+// dropExpired removes lost members whose grace is over.
+func (a *Assigner) dropExpired(now time.Duration) {
+	for name, expiry := range a.expiry {
+		if now >= expiry {
+			delete(a.expiry, name)
+			delete(a.members, name)
+			a.changedAt, a.upToDate = max(a.changedAt, expiry), false
+		}
 	}
-	return most
 }
 
-// Self is what this dispatcher says of itself.
-func (a *Assigner) Self() Member { return a.self }
+// highestOrdinal is the greatest ordinal assigned. The count has to be above it: otherwise two decision
+// modules would take the same share of the fleet.
+func highestOrdinal(ordinals map[string]int) int {
+	highest := 0
+	for _, ordinal := range ordinals {
+		highest = max(highest, ordinal)
+	}
+	return highest
+}
 
-// assign gives each member an ordinal. A claim stands where nobody else has it: a member that returns finds
-// its own, and the others keep theirs. Of two with one claim the name that comes first keeps it. Those
-// without take the least that are free, in the order of their names; so all that see the same members and
-// claims give the same. Ordinals beyond the number of members are given up, so that the count can fall again.
+// assign gives each member an ordinal. A claim stands where nobody else has it: a member that returns gets
+// its own again, and the others keep theirs. Of two members with one claim the first by name keeps it.
+// Members without an ordinal get the least that are free, in the order of their names; so all that see the
+// same members and claims assign the same. Ordinals not below the number of members are given up, so that
+// the count can fall again.
 func (a *Assigner) assign() map[string]int {
 	names := make([]string, 0, len(a.members))
 	for name := range a.members {
@@ -146,23 +167,20 @@
 	}
 	sort.Strings(names)
 	count := max(len(names), a.limits.MinCount)
-	taken, out := make([]bool, count), map[string]int{}
-	var without []string
+	taken, ordinals := make([]bool, count), map[string]int{}
+	var unassigned []string
 	for _, name := range names {
-		if c := a.members[name].Claim; c >= 0 && c < count && !taken[c] {
-			taken[c] = true
-			out[name] = c
+		if claim := a.members[name].Claim; claim >= 0 && claim < count && !taken[claim] {
+			taken[claim] = true
+			ordinals[name] = claim
 		} else {
-			without = append(without, name)
+			unassigned = append(unassigned, name)
 		}
 	}
-	for _, name := range without {
-		c := slices.Index(taken, false)
-		taken[c] = true
-		out[name] = c
+	for _, name := range unassigned {
+		free := slices.Index(taken, false)
+		taken[free] = true
+		ordinals[name] = free
 	}
-	return out
+	return ordinals
 }
-
-// MemberCount is the number of members that count, lost ones within their grace among them.
-func (a *Assigner) MemberCount() int { return len(a.members) }
--- a/internal/membership/ordinal/assigner_test.go
+++ b/internal/membership/ordinal/assigner_test.go
@@ -8,109 +8,113 @@
 	"pgregory.net/rapid"
 )
 
-var limits = Limits{SettleTime: time.Second, LossGrace: 5 * time.Second, MinCount: 1}
+var testLimits = Limits{SettleTime: time.Second, LossGrace: 5 * time.Second, MinCount: 1}
 
-// Whatever comes, goes, returns and splits: when the network has healed and been still, all have ordinals of
+// testFleet is a number of assigners on a network that may be split in two.
+type testFleet struct {
+	now         time.Duration
+	assigners   []*Assigner
+	side        []int // of the split that each is on
+	incarnation uint64
+}
+
+// start starts member i anew, with a claim.
+func (f *testFleet) start(i, claim int) {
+	f.incarnation++
+	self := Member{Name: fmt.Sprint("d", i), Incarnation: f.incarnation, Claim: claim}
+	f.assigners[i] = New(self, testLimits, f.now)
+}
+
+// round has all members of each side see each other, and those of the other side lost.
+func (f *testFleet) round() {
+	f.now += 500 * time.Millisecond
+	for i, a := range f.assigners {
+		for k, other := range f.assigners {
+			switch {
+			case i == k:
+			case f.side[i] == f.side[k]:
+				a.MemberAlive(f.now, other.Self())
+			default:
+				a.MemberLost(f.now, other.Self().Name, false)
+			}
+		}
+	}
+	for _, a := range f.assigners {
+		a.Update(f.now)
+	}
+}
+
+// Whatever comes, goes, returns and splits: when the network has healed and settled, all have ordinals of
 // their own below one count, those that never left keep theirs, and nothing changes any more.
 func TestAssignersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 9).Draw(t, "members")
-		now := time.Duration(0)
-		var all []*Assigner
-		born := uint64(0)
-		start := func(i int) *Assigner {
-			born++
-			return New(
-				Member{Name: fmt.Sprint("d", i), Incarnation: born, Claim: rapid.IntRange(-1, 3).Draw(t,
-					"claim")},
-				limits,
-				now,
-			)
-		}
+		f := &testFleet{assigners: make([]*Assigner, n), side: make([]int, n)}
+		claim := func() int { return rapid.IntRange(-1, 3).Draw(t, "claim") }
 		for i := range n {
-			all = append(all, start(i))
-		}
-		side := make([]int, n)
-		round := func() {
-			now += 500 * time.Millisecond
-			for i, a := range all {
-				for k, o := range all {
-					if i == k {
-						continue
-					}
-					if side[i] == side[k] {
-						a.MemberAlive(now, o.Self())
-					} else {
-						a.MemberLost(now, o.Self().Name, false)
-					}
-				}
-			}
-			for _, a := range all {
-				a.Update(now)
-			}
+			f.start(i, claim())
 		}
 		for range rapid.IntRange(0, 40).Draw(t, "rounds") {
 			switch i := rapid.IntRange(0, n-1).Draw(t, "who"); rapid.IntRange(0, 5).Draw(t, "kind") {
 			case 0:
-				side[i] = 1 - side[i]
+				f.side[i] = 1 - f.side[i]
 			case 1:
-				all[i] = start(i) // a new life of the name, which claims what it likes
+				f.start(i, claim()) // a new incarnation of the name, which claims what it likes
 			}
-			round()
+			f.round()
 		}
-		clear(side)
+		clear(f.side)
 		for range 40 {
-			round()
+			f.round()
 		}
 		seen := map[int]string{}
-		for _, a := range all {
-			v, changed := a.Update(now)
+		for _, a := range f.assigners {
+			v, changed := a.Update(f.now)
 			if other := seen[v.Ordinal]; other != "" || v.Ordinal < 0 || v.Ordinal >= v.Count ||
 				v.Count != n || changed {
 				t.Fatalf("%s has %+v (changed %v), as has %q; %d members", a.self.Name, v, changed, other, n)
 			}
 			seen[v.Ordinal] = a.self.Name
 		}
-		before := all[0].view
-		all[n-1] = start(n - 1) // returns with any claim
+		before := f.assigners[0].view
+		f.start(n-1, claim()) // returns with any claim
 		for range 40 {
-			round()
+			f.round()
 		}
-		if n > 2 && all[0].view.Count != before.Count {
-			t.Fatalf("a return changed %+v to %+v", before, all[0].view)
+		if after := f.assigners[0].view; n > 2 && after.Count != before.Count {
+			t.Fatalf("a return changed %+v to %+v", before, after)
 		}
 	})
 }
 
-// A split: for the grace the others still count; a member that says that it leaves does not; a twin that was
-// born later has the name.
+// A split: for the grace the others still count; a member that announces its leave does not; a later process
+// with our name supersedes us.
 func TestSplitLeaveDuplicateName(t *testing.T) {
-	a := New(Member{Name: "a", Incarnation: 1, Claim: 0}, limits, 0)
+	a := New(Member{Name: "a", Incarnation: 1, Claim: 0}, testLimits, 0)
 	for i, name := range []string{"b", "c", "d"} {
 		a.MemberAlive(0, Member{Name: name, Incarnation: 1, Claim: i + 1})
 	}
-	at := func(now time.Duration, want View, how string) {
+	expect := func(now time.Duration, want View, when string) {
 		t.Helper()
 		if v, _ := a.Update(now); v != want {
-			t.Errorf("%s: %+v, want %+v", how, v, want)
+			t.Errorf("%s: %+v, want %+v", when, v, want)
 		}
 	}
-	at(500*time.Millisecond, View{0, 1}, "the list is not still")
-	at(time.Second, View{0, 4}, "still")
+	expect(500*time.Millisecond, View{0, 1}, "the members have not settled")
+	expect(time.Second, View{0, 4}, "settled")
 	a.MemberLost(2*time.Second, "c", false)
 	a.MemberLost(2*time.Second, "d", false)
-	at(6*time.Second, View{0, 4}, "within the grace of a loss")
+	expect(6*time.Second, View{0, 4}, "within the grace of a loss")
 	a.MemberAlive(6500*time.Millisecond, Member{Name: "c", Incarnation: 1, Claim: 2})
-	at(7*time.Second, View{0, 4}, "the grace of the other is over, the list not still")
-	at(8*time.Second, View{0, 3}, "one is gone")
+	expect(7*time.Second, View{0, 4}, "the grace of the other is over, the members have not settled")
+	expect(8*time.Second, View{0, 3}, "one is gone")
 	a.MemberLost(8*time.Second, "b", true)
-	at(9*time.Second, View{0, 2}, "one left")
+	expect(9*time.Second, View{0, 2}, "one left")
 	a.MemberAlive(9*time.Second, Member{Name: "c", Incarnation: 0, Claim: 0})
-	at(10*time.Second, View{0, 2}, "the word of an earlier life")
+	expect(10*time.Second, View{0, 2}, "metadata of an earlier incarnation")
 	if a.SupersededBy(Member{Name: "a", Incarnation: 1}) ||
 		!a.SupersededBy(Member{Name: "a", Incarnation: 2}) ||
-		a.SupersededBy(Member{Name: "b",
-			Incarnation: 9}) {
+		a.SupersededBy(Member{Name: "b", Incarnation: 9}) {
 		t.Error("who has the name")
 	}
 }
