--- a/internal/membership/modelstate/golden_test.go
+++ b/internal/membership/modelstate/golden_test.go
@@ -33,9 +33,9 @@
 	return stored
 }
 
-// A module's snapshot, and the names and values that it is taken apart into: dispatchers send the names to
-// each other and keep them, so they stay. Put together again, the snapshot has the same bytes.
-func TestGoldenFigures(t *testing.T) {
+// A module's snapshot, and the names and values that it is flattened into: dispatchers send the names to
+// each other and keep them, so they stay. Assembled again, the snapshot has the same bytes.
+func TestGoldenParameters(t *testing.T) {
 	classes, kinds := []string{"dash", "we/ird \"class\""}, []string{"std", "big/1"}
 	values := map[string]float64{}
 	n := 0.0
@@ -47,11 +47,11 @@
 		return values[name], true
 	})
 	snapshot := golden(t, "snapshot.json", want)
-	apart, err := Flatten(snapshot)
-	if err != nil || !reflect.DeepEqual(apart, values) {
-		t.Errorf("read as %v, want %v: %v", apart, values, err)
+	flattened, err := Flatten(snapshot)
+	if err != nil || !reflect.DeepEqual(flattened, values) {
+		t.Errorf("read as %v, want %v: %v", flattened, values, err)
 	}
-	written, err := json.MarshalIndent(apart, "", "\t")
+	written, err := json.MarshalIndent(flattened, "", "\t")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,6 +61,6 @@
 	}
 	get := func(name string) (float64, bool) { v, ok := stored[name]; return v, ok }
 	if again := Assemble(classes, kinds, get); !bytes.Equal(again, snapshot) {
-		t.Errorf("put together: %s", again)
+		t.Errorf("assembled: %s", again)
 	}
 }
--- a/internal/membership/modelstate/modelstate.go
+++ b/internal/membership/modelstate/modelstate.go
@@ -1,6 +1,7 @@
-// Package modelstate takes what a module has learnt apart into named figures, so that several dispatchers'
-// can be weighed one by one, and puts figures together into what a module takes over. It does no I/O and
-// reads no clock.
+// Package modelstate takes the decision module's snapshot apart into named parameters, so that those of
+// several dispatchers can be weighed one by one, and assembles parameters into a snapshot that the module
+// restores. It owns the parameters' names and bounds; the names are sent between dispatchers and stored, so
+// they stay as they are. It does no I/O and reads no clock.
 package modelstate
 
 import (
@@ -8,18 +9,20 @@
 	"fmt"
 	"math"
 	"strconv"
+	"strings"
 )
 
-// snapshotVersion is that of the module's snapshot.
+// snapshotVersion is that of the decision module's snapshot.
 const snapshotVersion = 1
 
-// snapshot is the module's form, see Gateway.Snapshot.
+// snapshot is the decision module's form, see cresspass.Gateway.Snapshot.
 type snapshot struct {
 	Version int                    `json:"version"`
 	Classes []class                `json:"classes"`
 	Kinds   map[string][][]float64 `json:"kinds"`
 }
 
+// class is what the module has learnt of a class of queries.
 type class struct {
 	Name  string  `json:"name"`
 	Scale float64 `json:"scale"`
@@ -28,92 +31,96 @@
 	Grant float64 `json:"grant"`
 }
 
-// classParameters are the figures of a class, and within what bounds they can be. Danger: a snapshot that a
-// peer told is taken over whole; a scale of 1e30 would have a class refused for ever.
+const (
+	classPrefix = "c/" // of the names of a class's parameters
+	kindPrefix  = "k/" // of the names of weights on an engine kind
+	// otherDispatchers stands in a weight's name for the load of other dispatchers, in place of a class.
+	otherDispatchers = "*"
+	// CompletionsSuffix ends the names of parameters that count completed queries.
+	CompletionsSuffix = "/seen"
+	// maxWeight is the greatest weight that a snapshot can hold.
+	maxWeight = 1e4
+)
+
+// classParameters are the parameters of a class and their bounds. A snapshot from a peer is restored as a
+// whole: without bounds a scale of 1e30 would have a class rejected for ever.
 var classParameters = []struct {
-	name        string
-	least, most float64
-	at          func(c *class) *float64
+	suffix   string
+	min, max float64
+	field    func(c *class) *float64
 }{
-	{"scale", 1e-4, 1e4, func(c *class) *float64 { return &c.Scale }},
-	{"seen", 0, 1e12, func(c *class) *float64 { return &c.Seen }},
-	{"work", 1e-6, 1e6, func(c *class) *float64 { return &c.Work }},
-	{"grant", 0.01, 100, func(c *class) *float64 { return &c.Grant }},
+	{"/scale", 1e-4, 1e4, func(c *class) *float64 { return &c.Scale }},
+	{CompletionsSuffix, 0, 1e12, func(c *class) *float64 { return &c.Seen }},
+	{"/work", 1e-6, 1e6, func(c *class) *float64 { return &c.Work }},
+	{"/grant", 0.01, 100, func(c *class) *float64 { return &c.Grant }},
 }
 
-// maxWeight is the greatest weight that a snapshot can hold.
-const maxWeight = 1e4
-
-// Flatten returns the figures of a snapshot by name. Names have the classes and kinds in them, so that those
-// of other settings fit nothing.
+// Flatten returns the parameters of a snapshot by name. Names contain the classes and kinds, so that the
+// parameters of other settings match nothing.
 func Flatten(data []byte) (map[string]float64, error) {
 	var s snapshot
 	if err := json.Unmarshal(data, &s); err != nil {
-		return nil, fmt.Errorf("figures: %w", err)
+		return nil, fmt.Errorf("modelstate: decode snapshot: %w", err)
 	}
 	if s.Version != snapshotVersion {
-		return nil, fmt.Errorf("figures: snapshot of version %d, want %d", s.Version, snapshotVersion)
+		return nil, fmt.Errorf("modelstate: snapshot has version %d, want %d", s.Version, snapshotVersion)
 	}
-	out := map[string]float64{}
+	parameters := map[string]float64{}
 	for i := range s.Classes {
 		c := &s.Classes[i]
 		for _, p := range classParameters {
-			out["c/"+c.Name+"/"+p.name] = *p.at(c)
+			parameters[classPrefix+c.Name+p.suffix] = *p.field(c)
 		}
 	}
 	for kind, rows := range s.Kinds {
 		for i, row := range rows {
-			for j, v := range row {
+			for j, value := range row {
 				if i < len(s.Classes) && j <= len(s.Classes) {
-					out[weightName(kind, s.Classes, i, j)] = v
+					parameters[weightName(kind, s.Classes, i, j)] = value
 				}
 			}
 		}
 	}
-	return out, nil
+	return parameters, nil
 }
 
-// weightName names the weight that a running query of one class, or of other dispatchers, has for another.
+// weightName names the weight that a running query of class j, or of other dispatchers where there is no
+// class j, has for a query of class i on a kind of engines.
 func weightName(kind string, classes []class, i, j int) string {
-	other := "*"
+	other := otherDispatchers
 	if j < len(classes) {
 		other = strconv.Quote(classes[j].Name)
 	}
-	return "k/" + kind + "/" + strconv.Quote(classes[i].Name) + "/" + other
+	return kindPrefix + kind + "/" + strconv.Quote(classes[i].Name) + "/" + other
 }
 
-// Valid reports whether a figure can have a value.
-func Valid(name string, v float64) bool {
-	if math.IsNaN(v) || len(name) < 3 {
+// Valid reports whether a parameter can have a value.
+func Valid(name string, value float64) bool {
+	if math.IsNaN(value) || len(name) <= len(classPrefix) {
 		return false
 	}
-	if name[0] == 'k' {
-		return v >= 0 && v <= maxWeight
+	if name[0] == kindPrefix[0] {
+		return value >= 0 && value <= maxWeight
 	}
 	for _, p := range classParameters {
-		if len(name) > len(p.name)+3 && name[len(name)-len(p.name)-1:] == "/"+p.name {
-			return v >= p.least && v <= p.most
+		if len(name) > len(classPrefix)+len(p.suffix) && strings.HasSuffix(name, p.suffix) {
+			return value >= p.min && value <= p.max
 		}
 	}
 	return false
 }
 
-// Assemble returns a snapshot of what get knows of the settings' classes and kinds. Classes of which a
-// figure is not known, or cannot be, are left out, and kinds of which weights are not; nil: there is
-// nothing.
+// Assemble returns a snapshot of the parameters that get knows of the settings' classes and kinds. Classes
+// with a parameter that is unknown or invalid are left out, and kinds with such a weight; nil: there is
+// nothing to restore.
 func Assemble(classes, kinds []string, get func(name string) (float64, bool)) []byte {
 	known := func(name string) (float64, bool) {
-		v, ok := get(name)
-		return v, ok && Valid(name, v)
+		value, ok := get(name)
+		return value, ok && Valid(name, value)
 	}
 	s := snapshot{Version: snapshotVersion, Kinds: map[string][][]float64{}}
 	for _, name := range classes {
-		c, whole := class{Name: name}, true
-		for _, p := range classParameters {
-			v, ok := known("c/" + name + "/" + p.name)
-			*p.at(&c), whole = v, whole && ok
-		}
-		if whole {
+		if c, complete := assembleClass(name, known); complete {
 			s.Classes = append(s.Classes, c)
 		}
 	}
@@ -125,20 +132,35 @@
 			s.Kinds[kind] = rows
 		}
 	}
-	data, _ := json.Marshal(s) // finite numbers cannot fail
+	data, err := json.Marshal(s)
+	if err != nil { // valid parameters are finite numbers, which always have a JSON form
+		return nil
+	}
 	return data
 }
 
+// assembleClass returns a class; false: one of its parameters is not known.
+func assembleClass(name string, known func(name string) (float64, bool)) (c class, complete bool) {
+	c, complete = class{Name: name}, true
+	for _, p := range classParameters {
+		value, ok := known(classPrefix + name + p.suffix)
+		*p.field(&c) = value
+		complete = complete && ok
+	}
+	return c, complete
+}
+
+// assembleWeights returns the weights on a kind of engines; nil: one of them is not known.
 func assembleWeights(kind string, classes []class, known func(string) (float64, bool)) [][]float64 {
 	var rows [][]float64
 	for i := range classes {
 		row := make([]float64, len(classes)+1)
 		for j := range row {
-			v, ok := known(weightName(kind, classes, i, j))
+			value, ok := known(weightName(kind, classes, i, j))
 			if !ok {
 				return nil
 			}
-			row[j] = v
+			row[j] = value
 		}
 		rows = append(rows, row)
 	}
