--- a/internal/membership/observation/bench_test.go
+++ b/internal/membership/observation/bench_test.go
@@ -7,37 +7,40 @@
 	"time"
 )
 
-// BenchmarkObservers hears of 63 engines from 500 observers each: the sample of seven that have the least
-// rank (a sketch of the smallest hashes), against a plain map of all. Bytes are of a store that has heard
-// all.
+// BenchmarkObservers receives reports of 63 engines from 500 observers each: the sample of the seven with the
+// least ranks (a bottom-k sketch of hashes) against a plain map of all. Bytes are of a store that has
+// received all.
 func BenchmarkObservers(b *testing.B) {
-	const engines, members = 63, 500
-	var names []string
-	for i := range engines {
-		names = append(names, fmt.Sprint("10.0.0.", i, ":5432"))
+	const engineCount, members = 63, 500
+	var engines []string
+	for i := range engineCount {
+		engines = append(engines, fmt.Sprint("10.0.0.", i, ":5432"))
 	}
 	observers := make([]string, members)
 	for i := range observers {
 		observers[i] = fmt.Sprintf("dispatcher-%03d", i)
 	}
-	tell := func(i int) (string, []Observation) {
-		o := observers[i%members]
-		return o, []Observation{
-			{Key: healthKey(names[i/members%engines]), Observer: o, Seq: uint64(i), Value: 1},
+	report := func(i int) (from string, reports []Observation) {
+		from = observers[i%members]
+		return from, []Observation{{
+			Key: healthKey(engines[i/members%engineCount]), Observer: from, Seq: uint64(i), Value: 1}}
+	}
+	filledStore := func() *Store {
+		s := New("me", DefaultLimits())
+		s.SetEngines(engines)
+		for i := range members * engineCount {
+			from, reports := report(i)
+			s.Receive(time.Hour, from, reports)
 		}
+		return s
 	}
 	b.Run("sample", func(b *testing.B) {
 		before := heapBytes()
-		s := New("me", DefaultLimits())
-		s.SetEngines(names)
-		for i := range members * engines {
-			from, told := tell(i)
-			s.Receive(time.Hour, from, told)
-		}
+		s := filledStore()
 		kept := heapBytes() - before
 		for i := 0; b.Loop(); i++ {
-			from, told := tell(i)
-			s.Receive(time.Hour+time.Duration(i), from, told)
+			from, reports := report(i)
+			s.Receive(time.Hour+time.Duration(i), from, reports)
 		}
 		b.ReportMetric(kept, "bytes-kept")
 		runtime.KeepAlive(s)
@@ -45,43 +48,32 @@
 	b.Run("plain map", func(b *testing.B) {
 		before := heapBytes()
 		all := map[Key]map[string]Record{}
-		hear := func(now time.Duration, from string, t *Observation) {
-			of := all[t.Key]
-			if of == nil {
-				of = map[string]Record{}
-				all[t.Key] = of
+		receive := func(now time.Duration, from string, o *Observation) {
+			records := all[o.Key]
+			if records == nil {
+				records = map[string]Record{}
+				all[o.Key] = records
 			}
-			r := Record{
-				Observer:   t.Observer,
-				ObservedAt: now - t.Age,
-				Seq:        t.Seq,
-				Value:      t.Value,
-				Hops:       1,
-				ReportedBy: from,
-			}
-			if old, ok := of[t.Observer]; !ok || r.supersedes(&old) {
-				of[t.Observer] = r
+			r := Record{Observer: o.Observer, ObservedAt: now - o.Age, Seq: o.Seq, Value: o.Value, Hops: 1,
+				ReportedBy: from}
+			if old, ok := records[o.Observer]; !ok || r.supersedes(&old) {
+				records[o.Observer] = r
 			}
 		}
-		for i := range members * engines {
-			from, told := tell(i)
-			hear(time.Hour, from, &told[0])
+		for i := range members * engineCount {
+			from, reports := report(i)
+			receive(time.Hour, from, &reports[0])
 		}
 		kept := heapBytes() - before
 		for i := 0; b.Loop(); i++ {
-			from, told := tell(i)
-			hear(time.Hour+time.Duration(i), from, &told[0])
+			from, reports := report(i)
+			receive(time.Hour+time.Duration(i), from, &reports[0])
 		}
 		b.ReportMetric(kept, "bytes-kept")
 		runtime.KeepAlive(all)
 	})
 	b.Run("digest", func(b *testing.B) {
-		s := New("me", DefaultLimits())
-		s.SetEngines(names)
-		for i := range members * engines {
-			from, told := tell(i)
-			s.Receive(time.Hour, from, told)
-		}
+		s := filledStore()
 		for b.Loop() {
 			s.Digest(time.Hour)
 		}
--- a/internal/membership/observation/golden_test.go
+++ b/internal/membership/observation/golden_test.go
@@ -35,10 +35,11 @@
 }
 
 // Two versions in one fleet have the same digest for the same evidence: otherwise each would take the other
-// for one that lacks everything, and answer with all it has, once a second. The numbers of facts are sent.
+// for one that lacks everything, and answer with all it has, once a second. The numbers of properties are
+// sent.
 func TestGoldenDigest(t *testing.T) {
 	if Health != 0 || Load != 1 || Uptime != 2 || ModelParameter != 3 {
-		t.Errorf("facts are sent as %d, %d, %d, %d", Health, Load, Uptime, ModelParameter)
+		t.Errorf("properties are sent as %d, %d, %d, %d", Health, Load, Uptime, ModelParameter)
 	}
 	s := New("hall-a-1", DefaultLimits())
 	var engines []string
@@ -50,13 +51,13 @@
 	for i, e := range engines {
 		values := map[Property]float64{Health: float64(i % 2), Load: float64(i) * 1.7,
 			Uptime: float64(i * i * 100)}
-		for f, v := range values {
+		for property, value := range values {
 			for o := range i % 5 {
-				s.Receive(now, fmt.Sprint("p", o), []Observation{{Key: Key{Engine: e, Property: f}, Seq: 1,
-					Observer: fmt.Sprint("p", o), Age: time.Second, Value: v}})
+				s.Receive(now, fmt.Sprint("p", o), []Observation{{Key: Key{Engine: e, Property: property},
+					Observer: fmt.Sprint("p", o), Age: time.Second, Seq: 1, Value: value}})
 			}
 			if i%3 == 0 {
-				s.Observe(now, Key{Engine: e, Property: f}, v)
+				s.Observe(now, Key{Engine: e, Property: property}, value)
 			}
 		}
 	}
--- /dev/null
+++ b/internal/membership/observation/record.go
@@ -0,0 +1,90 @@
+package observation
+
+import (
+	"slices"
+	"time"
+)
+
+// Observation is a record as it travels between dispatchers: with its age in place of a time.
+type Observation struct {
+	Key
+	Observer string
+	Age      time.Duration
+	Seq      uint64
+	Value    float64
+	Hops     uint8
+}
+
+// Record is one observer's evidence of one property.
+type Record struct {
+	Observer   string
+	ObservedAt time.Duration // by the holder's clock
+	Seq        uint64        // of the observer's records
+	Value      float64
+	Hops       uint8  // dispatchers that it came through; 0: observed here
+	ReportedBy string // the peer that sent it; "": observed here
+	rank       uint32 // of Observer
+}
+
+// supersedes is a total order of the records of one property: by the time of the evidence, then by whatever
+// differs. All merging rests on it.
+func (r *Record) supersedes(other *Record) bool {
+	switch {
+	case r.ObservedAt != other.ObservedAt:
+		return r.ObservedAt > other.ObservedAt
+	case r.Seq != other.Seq:
+		return r.Seq > other.Seq
+	case r.Hops != other.Hops:
+		return r.Hops < other.Hops
+	case r.Observer != other.Observer:
+		return r.Observer < other.Observer
+	case r.ReportedBy != other.ReportedBy:
+		return r.ReportedBy < other.ReportedBy
+	}
+	return r.Value < other.Value
+}
+
+// before orders records of different observers by rank.
+func (r *Record) before(other *Record) bool {
+	if r.rank != other.rank {
+		return r.rank < other.rank
+	}
+	return r.Observer < other.Observer
+}
+
+// observerRank is an observer's place among those whose records are kept.
+func observerRank(observer string) uint32 { return hash32(fnvOffset32, observer) * 0x9e3779b1 }
+
+// mergeRecord merges a report into the sorted records of a property: of each observer the newest record, and
+// of the observers the limit with the least ranks. self's record comes first, whatever its rank, and does not
+// count. Merging is commutative, associative and idempotent, so that loss, order and repetition of reports
+// do not matter.
+//
+// Which observers are kept depends on their names alone. If the newest records were kept instead, lying
+// members that report twice a second would displace honest ones that report now and then.
+func mergeRecord(records []Record, report Record, self string, limit int) []Record {
+	first := 0
+	if len(records) > 0 && records[0].Observer == self {
+		first = 1
+	}
+	report.rank = observerRank(report.Observer)
+	at := first
+	for at < len(records) && records[at].before(&report) {
+		at++
+	}
+	switch {
+	case at < len(records) && records[at].Observer == report.Observer:
+		if report.supersedes(&records[at]) {
+			records[at] = report
+		}
+	case at-first < limit:
+		records = slices.Insert(records, at, report)
+	}
+	return records[:min(len(records), max(limit+first, limit))] // the sum overflows where there is no limit
+}
+
+// dropExpired removes records whose evidence no longer counts: they would take the places of others.
+func dropExpired(now time.Duration, property Property, records []Record) []Record {
+	ttl := propertyTerms[property].ttl
+	return slices.DeleteFunc(records, func(r Record) bool { return now-r.ObservedAt > ttl })
+}
