--- /dev/null
+++ b/internal/membership/validation/aggregate.go
@@ -0,0 +1,114 @@
+package validation
+
+import (
+	"time"
+
+	"cresspass"
+)
+
+// Two members aggregate at a time, and others did before them: their sums are compared for
+// comparableTTLs times EvidenceTTL, and kept for retainedTTLs times EvidenceTTL.
+const (
+	comparableTTLs = 3
+	retainedTTLs   = 10
+)
+
+// validateAggregate judges an aggregator's sums of the loads of all dispatchers.
+func (v *Validator) validateAggregate(now time.Duration, from int, loads []cresspass.PeerLoad) Result {
+	if result := v.checkAgainstEngines(now, loads); result != Accepted {
+		return result
+	}
+	own := recordLoads(v.aggregates, from, now, loads)
+	confirming, contradicting := v.compareAggregates(now, from, own)
+	// It costs less to know too little than to reject clients for a load that does not exist; so sums that
+	// at least as many aggregators contradict as confirm are rejected, and high sums that nobody confirms.
+	// They are kept all the same: a load that does exist is believed with the second aggregator that reports
+	// it.
+	if contradicting > 0 && contradicting >= confirming {
+		return Contradicted
+	}
+	alone := confirming == 0 && contradicting == 0
+	if alone && own.total > v.limits.MaxUnconfirmedThreadsPerCore*v.totalCores() {
+		return Contradicted
+	}
+	return Accepted
+}
+
+// checkAgainstEngines compares sums with what engines have shown to this dispatcher.
+func (v *Validator) checkAgainstEngines(now time.Duration, loads []cresspass.PeerLoad) Result {
+	known, ejected, ejectedButResponding := 0, 0, 0
+	checked, contradicted := 0, 0
+	for _, load := range loads {
+		e := v.engines[load.Tag]
+		if e == nil {
+			continue
+		}
+		known++
+		if load.Threads >= cresspass.PeerLoadEjected {
+			ejected++
+			if v.isFresh(now, e.lastResponse) {
+				ejectedButResponding++
+			}
+			continue
+		}
+		if load.Threads > v.limits.MaxTotalThreadsPerCore*e.cores {
+			return OutOfRange
+		}
+		if v.isFresh(now, e.reportedAt) {
+			checked++
+			if v.exceeds(load.Threads, e.reportedThreads, e.cores) {
+				contradicted++
+			}
+		}
+	}
+	switch {
+	case 2*ejected > known, ejectedButResponding > 0 && 2*ejectedButResponding >= ejected:
+		return ImplausibleOutage
+	case 2*contradicted > checked:
+		return Contradicted
+	}
+	return Accepted
+}
+
+// isFresh reports whether evidence of a time, 0 for none, still counts.
+func (v *Validator) isFresh(now, at time.Duration) bool {
+	return at > 0 && now-at <= v.limits.EvidenceTTL
+}
+
+// compareAggregates counts the other aggregators whose sums confirm and contradict those of one.
+func (v *Validator) compareAggregates(
+	now time.Duration, from int, own *peerLoads,
+) (confirming, contradicting int) {
+	for sender, other := range v.aggregates {
+		age := now - other.receivedAt
+		if age > retainedTTLs*v.limits.EvidenceTTL {
+			delete(v.aggregates, sender)
+			continue
+		}
+		if sender == from || age > comparableTTLs*v.limits.EvidenceTTL {
+			continue
+		}
+		if v.contradicts(own, other) {
+			contradicting++
+		} else {
+			confirming++
+		}
+	}
+	return confirming, contradicting
+}
+
+// contradicts reports whether sums exceed another's by far on the engines that are in both.
+func (v *Validator) contradicts(own, other *peerLoads) bool {
+	ours, theirs, cores := 0.0, 0.0, 0.0
+	for tag, threads := range own.threads {
+		otherThreads, ok := other.threads[tag]
+		if !ok {
+			continue
+		}
+		ours, theirs = ours+threads, theirs+otherThreads
+		if e := v.engines[tag]; e != nil {
+			cores += e.cores
+		}
+	}
+	return v.exceeds(ours, theirs, cores)
+}
--- a/internal/membership/validation/validator_test.go
+++ b/internal/membership/validation/validator_test.go
@@ -11,124 +11,138 @@
 )
 
 const (
-	second = time.Second
-	cores  = 8
+	second      = time.Second
+	engineCores = 8
+	memberCount = 9
 )
 
-func newTestValidator(n int) *Validator {
-	j := New(DefaultLimits(2))
-	all := map[cresspass.EngineID]float64{}
-	for i := range n {
-		all[engineID(i)] = cores
+func newTestValidator(engineCount int) *Validator {
+	v := New(DefaultLimits(2))
+	engines := map[cresspass.EngineID]float64{}
+	for i := range engineCount {
+		engines[engineID(i)] = engineCores
 	}
-	j.SetEngines(all)
-	return j
+	v.SetEngines(engines)
+	return v
 }
 
-func engineID(i int) cresspass.EngineID { return cresspass.EngineID(fmt.Sprint("10.0.0.", i, ":5432")) }
+func engineID(i int) cresspass.EngineID {
+	return cresspass.EngineID(fmt.Sprint("10.0.0.", i, ":5432"))
+}
 
-// message writes one by hand: 1 a report, 2 sums, 3 a query sent, 4 such relayed.
+// The types of messages, as sent.
+const (
+	report  = 1
+	sums    = 2
+	sent    = 3 // a query
+	relayed = 4 // queries, by an aggregator
+)
+
+// message encodes a message by hand, with the loads of the first engines.
 func message(kind byte, loads ...byte) []byte {
-	out := []byte{kind}
-	for i, v := range loads {
+	data := []byte{kind}
+	for i, load := range loads {
 		tag := cresspass.EngineTag(engineID(i))
-		if out = append(out, byte(tag>>8), byte(tag), v); kind == 1 {
-			out = append(out, 0x10)
+		data = append(data, byte(tag>>8), byte(tag), load)
+		if kind == report {
+			data = append(data, 0x10) // one answer, no failure
 		}
 	}
-	return out
+	return data
 }
 
-// aggregators returns a time of the fleet's clock at which a gathers and another b, and one that does not.
-func aggregators(t *testing.T, members int) (clock time.Duration, a, b, none int) {
-	for clock = 1000 * second; clock < 2000*second; clock += second {
-		var is, not []int
-		for i := range members {
-			if cresspass.MayAggregate(i, members, clock) {
-				is = append(is, i)
+// aggregators returns a time of the fleet's clock, two ordinals that aggregate at it, and one that does
+// not, in a fleet of memberCount.
+func aggregators(t *testing.T) (clock time.Duration, first, second, none int) {
+	for clock = 1000 * time.Second; clock < 2000*time.Second; clock += time.Second {
+		var aggregating, others []int
+		for i := range memberCount {
+			if cresspass.MayAggregate(i, memberCount, clock) {
+				aggregating = append(aggregating, i)
 			} else {
-				not = append(not, i)
+				others = append(others, i)
 			}
 		}
-		if len(is) > 1 && len(not) > 0 {
-			return clock, is[0], is[1], not[0]
+		if len(aggregating) > 1 && len(others) > 0 {
+			return clock, aggregating[0], aggregating[1], others[0]
 		}
 	}
 	t.Fatal("no such time")
-	return
+	return 0, 0, 0, 0
 }
 
-// Each kind of lie is seen for what it is, and what honest ones say beside it is taken.
+// Each kind of lie is rejected for its reason, and what honest members send beside it is accepted.
 func TestValidate(t *testing.T) {
-	clock, a, b, none := aggregators(t, 9)
+	clock, first, other, none := aggregators(t)
 	now := 50 * second
 	for _, c := range []struct {
 		name   string
-		before func(j *Validator)
+		before func(v *Validator)
 		from   int
 		data   []byte
 		want   Result
 	}{
-		{"honest sums", nil, a, message(2, 9, 8, 3, 0), Accepted},
-		{"no hub", nil, none, message(2, 9, 8, 3, 0), NotAggregator},
-		{"relay of no hub", nil, none, message(4, 1), NotAggregator},
-		{"all dead", nil, a, message(2, 255, 255, 255, 255), ImplausibleOutage},
-		{"a crowd that one alone tells of", nil, a, message(2, 60, 60, 60, 60), Contradicted},
-		{"a crowd that another tells of as well", func(j *Validator) {
-			j.Validate(now-second, clock, b, 9, message(2, 50, 50, 50, 50))
-		}, a, message(2, 60, 60, 60, 60), Accepted},
-		{"one dead", nil, a, message(2, 255, 3, 3, 3), Accepted},
-		{"one dead that answers", func(j *Validator) { j.RecordResponse(now-second, engineID(0), -1) }, a, message(2, 255, 3, 3,
-			3), ImplausibleOutage},
-		{"one dead that answered long ago", func(j *Validator) { j.RecordResponse(now-5*second, engineID(0), -1) }, a,
-			message(2, 255, 3, 3, 3), Accepted},
-		{"254 everywhere", nil, a, message(2, 254, 254, 254, 254), OutOfRange},
-		{"against the other's word", func(j *Validator) { j.Validate(now-second, clock, b, 9, message(2, 4, 4, 4, 4)) }, a,
-			message(2, 60, 60, 60, 60), Contradicted},
-		{"less than the other's word", func(j *Validator) {
-			j.Validate(now-second, clock, b, 9, message(2, 90, 90, 90,
-				90))
-		}, a,
-			message(2, 3, 3, 3, 3), Accepted},
-		{"against what engines say", func(j *Validator) {
-			j.RecordResponse(now, engineID(0), 2)
-			j.RecordResponse(now, engineID(1),
-				3)
-		}, a,
-			message(2, 60, 60, 60, 60), Contradicted},
-		{"a load that engines confirm", func(j *Validator) { j.RecordResponse(now, engineID(0), 12) }, a, message(2, 14,
-			14, 14, 14),
-			Accepted},
-		{"honest report", nil, 1, message(1, 4, 4, 4), Accepted},
-		{"a report beyond what one runs", nil, 1, message(1, 200), OutOfRange},
-		{"more than all others", func(j *Validator) {
-			j.Validate(now, clock, 2, 9, message(1, 1, 1))
-			j.Validate(now, clock, 3, 9, message(1, 1, 1))
-		}, 1, message(1, 30, 30, 30, 30), Disproportionate},
-		{"four fifths of all clients", func(j *Validator) {
-			j.Validate(now, clock, 2, 9, message(1, 1, 1))
-			j.Validate(now, clock, 3, 9, message(1, 1, 1))
-		}, 1, message(1, 4, 4, 4, 4), Accepted},
-		{"a query of too many threads", nil, 1, message(3, 9), OutOfRange},
-		{"a query", nil, 1, message(3, 2), Accepted},
-		{"caught before", func(j *Validator) { j.Validate(now-second, clock, 1, 9, message(3, 9)) }, 1, message(3, 2),
-			SenderBlocked},
-		{"caught long before", func(j *Validator) { j.Validate(now-40*second, clock, 1, 9, message(3, 9)) }, 1,
-			message(3, 2), Accepted},
+		{"honest sums", nil, first, message(sums, 9, 8, 3, 0), Accepted},
+		{"sums of no aggregator", nil, none, message(sums, 9, 8, 3, 0), NotAggregator},
+		{"relay of no aggregator", nil, none, message(relayed, 1), NotAggregator},
+		{"all ejected", nil, first, message(sums, 255, 255, 255, 255), ImplausibleOutage},
+		{"an overload that one alone reports", nil, first, message(sums, 60, 60, 60, 60), Contradicted},
+		{"an overload that another reports as well", func(v *Validator) {
+			v.Validate(now-second, clock, other, memberCount, message(sums, 50, 50, 50, 50))
+		}, first, message(sums, 60, 60, 60, 60), Accepted},
+		{"one ejected", nil, first, message(sums, 255, 3, 3, 3), Accepted},
+		{"one ejected that answers", func(v *Validator) {
+			v.RecordResponse(now-second, engineID(0), -1)
+		}, first, message(sums, 255, 3, 3, 3), ImplausibleOutage},
+		{"one ejected that answered long ago", func(v *Validator) {
+			v.RecordResponse(now-5*second, engineID(0), -1)
+		}, first, message(sums, 255, 3, 3, 3), Accepted},
+		{"254 everywhere", nil, first, message(sums, 254, 254, 254, 254), OutOfRange},
+		{"against another aggregator's sums", func(v *Validator) {
+			v.Validate(now-second, clock, other, memberCount, message(sums, 4, 4, 4, 4))
+		}, first, message(sums, 60, 60, 60, 60), Contradicted},
+		{"less than another aggregator's sums", func(v *Validator) {
+			v.Validate(now-second, clock, other, memberCount, message(sums, 90, 90, 90, 90))
+		}, first, message(sums, 3, 3, 3, 3), Accepted},
+		{"against what engines report", func(v *Validator) {
+			v.RecordResponse(now, engineID(0), 2)
+			v.RecordResponse(now, engineID(1), 3)
+		}, first, message(sums, 60, 60, 60, 60), Contradicted},
+		{"a load that engines confirm", func(v *Validator) {
+			v.RecordResponse(now, engineID(0), 12)
+		}, first, message(sums, 14, 14, 14, 14), Accepted},
+		{"honest report", nil, 1, message(report, 4, 4, 4), Accepted},
+		{"a report beyond what one runs", nil, 1, message(report, 200), OutOfRange},
+		{"more than all others", func(v *Validator) {
+			v.Validate(now, clock, 2, memberCount, message(report, 1, 1))
+			v.Validate(now, clock, 3, memberCount, message(report, 1, 1))
+		}, 1, message(report, 30, 30, 30, 30), Disproportionate},
+		{"four fifths of all clients", func(v *Validator) {
+			v.Validate(now, clock, 2, memberCount, message(report, 1, 1))
+			v.Validate(now, clock, 3, memberCount, message(report, 1, 1))
+		}, 1, message(report, 4, 4, 4, 4), Accepted},
+		{"a query of too many threads", nil, 1, message(sent, 9), OutOfRange},
+		{"a query", nil, 1, message(sent, 2), Accepted},
+		{"blocked", func(v *Validator) {
+			v.Validate(now-second, clock, 1, memberCount, message(sent, 9))
+		}, 1, message(sent, 2), SenderBlocked},
+		{"blocked long before", func(v *Validator) {
+			v.Validate(now-40*second, clock, 1, memberCount, message(sent, 9))
+		}, 1, message(sent, 2), Accepted},
 		{"nothing", nil, 1, nil, Malformed},
-		{"another form", nil, 1, []byte{9, 1, 2, 3}, Malformed},
+		{"another type", nil, 1, []byte{9, 1, 2, 3}, Malformed},
 	} {
-		j := newTestValidator(4)
+		v := newTestValidator(4)
 		if c.before != nil {
-			c.before(j)
+			c.before(v)
 		}
-		if got := j.Validate(now, clock, c.from, 9, c.data); got != c.want {
+		if got := v.Validate(now, clock, c.from, memberCount, c.data); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
-	j := newTestValidator(4)
+	v := newTestValidator(4)
 	small := 0
-	for small < 1000 && j.Validate(now, clock, 1, 9, message(3, 2, 2, 2, 2)) == Accepted {
+	for small < 1000 && v.Validate(now, clock, 1, memberCount, message(sent, 2, 2, 2, 2)) == Accepted {
 		small++
 	}
 	if small > 20 {
@@ -136,35 +150,52 @@
 	}
 }
 
-// Whatever is said in whatever order, what is taken of sums never has more than half of the engines sick,
-// nor a load over sixteen threads a core, and nothing grows for ever.
+// Whatever is sent in whatever order, accepted sums never call more than half of the engines ejected, nor
+// have a load over sixteen threads a core, and nothing grows without bound.
 func TestAcceptedAggregatesStayInBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		j := newTestValidator(5)
+		v := newTestValidator(5)
 		now, clock := 10*second, 1000*second
 		for range rapid.IntRange(1, 60).Draw(t, "messages") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
 			data := message(byte(rapid.IntRange(0, 5).Draw(t, "kind")),
 				rapid.SliceOfN(rapid.Byte(), 0, 5).Draw(t, "loads")...)
 			from := rapid.IntRange(0, 1<<20).Draw(t, "from")
-			if j.Validate(now, clock, from, 1+rapid.IntRange(0, 600).Draw(t, "members"), data) != Accepted {
+			members := 1 + rapid.IntRange(0, 600).Draw(t, "members")
+			if v.Validate(now, clock, from, members, data) != Accepted {
 				continue
 			}
-			_, sums, _, loads, _ := cresspass.DecodePeerMessage(data)
-			sick := 0
-			for _, l := range loads {
-				if sums && l.Threads == cresspass.PeerLoadEjected {
-					sick++
-				} else if sums && l.Threads > 16*cores {
+			_, isSums, _, loads, _ := cresspass.DecodePeerMessage(data)
+			ejected := 0
+			for _, load := range loads {
+				if isSums && load.Threads == cresspass.PeerLoadEjected {
+					ejected++
+				} else if isSums && load.Threads > 16*engineCores {
 					t.Fatalf("%v", loads)
 				}
 			}
-			if 2*sick > len(loads) {
-				t.Fatalf("%d of %d sick", sick, len(loads))
+			if 2*ejected > len(loads) {
+				t.Fatalf("%d of %d ejected", ejected, len(loads))
 			}
 		}
-		if n := len(j.aggregates) + len(j.reports) + len(j.sentLoads) + len(j.blockedUntil); n > 4*maxTrackedPeers {
-			t.Fatal(n)
+		kept := len(v.aggregates) + len(v.reports) + len(v.sentLoads) + len(v.blockedUntil)
+		if kept > 4*maxTrackedPeers {
+			t.Fatal(kept)
 		}
 	})
 }
+
+// Every result has a name of its own.
+func TestResultNames(t *testing.T) {
+	seen := map[string]Result{}
+	for r := range resultCount {
+		name := r.String()
+		if other, known := seen[name]; name == "" || known {
+			t.Errorf("result %d is called %q, as is %d", r, name, other)
+		}
+		seen[name] = r
+	}
+	if got := Result(99).String(); got != "Result(99)" {
+		t.Errorf("an unknown result is called %q", got)
+	}
+}
