--- a/internal/membership/gossip/golden_test.go
+++ b/internal/membership/gossip/golden_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/binary"
+	"errors"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -36,8 +37,8 @@
 	return stored
 }
 
-// goldenRecords have every field set, the greatest and the least values among them.
-func goldenRecords() []observation.Observation {
+// goldenObservations have every field set, the greatest and the least values among them.
+func goldenObservations() []observation.Observation {
 	return []observation.Observation{
 		{Key: observation.Key{Engine: "10.0.0.1:5432", Property: observation.Health}, Observer: "hall-a-1",
 			Age: 1500 * time.Millisecond, Seq: 42, Value: 1, Hops: 2},
@@ -45,33 +46,21 @@
 			Age: 0, Seq: 1, Value: 12.25, Hops: 0},
 		{Key: observation.Key{Engine: "[::1]:5432", Property: observation.Uptime}, Observer: "hall-c-3",
 			Age: 4294967295 * time.Millisecond, Seq: 1<<64 - 1, Value: 86400.5, Hops: 255},
-		{
-			Key:      observation.Key{Property: observation.ModelParameter, Parameter: "c/dash/scale"},
-			Observer: "(former)",
-			Age:      time.Hour,
-			Seq:      7,
-			Value:    0.0625,
-			Hops:     11,
-		},
-		{
-			Key:      observation.Key{Property: observation.ModelParameter, Parameter: "k/std/\"dash\"/*"},
-			Observer: "",
-			Age:      time.Millisecond,
-			Seq:      8,
-			Value:    3,
-			Hops:     1,
-		},
+		{Key: observation.Key{Property: observation.ModelParameter, Parameter: "c/dash/scale"},
+			Observer: "(former)", Age: time.Hour, Seq: 7, Value: 0.0625, Hops: 11},
+		{Key: observation.Key{Property: observation.ModelParameter, Parameter: "k/std/\"dash\"/*"},
+			Observer: "", Age: time.Millisecond, Seq: 8, Value: 3, Hops: 1},
 	}
 }
 
-// Packets of every kind as dispatchers sent them on 2026-12-02: a fleet that is rolled has both versions at
-// once, so each is read with the same values, and written with the same bytes.
+// Packets of every kind as dispatchers sent them on 2026-12-02: a fleet that is being upgraded has both
+// versions at once, so each is read with the same values, and written with the same bytes.
 func TestGoldenPackets(t *testing.T) {
 	var digest observation.Digest
 	for i := range digest {
 		digest[i] = uint64(i)<<56 | 0x0102030405060708*uint64(i)
 	}
-	records := EncodeObservations(goldenRecords())
+	records := EncodeObservations(goldenObservations())
 	if len(records) != 1 {
 		t.Fatalf("%d pieces", len(records))
 	}
@@ -108,30 +97,27 @@
 			if c.kind == 5 {
 				data = data[2:]
 			}
-			if all, err := DecodeObservations(data); err != nil || !reflect.DeepEqual(all, goldenRecords()) {
+			all, err := DecodeObservations(data)
+			if err != nil || !reflect.DeepEqual(all, goldenObservations()) {
 				t.Errorf("%s: read as %+v, %v", c.file, all, err)
 			}
 		}
 		receiver := newTestNode("b", 1, 0)
-		receiver.MemberAlive(
-			24*time.Hour,
-			ordinal.Member{Name: "hall-a-1", Incarnation: want.incarnation, Claim: 0},
-		)
-		receiver.HandlePacket(24*time.Hour, stored)
+		receiver.MemberAlive(start, ordinal.Member{Name: "hall-a-1", Incarnation: want.incarnation, Claim: 0})
+		receiver.HandlePacket(start, stored)
 		if st := receiver.Stats(); st.PacketsAccepted != 1 || st.PacketsMalformed != 0 ||
-			st.PacketsFromUnknown != 0 ||
-			st.PacketsReplayed != 0 {
+			st.PacketsFromUnknown != 0 || st.PacketsReplayed != 0 {
 			t.Errorf("%s: a member's packet: %+v", c.file, st)
 		}
 	}
 }
 
-// What a dispatcher has learnt, in as many pieces as packets need, joined: so it stands in the state folder
-// and in a hand-over.
-func TestGoldenStoredRecords(t *testing.T) {
+// What a dispatcher has learnt, in as many pieces as packets need, joined: so it is stored in the state
+// folder and passed on in a hand-over.
+func TestGoldenStoredObservations(t *testing.T) {
 	var all []observation.Observation
 	for i := range 60 {
-		for _, r := range goldenRecords() {
+		for _, r := range goldenObservations() {
 			r.Seq, r.Value = r.Seq+uint64(i), r.Value+float64(i)
 			all = append(all, r)
 		}
@@ -144,7 +130,7 @@
 	if read, err := DecodeObservations(stored); err != nil || !reflect.DeepEqual(read, all) {
 		t.Errorf("read as %+v, %v", read, err)
 	}
-	if _, err := DecodeObservations(stored[:len(stored)-1]); err != errTruncated {
+	if _, err := DecodeObservations(stored[:len(stored)-1]); !errors.Is(err, errTruncated) {
 		t.Errorf("cut short: %v", err)
 	}
 }
--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -1,13 +1,15 @@
-// Package gossip decides what a dispatcher says to others, whom it believes, and what its module is told of
-// the fleet: members, packets and the module's messages in, outputs out, all under a clock that is handed
-// in. It does no I/O and has no goroutine; package peers carries its outputs out over a network, package
-// model over one that loses.
+// Package gossip is the state machine of a dispatcher's gossip with its peers. It decides what a node sends,
+// which packets and peers it believes, and what its decision module is told about the fleet: membership
+// events, packets and the module's messages go in, actions come out, all under a clock that the caller
+// passes.
+//
+// It owns the packet format and joins the parts that each own one decision: packages ordinal, clocksync,
+// replayguard, validation and observation. It does no I/O, starts no goroutine and reads no clock; package
+// membership carries its actions out over a network, and the simulation over one that loses packets.
 package gossip
 
 import (
-	"encoding/binary"
 	"math/rand/v2"
-	"sort"
 	"time"
 
 	"golang.org/x/time/rate"
@@ -20,412 +22,222 @@
 	"cresspass/internal/membership/validation"
 )
 
-// Config holds the settings.
+// Config holds the settings of a Node.
 type Config struct {
-	Name           string // the dispatcher's own among all
-	Incarnation    uint64 // its life: greater than that of any before
-	OrdinalClaim   int    // ordinal that it had; -1: none
-	RandomSeed     uint64 // of what is left to chance
-	BytesPerSecond int    // bytes a second that may be said
+	// Name identifies the dispatcher in the fleet; it keeps its name over restarts.
+	Name string
+	// Incarnation is greater than that of every earlier process with this name.
+	Incarnation uint64
+	// OrdinalClaim is the ordinal that the dispatcher would like to have; ordinal.Unassigned: none.
+	OrdinalClaim int
+	// RandomSeed seeds the choice of peers.
+	RandomSeed uint64
+	// BytesPerSecond bounds what is sent.
+	BytesPerSecond int
 	Ordinals       ordinal.Limits
 	Validation     validation.Limits
-	// BootstrapTimeout is how long one that begins waits for what others have learnt; 0: it does not ask.
+	// BootstrapTimeout bounds how long a starting node waits for the model state of its peers; 0: it does
+	// not ask for it.
 	BootstrapTimeout time.Duration
 }
 
-// ActionType tells which fields of an Output count.
-type ActionType int
-
-// The outputs.
-const (
-	SendPacket        ActionType = iota // To, Data: a packet
-	DeliverMessage                      // From, Data: of the module's
-	UpdateView                          // View, Clock: what the module is to be told
-	BroadcastMetadata                   // the member's word of itself changed; see Self
-	CompleteBootstrap                   // Voices: one that began has all that it waits for
-	ReportEngineDown                    // Engine: several tell that it does not answer, and nothing else was seen here
-	YieldName                           // a younger dispatcher has our name; this one is to be silent
-)
-
-// Action is one thing to be done, in order.
-type Action struct {
-	Type           ActionType
-	To             string
-	From           int
-	Data           []byte
-	View           ordinal.View
-	Clock          time.Duration // the fleet's
-	ReportingPeers int           // that answered
-	Engine         string
-}
-
-// Stats counts what was said and heard.
-type Stats struct {
-	PacketsSent, PacketsAccepted                          uint64
-	BytesSent                                             uint64 // sent
-	PacketsRateLimited                                    uint64 // not sent: beyond the rate
-	PacketsReplayed, PacketsFromUnknown, PacketsMalformed uint64 // not taken: replayed or too late; of no member; of no known form
-	ObservationsReceived                                  uint64 // records taken
-	DigestsSent                                           uint64 // digests sent
-	BootstrapsAnswered, BootstrapsDeclined                uint64 // what was learnt told to one that began; not told
-	Members, Ordinal                                      int
-	Validations                                           [validation.ResultCount]uint64
-	ObservationsRejected                                  observation.Rejected
-	NameYielded                                           bool
-}
-
 const (
-	digestInterval            = time.Second
-	engineCheckInterval       = time.Second
-	conflictNoticeInterval    = 2 * time.Second
-	conflictReportTTL         = time.Minute
-	maxDigestReply            = 200 // records of an answer to a digest
-	bootstrapReplyBurst       = 8   // answers to those that begin, at once...
-	bootstrapRepliesPerSecond = 4   // ...and a second
+	// digestInterval is the time between two digests, each to one random peer.
+	digestInterval = time.Second
+	// engineCheckInterval is the time between two looks for engines that peers report to be down.
+	engineCheckInterval = time.Second
+	// maxDigestReply is the most observations of a reply to a digest.
+	maxDigestReply = 200
+	// maxReplaySenders is the number of senders whose packet numbers are remembered.
+	maxReplaySenders = 4096
+	// minBurstPackets is the least number of full packets that may be sent at once, whatever the rate.
+	minBurstPackets = 4
 )
 
-// Node is a dispatcher's part. Make one with New. It is for one goroutine at a time.
+// Node is one dispatcher's part in the gossip. Make one with New. It is not safe for concurrent use.
 type Node struct {
-	config           Config
-	store            *observation.Store
-	validator        *validation.Validator
-	clock            *clocksync.Clock
-	ordinals         *ordinal.Assigner
-	replayGuard      *replayguard.Guard
-	sendLimiter      *rate.Limiter
-	bootstrapLimiter *rate.Limiter
-	random           *rand.Rand
-	members          map[string]ordinal.Member // the others
-	memberNames      []string                  // theirs, in order
-	seq              uint64
-	actions          []Action
-	view             ordinal.View
-	viewReported     bool
-	lastDigest       time.Duration
-	lastEngineCheck  time.Duration
-	enginesDown      map[string]bool
-	conflictNotices  map[string]time.Duration // members of another life of their name
-	conflictReports  map[string]time.Duration // who said that there is one of ours
+	config      Config
+	store       *observation.Store
+	validator   *validation.Validator
+	clock       *clocksync.Clock
+	ordinals    *ordinal.Assigner
+	replayGuard *replayguard.Guard
+	sendLimiter *rate.Limiter
+	random      *rand.Rand
+
+	members     map[string]ordinal.Member // the peers, without this node
+	memberNames []string                  // theirs, sorted, so that random choices are reproducible
+	seq         uint64                    // of the last packet sent
+	actions     []Action                  // since the last call of Ready
+
+	view            ordinal.View
+	viewReported    bool
+	lastDigest      time.Duration
+	lastEngineCheck time.Duration
+	enginesDown     map[string]bool // as of lastEngineCheck
+
+	conflicts        conflictTracker
 	bootstrap        bootstrap
+	bootstrapLimiter *rate.Limiter
 	stats            Stats
 }
 
-// New returns the part of a dispatcher that knows of no other.
-func New(cfg Config, store *observation.Store, now time.Duration) *Node {
-	t := &Node{config: cfg, store: store, validator: validation.New(cfg.Validation), clock: clocksync.New(),
-		replayGuard: replayguard.NewGuard(4096),
-		sendLimiter: rate.NewLimiter(
-			rate.Limit(cfg.BytesPerSecond),
-			max(cfg.BytesPerSecond, 4*MaxPacketSize),
-		),
+// New returns the node of a dispatcher that knows no peer yet.
+func New(config Config, store *observation.Store, now time.Duration) *Node {
+	self := ordinal.Member{Name: config.Name, Incarnation: config.Incarnation, Claim: config.OrdinalClaim}
+	burst := max(config.BytesPerSecond, minBurstPackets*MaxPacketSize)
+	return &Node{
+		config:           config,
+		store:            store,
+		validator:        validation.New(config.Validation),
+		clock:            clocksync.New(),
+		ordinals:         ordinal.New(self, config.Ordinals, now),
+		replayGuard:      replayguard.NewGuard(maxReplaySenders),
+		sendLimiter:      rate.NewLimiter(rate.Limit(config.BytesPerSecond), burst),
+		random:           rand.New(rand.NewPCG(config.RandomSeed, config.Incarnation)),
+		members:          map[string]ordinal.Member{},
+		lastDigest:       now,
+		lastEngineCheck:  now,
+		enginesDown:      map[string]bool{},
+		conflicts:        newConflictTracker(),
+		bootstrap:        newBootstrap(config.BootstrapTimeout, now),
 		bootstrapLimiter: rate.NewLimiter(bootstrapRepliesPerSecond, bootstrapReplyBurst),
-		random: rand.New(
-			rand.NewPCG(cfg.RandomSeed, cfg.Incarnation),
-		), members: map[string]ordinal.Member{},
-		lastDigest: now, lastEngineCheck: now, enginesDown: map[string]bool{}, conflictNotices: map[string]time.Duration{},
-		conflictReports: map[string]time.Duration{}}
-	t.ordinals = ordinal.New(
-		ordinal.Member{Name: cfg.Name, Incarnation: cfg.Incarnation, Claim: cfg.OrdinalClaim},
-		cfg.Ordinals,
-		now,
-	)
-	t.bootstrap = newBootstrap(cfg.BootstrapTimeout, now)
-	return t
+	}
 }
 
-// Self is what this dispatcher says of itself.
-func (t *Node) Self() ordinal.Member { return t.ordinals.Self() }
+// Self returns the metadata that this dispatcher broadcasts about itself.
+func (n *Node) Self() ordinal.Member { return n.ordinals.Self() }
 
-// Store is what is known, to be looked at and added to.
-func (t *Node) Store() *observation.Store { return t.store }
+// Store returns the observations, to be read and added to.
+func (n *Node) Store() *observation.Store { return n.store }
 
-// Stats returns the counts so far.
-func (t *Node) Stats() Stats {
-	s := t.stats
-	s.Members, s.Ordinal = t.ordinals.MemberCount(), t.ordinals.Self().Claim
-	s.Validations, s.ObservationsRejected = t.validator.Counts(), t.store.Rejected()
-	return s
-}
+// FleetClock returns the clock that the fleet agrees on.
+func (n *Node) FleetClock(now time.Duration) time.Duration { return n.clock.At(now) }
 
-// Ready returns what is to be done, once.
-func (t *Node) Ready() []Action {
-	out := t.actions
-	t.actions = nil
-	return out
+// Ready returns the actions to carry out since its last call, in order.
+func (n *Node) Ready() []Action {
+	actions := n.actions
+	n.actions = nil
+	return actions
 }
 
-// SetEngines tells which engines there are, with their cores.
-func (t *Node) SetEngines(engines map[cresspass.EngineID]float64) {
+func (n *Node) emit(a Action) { n.actions = append(n.actions, a) }
+
+// SetEngines sets which engines exist, with their cores.
+func (n *Node) SetEngines(engines map[cresspass.EngineID]float64) {
 	var names []string
 	for id := range engines {
 		names = append(names, string(id))
 	}
-	t.store.SetEngines(names)
-	t.validator.SetEngines(engines)
+	n.store.SetEngines(names)
+	n.validator.SetEngines(engines)
 }
 
-// RecordAttempt tells that an attempt at an engine was answered or not; threads is what the engine says of
-// all that it runs, below 0: nothing.
-func (t *Node) RecordAttempt(now time.Duration, id cresspass.EngineID, answered bool, threads float64) {
-	v := 0.0
+// RecordAttempt records whether an attempt at an engine was answered. threads is what the engine reports to
+// run in total; negative: it reported nothing.
+func (n *Node) RecordAttempt(now time.Duration, id cresspass.EngineID, answered bool, threads float64) {
+	health := observation.Unhealthy
 	if answered {
-		v = 1
-		t.validator.RecordResponse(now, id, threads)
-	}
-	t.store.Observe(now, observation.Key{Engine: string(id), Property: observation.Health}, v)
-}
-
-// RecordModelState tells what the module has learnt, by name.
-func (t *Node) RecordModelState(now time.Duration, figures map[string]float64) {
-	for name, v := range figures {
-		t.store.Observe(now, observation.Key{Property: observation.ModelParameter, Parameter: name}, v)
-	}
-}
-
-// MemberAlive takes a member that is there, or what it says of itself anew.
-func (t *Node) MemberAlive(now time.Duration, m ordinal.Member) {
-	if m.Name == t.config.Name {
-		if t.ordinals.SupersededBy(m) {
-			t.yieldName()
-		}
-		return
-	}
-	if old, known := t.members[m.Name]; !known || m.Incarnation >= old.Incarnation {
-		if !known {
-			t.memberNames = append(t.memberNames, m.Name)
-			sort.Strings(t.memberNames)
-		}
-		if known && m.Incarnation > old.Incarnation {
-			t.clock.Forget(m.Name)
-		}
-		t.members[m.Name] = m
-	}
-	t.ordinals.MemberAlive(now, m)
-}
-
-// yieldName has this dispatcher fall silent. Danger: two of one name would take turns in all that is told by
-// name, and nobody could tell one's messages from the other's replayed. The younger has the name: it was
-// started on purpose.
-func (t *Node) yieldName() {
-	if !t.stats.NameYielded {
-		t.stats.NameYielded = true
-		t.emit(Action{Type: YieldName})
-	}
-}
-
-// NameConflict takes that another life of a member's name speaks from elsewhere. The member is told of it, as
-// those who are asked first by the younger may be the only ones to see both.
-func (t *Node) NameConflict(now time.Duration, m ordinal.Member) {
-	old, known := t.members[m.Name]
-	switch {
-	case m.Name == t.config.Name:
-		t.MemberAlive(now, m)
-	case known && m.Incarnation > old.Incarnation && now-t.conflictNotices[m.Name] >= conflictNoticeInterval:
-		t.conflictNotices[m.Name] = now
-		t.sendPacket(now, m.Name, kindNameConflict, binary.BigEndian.AppendUint64(nil, m.Incarnation))
-	}
-}
-
-// conflictReported takes what a member says of another life of our name. Danger: one that lies would silence
-// all; so three have to say so, or half of the others, where they are fewer.
-func (t *Node) conflictReported(now time.Duration, from string, born uint64) {
-	if born <= t.config.Incarnation {
-		return
-	}
-	t.conflictReports[from] = now
-	voices := 0
-	for name, at := range t.conflictReports {
-		if _, known := t.members[name]; known && now-at < conflictReportTTL {
-			voices++
-		}
-	}
-	if voices >= min(3, (len(t.members)+1)/2) {
-		t.yieldName()
+		health = observation.Healthy
+		n.validator.RecordResponse(now, id, threads)
 	}
+	n.store.Observe(now, observation.Key{Engine: string(id), Property: observation.Health}, health)
 }
 
-// MemberLost takes the loss of a member; left: it said so itself.
-func (t *Node) MemberLost(now time.Duration, name string, left bool) {
-	if _, known := t.members[name]; known {
-		delete(t.members, name)
-		i := sort.SearchStrings(t.memberNames, name)
-		t.memberNames = append(t.memberNames[:i], t.memberNames[i+1:]...)
-		t.clock.Forget(name)
+// RecordModelState records the parameters that the decision module has learnt, by name.
+func (n *Node) RecordModelState(now time.Duration, parameters map[string]float64) {
+	for name, value := range parameters {
+		key := observation.Key{Property: observation.ModelParameter, Parameter: name}
+		n.store.Observe(now, key, value)
 	}
-	t.ordinals.MemberLost(now, name, left)
 }
 
-// SendMessage says a message of the module's to the dispatcher of an ordinal; -1: to all.
-func (t *Node) SendMessage(now time.Duration, to int, data []byte) {
-	for _, name := range t.memberNames {
-		if c := t.members[name].Claim; c >= 0 && (to < 0 || c == to) {
-			t.sendPacket(now, name, kindMessage, data)
+// SendMessage sends a message of the decision module to the dispatcher with an ordinal; AllPeers: to all.
+func (n *Node) SendMessage(now time.Duration, to int, data []byte) {
+	for _, name := range n.memberNames {
+		if claim := n.members[name].Claim; claim >= 0 && (to < 0 || claim == to) {
+			n.sendPacket(now, name, kindMessage, data)
 		}
 	}
 }
 
-// FleetClock is the fleet's clock.
-func (t *Node) FleetClock(now time.Duration) time.Duration { return t.clock.At(now) }
-
-func (t *Node) emit(o Action) { t.actions = append(t.actions, o) }
-
-// limiterTime is a time of ours for the limiters.
-func limiterTime(now time.Duration) time.Time { return time.Unix(0, int64(now)) }
-
-// sendPacket says one packet, if the rate allows.
-func (t *Node) sendPacket(now time.Duration, to string, k packetKind, data []byte) bool {
-	if t.stats.NameYielded {
+// sendPacket emits one packet, if the rate allows, and reports whether it did.
+func (n *Node) sendPacket(now time.Duration, to string, kind packetKind, data []byte) bool {
+	if n.stats.NameYielded {
 		return false
 	}
-	t.seq++
-	b := header{
-		kind:        k,
-		incarnation: t.config.Incarnation,
-		seq:         t.seq,
-		clock:       t.clock.At(now),
-		name:        t.config.Name,
-	}.append(
-		data,
-	)
-	if !t.sendLimiter.AllowN(limiterTime(now), len(b)) {
-		t.stats.PacketsRateLimited++
+	n.seq++
+	packet := header{
+		kind:        kind,
+		incarnation: n.config.Incarnation,
+		seq:         n.seq,
+		clock:       n.clock.At(now),
+		name:        n.config.Name,
+	}.append(data)
+	if !n.sendLimiter.AllowN(limiterTime(now), len(packet)) {
+		n.stats.PacketsRateLimited++
 		return false
 	}
-	t.stats.PacketsSent++
-	t.stats.BytesSent += uint64(len(b))
-	t.emit(Action{Type: SendPacket, To: to, Data: b})
+	n.stats.PacketsSent++
+	n.stats.BytesSent += uint64(len(packet))
+	n.emit(Action{Type: SendPacket, To: to, Data: packet})
 	return true
 }
 
-// HandlePacket takes a packet, authentic as far as one of the keys is.
-func (t *Node) HandlePacket(now time.Duration, b []byte) {
-	h, data, ok := readHeader(b)
-	if !ok {
-		t.stats.PacketsMalformed++
+// limiterTime converts the caller's clock for the rate limiters.
+func limiterTime(now time.Duration) time.Time { return time.Unix(0, int64(now)) }
+
+// Tick advances time. It is to be called some twenty times a second.
+func (n *Node) Tick(now time.Duration) {
+	if n.stats.NameYielded {
 		return
 	}
-	from, known := t.members[h.name]
-	fresh := t.replayGuard.Accept(h.name, known, h.incarnation, h.seq)
-	switch {
-	case !known:
-		t.stats.PacketsFromUnknown++
-		return
-	case !fresh:
-		t.stats.PacketsReplayed++
-		return
+	self := n.ordinals.Self()
+	n.updateView(now)
+	if self != n.ordinals.Self() {
+		n.emit(Action{Type: BroadcastMetadata})
 	}
-	t.stats.PacketsAccepted++
-	t.clock.AddSample(now, h.name, h.clock)
-	switch h.kind {
-	case kindMessage:
-		if from.Claim >= 0 && t.validator.Validate(now, t.clock.At(now), from.Claim, t.view.Count,
-			data) == validation.Accepted {
-			t.emit(Action{Type: DeliverMessage, From: from.Claim, Data: append([]byte(nil), data...)})
-		}
-	case kindDigest:
-		d, ok := readDigest(data)
-		if !ok {
-			t.stats.PacketsMalformed++
-			return
-		}
-		for _, packet := range EncodeObservations(t.store.AnswerDigest(now, d, maxDigestReply)) {
-			t.sendPacket(now, h.name, kindObservations, packet)
-		}
-	case kindObservations, kindBootstrapReply:
-		part, parts := byte(0), byte(1)
-		if h.kind == kindBootstrapReply {
-			if len(data) < 2 || data[0] >= data[1] {
-				t.stats.PacketsMalformed++
-				return
-			}
-			part, parts, data = data[0], data[1], data[2:]
-		}
-		all, err := DecodeObservations(data)
-		if err != nil {
-			t.stats.PacketsMalformed++
-			return
-		}
-		if h.kind == kindBootstrapReply {
-			if !t.bootstrap.acceptReply(h.name, part, parts) {
-				return // not asked for, or too late: what was learnt here since stands
-			}
-			for i := range all { // its own only: an observer made up would have many voices
-				all[i].Observer, all[i].Hops = h.name, 0
-			}
-		}
-		t.store.Receive(now, h.name, all)
-		t.stats.ObservationsReceived += uint64(len(all))
-	case kindBootstrapRequest:
-		t.answerBootstrap(now, h.name)
-	case kindBootstrapEmpty:
-		t.bootstrap.markEmpty(h.name)
-	case kindNameConflict:
-		if len(data) == 8 {
-			t.conflictReported(now, h.name, binary.BigEndian.Uint64(data))
-		}
-	default:
-		t.stats.PacketsMalformed++
+	n.stepBootstrap(now)
+	n.sendDigest(now)
+	if now-n.lastEngineCheck >= engineCheckInterval {
+		n.lastEngineCheck = now
+		n.reportEnginesDown(now)
 	}
 }
 
-// answerBootstrap tells one that begins what was learnt here, or that it is nothing.
-func (t *Node) answerBootstrap(now time.Duration, to string) {
-	all := t.store.OwnModelParameters(now)
-	// Danger: a flood of joins, as all return after a power cut, would have those that are there do nothing
-	// else.
-	if len(all) == 0 || !t.bootstrapLimiter.AllowN(limiterTime(now), 1) {
-		t.stats.BootstrapsDeclined++
-		t.sendPacket(now, to, kindBootstrapEmpty, nil)
+// updateView advances the ordinal assignment and the fleet's clock, and reports a change of either.
+func (n *Node) updateView(now time.Duration) {
+	view, _ := n.ordinals.Update(now)
+	clockMoved := n.clock.Sync(now)
+	if view == n.view && !clockMoved && n.viewReported {
 		return
 	}
-	t.stats.BootstrapsAnswered++
-	packets := EncodeObservations(all)
-	for i, p := range packets {
-		if len(packets) < 256 {
-			t.sendPacket(now, to, kindBootstrapReply, append([]byte{byte(i), byte(len(packets))}, p...))
-		}
+	if view != n.view {
+		n.validator.ResetPeers()
 	}
+	n.view, n.viewReported = view, true
+	n.emit(Action{Type: UpdateView, View: view, Clock: n.clock.At(now)})
 }
 
-// Tick lets time pass. It is to be called some twenty times a second.
-func (t *Node) Tick(now time.Duration) {
-	if t.stats.NameYielded {
+// sendDigest sends a digest to a random peer when it is time: the peer answers with what this node lacks.
+func (n *Node) sendDigest(now time.Duration) {
+	if len(n.memberNames) == 0 || now-n.lastDigest < digestInterval {
 		return
 	}
-	self := t.ordinals.Self()
-	v, _ := t.ordinals.Update(now)
-	moved := t.clock.Sync(now)
-	if v != t.view || moved || !t.viewReported {
-		if v != t.view {
-			t.validator.ResetPeers()
-		}
-		t.view, t.viewReported = v, true
-		t.emit(Action{Type: UpdateView, View: v, Clock: t.clock.At(now)})
-	}
-	if self != t.ordinals.Self() {
-		t.emit(Action{Type: BroadcastMetadata})
-	}
-	t.stepBootstrap(now)
-	if len(t.memberNames) > 0 && now-t.lastDigest >= digestInterval {
-		t.lastDigest = now
-		d := t.store.Digest(now)
-		t.stats.DigestsSent++
-		t.sendPacket(now, t.memberNames[t.random.IntN(len(t.memberNames))], kindDigest, appendDigest(d))
-	}
-	if now-t.lastEngineCheck >= engineCheckInterval {
-		t.lastEngineCheck = now
-		t.reportEnginesDown(now)
-	}
+	n.lastDigest = now
+	digest := n.store.Digest(now)
+	n.stats.DigestsSent++
+	n.sendPacket(now, n.memberNames[n.random.IntN(len(n.memberNames))], kindDigest, appendDigest(digest))
 }
 
-// reportEnginesDown tells of engines that are newly said to be down.
-func (t *Node) reportEnginesDown(now time.Duration) {
-	was := t.enginesDown
-	t.enginesDown = map[string]bool{}
-	for _, e := range t.store.EnginesToAvoid(now) {
-		t.enginesDown[e] = true
-		if !was[e] {
-			t.emit(Action{Type: ReportEngineDown, Engine: e})
+// reportEnginesDown reports engines that peers newly agree to be down.
+func (n *Node) reportEnginesDown(now time.Duration) {
+	before := n.enginesDown
+	n.enginesDown = map[string]bool{}
+	for _, engine := range n.store.EnginesToAvoid(now) {
+		n.enginesDown[engine] = true
+		if !before[engine] {
+			n.emit(Action{Type: ReportEngineDown, Engine: engine})
 		}
 	}
 }
--- a/internal/membership/gossip/node_test.go
+++ b/internal/membership/gossip/node_test.go
@@ -16,47 +16,45 @@
 	"cresspass/internal/membership/validation"
 )
 
-const second = time.Second
+// start is the time at which the nodes of these tests start.
+const start = 24 * time.Hour
 
-func newTestNode(name string, born uint64, wait time.Duration) *Node {
+func newTestNode(name string, incarnation uint64, bootstrapTimeout time.Duration) *Node {
 	store := observation.New(name, observation.DefaultLimits())
-	t := New(
-		Config{
-			Name:             name,
-			Incarnation:      born,
-			OrdinalClaim:     -1,
-			BytesPerSecond:   20000,
-			Validation:       validation.DefaultLimits(2),
-			BootstrapTimeout: wait,
-			Ordinals: ordinal.Limits{
-				SettleTime: second,
-				LossGrace:  5 * second,
-				LeaveGrace: second,
-				MinCount:   1,
-			},
+	n := New(Config{
+		Name:             name,
+		Incarnation:      incarnation,
+		OrdinalClaim:     ordinal.Unassigned,
+		BytesPerSecond:   20000,
+		Validation:       validation.DefaultLimits(2),
+		BootstrapTimeout: bootstrapTimeout,
+		Ordinals: ordinal.Limits{
+			SettleTime: time.Second,
+			LossGrace:  5 * time.Second,
+			LeaveGrace: time.Second,
+			MinCount:   1,
 		},
-		store,
-		24*time.Hour,
-	)
-	t.SetEngines(map[cresspass.EngineID]float64{"e1": 8, "e2": 8})
-	return t
+	}, store, start)
+	n.SetEngines(map[cresspass.EngineID]float64{"e1": 8, "e2": 8})
+	return n
 }
 
-// deliver hands on what one says to another, and returns its other outputs.
+// deliver hands the packets of one node to another, and returns the sender's other actions.
 func deliver(now time.Duration, from, to *Node) (others []Action) {
-	for _, o := range from.Ready() {
-		if o.Type == SendPacket && o.To == to.config.Name {
-			to.HandlePacket(now, o.Data)
-		} else if o.Type != SendPacket {
-			others = append(others, o)
+	for _, a := range from.Ready() {
+		if a.Type == SendPacket && a.To == to.config.Name {
+			to.HandlePacket(now, a.Data)
+		} else if a.Type != SendPacket {
+			others = append(others, a)
 		}
 	}
 	return others
 }
 
-func introduce(now time.Duration, all ...*Node) {
-	for _, a := range all {
-		for _, b := range all {
+// introduce has all nodes see each other's metadata.
+func introduce(now time.Duration, nodes ...*Node) {
+	for _, a := range nodes {
+		for _, b := range nodes {
 			if a != b {
 				a.MemberAlive(now, b.Self())
 			}
@@ -64,265 +62,334 @@
 	}
 }
 
-// A packet is taken once, of members only, of the member's last life only; what cannot be read is counted;
-// nothing is said beyond the rate.
-func TestPacketAcceptance(t *testing.T) {
-	now := 24 * time.Hour
-	a, b := newTestNode("a", 1, 0), newTestNode("b", 5, 0)
-	introduce(now, a, b)
-	now += 2 * second
+// paired is the time at which the nodes of newTestPair have their ordinals.
+const paired = start + 2*time.Second
+
+// newTestPair returns two nodes with ordinals that know each other.
+func newTestPair() (a, b *Node) {
+	now := paired
+	a, b = newTestNode("a", 1, 0), newTestNode("b", 5, 0)
+	introduce(start, a, b)
 	a.Tick(now)
 	b.Tick(now)
 	introduce(now, a, b) // with their ordinals
 	a.Ready()
-	a.SendMessage(now, -1, []byte{3, 0, 0, 1})
-	out := a.Ready()
-	if len(out) != 1 || out[0].To != "b" {
-		t.Fatalf("%+v", out)
-	}
-	packet := out[0].Data
 	b.Ready()
+	return a, b
+}
+
+// A packet is accepted once, of members only, and of the member's last incarnation only; what cannot be read
+// is counted.
+func TestPacketAcceptance(t *testing.T) {
+	now := paired
+	a, b := newTestPair()
+	a.SendMessage(now, AllPeers, []byte{3, 0, 0, 1})
+	actions := a.Ready()
+	if len(actions) != 1 || actions[0].To != "b" {
+		t.Fatalf("%+v", actions)
+	}
+	packet := actions[0].Data
 	for range 2 {
 		b.HandlePacket(now, packet)
 	}
 	if got := b.Ready(); len(got) != 1 || got[0].Type != DeliverMessage || got[0].From != a.Self().Claim {
-		t.Errorf("a message said twice: %+v", got)
+		t.Errorf("a packet received twice: %+v", got)
 	}
-	life := append([]byte(nil), packet...)
-	life[9]-- // born
-	b.HandlePacket(now, life)
+	earlier := append([]byte(nil), packet...)
+	earlier[9]-- // its incarnation
+	b.HandlePacket(now, earlier)
 	b.HandlePacket(now, packet[:9])
 	newTestNode("x", 1, 0).HandlePacket(now, packet)
 	if st := b.Stats(); st.PacketsReplayed != 2 || st.PacketsMalformed != 1 || len(b.Ready()) > 0 {
 		t.Errorf("%+v", st)
 	}
+	a.MemberAlive(now, ordinal.Member{Name: "a", Incarnation: 1})
+	if len(deliver(now, a, b)) > 0 {
+		t.Error("our own metadata, echoed, has consequences")
+	}
+}
+
+// Nothing is sent beyond the rate.
+func TestSendRate(t *testing.T) {
+	now := paired
+	a, _ := newTestPair()
 	for range 200 {
-		a.SendMessage(now, -1, make([]byte, 255))
+		a.SendMessage(now, AllPeers, make([]byte, 255))
 	}
 	if st := a.Stats(); st.PacketsRateLimited == 0 || st.BytesSent > 25000 {
 		t.Errorf("the rate does not hold: %+v", st)
 	}
-	a.MemberAlive(now, ordinal.Member{Name: "a", Incarnation: 1})
-	if len(deliver(now, a, b)) > 0 {
-		t.Error("our own word come back")
-	}
+}
+
+// Two members that report a conflict, of six, do not silence a node; a later process with its name does, once
+// and for good.
+func TestYieldName(t *testing.T) {
+	now := paired
+	a, _ := newTestPair()
 	for i := range 5 {
-		a.MemberAlive(now, ordinal.Member{Name: fmt.Sprint("m", i), Incarnation: 1, Claim: -1})
-	}
-	warn := func(from string, born uint64) bool {
-		b := header{
-			kind:        kindNameConflict,
-			incarnation: 1,
-			seq:         1,
-			name:        from,
-		}.append(
-			binary.BigEndian.AppendUint64(nil,
-				born),
-		)
-		a.HandlePacket(now, b)
+		m := ordinal.Member{Name: fmt.Sprint("m", i), Incarnation: 1, Claim: ordinal.Unassigned}
+		a.MemberAlive(now, m)
+	}
+	reportConflict := func(from string, incarnation uint64) (yielded bool) {
+		packet := header{kind: kindNameConflict, incarnation: 1, seq: 1, name: from}.append(
+			binary.BigEndian.AppendUint64(nil, incarnation))
+		a.HandlePacket(now, packet)
 		return a.Stats().NameYielded
 	}
-	if warn("m0", 9) || warn("m0", 10) || warn("m1", 1) || warn("m1", 9) {
-		t.Error("two that say so, of six, silence one")
+	if reportConflict("m0", 9) || reportConflict("m0", 10) || reportConflict("m1", 1) ||
+		reportConflict("m1", 9) {
+		t.Error("two reports of six members silence a node")
 	}
 	a.MemberAlive(now, ordinal.Member{Name: "a", Incarnation: 2})
 	yields := 0
-	for _, o := range a.Ready() {
-		if o.Type == YieldName {
+	for _, action := range a.Ready() {
+		if action.Type == YieldName {
 			yields++
 		}
 	}
-	a.SendMessage(now, -1, []byte{3})
-	a.Tick(now + second)
-	if out := a.Ready(); yields != 1 || len(out) > 0 {
-		t.Errorf("a younger one has the name: yields %d times, then says %+v", yields, out)
+	a.SendMessage(now, AllPeers, []byte{3})
+	a.Tick(now + time.Second)
+	if actions := a.Ready(); yields != 1 || len(actions) > 0 {
+		t.Errorf("a later process has the name: yields %d times, then does %+v", yields, actions)
 	}
 }
 
-func parametersOf(v float64) map[string]float64 {
-	return map[string]float64{"c/x/scale": v, "c/x/work": v}
-}
-
-// One that begins takes the median of five, whatever one of them lies; it does not wait for those that know
-// nothing, nor for ever; an answer that was not asked for is none; and those asked answer so many at a
-// time.
-func TestBootstrap(t *testing.T) {
-	for _, c := range []struct {
-		name   string
-		values []float64 // that others have learnt; 0: nothing, below 0: does not answer
-		want   float64
-		within time.Duration
-		voices int
-	}{
-		{"five", []float64{2, 2.1, 2.2, 2.3, 2.4}, 2.2, 300 * time.Millisecond, 5},
-		{"a liar of five", []float64{2, 2.1, 2.2, 2.3, 1e4}, 2.2, 300 * time.Millisecond, 5},
-		{"a liar of five with what cannot be", []float64{2, 2.1, 2.2, 2.3, math.NaN()}, 2.1,
-			300 * time.Millisecond, 5},
-		{"newcomers ask newcomers", []float64{0, 0, 0, 0, 0}, 0, 600 * time.Millisecond, 0},
-		{"two know", []float64{0, 0, 3, 3, 0}, 3, 600 * time.Millisecond, 2},
-		{"none answers", []float64{-1, -1, -1}, 0, second + 50*time.Millisecond, 0},
-		{"some do not", []float64{-1, -1, 4, 4, 4, -1, -1}, 4, second + 50*time.Millisecond, 3},
-		{"alone", nil, 0, second + 50*time.Millisecond, 0},
-	} {
-		now := 24 * time.Hour
-		n := newTestNode("new", 1, second)
-		var others []*Node
-		for i, v := range c.values {
-			o := newTestNode(fmt.Sprint("o", i), 1, 0)
-			if v != 0 {
-				o.RecordModelState(now, parametersOf(v))
-			}
-			if math.IsNaN(v) { // what cannot be is not even told; by hand, then
-				o.RecordModelState(now, parametersOf(1))
-			}
-			n.MemberAlive(now, o.Self())
-			o.MemberAlive(now, n.Self())
-			others = append(others, o)
-		}
-		begun, voices := time.Duration(0), -1
-		for ; begun == 0 && now < 24*time.Hour+5*second; now += 50 * time.Millisecond {
-			n.Tick(now)
-			for _, out := range n.Ready() {
-				for i, o := range others {
-					if out.Type == SendPacket && out.To == o.config.Name && c.values[i] >= 0 ||
-						math.IsNaN(c.values[i]) {
-						if out.Type == SendPacket && out.To == o.config.Name {
-							o.HandlePacket(now, out.Data)
-						}
-					}
-				}
-				if out.Type == CompleteBootstrap {
-					begun, voices = now-24*time.Hour, out.ReportingPeers
-				}
-			}
-			for i, o := range others {
-				for _, out := range o.Ready() {
-					if out.Type != SendPacket {
-						continue
-					}
-					if math.IsNaN(c.values[i]) {
-						h, data, _ := readHeader(out.Data)
-						if h.kind == kindBootstrapReply {
-							all, _ := DecodeObservations(data[2:])
-							for k := range all {
-								all[k].Value = c.values[i]
-							}
-							out.Data = h.append(
-								append(append([]byte{}, data[:2]...), EncodeObservations(all)[0]...),
-							)
-						}
-					}
-					n.HandlePacket(now, out.Data)
-				}
-			}
+// The quorum for a conflict is three members, or half of the others where these are fewer; reports count for
+// their TTL, and those of members that are gone do not.
+func TestConflictTracker(t *testing.T) {
+	membersOf := func(count int) map[string]ordinal.Member {
+		members := map[string]ordinal.Member{}
+		for i := range count {
+			members[fmt.Sprint("m", i)] = ordinal.Member{}
 		}
-		b, known := n.Store().InitialParameter(now, "c/x/scale")
-		if begun == 0 || begun > c.within || voices != c.voices || known != (c.want > 0) ||
-			math.Abs(b.Value-c.want) > 1e-9 {
-			t.Errorf("%s: begun after %v with %d voices, %+v, %v", c.name, begun, voices, b, known)
+		return members
+	}
+	for _, c := range []struct{ members, want int }{{1, 1}, {2, 1}, {3, 2}, {4, 2}, {5, 3}, {100, 3}} {
+		tracker, members := newConflictTracker(), membersOf(c.members)
+		got := 0
+		for reported := false; !reported; got++ {
+			reported = tracker.report(start, fmt.Sprint("m", got), members)
 		}
-		if len(others) > 0 { // too late: what was learnt here stands
-			before := b
-			others[0].RecordModelState(now, parametersOf(77))
-			others[0].answerBootstrap(now, "new")
-			deliver(now, others[0], n)
-			if b, _ := n.Store().InitialParameter(now, "c/x/scale"); b.Value != before.Value {
-				t.Errorf("%s: an answer come late was taken: %+v", c.name, b)
-			}
+		if got != c.want {
+			t.Errorf("of %d members it takes %d reports, want %d", c.members, got, c.want)
 		}
 	}
-	flooded := newTestNode("old", 1, 0)
-	flooded.RecordModelState(24*time.Hour, parametersOf(1))
-	for i := range 100 {
-		flooded.answerBootstrap(24*time.Hour, fmt.Sprint("n", i))
+	tracker, members := newConflictTracker(), membersOf(9)
+	tracker.report(start, "m0", members)
+	tracker.report(start, "gone", members)
+	tracker.report(start+conflictReportTTL, "m1", members)
+	if tracker.report(start+conflictReportTTL, "m2", members) {
+		t.Error("an expired report, or one of no member, counts")
 	}
-	if st := flooded.Stats(); st.BootstrapsAnswered != bootstrapReplyBurst ||
-		st.BootstrapsDeclined != 100-bootstrapReplyBurst {
-		t.Errorf("a flood of joins: %+v", st)
+	if !tracker.shouldNotify(start, "m0") || tracker.shouldNotify(start+time.Second, "m0") ||
+		!tracker.shouldNotify(start+time.Second, "m1") ||
+		!tracker.shouldNotify(start+conflictNoticeInterval, "m0") {
+		t.Error("notices are not sent once per interval and member")
 	}
 }
 
-// A peer that is wrong about an engine, or whose view is minutes old, changes nothing; three that agree
-// have the module told, once; and what was seen here stands.
+// A peer that is wrong about an engine, or whose view is minutes old, changes nothing; when three agree, the
+// decision module is told, once; and evidence here stands.
 func TestReportEngineDown(t *testing.T) {
-	now := 24 * time.Hour
-	a := newTestNode("a", 1, 0)
-	say := func(from, engine string, v float64, age time.Duration) {
-		a.Store().Receive(now, from, []observation.Observation{{Key: observation.Key{Engine: engine,
-			Property: observation.Health},
-			Observer: from, Seq: 1, Value: v, Age: age}})
-	}
-	downs := func() (out []string) {
+	now := start
+	n := newTestNode("a", 1, 0)
+	receive := func(from, engine string, value float64, age time.Duration) {
+		n.Store().Receive(now, from, []observation.Observation{{
+			Key:      observation.Key{Engine: engine, Property: observation.Health},
+			Observer: from, Seq: 1, Value: value, Age: age}})
+	}
+	reportedDown := func() (engines []string) {
 		now += engineCheckInterval
-		a.Tick(now)
-		for _, o := range a.Ready() {
-			if o.Type == ReportEngineDown {
-				out = append(out, o.Engine)
+		n.Tick(now)
+		for _, a := range n.Ready() {
+			if a.Type == ReportEngineDown {
+				engines = append(engines, a.Engine)
 			}
 		}
-		return out
+		return engines
 	}
-	say("wrong", "e1", 0, 0)
-	say("stale", "e1", 0, 3*time.Minute)
-	if got := downs(); got != nil {
-		t.Errorf("one that is wrong, and one that is minutes old: %v", got)
+	receive("wrong", "e1", 0, 0)
+	receive("stale", "e1", 0, 3*time.Minute)
+	if got := reportedDown(); got != nil {
+		t.Errorf("one peer that is wrong, and one whose report is minutes old: %v", got)
 	}
 	for i := range 3 {
-		say(fmt.Sprint("p", i), "e1", 0, 0)
+		receive(fmt.Sprint("p", i), "e1", 0, 0)
 	}
-	if got := downs(); !reflect.DeepEqual(got, []string{"e1"}) {
+	if got := reportedDown(); !reflect.DeepEqual(got, []string{"e1"}) {
 		t.Errorf("three agree: %v", got)
 	}
-	if got := downs(); got != nil {
-		t.Errorf("told again: %v", got)
+	if got := reportedDown(); got != nil {
+		t.Errorf("reported again: %v", got)
 	}
-	a.RecordAttempt(now, "e1", true, -1)
-	if got := downs(); got != nil || a.Store().Assess(now, observation.Key{Engine: "e1"}).Value != 1 {
+	n.RecordAttempt(now, "e1", true, -1)
+	health := func() float64 { return n.Store().Assess(now, observation.Key{Engine: "e1"}).Value }
+	if got := reportedDown(); got != nil || health() != 1 {
 		t.Errorf("it answered here: %v", got)
 	}
 }
 
-// Records come out as they went in, and any bytes are read or refused.
+// Observations are decoded as they were encoded, and any bytes are decoded or rejected.
 func TestObservationEncoding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var in, out []observation.Observation
 		for range rapid.IntRange(0, 60).Draw(t, "records") {
-			in = append(
-				in,
-				observation.Observation{Key: observation.Key{Engine: rapid.StringN(0, 20, 60).Draw(t,
-					"engine"),
-					Property: observation.Property(
-						rapid.Byte().Draw(t, "fact"),
-					), Parameter: rapid.StringN(0, 9, 60).Draw(t,
-						"class")},
-					Observer: "o", Seq: rapid.Uint64().Draw(t, "seq"), Value: rapid.Float64().Draw(t, "value"),
-					Age: time.Duration(rapid.Uint32().Draw(t, "ms")) * time.Millisecond, Hops: 3},
-			)
+			in = append(in, observation.Observation{
+				Key: observation.Key{
+					Engine:    rapid.StringN(0, 20, 60).Draw(t, "engine"),
+					Property:  observation.Property(rapid.Byte().Draw(t, "property")),
+					Parameter: rapid.StringN(0, 9, 60).Draw(t, "parameter"),
+				},
+				Observer: "o",
+				Seq:      rapid.Uint64().Draw(t, "seq"),
+				Value:    rapid.Float64().Draw(t, "value"),
+				Age:      time.Duration(rapid.Uint32().Draw(t, "ms")) * time.Millisecond,
+				Hops:     3,
+			})
 		}
-		for _, p := range EncodeObservations(in) {
-			h := header{
-				kind:        kindObservations,
-				incarnation: 7,
-				seq:         rapid.Uint64().Draw(t, "number"),
-				clock:       5 * second,
-				name:        "me",
+		for _, piece := range EncodeObservations(in) {
+			h := header{kind: kindObservations, incarnation: 7, seq: rapid.Uint64().Draw(t, "number"),
+				clock: 5 * time.Second, name: "me"}
+			packet := h.append(piece)
+			read, data, ok := readHeader(packet)
+			decoded, err := DecodeObservations(data)
+			if len(packet) > MaxPacketSize || !ok || read != h || err != nil {
+				t.Fatalf("%d bytes, %+v, %v", len(packet), read, err)
 			}
-			b := h.append(p)
-			again, data, ok := readHeader(b)
-			all, err := DecodeObservations(data)
-			if len(b) > MaxPacketSize || !ok || again != h || err != nil {
-				t.Fatalf("%d bytes, %+v, %v", len(b), again, err)
-			}
-			out = append(out, all...)
+			out = append(out, decoded...)
 		}
 		if !reflect.DeepEqual(in, out) {
-			t.Fatalf("%v came out as %v", in, out)
+			t.Fatalf("%v was decoded as %v", in, out)
 		}
-		b := newTestNode("any", 1, second)
-		b.MemberAlive(24*time.Hour, ordinal.Member{Name: "p", Incarnation: 1, Claim: 1})
+		n := newTestNode("any", 1, time.Second)
+		n.MemberAlive(start, ordinal.Member{Name: "p", Incarnation: 1, Claim: 1})
 		raw := rapid.SliceOf(rapid.Byte()).Draw(t, "any")
-		b.HandlePacket(24*time.Hour, raw)
-		k := packetKind(rapid.IntRange(0, 9).Draw(t, "kind"))
-		b.HandlePacket(24*time.Hour, header{kind: k, incarnation: 1, seq: 1, name: "p"}.append(raw))
+		n.HandlePacket(start, raw)
+		kind := packetKind(rapid.IntRange(0, 9).Draw(t, "kind"))
+		n.HandlePacket(start, header{kind: kind, incarnation: 1, seq: 1, name: "p"}.append(raw))
 	})
 }
+
+// parametersOf returns two parameters of a class.
+func parametersOf(value float64) map[string]float64 {
+	return map[string]float64{"c/x/scale": value, "c/x/work": value}
+}
+
+// silentPeer is, in TestBootstrap, in place of what a peer has learnt: it does not answer.
+const silentPeer = -1
+
+// A starting node takes the median of five peers, whatever one of them lies; it does not wait for those that
+// know nothing, nor for ever; and an answer that was not requested is ignored.
+func TestBootstrap(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		learnt    []float64 // by each peer; 0: nothing; NaN: sent by hand, as an honest node does not send it
+		want      float64
+		within    time.Duration
+		reporting int
+	}{
+		{"five", []float64{2, 2.1, 2.2, 2.3, 2.4}, 2.2, 300 * time.Millisecond, 5},
+		{"a liar of five", []float64{2, 2.1, 2.2, 2.3, 1e4}, 2.2, 300 * time.Millisecond, 5},
+		{"a liar of five with what cannot be", []float64{2, 2.1, 2.2, 2.3, math.NaN()}, 2.1,
+			300 * time.Millisecond, 5},
+		{"starting nodes ask starting nodes", []float64{0, 0, 0, 0, 0}, 0, 600 * time.Millisecond, 0},
+		{"two know", []float64{0, 0, 3, 3, 0}, 3, 600 * time.Millisecond, 2},
+		{"none answers", []float64{silentPeer, silentPeer, silentPeer}, 0,
+			time.Second + 50*time.Millisecond, 0},
+		{"some do not", []float64{silentPeer, silentPeer, 4, 4, 4, silentPeer, silentPeer}, 4,
+			time.Second + 50*time.Millisecond, 3},
+		{"alone", nil, 0, time.Second + 50*time.Millisecond, 0},
+	} {
+		n := newTestNode("new", 1, time.Second)
+		peers := newTestPeers(n, c.learnt)
+		now, took, reporting := runBootstrap(n, peers, c.learnt)
+		p, known := n.Store().InitialParameter(now, "c/x/scale")
+		if took == 0 || took > c.within || reporting != c.reporting || known != (c.want > 0) ||
+			math.Abs(p.Value-c.want) > 1e-9 {
+			t.Errorf("%s: done after %v with %d peers, %+v, %v", c.name, took, reporting, p, known)
+		}
+		if len(peers) > 0 { // too late: what was learnt here stands
+			before := p
+			peers[0].RecordModelState(now, parametersOf(77))
+			peers[0].answerBootstrap(now, "new")
+			deliver(now, peers[0], n)
+			if p, _ := n.Store().InitialParameter(now, "c/x/scale"); p.Value != before.Value {
+				t.Errorf("%s: a late answer was taken: %+v", c.name, p)
+			}
+		}
+	}
+}
+
+// newTestPeers returns peers that know a starting node, by what each has learnt.
+func newTestPeers(n *Node, learnt []float64) (peers []*Node) {
+	for i, value := range learnt {
+		peer := newTestNode(fmt.Sprint("o", i), 1, 0)
+		if value != 0 {
+			peer.RecordModelState(start, parametersOf(value))
+		}
+		if math.IsNaN(value) { // its answer is forged on the way
+			peer.RecordModelState(start, parametersOf(1))
+		}
+		n.MemberAlive(start, peer.Self())
+		peer.MemberAlive(start, n.Self())
+		peers = append(peers, peer)
+	}
+	return peers
+}
+
+// runBootstrap carries packets between a starting node and its peers until it completes its bootstrap, or
+// for 5 s. took is 0 where it did not.
+func runBootstrap(n *Node, peers []*Node, learnt []float64) (now, took time.Duration, reporting int) {
+	reporting = -1
+	for now = start; took == 0 && now < start+5*time.Second; now += 50 * time.Millisecond {
+		n.Tick(now)
+		for _, a := range n.Ready() {
+			for i, peer := range peers {
+				if a.Type == SendPacket && a.To == peer.config.Name && learnt[i] != silentPeer {
+					peer.HandlePacket(now, a.Data)
+				}
+			}
+			if a.Type == CompleteBootstrap {
+				took, reporting = now-start, a.ReportingPeers
+			}
+		}
+		for i, peer := range peers {
+			for _, a := range peer.Ready() {
+				if a.Type != SendPacket {
+					continue
+				}
+				if math.IsNaN(learnt[i]) {
+					a.Data = forgeReply(a.Data, learnt[i])
+				}
+				n.HandlePacket(now, a.Data)
+			}
+		}
+	}
+	return now, took, reporting
+}
+
+// forgeReply returns a bootstrap reply with another value in place of all its own; other packets as they are.
+func forgeReply(packet []byte, value float64) []byte {
+	h, data, _ := readHeader(packet)
+	if h.kind != kindBootstrapReply {
+		return packet
+	}
+	observations, _ := DecodeObservations(data[replyPartSize:])
+	for i := range observations {
+		observations[i].Value = value
+	}
+	return h.append(append(append([]byte{}, data[:replyPartSize]...), EncodeObservations(observations)[0]...))
+}
+
+// Nodes that are asked answer a bounded number at a time.
+func TestBootstrapFlood(t *testing.T) {
+	n := newTestNode("old", 1, 0)
+	n.RecordModelState(start, parametersOf(1))
+	for i := range 100 {
+		n.answerBootstrap(start, fmt.Sprint("n", i))
+	}
+	st := n.Stats()
+	if st.BootstrapsAnswered != bootstrapReplyBurst || st.BootstrapsDeclined != 100-bootstrapReplyBurst {
+		t.Errorf("a flood of joins: %+v", st)
+	}
+}
--- a/internal/membership/gossip/packet.go
+++ b/internal/membership/gossip/packet.go
@@ -2,43 +2,51 @@
 
 import (
 	"encoding/binary"
-	"errors"
 	"math"
 	"time"
 
 	"cresspass/internal/membership/observation"
 )
 
-// packetKind is that of a packet.
+// packetKind is the kind of a packet, as it is sent.
 type packetKind byte
 
 const (
-	kindMessage          packetKind = 1 // a message of the module's
-	kindDigest           packetKind = 2 // a digest: its sender wants what differs
-	kindObservations     packetKind = 3 // records
-	kindBootstrapRequest packetKind = 4 // its sender begins, and wants what was learnt
-	kindBootstrapReply   packetKind = 5 // number of the part and how many there are, then records
-	kindNameConflict     packetKind = 7 // another life of the receiver's name speaks from elsewhere: its number
-	kindBootstrapEmpty   packetKind = 6 // an answer to kindBootstrapRequest: nothing was learnt, or too many ask
+	kindMessage          packetKind = 1 // a message of the decision module
+	kindDigest           packetKind = 2 // a digest: its sender wants the observations that it lacks
+	kindObservations     packetKind = 3 // observations
+	kindBootstrapRequest packetKind = 4 // its sender starts, and wants the model state
+	kindBootstrapReply   packetKind = 5 // part number, number of parts, then model parameters as observations
+	kindBootstrapEmpty   packetKind = 6 // no model state: nothing was learnt, or too many ask
+	kindNameConflict     packetKind = 7 // incarnation of another process that has the receiver's name
 )
 
 const (
 	packetVersion = 2
-	// MaxPacketSize is the most bytes of a packet; more may be cut by networks.
-	MaxPacketSize   = 1200
-	fixedHeaderSize = 27 // bytes of a header without the name
+	// MaxPacketSize is the most bytes of a packet; networks may fragment larger ones.
+	MaxPacketSize = 1200
+	// fixedHeaderSize is the size of a header without its name.
+	fixedHeaderSize = 27
+	// maxNameSize is the most bytes of a string that is sent with a length of one byte.
+	maxNameSize = math.MaxUint8
+	// incarnationSize is the size of an incarnation in the payload of kindNameConflict.
+	incarnationSize = 8
+	// replyPartSize is the size of the part number and the number of parts of kindBootstrapReply.
+	replyPartSize = 2
+	maxReplyParts = math.MaxUint8
 )
 
-// header is what each packet begins with: version, kind, life, number and clock of its sender
-// (milliseconds), name.
+// header begins each packet: version, kind, the sender's incarnation, sequence number, clock in milliseconds
+// and name, the last with its length in one byte. Integers are big-endian.
 type header struct {
 	kind        packetKind
 	incarnation uint64
 	seq         uint64
-	clock       time.Duration
+	clock       time.Duration // the fleet's, as the sender has it
 	name        string
 }
 
+// append returns a packet of the header and a payload.
 func (h header) append(data []byte) []byte {
 	b := make([]byte, 0, fixedHeaderSize+len(h.name)+len(data))
 	b = append(b, packetVersion, byte(h.kind))
@@ -46,93 +54,55 @@
 	b = binary.BigEndian.AppendUint64(b, h.seq)
 	b = binary.BigEndian.AppendUint64(b, uint64(max(h.clock, 0).Milliseconds()))
 	b = append(b, byte(len(h.name)))
-	return append(append(b, h.name...), data...)
+	b = append(b, h.name...)
+	return append(b, data...)
 }
 
+// readHeader reads the header of any bytes and returns the payload with it.
 func readHeader(b []byte) (h header, data []byte, ok bool) {
-	if len(b) < fixedHeaderSize || b[0] != packetVersion ||
-		len(b) < fixedHeaderSize+int(b[fixedHeaderSize-1]) {
+	if len(b) < fixedHeaderSize || b[0] != packetVersion {
 		return h, nil, false
 	}
-	h.kind, h.incarnation, h.seq = packetKind(
-		b[1],
-	), binary.BigEndian.Uint64(
-		b[2:],
-	), binary.BigEndian.Uint64(
-		b[10:],
-	)
-	ms := binary.BigEndian.Uint64(b[18:])
-	h.clock = time.Duration(min(ms, math.MaxInt64/uint64(time.Millisecond))) * time.Millisecond
 	end := fixedHeaderSize + int(b[fixedHeaderSize-1])
+	if len(b) < end {
+		return h, nil, false
+	}
+	h.kind = packetKind(b[1])
+	h.incarnation = binary.BigEndian.Uint64(b[2:])
+	h.seq = binary.BigEndian.Uint64(b[10:])
+	milliseconds := min(binary.BigEndian.Uint64(b[18:]), math.MaxInt64/uint64(time.Millisecond))
+	h.clock = time.Duration(milliseconds) * time.Millisecond
 	h.name = string(b[fixedHeaderSize:end])
 	return h, b[end:], true
 }
 
-func appendDigest(d observation.Digest) []byte {
-	b := make([]byte, 0, 8*len(d))
-	for _, v := range d {
-		b = binary.BigEndian.AppendUint64(b, v)
+func appendDigest(digest observation.Digest) []byte {
+	b := make([]byte, 0, 8*len(digest))
+	for _, bucket := range digest {
+		b = binary.BigEndian.AppendUint64(b, bucket)
 	}
 	return b
 }
 
-func readDigest(b []byte) (d observation.Digest, ok bool) {
-	if len(b) != 8*len(d) {
-		return d, false
+func readDigest(b []byte) (digest observation.Digest, ok bool) {
+	if len(b) != 8*len(digest) {
+		return digest, false
 	}
-	for i := range d {
-		d[i] = binary.BigEndian.Uint64(b[8*i:])
+	for i := range digest {
+		digest[i] = binary.BigEndian.Uint64(b[8*i:])
 	}
-	return d, true
+	return digest, true
 }
 
-// EncodeObservations puts records into pieces that fit packets. Names of more than 255 bytes are left out.
-func EncodeObservations(all []observation.Observation) (pieces [][]byte) {
-	var b []byte
-	for _, t := range all {
-		if len(t.Engine) > 255 || len(t.Parameter) > 255 || len(t.Observer) > 255 {
-			continue
-		}
-		var r []byte
-		for _, s := range []string{t.Engine, t.Parameter, t.Observer} {
-			r = append(append(r, byte(len(s))), s...)
-		}
-		r = append(r, byte(t.Property), t.Hops)
-		r = binary.BigEndian.AppendUint32(r, uint32(min(t.Age.Milliseconds(), math.MaxUint32)))
-		r = binary.BigEndian.AppendUint64(r, t.Seq)
-		r = binary.BigEndian.AppendUint64(r, math.Float64bits(t.Value))
-		if len(b)+len(r) > MaxPacketSize-fixedHeaderSize-64 {
-			pieces, b = append(pieces, b), nil
-		}
-		b = append(b, r...)
-	}
-	if len(b) > 0 {
-		pieces = append(pieces, b)
-	}
-	return pieces
+// appendReplyPart returns the payload of one packet of a bootstrap reply.
+func appendReplyPart(part, parts byte, observations []byte) []byte {
+	return append([]byte{part, parts}, observations...)
 }
 
-var errTruncated = errors.New("talk: records are cut")
-
-// DecodeObservations reads a piece of any bytes.
-func DecodeObservations(b []byte) (all []observation.Observation, err error) {
-	for len(b) > 0 {
-		var t observation.Observation
-		for _, to := range []*string{&t.Engine, &t.Parameter, &t.Observer} {
-			if len(b) < 1 || len(b) < 1+int(b[0]) {
-				return nil, errTruncated
-			}
-			*to, b = string(b[1:1+int(b[0])]), b[1+int(b[0]):]
-		}
-		if len(b) < 22 {
-			return nil, errTruncated
-		}
-		t.Property, t.Hops = observation.Property(b[0]), b[1]
-		t.Age = time.Duration(binary.BigEndian.Uint32(b[2:])) * time.Millisecond
-		t.Seq = binary.BigEndian.Uint64(b[6:])
-		t.Value = math.Float64frombits(binary.BigEndian.Uint64(b[14:]))
-		b = b[22:]
-		all = append(all, t)
+// readReplyPart reads the payload of one packet of a bootstrap reply.
+func readReplyPart(b []byte) (part, parts byte, observations []byte, ok bool) {
+	if len(b) < replyPartSize || b[0] >= b[1] {
+		return 0, 0, nil, false
 	}
-	return all, nil
+	return b[0], b[1], b[replyPartSize:], true
 }
