--- a/internal/membership/validation/validator.go
+++ b/internal/membership/validation/validator.go
@@ -132,23 +132,24 @@
 }
 
 func (v *Validator) validate(now, fleetClock time.Duration, from, members int, data []byte) Result {
-	report, sums, relayed, loads, ok := cresspass.DecodePeerMessage(data)
-	if !ok {
+	message, loads := cresspass.DecodePeerMessage(data)
+	if message == cresspass.PeerMessageUnknown {
 		return Malformed
 	}
 	if until, blocked := v.blockedUntil[from]; blocked && now < until {
 		return SenderBlocked
 	}
-	if (sums || relayed) && !cresspass.MayAggregate(from, members, fleetClock) {
+	fromAggregator := message == cresspass.PeerAggregate || message == cresspass.PeerForwardedSends
+	if fromAggregator && !cresspass.MayAggregate(from, members, fleetClock) {
 		return NotAggregator
 	}
 	var result Result
-	switch {
-	case report:
+	switch message {
+	case cresspass.PeerLoadReport:
 		result = v.validateReport(now, from, loads)
-	case sums:
+	case cresspass.PeerAggregate:
 		result = v.validateAggregate(now, from, loads)
-	case relayed:
+	case cresspass.PeerForwardedSends:
 		result = v.validateQueries(loads)
 	default:
 		result = v.validateSent(now, from, loads)
@@ -156,7 +157,7 @@
 	// An aggregator passes on what lying members told it; a sender is blocked for its own word only. A
 	// disproportionate report may be the truth of a dispatcher that has nearly all clients; it is rejected,
 	// and its sender is heard again.
-	if result == OutOfRange && !sums && !relayed && len(v.blockedUntil) < maxTrackedPeers {
+	if result == OutOfRange && !fromAggregator && len(v.blockedUntil) < maxTrackedPeers {
 		v.blockedUntil[from] = now + v.limits.BlockFor
 	}
 	return result
--- a/internal/membership/validation/validator_test.go
+++ b/internal/membership/validation/validator_test.go
@@ -165,7 +165,8 @@
 			if v.Validate(now, clock, from, members, data) != Accepted {
 				continue
 			}
-			_, isSums, _, loads, _ := cresspass.DecodePeerMessage(data)
+			message, loads := cresspass.DecodePeerMessage(data)
+			isSums := message == cresspass.PeerAggregate
 			ejected := 0
 			for _, load := range loads {
 				if isSums && load.Threads == cresspass.PeerLoadEjected {
