--- a/internal/overload/limiter_test.go
+++ b/internal/overload/limiter_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Counts never pass their limits, go back to nothing when all is given back, and a refusal names the limit it
-// met.
+// Counts never pass their limits, go back to nothing when all is released, and a rejection names the limit
+// that was reached.
 func TestLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{
@@ -19,18 +19,18 @@
 			ReservedDescriptors: 10,
 			BufferedBytes:       1000,
 		}
-		g := New(l)
+		limiter := New(l)
 		open, users := 0, map[string]int{}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			user := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")
 			switch rapid.IntRange(0, 3).Draw(t, "kind") {
 			case 0:
-				held := int64(rapid.SampledFrom([]int{0, 999, 1000}).Draw(t, "held"))
-				g.SetBufferedBytes("a", held)
-				why, ok := g.AcquireQuery("a")
-				if want := (l.OpenQueries == 0 || open < l.OpenQueries) && held < 1000; ok != want ||
-					ok != (why == "") {
-					t.Fatalf("%d open, %d held, limits %+v: %v %q", open, held, l, ok, why)
+				buffered := int64(rapid.SampledFrom([]int{0, 999, 1000}).Draw(t, "buffered"))
+				limiter.SetBufferedBytes("a", buffered)
+				reason, ok := limiter.AcquireQuery("a")
+				want := (l.OpenQueries == 0 || open < l.OpenQueries) && buffered < 1000
+				if ok != want || ok != (reason == "") {
+					t.Fatalf("%d open, %d buffered, limits %+v: %v %q", open, buffered, l, ok, reason)
 				}
 				if ok {
 					open++
@@ -38,14 +38,14 @@
 			case 1:
 				if open > 0 {
 					open--
-					g.ReleaseQuery("a")
+					limiter.ReleaseQuery("a")
 				}
 			case 2:
 				files := rapid.SampledFrom([]int{5, 89, 90}).Draw(t, "files")
-				why, ok := g.AcquireUserConnection(user, files)
-				if want := (l.ConnectionsPerUser == 0 || users[user] < l.ConnectionsPerUser) && files < 90; ok != want ||
-					ok != (why == "") {
-					t.Fatalf("%d of %s, %d files, limits %+v: %v %q", users[user], user, files, l, ok, why)
+				reason, ok := limiter.AcquireUserConnection(user, files)
+				want := (l.ConnectionsPerUser == 0 || users[user] < l.ConnectionsPerUser) && files < 90
+				if ok != want || ok != (reason == "") {
+					t.Fatalf("%d of %s, %d files, limits %+v: %v %q", users[user], user, files, l, ok, reason)
 				}
 				if ok {
 					users[user]++
@@ -53,35 +53,37 @@
 			case 3:
 				if users[user] > 0 {
 					users[user]--
-					g.ReleaseUserConnection(user)
+					limiter.ReleaseUserConnection(user)
 				}
 			}
 		}
 		for name, n := range users {
 			for range n {
-				g.ReleaseUserConnection(name)
+				limiter.ReleaseUserConnection(name)
 			}
 		}
-		if g.OpenQueries() != open || len(g.userConnections) != 0 {
-			t.Fatalf("%d open, want %d; users %v", g.OpenQueries(), open, g.userConnections)
+		if limiter.OpenQueries() != open || len(limiter.userConnections) != 0 {
+			t.Fatalf("%d open, want %d; users %v", limiter.OpenQueries(), open, limiter.userConnections)
 		}
 	})
 }
 
+// The loop lags from the fourth late sample on, until but one of the last sixteen is late; single late
+// samples are none of that.
 func TestLag(t *testing.T) {
-	g := New(Limits{LoopLag: 50 * time.Millisecond})
-	var story strings.Builder
+	limiter := New(Limits{LoopLag: 50 * time.Millisecond})
+	var changes strings.Builder
 	for i := range 60 {
-		d := time.Millisecond
-		// a single slow batch, a stretch of them, another single one
+		longest := time.Millisecond
+		// a single late sample, a stretch of them, another single one
 		if i == 3 || i >= 10 && i < 16 || i == 40 {
-			d = 80 * time.Millisecond
+			longest = 80 * time.Millisecond
 		}
-		if in, changed := g.ObserveLag(d); changed {
-			story.WriteString(map[bool]string{true: "in ", false: "out "}[in])
+		if lagging, changed := limiter.ObserveLag(longest); changed {
+			changes.WriteString(map[bool]string{true: "in ", false: "out "}[lagging])
 		}
 	}
-	if story.String() != "in out " {
-		t.Errorf("trouble came and went as %q", story.String())
+	if changes.String() != "in out " {
+		t.Errorf("the lag came and went as %q", changes.String())
 	}
 }
--- a/internal/overload/quota/capacity_test.go
+++ b/internal/overload/quota/capacity_test.go
@@ -6,31 +6,31 @@
 	"pgregory.net/rapid"
 )
 
-// Never more than the whole is in use, and a front below what is set apart for it is always let in, whatever
-// the others do.
+// Never more than the limit is in use, and a front below what is reserved for it always acquires more,
+// whatever the others do.
 func TestReservedCapacity(t *testing.T) {
 	fronts := []string{"a", "b", "other"}
 	rapid.Check(t, func(t *rapid.T) {
-		limit := int64(rapid.IntRange(1, 50).Draw(t, "most"))
+		limit := int64(rapid.IntRange(1, 50).Draw(t, "limit"))
 		quotas := map[string]float64{"a": float64(rapid.IntRange(0, 10).Draw(t, "a")) / 10,
 			"b": float64(rapid.IntRange(0, 10).Draw(t, "b")) / 10}
-		r := New(limit, quotas)
+		c := New(limit, quotas)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			f := rapid.SampledFrom(fronts).Draw(t, "front")
-			if rapid.IntRange(0, 2).Draw(t, "kind") == 0 && r.Used(f) > 0 {
-				r.Release(f, 1)
+			front := rapid.SampledFrom(fronts).Draw(t, "front")
+			if rapid.IntRange(0, 2).Draw(t, "kind") == 0 && c.Used(front) > 0 {
+				c.Release(front, 1)
 				continue
 			}
-			before := r.Used(f)
-			ok := r.Acquire(f, 1)
-			if !ok && before < r.reserved[f] {
-				t.Fatalf("%s has %d of its %d, and is turned away", f, before, r.reserved[f])
+			before := c.Used(front)
+			ok := c.Acquire(front, 1)
+			if !ok && before < c.reserved[front] {
+				t.Fatalf("%s has %d of its %d, and is rejected", front, before, c.reserved[front])
 			}
-			if !ok && r.TotalUsed() < limit-r.reserved["a"]-r.reserved["b"] {
-				t.Fatalf("%s is turned away with %d of %d in use", f, r.TotalUsed(), limit)
+			if !ok && c.TotalUsed() < limit-c.reserved["a"]-c.reserved["b"] {
+				t.Fatalf("%s is rejected with %d of %d in use", front, c.TotalUsed(), limit)
 			}
-			if r.TotalUsed() > limit || ok != (r.Used(f) == before+1) {
-				t.Fatalf("%d in use of %d", r.TotalUsed(), limit)
+			if c.TotalUsed() > limit || ok != (c.Used(front) == before+1) {
+				t.Fatalf("%d in use of %d", c.TotalUsed(), limit)
 			}
 		}
 	})
