--- a/internal/protocol/thrift/golden_test.go
+++ b/internal/protocol/thrift/golden_test.go
@@ -28,21 +28,30 @@
 // TestGoldenFrames: each message is encoded to the recorded bytes, so that clients and dispatchers of other
 // versions read it.
 func TestGoldenFrames(t *testing.T) {
+	rows := [][]byte{[]byte("1\ta\tb\n"), []byte("2\tc\td\n")}
+	later, reason := Fields{{"later", "250"}}, Fields{{"reason", "no statement"}}
 	for name, frame := range map[string][]byte{
-		"dispatch_call": AppendDispatch(nil, 7, [][2]string{{"verb", "report"}, {"txn", "00ff00ff00ff00ff"},
-			{"limit", "1500"}, {"unique", "0123456789abcdef0123456789abcdef"}}, []byte("SELECT 1")),
-		"cancel_oneway":    AppendCancel(nil, 9, 7),
-		"alive_call":       AppendAlive(nil, 2),
-		"dispatch_result":  AppendAnswer(nil, "dispatch", 7, true, []byte("1\ta\tb\n"), []byte("2\tc\td\n")),
-		"dispatch_empty":   AppendAnswer(nil, "dispatch", 7, true),
-		"alive_true":       AppendAnswer(nil, "alive", 2, true),
-		"alive_false":      AppendAnswer(nil, "alive", 2, false),
-		"shed_later":       AppendDeclaredException(nil, "dispatch", 7, ShedException, [2]string{"later", "250"}),
-		"shed":             AppendDeclaredException(nil, "dispatch", 7, ShedException),
-		"fault_reason":     AppendDeclaredException(nil, "dispatch", 7, FaultException, [2]string{"reason", "no statement"}),
-		"unknown_method":   AppendApplicationException(nil, "select", 3, 1, "unknown method"),
-		"protocol_error":   AppendApplicationException(nil, "dispatch", 4, 7, "thrift: message ends inside a value"),
-		"append_to_others": AppendAlive([]byte("earlier bytes"), 2),
+		"dispatch_call": Dispatch{
+			Fields: Fields{{"verb", "report"}, {"txn", "00ff00ff00ff00ff"}, {"limit", "1500"},
+				{"unique", "0123456789abcdef0123456789abcdef"}},
+			Body: []byte("SELECT 1"),
+		}.Append(nil, 7),
+		"cancel_oneway":   CancelRequest{TargetSeq: 7}.Append(nil, 9),
+		"alive_call":      Alive{}.Append(nil, 2),
+		"dispatch_result": Answer{Method: MethodDispatch, Good: true, Body: rows}.Append(nil, 7),
+		"dispatch_empty":  Answer{Method: MethodDispatch, Good: true}.Append(nil, 7),
+		"alive_true":      Answer{Method: MethodAlive, Good: true}.Append(nil, 2),
+		"alive_false":     Answer{Method: MethodAlive, Good: false}.Append(nil, 2),
+		"shed_later":      DispatchException{Which: ShedException, Fields: later}.Append(nil, 7),
+		"shed":            DispatchException{Which: ShedException}.Append(nil, 7),
+		"fault_reason":    DispatchException{Which: FaultException, Fields: reason}.Append(nil, 7),
+		"unknown_method": ApplicationException{
+			Method: "select", Type: UnknownMethod, Text: "unknown method",
+		}.Append(nil, 3),
+		"protocol_error": ApplicationException{
+			Method: "dispatch", Type: ProtocolError, Text: "thrift: message ends inside a value",
+		}.Append(nil, 4),
+		"append_to_others": Alive{}.Append([]byte("earlier bytes"), 2),
 	} {
 		checkGolden(t, name, frame)
 	}
@@ -62,13 +71,14 @@
 		return r
 	}
 	r := read("dispatch_call")
-	if r.Type != Call || r.Name != "dispatch" || r.Seq != 7 || string(r.Body) != "SELECT 1" ||
-		len(r.Fields) != 4 || r.Fields["verb"] != "report" || r.Fields["txn"] != "00ff00ff00ff00ff" ||
-		r.Fields["limit"] != "1500" || r.Fields["unique"] != "0123456789abcdef0123456789abcdef" {
+	fields := r.Dispatch.Fields
+	if r.Type != Call || r.Name != "dispatch" || r.Seq != 7 || string(r.Dispatch.Body) != "SELECT 1" ||
+		len(fields) != 4 || fields.Get("verb") != "report" || fields.Get("txn") != "00ff00ff00ff00ff" ||
+		fields.Get("limit") != "1500" || fields.Get("unique") != "0123456789abcdef0123456789abcdef" {
 		t.Errorf("dispatch: %+v", r)
 	}
 	r = read("cancel_oneway")
-	if r.Type != Oneway || r.Name != "cancelRequest" || r.Seq != 9 || r.CancelSeq != 7 {
+	if r.Type != Oneway || r.Name != "cancelRequest" || r.Seq != 9 || r.Cancel.TargetSeq != 7 {
 		t.Errorf("cancel: %+v", r)
 	}
 	if r = read("alive_call"); r.Type != Call || r.Name != "alive" || r.Seq != 2 {
--- a/internal/protocol/thrift/message_test.go
+++ b/internal/protocol/thrift/message_test.go
@@ -8,13 +8,15 @@
 
 // TestRequestRoundTrip: a request is decoded to what was encoded, and every truncation of it is an error.
 func TestRequestRoundTrip(t *testing.T) {
-	frame := AppendDispatch(nil, 7, [][2]string{{"verb", "report"}, {"txn", "00ff"}}, []byte("SELECT 1"))
+	call := Dispatch{Fields: Fields{{"verb", "report"}, {"txn", "00ff"}}, Body: []byte("SELECT 1")}
+	frame := call.Append(nil, 7)
 	if n := binary.BigEndian.Uint32(frame); int(n) != len(frame)-FrameHeaderBytes {
 		t.Fatalf("the frame header says %d bytes of %d", n, len(frame)-FrameHeaderBytes)
 	}
 	r, err := ParseRequest(frame[FrameHeaderBytes:])
-	if err != nil || r.Name != "dispatch" || r.Seq != 7 || r.Type != Call || r.Fields["verb"] != "report" ||
-		r.Fields["txn"] != "00ff" || string(r.Body) != "SELECT 1" {
+	if err != nil || r.Name != "dispatch" || r.Seq != 7 || r.Type != Call ||
+		r.Dispatch.Fields.Get("verb") != "report" ||
+		r.Dispatch.Fields.Get("txn") != "00ff" || string(r.Dispatch.Body) != "SELECT 1" {
 		t.Fatalf("%+v, %v", r, err)
 	}
 	for i := FrameHeaderBytes; i < len(frame); i++ {
@@ -25,24 +27,24 @@
 	if _, err := ParseRequest(append(frame[FrameHeaderBytes:], 0)); err == nil {
 		t.Error("no error for a byte too many")
 	}
-	r, err = ParseRequest(AppendCancel(nil, 9, 7)[FrameHeaderBytes:])
-	if err != nil || r.Name != "cancelRequest" || r.Type != Oneway || r.CancelSeq != 7 {
+	r, err = ParseRequest(CancelRequest{TargetSeq: 7}.Append(nil, 9)[FrameHeaderBytes:])
+	if err != nil || r.Name != "cancelRequest" || r.Type != Oneway || r.Cancel.TargetSeq != 7 {
 		t.Errorf("%+v, %v", r, err)
 	}
-	if r, err = ParseRequest(AppendAlive(nil, 2)[FrameHeaderBytes:]); err != nil || r.Name != "alive" {
+	if r, err = ParseRequest(Alive{}.Append(nil, 2)[FrameHeaderBytes:]); err != nil || r.Name != "alive" {
 		t.Errorf("%+v, %v", r, err)
 	}
 }
 
 // FuzzRequest: whatever comes, reading ends without a panic and keeps within the frame.
 func FuzzRequest(f *testing.F) {
-	f.Add(AppendDispatch(nil, 1, [][2]string{{"verb", "x"}}, []byte("SELECT 1"))[FrameHeaderBytes:])
-	f.Add(AppendCancel(nil, 1, 2)[FrameHeaderBytes:])
+	f.Add(Dispatch{Fields: Fields{{"verb", "x"}}, Body: []byte("SELECT 1")}.Append(nil, 1)[FrameHeaderBytes:])
+	f.Add(CancelRequest{TargetSeq: 2}.Append(nil, 1)[FrameHeaderBytes:])
 	f.Add([]byte{0x80, 1, 0, 1, 0, 0, 0, 1, 'x', 0, 0, 0, 1, 15, 0, 1, 12, 0x7f, 0xff, 0xff, 0xff})
 	f.Add(append([]byte{0x80, 1, 0, 1, 0, 0, 0, 0, 0, 0, 0, 1}, bytes.Repeat([]byte{12, 0, 9}, 40)...))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r, err := ParseRequest(b)
-		if err == nil && len(r.Body) > len(b) {
+		if err == nil && len(r.Dispatch.Body) > len(b) {
 			t.Error("a body longer than its frame")
 		}
 	})
