--- a/internal/frontend/thriftserver/golden_test.go
+++ b/internal/frontend/thriftserver/golden_test.go
@@ -17,17 +17,19 @@
 		usual := []string{"verb", "quick", "limit", "100", "txn", ticket(int(seq))}
 		return dispatchFrame(seq, append(usual, pairs...)...)
 	}
+	empty := thrift.Dispatch{Fields: thrift.Fields{{Name: "verb", Value: "quick"},
+		{Name: "limit", Value: "100"}, {Name: "txn", Value: ticket(5)}}}
+	endsConn := thrift.Answer{Method: "alive", Good: true}.Append(nil, 17)
 	for _, c := range []struct {
 		name  string
 		frame []byte
 	}{
-		{"taken", good(1)}, // no reply
+		{"accepted", good(1)}, // no reply
 		{"number_open", good(1, "txn", ticket(9))},
 		{"txn_open", good(2, "txn", ticket(1))},
 		{"txn_form", good(3, "txn", long)},
 		{"verb_unknown", good(4, "verb", "none")},
-		{"no_statement", thrift.AppendDispatch(nil, 5, [][2]string{{"verb", "quick"}, {"limit", "100"},
-			{"txn", ticket(5)}}, nil)[thrift.FrameHeaderBytes:]},
+		{"no_statement", empty.Append(nil, 5)[thrift.FrameHeaderBytes:]},
 		{"team_too_long", good(6, "team", string(make([]byte, 257)))},
 		{"unique_form", good(7, "unique", "xyz")},
 		{"unique_wanted", good(8, "verb", "load")},
@@ -37,9 +39,9 @@
 		{"limit_no_number", good(12, "limit", "NaN")},
 		{"cpu_no_number", good(13, "cpu", "much")},
 		{"heap_too_large", good(14, "heap_mb", "1e10")},
-		{"cancel", thrift.AppendCancel(nil, 15, 1)[thrift.FrameHeaderBytes:]}, // no reply
-		{"alive", thrift.AppendAlive(nil, 16)[thrift.FrameHeaderBytes:]},
-		{"reply", thrift.AppendAnswer(nil, "alive", 17, true)[thrift.FrameHeaderBytes:]}, // ends the connection
+		{"cancel", cancelFrame(15, 1)}, // no reply
+		{"alive", aliveFrame(16)},
+		{"reply", endsConn[thrift.FrameHeaderBytes:]}, // no reply to a reply
 	} {
 		checkReply(t, New(&cfg), c.name, c.frame, good(1))
 	}
@@ -50,11 +52,11 @@
 	}
 	reply := full.HandleMessage(now, 1, full.Decode(good(99))).Reply
 	compareGolden(t, "too_many_open", reply)
-	leaving := New(&cfg)
-	leaving.AddConn(now, 1)
-	leaving.Drain()
-	compareGolden(t, "alive_leaving", leaving.HandleMessage(now, 1,
-		leaving.Decode(thrift.AppendAlive(nil, 3)[thrift.FrameHeaderBytes:])).Reply)
+	draining := New(&cfg)
+	draining.AddConn(now, 1)
+	draining.Drain()
+	compareGolden(t, "alive_draining", draining.HandleMessage(now, 1,
+		draining.Decode(aliveFrame(3))).Reply)
 	// A call of a method that does not exist, and one that is cut.
 	unknown := []byte{0x80, 1, 0, 1, 0, 0, 0, 1, 'x', 0, 0, 0, 1, 0}
 	checkReply(t, New(&cfg), "unknown_method_call", unknown, good(1))
@@ -68,13 +70,13 @@
 }
 
 // checkReply compares the reply to a frame that comes after another one on a new connection.
-func checkReply(t *testing.T, b *Registry, name string, frame, before []byte) {
+func checkReply(t *testing.T, r *Registry, name string, frame, before []byte) {
 	t.Helper()
-	b.AddConn(startOfTest, 1)
-	if name != "taken" {
-		b.HandleMessage(startOfTest, 1, b.Decode(before))
+	r.AddConn(startOfTest, 1)
+	if name != "accepted" {
+		r.HandleMessage(startOfTest, 1, r.Decode(before))
 	}
-	compareGolden(t, name, b.HandleMessage(startOfTest, 1, b.Decode(frame)).Reply)
+	compareGolden(t, name, r.HandleMessage(startOfTest, 1, r.Decode(frame)).Reply)
 }
 
 // compareGolden compares a reply with the recorded bytes of testdata/golden.
--- a/internal/frontend/thriftserver/params.go
+++ b/internal/frontend/thriftserver/params.go
@@ -1,6 +1,7 @@
 package thriftserver
 
 import (
+	"errors"
 	"fmt"
 	"strconv"
 	"strings"
@@ -11,74 +12,109 @@
 	"cresspass/internal/protocol/thrift"
 )
 
-// Limits of what a request may say.
+// Bounds of what a request may say.
 const (
 	maxTimeLimit = time.Hour
-	maxEstimate  = 1e9 // of the estimates of work and memory
-	maxNameBytes = 256 // bytes of a tenant's name or an ordering key
+	maxEstimate  = 1e9 // of work and memory
+	maxNameBytes = 256 // of a tenant's name or an ordering key
+	ticketDigits = 16
+	nonceDigits  = 32
 )
 
-// Params is what a request asked for, as far as it goes on to compute nodes.
+// The fields of a dispatch call.
+const (
+	fieldTicket = "txn"
+	fieldClass  = "verb"
+	fieldNonce  = "unique"
+	fieldRepeat = "second" // "1": a repeat of an earlier request
+	fieldLimit  = "limit"  // the client's deadline in ms
+	fieldCost   = "cpu"    // estimate in ms
+	fieldMemory = "heap_mb"
+	fieldTenant = "team"
+	fieldKey    = "item" // ordering key
+)
+
+var errNoStatement = errors.New("no statement")
+
+// Params is what a request asks for, as far as it is forwarded to compute nodes.
 type Params struct {
 	Ticket, Class, Nonce string
 	Body                 []byte
 }
 
-// parseParams turns a request into the module's event, still without its id. Danger: what is taken here goes
-// into headers of calls to compute nodes, so nothing passes that is not of its form.
-func parseParams(classes map[string]cresspass.Effect, q *thrift.Request) (cresspass.Event, Params, error) {
-	t := Params{Ticket: q.Fields["txn"], Class: q.Fields["verb"], Nonce: q.Fields["unique"], Body: q.Body}
-	ev := cresspass.Event{Type: cresspass.QueryArrived, Class: t.Class, IsRetry: q.Fields["second"] == "1"}
-	effect, known := classes[t.Class]
-	switch {
-	case !isHex(t.Ticket, 16):
-		return ev, t, fmt.Errorf("txn %.40q: want 16 hex digits", t.Ticket)
-	case !known:
-		return ev, t, fmt.Errorf("verb %.40q: not a class", t.Class)
-	case len(t.Body) == 0:
-		return ev, t, fmt.Errorf("no statement")
-	case len(q.Fields["team"]) > maxNameBytes || len(q.Fields["item"]) > maxNameBytes:
-		return ev, t, fmt.Errorf("team and item: want at most %d bytes", maxNameBytes)
-	case t.Nonce != "" && !isHex(t.Nonce, 32) || t.Nonce == "" && effect == cresspass.IdempotentWithKey:
-		return ev, t, fmt.Errorf("unique %.40q: want 32 hex digits", t.Nonce)
+// parseParams turns a request into the module's event, still without its id. What is accepted here goes
+// into the headers of calls to compute nodes, so a value of the wrong form must not pass: it could forge a
+// header.
+//
+// Clients read the texts of the errors.
+func parseParams(effects map[string]cresspass.Effect,
+	call *thrift.Dispatch) (cresspass.Event, Params, error) {
+	fields := call.Fields
+	params := Params{Ticket: fields.Get(fieldTicket), Class: fields.Get(fieldClass),
+		Nonce: fields.Get(fieldNonce), Body: call.Body}
+	ev := cresspass.Event{Type: cresspass.QueryArrived, Class: params.Class,
+		IsRetry: fields.Get(fieldRepeat) == "1"}
+	effect, known := effects[params.Class]
+	if err := params.check(fields, effect, known); err != nil {
+		return ev, params, err
 	}
-	limit, err := parseNumber(q.Fields, "limit", maxTimeLimit.Seconds()*1e3)
+	limit, err := parseNumber(fields, fieldLimit, maxTimeLimit.Seconds()*1e3)
 	if err == nil && limit <= 0 {
-		err = fmt.Errorf("limit %q: want milliseconds", q.Fields["limit"])
+		err = fmt.Errorf("limit %q: want milliseconds", fields.Get(fieldLimit))
 	}
 	if err != nil {
-		return ev, t, err
+		return ev, params, err
 	}
-	cost, err := parseNumber(q.Fields, "cpu", maxEstimate)
+	cost, err := parseNumber(fields, fieldCost, maxEstimate)
 	if err != nil {
-		return ev, t, err
+		return ev, params, err
 	}
-	if ev.MemoryEstimateMB, err = parseNumber(q.Fields, "heap_mb", maxEstimate); err != nil {
-		return ev, t, err
+	if ev.MemoryEstimateMB, err = parseNumber(fields, fieldMemory, maxEstimate); err != nil {
+		return ev, params, err
 	}
-	// Danger: where the settings have classes that keep order (rule 5), or tenants with shares, requests name
-	// them; taken for none, queries of one key run side by side.
-	ev.Tenant, ev.Key = q.Fields["team"], q.Fields["item"]
-	ev.RemainingDeadline = time.Duration(limit * float64(time.Millisecond))
-	ev.CostEstimate = time.Duration(cost * float64(time.Millisecond))
+	// Where the settings have classes that keep order (rule 5), or tenants with quotas, requests name key and
+	// tenant. Without them, queries of one key would run side by side.
+	ev.Tenant, ev.Key = fields.Get(fieldTenant), fields.Get(fieldKey)
+	ev.RemainingDeadline = milliseconds(limit)
+	ev.CostEstimate = milliseconds(cost)
 	ev.HasCostEstimate = cost > 0
-	ev.TableGroup = float64(sqlscan.Group(string(q.Body)))
-	return ev, t, nil
+	ev.TableGroup = float64(sqlscan.Group(string(call.Body)))
+	return ev, params, nil
 }
 
-func isHex(s string, n int) bool {
-	return len(s) == n && strings.Trim(s, "0123456789abcdefABCDEF") == ""
+// check says what is wrong with the values that are forwarded, and with the names that the module is given.
+func (p *Params) check(fields thrift.Fields, effect cresspass.Effect, knownClass bool) error {
+	switch {
+	case !isHex(p.Ticket, ticketDigits):
+		return fmt.Errorf("txn %.40q: want %d hex digits", p.Ticket, ticketDigits)
+	case !knownClass:
+		return fmt.Errorf("verb %.40q: not a class", p.Class)
+	case len(p.Body) == 0:
+		return errNoStatement
+	case len(fields.Get(fieldTenant)) > maxNameBytes || len(fields.Get(fieldKey)) > maxNameBytes:
+		return fmt.Errorf("team and item: want at most %d bytes", maxNameBytes)
+	case p.Nonce != "" && !isHex(p.Nonce, nonceDigits),
+		p.Nonce == "" && effect == cresspass.IdempotentWithKey:
+		return fmt.Errorf("unique %.40q: want %d hex digits", p.Nonce, nonceDigits)
+	}
+	return nil
+}
+
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+
+func isHex(s string, digits int) bool {
+	return len(s) == digits && strings.Trim(s, "0123456789abcdefABCDEF") == ""
 }
 
-// parseNumber reads a figure from 0 to most; 0 where there is none.
-func parseNumber(fields map[string]string, name string, most float64) (float64, error) {
-	s, ok := fields[name]
+// parseNumber reads a number from 0 to most; 0 where there is none.
+func parseNumber(fields thrift.Fields, name string, most float64) (float64, error) {
+	text, ok := fields.Lookup(name)
 	if !ok {
 		return 0, nil
 	}
-	v, err := strconv.ParseFloat(s, 64)
-	if err != nil || !(v >= 0 && v <= most) {
-		return 0, fmt.Errorf("%s %.40q: want a number from 0 to %v", name, s, most)
+	value, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(value >= 0 && value <= most) {
+		return 0, fmt.Errorf("%s %.40q: want a number from 0 to %v", name, text, most)
 	}
-	return v, nil
+	return value, nil
 }
--- a/internal/frontend/thriftserver/registry_test.go
+++ b/internal/frontend/thriftserver/registry_test.go
@@ -20,24 +20,30 @@
 
 // dispatchFrame is a client's request as the Thrift codec of this repository writes it.
 func dispatchFrame(seq int32, pairs ...string) []byte {
-	var fields [][2]string
+	call := thrift.Dispatch{Body: []byte("SELECT a FROM t_3.u")}
 	for i := 0; i < len(pairs); i += 2 {
-		fields = append(fields, [2]string{pairs[i], pairs[i+1]})
+		call.Fields = append(call.Fields, thrift.Field{Name: pairs[i], Value: pairs[i+1]})
 	}
-	return thrift.AppendDispatch(nil, seq, fields, []byte("SELECT a FROM t_3.u"))[thrift.FrameHeaderBytes:]
+	return call.Append(nil, seq)[thrift.FrameHeaderBytes:]
 }
 
+func cancelFrame(seq, target int32) []byte {
+	return thrift.CancelRequest{TargetSeq: target}.Append(nil, seq)[thrift.FrameHeaderBytes:]
+}
+
+func aliveFrame(seq int32) []byte { return thrift.Alive{}.Append(nil, seq)[thrift.FrameHeaderBytes:] }
+
 // TestRequestEndsOnce: whatever clients send, cancel and break off, each request that was accepted has one
 // end: it is replied to where it came, is cancelled, or ends with its connection. No two that are open
 // share a number on a connection or an id, and no connection is evicted that is in use.
 func TestRequestEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, now := New(&cfg), startOfTest
+		r, now := New(&cfg), startOfTest
 		open := map[cresspass.QueryID]ReplyTarget{}
 		tickets := map[string]cresspass.QueryID{}
 		unwritten := map[ConnID]int{}
 		alive := map[ConnID]bool{}
-		ending, partly := map[ConnID]bool{}, map[ConnID]bool{}
+		closing, midMessage := map[ConnID]bool{}, map[ConnID]bool{}
 		end := func(q *Request, how string) {
 			if at, ok := open[q.ID]; !ok || at != (ReplyTarget{q.Conn, q.Seq}) {
 				t.Fatalf("request %d of %+v %s, it is open: %v, at %+v", q.ID, q.Conn, how, ok, at)
@@ -60,8 +66,8 @@
 			switch rapid.IntRange(0, 12).Draw(t, "step") {
 			case 0:
 				if !alive[id] {
-					b.AddConn(now, id)
-					alive[id], unwritten[id], ending[id], partly[id] = true, 0, false, false
+					r.AddConn(now, id)
+					alive[id], unwritten[id], closing[id], midMessage[id] = true, 0, false, false
 				}
 			case 1, 2, 3, 4:
 				frame := rapid.SampledFrom([][]byte{
@@ -79,15 +85,14 @@
 					dispatchFrame(2, "verb", "quick", "limit", "NaN", "txn", ticket(2)),
 					dispatchFrame(3, "verb", "none", "limit", "100", "txn", ticket(3)),
 					dispatchFrame(4, "verb", "quick", "limit", "100", "txn", "x"),
-					thrift.AppendAlive(nil, 9)[thrift.FrameHeaderBytes:],
-					thrift.AppendCancel(nil, 1,
-						int32(rapid.IntRange(1, 50).Draw(t, "back")))[thrift.FrameHeaderBytes:],
+					aliveFrame(9),
+					cancelFrame(1, int32(rapid.IntRange(1, 50).Draw(t, "target"))),
 					{0x80, 1, 0, 1, 0xff}, {},
 				}).Draw(t, "frame")
-				v := b.HandleMessage(now, id, b.Decode(frame))
-				switch partly[id] = false; {
-				case (!alive[id] || ending[id]) && !v.EndOfInput:
-					t.Fatal("a message on no connection, or on one that ends, was read")
+				v := r.HandleMessage(now, id, r.Decode(frame))
+				switch midMessage[id] = false; {
+				case (!alive[id] || closing[id]) && !v.EndOfInput:
+					t.Fatal("a message on no connection, or on one that is closing, was accepted")
 				case v.Accepted != nil:
 					q := v.Accepted
 					of := 0
@@ -99,9 +104,9 @@
 							t.Fatalf("%+v accepted beside %d at %+v", q, other, at)
 						}
 					}
-					if _, twice := tickets[q.Ticket]; twice || of >= MaxOpenRequests || v.Event.Query != q.ID ||
-						!q.Deadline.After(now) || v.Event.RemainingDeadline <= 0 ||
-						v.Reply != nil {
+					if _, twice := tickets[q.Ticket]; twice || of >= MaxOpenRequests ||
+						v.Event.Query != q.ID || !q.Deadline.After(now) ||
+						v.Event.RemainingDeadline <= 0 || v.Reply != nil {
 						t.Fatalf("%+v accepted, its id is open: %v, of %d open, %+v", q, twice, of, v.Event)
 					}
 					open[q.ID], tickets[q.Ticket] = ReplyTarget{q.Conn, q.Seq}, q.ID
@@ -114,9 +119,9 @@
 					unwritten[id]++
 				}
 			case 5, 6:
-				q := cresspass.QueryID(rapid.IntRange(1, 40).Draw(t, "answers"))
+				q := cresspass.QueryID(rapid.IntRange(1, 40).Draw(t, "reply"))
 				at, is := open[q]
-				to, ok := b.ClaimReply(now, q)
+				to, ok := r.ClaimReply(now, q)
 				if ok != is || ok && to != at {
 					t.Fatalf("reply to %d: %v at %+v, open: %v at %+v", q, ok, to, is, at)
 				}
@@ -131,29 +136,29 @@
 				}
 			case 7:
 				if n := unwritten[id]; n > 0 && alive[id] {
-					b.RepliesWritten(now, id, n)
+					r.RepliesWritten(now, id, n)
 					unwritten[id] = 0
 				}
 			case 8:
-				spoilt := rapid.Bool().Draw(t, "spoilt")
-				ended := []*Request{}
-				if spoilt {
-					ended = b.EndMalformed(id)
-					unwritten[id] += len(ended)
-					ending[id] = alive[id]
+				malformed := rapid.Bool().Draw(t, "malformed")
+				orphaned := []*Request{}
+				if malformed {
+					orphaned = r.EndMalformed(id)
+					unwritten[id] += len(orphaned)
+					closing[id] = alive[id]
 				} else {
-					ended = b.RemoveConn(id)
+					orphaned = r.RemoveConn(id)
 					alive[id] = false
 				}
-				for _, q := range ended {
-					end(q, "ended")
+				for _, q := range orphaned {
+					end(q, "orphaned")
 				}
-				late := b.Decode(dispatchFrame(70, "verb", "quick", "limit", "9", "txn", ticket(99)))
-				if v := b.HandleMessage(now, id, late); !v.EndOfInput {
+				late := r.Decode(dispatchFrame(70, "verb", "quick", "limit", "9", "txn", ticket(99)))
+				if v := r.HandleMessage(now, id, late); !v.EndOfInput {
 					t.Fatalf("a message after the end: %+v", v)
 				}
 			case 9:
-				which, ok := b.EvictionCandidate(now, 500*time.Millisecond)
+				which, ok := r.EvictionCandidate(now, 500*time.Millisecond)
 				if !ok {
 					break
 				}
@@ -166,38 +171,38 @@
 					t.Fatalf("connection %d is evicted, %d messages are not written", which, unwritten[which])
 				}
 			case 10:
-				if ok := b.BeginMessage(now, id); ok != (alive[id] && !ending[id]) {
-					t.Fatalf("a message begins: %v; alive %v, ending %v", ok, alive[id], ending[id])
+				if ok := r.BeginMessage(now, id); ok != (alive[id] && !closing[id]) {
+					t.Fatalf("a message begins: %v; alive %v, closing %v", ok, alive[id], closing[id])
 				} else if ok {
-					partly[id] = true
+					midMessage[id] = true
 				}
 			case 11:
 				wasUsed := used(id)
-				ended, last := b.ReadTimedOut(id)
-				for _, q := range ended {
+				orphaned, last := r.ReadTimedOut(id)
+				for _, q := range orphaned {
 					end(q, "overdue")
 				}
-				unwritten[id] += len(ended)
-				over := !alive[id] || ending[id] || partly[id] || unwritten[id] == 0 && !wasUsed
+				unwritten[id] += len(orphaned)
+				over := !alive[id] || closing[id] || midMessage[id] || unwritten[id] == 0 && !wasUsed
 				if over != last {
 					t.Fatalf("overdue: ends %v, want %v", last, over)
 				}
-				ending[id] = alive[id] && last
+				closing[id] = alive[id] && last
 			case 12:
-				was := ending[id]
-				ok := b.Retire(id)
+				was := closing[id]
+				ok := r.Retire(id)
 				if want := alive[id] && !was && unwritten[id] == 0 && !used(id); ok != want {
 					t.Fatalf("retired: %v, want %v", ok, want)
 				}
-				ending[id] = was || ok
-				for _, other := range b.UnusedConns() {
-					if ending[other] || partly[other] || unwritten[other] > 0 || used(other) {
+				closing[id] = was || ok
+				for _, other := range r.UnusedConns() {
+					if closing[other] || midMessage[other] || unwritten[other] > 0 || used(other) {
 						t.Fatalf("connection %d is listed as unused", other)
 					}
 				}
 			}
-			if b.OpenRequests() != len(open) {
-				t.Fatalf("%d open, want %d", b.OpenRequests(), len(open))
+			if r.OpenRequests() != len(open) {
+				t.Fatalf("%d open, want %d", r.OpenRequests(), len(open))
 			}
 		}
 	})
@@ -208,42 +213,42 @@
 func TestEvictionCandidate(t *testing.T) {
 	ms := time.Millisecond
 	type seen struct {
-		busy, spoke bool
-		silent      time.Duration
-		partly      bool // a message began then
+		busy, sent bool
+		silent     time.Duration
+		midMessage bool // a message began then
 	}
 	for name, c := range map[string]struct {
 		conns []seen
 		want  ConnID
 	}{
-		"silent":      {[]seen{{spoke: true, silent: 3e3 * ms}, {silent: 600 * ms}, {silent: 900 * ms}}, 3},
-		"just made":   {[]seen{{silent: ms}, {spoke: true, silent: ms}, {spoke: true, silent: 9 * ms}}, 3},
-		"open":        {[]seen{{busy: true, spoke: true, silent: 9e3 * ms}, {spoke: true, silent: ms}}, 2},
-		"none can go": {[]seen{{busy: true, spoke: true, silent: ms}, {silent: 499 * ms}}, 0},
-		"half a message": {[]seen{{spoke: true, silent: 499 * ms, partly: true}, {spoke: true, silent: ms},
-			{silent: 499 * ms, partly: true}}, 2},
-		"half for long": {[]seen{{spoke: true, silent: 600 * ms, partly: true},
-			{spoke: true, silent: ms}}, 1},
+		"silent":      {[]seen{{sent: true, silent: 3e3 * ms}, {silent: 600 * ms}, {silent: 900 * ms}}, 3},
+		"just made":   {[]seen{{silent: ms}, {sent: true, silent: ms}, {sent: true, silent: 9 * ms}}, 3},
+		"open":        {[]seen{{busy: true, sent: true, silent: 9e3 * ms}, {sent: true, silent: ms}}, 2},
+		"none can go": {[]seen{{busy: true, sent: true, silent: ms}, {silent: 499 * ms}}, 0},
+		"half a message": {[]seen{{sent: true, silent: 499 * ms, midMessage: true}, {sent: true, silent: ms},
+			{silent: 499 * ms, midMessage: true}}, 2},
+		"half for long": {[]seen{{sent: true, silent: 600 * ms, midMessage: true},
+			{sent: true, silent: ms}}, 1},
 	} {
-		b, now := New(&cfg), startOfTest.Add(time.Hour)
+		r, now := New(&cfg), startOfTest.Add(time.Hour)
 		for i, s := range c.conns {
 			id, at := ConnID(i+1), now.Add(-s.silent)
-			b.AddConn(at, id)
-			if s.spoke {
-				b.HandleMessage(at, id, b.Decode(thrift.AppendAlive(nil, 1)[thrift.FrameHeaderBytes:]))
-				b.RepliesWritten(at, id, 1)
+			r.AddConn(at, id)
+			if s.sent {
+				r.HandleMessage(at, id, r.Decode(aliveFrame(1)))
+				r.RepliesWritten(at, id, 1)
 			}
-			if s.partly {
-				b.BeginMessage(at, id)
+			if s.midMessage {
+				r.BeginMessage(at, id)
 			}
 			if s.busy {
-				ask := b.Decode(dispatchFrame(1, "verb", "quick", "limit", "9", "txn", ticket(i)))
-				if v := b.HandleMessage(at, id, ask); v.Invalid {
+				ask := r.Decode(dispatchFrame(1, "verb", "quick", "limit", "9", "txn", ticket(i)))
+				if v := r.HandleMessage(at, id, ask); v.Invalid {
 					t.Fatalf("%s", v.Reply)
 				}
 			}
 		}
-		if got, ok := b.EvictionCandidate(now, 500*ms); got != c.want || ok != (c.want > 0) {
+		if got, ok := r.EvictionCandidate(now, 500*ms); got != c.want || ok != (c.want > 0) {
 			t.Errorf("%s: %d %v, want %d", name, got, ok, c.want)
 		}
 	}
