--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -36,8 +36,7 @@
 		t.Fatal(err)
 	}
 	if c := cfg.Module.Classes[1]; c.Effect != cresspass.IdempotentWithKey ||
-		c.DeduplicationScope != cresspass.ScopeZone ||
-		c.PriorityWeight != 1 {
+		c.DeduplicationScope != cresspass.ScopeZone || c.PriorityWeight != 1 {
 		t.Errorf("class read as %+v", c)
 	}
 	for _, c := range []struct{ from, to, want string }{
@@ -65,14 +64,14 @@
 			t.Errorf("%s for %s: %v, want %q", c.to, c.from, err, c.want)
 		}
 	}
-	// Two faults are told together.
+	// Two errors are reported together.
 	two := strings.Replace(strings.Replace(validSettings, `"1s"`, `"fast"`, 1), `cores = 8`, `cores = -1`, 1)
 	if _, err := Parse("f.hcl", []byte(two)); err == nil || strings.Count(err.Error(), "f.hcl:") != 2 {
-		t.Errorf("two faults: %v", err)
+		t.Errorf("two errors: %v", err)
 	}
-	over := Overrides{Listen: "192.168.0.1:5", Ordinal: -1}
-	if err := over.Apply(cfg); err == nil {
-		t.Error("an overlay with a foreign address was taken")
+	overrides := Overrides{Listen: "192.168.0.1:5", Ordinal: -1}
+	if err := overrides.Apply(cfg); err == nil {
+		t.Error("overrides with an address of another machine were applied")
 	}
 }
 
--- /dev/null
+++ b/internal/config/discovery.go
@@ -0,0 +1,31 @@
+package config
+
+import "path/filepath"
+
+// RosterBlock says where the endpoint list comes from.
+type RosterBlock struct {
+	EDS     string `hcl:"eds"`
+	Service string `hcl:"service,optional"`
+	Cache   string `hcl:"cache,optional"`
+}
+
+const (
+	defaultDiscoveryService = "engines"
+	// cacheFileName is the cached endpoint list's in the state directory, where no other file is named.
+	cacheFileName = "list"
+)
+
+func (v *validator) applyRoster(cfg *Config, b *RosterBlock) {
+	if b == nil {
+		v.errorf(fileScope, "roster", "a block roster { eds = \"host:port\" } is wanted")
+		return
+	}
+	cfg.DiscoveryAddr, cfg.EndpointCacheFile = b.EDS, b.Cache
+	cfg.DiscoveryService = orDefault(b.Service, defaultDiscoveryService)
+	if cfg.EndpointCacheFile == "" && cfg.StateDir != "" {
+		cfg.EndpointCacheFile = cacheFileIn(cfg.StateDir)
+	}
+	v.loopback(inBlock("roster"), "eds", b.EDS)
+}
+
+func cacheFileIn(stateDir string) string { return filepath.Join(stateDir, cacheFileName) }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -142,12 +142,8 @@
 		line("class.late_value", k.LateAnswerValue)
 		line("class.effect", k.Effect == cresspass.Idempotent, k.Effect == cresspass.IdempotentWithKey,
 			k.Effect == cresspass.NotIdempotent)
-		line(
-			"class.scope",
-			k.DeduplicationScope == cresspass.ScopeAll,
-			k.DeduplicationScope == cresspass.ScopeZone,
-			k.DeduplicationScope == cresspass.ScopeCell,
-		)
+		line("class.scope", k.DeduplicationScope == cresspass.ScopeAll,
+			k.DeduplicationScope == cresspass.ScopeZone, k.DeduplicationScope == cresspass.ScopeCell)
 		line("class.window", k.DeduplicationWindow)
 		line("class.in_order", k.OrderedByKey)
 		line("class.on_kinds", k.AllowedKinds)
@@ -178,15 +174,8 @@
 			line("match.pattern", v.Pattern.String())
 		}
 	}
-	line(
-		"what the module may",
-		m.MayCancel,
-		m.MaySendRetryAfter,
-		m.MayGossip,
-		m.MayHedge,
-		m.PollEngineList,
-		m.ReportsCost,
-	)
+	line("what the module may", m.MayCancel, m.MaySendRetryAfter, m.MayGossip, m.MayHedge, m.PollEngineList,
+		m.ReportsCost)
 	return b.String()
 }
 
@@ -279,3 +268,23 @@
 		}
 	}
 }
+
+// The names of changed settings, which a reload logs, and which of them need a restart.
+func TestGoldenCompare(t *testing.T) {
+	var files []*Config
+	for _, name := range []string{"all-keys.hcl", "least.hcl"} {
+		cfg, err := Load(filepath.Join("testdata", name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		files = append(files, cfg)
+	}
+	live, restart := Compare(files[0], files[1])
+	today := "live\n" + strings.Join(live, "\n") + "\nrestart\n" + strings.Join(restart, "\n") + "\n"
+	if stored := golden(t, "changed.txt", today); today != stored {
+		t.Errorf("what changed is\n%s\nit was\n%s", today, stored)
+	}
+	if live, restart := Compare(files[0], files[0]); len(live)+len(restart) > 0 {
+		t.Errorf("a file differs from itself in %q and %q", live, restart)
+	}
+}
--- /dev/null
+++ b/internal/config/overrides.go
@@ -0,0 +1,52 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+)
+
+// Overrides are settings of the command line, which take the place of a file's. Empty ones change nothing.
+type Overrides struct {
+	Listen            string
+	FlightListen      string
+	DiscoveryAddr     string
+	EndpointCacheFile string
+	EngineUser        string
+	StateDir          string
+	HealthAddr        string
+	TakeoverSocket    string
+	Ordinal           int // below 0: the file's
+	Gateways          int
+}
+
+// Apply puts the overrides in a checked file's place, and checks the outcome.
+func (o *Overrides) Apply(cfg *Config) error {
+	cfg.Listen = orDefault(o.Listen, cfg.Listen)
+	cfg.Flight.Listen = orDefault(o.FlightListen, cfg.Flight.Listen)
+	cfg.DiscoveryAddr = orDefault(o.DiscoveryAddr, cfg.DiscoveryAddr)
+	cfg.EndpointCacheFile = orDefault(o.EndpointCacheFile, cfg.EndpointCacheFile)
+	cfg.EngineUser = orDefault(o.EngineUser, cfg.EngineUser)
+	cfg.HealthAddr = orDefault(o.HealthAddr, cfg.HealthAddr)
+	cfg.TakeoverSocket = orDefault(o.TakeoverSocket, cfg.TakeoverSocket)
+	if o.StateDir != "" {
+		// The cached endpoint list moves with the state directory, unless it is elsewhere.
+		if cfg.EndpointCacheFile == "" || cfg.EndpointCacheFile == cacheFileIn(cfg.StateDir) {
+			cfg.EndpointCacheFile = cacheFileIn(o.StateDir)
+		}
+		cfg.StateDir = o.StateDir
+	}
+	m := &cfg.Module
+	m.GatewayCount = orDefault(o.Gateways, m.GatewayCount)
+	if o.Ordinal >= 0 {
+		m.Ordinal = o.Ordinal
+	}
+	if m.Ordinal < 0 || m.Ordinal >= m.GatewayCount {
+		return fmt.Errorf("ordinal %d is not within the %d gateways", m.Ordinal, m.GatewayCount)
+	}
+	if cfg.Flight.Listen != "" {
+		if err := CheckLoopback(cfg.Flight.Listen); err != nil {
+			return err
+		}
+	}
+	return errors.Join(CheckLoopback(cfg.Listen), CheckLoopback(cfg.DiscoveryAddr))
+}
--- /dev/null
+++ b/internal/config/record.go
@@ -0,0 +1,30 @@
+package config
+
+import "cresspass/internal/recording"
+
+// RecordBlock has the queries that were accepted recorded in a directory.
+type RecordBlock struct {
+	Dir     string `hcl:"dir"`
+	FileMB  int    `hcl:"file_mb,optional"`
+	TotalMB int    `hcl:"total_mb,optional"`
+}
+
+const (
+	defaultRecordingFileMB  = 64
+	defaultRecordingTotalMB = 1024
+)
+
+// applyRecord reads the block. Without it nothing is recorded.
+func (v *validator) applyRecord(cfg *Config, b *RecordBlock) {
+	if b == nil {
+		return
+	}
+	cfg.RecordingDir = b.Dir
+	cfg.RecordingLimits = recording.Limits{
+		File:  int64(v.nonNegative("file_mb", b.FileMB, defaultRecordingFileMB)) * megabyte,
+		Total: int64(v.nonNegative("total_mb", b.TotalMB, defaultRecordingTotalMB)) * megabyte,
+	}
+	if l := cfg.RecordingLimits; l.Total < 2*l.File {
+		v.errorf(inBlock("record"), "total_mb", "less than two files: %d MB each", l.File/megabyte)
+	}
+}
--- a/internal/storage/recovery.go
+++ b/internal/storage/recovery.go
@@ -33,7 +33,7 @@
 // its earlier incarnations left without a known outcome. All its times are since the restart, by a clock
 // that does not step. It does no I/O, and is for one goroutine at a time.
 type RecoveryGuard struct {
-	keyCooldown time.Duration
+	settleDelay time.Duration
 	writes      []recoveredWrite
 }
 
@@ -43,10 +43,10 @@
 	windowLeft time.Duration
 }
 
-// NewRecoveryGuard returns the guard of a dispatcher that restarted with a state. keyCooldown is how long an
+// NewRecoveryGuard returns the guard of a dispatcher that restarted with a state. settleDelay is how long an
 // ordering key is not used after a write with an unknown outcome.
-func NewRecoveryGuard(s *State, restartedAt Instant, keyCooldown time.Duration) *RecoveryGuard {
-	g := &RecoveryGuard{keyCooldown: keyCooldown}
+func NewRecoveryGuard(s *State, restartedAt Instant, settleDelay time.Duration) *RecoveryGuard {
+	g := &RecoveryGuard{settleDelay: settleDelay}
 	for _, w := range s.PendingWrites(restartedAt) {
 		g.writes = append(g.writes, recoveredWrite{w, w.Window - restartedAt.Sub(w.sentInstant())})
 	}
@@ -60,7 +60,7 @@
 // restart, and says for how long the decision holds.
 //
 // The death of its own dispatcher leaves the outcome of a write unknown, so that its key is not used for
-// keyCooldown from the restart on. A repeat of the same query is harmless only where engines still drop it.
+// settleDelay from the restart on. A repeat of the same query is harmless only where engines still drop it.
 // Where only one group of engines does, the decision module cannot be told which, and the repeat is rejected
 // until the window is over. A rejection promises that a later retry is harmless. It is: by then that group
 // has run the write or never will, and the client's next attempt is a new query by its own decision.
@@ -69,8 +69,8 @@
 	decision, wait := Allow, time.Duration(0)
 	remaining := g.writes[:0]
 	for _, w := range g.writes {
-		windowLeft, cooldownLeft := w.windowLeft-sinceRestart, g.keyCooldown-sinceRestart
-		if windowLeft <= 0 && cooldownLeft <= 0 {
+		windowLeft, settleLeft := w.windowLeft-sinceRestart, g.settleDelay-sinceRestart
+		if windowLeft <= 0 && settleLeft <= 0 {
 			continue
 		}
 		remaining = append(remaining, w)
@@ -78,8 +78,8 @@
 		if sameQuery && !w.AllEngines && windowLeft > 0 {
 			decision, wait = Reject, max(wait, windowLeft)
 		}
-		if decision != Reject && key != "" && w.Key == key && cooldownLeft > 0 {
-			decision, wait = Delay, max(wait, cooldownLeft)
+		if decision != Reject && key != "" && w.Key == key && settleLeft > 0 {
+			decision, wait = Delay, max(wait, settleLeft)
 		}
 	}
 	g.writes = remaining
