--- a/admission.go
+++ b/admission.go
@@ -51,7 +51,7 @@
 		q.overQuota = !b.take(g.now, quotaMinBurst+b.rate*quotaBurstSeconds)
 	}
 	if c.OrderedByKey && ev.Key != "" {
-		g.enqueueByKey(q, ev.Key)
+		g.keyOrder.enqueue(q, ev.Key, g.now)
 	}
 	if g.shutdownAt > 0 {
 		q.deadline = min(q.deadline, g.shutdownAt)
--- a/attempt.go
+++ b/attempt.go
@@ -60,8 +60,7 @@
 	}
 	g.attemptEnded(a)
 	q, e := a.query, a.engine
-	if q.orderKey != nil &&
-		(ev.Outcome == OutcomeTimedOut || ev.Outcome == OutcomeConnectionReset || ev.Outcome == OutcomeCancelled) {
+	if q.orderKey != nil && leavesOrderOpen(ev.Outcome) {
 		q.orderKey.settlesAt = max(q.orderKey.settlesAt, g.now+g.cfg.Rules.OrderSettleDelay)
 	}
 	if !ev.Outcome.NeverRan() && (q.firstMaybeRan == nil || a.sentAt < q.firstMaybeRan.sentAt) {
--- a/gateway.go
+++ b/gateway.go
@@ -168,7 +168,7 @@
 	g := &Gateway{cfg: cfg, classes: map[string]*class{}, kinds: map[string]*kind{},
 		engines: map[EngineID]*engine{}, enginesByTag: map[uint16]*engine{},
 		queries: map[QueryID]*query{}, attempts: map[attemptKey]*attempt{},
-		orderKeys: map[string]*orderKey{}, tenants: map[string]*tokenBucket{}, peerReports: map[int]receivedReport{},
+		keyOrder: keyOrder{keys: map[string]*orderKey{}}, tenants: map[string]*tokenBucket{}, peerReports: map[int]receivedReport{},
 		gatewayCount: math.Max(1, float64(cfg.GatewayCount)),
 		margin:       1, peerLoadAt: -peerLoadHalfLife, loadReportAt: -peerLoadHalfLife,
 		random: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Ordinal)))}
@@ -227,7 +227,7 @@
 	queries         map[QueryID]*query
 	attempts        map[attemptKey]*attempt
 	queue           []*query // earliest deadline first
-	orderKeys       map[string]*orderKey
+	keyOrder        keyOrder
 	tenants         map[string]*tokenBucket
 	scratch         []float64
 	random          *rand.Rand
@@ -243,10 +243,9 @@
 	peerReports              map[int]receivedReport
 	gossipAt                 time.Duration
 	clockOffset              time.Duration // how far the gateways' common clock is ahead of ours
-	toForward                []PeerLoad   // entries of sent queries to pass on
+	toForward                []PeerLoad    // entries of sent queries to pass on
 	aggregationRounds        int           // reports sent since this gateway last became a hub; 0: it is none
 	medianLogSlowness        float64       // of the engines' slowness
-	orderKeySweepAt          int           // number of order keys at which those with nothing left are forgotten
 	mostEjected              bool          // so many engines are sick that it is the fleet
 	overloaded               bool          // the fleet is under pressure
 	pressure                 float64
--- a/gateway_test.go
+++ b/gateway_test.go
@@ -81,8 +81,8 @@
 			len(g.enginesByTag),
 		)
 	}
-	if len(g.orderKeys) > 200 || len(g.queries) > 10 || len(g.attempts) > 10 {
-		t.Errorf("%d keys, %d queries, %d attempts kept", len(g.orderKeys), len(g.queries), len(g.attempts))
+	if len(g.keyOrder.keys) > 200 || len(g.queries) > 10 || len(g.attempts) > 10 {
+		t.Errorf("%d keys, %d queries, %d attempts kept", len(g.keyOrder.keys), len(g.queries), len(g.attempts))
 	}
 }
 
--- a/memory.go
+++ b/memory.go
@@ -1,20 +1,17 @@
 package cresspass
 
-import (
-	"math"
-)
+import "math"
 
 const (
-	pagingPower        = 2.5  // at twice its memory a paging engine is some six times slower
 	initialGrantFactor = 1.25 // memory granted over the estimate, adapted by class
-	grantIncrease      = 0.06
-	grantDecrease      = 0.01
+	grantIncrease      = 0.06 // part by which a spill raises it
+	grantDecrease      = 0.01 // part by which an answer without one lowers it
 	topPriority        = 3
+	pagingPower        = 2.5 // at twice its memory a paging engine is some six times slower
 )
 
 // pagingFactor is how many times slower a query is for want of memory, where engines report what they
-// granted. Danger: in an engine that pages nothing ends, so no outcome shows it, and all it holds keeps its
-// memory.
+// granted. In an engine that pages nothing ends, so no outcome shows it, and all it holds keeps its memory.
 func (g *Gateway) pagingFactor(q *query, e *engine) float64 {
 	if e.kind.memoryMB <= 0 || e.grantedMemory <= 0 || g.cfg.OnMemoryShortage != ShortagePages {
 		return 1
@@ -22,42 +19,58 @@
 	return math.Pow(math.Max(1, e.grantedMemory+q.memoryMB/e.kind.memoryMB), pagingPower)
 }
 
-// setResources names memory and priority for the attempt about to be sent, where the settings heed them.
+// setResources names memory and priority for the attempt about to be sent, where engines accept them.
 func (g *Gateway) setResources(a *attempt) {
-	q := a.query
-	t := Action{Type: SetResources, Query: q.id, Priority: 1}
-	if g.cfg.AcceptsPriority { // classes rank by worth for each second of work
-		t.Priority = topPriority
-		for _, c := range g.classList {
-			if c.PriorityWeight/c.meanWork > q.class.PriorityWeight/q.class.meanWork {
-				t.Priority = max(t.Priority-1, 1)
-			}
+	if !g.cfg.AcceptsMemoryGrants && !g.cfg.AcceptsPriority {
+		return
+	}
+	action := Action{Type: SetResources, Query: a.query.id, Priority: 1}
+	if g.cfg.AcceptsPriority {
+		action.Priority = g.priority(a.query.class)
+	}
+	if g.cfg.AcceptsMemoryGrants {
+		action.MemoryGrantMB = g.memoryGrant(a)
+	}
+	a.grantMB = action.MemoryGrantMB
+	g.emit(action)
+}
+
+// priority ranks classes by priority weight for each second of work.
+func (g *Gateway) priority(of *class) int {
+	rank := topPriority
+	for _, c := range g.classList {
+		if c.PriorityWeight/c.meanWork > of.PriorityWeight/of.meanWork {
+			rank = max(rank-1, 1)
 		}
 	}
+	return rank
+}
+
+func (g *Gateway) memoryGrant(a *attempt) float64 {
+	q := a.query
 	most := g.cfg.MaxGrantShare * a.engine.kind.memoryMB
-	switch {
-	case !g.cfg.AcceptsMemoryGrants:
-	case g.cfg.OnMemoryShortage == ShortagePages:
-		t.MemoryGrantMB = most // only memory in use counts there, so a generous grant costs nothing
-	case q.memoryMB > 0:
-		t.MemoryGrantMB = q.memoryMB * q.class.grantFactor
-		if most > 0 {
-			t.MemoryGrantMB = math.Min(t.MemoryGrantMB, most)
-		}
+	if g.cfg.OnMemoryShortage == ShortagePages {
+		return most // only memory in use counts there, so a generous grant costs nothing
+	}
+	if q.memoryMB <= 0 {
+		return 0
 	}
-	if a.grantMB = t.MemoryGrantMB; g.cfg.AcceptsMemoryGrants || g.cfg.AcceptsPriority {
-		g.emit(t)
+	grant := q.memoryMB * q.class.grantFactor
+	if most > 0 {
+		grant = math.Min(grant, most)
 	}
+	return grant
 }
 
-// adaptGrant steers a class's grant so that few of its queries spill. Danger: where neither notes nor costs
-// are told nothing ever raises a grant; were it cut, all of its class would spill more and more.
-func (g *Gateway) adaptGrant(a *attempt, needed float64) {
+// adaptGrant steers a class's grant so that few of its queries spill. Where neither notes nor costs are
+// reported nothing ever raises a grant; were it cut there, all of its class would spill more and more.
+func (g *Gateway) adaptGrant(a *attempt, neededMB float64) {
+	c := a.query.class
 	switch {
 	case a.grantMB <= 0 || a.query.memoryMB <= 0:
-	case a.spilled || needed > a.grantMB:
-		a.query.class.grantFactor *= 1 + grantIncrease
-	case needed > 0 || g.cfg.ProgressInterval > 0:
-		a.query.class.grantFactor *= 1 - grantDecrease
+	case a.spilled || neededMB > a.grantMB:
+		c.grantFactor *= 1 + grantIncrease
+	case neededMB > 0 || g.cfg.ProgressInterval > 0:
+		c.grantFactor *= 1 - grantDecrease
 	}
 }
--- /dev/null
+++ b/ordering_test.go
@@ -0,0 +1,29 @@
+package cresspass
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// TestKeyOrderSweepsIdleKeys: keys in use, or not settled yet, stay; idle ones are dropped once there are
+// many.
+func TestKeyOrderSweepsIdleKeys(t *testing.T) {
+	o := keyOrder{keys: map[string]*orderKey{}}
+	running, settling := &query{}, &query{}
+	o.enqueue(running, "running", 0)
+	running.orderKey.waiting, running.orderKey.running = nil, 1
+	o.enqueue(settling, "settling", 0)
+	settling.orderKey.waiting, settling.orderKey.settlesAt = nil, time.Hour
+	for i := range 10 * minKeysToSweep {
+		q := &query{}
+		o.enqueue(q, fmt.Sprint(i), time.Minute)
+		q.orderKey.waiting = nil
+	}
+	if len(o.keys) > 3*minKeysToSweep {
+		t.Errorf("%d keys, two of them in use", len(o.keys))
+	}
+	if o.keys["running"] != running.orderKey || o.keys["settling"] != settling.orderKey {
+		t.Error("a key in use was dropped")
+	}
+}
--- a/snapshot.go
+++ b/snapshot.go
@@ -9,35 +9,65 @@
 )
 
 const (
+	snapshotVersion  = 1
 	snapshotHalfLife = 10 * time.Minute // of what an earlier gateway had learnt
 )
 
-// Restore takes over what an earlier gateway had learnt, as Snapshot gave it, the less the older it is: bases
-// and weights drift to their starting values. What does not fit is left out; an error takes nothing.
+// snapshot is the stored form of what a gateway has learnt of classes and kinds.
+type snapshot struct {
+	Version int                    `json:"version"`
+	Classes []snapshotClass        `json:"classes"`
+	Kinds   map[string][][]float64 `json:"kinds"`
+}
+
+type snapshotClass struct {
+	Name         string  `json:"name"`
+	BaseScale    float64 `json:"scale"`
+	OutcomesSeen float64 `json:"seen"`
+	MeanWork     float64 `json:"work"`
+	GrantFactor  float64 `json:"grant"`
+}
+
+// Snapshot returns what the gateway has learnt, for Restore of a later one.
+func (g *Gateway) Snapshot() []byte {
+	s := snapshot{Version: snapshotVersion, Kinds: map[string][][]float64{}}
+	for _, c := range g.classList {
+		s.Classes = append(s.Classes,
+			snapshotClass{c.Name, c.baseScale, c.outcomesSeen, c.meanWork, c.grantFactor})
+	}
+	for name, k := range g.kinds {
+		s.Kinds[name] = k.weights
+	}
+	data, _ := json.Marshal(s) // finite numbers and names cannot fail
+	return data
+}
+
+// Restore takes over what an earlier gateway had learnt, as Snapshot gave it, the less the older it is:
+// bases and weights decay towards their starting values. What does not fit is left out; an error takes
+// nothing.
 func (g *Gateway) Restore(data []byte, age time.Duration) error {
-	l, err := decodeSnapshot(data)
+	s, err := decodeSnapshot(data)
 	if err != nil {
 		return err
 	}
 	keep := math.Exp2(-max(0, age).Seconds() / snapshotHalfLife.Seconds())
 	toward := func(start, was float64) float64 { return start + keep*(was-start) }
-	for _, was := range l.Classes {
+	for _, was := range s.Classes {
 		if c := g.classes[was.Name]; c != nil {
-			c.baseScale = math.Exp(keep * math.Log(was.Scale))
-			c.outcomesSeen, c.meanWork, c.grantFactor = keep*was.Seen, toward(
-				c.meanWork,
-				was.Work,
-			), toward(
-				c.grantFactor,
-				was.Grant,
-			)
+			c.baseScale = math.Exp(keep * math.Log(was.BaseScale))
+			c.outcomesSeen = keep * was.OutcomesSeen
+			c.meanWork = toward(c.meanWork, was.MeanWork)
+			c.grantFactor = toward(c.grantFactor, was.GrantFactor)
 		}
 	}
-	for name, was := range l.Kinds {
+	if !s.matchesClasses(g.classList) {
+		return nil
+	}
+	for name, was := range s.Kinds {
 		k := g.kinds[name]
 		for i := range was {
 			for j := range was[i] {
-				if k != nil && l.matchesClasses(g) && j < len(k.weights[i]) {
+				if k != nil && j < len(k.weights[i]) {
 					k.weights[i][j] = toward(k.weights[i][j], was[i][j])
 				}
 			}
@@ -46,78 +76,56 @@
 	return nil
 }
 
-// snapshot is the form of what a gateway has learnt of classes and kinds.
-type snapshot struct {
-	Version int                    `json:"version"`
-	Classes []snapshotClass        `json:"classes"`
-	Kinds   map[string][][]float64 `json:"kinds"`
-}
-
-type snapshotClass struct {
-	Name  string  `json:"name"`
-	Scale float64 `json:"scale"`
-	Seen  float64 `json:"seen"`
-	Work  float64 `json:"work"`
-	Grant float64 `json:"grant"`
-}
-
-// snapshotVersion is that of the form.
-const snapshotVersion = 1
-
-// Snapshot returns what the gateway has learnt, for Restore of a later one.
-func (g *Gateway) Snapshot() []byte {
-	l := snapshot{Version: snapshotVersion, Kinds: map[string][][]float64{}}
-	for _, c := range g.classList {
-		l.Classes = append(
-			l.Classes,
-			snapshotClass{c.Name, c.baseScale, c.outcomesSeen, c.meanWork, c.grantFactor},
-		)
-	}
-	for name, k := range g.kinds {
-		l.Kinds[name] = k.weights
-	}
-	data, _ := json.Marshal(l) // finite numbers and names cannot fail
-	return data
-}
-
 // decodeSnapshot reads a snapshot, or says why it is none.
 func decodeSnapshot(data []byte) (*snapshot, error) {
-	var l snapshot
-	if err := json.Unmarshal(data, &l); err != nil {
+	var s snapshot
+	if err := json.Unmarshal(data, &s); err != nil {
 		return nil, fmt.Errorf("cresspass: snapshot: %w", err)
 	}
-	if l.Version != snapshotVersion {
-		return nil, fmt.Errorf("cresspass: snapshot: version %d, want %d", l.Version, snapshotVersion)
+	if s.Version != snapshotVersion {
+		return nil, fmt.Errorf("cresspass: snapshot: version %d, want %d", s.Version, snapshotVersion)
 	}
-	for _, c := range l.Classes {
-		for _, v := range []float64{c.Scale, c.Work, c.Grant} {
-			if !(v > 0 && v < math.MaxFloat32) {
-				return nil, fmt.Errorf("cresspass: snapshot: class %q: value %v", c.Name, v)
-			}
+	for _, c := range s.Classes {
+		if err := c.validate(); err != nil {
+			return nil, err
 		}
-		if !(c.Seen >= 0 && c.Seen < math.MaxFloat32) {
-			return nil, fmt.Errorf("cresspass: snapshot: class %q: seen %v", c.Name, c.Seen)
+	}
+	for name, rows := range s.Kinds {
+		if !s.areWeights(rows) {
+			return nil, fmt.Errorf("cresspass: snapshot: kind %q: weights", name)
 		}
 	}
-	for name, rows := range l.Kinds {
-		for _, row := range rows {
-			for _, v := range row {
-				if !(v >= 0 && v < math.MaxFloat32) || len(rows) != len(l.Classes) ||
-					len(row) != len(rows)+1 {
-					return nil, fmt.Errorf("cresspass: snapshot: kind %q: weights", name)
-				}
+	return &s, nil
+}
+
+func (c *snapshotClass) validate() error {
+	for _, v := range []float64{c.BaseScale, c.MeanWork, c.GrantFactor} {
+		if !(v > 0 && v < math.MaxFloat32) {
+			return fmt.Errorf("cresspass: snapshot: class %q: value %v", c.Name, v)
+		}
+	}
+	if !(c.OutcomesSeen >= 0 && c.OutcomesSeen < math.MaxFloat32) {
+		return fmt.Errorf("cresspass: snapshot: class %q: seen %v", c.Name, c.OutcomesSeen)
+	}
+	return nil
+}
+
+// areWeights reports whether rows are weights of all classes of the snapshot, or none.
+func (s *snapshot) areWeights(rows [][]float64) bool {
+	for _, row := range rows {
+		for _, v := range row {
+			inRange := v >= 0 && v < math.MaxFloat32
+			if !inRange || len(rows) != len(s.Classes) || len(row) != len(rows)+1 {
+				return false
 			}
 		}
 	}
-	return &l, nil
+	return true
 }
 
-// matchesClasses reports whether a snapshot's classes are the gateway's, in their order: its weights are
-// told by number.
-func (l *snapshot) matchesClasses(g *Gateway) bool {
-	return slices.EqualFunc(
-		l.Classes,
-		g.classList,
-		func(a snapshotClass, c *class) bool { return a.Name == c.Name },
-	)
+// matchesClasses reports whether a snapshot's classes are the gateway's, in their order: weights are by
+// number.
+func (s *snapshot) matchesClasses(classes []*class) bool {
+	sameName := func(a snapshotClass, c *class) bool { return a.Name == c.Name }
+	return slices.EqualFunc(s.Classes, classes, sameName)
 }
