--- a/attempt.go
+++ b/attempt.go
@@ -73,7 +73,7 @@
 	case OutcomeOK:
 		e.succeeded++
 		e.lastHeardAt = g.now
-		g.recordHealth(e, true)
+		e.outlier.recordSuccess()
 		g.learn(a, ev.Elapsed.Seconds())
 		if ev.ActualCost > 0 && !q.hasCostEstimate { // its aim was a guess
 			q.class.meanWork += meanWorkGain * (ev.ActualCost.Seconds() - q.class.meanWork)
@@ -85,7 +85,7 @@
 	case OutcomeFailed, OutcomeConnectionReset, OutcomeConnectFailed:
 		e.failed++
 		e.lastHeardAt = g.now
-		g.recordHealth(e, false)
+		e.outlier.recordFailure(g.now)
 	}
 	if ev.QueryFinished && !q.done {
 		g.removeQuery(q)
--- a/engine.go
+++ b/engine.go
@@ -87,15 +87,11 @@
 	succeededTotal, failedTotal  float64       // the same of all gateways, fading, while this one is a hub
 	succeeded, failed            int           // answers, and failures or lost answers, since the last digest
 
-	failureRate                             float64       // recent share of failed attempts
-	consecutiveFailures, probationSuccesses int           // failures in a row; trials answered since it fell sick
-	lastHeardAt, knownSince                 time.Duration // last sign of life; beginning of what is known of it
-	ejected, checkingHealth                 bool
-	onProbation                             bool // open to one trial query at a time
-	ejectedUntil, ejectionTime              time.Duration
-	slowStartSends                          []slowStartSend
-	slotProgress                            float64 // part of the period of a cold engine's turns that has passed
-	slotEndsAt                              time.Duration
+	outlier                 outlierState
+	lastHeardAt, knownSince time.Duration // last sign of life; beginning of what is known of it
+	slowStartSends          []slowStartSend
+	slotProgress            float64 // part of the period of a cold engine's turns that has passed
+	slotEndsAt              time.Duration
 }
 
 // integrateMix brings the integral of an engine's mix up to now.
@@ -113,11 +109,9 @@
 		k = &kind{cores: 1, weights: g.newWeights(initialOthersWeight)}
 		g.kinds[info.Kind] = k
 	}
-	e.kind, e.ownWeights, e.logLatency, e.logSlowness, e.excessLogSlowness, e.failureRate, e.consecutiveFailures = k, g.newWeights(
-		0,
-	), 0, 0, 0, 0, 0
+	e.kind, e.ownWeights, e.logLatency, e.logSlowness, e.excessLogSlowness = k, g.newWeights(0), 0, 0, 0
 	e.threadLimit = g.initialThreadLimit(e)
-	e.ejected, e.checkingHealth, e.onProbation, e.ejectionTime = false, false, false, 0
+	e.outlier = outlierState{}
 	e.lastHeardAt, e.knownSince = g.now, g.now
 	e.slotProgress, e.slotEndsAt = g.random.Float64(), 0
 }
--- a/gateway.go
+++ b/gateway.go
@@ -105,30 +105,19 @@
 		if !e.active {
 			continue
 		}
-		if !e.ejected {
+		if !e.outlier.ejected {
 			g.scratch = append(g.scratch, e.logSlowness)
 		}
 		if all++; e.logLatency > math.Log(pressureLatencyRatio) &&
 			e.ownThreads >= threadLimitUsedShare*g.initialThreadLimit(e) {
 			pressed++
 		}
-		if silent >= silentAttemptsToEject && !e.ejected {
-			g.eject(e)
-			for _, a := range e.running { // what may lawfully run elsewhere is called off
-				if !a.query.done && a.query.class.Effect != NotIdempotent && g.mayAttempt(a.query) {
-					g.cancelAttempt(a)
-				}
-			}
+		if silent >= silentAttemptsToEject && !e.outlier.ejected {
+			g.ejectSilent(e)
 		}
-		if e.ejected {
+		if e.outlier.ejected {
 			sick++
-			if g.now >= e.ejectedUntil && !e.onProbation && !e.checkingHealth {
-				if e.checkingHealth = g.cfg.MayCheckHealth; e.checkingHealth {
-					g.emit(Action{Type: CheckHealth, Engine: e.ID})
-				} else {
-					e.onProbation = true
-				}
-			}
+			g.retryEjected(e)
 		}
 	}
 	if sat > 0 {
--- a/outlier.go
+++ b/outlier.go
@@ -1,66 +1,115 @@
 package cresspass
 
-import (
-	"time"
-)
+import "time"
 
 const (
 	failureRateGain          = 0.2 // gain of an engine's share of failed attempts
-	ejectFailureRate         = 0.4 // share of failures from which an engine is sick
-	ejectConsecutiveFailures = 3   // failures in a row from which it is sick
-	silenceEstimateRatio     = 3.0 // an attempt this far over its estimate, nothing heard since, is a sign of silence
+	ejectFailureRate         = 0.4 // share of failures from which an engine is ejected
+	ejectConsecutiveFailures = 3   // failures in a row from which it is ejected
+	silenceEstimateRatio     = 3.0 // an attempt so far over its estimate, nothing heard since, shows silence
 	minSilence               = 700 * time.Millisecond
 	silentAttemptsToEject    = 2 // attempts that must show silence
-	probationSuccessesNeeded = 2 // answered trials after which an engine is well again
+	probationSuccessesNeeded = 2 // answered attempts after which an ejected engine is back
 	baseEjectionTime         = time.Second
 	maxEjectionTime          = 5 * time.Second
 )
 
-// recordHealth takes in whether an attempt was answered. Failures are evidence about the engine, never about
-// interference, so they stay out of the fit.
-func (g *Gateway) recordHealth(e *engine, ok bool) {
-	if ok {
-		e.failureRate -= failureRateGain * e.failureRate
-		e.consecutiveFailures = 0
-		if e.ejected && e.onProbation {
-			if e.probationSuccesses++; e.probationSuccesses >= probationSuccessesNeeded {
-				e.ejected, e.onProbation, e.ejectionTime, e.failureRate = false, false, 0, 0
-			}
-		}
+// outlierState detects an engine that fails, ejects it for a while, and lets it back by way of a probation,
+// during which it gets one attempt at a time.
+type outlierState struct {
+	failureRate         float64 // recent share of failed attempts
+	consecutiveFailures int
+	ejected             bool
+	checkingHealth      bool // a health check is under way
+	onProbation         bool
+	probationSuccesses  int
+	ejectedUntil        time.Duration
+	ejectionTime        time.Duration // doubles with each ejection in a row
+}
+
+// recordSuccess and recordFailure take in whether an attempt was answered. Failures are evidence about the
+// engine, never about interference, so they stay out of the fit.
+func (o *outlierState) recordSuccess() {
+	o.failureRate -= failureRateGain * o.failureRate
+	o.consecutiveFailures = 0
+	if !o.ejected || !o.onProbation {
 		return
 	}
-	e.failureRate += failureRateGain * (1 - e.failureRate)
-	e.consecutiveFailures++
-	if e.ejected && e.onProbation ||
-		!e.ejected &&
-			(e.consecutiveFailures >= ejectConsecutiveFailures || e.failureRate >= ejectFailureRate) {
-		g.eject(e)
+	if o.probationSuccesses++; o.probationSuccesses >= probationSuccessesNeeded {
+		o.ejected, o.onProbation, o.ejectionTime, o.failureRate = false, false, 0, 0
+	}
+}
+
+func (o *outlierState) recordFailure(now time.Duration) {
+	o.failureRate += failureRateGain * (1 - o.failureRate)
+	o.consecutiveFailures++
+	failing := o.consecutiveFailures >= ejectConsecutiveFailures || o.failureRate >= ejectFailureRate
+	if o.ejected && o.onProbation || !o.ejected && failing {
+		o.eject(now)
+	}
+}
+
+// eject keeps queries from an engine for a while, longer each time it fails its probation.
+func (o *outlierState) eject(now time.Duration) {
+	o.ejected, o.onProbation, o.checkingHealth, o.probationSuccesses = true, false, false, 0
+	o.ejectionTime = min(max(baseEjectionTime, o.ejectionTime*2), maxEjectionTime)
+	o.ejectedUntil = now + o.ejectionTime
+}
+
+// avoidsOutlier reports whether a query is kept from an ejected engine: unless so many are that it is no
+// outlier, or the query is the one attempt of its probation.
+func (g *Gateway) avoidsOutlier(q *query, e *engine) bool {
+	if !e.outlier.ejected || g.mostEjected {
+		return false
+	}
+	return !e.outlier.onProbation || len(e.running) > 0 || q.class.Effect == NotIdempotent
+}
+
+// ejectSilent ejects an engine that answers nothing, and cancels what may run elsewhere.
+func (g *Gateway) ejectSilent(e *engine) {
+	e.outlier.eject(g.now)
+	for _, a := range e.running {
+		if !a.query.done && a.query.class.Effect != NotIdempotent && g.mayAttempt(a.query) {
+			g.cancelAttempt(a)
+		}
 	}
 }
 
-// eject keeps queries from an engine for a while, longer each time it fails its trials.
-func (g *Gateway) eject(e *engine) {
-	e.ejected, e.onProbation, e.checkingHealth, e.probationSuccesses = true, false, false, 0
-	e.ejectionTime = min(max(baseEjectionTime, e.ejectionTime*2), maxEjectionTime)
-	e.ejectedUntil = g.now + e.ejectionTime
+// retryEjected checks the health of an engine whose ejection is over, or puts it on probation at once where
+// no health checks are possible.
+func (g *Gateway) retryEjected(e *engine) {
+	o := &e.outlier
+	if g.now < o.ejectedUntil || o.onProbation || o.checkingHealth {
+		return
+	}
+	if o.checkingHealth = g.cfg.MayCheckHealth; o.checkingHealth {
+		g.emit(Action{Type: CheckHealth, Engine: e.ID})
+	} else {
+		o.onProbation = true
+	}
 }
 
 func (g *Gateway) handleHealthCheck(ev *Event) {
 	e := g.engines[ev.Engine]
-	if e != nil && ev.HasLoadReport {
+	if e == nil {
+		return
+	}
+	if ev.HasLoadReport {
 		g.applyLoadReport(e, ev.LoadReport)
 	}
-	if e != nil && e.checkingHealth {
-		if e.checkingHealth, e.onProbation = false, ev.Outcome == OutcomeOK; !e.onProbation {
-			g.eject(e)
-		}
+	if !e.outlier.checkingHealth {
+		return
+	}
+	e.outlier.checkingHealth, e.outlier.onProbation = false, ev.Outcome == OutcomeOK
+	if !e.outlier.onProbation {
+		e.outlier.eject(g.now)
 	}
 }
 
-// handleReportedDown takes others' word that an engine is dead, where nothing was seen of it here. Danger:
-// the word may be old or a lie, so it costs the engine one probe, no more.
+// handleReportedDown takes other gateways' report that an engine is dead, where nothing was seen of it
+// here. The report may be old or a lie, so it costs the engine one health check, no more.
 func (g *Gateway) handleReportedDown(e *engine) {
-	if e != nil && e.lastHeardAt == e.knownSince && !e.ejected && len(e.running) == 0 {
-		g.eject(e)
+	if e != nil && e.lastHeardAt == e.knownSince && !e.outlier.ejected && len(e.running) == 0 {
+		e.outlier.eject(g.now)
 	}
 }
--- a/outlier_test.go
+++ b/outlier_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 )
 
 // TestSilentEngineIsEjected: an engine that takes work and answers nothing gets no more, and its queries
@@ -18,12 +19,12 @@
 				cancels++
 			}
 		}
-		if e := b.g.engines["e1"]; e.ejected {
+		if e := b.g.engines["e1"]; e.outlier.ejected {
 			break
 		}
 	}
-	if !b.g.engines["e1"].ejected || cancels < 2 {
-		t.Errorf("sick %v, %d attempts called off", b.g.engines["e1"].ejected, cancels)
+	if !b.g.engines["e1"].outlier.ejected || cancels < 2 {
+		t.Errorf("sick %v, %d attempts called off", b.g.engines["e1"].outlier.ejected, cancels)
 	}
 }
 
@@ -37,7 +38,7 @@
 		Event{Type: EngineReportedDown, Engine: "e00"},
 		Event{Type: EngineReportedDown, Engine: "nobody"},
 	)
-	if !b.g.engines["e00"].ejected || b.g.engines["e01"].ejected {
+	if !b.g.engines["e00"].outlier.ejected || b.g.engines["e01"].outlier.ejected {
 		t.Error("others' word was not taken")
 	}
 	probed := false
@@ -50,7 +51,42 @@
 		t.Error("it was never probed")
 	}
 	b.g.engines["e01"].lastHeardAt = b.now
-	if b.advance(ms, Event{Type: EngineReportedDown, Engine: "e01"}); b.g.engines["e01"].ejected {
+	if b.advance(ms, Event{Type: EngineReportedDown, Engine: "e01"}); b.g.engines["e01"].outlier.ejected {
 		t.Error("others' word stands against what was seen here")
 	}
 }
+
+// TestOutlierState: an engine is ejected by failures in a row, longer each time it fails its probation, and is
+// back after two answers of it.
+func TestOutlierState(t *testing.T) {
+	var o outlierState
+	now := time.Hour
+	for i := range ejectConsecutiveFailures {
+		if o.ejected {
+			t.Fatalf("ejected after %d failures", i)
+		}
+		o.recordFailure(now)
+	}
+	if !o.ejected || o.ejectedUntil != now+baseEjectionTime {
+		t.Fatalf("after %d failures: %+v", ejectConsecutiveFailures, o)
+	}
+	o.onProbation = true
+	if o.recordFailure(now); o.ejectionTime != 2*baseEjectionTime || o.onProbation {
+		t.Errorf("after a failed probation: %+v", o)
+	}
+	for range 9 {
+		o.onProbation = true
+		o.recordFailure(now)
+	}
+	if o.ejectionTime != maxEjectionTime {
+		t.Errorf("ejected for %v after many failed probations, want %v", o.ejectionTime, maxEjectionTime)
+	}
+	o.onProbation = true
+	o.recordSuccess()
+	if !o.ejected {
+		t.Error("back after one answer")
+	}
+	if o.recordSuccess(); o.ejected || o.failureRate != 0 || o.ejectionTime != 0 {
+		t.Errorf("after %d answers on probation: %+v", probationSuccessesNeeded, o)
+	}
+}
--- a/placement.go
+++ b/placement.go
@@ -30,7 +30,7 @@
 	asked := 0
 	for _, i := range g.random.Perm(len(g.engineList)) {
 		e := g.engineList[i]
-		if asked < loadProbeCount && g.mayUse(q, e) && !e.ejected &&
+		if asked < loadProbeCount && g.mayUse(q, e) && !e.outlier.ejected &&
 			e.kind.cores/g.gatewayCount < q.class.threads {
 			g.emit(Action{Type: CheckHealth, Engine: e.ID})
 			asked++
@@ -67,8 +67,7 @@
 		if !g.mayUse(q, e) {
 			continue
 		}
-		if e.ejected && !g.mostEjected &&
-			(!e.onProbation || len(e.running) > 0 || q.class.Effect == NotIdempotent) {
+		if g.avoidsOutlier(q, e) {
 			continue
 		}
 		usable = true
@@ -120,7 +119,7 @@
 				sessionBalancePower,
 			)
 		}
-		cost := est * (1 + weight*e.failureRate) * (1 + balanceWeight*(e.ownThreads+q.class.threads+sits)/g.initialThreadLimit(e))
+		cost := est * (1 + weight*e.outlier.failureRate) * (1 + balanceWeight*(e.ownThreads+q.class.threads+sits)/g.initialThreadLimit(e))
 		if e == q.previousEngine { // only where there is no other
 			cost, idle = cost*finalFailureCostFactor, false
 		}
