--- a/attempt.go
+++ b/attempt.go
@@ -23,13 +23,7 @@
 		overdueRatio:   firstOverdueRatio,
 	}
 	g.setResources(a)
-	send := Action{Type: Send, Query: q.id, Engine: e.ID}
-	if g.rampFraction(e) < 1 && g.cfg.Rules.SlowStartOverloadFactor > 0 {
-		// Danger: a ration is for a moment. Sends that wait for a connection would come to a cold engine
-		// together with those of a later ration.
-		send.StartWithin = g.cfg.Rules.SlowStartWindow / 2
-	}
-	g.emit(send)
+	g.emit(Action{Type: Send, Query: q.id, Engine: e.ID, StartWithin: g.slowStartSendLimit(e)})
 	// Danger: sums come too late for what outlasts them, and gateways would fill the same engines.
 	if g.cfg.MayGossip && g.gatewayCount > 1 && a.base*q.class.threads >= minAnnouncedWork {
 		entry := []PeerLoad{{Tag: e.tag, Threads: q.class.threads}}
@@ -39,10 +33,7 @@
 			g.toForward = append(g.toForward, entry...)
 		}
 	}
-	if g.rampFraction(e) < 1 {
-		e.slowStartSends = append(e.slowStartSends, slowStartSend{g.now, g.expectedWork(q)})
-		e.slotEndsAt = 0
-	}
+	g.chargeSlowStart(q, e)
 	g.attemptStarted(a)
 }
 
@@ -80,8 +71,8 @@
 		}
 		g.adaptGrant(a, ev.ActualMemoryMB)
 	case OutcomeRejected:
-		e.lastHeardAt, e.rejectingUntil = g.now, g.now+rejectionPressureTime
-		e.threadLimit = math.Max(1, e.ownThreads*threadLimitCutFactor)
+		e.lastHeardAt = g.now
+		e.limiter.recordRejection(g.now, e.ownThreads)
 	case OutcomeFailed, OutcomeConnectionReset, OutcomeConnectFailed:
 		e.failed++
 		e.lastHeardAt = g.now
--- a/engine.go
+++ b/engine.go
@@ -73,13 +73,12 @@
 	running    []*attempt
 
 	runningCount, runningSeconds []float64     // this gateway's running queries per class; their integral in seconds
-	ownThreads, threadLimit      float64       // threads running; threads this gateway may run under pressure
-	logSlowness, logLatency      float64       // logs: fast-moving slowness; recent latency over best
+	ownThreads                   float64       // threads running
+	logSlowness                  float64       // log of the fast-moving slowness
 	excessLogSlowness            float64       // slowness beyond the fleet's median at the last tick
 	sessions                     float64       // of this gateway, that are kept there
 	inactiveSince                time.Duration // when it was told to drain or be gone
-	integratedAt, limitCutAt     time.Duration // when area and bound were last changed
-	rejectingUntil               time.Duration // under pressure until then: it turned work away
+	integratedAt                 time.Duration // when runningSeconds was last changed
 	loadKnownAt                  time.Duration // when others' threads were last told
 	grantedMemory                float64       // memory granted over memory, as reported
 	recentSends                  float64       // threads told as just sent, fading into the sums
@@ -89,9 +88,8 @@
 
 	outlier                 outlierState
 	lastHeardAt, knownSince time.Duration // last sign of life; beginning of what is known of it
-	slowStartSends          []slowStartSend
-	slotProgress            float64 // part of the period of a cold engine's turns that has passed
-	slotEndsAt              time.Duration
+	slowStart               slowStartState
+	limiter                 threadLimiter
 }
 
 // integrateMix brings the integral of an engine's mix up to now.
@@ -109,11 +107,11 @@
 		k = &kind{cores: 1, weights: g.newWeights(initialOthersWeight)}
 		g.kinds[info.Kind] = k
 	}
-	e.kind, e.ownWeights, e.logLatency, e.logSlowness, e.excessLogSlowness = k, g.newWeights(0), 0, 0, 0
-	e.threadLimit = g.initialThreadLimit(e)
+	e.kind, e.ownWeights, e.logSlowness, e.excessLogSlowness = k, g.newWeights(0), 0, 0
+	e.limiter.reset(g.initialThreadLimit(e))
 	e.outlier = outlierState{}
 	e.lastHeardAt, e.knownSince = g.now, g.now
-	e.slotProgress, e.slotEndsAt = g.random.Float64(), 0
+	e.slowStart.resetSlots(g.random.Float64())
 }
 
 // addEngine makes room for an engine never seen before.
--- a/gateway.go
+++ b/gateway.go
@@ -54,7 +54,7 @@
 	sat, busy := 0.0, 0.0
 	for _, e := range g.engineList {
 		sat += e.sessions
-		e.logSlowness, e.logLatency = e.logSlowness*keepSlow, e.logLatency*keepCrowd
+		e.logSlowness, e.limiter.logLatency = e.logSlowness*keepSlow, e.limiter.logLatency*keepCrowd
 		g.integrateMix(e)
 		g.advanceSlowStartSlot(e)
 		others, less := &e.runningCount[len(g.classList)], e.recentSends*(1-keepRecent)
@@ -82,9 +82,9 @@
 				if g.now-g.loadReportAt > peerLoadHalfLife { // reports show a crowd; what is overdue may be lost
 					g.learnFleetSlowness(seen - e.logSlowness)
 				}
-				e.logLatency += latencyGain * math.Max(
+				e.limiter.logLatency += latencyGain * math.Max(
 					0,
-					math.Min(seen, 2*math.Log(maxErrorRatio))-e.logLatency,
+					math.Min(seen, 2*math.Log(maxErrorRatio))-e.limiter.logLatency,
 				)
 				a.overdueRatio *= firstOverdueRatio
 				if a.overdueRatio > presumedLostRatio && !a.presumedLost {
@@ -108,8 +108,7 @@
 		if !e.outlier.ejected {
 			g.scratch = append(g.scratch, e.logSlowness)
 		}
-		if all++; e.logLatency > math.Log(pressureLatencyRatio) &&
-			e.ownThreads >= threadLimitUsedShare*g.initialThreadLimit(e) {
+		if all++; g.isUnderPressure(e) {
 			pressed++
 		}
 		if silent >= silentAttemptsToEject && !e.outlier.ejected {
--- a/membership.go
+++ b/membership.go
@@ -18,7 +18,7 @@
 	fewer := math.Min(1, g.gatewayCount/count)
 	g.cfg.Ordinal, g.cfg.GatewayCount, g.gatewayCount = ordinal, int(count), count
 	for _, e := range g.engineList {
-		e.threadLimit = math.Max(e.threadLimit*fewer, g.initialThreadLimit(e))
+		e.limiter.limit = math.Max(e.limiter.limit*fewer, g.initialThreadLimit(e))
 	}
 	for _, t := range g.cfg.Tenants {
 		g.tenants[t.Name].rate = t.QuotaPerSecond / count
--- a/membership_test.go
+++ b/membership_test.go
@@ -16,17 +16,17 @@
 		b.advance(ms, Event{Type: MembershipChanged, Peer: ordinal, Value: n, Elapsed: clock})
 	}
 	e := b.g.engineList[0]
-	e.threadLimit = 12
-	if count(1, 6, 0); e.threadLimit != 4 || b.g.tenants["t"].rate != 100.0/6 || b.g.cfg.Ordinal != 1 {
+	e.limiter.limit = 12
+	if count(1, 6, 0); e.limiter.limit != 4 || b.g.tenants["t"].rate != 100.0/6 || b.g.cfg.Ordinal != 1 {
 		t.Errorf(
 			"of 2 to 6: bound %g, quota %g, ordinal %d",
-			e.threadLimit,
+			e.limiter.limit,
 			b.g.tenants["t"].rate,
 			b.g.cfg.Ordinal,
 		)
 	}
-	if count(0, 2, 0); e.threadLimit != 4 || b.g.tenants["t"].rate != 50 || b.g.gatewayCount != 2 {
-		t.Errorf("of 6 to 2: bound %g, quota %g", e.threadLimit, b.g.tenants["t"].rate)
+	if count(0, 2, 0); e.limiter.limit != 4 || b.g.tenants["t"].rate != 50 || b.g.gatewayCount != 2 {
+		t.Errorf("of 6 to 2: bound %g, quota %g", e.limiter.limit, b.g.tenants["t"].rate)
 	}
 	for _, bad := range []Event{{Peer: 2, Value: 2}, {Peer: -1, Value: 3}, {Value: 0.5}, {Value: math.NaN()}} {
 		bad.Type = MembershipChanged
--- a/pressure_test.go
+++ b/pressure_test.go
@@ -104,7 +104,7 @@
 	}
 	b := newHarness(t, cfg, standardEngine("e1"), standardEngine("e2"), standardEngine("e3"))
 	for _, e := range b.g.engineList {
-		e.logLatency = 1.4 // four times the best
+		e.limiter.logLatency = 1.4 // four times the best
 	}
 	if b.advance(50*ms, Event{Type: TimerFired}); b.g.overloaded {
 		t.Error("idle engines count as an overload")
@@ -118,10 +118,10 @@
 	for range 400 {
 		b.advance(50*ms, Event{Type: TimerFired})
 	}
-	if b.g.overloaded || b.g.engineList[0].logLatency > 0.4 {
+	if b.g.overloaded || b.g.engineList[0].limiter.logLatency > 0.4 {
 		t.Errorf(
 			"20 s without an answer: latency %.2f, pressed %v",
-			b.g.engineList[0].logLatency,
+			b.g.engineList[0].limiter.logLatency,
 			b.g.overloaded,
 		)
 	}
