--- a/admission.go
+++ b/admission.go
@@ -45,7 +45,7 @@
 	}
 	g.queries[q.id] = q
 	if !ev.AddsNoRetryBudget {
-		g.arrivals = append(g.arrivals, g.now)
+		g.retryBudget.arrived(g.now)
 	}
 	if b := g.tenants[ev.Tenant]; b != nil && b.rate > 0 {
 		q.overQuota = !b.take(g.now, quotaMinBurst+b.rate*quotaBurstSeconds)
--- a/attempt.go
+++ b/attempt.go
@@ -104,12 +104,9 @@
 	case NoteSpilled:
 		a.spilled = true
 	case NoteFractionDone:
-		q := a.query
 		ran := (g.now - a.sentAt).Seconds()
-		total := ran / math.Max(ev.Value, 1e-3)
-		if g.mayCancelForRetry(a) && q.class.Effect == Idempotent &&
-			total > badPlanRatio*q.estimateSpread*a.estimate &&
-			total-ran > retryAdvantageRatio*q.estimateSpread*a.estimate {
+		total := ran / math.Max(ev.Value, minFractionDone)
+		if g.hasBadPlan(a, ran, total) {
 			g.cancelForRetry(a)
 		}
 	}
@@ -138,7 +135,7 @@
 func (g *Gateway) attemptStarted(a *attempt) {
 	q, e := a.query, a.engine
 	if q.attemptCount > 0 {
-		g.retries = append(g.retries, g.now)
+		g.retryBudget.retried(g.now)
 	}
 	q.attemptCount++
 	q.inFlight = append(q.inFlight, a)
--- a/estimator.go
+++ b/estimator.go
@@ -33,6 +33,20 @@
 	return min(max(miss, -math.Log(maxErrorRatio)), math.Log(maxErrorRatio))
 }
 
+// learnOverdue takes in that a running attempt has come so far over its estimate. A slow engine answers
+// nothing for long, so without this its slowness would go unseen.
+func (g *Gateway) learnOverdue(a *attempt) {
+	e := a.engine
+	observed := math.Log(a.overdueRatio * a.estimate / a.base)
+	clipped := math.Min(observed, 2*maxLogError)
+	e.logSlowness += slownessGain * math.Max(0, clipped-g.logSlowness(e))
+	// Load reports show load by themselves, and what is overdue then may be lost.
+	if g.now-g.loadReportAt > peerLoadHalfLife {
+		g.learnFleetSlowness(observed - e.logSlowness)
+	}
+	e.limiter.logLatency += latencyGain * math.Max(0, clipped-e.limiter.logLatency)
+}
+
 // learnFleetSlowness takes in what an attempt tells of the fleet's slowness: when it ends in good time, else
 // each time it becomes overdue.
 func (g *Gateway) learnFleetSlowness(ratio float64) {
@@ -138,6 +152,8 @@
 	return sum
 }
 
+var maxLogError = math.Log(maxErrorRatio)
+
 // newWeights returns zero weights. The last column is for the threads of other gateways, all classes
 // together: no gateway sees them run, so where they are told their weight does not start at zero.
 func (g *Gateway) newWeights(others float64) [][]float64 {
--- a/gateway.go
+++ b/gateway.go
@@ -50,10 +50,9 @@
 	if g.loadReportAt > g.peerLoadAt { // others act on the same report, so it is soon no longer true
 		fresh, keepNews = 0, decayFactor(loadReportHalfLife)
 	}
-	sick, pressed, all := 0, 0, 0
-	sat, busy := 0.0, 0.0
+	var census fleetCensus
 	for _, e := range g.engineList {
-		sat += e.sessions
+		census.sessions += e.sessions
 		e.logSlowness, e.limiter.logLatency = e.logSlowness*keepSlow, e.limiter.logLatency*keepCrowd
 		g.integrateMix(e)
 		g.advanceSlowStartSlot(e)
@@ -64,63 +63,27 @@
 			*others += (1 - keepNews) * (e.kind.reportedLoad*g.unobservedShare(e)*e.kind.cores - *others)
 			e.grantedMemory += (1 - keepNews) * (e.kind.grantedMemory - e.grantedMemory)
 		}
-		silent := 0
-		for _, a := range e.running {
-			if a.query.stickyEngine != "" {
-				busy++
-			}
-			age := (g.now - a.sentAt).Seconds()
-			// Danger: a slow engine answers nothing for long, so its slowness would go unseen. But a lost
-			// answer tells nothing of slowness; where notes show what runs, none is taken for that.
-			if age > a.overdueRatio*a.estimate && !a.cancelled &&
-				!(a.presumedLost && g.cfg.ProgressInterval == 0) {
-				seen := math.Log(a.overdueRatio * a.estimate / a.base)
-				e.logSlowness += slownessGain * math.Max(
-					0,
-					math.Min(seen, 2*math.Log(maxErrorRatio))-g.logSlowness(e),
-				)
-				if g.now-g.loadReportAt > peerLoadHalfLife { // reports show a crowd; what is overdue may be lost
-					g.learnFleetSlowness(seen - e.logSlowness)
-				}
-				e.limiter.logLatency += latencyGain * math.Max(
-					0,
-					math.Min(seen, 2*math.Log(maxErrorRatio))-e.limiter.logLatency,
-				)
-				a.overdueRatio *= firstOverdueRatio
-				if a.overdueRatio > presumedLostRatio && !a.presumedLost {
-					// Danger: a lost answer would hold its room until the client gives up.
-					g.releaseThreads(a)
-					a.presumedLost = true
-					e.failed++
-				}
-			}
-			if g.isOverdue(a, age) {
-				g.cancelForRetry(a)
-			}
-			if age > silenceEstimateRatio*a.estimate && e.lastHeardAt < a.sentAt+g.cfg.ProgressInterval &&
-				g.now-e.lastHeardAt > minSilence {
-				silent++
-			}
-		}
+		silent := g.reviewAttempts(e, &census)
 		if !e.active {
 			continue
 		}
 		if !e.outlier.ejected {
 			g.scratch = append(g.scratch, e.logSlowness)
 		}
-		if all++; g.isUnderPressure(e) {
-			pressed++
+		census.active++
+		if g.isUnderPressure(e) {
+			census.underPressure++
 		}
 		if silent >= silentAttemptsToEject && !e.outlier.ejected {
 			g.ejectSilent(e)
 		}
 		if e.outlier.ejected {
-			sick++
+			census.ejected++
 			g.retryEjected(e)
 		}
 	}
-	if sat > 0 {
-		g.sessionActivity += (1 - keepCrowd) * (busy/sat - g.sessionActivity)
+	if census.sessions > 0 {
+		g.sessionActivity += (1 - keepCrowd) * (census.busySessions/census.sessions - g.sessionActivity)
 	}
 	if sort.Float64s(g.scratch); len(g.scratch) > 0 {
 		g.medianLogSlowness = g.scratch[len(g.scratch)/2]
@@ -130,7 +93,7 @@
 		e.excessLogSlowness = e.logSlowness - g.medianLogSlowness
 	}
 	// Danger: all engines in trouble together is not one sick engine; shunning them all serves nobody.
-	g.mostEjected = sick*2 > all
+	g.mostEjected = census.ejected*2 > census.active
 	g.pressure = math.Exp(g.fleetLogSlowness) / calmSlowness
 	step := -1.0 // without news the margin falls back: slowness alone may be no overload, and stay
 	if g.now-max(g.peerLoadAt, g.loadReportAt) < peerLoadHalfLife {
@@ -140,7 +103,13 @@
 		step = math.Log(math.Max(g.pressure, minPressure))
 	}
 	g.margin = min(max(g.margin*math.Exp(step*marginGain*tickInterval.Seconds()), 1), maxMargin)
-	g.overloaded = g.pressure > 1 || pressed*overloadedOneIn > all
+	g.overloaded = g.pressure > 1 || census.underPressure*overloadedOneIn > census.active
+}
+
+// fleetCensus is what a tick counts over the engines.
+type fleetCensus struct {
+	active, ejected, underPressure int     // engines
+	sessions, busySessions         float64 // sticky sessions, and attempts that run for them
 }
 
 // decayFactor is the share of a value kept from tick to tick, given its half-life.
@@ -238,8 +207,8 @@
 	overloaded               bool          // the fleet is under pressure
 	pressure                 float64
 	margin                   float64
-	peerLoadAt, loadReportAt time.Duration   // when peers, and engines, last told of load
-	arrivals, retries        []time.Duration // times of queries taken and of further attempts (rule 7)
+	peerLoadAt, loadReportAt time.Duration // when peers, and engines, last told of load
+	retryBudget              retryBudget
 }
 
 func (g *Gateway) emit(a Action) { g.actions = append(g.actions, a) }
