--- a/admission_test.go
+++ b/admission_test.go
@@ -60,7 +60,7 @@
 			b.submit(id+1, "short", "")
 			b.advance(0, attemptDoneEvent(b.lastActions[0], 0, OutcomeOK, 200*ms))
 		}
-		b.g.overloaded = overload
+		b.g.pressure.overloaded = overload
 		got := b.advance(
 			ms,
 			Event{Type: QueryArrived, Query: 99, Class: "short", RemainingDeadline: 10 * time.Second,
@@ -84,7 +84,7 @@
 		for id := range QueryID(10) { // fills the engine up to the bound's cap
 			b.submit(id+1, "short", "")
 		}
-		b.g.overloaded = overload
+		b.g.pressure.overloaded = overload
 		*b.g.tenants["t"] = tokenBucket{rate: 0.05, updatedAt: b.now} // used up
 		ev := Event{
 			Type:              QueryArrived,
--- a/attempt.go
+++ b/attempt.go
@@ -24,15 +24,7 @@
 	}
 	g.setResources(a)
 	g.emit(Action{Type: Send, Query: q.id, Engine: e.ID, StartWithin: g.slowStartSendLimit(e)})
-	// Danger: sums come too late for what outlasts them, and gateways would fill the same engines.
-	if g.cfg.MayGossip && g.gatewayCount > 1 && a.base*q.class.threads >= minAnnouncedWork {
-		entry := []PeerLoad{{Tag: e.tag, Threads: q.class.threads}}
-		if h := g.aggregator(g.aggregatorTerm()); h != g.cfg.Ordinal {
-			g.sendToPeer(h, PeerSendNotice, entry)
-		} else {
-			g.toForward = append(g.toForward, entry...)
-		}
-	}
+	g.announceSend(a)
 	g.chargeSlowStart(q, e)
 	g.attemptStarted(a)
 }
--- a/concurrency.go
+++ b/concurrency.go
@@ -48,7 +48,7 @@
 
 // fleetThreadsFull reports whether ours run all that they may over all engines: under pressure only.
 func (g *Gateway) fleetThreadsFull() bool {
-	return g.pressure > 1 && g.ownThreads >= fleetThreadLimitRatio*g.fairShare()
+	return g.pressure.level > 1 && g.ownThreads >= fleetThreadLimitRatio*g.fairShare()
 }
 
 // isUnderPressure reports whether an engine whose cores we use is slow.
@@ -75,7 +75,7 @@
 	l.logLatency += latencyGain * (logLatency - l.logLatency)
 	latency := math.Exp(l.logLatency)
 	switch {
-	case latency < calmLatencyRatio && !g.overloaded:
+	case latency < calmLatencyRatio && !g.pressure.overloaded:
 		if e.ownThreads >= threadLimitUsedShare*l.limit { // a limit that is not felt needs no widening
 			most := math.Max(maxThreadLimitPerCore*e.kind.cores, 1)
 			l.limit = math.Min(l.limit+threadLimitStep*c.threads/l.limit, most)
--- a/engine.go
+++ b/engine.go
@@ -144,3 +144,6 @@
 		return gone
 	})
 }
+
+// othersThreads is the place where an engine's mix counts the threads of other gateways.
+func (e *engine) othersThreads() *float64 { return &e.runningCount[len(e.runningCount)-1] }
--- a/estimator.go
+++ b/estimator.go
@@ -41,7 +41,7 @@
 	clipped := math.Min(observed, 2*maxLogError)
 	e.logSlowness += slownessGain * math.Max(0, clipped-g.logSlowness(e))
 	// Load reports show load by themselves, and what is overdue then may be lost.
-	if g.now-g.loadReportAt > peerLoadHalfLife {
+	if g.now-g.pressure.loadReportAt > peerLoadHalfLife {
 		g.learnFleetSlowness(observed - e.logSlowness)
 	}
 	e.limiter.logLatency += latencyGain * math.Max(0, clipped-e.limiter.logLatency)
--- a/gateway.go
+++ b/gateway.go
@@ -3,7 +3,6 @@
 import (
 	"math"
 	"math/rand/v2"
-	"sort"
 	"time"
 )
 
@@ -32,37 +31,16 @@
 	if g.cfg.PollEngineList && g.now >= g.listPollAt {
 		g.pollEngineList()
 	}
-	g.gossip()
+	g.gossipRound()
+	g.decayKindLoads()
 	g.scratch = g.scratch[:0]
-	g.fleetLoad *= decayFactor(peerLoadHalfLife)
-	keepCrowd := decayFactor(kindLoadHalfLife)
-	for _, k := range g.kinds { // in any order
-		k.reportedLoad, k.grantedMemory = k.reportedLoad*keepCrowd, k.grantedMemory*keepCrowd
-	}
-	keepSlow, keepRecent, keepNews := decayFactor(
-		slownessHalfLife,
-	), decayFactor(
-		peerReportInterval,
-	), decayFactor(
-		peerLoadHalfLife,
-	)
-	fresh := peerLoadHalfLife
-	if g.loadReportAt > g.peerLoadAt { // others act on the same report, so it is soon no longer true
-		fresh, keepNews = 0, decayFactor(loadReportHalfLife)
-	}
+	decay := g.newLoadDecay()
 	var census fleetCensus
 	for _, e := range g.engineList {
 		census.sessions += e.sessions
-		e.logSlowness, e.limiter.logLatency = e.logSlowness*keepSlow, e.limiter.logLatency*keepCrowd
 		g.integrateMix(e)
 		g.advanceSlowStartSlot(e)
-		others, less := &e.runningCount[len(g.classList)], e.recentSends*(1-keepRecent)
-		e.recentSends, *others = e.recentSends-less, math.Max(0, *others-less)
-		// Danger: an engine of which nothing is told would look free; it is taken to be like its kind.
-		if g.now-e.loadKnownAt > fresh {
-			*others += (1 - keepNews) * (e.kind.reportedLoad*g.unobservedShare(e)*e.kind.cores - *others)
-			e.grantedMemory += (1 - keepNews) * (e.kind.grantedMemory - e.grantedMemory)
-		}
+		g.decayLoad(e, decay)
 		silent := g.reviewAttempts(e, &census)
 		if !e.active {
 			continue
@@ -83,27 +61,12 @@
 		}
 	}
 	if census.sessions > 0 {
-		g.sessionActivity += (1 - keepCrowd) * (census.busySessions/census.sessions - g.sessionActivity)
-	}
-	if sort.Float64s(g.scratch); len(g.scratch) > 0 {
-		g.medianLogSlowness = g.scratch[len(g.scratch)/2]
+		g.sessionActivity += (1 - decayFactor(kindLoadHalfLife)) * (census.busySessions/census.sessions - g.sessionActivity)
 	}
-	for _, e := range g.engineList {
-		// Danger: with many outcomes a tick, slowness as it is now and a median of before chase one another.
-		e.excessLogSlowness = e.logSlowness - g.medianLogSlowness
-	}
-	// Danger: all engines in trouble together is not one sick engine; shunning them all serves nobody.
+	g.updateExcessSlowness()
+	// All engines failing together is no outlier among them; ejecting them all would serve nobody.
 	g.mostEjected = census.ejected*2 > census.active
-	g.pressure = math.Exp(g.fleetLogSlowness) / calmSlowness
-	step := -1.0 // without news the margin falls back: slowness alone may be no overload, and stay
-	if g.now-max(g.peerLoadAt, g.loadReportAt) < peerLoadHalfLife {
-		g.pressure = g.fleetLoad / targetThreadsPerCore
-	}
-	if g.now-g.peerLoadAt < peerLoadHalfLife {
-		step = math.Log(math.Max(g.pressure, minPressure))
-	}
-	g.margin = min(max(g.margin*math.Exp(step*marginGain*tickInterval.Seconds()), 1), maxMargin)
-	g.overloaded = g.pressure > 1 || census.underPressure*overloadedOneIn > census.active
+	g.pressure.update(g.now, g.fleetLogSlowness, census)
 }
 
 // fleetCensus is what a tick counts over the engines.
@@ -125,10 +88,10 @@
 	g := &Gateway{cfg: cfg, classes: map[string]*class{}, kinds: map[string]*kind{},
 		engines: map[EngineID]*engine{}, enginesByTag: map[uint16]*engine{},
 		queries: map[QueryID]*query{}, attempts: map[attemptKey]*attempt{},
-		keyOrder: keyOrder{keys: map[string]*orderKey{}}, tenants: map[string]*tokenBucket{}, peerReports: map[int]receivedReport{},
+		keyOrder: keyOrder{keys: map[string]*orderKey{}}, tenants: map[string]*tokenBucket{},
+		gossip: gossipState{reports: map[int]receivedReport{}}, pressure: newLoadPressure(),
 		gatewayCount: math.Max(1, float64(cfg.GatewayCount)),
-		margin:       1, peerLoadAt: -peerLoadHalfLife, loadReportAt: -peerLoadHalfLife,
-		random: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Ordinal)))}
+		random:       rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Ordinal)))}
 	for i, c := range cfg.Classes {
 		k := &class{
 			Class:       c,
@@ -192,23 +155,15 @@
 	shutdownAt      time.Duration // no answer may be given later; 0: none told
 	started         bool
 
-	gatewayCount             float64
-	fleetLogSlowness         float64 // log of the fleet's slowness, of which an engine's own is a deviation
-	ownThreads               float64 // ours running on all engines
-	cores                    float64 // told cores of all engines on the list
-	fleetLoad                float64 // threads a core over the whole fleet, as told
-	peerReports              map[int]receivedReport
-	gossipAt                 time.Duration
-	clockOffset              time.Duration // how far the gateways' common clock is ahead of ours
-	toForward                []PeerLoad    // entries of sent queries to pass on
-	aggregationRounds        int           // reports sent since this gateway last became a hub; 0: it is none
-	medianLogSlowness        float64       // of the engines' slowness
-	mostEjected              bool          // so many engines are sick that it is the fleet
-	overloaded               bool          // the fleet is under pressure
-	pressure                 float64
-	margin                   float64
-	peerLoadAt, loadReportAt time.Duration // when peers, and engines, last told of load
-	retryBudget              retryBudget
+	gatewayCount      float64
+	fleetLogSlowness  float64 // log of the fleet's slowness, of which an engine's own is a deviation
+	ownThreads        float64 // ours running on all engines
+	cores             float64 // told cores of all engines on the list
+	medianLogSlowness float64 // of the engines' slowness
+	mostEjected       bool    // so many engines are sick that it is the fleet
+	pressure          loadPressure
+	gossip            gossipState
+	retryBudget       retryBudget
 }
 
 func (g *Gateway) emit(a Action) { g.actions = append(g.actions, a) }
@@ -239,7 +194,7 @@
 		g.handleProgress(ev)
 	case MembershipChanged:
 		g.handleMembership(ev.Peer, ev.Value)
-		g.clockOffset = ev.Elapsed - g.now
+		g.gossip.clockOffset = ev.Elapsed - g.now
 	case EngineReportedDown:
 		g.handleReportedDown(g.engines[ev.Engine])
 	case ShutdownScheduled:
--- a/gossip.go
+++ b/gossip.go
@@ -5,174 +5,241 @@
 	"time"
 )
 
+// At full size one gateway's queries show nearly nothing of an engine, so gateways report to an aggregator,
+// a duty that goes round, what they run where and how it ended; the aggregator broadcasts the sums. What is
+// lost or stale decays, and decisions then rest on what a gateway sees itself.
+
 const (
-	peerReportInterval     = 500 * time.Millisecond // pace of reports to the hub
-	minAnnouncedWork       = 1.0                    // thread seconds from which a sent query is told at once
-	aggregatorTermLength   = 5 * time.Second        // how long a gateway is the hub
-	peerLoadHalfLife       = 2 * time.Second        // of what was told
-	minPeerFailuresToEject = 3.0                    // failures and lost answers that may call an engine sick
-	peerOutcomeRetention   = 0.8                    // part of the evidence kept each time sums are told
-	kindLoadHalfLife       = 10 * time.Second       // of a kind's crowding while nothing is reported
+	peerReportInterval     = 500 * time.Millisecond // pace of reports to the aggregator
+	minAnnouncedWork       = 1.0                    // thread seconds from which a send is announced
+	aggregatorTermLength   = 5 * time.Second        // how long a gateway is the aggregator
+	aggregatorWarmUpRounds = 2                      // rounds of reports before it broadcasts...
+	roundsPerBroadcast     = 2                      // ...in one round of so many
+	peerReportLifetime     = 2 * peerReportInterval
+	peerLoadHalfLife       = 2 * time.Second  // of what peers report
+	minPeerFailuresToEject = 3.0              // failures and lost answers that may call for an ejection
+	peerOutcomeRetention   = 0.8              // part of the outcomes kept with each broadcast
+	kindLoadHalfLife       = 10 * time.Second // of a kind's load while nothing is reported
 )
 
-// Evidence of peers. At full size one gateway's queries tell nearly nothing of an engine, so gateways report
-// to a hub, a part that goes round, what they run where and how it ended; the hub tells all the sums. What is
-// lost or stale fades, and decisions then rest on what a gateway sees itself.
+// gossipState is a gateway's part in gossip.
+type gossipState struct {
+	nextAt      time.Duration // of the next round
+	clockOffset time.Duration // how far the gateways' common clock is ahead of ours
+	toForward   []PeerLoad    // announced sends to pass on with the next tick
+	reports     map[int]receivedReport
+	rounds      int // since this gateway last became aggregator; 0: it is none
+}
+
+// receivedReport is what a peer reported of what it runs.
+type receivedReport struct {
+	at      time.Duration
+	entries []PeerLoad
+}
 
-// aggregatorTerm is the number of the present turn, by the clock that all gateways share.
+// aggregatorTerm is the number of the present term, by the clock that all gateways share.
 func (g *Gateway) aggregatorTerm() time.Duration {
-	return (g.now + g.clockOffset) / aggregatorTermLength
+	return (g.now + g.gossip.clockOffset) / aggregatorTermLength
 }
 
-// aggregator returns the gateway that gathers in a turn.
-func (g *Gateway) aggregator(turn time.Duration) int { return aggregatorOf(turn, g.cfg.GatewayCount) }
+// aggregator returns the gateway that aggregates in a term.
+func (g *Gateway) aggregator(term time.Duration) int { return aggregatorOf(term, g.cfg.GatewayCount) }
 
-func aggregatorOf(turn time.Duration, gateways int) int {
-	return int(uint64(turn) * 0x9e3779b97f4a7c15 >> 33 % uint64(gateways))
+func aggregatorOf(term time.Duration, gateways int) int {
+	const multiplier = 0x9e3779b97f4a7c15 // of Fibonacci hashing
+	return int(uint64(term) * multiplier >> 33 % uint64(gateways))
 }
 
-// MayAggregate reports whether a gateway may tell others what it gathered, at a time of their common clock,
+// MayAggregate reports whether a gateway may broadcast what it aggregated, at a time of their common clock,
 // where clocks differ by less than the pace of reports.
 func MayAggregate(ordinal, gateways int, clock time.Duration) bool {
-	for turn := (clock - peerReportInterval) / aggregatorTermLength; turn <= (clock+peerReportInterval)/aggregatorTermLength+1; turn++ {
-		if aggregatorOf(turn, max(gateways, 1)) == ordinal {
+	last := (clock+peerReportInterval)/aggregatorTermLength + 1
+	for term := (clock - peerReportInterval) / aggregatorTermLength; term <= last; term++ {
+		if aggregatorOf(term, max(gateways, 1)) == ordinal {
 			return true
 		}
 	}
 	return false
 }
 
-func (g *Gateway) gossip() {
-	if len(g.toForward) > 0 { // a batch of a tick costs far less than a message to all for each query
-		g.sendToPeer(-1, PeerForwardedSends, g.toForward)
-		g.toForward = g.toForward[:0]
+// gossipRound forwards announced sends at each tick and, at its pace, reports what this gateway runs. The
+// aggregator broadcasts what was reported to it.
+func (g *Gateway) gossipRound() {
+	s := &g.gossip
+	if len(s.toForward) > 0 { // a batch of a tick costs far less than a message to all for each query
+		g.sendToPeer(allPeers, PeerForwardedSends, s.toForward)
+		s.toForward = s.toForward[:0]
+	}
+	if !g.cfg.MayGossip || g.cfg.GatewayCount < 2 || g.now < s.nextAt {
+		return
+	}
+	s.nextAt = g.now + peerReportInterval
+	own := g.ownReport()
+	// An aggregator may be dead, so the one of the next term aggregates and broadcasts as well.
+	rounds := 0
+	for term := g.aggregatorTerm(); term <= g.aggregatorTerm()+1; term++ {
+		if to := g.aggregator(term); to == g.cfg.Ordinal {
+			rounds = s.rounds + 1
+		} else {
+			g.sendToPeer(to, PeerLoadReport, own)
+		}
 	}
-	if !g.cfg.MayGossip || g.cfg.GatewayCount < 2 || g.now < g.gossipAt {
+	if s.rounds = rounds; rounds == 0 {
+		clear(s.reports)
 		return
 	}
-	g.gossipAt = g.now + peerReportInterval
-	var own []PeerLoad
+	g.collectReport(g.cfg.Ordinal, own)
+	// One that has only begun knows few of its peers, and would broadcast a calm that is none.
+	if rounds > aggregatorWarmUpRounds && rounds%roundsPerBroadcast == 0 {
+		g.broadcastAggregate()
+	}
+}
+
+// ownReport is what this gateway runs on each engine, and how attempts ended since the last report.
+func (g *Gateway) ownReport() (own []PeerLoad) {
 	for _, e := range g.engineList {
 		if e.ownThreads > 0 || e.succeeded+e.failed > 0 {
 			own = append(own, PeerLoad{e.tag, e.ownThreads, e.succeeded, e.failed})
 			e.succeeded, e.failed = 0, 0
 		}
 	}
-	// Danger: a hub may be dead, so the one of the next turn gathers and tells as well.
-	gathers := 0
-	for turn := g.aggregatorTerm(); turn <= g.aggregatorTerm()+1; turn++ {
-		if h := g.aggregator(turn); h == g.cfg.Ordinal {
-			gathers = g.aggregationRounds + 1
-		} else {
-			g.sendToPeer(h, PeerLoadReport, own)
-		}
+	return own
+}
+
+// announceSend reports a sent query of much work at once: sums come too late for what outlasts them, and
+// gateways would fill the same engines.
+func (g *Gateway) announceSend(a *attempt) {
+	threads := a.query.class.threads
+	if !g.cfg.MayGossip || g.gatewayCount <= 1 || a.base*threads < minAnnouncedWork {
+		return
+	}
+	entry := []PeerLoad{{Tag: a.engine.tag, Threads: threads}}
+	if to := g.aggregator(g.aggregatorTerm()); to != g.cfg.Ordinal {
+		g.sendToPeer(to, PeerSendNotice, entry)
+	} else {
+		g.gossip.toForward = append(g.gossip.toForward, entry...)
+	}
+}
+
+// allPeers is the recipient of a broadcast.
+const allPeers = -1
+
+func (g *Gateway) sendToPeer(peer int, m PeerMessageType, entries []PeerLoad) {
+	for _, data := range encodePeerMessage(m, entries) {
+		g.emit(Action{Type: SendToPeer, Peer: peer, Data: data})
 	}
-	if g.aggregationRounds = gathers; gathers == 0 {
-		clear(g.peerReports)
+}
+
+func (g *Gateway) handlePeerMessage(ev *Event) {
+	if ev.Peer < 0 || ev.Peer >= g.cfg.GatewayCount {
 		return
 	}
-	g.collectReport(g.cfg.Ordinal, own)
-	// Danger: a hub that has only begun knows few of its peers, and would tell of a calm that is none.
-	if gathers > 2 && gathers%2 == 0 {
-		g.broadcastAggregate()
+	m, entries := DecodePeerMessage(ev.Data)
+	switch m {
+	case PeerLoadReport:
+		g.collectReport(ev.Peer, entries)
+	case PeerSendNotice:
+		g.gossip.toForward = append(g.gossip.toForward, entries...)
+		g.applySends(entries)
+	case PeerForwardedSends:
+		g.applySends(entries)
+	case PeerAggregate:
+		g.applyAggregate(entries)
+	}
+}
+
+// collectReport takes in a peer's report, or our own.
+func (g *Gateway) collectReport(peer int, entries []PeerLoad) {
+	g.gossip.reports[peer] = receivedReport{g.now, entries}
+	for _, entry := range entries {
+		if e := g.enginesByTag[entry.Tag]; e != nil {
+			e.succeededTotal += float64(entry.Succeeded)
+			e.failedTotal += float64(entry.Failed)
+		}
 	}
 }
 
 // broadcastAggregate passes on the sums of the reports, to this gateway too.
-// Danger: an engine that fails at once, or whose attempts are taken for lost, looks empty and would draw
-// all, so its load counts for more, and as the most where little good comes from it. What befalls all alike,
-// as answers lost on the way, is no engine's fault, and would pass for an overload.
 func (g *Gateway) broadcastAggregate() {
-	good, bad := 0.0, 0.0
+	fleetSucceeded, fleetFailed := 0.0, 0.0
 	for _, e := range g.engineList {
 		e.aggregateLoad = 0
-		good, bad = good+e.succeededTotal, bad+e.failedTotal
-	}
-	for _, r := range g.peerReports {
-		for _, n := range r.entries {
-			if e := g.enginesByTag[n.Tag]; e != nil && g.now-r.at < 2*peerReportInterval {
-				e.aggregateLoad += n.Threads
-			}
-		}
+		fleetSucceeded, fleetFailed = fleetSucceeded+e.succeededTotal, fleetFailed+e.failedTotal
 	}
+	g.sumReports()
 	var sums []PeerLoad
 	for _, e := range g.engineList {
-		worse := math.Max(0, e.failedTotal/(e.failedTotal+e.succeededTotal+1)-bad/(bad+good+1))
-		load := math.Min(e.aggregateLoad*(1+failureCostWeight*worse), maxPeerLoad-1)
-		if bad < good && e.failedTotal > math.Max(minPeerFailuresToEject, e.succeededTotal) {
-			load = maxPeerLoad
-		}
-		if e.active {
+		if load := e.loadToBroadcast(fleetSucceeded, fleetFailed); e.active {
 			sums = append(sums, PeerLoad{Tag: e.tag, Threads: load})
 		}
-		e.succeededTotal, e.failedTotal = e.succeededTotal*peerOutcomeRetention, e.failedTotal*peerOutcomeRetention
+		e.succeededTotal *= peerOutcomeRetention
+		e.failedTotal *= peerOutcomeRetention
 	}
-	g.sendToPeer(-1, PeerAggregate, sums)
-	g.applyPeerLoads(PeerAggregate, sums)
+	g.sendToPeer(allPeers, PeerAggregate, sums)
+	g.applyAggregate(sums)
 }
 
-// applyPeerLoads takes in loads: sums replace what was known, sent queries add to it until the sums hold
-// them.
-func (g *Gateway) applyPeerLoads(m PeerMessageType, entries []PeerLoad) {
-	threads, cores := 0.0, 0.0
-	for _, n := range entries {
-		e := g.enginesByTag[n.Tag]
-		if e == nil {
-			continue
-		}
-		g.integrateMix(e)
-		others := &e.runningCount[len(g.classList)]
-		if m != PeerAggregate {
-			e.recentSends += n.Threads * g.unobservedShare(e)
-			*others += n.Threads * g.unobservedShare(e)
+// sumReports adds up the loads of the reports that are not too old.
+func (g *Gateway) sumReports() {
+	for _, r := range g.gossip.reports {
+		if g.now-r.at >= peerReportLifetime {
 			continue
 		}
-		if n.Threads < maxPeerLoad {
-			threads, cores = threads+n.Threads, cores+e.kind.cores
-		}
-		*others, e.loadKnownAt = math.Max(0, n.Threads-e.ownThreads)*g.unobservedShare(e)+e.recentSends, g.now
-	}
-	if cores > 0 {
-		g.fleetLoad, g.peerLoadAt = threads/cores, g.now
-		for _, k := range g.kinds {
-			k.reportedLoad = g.fleetLoad
+		for _, entry := range r.entries {
+			if e := g.enginesByTag[entry.Tag]; e != nil {
+				e.aggregateLoad += entry.Threads
+			}
 		}
 	}
 }
 
-func (g *Gateway) handlePeerMessage(ev *Event) {
-	m, entries := DecodePeerMessage(ev.Data)
-	switch {
-	case ev.Peer < 0 || ev.Peer >= g.cfg.GatewayCount:
-	case m == PeerLoadReport:
-		g.collectReport(ev.Peer, entries)
-	case m == PeerSendNotice:
-		g.toForward = append(g.toForward, entries...)
-		fallthrough
-	case m == PeerForwardedSends || m == PeerAggregate:
-		g.applyPeerLoads(m, entries)
+// loadToBroadcast is the load of an engine as others are to see it. One that fails at once, or whose
+// attempts are presumed lost, looks empty and would draw all, so its load counts for more, and as the most
+// where few attempts succeed. What affects all engines alike, as answers lost on the way, is no engine's
+// fault, and would pass for an overload, so only failures beyond the fleet's count.
+func (e *engine) loadToBroadcast(fleetSucceeded, fleetFailed float64) float64 {
+	own := e.failedTotal / (e.failedTotal + e.succeededTotal + 1)
+	excess := math.Max(0, own-fleetFailed/(fleetFailed+fleetSucceeded+1))
+	if fleetFailed < fleetSucceeded && e.failedTotal > math.Max(minPeerFailuresToEject, e.succeededTotal) {
+		return maxPeerLoad
 	}
+	return math.Min(e.aggregateLoad*(1+failureCostWeight*excess), maxPeerLoad-1)
 }
 
-// collectReport takes in a report.
-func (g *Gateway) collectReport(peer int, entries []PeerLoad) {
-	g.peerReports[peer] = receivedReport{g.now, entries}
-	for _, n := range entries {
-		if e := g.enginesByTag[n.Tag]; e != nil {
-			e.succeededTotal += float64(n.Succeeded)
-			e.failedTotal += float64(n.Failed)
+// applySends takes in announced sends: they add to an engine's known load until the sums hold them.
+func (g *Gateway) applySends(entries []PeerLoad) {
+	for _, entry := range entries {
+		e := g.enginesByTag[entry.Tag]
+		if e == nil {
+			continue
 		}
+		g.integrateMix(e)
+		seen := entry.Threads * g.unobservedShare(e)
+		e.recentSends += seen
+		*e.othersThreads() += seen
 	}
 }
 
-// receivedReport is what a peer told of what it runs.
-type receivedReport struct {
-	at      time.Duration
-	entries []PeerLoad
-}
-
-func (g *Gateway) sendToPeer(peer int, m PeerMessageType, entries []PeerLoad) {
-	for _, data := range encodePeerMessage(m, entries) {
-		g.emit(Action{Type: SendToPeer, Peer: peer, Data: data})
+// applyAggregate takes in sums: they replace what was known of others' load.
+func (g *Gateway) applyAggregate(entries []PeerLoad) {
+	threads, cores := 0.0, 0.0
+	for _, entry := range entries {
+		e := g.enginesByTag[entry.Tag]
+		if e == nil {
+			continue
+		}
+		g.integrateMix(e)
+		if entry.Threads < maxPeerLoad {
+			threads, cores = threads+entry.Threads, cores+e.kind.cores
+		}
+		*e.othersThreads() = math.Max(0, entry.Threads-e.ownThreads)*g.unobservedShare(e) + e.recentSends
+		e.loadKnownAt = g.now
+	}
+	if cores <= 0 {
+		return
+	}
+	g.pressure.threadsACore, g.pressure.peerLoadAt = threads/cores, g.now
+	for _, k := range g.kinds {
+		k.reportedLoad = g.pressure.threadsACore
 	}
 }
--- a/gossip_test.go
+++ b/gossip_test.go
@@ -12,7 +12,7 @@
 	for _, e := range b.g.engineList {
 		e.succeededTotal, e.failedTotal = 70, 30
 	}
-	b.g.peerReports[1] = uniformPeerReport(b, 8)
+	b.g.gossip.reports[1] = uniformPeerReport(b, 8)
 	b.g.broadcastAggregate()
 	for _, e := range b.g.engineList {
 		if load := e.runningCount[len(b.g.classList)] / b.g.unobservedShare(e); load > 9 {
@@ -29,7 +29,7 @@
 	}
 	bad := b.g.engineList[0]
 	bad.succeededTotal, bad.failedTotal = 60, 40
-	b.g.peerReports[1] = uniformPeerReport(b, 8)
+	b.g.gossip.reports[1] = uniformPeerReport(b, 8)
 	b.g.broadcastAggregate()
 	if load := bad.runningCount[len(b.g.classList)] / b.g.unobservedShare(bad); load < 12 {
 		t.Errorf("8 threads on an engine that fails two in five are told as %.1f", load)
--- a/membership.go
+++ b/membership.go
@@ -1,19 +1,17 @@
 package cresspass
 
-import (
-	"math"
-)
+import "math"
 
-// handleMembership has all shares follow the number of gateways. Danger: bounds that were widened as one of
-// few would together be far too wide for many, and would shrink only as engines crowd.
+// handleMembership has all shares follow the number of gateways. Limits that were widened as one of few
+// gateways would together be far too wide for many, and would shrink only as engines fill, so they are cut
+// at once.
 func (g *Gateway) handleMembership(ordinal int, count float64) {
 	if !(count >= 1 && count < math.MaxInt32) || ordinal < 0 || float64(ordinal) >= count {
 		return
 	}
-	if ordinal != g.cfg.Ordinal ||
-		count != g.gatewayCount { // reports are by ordinals, which may be others' now
-		clear(g.peerReports)
-		g.aggregationRounds = 0
+	if ordinal != g.cfg.Ordinal || count != g.gatewayCount { // an ordinal may be another's now
+		clear(g.gossip.reports)
+		g.gossip.rounds = 0
 	}
 	fewer := math.Min(1, g.gatewayCount/count)
 	g.cfg.Ordinal, g.cfg.GatewayCount, g.gatewayCount = ordinal, int(count), count
--- a/placement.go
+++ b/placement.go
@@ -24,7 +24,7 @@
 // nothing of itself, and one that fills up looks as free as it was when last heard of.
 func (g *Gateway) probeLoad(q *query) {
 	reports := g.cfg.MayCheckHealth && slices.Contains(g.cfg.LoadReportFields, "concurrent")
-	if !reports || g.now-g.peerLoadAt < peerLoadHalfLife || g.baseTime(q)*q.class.threads < minAnnouncedWork {
+	if !reports || g.now-g.pressure.peerLoadAt < peerLoadHalfLife || g.baseTime(q)*q.class.threads < minAnnouncedWork {
 		return
 	}
 	asked := 0
@@ -49,7 +49,7 @@
 	var bestCost float64
 	var bestIdle, usable bool
 	left := g.remainingTime(q)
-	caution := g.margin * math.Max(1, g.pressure)
+	caution := g.pressure.margin * math.Max(1, g.pressure.level)
 	try := g.random.Float64()
 	margin, opened := 1.0, 0.0
 	for _, e := range g.engineList {
@@ -57,7 +57,7 @@
 			opened += g.sessionCount(e)
 		}
 	}
-	if g.overloaded && q.hasCostEstimate {
+	if g.pressure.overloaded && q.hasCostEstimate {
 		// Danger: in an overload a few very long queries take the room of many; each earns no more than one.
 		size := g.baseTime(q) * q.class.threads / q.class.meanWork
 		margin = math.Pow(math.Max(1, size/fairSizeRatio), 2)
@@ -96,7 +96,7 @@
 			continue
 		}
 		wait = true
-		if full := g.pressure > 1 && g.ownThreads >= fleetThreadLimitRatio*g.fairShare(); full ||
+		if full := g.pressure.level > 1 && g.ownThreads >= fleetThreadLimitRatio*g.fairShare(); full ||
 			blocked[e] ||
 			g.atThreadLimit(e) {
 			blocked[e] = true
@@ -130,7 +130,7 @@
 		}
 	}
 	// Danger: where fronts are uneven our part of a quota is a guess; it counts in an overload only.
-	return best, wait && !(q.overQuota && g.overloaded) || !usable && g.baseTime(q) <= left
+	return best, wait && !(q.overQuota && g.pressure.overloaded) || !usable && g.baseTime(q) <= left
 }
 
 // mayUse guards what concerns a query on one engine: the group that drops repeats (rule 2), drains
--- a/pressure_test.go
+++ b/pressure_test.go
@@ -106,23 +106,23 @@
 	for _, e := range b.g.engineList {
 		e.limiter.logLatency = 1.4 // four times the best
 	}
-	if b.advance(50*ms, Event{Type: TimerFired}); b.g.overloaded {
+	if b.advance(50*ms, Event{Type: TimerFired}); b.g.pressure.overloaded {
 		t.Error("idle engines count as an overload")
 	}
 	for _, e := range b.g.engineList {
 		e.ownThreads = 6
 	}
-	if b.advance(50*ms, Event{Type: TimerFired}); !b.g.overloaded {
+	if b.advance(50*ms, Event{Type: TimerFired}); !b.g.pressure.overloaded {
 		t.Error("slow engines with most of their cores in use count as none")
 	}
 	for range 400 {
 		b.advance(50*ms, Event{Type: TimerFired})
 	}
-	if b.g.overloaded || b.g.engineList[0].limiter.logLatency > 0.4 {
+	if b.g.pressure.overloaded || b.g.engineList[0].limiter.logLatency > 0.4 {
 		t.Errorf(
 			"20 s without an answer: latency %.2f, pressed %v",
 			b.g.engineList[0].limiter.logLatency,
-			b.g.overloaded,
+			b.g.pressure.overloaded,
 		)
 	}
 }
@@ -143,10 +143,10 @@
 			)
 		}
 	}
-	if b.g.pressure > 1 || b.g.fleetLogSlowness > 0.5 {
+	if b.g.pressure.level > 1 || b.g.fleetLogSlowness > 0.5 {
 		t.Errorf(
 			"pressure %.2f, slowness %.2f though engines report half a thread a core",
-			b.g.pressure,
+			b.g.pressure.level,
 			b.g.fleetLogSlowness,
 		)
 	}
@@ -163,7 +163,7 @@
 		healthCheckWithReport("e02", 1),
 		Event{Type: TimerFired},
 	)
-	if b.g.pressure < 1 {
-		t.Errorf("pressure %.2f: cores in full use read as calm", b.g.pressure)
+	if b.g.pressure.level < 1 {
+		t.Errorf("pressure %.2f: cores in full use read as calm", b.g.pressure.level)
 	}
 }
