--- a/admission.go
+++ b/admission.go
@@ -7,42 +7,34 @@
 	"time"
 )
 
-// handleArrival takes a client's query and lines it up; release decides in the same call.
+// deadlineQueue holds queries that wait for an engine, earliest deadline first.
+type deadlineQueue []*query
+
+func (w *deadlineQueue) push(q *query) {
+	at := sort.Search(len(*w), func(i int) bool {
+		other := (*w)[i]
+		return other.deadline > q.deadline || other.deadline == q.deadline && other.id > q.id
+	})
+	*w = slices.Insert(*w, at, q)
+	q.queued = true
+}
+
+func (w *deadlineQueue) remove(q *query) {
+	*w = slices.DeleteFunc(*w, func(other *query) bool { return other == q })
+	q.queued = false
+}
+
+// handleArrival queues a client's query; dequeue decides in the same call of Handle.
 func (g *Gateway) handleArrival(ev *Event) {
-	c := g.classes[ev.Class]
 	if g.queries[ev.Query] != nil {
 		return
 	}
-	if c == nil {
-		g.emit(Action{Type: Fail, Query: ev.Query}) // a class never told: nothing is known of what it may do
+	c := g.classes[ev.Class]
+	if c == nil { // a class that the settings do not have: nothing is known of what repeats may do
+		g.emit(Action{Type: Fail, Query: ev.Query})
 		return
 	}
-	q := &query{
-		id:             ev.Query,
-		class:          c,
-		stickyEngine:   ev.StickyEngine,
-		opensSession:   ev.OpensSession,
-		tableGroup:     ev.TableGroup,
-		arrivedAt:      g.now,
-		deadline:       g.now + ev.RemainingDeadline,
-		memoryMB:       ev.MemoryEstimateMB,
-		rawBase:        c.LatencyObjective.Seconds(),
-		estimateSpread: unknownCostSpread,
-	}
-	if ev.HasCostEstimate && ev.CostEstimate > 0 {
-		q.rawBase, q.hasCostEstimate, q.estimateSpread = ev.CostEstimate.Seconds()/c.threads, true, 1
-	}
-	// Danger: a refused client comes again, its aim counts from its first try, and work for answers that can
-	// earn nothing keeps an overload alive. The wait it has left tells what has passed, but only on a marked
-	// repeat: hurried clients give their first tries short waits too, and must not be refused for it.
-	c.longestDeadline = max(c.longestDeadline, ev.RemainingDeadline)
-	if ev.IsRetry && float64(ev.RemainingDeadline) < firstAttemptShare*float64(c.longestDeadline) {
-		q.priorWait = max(0, c.Deadline-ev.RemainingDeadline)
-	}
-	q.rawBase = math.Max(q.rawBase, minBaseShare*c.LatencyObjective.Seconds())
-	if q.hasCostEstimate || !g.cfg.ReportsCost {
-		c.meanWork += meanWorkGain * (q.rawBase*math.Max(1, c.baseScale)*c.threads - c.meanWork)
-	}
+	q := g.newQuery(c, ev)
 	g.queries[q.id] = q
 	if !ev.AddsNoRetryBudget {
 		g.retryBudget.arrived(g.now)
@@ -56,71 +48,72 @@
 	if g.shutdownAt > 0 {
 		q.deadline = min(q.deadline, g.shutdownAt)
 	}
-	g.enqueue(q)
+	g.queue.push(q)
 	g.probeLoad(q)
 	if left := q.deadline - g.now; left <= g.replyMargin() {
 		g.rejectOrFail(q, ReasonDeadline)
 	} else {
-		g.setTimer(left-g.replyMargin(), uint64(q.id)+1)
+		g.setTimer(left-g.replyMargin(), queryLabel(q.id))
 	}
 }
 
-// remainingTime is the time an estimate must fit in, in seconds: until the client gives up, or until the aim,
-// where that comes first.
+// remainingTime is the time an estimate must fit in, in seconds: until the client gives up, or until the
+// latency objective, where that comes first.
 func (g *Gateway) remainingTime(q *query) float64 {
-	left := (q.deadline - g.now - g.replyMargin()).Seconds()
-	aim := q.class.LatencyObjective.Seconds() + q.class.ObjectiveStretch*g.baseTime(
-		q,
-	) - (g.now - q.arrivedAt + q.priorWait).Seconds()
-	return math.Min(left, aim)
+	deadline := (q.deadline - g.now - g.replyMargin()).Seconds()
+	waited := (g.now - q.arrivedAt + q.priorWait).Seconds()
+	objective := q.class.LatencyObjective.Seconds() + q.class.ObjectiveStretch*g.baseTime(q) - waited
+	return math.Min(deadline, objective)
 }
 
-// dequeue lets held queries and newcomers leave, earliest deadline first, and refuses what no longer fits.
+// dequeue lets queued queries and newcomers go, earliest deadline first, and rejects what no longer fits.
 func (g *Gateway) dequeue() {
 	if len(g.queue) == 0 {
 		return
 	}
 	blocked := map[*engine]bool{}
-	line := g.queue
+	waiting := g.queue
 	g.queue = nil
-	for _, q := range line {
+	for _, q := range waiting {
 		q.queued = false
-		var e *engine
-		wait, why := false, ReasonNoEngineFits
-		switch {
-		case !g.mayAttempt(q):
-			why = ReasonNoRetryAllowed
-		case g.now < q.awaitReportsUntil:
-			wait = true
-		case g.isNextForKey(q):
-			e, wait = g.chooseEngine(q, blocked)
-		default:
-			wait = g.baseTime(q) <= g.remainingTime(q)
-		}
+		e, wait, reason := g.decide(q, blocked)
 		switch {
 		case e != nil:
 			g.send(q, e)
 		case wait:
-			g.enqueue(q)
+			g.queue.push(q)
 		default:
-			g.rejectOrFail(q, why)
+			g.rejectOrFail(q, reason)
 		}
 	}
 }
 
-// rejectOrFail is the one place where queries end by our hand (rules 1 and 2): refused where trying again is
-// known to be harmless, else failed.
-func (g *Gateway) rejectOrFail(q *query, why Reason) {
+// decide returns the engine that a query is to go to now; or, without one, whether it waits on, and else
+// why not.
+func (g *Gateway) decide(q *query, blocked map[*engine]bool) (e *engine, wait bool, reason Reason) {
+	switch {
+	case !g.mayAttempt(q):
+		return nil, false, ReasonNoRetryAllowed
+	case g.now < q.awaitReportsUntil:
+		return nil, true, ""
+	case !g.isNextForKey(q):
+		return nil, g.baseTime(q) <= g.remainingTime(q), ReasonNoEngineFits
+	}
+	e, wait = g.chooseEngine(q, blocked)
+	return e, wait, ReasonNoEngineFits
+}
+
+// rejectOrFail is the one place where this gateway ends queries (rules 1 and 2): rejected where trying
+// again is known to be harmless, else failed.
+func (g *Gateway) rejectOrFail(q *query, reason Reason) {
 	if q.done {
 		return
 	}
-	answer := Action{Type: Fail, Query: q.id, Reason: why}
-	ran := q.firstMaybeRan != nil || len(q.inFlight) > 0
-	if q.class.Effect == Idempotent || !ran ||
-		q.class.Effect == IdempotentWithKey && q.class.DeduplicationScope == ScopeAll {
+	answer := Action{Type: Fail, Query: q.id, Reason: reason}
+	if g.mayReject(q) {
 		answer.Type = Reject
 		if g.cfg.MaySendRetryAfter {
-			answer.Wait = g.cfg.MaxRetryAfter // refused work that comes back soon keeps an overload alive
+			answer.Wait = g.cfg.MaxRetryAfter // rejected work that comes back soon keeps an overload alive
 		}
 	}
 	g.emit(answer)
@@ -130,6 +123,19 @@
 	g.removeQuery(q)
 }
 
+// mayReject reports whether a client that repeats a query does no harm.
+func (g *Gateway) mayReject(q *query) bool {
+	maybeRan := q.firstMaybeRan != nil || len(q.inFlight) > 0
+	switch q.class.Effect {
+	case Idempotent:
+		return true
+	case IdempotentWithKey:
+		return !maybeRan || q.class.DeduplicationScope == ScopeAll
+	default:
+		return !maybeRan
+	}
+}
+
 // handleShutdown brings all deadlines forward to a time after which this gateway answers nobody.
 func (g *Gateway) handleShutdown(left time.Duration) {
 	g.shutdownAt = g.now + max(left, 1)
@@ -141,16 +147,7 @@
 	for _, id := range ids {
 		if q := g.queries[id]; q.deadline > g.shutdownAt {
 			q.deadline = g.shutdownAt
-			g.setTimer(max(0, left-g.replyMargin()), uint64(id)+1)
+			g.setTimer(max(0, left-g.replyMargin()), queryLabel(id))
 		}
 	}
 }
-
-func (g *Gateway) enqueue(q *query) {
-	at := sort.Search(len(g.queue), func(i int) bool {
-		h := g.queue[i]
-		return h.deadline > q.deadline || h.deadline == q.deadline && h.id > q.id
-	})
-	g.queue = slices.Insert(g.queue, at, q)
-	q.queued = true
-}
--- a/gateway.go
+++ b/gateway.go
@@ -8,76 +8,44 @@
 
 const (
 	tickInterval       = 50 * time.Millisecond // pace of the periodic look at what is running
-	replyMarginBatches = 2                     // final answers leave this many batch ticks before the deadline
+	tickLabel          = 0                     // of the tick's timer; queries have their ID plus one
+	replyMarginBatches = 2                     // final answers leave this many batches before the deadline
 	listPollRetryDelay = 500 * time.Millisecond
 )
 
-func (g *Gateway) replyMargin() time.Duration {
-	return replyMarginBatches * max(g.cfg.BatchInterval, time.Millisecond)
-}
-
-// pollEngineList subscribes to the engine list. Renewing well inside the rule's time keeps the list from
-// being deemed told to us while we have not seen it.
-func (g *Gateway) pollEngineList() {
-	g.emit(Action{Type: SubscribeEngineList, Enabled: true})
-	g.listPollAt = g.now + max(g.cfg.Rules.EngineListPollInterval/2, listPollRetryDelay)
-}
-
-// tick looks at what is running: silent engines, overdue queries, the fleet's median slowness.
-func (g *Gateway) tick() {
-	g.setTimer(tickInterval, 0)
-	g.fleetLogSlowness *= decayFactor(slownessHalfLife)
-	g.hasRetryBudget() // forgets what has left its window, also while nothing is tried again
-	if g.cfg.PollEngineList && g.now >= g.listPollAt {
-		g.pollEngineList()
-	}
-	g.gossipRound()
-	g.decayKindLoads()
-	g.scratch = g.scratch[:0]
-	decay := g.newLoadDecay()
-	var census fleetCensus
-	for _, e := range g.engineList {
-		census.sessions += e.sessions
-		g.integrateMix(e)
-		g.advanceSlowStartSlot(e)
-		g.decayLoad(e, decay)
-		silent := g.reviewAttempts(e, &census)
-		if !e.active {
-			continue
-		}
-		if !e.outlier.ejected {
-			g.scratch = append(g.scratch, e.logSlowness)
-		}
-		census.active++
-		if g.isUnderPressure(e) {
-			census.underPressure++
-		}
-		if silent >= silentAttemptsToEject && !e.outlier.ejected {
-			g.ejectSilent(e)
-		}
-		if e.outlier.ejected {
-			census.ejected++
-			g.retryEjected(e)
-		}
-	}
-	if census.sessions > 0 {
-		g.sessionActivity += (1 - decayFactor(kindLoadHalfLife)) * (census.busySessions/census.sessions - g.sessionActivity)
-	}
-	g.updateExcessSlowness()
-	// All engines failing together is no outlier among them; ejecting them all would serve nobody.
-	g.mostEjected = census.ejected*2 > census.active
-	g.pressure.update(g.now, g.fleetLogSlowness, census)
-}
+// Gateway decides for one gateway. It is not safe for concurrent use.
+type Gateway struct {
+	cfg        Config
+	now        time.Duration
+	actions    []Action // of the present call of Handle
+	random     *rand.Rand
+	scratch    []float64 // reused within one function, to allocate nothing
+	started    bool
+	listPollAt time.Duration
+	shutdownAt time.Duration // no answer may be given later; 0: no shutdown is scheduled
 
-// fleetCensus is what a tick counts over the engines.
-type fleetCensus struct {
-	active, ejected, underPressure int     // engines
-	sessions, busySessions         float64 // sticky sessions, and attempts that run for them
-}
+	classes      map[string]*class
+	classList    []*class // in the order of the settings
+	kinds        map[string]*kind
+	engines      map[EngineID]*engine
+	enginesByTag map[uint16]*engine
+	engineList   []*engine // all engines known, by ID
+	queries      map[QueryID]*query
+	attempts     map[attemptKey]*attempt
+	queue        deadlineQueue
+	keyOrder     keyOrder
+	tenants      map[string]*tokenBucket
+	retryBudget  retryBudget
+	gossip       gossipState
+	pressure     loadPressure
 
-// decayFactor is the share of a value kept from tick to tick, given its half-life.
-func decayFactor(half time.Duration) float64 {
-	return math.Exp2(-tickInterval.Seconds() / half.Seconds())
+	gatewayCount      float64
+	cores             float64 // of all active engines
+	ownThreads        float64 // of this gateway's running attempts, on all engines
+	sessionActivity   float64 // share of their time in which sticky sessions run something
+	fleetLogSlowness  float64 // of which an engine's own slowness is a deviation
+	medianLogSlowness float64 // of the engines that are not ejected
+	mostEjected       bool    // so many engines look ejected that the fault is the fleet's
 }
 
 // New returns a gateway with the given settings, or an error naming the setting that contradicts itself.
@@ -85,29 +53,26 @@
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	g := &Gateway{cfg: cfg, classes: map[string]*class{}, kinds: map[string]*kind{},
+	g := &Gateway{
+		cfg: cfg, classes: map[string]*class{}, kinds: map[string]*kind{},
 		engines: map[EngineID]*engine{}, enginesByTag: map[uint16]*engine{},
 		queries: map[QueryID]*query{}, attempts: map[attemptKey]*attempt{},
 		keyOrder: keyOrder{keys: map[string]*orderKey{}}, tenants: map[string]*tokenBucket{},
-		gossip: gossipState{reports: map[int]receivedReport{}}, pressure: newLoadPressure(),
+		gossip:       gossipState{reports: map[int]receivedReport{}},
 		gatewayCount: math.Max(1, float64(cfg.GatewayCount)),
-		random:       rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Ordinal)))}
+		pressure:     newLoadPressure(),
+		random:       rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Ordinal))),
+	}
 	for i, c := range cfg.Classes {
-		k := &class{
-			Class:       c,
-			index:       i,
-			threads:     valueOr(cfg.ClassThreads, i, 1),
-			baseScale:   1,
-			grantFactor: initialGrantFactor,
-		}
-		k.bulkLoad = valueOr(cfg.ClassIsBulkLoad, i, false)
-		k.meanWork = c.LatencyObjective.Seconds() * k.threads
+		k := newClass(&cfg, i)
 		g.classes[c.Name] = k
 		g.classList = append(g.classList, k)
 	}
 	for i, name := range cfg.KindNames {
-		g.kinds[name] = &kind{cores: valueOr(cfg.KindCores, i, 1), memoryMB: valueOr(cfg.KindMemoryMB, i, 0),
-			weights: g.newWeights(initialOthersWeight)}
+		g.kinds[name] = &kind{
+			cores: valueOr(cfg.KindCores, i, 1), memoryMB: valueOr(cfg.KindMemoryMB, i, 0),
+			weights: g.newWeights(initialOthersWeight),
+		}
 	}
 	for _, t := range cfg.Tenants {
 		g.tenants[t.Name] = &tokenBucket{tokens: quotaMinBurst, rate: t.QuotaPerSecond / g.gatewayCount}
@@ -132,46 +97,6 @@
 	return out
 }
 
-// Gateway decides for one gateway. It is not safe for concurrent use.
-type Gateway struct {
-	cfg             Config
-	now             time.Duration
-	actions         []Action
-	classes         map[string]*class
-	classList       []*class
-	kinds           map[string]*kind
-	engines         map[EngineID]*engine
-	engineList      []*engine // all engines known, by ID
-	sessionActivity float64   // share of their time in which kept sessions run something
-	enginesByTag    map[uint16]*engine
-	queries         map[QueryID]*query
-	attempts        map[attemptKey]*attempt
-	queue           []*query // earliest deadline first
-	keyOrder        keyOrder
-	tenants         map[string]*tokenBucket
-	scratch         []float64
-	random          *rand.Rand
-	listPollAt      time.Duration
-	shutdownAt      time.Duration // no answer may be given later; 0: none told
-	started         bool
-
-	gatewayCount      float64
-	fleetLogSlowness  float64 // log of the fleet's slowness, of which an engine's own is a deviation
-	ownThreads        float64 // ours running on all engines
-	cores             float64 // told cores of all engines on the list
-	medianLogSlowness float64 // of the engines' slowness
-	mostEjected       bool    // so many engines are sick that it is the fleet
-	pressure          loadPressure
-	gossip            gossipState
-	retryBudget       retryBudget
-}
-
-func (g *Gateway) emit(a Action) { g.actions = append(g.actions, a) }
-
-func (g *Gateway) setTimer(in time.Duration, label uint64) {
-	g.emit(Action{Type: SetTimer, Wait: max(in, time.Microsecond), Label: label})
-}
-
 func (g *Gateway) handleEvent(ev *Event) {
 	switch ev.Type {
 	case EngineListReceived:
@@ -179,11 +104,7 @@
 	case QueryArrived:
 		g.handleArrival(ev)
 	case TimerFired:
-		if ev.Label == 0 {
-			g.tick()
-		} else if q := g.queries[QueryID(ev.Label-1)]; q != nil && g.now >= q.deadline-g.replyMargin() {
-			g.rejectOrFail(q, ReasonDeadline)
-		}
+		g.handleTimer(ev.Label)
 	case HealthCheckDone:
 		g.handleHealthCheck(ev)
 	case PeerMessageReceived:
@@ -207,5 +128,107 @@
 		if q := g.queries[ev.Query]; q != nil {
 			g.removeQuery(q)
 		}
+	case ResponseStarted: // no decision rests on it
+	}
+}
+
+func (g *Gateway) handleTimer(label uint64) {
+	if label == tickLabel {
+		g.tick()
+		return
+	}
+	if q := g.queries[queryOfLabel(label)]; q != nil && g.now >= q.deadline-g.replyMargin() {
+		g.rejectOrFail(q, ReasonDeadline)
+	}
+}
+
+// tick is the periodic look at what is running. Its steps draw on one another, so their order counts.
+func (g *Gateway) tick() {
+	g.setTimer(tickInterval, tickLabel)
+	g.fleetLogSlowness *= decayFactor(slownessHalfLife)
+	g.hasRetryBudget() // drops what has left its window, also while nothing is retried
+	g.pollEngineList()
+	g.gossipRound()
+	g.decayKindLoads()
+	census := g.reviewEngines()
+	g.updateSessionActivity(census)
+	g.updateExcessSlowness()
+	// All engines failing together is no outlier among them; ejecting them all would serve nobody.
+	g.mostEjected = census.ejected*2 > census.active
+	g.pressure.update(g.now, g.fleetLogSlowness, census)
+}
+
+// fleetCensus is what a tick counts over the engines.
+type fleetCensus struct {
+	active, ejected, underPressure int     // engines
+	sessions, busySessions         float64 // sticky sessions, and attempts that run for them
+}
+
+// reviewEngines brings each engine's state up to the present and looks for overdue attempts and outliers.
+func (g *Gateway) reviewEngines() (census fleetCensus) {
+	g.scratch = g.scratch[:0]
+	decay := g.newLoadDecay()
+	for _, e := range g.engineList {
+		census.sessions += e.sessions
+		g.integrateMix(e)
+		g.advanceSlowStartSlot(e)
+		g.decayLoad(e, decay)
+		silent := g.reviewAttempts(e, &census)
+		if !e.active {
+			continue
+		}
+		census.active++
+		if !e.outlier.ejected {
+			g.scratch = append(g.scratch, e.logSlowness)
+		}
+		if g.isUnderPressure(e) {
+			census.underPressure++
+		}
+		if silent >= silentAttemptsToEject && !e.outlier.ejected {
+			g.ejectSilent(e)
+		}
+		if e.outlier.ejected {
+			census.ejected++
+			g.retryEjected(e)
+		}
+	}
+	return census
+}
+
+func (g *Gateway) updateSessionActivity(census fleetCensus) {
+	if census.sessions > 0 {
+		gain := 1 - decayFactor(kindLoadHalfLife)
+		g.sessionActivity += gain * (census.busySessions/census.sessions - g.sessionActivity)
+	}
+}
+
+// pollEngineList subscribes to the engine list where it must be polled. It renews well inside the rule's
+// time: otherwise a list that this gateway has not seen would count as known to it.
+func (g *Gateway) pollEngineList() {
+	if !g.cfg.PollEngineList || g.now < g.listPollAt {
+		return
 	}
+	g.emit(Action{Type: SubscribeEngineList, Enabled: true})
+	g.listPollAt = g.now + max(g.cfg.Rules.EngineListPollInterval/2, listPollRetryDelay)
+}
+
+func (g *Gateway) emit(a Action) { g.actions = append(g.actions, a) }
+
+func (g *Gateway) setTimer(in time.Duration, label uint64) {
+	g.emit(Action{Type: SetTimer, Wait: max(in, time.Microsecond), Label: label})
+}
+
+// replyMargin is how long before its deadline a query gets its final answer.
+func (g *Gateway) replyMargin() time.Duration {
+	return replyMarginBatches * max(g.cfg.BatchInterval, time.Millisecond)
+}
+
+// queryLabel is the label of a query's timers; queryOfLabel is its reverse.
+func queryLabel(id QueryID) uint64 { return uint64(id) + 1 }
+
+func queryOfLabel(label uint64) QueryID { return QueryID(label - 1) }
+
+// decayFactor is the share of a value that is left after a tick, given its half-life.
+func decayFactor(halfLife time.Duration) float64 {
+	return math.Exp2(-tickInterval.Seconds() / halfLife.Seconds())
 }
--- a/placement.go
+++ b/placement.go
@@ -7,150 +7,209 @@
 )
 
 const (
-	maxIdleMargin          = 2.0                   // a query with a wider margin than this has no claim to an idle engine
-	fairSizeRatio          = 0.7                   // part of its class's mean work from which a query's margin grows in an overload
-	balanceWeight          = 1.0                   // an estimate counts as this much more where we fill our part of the cores
-	tieBreakSpread         = 1.0                   // estimates this close, as a share, are alike: chance decides among them
-	minIdleSessionThreads  = 0.05                  // threads that a session at rest counts as at least, when one is placed
-	sessionBalancePower    = 2.0                   // an engine with more sessions than its part costs this power of the excess
-	loadProbeCount         = 3                     // engines probed before a long query is placed...
-	loadProbeWait          = 25 * time.Millisecond // ...which waits so long for their reports
-	failureCostWeight      = 4.0                   // an estimate grows by this times the failure share...
-	finalFailureCostFactor = 16.0                  // ...or this, where a failure would be the last
+	maxIdleMargin         = 2.0                   // a query of a wider margin has no claim to an idle engine
+	quietEngineRetry      = baseEjectionTime      // while nothing runs, one unheard of for so long is tried
+	fairSizeRatio         = 0.7                   // part of the mean work from which a margin grows
+	largeQueryPower       = 2.0                   // of the size over it
+	balanceWeight         = 1.0                   // an estimate counts as so much more where our part is full
+	tieBreakSpread        = 1.0                   // estimates so close, as a share, are alike: chance decides
+	minIdleSessionThreads = 0.05                  // threads that an idle session counts as at least
+	sessionBalancePower   = 2.0                   // of the excess of sessions by which a cost grows
+	failureCostWeight     = 4.0                   // a cost grows by this times the failure rate...
+	finalFailureWeight    = 16.0                  // ...or by this, where a failure would be the last
+	previousEngineCost    = 16.0                  // times that the engine of the last attempt costs more
+	loadProbeCount        = 3                     // engines probed before a long query is placed...
+	loadProbeWait         = 25 * time.Millisecond // ...which waits so long for their reports
 )
 
-// probeLoad probes a few engines that a long query may use, where neither peers nor our own queries show how
-// full they are; the query waits for the reports. Danger: a jammed engine answers no query, so it reports
-// nothing of itself, and one that fills up looks as free as it was when last heard of.
+// mayUse checks what concerns a query on one engine: drains (rule 3), placement (rule 6), the group that
+// drops repeats (rule 2) and slow start (rule 4).
+func (g *Gateway) mayUse(q *query, e *engine) bool {
+	if q.stickyEngine != "" {
+		// A session's statements go where it is, on a draining engine within the grace.
+		graceOver := g.now >= e.inactiveSince+g.cfg.Rules.DrainGrace-g.replyMargin()
+		if e.ID != q.stickyEngine || !e.active && graceOver {
+			return false
+		}
+	}
+	if !e.active && (q.stickyEngine == "" || e.State != EngineDraining) {
+		return false
+	}
+	c := q.class
+	if len(c.AllowedKinds) > 0 && !slices.Contains(c.AllowedKinds, e.Kind) ||
+		len(c.AllowedZones) > 0 && !slices.Contains(c.AllowedZones, e.Zone) {
+		return false
+	}
+	return q.isDeduplicatedBy(e) && g.hasSlowStartCapacity(e, q)
+}
+
+// isDeduplicatedBy reports whether an engine drops a repeat of what may have run already, as far as it
+// must.
+func (q *query) isDeduplicatedBy(e *engine) bool {
+	first, c := q.firstMaybeRan, q.class
+	if first == nil || first.engine == e {
+		return true
+	}
+	if c.Effect != IdempotentWithKey || c.DeduplicationScope == ScopeAll {
+		return true
+	}
+	sameZone := first.engine.Zone == e.Zone
+	return sameZone && (c.DeduplicationScope != ScopeCell || first.engine.Cell == e.Cell)
+}
+
+// probeLoad asks a few engines that a long query may use for a load report, where neither peers nor our own
+// queries show how full they are; the query waits for the reports. Without it a jammed engine, which
+// answers no query and so reports nothing, looks as free as it was when last heard of.
 func (g *Gateway) probeLoad(q *query) {
-	reports := g.cfg.MayCheckHealth && slices.Contains(g.cfg.LoadReportFields, "concurrent")
-	if !reports || g.now-g.pressure.peerLoadAt < peerLoadHalfLife || g.baseTime(q)*q.class.threads < minAnnouncedWork {
+	reports := g.cfg.MayCheckHealth && slices.Contains(g.cfg.LoadReportFields, loadReportConcurrent)
+	if !reports || g.pressure.peersReport(g.now) || g.baseTime(q)*q.class.threads < minAnnouncedWork {
 		return
 	}
-	asked := 0
+	probed := 0
 	for _, i := range g.random.Perm(len(g.engineList)) {
 		e := g.engineList[i]
-		if asked < loadProbeCount && g.mayUse(q, e) && !e.outlier.ejected &&
-			e.kind.cores/g.gatewayCount < q.class.threads {
+		hidden := e.kind.cores/g.gatewayCount < q.class.threads
+		if probed < loadProbeCount && g.mayUse(q, e) && !e.outlier.ejected && hidden {
 			g.emit(Action{Type: CheckHealth, Engine: e.ID})
-			asked++
+			probed++
 		}
 	}
-	if asked > 0 {
+	if probed > 0 {
 		q.awaitReportsUntil = g.now + loadProbeWait
-		g.setTimer(loadProbeWait, uint64(q.id)+1)
+		g.setTimer(loadProbeWait, queryLabel(q.id))
 	}
 }
 
-// chooseEngine picks the engine with the lowest estimate that fits the time left; an engine holding none of
-// ours comes first. Engines in blocked keep their room for queries with earlier deadlines. Where there
-// is no engine, wait tells whether the query may be held or is to be refused.
-func (g *Gateway) chooseEngine(q *query, blocked map[*engine]bool) (best *engine, wait bool) {
-	var bestCost float64
-	var bestIdle, usable bool
-	left := g.remainingTime(q)
-	caution := g.pressure.margin * math.Max(1, g.pressure.level)
-	try := g.random.Float64()
-	margin, opened := 1.0, 0.0
+// placement is one choice of an engine for a query.
+type placement struct {
+	query        *query
+	remaining    float64 // seconds that the estimate must fit in
+	loadMargin   float64 // by which a time that grows with load must fit
+	sizeMargin   float64 // by which the estimate of a large query must fit
+	chance       float64 // drawn once, for all engines
+	openSessions float64 // sticky sessions of the active engines, where the query opens one
+}
+
+func (g *Gateway) newPlacement(q *query) placement {
+	p := placement{
+		query: q, remaining: g.remainingTime(q), sizeMargin: 1, chance: g.random.Float64(),
+		loadMargin: g.pressure.margin * math.Max(1, g.pressure.level),
+	}
 	for _, e := range g.engineList {
 		if q.opensSession && e.active {
-			opened += g.sessionCount(e)
+			p.openSessions += e.sessionCount()
 		}
 	}
 	if g.pressure.overloaded && q.hasCostEstimate {
-		// Danger: in an overload a few very long queries take the room of many; each earns no more than one.
+		// In an overload a few very long queries would take the capacity of many; each earns no more than
+		// one.
 		size := g.baseTime(q) * q.class.threads / q.class.meanWork
-		margin = math.Pow(math.Max(1, size/fairSizeRatio), 2)
+		p.sizeMargin = math.Pow(math.Max(1, size/fairSizeRatio), largeQueryPower)
 	}
-	// An engine that runs none of ours takes the next; where our part of it is smaller, by a chance only.
+	return p
+}
+
+// chooseEngine picks the engine with the lowest cost among those whose estimate fits the remaining time; an
+// engine that runs none of ours comes first. Engines in blocked keep their capacity for queries with
+// earlier deadlines. Where there is no engine, wait says whether the query may be queued or is to be
+// rejected.
+func (g *Gateway) chooseEngine(q *query, blocked map[*engine]bool) (best *engine, wait bool) {
+	p := g.newPlacement(q)
+	var bestCost float64
+	var bestIdle, usable bool
 	for _, e := range g.engineList {
-		if !g.mayUse(q, e) {
-			continue
-		}
-		if g.avoidsOutlier(q, e) {
+		if !g.mayUse(q, e) || g.avoidsOutlier(q, e) {
 			continue
 		}
 		usable = true
-		if q.opensSession && g.cfg.MaxSessionsPerEngine > 0 &&
-			g.sessionCount(e) >= float64(g.cfg.MaxSessionsPerEngine) {
+		if g.sessionsFull(q, e) {
 			continue
 		}
-		idle := e.ownThreads == 0
 		est := g.estimate(q, e)
-		// Danger: a gateway that runs nothing learns nothing, and what it last believed would hold for ever.
-		mute := g.ownThreads == 0 && g.now-e.lastHeardAt > baseEjectionTime
-		trial := idle && (margin <= maxIdleMargin || mute) &&
-			try < e.kind.cores/g.gatewayCount/q.class.threads
-		// Danger: weights learn of a crowd late, and never while nothing ends. Cores are shared, so a query
-		// is let in by a time that grows as threads a core do; it does not choose by it, as told loads are
-		// old and a steep choice herds. A cold engine's intake is rationed and needs no guard.
-		guard := 1.0
-		if g.rampFraction(e) >= 1 {
-			fill := (e.ownThreads + e.runningCount[len(g.classList)]) / e.kind.cores
-			guard = caution * math.Pow(
-				math.Max(1, fill/(1+e.interference(q.class.index, e.runningCount))),
-				g.unobservedShare(e),
-			)
-		}
-		if est*margin*guard > left && !(trial && (left > 0 || q.class.LateAnswerValue > 0)) {
+		if !g.fits(&p, e, est) {
 			continue
 		}
 		wait = true
-		if full := g.pressure.level > 1 && g.ownThreads >= fleetThreadLimitRatio*g.fairShare(); full ||
-			blocked[e] ||
-			g.atThreadLimit(e) {
+		if g.fleetThreadsFull() || blocked[e] || g.atThreadLimit(e) {
 			blocked[e] = true
 			continue
 		}
-		weight := failureCostWeight
-		if q.class.Effect == NotIdempotent {
-			weight = finalFailureCostFactor
-		}
-		// Danger: while weights are small the engine that looks fastest would draw everything. Threads of
-		// ours over our part of the cores keep near-ties apart.
-		sits := 0.0
-		if q.opensSession {
-			// Danger: an engine full of sessions at rest looks free, and would draw those that come as well.
-			// A session runs again, as often as others do, and it cannot move.
-			sits = g.sessionCount(e) * math.Max(minIdleSessionThreads, g.sessionActivity) * q.class.threads
-			idle = idle && sits == 0
-			est *= math.Pow(
-				math.Max(1, (g.sessionCount(e)+1)/(opened*e.kind.cores/g.cores+1)),
-				sessionBalancePower,
-			)
-		}
-		cost := est * (1 + weight*e.outlier.failureRate) * (1 + balanceWeight*(e.ownThreads+q.class.threads+sits)/g.initialThreadLimit(e))
-		if e == q.previousEngine { // only where there is no other
-			cost, idle = cost*finalFailureCostFactor, false
-		}
-		// Danger: many gateways with like views would all pick the same engine.
-		cost *= 1 + g.unobservedShare(e)*tieBreakSpread/q.class.threads*g.random.Float64()
+		cost, idle := g.placementCost(&p, e, est)
 		if best == nil || idle && !bestIdle || idle == bestIdle && cost < bestCost {
 			best, bestCost, bestIdle = e, cost, idle
 		}
 	}
-	// Danger: where fronts are uneven our part of a quota is a guess; it counts in an overload only.
-	return best, wait && !(q.overQuota && g.pressure.overloaded) || !usable && g.baseTime(q) <= left
+	// Where clients are spread unevenly over gateways our part of a quota is a guess, so it counts in an
+	// overload only.
+	overQuota := q.overQuota && g.pressure.overloaded
+	return best, wait && !overQuota || !usable && g.baseTime(q) <= p.remaining
 }
 
-// mayUse guards what concerns a query on one engine: the group that drops repeats (rule 2), drains
-// (rule 3), cold engines (rule 4) and placement (rule 6).
-func (g *Gateway) mayUse(q *query, e *engine) bool {
-	c := q.class
-	if q.stickyEngine != "" &&
-		(e.ID != q.stickyEngine || g.now >= e.inactiveSince+g.cfg.Rules.DrainGrace-g.replyMargin() && !e.active) {
-		return false // a session's statements go where it is kept, on a draining engine within the grace
+// sessionsFull reports whether a query would open a session on an engine that has as many as it may have.
+func (g *Gateway) sessionsFull(q *query, e *engine) bool {
+	most := g.cfg.MaxSessionsPerEngine
+	return q.opensSession && most > 0 && e.sessionCount() >= float64(most)
+}
+
+// fits reports whether a query of some estimate on an engine is expected to end in its remaining time, or
+// may go there all the same.
+func (g *Gateway) fits(p *placement, e *engine, est float64) bool {
+	late := est*p.sizeMargin*g.loadGuard(p, e) > p.remaining
+	return !late || g.mayTryIdle(p, e)
+}
+
+// mayTryIdle reports whether a query that does not fit may still go to an engine that runs none of ours:
+// always where our part of its cores holds the query, else by that part's chance.
+func (g *Gateway) mayTryIdle(p *placement, e *engine) bool {
+	q := p.query
+	// A gateway that runs nothing learns nothing, and what it last believed of an engine would hold for
+	// ever.
+	quiet := g.ownThreads == 0 && g.now-e.lastHeardAt > quietEngineRetry
+	idle := e.ownThreads == 0 && (p.sizeMargin <= maxIdleMargin || quiet)
+	return idle && p.chance < e.kind.cores/g.gatewayCount/q.class.threads &&
+		(p.remaining > 0 || q.class.LateAnswerValue > 0)
+}
+
+// loadGuard is the factor by which a query's time on an engine is taken to grow with the threads a core
+// there. Weights learn of load late, and never while nothing ends, so a query is admitted by this time. It
+// does not choose by it: reported loads are old, and by a steep choice all gateways would take the same
+// engine. Slow start limits what an engine gets by itself and needs no guard.
+func (g *Gateway) loadGuard(p *placement, e *engine) float64 {
+	if g.rampFraction(e) < 1 {
+		return 1
 	}
-	if !e.active && (q.stickyEngine == "" || e.State != EngineDraining) ||
-		len(c.AllowedKinds) > 0 && !slices.Contains(c.AllowedKinds, e.Kind) ||
-		len(c.AllowedZones) > 0 && !slices.Contains(c.AllowedZones, e.Zone) {
-		return false
+	load := (e.ownThreads + *e.othersThreads()) / e.kind.cores
+	expected := 1 + e.interference(p.query.class.index, e.runningCount)
+	return p.loadMargin * math.Pow(math.Max(1, load/expected), g.unobservedShare(e))
+}
+
+// placementCost is what decides among the engines on which a query fits; idle ones come first.
+func (g *Gateway) placementCost(p *placement, e *engine, est float64) (cost float64, idle bool) {
+	q := p.query
+	idle = e.ownThreads == 0
+	sessionThreads := 0.0
+	if q.opensSession {
+		// An engine full of idle sessions looks free, and would draw those that come as well. A session
+		// runs again, as often as others do, and it cannot move.
+		sessions := e.sessionCount()
+		sessionThreads = sessions * math.Max(minIdleSessionThreads, g.sessionActivity) * q.class.threads
+		idle = idle && sessionThreads == 0
+		fair := p.openSessions*e.kind.cores/g.cores + 1
+		est *= math.Pow(math.Max(1, (sessions+1)/fair), sessionBalancePower)
 	}
-	if d := q.firstMaybeRan; d != nil && c.Effect == IdempotentWithKey && c.DeduplicationScope != ScopeAll &&
-		d.engine != e {
-		if d.engine.Zone != e.Zone || c.DeduplicationScope == ScopeCell && d.engine.Cell != e.Cell {
-			return false
-		}
+	failureWeight := failureCostWeight
+	if q.class.Effect == NotIdempotent {
+		failureWeight = finalFailureWeight
+	}
+	// While weights are small the engine that looks fastest would draw everything, so threads of ours over
+	// our part of the cores keep near-ties apart.
+	threads := e.ownThreads + q.class.threads + sessionThreads
+	balance := 1 + balanceWeight*threads/g.initialThreadLimit(e)
+	cost = est * (1 + failureWeight*e.outlier.failureRate) * balance
+	if e == q.previousEngine { // only where there is no other
+		cost, idle = cost*previousEngineCost, false
 	}
-	return g.hasSlowStartCapacity(e, q)
+	// Without chance many gateways with like views would all pick the same engine.
+	cost *= 1 + g.unobservedShare(e)*tieBreakSpread/q.class.threads*g.random.Float64()
+	return cost, idle
 }
