--- a/peer_message.go
+++ b/peer_message.go
@@ -53,18 +53,17 @@
 // clipped.
 func encodePeerMessage(m PeerMessageType, loads []PeerLoad) [][]byte {
 	messages := [][]byte{{byte(m)}}
+	last := &messages[0]
 	for _, l := range loads {
-		last := len(messages) - 1
-		if len(messages[last])+m.entryBytes() > maxPeerMessageBytes {
+		if len(*last)+m.entryBytes() > maxPeerMessageBytes {
 			messages = append(messages, []byte{byte(m)})
-			last++
+			last = &messages[len(messages)-1]
 		}
 		threads := byte(min(max(l.Threads, 0), maxPeerLoad))
-		data := append(messages[last], byte(l.Tag>>8), byte(l.Tag), threads)
+		*last = append(*last, byte(l.Tag>>8), byte(l.Tag), threads)
 		if m == PeerLoadReport {
-			data = append(data, byte(min(l.Succeeded, maxPeerCount)<<4|min(l.Failed, maxPeerCount)))
+			*last = append(*last, byte(min(l.Succeeded, maxPeerCount)<<4|min(l.Failed, maxPeerCount)))
 		}
-		messages[last] = data
 	}
 	return messages
 }
