--- a/admission_test.go
+++ b/admission_test.go
@@ -24,7 +24,8 @@
 	}
 }
 
-// TestLateRetriesAreRejected: a client's later try whose aim has passed only keeps an overload alive.
+// TestLateRetriesAreRejected: a client's retry whose latency objective has passed only keeps an overload
+// alive.
 func TestLateRetriesAreRejected(t *testing.T) {
 	b := newHarness(t, singleClassConfig(), standardEngine("e1"))
 	wantActions(t, b.submit(1, "short", ""), Send)
@@ -74,8 +75,9 @@
 	}
 }
 
-// TestOverQuotaQueuesUnlessOverloaded: this gateway's part of a quota is a guess where fronts are uneven, so
-// a query beyond it is refused only in an overload, else held like any other (Quebec, a rolling restart).
+// TestOverQuotaQueuesUnlessOverloaded: this gateway's part of a quota is a guess where clients are spread
+// unevenly, so a query beyond it is rejected only in an overload, else queued like any other (Quebec, a
+// rolling restart).
 func TestOverQuotaQueuesUnlessOverloaded(t *testing.T) {
 	for _, overload := range []bool{false, true} {
 		cfg := singleClassConfig()
@@ -123,7 +125,7 @@
 }
 
 func TestUnfittingQueryIsRejectedOnIdleEngines(t *testing.T) {
-	refused := 0
+	rejected := 0
 	for i := range 20 {
 		cfg := largeFleetConfig()
 		cfg.Ordinal = i
@@ -131,11 +133,11 @@
 		b.g.fleetLogSlowness = 3 // twenty times slower than the base
 		for _, a := range b.submit(1, "short", "") {
 			if a.Type == Reject {
-				refused++
+				rejected++
 			}
 		}
 	}
-	if refused < 15 {
-		t.Errorf("%d of 20 queries that cannot fit were refused", refused)
+	if rejected < 15 {
+		t.Errorf("%d of 20 queries that cannot fit were rejected", rejected)
 	}
 }
--- a/estimator_test.go
+++ b/estimator_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// TestMeanWorkComesFromAnswers: without estimates a class's work stood at its aim (Tallinn).
+// TestMeanWorkComesFromAnswers: without estimates a class's work stood at its latency objective (Tallinn).
 func TestMeanWorkComesFromAnswers(t *testing.T) {
 	cfg := singleClassConfig()
 	cfg.ReportsCost = true
@@ -99,6 +99,6 @@
 	if e := b.g.engines["e1"]; e.kind.cores != 8 {
 		t.Errorf("an engine of 8 cores is taken for one of %v", e.kind.cores)
 	}
-	wantActions(t, b.submit(1, "bound", "")) // its kind is gone
+	wantActions(t, b.submit(1, "bound", "")) // no engine of its kind is left
 	wantActions(t, b.submit(2, "short", ""), Send)
 }
--- a/golden_test.go
+++ b/golden_test.go
@@ -73,8 +73,8 @@
 	return b.g
 }
 
-// TestGoldenSnapshot: a snapshot written by an earlier version is read with its values, and the same outcomes
-// are written as the same bytes.
+// TestGoldenSnapshot: a snapshot written by an earlier version is read with its values, and the same
+// outcomes are written as the same bytes.
 func TestGoldenSnapshot(t *testing.T) {
 	trained := trainedGateway(t)
 	data := golden(t, "snapshot.json", trained.Snapshot())
--- a/gossip_test.go
+++ b/gossip_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestFleetWideFailuresAddNoLoad: lost answers on all engines were told as four times their load
+// TestFleetWideFailuresAddNoLoad: lost answers on all engines were broadcast as four times their load
 // (Wellington, big-2).
 func TestFleetWideFailuresAddNoLoad(t *testing.T) {
 	b := newHarness(t, largeFleetConfig(), standardEngines(4)...)
@@ -16,7 +16,7 @@
 	b.g.broadcastAggregate()
 	for _, e := range b.g.engineList {
 		if load := e.runningCount[len(b.g.classList)] / b.g.unobservedShare(e); load > 9 {
-			t.Errorf("8 threads on %s are told as %.1f", e.ID, load)
+			t.Errorf("8 threads on %s are broadcast as %.1f", e.ID, load)
 		}
 	}
 }
@@ -32,7 +32,7 @@
 	b.g.gossip.reports[1] = uniformPeerReport(b, 8)
 	b.g.broadcastAggregate()
 	if load := bad.runningCount[len(b.g.classList)] / b.g.unobservedShare(bad); load < 12 {
-		t.Errorf("8 threads on an engine that fails two in five are told as %.1f", load)
+		t.Errorf("8 threads on an engine that fails two in five are broadcast as %.1f", load)
 	}
 }
 
@@ -45,7 +45,7 @@
 	return r
 }
 
-// deliverAggregate tells a gateway of loads on engines, as a hub would.
+// deliverAggregate sends a gateway the loads of engines, as an aggregator would.
 func deliverAggregate(b *harness, loads map[EngineID]float64) {
 	var entries []PeerLoad
 	for _, e := range b.g.engineList {
@@ -64,7 +64,7 @@
 		deliverAggregate(b, map[EngineID]float64{"e00": 100})
 		for _, a := range b.submit(1, "short", "") {
 			if a.Type == Send && a.Engine == "e00" {
-				t.Errorf("gateway %d sent to the engine told to run 100 threads on 8 cores", i)
+				t.Errorf("gateway %d sent to the engine that is reported to run 100 threads on 8 cores", i)
 			}
 		}
 	}
@@ -77,7 +77,7 @@
 		b.advance(50*ms, Event{Type: TimerFired})
 	}
 	if got := b.g.estimate(&query{class: b.g.classList[0], rawBase: 0.1}, b.g.engineList[0]); got > 0.2 {
-		t.Errorf("two minutes after the last news Est is still %.2f s for a base of 0.1 s", got)
+		t.Errorf("two minutes after the last report Est is still %.2f s for a base of 0.1 s", got)
 	}
 }
 
@@ -90,7 +90,7 @@
 	}
 	b.now = turn * aggregatorTermLength
 	bad, fine := EngineTag("e00"), EngineTag("e01")
-	var told []PeerLoad
+	var broadcast []PeerLoad
 	for range 60 {
 		for peer := 1; peer < 6; peer++ {
 			for _, data := range encodePeerMessage(PeerLoadReport, []PeerLoad{{bad, 0, 0, 3}, {fine, 2, 5, 0}}) {
@@ -100,21 +100,21 @@
 		for _, a := range b.advance(50*ms, Event{Type: TimerFired}) {
 			if a.Type == SendToPeer && a.Peer == -1 {
 				if m, entries := DecodePeerMessage(a.Data); m == PeerAggregate {
-					told = entries
+					broadcast = entries
 				}
 			}
 		}
 	}
-	for _, e := range told {
+	for _, e := range broadcast {
 		switch {
 		case e.Tag == bad && e.Threads != maxPeerLoad:
-			t.Errorf("an engine that only fails is told with load %v", e.Threads)
+			t.Errorf("an engine that only fails is broadcast with load %v", e.Threads)
 		case e.Tag == fine && (e.Threads < 10 || e.Threads == maxPeerLoad):
-			t.Errorf("five gateways with two threads each are told as %v", e.Threads)
+			t.Errorf("five gateways with two threads each are broadcast as %v", e.Threads)
 		}
 	}
-	if len(told) != 4 {
-		t.Errorf("sums of %d engines, want 4", len(told))
+	if len(broadcast) != 4 {
+		t.Errorf("sums of %d engines, want 4", len(broadcast))
 	}
 }
 
--- a/harness_test.go
+++ b/harness_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// singleClassConfig has one safe class with estimates and one kind, and no optional rule.
+// singleClassConfig has one idempotent class with estimates and one kind, and no optional rule.
 func singleClassConfig() Config {
 	return Config{
 		GatewayCount:     2,
--- a/load_report_test.go
+++ b/load_report_test.go
@@ -5,8 +5,7 @@
 	"testing"
 )
 
-// loadReportConfig is one of many gateways that tell each other nothing; engines report in answers and
-// probes.
+// loadReportConfig is one of many gateways without gossip; engines report in answers and health checks.
 func loadReportConfig(fields ...string) Config {
 	cfg := largeFleetConfig()
 	cfg.MayGossip, cfg.MayCheckHealth, cfg.LoadReportFields = false, true, fields
@@ -28,7 +27,7 @@
 	return b.g.estimate(&query{class: b.g.classList[0], rawBase: 0.1, memoryMB: 400}, b.g.engines[id])
 }
 
-// TestReportedQueriesCountInEst: where no peer tells, queries that an engine reports were not seen
+// TestReportedQueriesCountInEst: without gossip, queries that an engine reports were not seen
 // (register).
 func TestReportedQueriesCountInEst(t *testing.T) {
 	b := newHarness(t, loadReportConfig("concurrent"), standardEngines(2)...)
--- a/membership_test.go
+++ b/membership_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// As the count changes in service all parts follow at once: what a cold engine may be sent, bounds that were
-// widened as one of few, tenants' quotas; and gateways whose clocks began apart take one hub.
+// As the count changes in service all shares follow at once: what an engine in slow start may be sent,
+// limits that were widened as one of few, tenants' quotas; and gateways whose clocks began apart agree on
+// one aggregator.
 func TestSharesFollowMembership(t *testing.T) {
 	cfg := singleClassConfig()
 	cfg.MayGossip, cfg.GatewayCount, cfg.Tenants = true, 2, []Tenant{{Name: "t", QuotaPerSecond: 100}}
@@ -31,7 +32,7 @@
 	for _, bad := range []Event{{Peer: 2, Value: 2}, {Peer: -1, Value: 3}, {Value: 0.5}, {Value: math.NaN()}} {
 		bad.Type = MembershipChanged
 		if b.advance(ms, bad); b.g.gatewayCount != 2 || b.g.cfg.Ordinal != 0 {
-			t.Errorf("%+v was taken", bad)
+			t.Errorf("%+v was accepted", bad)
 		}
 	}
 	cfg.GatewayCount = 50
@@ -47,6 +48,6 @@
 		}
 	}
 	if apart > 0 {
-		t.Errorf("%d of 40 turns had two hubs", apart)
+		t.Errorf("%d of 40 terms had two aggregators", apart)
 	}
 }
--- a/memory_test.go
+++ b/memory_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestGrantShrinksOnlyOnEvidence: a class's grant is cut only where the settings or the answers have
-// something tell of spills; short queries are cut too, as the longer ones of their class tell.
+// something report spills; short queries are cut too, as the longer ones of their class report.
 func TestGrantShrinksOnlyOnEvidence(t *testing.T) {
 	for name, c := range map[string]struct {
 		notes  time.Duration
@@ -14,10 +14,10 @@
 		needed float64
 		cut    bool
 	}{
-		"nothing is told":      {took: 3 * time.Second},
+		"nothing is reported":  {took: 3 * time.Second},
 		"ended before a note":  {notes: 2 * time.Second, took: 600 * ms, cut: true},
 		"a note would be here": {notes: 2 * time.Second, took: 3 * time.Second, cut: true},
-		"costs are told":       {took: 600 * ms, needed: 50, cut: true},
+		"costs are reported":   {took: 600 * ms, needed: 50, cut: true},
 	} {
 		cfg := singleClassConfig()
 		cfg.ProgressInterval, cfg.AcceptsMemoryGrants = c.notes, true
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestPagingEngineIsSlow: an engine with twice its memory granted pages to a standstill and shows no outcome
-// (register, big-2).
+// TestPagingEngineIsSlow: an engine with twice its memory granted pages to a standstill and shows no
+// outcome (register, big-2).
 func TestPagingEngineIsSlow(t *testing.T) {
 	b := newHarness(t, loadReportConfig("x0"), standardEngines(2)...)
 	free := estimateOn(b, "e00")
--- a/outlier_test.go
+++ b/outlier_test.go
@@ -24,11 +24,11 @@
 		}
 	}
 	if !b.g.engines["e1"].outlier.ejected || cancels < 2 {
-		t.Errorf("sick %v, %d attempts called off", b.g.engines["e1"].outlier.ejected, cancels)
+		t.Errorf("ejected %v, %d attempts cancelled", b.g.engines["e1"].outlier.ejected, cancels)
 	}
 }
 
-// An engine that others tell to be dead is not tried before a probe; one that was heard here is.
+// An engine that others report as dead gets no query before a health check; one that was heard here does.
 func TestEngineReportedDown(t *testing.T) {
 	cfg := singleClassConfig()
 	cfg.MayCheckHealth, cfg.MayGossip = true, true
@@ -39,7 +39,7 @@
 		Event{Type: EngineReportedDown, Engine: "nobody"},
 	)
 	if !b.g.engines["e00"].outlier.ejected || b.g.engines["e01"].outlier.ejected {
-		t.Error("others' word was not taken")
+		t.Error("others' report was not taken")
 	}
 	probed := false
 	for range 30 {
@@ -48,16 +48,16 @@
 		}
 	}
 	if !probed {
-		t.Error("it was never probed")
+		t.Error("its health was never checked")
 	}
 	b.g.engines["e01"].lastHeardAt = b.now
 	if b.advance(ms, Event{Type: EngineReportedDown, Engine: "e01"}); b.g.engines["e01"].outlier.ejected {
-		t.Error("others' word stands against what was seen here")
+		t.Error("others' report stands against what was seen here")
 	}
 }
 
-// TestOutlierState: an engine is ejected by failures in a row, longer each time it fails its probation, and is
-// back after two answers of it.
+// TestOutlierState: an engine is ejected by failures in a row, longer each time it fails its probation, and
+// is back after two answers of it.
 func TestOutlierState(t *testing.T) {
 	var o outlierState
 	now := time.Hour
--- a/placement_test.go
+++ b/placement_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// A query whose session is kept on one engine goes there or nowhere, once, and on a draining engine only
+// A query whose session is on one engine goes there or nowhere, once, and on a draining engine only
 // within the grace.
 func TestStickyEngine(t *testing.T) {
 	cfg := singleClassConfig()
@@ -71,7 +71,8 @@
 	}
 }
 
-// TestLongQueryProbesLoadFirst: a jammed engine answers no query, so only a probe shows it (register, big-2).
+// TestLongQueryProbesLoadFirst: a jammed engine answers no query, so only a load probe shows it (register,
+// big-2).
 func TestLongQueryProbesLoadFirst(t *testing.T) {
 	b := newHarness(t, loadReportConfig("concurrent"), standardEngines(5)...)
 	long := Event{
@@ -84,10 +85,10 @@
 	}
 	got := append([]Action(nil), b.advance(0, long)...)
 	wantActions(t, got, CheckHealth, CheckHealth, CheckHealth)
-	asked := map[EngineID]bool{}
+	probed := map[EngineID]bool{}
 	var answers []Event
 	for i, a := range got {
-		asked[a.Engine] = true
+		probed[a.Engine] = true
 		answers = append(
 			answers,
 			healthCheckWithReport(a.Engine, float64(100*min(i, 1))),
@@ -95,8 +96,8 @@
 	}
 	b.advance(2*ms, answers...)
 	got = b.advance(loadProbeWait, Event{Type: TimerFired, Label: 2})
-	if len(got) != 1 || got[0].Type != Send || len(asked) != 3 {
-		t.Fatalf("after the reports of %d engines: %+v", len(asked), got)
+	if len(got) != 1 || got[0].Type != Send || len(probed) != 3 {
+		t.Fatalf("after the reports of %d engines: %+v", len(probed), got)
 	}
 	for i, ev := range answers {
 		if i > 0 && ev.Engine == got[0].Engine {
--- a/pressure_test.go
+++ b/pressure_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// A moment of very slow answers must not leave a gateway that refuses all for ever: it runs nothing then, so
-// no outcome would ever correct what it believes.
+// A moment of very slow answers must not leave a gateway that rejects all for ever: it runs nothing then,
+// so no outcome would ever correct what it believes.
 func TestRecoversFromPessimisticEstimates(t *testing.T) {
 	cfg := Config{
 		Seed:          1,
@@ -32,7 +32,7 @@
 	}
 	b := newHarness(t, cfg, standardEngine("e1"), standardEngine("e2"))
 	id := QueryID(0)
-	ask := func() []Action {
+	submit := func() []Action {
 		id++
 		return b.advance(
 			0,
@@ -49,7 +49,7 @@
 	for range 40 { // waves of 32 queries that take 400 ms each
 		var sent []Action
 		for range 32 {
-			for _, a := range ask() {
+			for _, a := range submit() {
 				if a.Type == Send {
 					sent = append(sent, a)
 				}
@@ -62,29 +62,29 @@
 			b.advance(0, attemptDoneEvent(a, 0, OutcomeOK, 400*ms))
 		}
 	}
-	served, asked := 0, 0
+	served, submitted := 0, 0
 	for i := range 2000 { // then the engines are as quick as ever
 		if i%5 == 0 {
 			b.advance(10*ms, Event{Type: TimerFired})
 		} else {
 			b.advance(10 * ms)
 		}
-		for _, a := range ask() {
+		for _, a := range submit() {
 			if a.Type == Send {
 				b.advance(ms, attemptDoneEvent(a, 0, OutcomeOK, ms))
 				served++
 			}
 		}
-		asked++
+		submitted++
 	}
-	if served < asked/2 {
-		t.Errorf("served %d of %d asked over 20 s after the jam", served, asked)
+	if served < submitted/2 {
+		t.Errorf("served %d of %d submitted over 20 s after the jam", served, submitted)
 	}
 }
 
 // Engines that looked slow once, and then got nothing, are no overload of the fleet: what is seen of them
 // fades, and an engine of whose cores we use little is not under our pressure (a recorded day of
-// montreal-est refused a tenth).
+// montreal-est rejected a tenth).
 func TestNoOverloadOfIdleEngines(t *testing.T) {
 	cfg := Config{
 		Seed:          1,
@@ -152,7 +152,8 @@
 	}
 }
 
-// TestUseOfCoresGivesNoPressure: it ends at one, so a crowd never shows in it (Montreal grown).
+// TestUseOfCoresGivesNoPressure: it ends at one, so load beyond the cores never shows in it (Montreal
+// grown).
 func TestUseOfCoresGivesNoPressure(t *testing.T) {
 	b := newHarness(t, loadReportConfig("load_share"), standardEngines(3)...)
 	b.g.fleetLogSlowness = 3 // outcomes show a fleet twenty times slower than its bases
--- a/retry_test.go
+++ b/retry_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestBadPlanIsCancelledAndRetried: a note shows an attempt far behind, and a fresh one draws its plan anew.
+// TestBadPlanIsCancelledAndRetried: a note shows an attempt far behind, and a fresh one draws its plan
+// anew.
 func TestBadPlanIsCancelledAndRetried(t *testing.T) {
 	b := newHarness(t, singleClassConfig(), standardEngine("e1"), standardEngine("e2"))
 	b.submit(1, "short", "")
@@ -36,13 +37,14 @@
 	}
 }
 
-// TestLongQueryOfUnknownCostIsNoBadPlan: calling off what is only long did its work thrice (Tallinn, big-1).
+// TestLongQueryOfUnknownCostIsNoBadPlan: calling off what is only long did its work thrice (Tallinn,
+// big-1).
 func TestLongQueryOfUnknownCostIsNoBadPlan(t *testing.T) {
-	for _, told := range []bool{true, false} {
+	for _, known := range []bool{true, false} {
 		b := newHarness(t, singleClassConfig(), standardEngine("e1"), standardEngine("e2"))
 		b.g.classList[0].baseScale = 0.1
 		ev := Event{Type: QueryArrived, Query: 1, Class: "short", RemainingDeadline: 10 * time.Second}
-		if ev.HasCostEstimate = told; told {
+		if ev.HasCostEstimate = known; known {
 			ev.CostEstimate = 2 * time.Second
 		}
 		wantActions(t, b.advance(0, ev), Send)
@@ -53,7 +55,7 @@
 			Note:   NoteFractionDone,
 			Value:  0.25,
 		}
-		if got := b.advance(200*ms, note); told {
+		if got := b.advance(200*ms, note); known {
 			wantActions(t, got, Cancel) // 0.8 s for an estimate of 0.2 s
 		} else {
 			wantActions(t, got)
--- a/rule_checker_test.go
+++ b/rule_checker_test.go
@@ -51,7 +51,7 @@
 func newRuleChecker(t *testing.T, seed uint64) *ruleChecker {
 	c := &ruleChecker{t: t, r: rand.New(rand.NewPCG(seed, 7)), cfg: allRulesConfig(), now: time.Hour, next: 1}
 	c.cfg.PollEngineList = seed%2 == 1
-	if seed%4 > 1 { // probes and reports, no come-back time, a shorter grace; many gateways, no rule on cold engines
+	if seed%4 > 1 { // health checks and reports, no Retry-After, a shorter grace; many gateways, no slow start
 		c.cfg.MayCheckHealth, c.cfg.LoadReportFields = true, []string{
 			"concurrent",
 			"depth",
@@ -231,7 +231,7 @@
 	return []Event{ev}
 }
 
-// loadReport is what an engine tells of itself, at times odd, where the settings have reports.
+// loadReport is what an engine reports of itself, at times odd, where the settings have reports.
 func (c *ruleChecker) loadReport() ([]float64, bool) {
 	if len(c.cfg.LoadReportFields) == 0 {
 		return nil, false
@@ -306,7 +306,7 @@
 		q.attemptCount++
 	case CheckHealth:
 		if !c.cfg.MayCheckHealth {
-			c.t.Errorf("a probe where none is allowed")
+			c.t.Errorf("a health check where none is allowed")
 		}
 		ev := Event{
 			Type:    HealthCheckDone,
@@ -317,7 +317,7 @@
 		return []Event{ev}
 	case Reject, Fail:
 		if a.Wait > 0 && !c.cfg.MaySendRetryAfter {
-			c.t.Errorf("query %d refused with a come-back time where none is allowed", a.Query)
+			c.t.Errorf("query %d rejected with a Retry-After time where none is allowed", a.Query)
 		}
 		if q.done {
 			c.t.Errorf("rule 1: query %d answered twice", a.Query)
@@ -328,7 +328,7 @@
 		maybe := q.maybeRan || len(q.inFlight) > 0
 		if a.Type == Reject && maybe &&
 			(q.class.Effect == NotIdempotent || q.class.Effect == IdempotentWithKey && q.class.DeduplicationScope != ScopeAll) {
-			c.t.Errorf("rule 2: %s query %d refused though it may have run", q.class.Name, a.Query)
+			c.t.Errorf("rule 2: %s query %d rejected though it may have run", q.class.Name, a.Query)
 		}
 		q.done = true
 	case Cancel:
@@ -348,12 +348,12 @@
 		c.t.Errorf("rule 2: query %d has two attempts out", a.Query)
 	}
 	if q.maybeRan && q.class.Effect == NotIdempotent {
-		c.t.Errorf("rule 2: unsafe query %d sent again", a.Query)
+		c.t.Errorf("rule 2: query %d, not idempotent, sent again", a.Query)
 	}
 	if q.maybeRan && q.class.Effect == IdempotentWithKey {
 		if c.now-q.maybeRanAt > q.class.DeduplicationWindow ||
 			q.class.DeduplicationScope == ScopeCell && e.Cell != q.maybeRanOn.Cell {
-			c.t.Errorf("rule 2: keyed query %d sent outside its window or cell", a.Query)
+			c.t.Errorf("rule 2: query %d sent outside its deduplication window or cell", a.Query)
 		}
 	}
 	if e.State != EngineActive {
@@ -373,7 +373,7 @@
 		if sum > r.SlowStartOverloadFactor*r.SlowStartFrom*cores*0.85*r.SlowStartWindow.Seconds()/float64(
 			c.cfg.GatewayCount,
 		) {
-			c.t.Errorf("rule 4: %.1f s of work sent to a cold engine", sum)
+			c.t.Errorf("rule 4: %.1f s of work sent to an engine in slow start", sum)
 		}
 	}
 	if q.key != "" {
@@ -406,7 +406,7 @@
 			}
 		}
 		if float64(made) > r.RetryBudgetFree+r.RetryBudgetRatio*float64(taken) {
-			c.t.Errorf("rule 7: %d further attempts for %d queries", made, taken)
+			c.t.Errorf("rule 7: %d retries for %d queries", made, taken)
 		}
 	}
 }
--- a/rules_test.go
+++ b/rules_test.go
@@ -24,8 +24,8 @@
 	)
 }
 
-// TestRule1AnswersBeforeShutdown: one that is told when it ends answers all before, those it takes meanwhile
-// as well.
+// TestRule1AnswersBeforeShutdown: a gateway with a scheduled shutdown answers all before it, those it takes
+// meanwhile as well.
 func TestRule1AnswersBeforeShutdown(t *testing.T) {
 	b := newHarness(t, allRulesConfig(), standardEngine("e1"))
 	wantActions(t, b.submit(1, "short", ""), Send)
@@ -152,8 +152,8 @@
 	}
 }
 
-// TestRule4SlowStartSendExpires: a send to a cold engine must begin within half of its ration's window,
-// one to a warm engine within its client's time only.
+// TestRule4SlowStartSendExpires: a send to an engine in slow start must begin within half of the
+// window, one to a warm engine within its client's deadline only.
 func TestRule4SlowStartSendExpires(t *testing.T) {
 	cfg := allRulesConfig()
 	cold, warm := standardEngine("e1"), standardEngine("e2")
@@ -214,18 +214,18 @@
 		engines = append(engines, standardEngine(fmt.Sprintf("e%02d", i)))
 	}
 	b := newHarness(t, allRulesConfig(), engines...)
-	further := 0
+	retries := 0
 	for i := range 10 {
 		b.submit(QueryID(i+1), "short", "")
 		a := b.lastActions[0]
 		for _, again := range b.advance(0, attemptDoneEvent(a, 0, OutcomeRejected, 0)) {
 			if again.Type == Send {
-				further++
+				retries++
 				b.advance(0, attemptDoneEvent(again, 1, OutcomeOK, 100*ms))
 			}
 		}
 	}
-	if further == 0 || further > 2+10/5 {
-		t.Errorf("%d further attempts for 10 queries", further)
+	if retries == 0 || retries > 2+10/5 {
+		t.Errorf("%d retries for 10 queries", retries)
 	}
 }
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestSlowStartSlotsStayInBudget plays 1 to 300 gateways on one cold engine, with even and uneven traffic
-// and with gateways that restart: together they use it from the start, and no window of what they send
-// passes the rule.
+// TestSlowStartSlotsStayInBudget plays 1 to 300 gateways on one engine in slow start, with even and uneven
+// traffic and with gateways that restart: together they use it from the start, and no window of what they
+// send passes the rule.
 func TestSlowStartSlotsStayInBudget(t *testing.T) {
 	for _, c := range []struct {
 		gateways int
@@ -71,7 +71,7 @@
 				}
 			}
 			if len(sent) == 0 {
-				t.Fatal("nothing was sent to the cold engine")
+				t.Fatal("nothing was sent to the engine in slow start")
 			}
 			worst := 0.0
 			for i, from := range sent {
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// A successor starts from what was learnt, the less the older it is, and takes nothing of a broken snapshot.
+// A successor starts from what was learnt, the less the older it is, and takes nothing of a broken
+// snapshot.
 func TestSnapshotDecaysWithAge(t *testing.T) {
 	b := newHarness(t, allRulesConfig(), standardEngine("e1"))
 	for id := range QueryID(200) {
@@ -39,7 +40,7 @@
 	for _, bad := range []string{"", "{", `{"version":9}`, `{"version":1,"classes":[{"name":"short","scale":-1,"work":1,"grant":1}]}`,
 		`{"version":1,"classes":[{"name":"short","scale":1,"work":1,"grant":1}],"kinds":{"std":[[1]]}}`} {
 		if g.Restore([]byte(bad), 0) == nil {
-			t.Errorf("snapshot %q was taken", bad)
+			t.Errorf("snapshot %q was accepted", bad)
 		}
 	}
 	other := allRulesConfig() // other classes: bases by name, weights not at all
