--- a/concurrency.go
+++ b/concurrency.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	pressureLatencyRatio     = 2.0 // latency over best from which the thread limit binds
-	calmLatencyRatio         = 1.5 // latency over best under which it widens
-	latencyGain              = 0.15
+	pressureLatencyRatio     = 2.0              // latency over best from which the thread limit binds
+	calmLatencyRatio         = 1.5              // latency over best under which it widens
+	latencyGain              = 0.15             // of an engine's latency, fed by every outcome
 	latencyHalfLife          = kindLoadHalfLife // of latency, while no outcome feeds it
 	rejectionPressureTime    = time.Second      // an engine that rejected work is under pressure for so long
 	threadLimitStep          = 1.0              // threads added for each limit's worth of outcomes near best
--- a/estimator.go
+++ b/estimator.go
@@ -65,13 +65,13 @@
 
 // averageMix returns the average mix that an attempt met, and its length over cores, squared, plus one.
 func (g *Gateway) averageMix(a *attempt, took float64) (mix []float64, norm float64) {
-	mix, norm = g.scratch[:0], 1
+	mix, norm = g.mixBuffer[:0], 1
 	for j := range a.engine.runningSeconds {
 		v := (a.engine.runningSeconds[j] - a.runningSeconds[j]) / took
 		mix = append(mix, v)
 		norm += v * v / (a.engine.kind.cores * a.engine.kind.cores)
 	}
-	g.scratch = mix
+	g.mixBuffer = mix
 	return mix, norm
 }
 
--- a/gateway.go
+++ b/gateway.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	tickInterval       = 50 * time.Millisecond // pace of the periodic look at what is running
-	tickLabel          = 0                     // of the tick's timer; queries have their ID plus one
-	replyMarginBatches = 2                     // final answers leave this many batches before the deadline
-	listPollRetryDelay = 500 * time.Millisecond
+	tickInterval       = 50 * time.Millisecond  // pace of the periodic look at what is running
+	tickLabel          = 0                      // of the tick's timer; queries have their ID plus one
+	replyMarginBatches = 2                      // final answers leave this many batches before the deadline
+	listPollRetryDelay = 500 * time.Millisecond // after a failed poll; and the least pace of polls
 )
 
 // Gateway decides for one gateway. It is not safe for concurrent use.
@@ -19,7 +19,7 @@
 	now        time.Duration
 	actions    []Action // of the present call of Handle
 	random     *rand.Rand
-	scratch    []float64 // reused within one function, to allocate nothing
+	mixBuffer  []float64 // reused by averageMix, to allocate nothing for an outcome
 	started    bool
 	listPollAt time.Duration
 	shutdownAt time.Duration // no answer may be given later; 0: no shutdown is scheduled
@@ -40,12 +40,13 @@
 	pressure     loadPressure
 
 	gatewayCount      float64
-	cores             float64 // of all active engines
-	ownThreads        float64 // of this gateway's running attempts, on all engines
-	sessionActivity   float64 // share of their time in which sticky sessions run something
-	fleetLogSlowness  float64 // of which an engine's own slowness is a deviation
-	medianLogSlowness float64 // of the engines that are not ejected
-	mostEjected       bool    // so many engines look ejected that the fault is the fleet's
+	cores             float64   // of all active engines
+	ownThreads        float64   // of this gateway's running attempts, on all engines
+	sessionActivity   float64   // share of their time in which sticky sessions run something
+	fleetLogSlowness  float64   // of which an engine's own slowness is a deviation
+	slownesses        []float64 // logarithms, of the active engines that are not ejected, at the last tick
+	medianLogSlowness float64   // of these
+	mostEjected       bool      // so many engines look ejected that the fault is the fleet's
 }
 
 // New returns a gateway with the given settings, or an error naming the setting that contradicts itself.
@@ -166,7 +167,7 @@
 
 // reviewEngines brings each engine's state up to the present and looks for overdue attempts and outliers.
 func (g *Gateway) reviewEngines() (census fleetCensus) {
-	g.scratch = g.scratch[:0]
+	g.slownesses = g.slownesses[:0]
 	decay := g.newLoadDecay()
 	for _, e := range g.engineList {
 		census.sessions += e.sessions
@@ -179,7 +180,7 @@
 		}
 		census.active++
 		if !e.outlier.ejected {
-			g.scratch = append(g.scratch, e.logSlowness)
+			g.slownesses = append(g.slownesses, e.logSlowness)
 		}
 		if g.isUnderPressure(e) {
 			census.underPressure++
--- a/memory.go
+++ b/memory.go
@@ -6,8 +6,8 @@
 	initialGrantFactor = 1.25 // memory granted over the estimate, adapted by class
 	grantIncrease      = 0.06 // part by which a spill raises it
 	grantDecrease      = 0.01 // part by which an answer without one lowers it
-	topPriority        = 3
-	pagingPower        = 2.5 // at twice its memory a paging engine is some six times slower
+	topPriority        = 3    // engines take priorities from 1 to this
+	pagingPower        = 2.5  // at twice its memory a paging engine is some six times slower
 )
 
 // pagingFactor is how many times slower a query is for want of memory, where engines report what they
--- a/pressure.go
+++ b/pressure.go
@@ -12,8 +12,8 @@
 	targetThreadsPerCore = 1.3              // over the fleet, that the margin aims at
 	marginGain           = 0.5              // part of the level's logarithm that the margin takes up a second
 	minPressure          = 0.25             // less pressure lets the margin fall no faster
-	maxMargin            = 8.0
-	overloadedOneIn      = 3 // one engine in this many under pressure is an overload of the fleet
+	maxMargin            = 8.0              // more would reject all but the shortest queries
+	overloadedOneIn      = 3                // one engine in this many under pressure is an overload of the fleet
 )
 
 // loadPressure says how the fleet's load compares to what it bears, and how wide a margin estimates need
@@ -51,12 +51,11 @@
 	p.overloaded = p.level > 1 || census.underPressure*overloadedOneIn > census.active
 }
 
-// updateExcessSlowness sets what each engine is slower than the median of those that are not ejected, whose
-// slownesses stand in scratch. Median and slowness are of the same moment: with many outcomes a tick,
-// slowness as it is now and a median of before would chase one another.
+// updateExcessSlowness sets what each engine is slower than the median. Median and slowness are of the same
+// tick: with many outcomes a tick, slowness as it is now and a median of before would chase one another.
 func (g *Gateway) updateExcessSlowness() {
-	if sort.Float64s(g.scratch); len(g.scratch) > 0 {
-		g.medianLogSlowness = g.scratch[len(g.scratch)/2]
+	if sort.Float64s(g.slownesses); len(g.slownesses) > 0 {
+		g.medianLogSlowness = g.slownesses[len(g.slownesses)/2]
 	}
 	for _, e := range g.engineList {
 		e.excessLogSlowness = e.logSlowness - g.medianLogSlowness
