--- a/pressure.go
+++ b/pressure.go
@@ -13,7 +13,7 @@
 	marginGain           = 0.5              // part of the level's logarithm that the margin takes up a second
 	minPressure          = 0.25             // less pressure lets the margin fall no faster
 	maxMargin            = 8.0              // more would reject all but the shortest queries
-	overloadedOneIn      = 3                // one engine in this many under pressure is an overload of the fleet
+	overloadedOneIn      = 3                // one engine in so many under pressure is an overload
 )
 
 // loadPressure says how the fleet's load compares to what it bears, and how wide a margin estimates need
