--- a/outlier.go
+++ b/outlier.go
@@ -6,7 +6,7 @@
 	failureRateGain          = 0.2                    // gain of an engine's share of failed attempts
 	ejectFailureRate         = 0.4                    // share of failures from which an engine is ejected
 	ejectConsecutiveFailures = 3                      // failures in a row from which it is ejected
-	silenceEstimateRatio     = 3.0                    // an attempt so far over its estimate, unheard of, shows silence
+	silenceEstimateRatio     = 3.0                    // an unheard attempt so far over its estimate
 	minSilence               = 700 * time.Millisecond // a shorter pause is no silence
 	silentAttemptsToEject    = 2                      // attempts that must show silence
 	probationSuccessesNeeded = 2                      // answers after which an ejected engine is back
