--- a/attempt.go
+++ b/attempt.go
@@ -123,7 +123,7 @@
 	switch ev.Outcome {
 	case OutcomeOK:
 		e.succeeded++
-		e.lastHeardAt = g.now
+		e.lastSeenAt = g.now
 		e.outlier.recordSuccess()
 		g.learn(a, ev.Elapsed.Seconds())
 		if c := a.query.class; ev.ActualCost > 0 && !a.query.hasCostEstimate { // its objective was a guess
@@ -131,11 +131,11 @@
 		}
 		g.adaptGrant(a, ev.ActualMemoryMB)
 	case OutcomeRejected:
-		e.lastHeardAt = g.now
+		e.lastSeenAt = g.now
 		e.limiter.recordRejection(g.now, e.ownThreads)
 	case OutcomeFailed, OutcomeConnectionReset, OutcomeConnectFailed:
 		e.failed++
-		e.lastHeardAt = g.now
+		e.lastSeenAt = g.now
 		e.outlier.recordFailure(g.now)
 	case OutcomeTimedOut, OutcomeNotStarted, OutcomeCancelled: // no evidence about the engine
 	}
@@ -161,7 +161,7 @@
 	if a == nil {
 		return
 	}
-	a.notedAt, a.engine.lastHeardAt = g.now, g.now
+	a.notedAt, a.engine.lastSeenAt = g.now, g.now
 	switch ev.Note {
 	case NoteSpilled:
 		a.spilled = true
--- a/engine.go
+++ b/engine.go
@@ -21,7 +21,7 @@
 	tag           uint16        // stands for its ID in messages
 	active        bool          // on the present list and neither draining nor removed
 	inactiveSince time.Duration // when it was first listed as draining or removed
-	lastHeardAt   time.Duration // last sign of life
+	lastSeenAt   time.Duration // last sign of life
 	knownSince    time.Duration
 
 	running        []*attempt
@@ -111,7 +111,7 @@
 	e.limiter.reset(g.initialThreadLimit(e))
 	e.outlier = outlierState{}
 	e.slowStart.resetSlots(g.random.Float64())
-	e.lastHeardAt, e.knownSince = g.now, g.now
+	e.lastSeenAt, e.knownSince = g.now, g.now
 }
 
 // pruneEngines drops engines that left the list and run nothing. One in slow start stays, with what it was
--- a/estimator_test.go
+++ b/estimator_test.go
@@ -59,7 +59,7 @@
 	e := b.g.engineList[0]
 	var early float64
 	for i := range 180 {
-		e.lastHeardAt = b.now // other answers arrive
+		e.lastSeenAt = b.now // other answers arrive
 		b.advance(50*ms, Event{Type: TimerFired})
 		if i == 40 {
 			early = e.logSlowness
--- a/outlier.go
+++ b/outlier.go
@@ -109,7 +109,7 @@
 // handleReportedDown takes other gateways' report that an engine is dead, where nothing was seen of it
 // here. The report may be old or a lie, so it costs the engine one health check, no more.
 func (g *Gateway) handleReportedDown(e *engine) {
-	if e != nil && e.lastHeardAt == e.knownSince && !e.outlier.ejected && len(e.running) == 0 {
+	if e != nil && e.lastSeenAt == e.knownSince && !e.outlier.ejected && len(e.running) == 0 {
 		e.outlier.eject(g.now)
 	}
 }
--- a/outlier_test.go
+++ b/outlier_test.go
@@ -50,7 +50,7 @@
 	if !probed {
 		t.Error("its health was never checked")
 	}
-	b.g.engines["e01"].lastHeardAt = b.now
+	b.g.engines["e01"].lastSeenAt = b.now
 	if b.advance(ms, Event{Type: EngineReportedDown, Engine: "e01"}); b.g.engines["e01"].outlier.ejected {
 		t.Error("others' report stands against what was seen here")
 	}
--- a/placement.go
+++ b/placement.go
@@ -164,7 +164,7 @@
 	q := p.query
 	// A gateway that runs nothing learns nothing, and what it last believed of an engine would hold for
 	// ever.
-	quiet := g.ownThreads == 0 && g.now-e.lastHeardAt > quietEngineRetry
+	quiet := g.ownThreads == 0 && g.now-e.lastSeenAt > quietEngineRetry
 	idle := e.ownThreads == 0 && (p.sizeMargin <= maxIdleMargin || quiet)
 	return idle && p.chance < e.kind.cores/g.gatewayCount/q.class.threads &&
 		(p.remaining > 0 || q.class.LateAnswerValue > 0)
--- a/retry.go
+++ b/retry.go
@@ -108,7 +108,7 @@
 		if g.isOverdueForRetry(a, age) {
 			g.cancelForRetry(a)
 		}
-		unheard := e.lastHeardAt < a.sentAt+g.cfg.ProgressInterval && g.now-e.lastHeardAt > minSilence
+		unheard := e.lastSeenAt < a.sentAt+g.cfg.ProgressInterval && g.now-e.lastSeenAt > minSilence
 		if age > silenceEstimateRatio*a.estimate && unheard {
 			silent++
 		}
--- a/retry_test.go
+++ b/retry_test.go
@@ -25,7 +25,7 @@
 	first := b.lastActions[0]
 	var got []Action
 	for range 20 {
-		b.g.engines[first.Engine].lastHeardAt = b.now // others' answers arrive
+		b.g.engines[first.Engine].lastSeenAt = b.now // others' answers arrive
 		if got = b.advance(50*ms, Event{Type: TimerFired}); len(got) > 0 {
 			break
 		}
@@ -71,7 +71,7 @@
 		t.Fatalf("%v threads running after a send", e.ownThreads)
 	}
 	for range 180 { // nine seconds, with others' answers arriving
-		e.lastHeardAt = b.now
+		e.lastSeenAt = b.now
 		b.advance(50*ms, Event{Type: TimerFired})
 	}
 	if e.ownThreads != 0 || b.g.ownThreads != 0 {
