--- a/internal/backend/copyin/pipe.go
+++ b/internal/backend/copyin/pipe.go
@@ -1,6 +1,7 @@
 // Package copyin carries the data of a COPY from a client to an engine with back-pressure: a queue bounded in
-// bytes between who reads the client and who writes to the engine. Nothing is dropped, nothing grows: where
-// the engine is slow the queue fills, and the client is no longer read until it has emptied by half.
+// bytes between the goroutine that reads the client and the one that writes to the engine. Nothing is dropped
+// and nothing grows without bound: where the engine is slow the queue fills, and the client is not read until
+// the queue has emptied to half its limit.
 package copyin
 
 import "sync"
@@ -11,9 +12,9 @@
 // The ends of a copy's data.
 const (
 	Open      End = iota // more may come
-	Done                 // CopyDone was the last
-	Failed               // CopyFail was the last: the engine is to undo it
-	Abandoned            // nobody feeds it any more: its query has ended
+	Done                 // CopyDone was the last message
+	Failed               // CopyFail was the last message: the engine is to undo the copy
+	Abandoned            // nobody feeds the pipe any more: its query has ended
 )
 
 // Pipe is the queue of one copy. Make one with New.
@@ -28,14 +29,14 @@
 	ready chan struct{}
 }
 
-// New returns a pipe that holds about most bytes; room is called, outside the pipe's lock, when a full one
-// has emptied to half of that.
+// New returns a pipe that holds about limit bytes. onCapacity is called, outside the pipe's lock, when a full
+// pipe has emptied to half of that.
 func New(limit int, onCapacity func()) *Pipe {
 	return &Pipe{limit: limit, onCapacity: onCapacity, ready: make(chan struct{}, 1)}
 }
 
-// Put queues bytes, and how the data ended with them. It does not block: what was read has to go somewhere.
-// It returns true where no more is to be read until there is room.
+// Put queues bytes, and how the data ended with them. It does not block, as bytes that were read have to go
+// somewhere. It returns true where no more is to be read until there is capacity.
 func (p *Pipe) Put(b []byte, end End) (full bool) {
 	p.mu.Lock()
 	if p.end == Open {
@@ -49,14 +50,15 @@
 	return full
 }
 
-// Full reports whether no more is to be read until there is room.
+// Full reports whether no more is to be read until there is capacity.
 func (p *Pipe) Full() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.full
 }
 
-// Abandon ends the pipe, whatever waits in it. It counts as room: the client's bytes are nobody's now.
+// Abandon ends the pipe and drops what is queued. A full pipe has capacity by that: the client's bytes belong
+// to no copy any more and are to be read.
 func (p *Pipe) Abandon() {
 	p.mu.Lock()
 	p.data = nil
@@ -79,10 +81,10 @@
 	}
 }
 
-// Ready is signalled when Take may have something to say.
+// Ready is signalled when Take may return something new.
 func (p *Pipe) Ready() <-chan struct{} { return p.ready }
 
-// Take swaps what waits for a buffer that is used again, and says how the data ended behind it.
+// Take exchanges the queued bytes for a spare buffer, and says how the data ended behind them.
 func (p *Pipe) Take(spare []byte) ([]byte, End) {
 	p.mu.Lock()
 	b, end := p.data, p.end
@@ -91,17 +93,17 @@
 	return b, end
 }
 
-// MarkSent tells that what was taken has gone out. Danger: were there room as soon as it is taken, twice the
-// limit would be under way.
+// MarkSent reports that what was taken has been written to the engine. Capacity is given here and not by
+// Take: otherwise twice the limit would be under way.
 func (p *Pipe) MarkSent() {
 	p.mu.Lock()
 	wasFull := p.full
 	if wasFull && len(p.data) <= p.limit/2 {
 		p.full = false
 	}
-	wasFull = wasFull && !p.full
+	resumed := wasFull && !p.full
 	p.mu.Unlock()
-	if wasFull {
+	if resumed {
 		p.onCapacity()
 	}
 }
--- a/internal/backend/copyin/pipe_test.go
+++ b/internal/backend/copyin/pipe_test.go
@@ -8,17 +8,17 @@
 	"pgregory.net/rapid"
 )
 
-// What goes in comes out in order and once, no more than the limit and one read wait, and who was told to
-// stop is told of room.
+// TestPipe: what goes in comes out in order and once, no more is queued than the limit and one read, and a
+// reader that was told to stop is told to resume.
 func TestPipe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		most := rapid.IntRange(1, 300).Draw(t, "most")
+		limit := rapid.IntRange(1, 300).Draw(t, "limit")
 		var mu sync.Mutex
 		stopped, resumed := 0, 0
-		p := New(most, func() { mu.Lock(); resumed++; mu.Unlock() })
+		p := New(limit, func() { mu.Lock(); resumed++; mu.Unlock() })
 		var in, out []byte
 		var spare []byte
-		waits := 0
+		queued := 0
 		next := byte(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "put") && !p.Full() {
@@ -31,8 +31,8 @@
 				if p.Put(b, Open) {
 					stopped++
 				}
-				if waits += len(b); waits > most+200 {
-					t.Fatalf("%d bytes wait at a limit of %d", waits, most)
+				if queued += len(b); queued > limit+200 {
+					t.Fatalf("%d bytes are queued at a limit of %d", queued, limit)
 				}
 				continue
 			}
@@ -41,7 +41,7 @@
 				t.Fatalf("ended by %v", end)
 			}
 			out = append(out, b...)
-			waits -= len(b)
+			queued -= len(b)
 			spare = b
 			p.MarkSent()
 		}
@@ -52,7 +52,7 @@
 			t.Fatalf("%d bytes in, %d out", len(in), len(out))
 		}
 		if resumed != stopped || p.Full() {
-			t.Fatalf("stopped %d times, told of room %d times, full %v", stopped, resumed, p.Full())
+			t.Fatalf("stopped %d times, resumed %d times, full %v", stopped, resumed, p.Full())
 		}
 		p.Put([]byte("x"), Done)
 		p.Put([]byte("late"), Open) // behind the end nothing counts
--- a/internal/backend/enginequery/query.go
+++ b/internal/backend/enginequery/query.go
@@ -1,5 +1,6 @@
-// Package enginequery is one query in the terms of the engines, which speak PostgreSQL, whatever front it
-// came by.
+// Package enginequery describes one query in the terms of the engines, which speak the PostgreSQL protocol,
+// whichever front the query came by. It holds data only: who runs the query, where and when is decided
+// elsewhere.
 package enginequery
 
 import (
@@ -7,41 +8,62 @@
 	"cresspass/internal/protocol/sqlscan"
 )
 
-// Kind says how a query is put to an engine.
+// Kind says which protocol messages put a query to an engine.
 type Kind int
 
 // The kinds of query.
 const (
-	Simple            Kind = iota // Text as a simple Query
-	Execute                       // Parse, Bind and Execute; DescribePortal: Describe before Execute
-	DescribeStatement             // Parse and Describe
-	DescribePortal                // Parse, Bind and Describe
+	Simple            Kind = iota // a simple Query of the text
+	Execute                       // Parse, Bind and Execute
+	DescribeStatement             // Parse and Describe of the statement
+	DescribePortal                // Parse, Bind and Describe of the portal
 )
 
 // Query is one query for an engine.
 type Query struct {
-	Kind               Kind
-	Text               string
-	Parsed             []sqlscan.Statement
-	ParameterTypes     string             // OIDs of the parameters, 4 bytes each
-	BindBody           []byte             // of the Bind message, all after its two names
-	WithDescribe       bool               // Kind Execute: with Describe of the portal
-	Portal             string             // its name at the engine; "" unless the session is in a transaction
-	ContinuePortal     bool               // Kind Execute: fetch on from a portal that stands
-	Sticky             bool               // the session was kept on an engine connection before it
-	Stateful           bool               // the session is kept on an engine connection, may be by this, or changes settings
-	MayBecomeSticky    bool               // the session is not kept, and may be by this
-	OutsideTransaction bool               // no transaction is open
-	Settings           *sessionparams.Set // what is to be in force on the connection
-	MaxRows            int32              // Kind Execute: at most so many rows; 0: all
+	Kind           Kind
+	Text           string
+	Parsed         []sqlscan.Statement
+	ParameterTypes string // OIDs of the parameters, 4 bytes each
+	BindBody       []byte // body of the Bind message behind its two names
+
+	// For Kind Execute.
+
+	WithDescribe   bool  // the portal is described before it is executed
+	MaxRows        int32 // Execute returns at most so many rows; 0: all
+	ContinuePortal bool  // fetches on from a portal that exists on the engine connection
+
+	// Portal is the portal's name at the engine. It is empty unless the session is in a transaction: only
+	// there does a portal outlive the Sync of its query.
+	Portal string
+
+	// What the query has to do with the state of its client's session.
+
+	Sticky             bool // the session was on one engine connection before this query
+	MayBecomeSticky    bool // the session is on no engine connection, and may be after this query
+	Stateful           bool // the session is on an engine connection, may be after this, or changes settings
+	OutsideTransaction bool // no transaction is open
+	Settings           *sessionparams.Set
 }
 
-// PrepareKey names what an engine has to prepare for an Ask: its text and types.
-func (a *Query) PrepareKey() string { return a.ParameterTypes + "\x00" + a.Text }
+// PrepareKey identifies what an engine prepares for the query: its text and parameter types.
+func (q *Query) PrepareKey() string { return q.ParameterTypes + "\x00" + q.Text }
+
+// MayCopyIn reports whether the query may open copy-in mode by the extended protocol. No Sync is sent behind
+// such a query until the copy has ended: an engine in copy-in mode skips a Sync, but it answers one if the
+// copy fails before that is read, so that the number of ReadyForQuery messages could not be foreseen.
+func (q *Query) MayCopyIn() bool {
+	return q.Kind == Execute && len(q.Parsed) > 0 && q.Parsed[0].Words[0] == "COPY"
+}
 
-// MayCopyIn reports whether a query may open copy-in mode by the extended protocol. Danger: a Sync that was
-// sent behind its Execute is passed over by the engine in copy-in mode, and not where the copy fails before
-// it; the engine would be ready once or twice. So none is sent until the copy has ended.
-func (a *Query) MayCopyIn() bool {
-	return a.Kind == Execute && len(a.Parsed) > 0 && a.Parsed[0].Words[0] == "COPY"
+// ParseStatements parses a text. Functions for which stateless returns true count as functions without an
+// effect on their session; nil: none does.
+func ParseStatements(text string, stateless func(name string) bool) []sqlscan.Statement {
+	statements := sqlscan.Statements(text)
+	for i := range statements {
+		if f := statements[i].Function; f != "" && stateless != nil && stateless(f) {
+			statements[i].Function = ""
+		}
+	}
+	return statements
 }
--- /dev/null
+++ b/internal/backend/sessionparams/change.go
@@ -0,0 +1,92 @@
+package sessionparams
+
+import (
+	"strings"
+
+	"cresspass/internal/protocol/sqlscan"
+)
+
+// Change is what one statement does to the settings that are replayed.
+type Change struct {
+	Name      string // "": all settings
+	Statement string // "": back to the default
+}
+
+// ChangeOf returns what a statement changes of the settings that are replayed. ok is false for a statement
+// that changes none of them.
+func ChangeOf(st *sqlscan.Statement) (ch Change, ok bool) {
+	words := st.Words
+	switch words[0] {
+	case "DISCARD":
+		return Change{}, words[1] == "ALL"
+	case "RESET":
+		return resetBy(&st.Words)
+	case "SET":
+	default:
+		return ch, false
+	}
+	name, value, ok := ParseAssignment(st)
+	if !ok || words[1] == "LOCAL" || !replayedSettings[name] {
+		return ch, false
+	}
+	ch = Change{Name: name, Statement: st.Text}
+	value = strings.TrimSpace(value)
+	if strings.EqualFold(value, "default") || name == "timezone" && strings.EqualFold(value, "local") {
+		ch.Statement = ""
+	}
+	return ch, true
+}
+
+// resetBy returns what a RESET changes.
+func resetBy(words *[4]string) (ch Change, ok bool) {
+	if words[1] == "ALL" {
+		return Change{}, true
+	}
+	ch.Name = strings.ToLower(words[1])
+	if words[1] == "TIME" && words[2] == "ZONE" {
+		ch.Name = "timezone"
+	}
+	return ch, replayedSettings[ch.Name]
+}
+
+// ParseAssignment splits a SET into the setting's name in lower case and the text of its value ("SET").
+func ParseAssignment(st *sqlscan.Statement) (name, value string, ok bool) {
+	rest := withoutScope(strings.TrimSpace(st.Text[len("SET"):]))
+	name, value, ok = strings.Cut(rest, "=")
+	if !ok || strings.ContainsAny(strings.TrimSpace(name), " \t\r\n'") {
+		name, value, ok = parseWordAssignment(rest)
+	}
+	name = strings.ToLower(strings.Trim(strings.TrimSpace(name), `"`))
+	return name, strings.TrimSpace(value), ok
+}
+
+// withoutScope removes a leading SESSION or LOCAL.
+func withoutScope(assignment string) string {
+	for _, word := range []string{"SESSION", "LOCAL"} {
+		n := len(word)
+		if len(assignment) > n && strings.EqualFold(assignment[:n], word) &&
+			strings.ContainsRune(" \t\r\n", rune(assignment[n])) {
+			return strings.TrimSpace(assignment[n:])
+		}
+	}
+	return assignment
+}
+
+// parseWordAssignment splits an assignment without an equals sign: TIME ZONE value, NAMES value or
+// name TO value.
+func parseWordAssignment(assignment string) (name, value string, ok bool) {
+	upper := strings.ToUpper(assignment)
+	words := strings.Fields(upper)
+	switch {
+	case len(words) > 2 && words[0] == "TIME" && words[1] == "ZONE":
+		at := strings.Index(upper, "ZONE") + len("ZONE")
+		return "timezone", assignment[at:], true
+	case len(words) > 1 && words[0] == "NAMES":
+		return "client_encoding", assignment[len("NAMES"):], true
+	case len(words) > 2 && words[1] == "TO":
+		at := len(words[0])
+		at += strings.Index(upper[at:], "TO") + len("TO")
+		return assignment[:len(words[0])], assignment[at:], true
+	}
+	return "", "", false
+}
--- a/internal/backend/sessionparams/tracker_test.go
+++ b/internal/backend/sessionparams/tracker_test.go
@@ -1,6 +1,7 @@
 package sessionparams
 
 import (
+	"maps"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -8,6 +9,7 @@
 	"cresspass/internal/protocol/sqlscan"
 )
 
+// TestChangeOf: which statements change a setting that is replayed, and which do not.
 func TestChangeOf(t *testing.T) {
 	for text, want := range map[string]Change{
 		"set search_path = a, b":             {"search_path", "set search_path = a, b"},
@@ -35,120 +37,113 @@
 	}
 }
 
-// engine is what a server does with settings, by PostgreSQL's documentation, without any cleverness: each
-// transaction and savepoint keeps a copy to go back to.
-type engine struct {
-	now   map[string]string
-	saved []map[string]string // at BEGIN, then at each savepoint
+// modelServer is what a server does with settings by PostgreSQL's documentation, in the simplest way: each
+// transaction and savepoint keeps a copy to roll back to.
+type modelServer struct {
+	settings map[string]string
+	saved    []map[string]string // at BEGIN, then at each savepoint
 }
 
-func clone(m map[string]string) map[string]string {
-	out := map[string]string{}
-	for k, v := range m {
-		out[k] = v
-	}
-	return out
-}
-
-func (e *engine) status() byte {
-	if len(e.saved) > 0 {
+func (m *modelServer) status() byte {
+	if len(m.saved) > 0 {
 		return 'T'
 	}
 	return 'I'
 }
 
-func (e *engine) run(text string) (tag string) {
+func (m *modelServer) run(text string) (tag string) {
 	st := sqlscan.Statements(text)[0]
 	switch w := st.Words; {
 	case w[0] == "BEGIN":
-		if tag = "BEGIN"; len(e.saved) == 0 {
-			e.saved = append(e.saved, clone(e.now))
+		if tag = "BEGIN"; len(m.saved) == 0 {
+			m.saved = append(m.saved, maps.Clone(m.settings))
 		}
 	case w[0] == "COMMIT":
-		tag, e.saved = "COMMIT", nil
+		tag, m.saved = "COMMIT", nil
 	case w[0] == "ROLLBACK" && w[1] == "TO":
 		tag = "ROLLBACK"
-		e.now = clone(e.saved[len(e.saved)-1])
+		m.settings = maps.Clone(m.saved[len(m.saved)-1])
 	case w[0] == "ROLLBACK":
-		if tag = "ROLLBACK"; len(e.saved) > 0 {
-			e.now = e.saved[0]
+		if tag = "ROLLBACK"; len(m.saved) > 0 {
+			m.settings = m.saved[0]
 		}
-		e.saved = nil
+		m.saved = nil
 	case w[0] == "SAVEPOINT":
 		tag = "SAVEPOINT"
-		e.saved = append(e.saved, clone(e.now))
+		m.saved = append(m.saved, maps.Clone(m.settings))
 	case w[0] == "DISCARD", w[0] == "RESET" && w[1] == "ALL":
-		tag, e.now = w[0], map[string]string{}
+		tag, m.settings = w[0], map[string]string{}
 		if w[0] == "DISCARD" {
 			tag = "DISCARD ALL"
 		}
 	case w[0] == "RESET":
 		tag = "RESET"
 		ch, _ := ChangeOf(&st)
-		delete(e.now, ch.Name)
+		delete(m.settings, ch.Name)
 	case w[0] == "SET":
 		tag = "SET"
 		ch, _ := ChangeOf(&st)
-		e.now[ch.Name] = ch.Statement
+		m.settings[ch.Name] = ch.Statement
 	default:
 		tag = "SELECT 1"
 	}
 	return tag
 }
 
-// A session moves over engines between its transactions; whatever it sets and takes back, each statement
-// finds on its engine what one server would have had in force, as long as the track has no doubt.
+// TestReplayMatchesSingleServer: a session moves over engines between its transactions. Whatever it sets and
+// resets, each statement finds on its engine what one server would have in force, as long as the tracker is
+// certain.
 func TestReplayMatchesSingleServer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		one := &engine{now: map[string]string{}}
-		engines := []*engine{}
+		single := &modelServer{settings: map[string]string{}}
+		engines := []*modelServer{}
 		for range 3 {
-			engines = append(engines, &engine{now: map[string]string{}})
+			engines = append(engines, &modelServer{settings: map[string]string{}})
 		}
 		have := make([]*Set, len(engines))
-		var tr Tracker
+		var tracker Tracker
 		at := 0
 		for range rapid.IntRange(1, 40).Draw(t, "statements") {
-			if one.status() == 'I' {
+			if single.status() == 'I' {
 				at = rapid.IntRange(0, len(engines)-1).Draw(t, "engine")
-				for _, text := range Diff(have[at], tr.Desired()) {
+				for _, text := range Diff(have[at], tracker.Desired()) {
 					engines[at].run(text)
 				}
-				have[at] = tr.Desired()
-				tr.ConnectionHad(have[at])
+				have[at] = tracker.Desired()
+				tracker.ConnectionHad(have[at])
 			}
 			texts := []string{"set search_path = a", "set search_path = b", "set time zone 'x'",
 				"reset search_path", "reset time zone", "reset all", "select 1", "begin", "commit",
 				"rollback"}
-			if one.status() == 'T' {
+			if single.status() == 'T' {
 				texts = append(texts, "savepoint s", "rollback to s")
 			} else {
 				texts = append(texts, "discard all")
 			}
 			text := rapid.SampledFrom(texts).Draw(t, "text")
-			if text == "rollback to s" && len(one.saved) < 2 {
+			if text == "rollback to s" && len(single.saved) < 2 {
 				continue
 			}
-			for name, v := range one.now {
-				if engines[at].now[name] != v {
-					t.Fatalf("before %q: %s is %q, should be %q", text, name, engines[at].now[name], v)
+			for name, v := range single.settings {
+				if engines[at].settings[name] != v {
+					t.Fatalf("before %q: %s is %q, should be %q", text, name, engines[at].settings[name], v)
 				}
 			}
-			if len(one.now) != len(engines[at].now) {
-				t.Fatalf("before %q: %v, should be %v", text, engines[at].now, one.now)
+			if len(single.settings) != len(engines[at].settings) {
+				t.Fatalf("before %q: %v, should be %v", text, engines[at].settings, single.settings)
 			}
-			failed := rapid.IntRange(0, 9).Draw(t, "fails") == 0 && one.status() == 'I'
-			tr.StatementsSent(sqlscan.Statements(text))
+			failed := rapid.IntRange(0, 9).Draw(t, "fails") == 0 && single.status() == 'I'
+			tracker.StatementsSent(sqlscan.Statements(text))
 			if !failed {
-				tag := one.run(text)
+				tag := single.run(text)
 				engines[at].run(text)
-				tr.CommandComplete(tag)
+				tracker.CommandComplete(tag)
 			}
-			if tr.ReadyForQuery(one.status()) {
-				return // in doubt the session stays where it is
+			if tracker.ReadyForQuery(single.status()) {
+				return // uncertain: the session stays on its connection
 			}
-			if one.status() == 'I' {
-				have[at] = tr.OnConnection()
+			if single.status() == 'I' {
+				have[at] = tracker.OnConnection()
 			}
 		}
 	})
