--- /dev/null
+++ b/internal/backend/pgbackend/cancel.go
@@ -0,0 +1,89 @@
+package pgbackend
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"time"
+
+	"cresspass/internal/protocol/pgwire"
+)
+
+// cancelAttempt asks the engine to cancel an attempt that was withdrawn. PostgreSQL's cancel request names a
+// connection, not a query, and is not answered: it cancels whatever runs on the connection when the engine
+// takes it. So the connection is not used again until the engine has closed the request's own connection.
+func (c *conn) cancelAttempt(a *Attempt) {
+	c.mu.Lock()
+	if c.current.Load() != a || c.closed || c.pendingCancels > 0 {
+		c.mu.Unlock()
+		return
+	}
+	c.pendingCancels++
+	c.mu.Unlock()
+	p := c.pool
+	p.mu.Lock()
+	if p.closed {
+		p.mu.Unlock()
+		return
+	}
+	p.background.Add(1)
+	p.mu.Unlock()
+	go func() {
+		defer p.background.Done()
+		c.carryOutCancel(a)
+	}()
+}
+
+// carryOutCancel sends the cancel request and gives the connection back once it may be used again. An engine
+// that took the request and does not end the query within CancelTimeout loses its connection.
+func (c *conn) carryOutCancel(a *Attempt) {
+	p := c.pool
+	deadline := time.Now().Add(p.cfg.CancelTimeout)
+	if err := sendCancel(p.dialer(), string(c.engine.id), c.pid, c.secret, deadline); err != nil {
+		c.close() // it is not known whether the request will still be taken
+		return
+	}
+	c.mu.Lock()
+	c.pendingCancels--
+	idle := c.awaitingCancel && c.pendingCancels == 0
+	c.awaitingCancel = c.awaitingCancel && !idle
+	c.mu.Unlock()
+	if idle {
+		p.putIdle(c)
+		return
+	}
+	timer := time.NewTimer(time.Until(deadline))
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-p.stop:
+	}
+	if c.current.Load() == a {
+		c.close()
+	}
+}
+
+// sendCancel sends a cancel request on a connection of its own and waits until the engine closes that: by
+// then the request has been taken ("Canceling Requests in Progress").
+func sendCancel(d *net.Dialer, addr string, pid uint32, secret []byte, deadline time.Time) error {
+	netConn, err := d.Dial("tcp", addr)
+	if err != nil {
+		return err
+	}
+	defer netConn.Close()
+	if err := netConn.SetDeadline(deadline); err != nil {
+		return err
+	}
+	if _, err := netConn.Write(pgwire.AppendCancel(nil, pid, secret)); err != nil {
+		return err
+	}
+	var b [1]byte
+	switch _, err := netConn.Read(b[:]); {
+	case err == nil:
+		return errors.New("cancel request: the engine answered it")
+	case !errors.Is(err, io.EOF):
+		return fmt.Errorf("cancel request: %w", err)
+	}
+	return nil
+}
--- a/internal/backend/pgbackend/conn_test.go
+++ b/internal/backend/pgbackend/conn_test.go
@@ -14,9 +14,9 @@
 	"cresspass/internal/protocol/pgwire"
 )
 
-// TestUnstartedAttemptLeavesConnectionReusable: a statement that is withdrawn, or may not begin any more,
-// leaves its connection idle for others; that of a session stays the session's. Given to others, their
-// statements would run inside its transaction.
+// TestUnstartedAttemptLeavesConnectionReusable: a statement that is withdrawn, or may not start any more,
+// leaves its connection idle for others; that of a session stays the session's. If it were given to others,
+// their statements would run inside the session's transaction.
 func TestUnstartedAttemptLeavesConnectionReusable(t *testing.T) {
 	for name, c := range map[string]struct {
 		session   bool
@@ -60,7 +60,8 @@
 }
 
 // TestMayStartRecheckedAfterSettings: a query that waits until its engine has taken the session's settings
-// is not sent where it may not begin any more by then, and its connection goes on with those settings.
+// is not sent where it may not start any more by then, and its connection stays usable with those
+// settings.
 func TestMayStartRecheckedAfterSettings(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
@@ -70,7 +71,7 @@
 	e := p.engineFor("engine")
 	c := &conn{pool: p, engine: e, netConn: near}
 	e.conns[c] = struct{}{}
-	wrote := make(chan string, 8)
+	written := make(chan string, 8)
 	go func() {
 		b := make([]byte, 4096)
 		for {
@@ -78,32 +79,22 @@
 			if err != nil {
 				return
 			}
-			wrote <- string(b[:n])
+			written <- string(b[:n])
 		}
 	}()
 	settings := (&sessionparams.Set{}).With("search_path", "s")
 	ended := make(chan Result, 2)
-	waits := true
-	a := &Attempt{
-		Query: &enginequery.Query{
-			Kind:               enginequery.Simple,
-			Text:               "select 1",
-			OutsideTransaction: true,
-			Settings:           settings,
-		},
-		Response: response.New(
-			nil,
-			&response.BufferBudget{},
-			0,
-		),
-		Priority: -1,
+	mayStart := true
+	a := &Attempt{Priority: -1,
+		Query: &enginequery.Query{Kind: enginequery.Simple, Text: "select 1", OutsideTransaction: true,
+			Settings: settings},
+		Response: response.New(nil, &response.BufferBudget{}, 0),
 		OnEnded:  func(r Result) { ended <- r },
-		MayStart: func() (cresspass.Outcome, bool) { return cresspass.OutcomeNotStarted, waits },
-	}
+		MayStart: func() (cresspass.Outcome, bool) { return cresspass.OutcomeNotStarted, mayStart }}
 	a.Response.BeginAttempt(0)
 	c.start(a)
-	<-wrote
-	waits = false
+	<-written
+	mayStart = false
 	for _, m := range []pgwire.Message{{Type: 'C', Body: []byte("SET\x00")}, {Type: 'Z', Body: []byte("I")}} {
 		if err := c.handleMessage(m); err != nil {
 			t.Fatal(err)
@@ -114,7 +105,7 @@
 		if r.Outcome != cresspass.OutcomeNotStarted {
 			t.Errorf("%+v", r)
 		}
-	case b := <-wrote:
+	case b := <-written:
 		t.Fatalf("written: %q", b)
 	}
 	if len(e.idle) != 1 || c.settings != settings {
@@ -122,7 +113,7 @@
 	}
 }
 
-// TestLocalDialErrorIsRetried: a connect that fails by our own machine is made again, and counts against no
+// TestLocalDialErrorIsRetried: a connect that fails by this machine's own fault is retried, and counts against no
 // engine.
 func TestLocalDialErrorIsRetried(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENETUNREACH,
@@ -139,10 +130,10 @@
 				}
 				return nil
 			}})
-		came := make(chan struct{})
+		accepted := make(chan struct{})
 		go func() {
 			if c, err := ln.Accept(); err == nil {
-				close(came)
+				close(accepted)
 				c.Close()
 			}
 		}()
@@ -151,7 +142,7 @@
 			OnEnded: func(r Result) { ended <- r }})
 		r := <-ended
 		select {
-		case <-came:
+		case <-accepted:
 		default:
 			t.Errorf("%v: ended with %v, %s, before a connection came", errno, r.Outcome, r.Message)
 		}
--- /dev/null
+++ b/internal/backend/pgbackend/connect.go
@@ -0,0 +1,139 @@
+package pgbackend
+
+import (
+	"container/list"
+	"errors"
+	"fmt"
+	"net"
+	"time"
+
+	"cresspass"
+	"cresspass/internal/oserr"
+	"cresspass/internal/protocol/pgwire"
+)
+
+// How a connection is dialed again where this machine is out of ports, buffers or descriptors for a moment.
+const (
+	dialRetryPause = 10 * time.Millisecond // before the first retry, doubled each time...
+	dialRetryLimit = time.Second           // ...until the pauses add up to this
+)
+
+// startupBufferSize is enough for the messages of a connection's startup.
+const startupBufferSize = 4096
+
+// errorResponse is an ErrorResponse as an error.
+type errorResponse struct{ fields pgwire.Fields }
+
+func (e *errorResponse) Error() string { return e.fields.Message }
+
+// dialWithRetry connects to an engine, and retries where this machine fails.
+func (p *Pool) dialWithRetry(addr string) (net.Conn, error) {
+	for pause, waited := dialRetryPause, time.Duration(0); ; pause *= 2 {
+		c, err := p.dialer().Dial("tcp", addr)
+		if !oserr.IsLocal(err) || waited >= dialRetryLimit {
+			return c, err
+		}
+		select {
+		case <-time.After(pause):
+		case <-p.stop:
+			return nil, err
+		}
+		waited += pause
+	}
+}
+
+func (p *Pool) dialer() *net.Dialer {
+	return &net.Dialer{Timeout: p.cfg.ConnectTimeout, Control: p.cfg.Control}
+}
+
+// connect opens a connection and goes through its startup. Without a connection the result says why.
+func connect(p *Pool, e *engine) (*conn, Result) {
+	netConn, err := p.dialWithRetry(string(e.id))
+	switch {
+	case oserr.IsLocal(err): // it says nothing of the engine, which must not be taken for unreachable
+		return nil, Result{Outcome: cresspass.OutcomeRejected, Message: err.Error()}
+	case err != nil:
+		return nil, Result{Outcome: cresspass.OutcomeConnectFailed, Message: err.Error()}
+	}
+	c := &conn{pool: p, engine: e, netConn: netConn, preparedByKey: map[string]*list.Element{},
+		preparedLRU: list.New(), priority: unknownSetting}
+	c.reader.Known, c.reader.Max = pgwire.BackendType, p.cfg.MaxMessage
+	if err := c.startUp(); err != nil {
+		c.close()
+		return nil, connectResult(err)
+	}
+	return c, Result{}
+}
+
+// connectResult is the result of an attempt whose connection failed to start.
+func connectResult(err error) Result {
+	r := Result{Outcome: cresspass.OutcomeConnectFailed, Message: err.Error()}
+	var refusal *errorResponse
+	if errors.As(err, &refusal) {
+		r.SQLState = refusal.fields.Code
+		if provesNotRun(r.SQLState) {
+			r.Outcome = cresspass.OutcomeRejected
+		}
+	}
+	return r
+}
+
+// startUp sends the startup packet and waits until the engine is ready.
+func (c *conn) startUp() error {
+	cfg := &c.pool.cfg
+	c.setDeadline(time.Now().Add(cfg.ConnectTimeout))
+	packet := pgwire.AppendStartup(nil, pgwire.Version30, "user", cfg.User, "database", cfg.Database,
+		"application_name", cfg.Application)
+	if _, err := c.netConn.Write(packet); err != nil {
+		return err
+	}
+	err := c.receiveUntilReady(func(m pgwire.Message) (err error) {
+		switch m.Type {
+		case 'K': // BackendKeyData
+			c.pid, c.secret, err = pgwire.ParseKey(m.Body)
+		case 'R': // an authentication message
+			if string(m.Body) != "\x00\x00\x00\x00" {
+				err = fmt.Errorf("engine %s asks for authentication, which is not served", c.engine.id)
+			}
+		case 'E': // ErrorResponse; of one that is malformed the fields count that could be read
+			f, _ := pgwire.ParseFields(m.Body)
+			err = &errorResponse{f}
+		}
+		return err
+	})
+	c.setDeadline(time.Time{})
+	return err
+}
+
+// receiveUntilReady reads messages until a ReadyForQuery, and passes all others to handle until that returns
+// an error.
+func (c *conn) receiveUntilReady(handle func(pgwire.Message) error) error {
+	buf := make([]byte, startupBufferSize)
+	for {
+		n, err := c.netConn.Read(buf)
+		if err != nil {
+			return err
+		}
+		c.reader.Push(buf[:n])
+		for {
+			m, ok, err := c.reader.Next()
+			if err != nil {
+				return err
+			}
+			if !ok {
+				break
+			}
+			if m.Type == 'Z' {
+				c.reader.Rest()
+				return nil
+			}
+			if err := handle(m); err != nil {
+				return err
+			}
+		}
+		c.reader.Rest()
+	}
+}
+
+// setDeadline limits reads and writes. It fails on a closed connection only, on which they fail too.
+func (c *conn) setDeadline(t time.Time) { _ = c.netConn.SetDeadline(t) }
--- a/internal/backend/pgbackend/copyin.go
+++ b/internal/backend/pgbackend/copyin.go
@@ -7,101 +7,111 @@
 	"cresspass/internal/protocol/pgwire"
 )
 
-// copyWriter is a copy-in that runs on a connection: a goroutine of its own writes, as an engine that is
-// slow to take the data must hold up neither its own answers nor anybody else.
+// maxIdleCopyBuffer is the largest buffer that a copy keeps for the next data.
+const maxIdleCopyBuffer = 1 << 20
+
+// copyWriter writes the data of a copy-in to the engine. It has a goroutine of its own, as an engine that is
+// slow to take the data must delay neither its own messages nor anybody else.
 type copyWriter struct {
-	pipe        *copyin.Pipe
-	stop        chan struct{} // the engine has ended the statement
-	done        chan struct{} // the writer has ended
-	syncPending bool          // a Sync is owed behind the end of the data; after done: it is owed yet
-	failed      bool          // CopyFail went out; read after done
+	pipe          *copyin.Pipe
+	statementDone chan struct{} // the engine has ended the statement
+	stopped       chan struct{} // the writer has ended
+
+	// The writer's; of others only once stopped is closed.
+
+	syncPending bool // a Sync is to be sent behind the end of the data
+	failed      bool // a CopyFail was sent
 }
 
-// startCopyIn opens copy-in mode at the engine's CopyInResponse. The client must hear of it at once, so its
-// answer belongs to this attempt from here on; nothing of it can be tried elsewhere.
+// startCopyIn opens copy-in mode at the engine's CopyInResponse. The client must receive that at once, so the
+// response belongs to this attempt from here on: nothing of it can be attempted elsewhere.
 func (c *conn) startCopyIn(a *Attempt, m pgwire.Message) {
 	c.forward(m)
 	batch := c.batch
 	c.batch = nil
-	c.activeCopy = &copyWriter{pipe: copyin.New(c.pool.cfg.CopyBufferBytes, func() {
-		if a.OnCopyCapacity != nil {
-			a.OnCopyCapacity()
-		}
-	}), stop: make(chan struct{}), done: make(chan struct{}), syncPending: c.syncPending}
-	in := c.activeCopy
+	w := &copyWriter{
+		pipe: copyin.New(c.pool.cfg.CopyBufferBytes, func() {
+			if a.OnCopyCapacity != nil {
+				a.OnCopyCapacity()
+			}
+		}),
+		statementDone: make(chan struct{}), stopped: make(chan struct{}), syncPending: c.syncPending}
+	c.activeCopy = w
 	c.hadCopyIn = true
 	if a.Response == nil || a.StartCopyIn == nil || !a.Response.WriteThrough(a.Number, batch) ||
-		!a.StartCopyIn(in.pipe) {
-		in.pipe.Abandon()
+		!a.StartCopyIn(w.pipe) {
+		w.pipe.Abandon()
 	}
-	var ended <-chan struct{}
+	var responseDone <-chan struct{}
 	if a.Response != nil {
-		ended = a.Response.Done()
+		responseDone = a.Response.Done()
 	}
-	c.pool.background.Add(1) // this goroutine is among those counted, so the count is not zero
+	c.pool.background.Add(1) // the reading goroutine is counted too, so the count is not zero here
 	go func() {
 		defer c.pool.background.Done()
-		defer close(in.done)
-		in.write(c, ended)
+		defer close(w.stopped)
+		w.run(c, responseDone)
 	}()
 }
 
-func (in *copyWriter) write(c *conn, ended <-chan struct{}) {
+// run writes what comes through the pipe until the data or the statement ends.
+func (w *copyWriter) run(c *conn, responseDone <-chan struct{}) {
 	var spare []byte
 	for {
-		b, end := in.pipe.Take(spare)
+		b, end := w.pipe.Take(spare)
 		if end == copyin.Abandoned {
 			b = pgwire.AppendText(b[:0], 'f', "the copy's client is gone or was answered")
-			in.failed = true
+			w.failed = true
 		}
-		if end != copyin.Open && in.syncPending {
-			// Danger: an engine keeps its last word back until the Sync, which was not sent with the request.
+		if end != copyin.Open && w.syncPending {
+			// No Sync was sent with the request, and an engine does not end a query of the extended protocol
+			// before it reads one.
 			b = pgwire.AppendSync(b)
-			in.syncPending = false
+			w.syncPending = false
 		}
 		if len(b) > 0 {
 			if _, err := c.netConn.Write(b); err != nil {
-				in.pipe.Abandon()
-				return // the reading goroutine sees it
+				w.pipe.Abandon()
+				return // the reading goroutine sees the broken connection
 			}
 		}
-		in.pipe.MarkSent()
-		spare = b
+		w.pipe.MarkSent()
 		if end != copyin.Open {
-			in.failed = in.failed || end == copyin.Failed
+			w.failed = w.failed || end == copyin.Failed
 			return
 		}
-		if cap(spare) > 1<<20 {
+		if spare = b; cap(spare) > maxIdleCopyBuffer {
 			spare = nil
 		}
 		select {
-		case <-in.pipe.Ready():
-		case <-in.stop:
+		case <-w.pipe.Ready():
+		case <-w.statementDone:
 			return
-		case <-ended:
-			// Danger: an engine that waits for data of a client that is gone would wait for ever, with all
-			// the locks it holds.
-			in.pipe.Abandon()
-			ended = nil
+		case <-responseDone:
+			// Without an end of the data, an engine waits for ever for a client that is gone, with all the
+			// locks it holds.
+			w.pipe.Abandon()
+			responseDone = nil
 		}
 	}
 }
 
-// finishCopyIn ends the writer at the engine's end of the statement, so that nothing of it follows on the
-// connection. failed says that the client, or its going, had asked for the copy's failure.
+// finishCopyIn stops the writer at the engine's end of the statement, so that nothing of the copy follows on
+// the connection. failed says that the copy's failure was asked for, by its client or for want of one.
 func (c *conn) finishCopyIn() (failed bool) {
-	in := c.activeCopy
-	if in == nil {
+	w := c.activeCopy
+	if w == nil {
 		return false
 	}
 	c.activeCopy = nil
-	close(in.stop)
-	// An engine that ended the copy in the middle reads on and passes over what comes; one that does not is
-	// no longer to be written to.
-	c.netConn.SetWriteDeadline(time.Now().Add(c.pool.cfg.CancelTimeout))
-	<-in.done
-	c.netConn.SetWriteDeadline(time.Time{})
-	in.pipe.Abandon()
-	c.syncPending = in.syncPending
-	return in.failed
+	close(w.statementDone)
+	// An engine that ended the copy early reads on and skips what comes. To one that does not read on, the
+	// writer must not go on writing. The deadline cannot be set on a closed connection only, where writes
+	// fail at once.
+	_ = c.netConn.SetWriteDeadline(time.Now().Add(c.pool.cfg.CancelTimeout))
+	<-w.stopped
+	_ = c.netConn.SetWriteDeadline(time.Time{})
+	w.pipe.Abandon()
+	c.syncPending = w.syncPending
+	return w.failed
 }
--- /dev/null
+++ b/internal/backend/pgbackend/ready.go
@@ -0,0 +1,153 @@
+package pgbackend
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"cresspass"
+	"cresspass/internal/protocol/pgwire"
+)
+
+var errUnknownState = errors.New("what the query left on the connection is not known")
+
+// queryOutcome is what the connection gathered of a query's response, and what its end means.
+type queryOutcome struct {
+	batch       []byte // the last messages of the response
+	description []byte
+	failed      bool // by an ErrorResponse
+	engineError pgwire.Fields
+	queryError  bool // the query itself is at fault, or nothing is: the engine's word is its response
+	retryable   bool // the decision module may make another attempt
+}
+
+// endQuery ends the attempt at its ReadyForQuery. The connection is put back first, as the client's next
+// query may follow at once. An error closes the connection.
+func (c *conn) endQuery(a *Attempt, status byte) error {
+	result, outcome := c.takeOutcome(a)
+	keep, tainted := c.settleSession(a, status, outcome.retryable)
+	err := c.detach(status, keep, tainted)
+	c.respond(a, result, outcome)
+	return err
+}
+
+// takeOutcome returns how the query ended and forgets what was gathered of it.
+func (c *conn) takeOutcome(a *Attempt) (Result, queryOutcome) {
+	r := Result{Outcome: cresspass.OutcomeOK, ServiceTime: max(time.Since(a.startedAt), 1),
+		LoadReport: c.loadReport}
+	o := queryOutcome{batch: c.batch, description: c.description, failed: c.failed,
+		engineError: c.engineError, queryError: true}
+	if c.failed {
+		r.SQLState, r.Message = c.engineError.Code, c.engineError.Message
+		r.Outcome, o.queryError = c.classifyError(c.engineError.Code)
+		if o.queryError {
+			// An error comes quickly. As a service time it would make the estimator take the engine for
+			// fast, and as a failure it would make it an outlier.
+			r.ServiceTime = 0
+		}
+	}
+	if c.hadCopyIn {
+		r.ServiceTime = 0 // a COPY lasts as long as its client takes, which says nothing of the engine
+	}
+	o.retryable = o.failed && !o.queryError && a.Query != nil && !a.Query.Sticky
+	c.batch, c.description, c.failed, c.engineError, c.loadReport = nil, nil, false, pgwire.Fields{}, nil
+	return r, o
+}
+
+// settleSession finds out what a query left on the connection, and whether its session stays on it. tainted
+// says that nobody knows: no other session may have the connection.
+func (c *conn) settleSession(a *Attempt, status byte, retryable bool) (keep, tainted bool) {
+	if a.Response == nil || !a.Stateful && !c.settingReported {
+		return false, c.tainted
+	}
+	d := Disposition{}
+	// A query whose response others have ended, or that is attempted elsewhere, may have left a table, a lock
+	// or a setting here that no session knows to be its own. Then the disposition stays unknown.
+	if !retryable && a.Response.Commit(a.Number) {
+		d = a.Settle(QueryEnd{Engine: c.engine.id, PID: c.pid, Secret: c.secret, TransactionStatus: status,
+			CommandTags: c.commandTags, SettingReported: c.settingReported, Settings: c.settings})
+		c.settings = d.Settings
+	}
+	tainted = c.tainted || !d.Known
+	keep = d.Keep && !tainted
+	if keep && !a.Lease.acquire(c) {
+		keep, tainted = false, true // its client disconnected meanwhile
+	}
+	if keep {
+		c.lease.Store(a.Lease)
+	} else if l := c.lease.Load(); l != nil &&
+		!tainted { // a tainted connection is lost to its session as it closes
+		c.lease.Store(nil)
+		l.release()
+	}
+	return keep, tainted
+}
+
+// detach ends the attempt's use of the connection and gives the connection back, if another may have it. An
+// error says that nobody may.
+func (c *conn) detach(status byte, keep, tainted bool) error {
+	var err error
+	c.mu.Lock()
+	c.current.Store(nil)
+	switch {
+	case tainted:
+		err = errUnknownState
+	case keep:
+	case status != 'I':
+		// The query left a transaction open, in which the next query on this connection would run.
+		err = fmt.Errorf("the query left transaction state %q", status)
+	case c.pendingCancels > 0:
+		c.awaitingCancel = true
+	}
+	c.closed = c.closed || err != nil
+	idle := !c.awaitingCancel && err == nil && !keep
+	c.mu.Unlock()
+	if idle {
+		c.pool.putIdle(c)
+	}
+	return err
+}
+
+// respond ends the client's response by the engine's word, or leaves it to another attempt, and reports the
+// attempt's result.
+func (c *conn) respond(a *Attempt, r Result, o queryOutcome) {
+	switch {
+	case a.Response == nil:
+		a.end(r)
+	case o.queryError:
+		c.cacheDescription(a, o)
+		if r.ResponseFinished = a.Response.Finish(a.Number, o.batch, o.failed); !r.ResponseFinished {
+			r.Outcome = cresspass.OutcomeCancelled // the attempt was revoked, and reported by whoever did so
+		}
+		a.end(r)
+	case a.Stateful && !o.retryable:
+		// In a session nothing is attempted elsewhere: the engine's error ends the statement.
+		last := pgwire.AppendFields(o.batch, 'E', &o.engineError)
+		r.ResponseFinished = a.Response.Finish(a.Number, last, true)
+		a.end(r)
+	default:
+		c.failAttempt(a, r)
+	}
+}
+
+// cacheDescription passes on a statement's description, or has it forgotten behind an error.
+func (c *conn) cacheDescription(a *Attempt, o queryOutcome) {
+	switch {
+	case a.OnDescribed == nil:
+	case o.failed:
+		a.OnDescribed(a.Query.PrepareKey(), nil)
+	case o.description != nil:
+		a.OnDescribed(a.Query.PrepareKey(), o.description)
+	}
+}
+
+// applyCommandTag updates what is known of the connection after a statement that resets it.
+func (c *conn) applyCommandTag(tag string) {
+	if tag == "DISCARD ALL" || tag == "DEALLOCATE ALL" {
+		clear(c.preparedByKey)
+		c.preparedLRU.Init()
+	}
+	if tag == "DISCARD ALL" || tag == "RESET" {
+		c.workMemMB, c.priority = unknownSetting, unknownSetting
+	}
+}
--- a/internal/backend/pgbackend/terminate.go
+++ b/internal/backend/pgbackend/terminate.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"strconv"
 	"strings"
 	"time"
 
@@ -10,62 +11,64 @@
 	"cresspass/internal/protocol/pgwire"
 )
 
-// TerminateSessions ends sessions that an earlier dispatcher's connections left at an engine. What they run
-// is cancelled by their keys first; then those with the recorded PIDs, and any that rest in a transaction,
-// are ended by name: a PID alone may by now be another's. It returns how many were ended. ("Server Signaling
-// Functions", "pg_stat_activity")
-func (p *Pool) TerminateSessions(v orphanedsession.Request) (ended int, err error) {
-	limit := time.Now().Add(p.cfg.CancelTimeout + p.cfg.ConnectTimeout)
+// TerminateSessions ends sessions that a former dispatcher's connections left at an engine. What they run is
+// cancelled by their secrets first. Then those with the recorded PIDs, and any that are idle in a
+// transaction, are ended by application name: a PID alone may have been given to another session by now. It
+// returns how many were ended ("Server Signaling Functions", "pg_stat_activity").
+func (p *Pool) TerminateSessions(r orphanedsession.Request) (ended int, err error) {
+	deadline := time.Now().Add(p.cfg.CancelTimeout + p.cfg.ConnectTimeout)
+	for _, s := range r.Sessions {
+		// A cancel request that is late or refused costs nothing: what follows ends the session all the same.
+		_ = sendCancel(p.dialer(), r.Engine, s.PID, s.Secret, deadline)
+	}
+	c, result := connect(p, &engine{id: cresspass.EngineID(r.Engine)})
+	if c == nil {
+		return 0, fmt.Errorf("engine %s: %s", r.Engine, result.Message)
+	}
+	defer c.close()
+	c.setDeadline(deadline)
+	ended, err = c.countRows(terminateStatement(r))
+	if err != nil {
+		err = fmt.Errorf("engine %s: %w", r.Engine, err)
+	}
+	return ended, err
+}
+
+// terminateStatement is the query that ends an engine's orphaned sessions, with a row for each.
+func terminateStatement(r orphanedsession.Request) string {
 	var pids, names []string
-	for _, s := range v.Sessions {
-		// A cancel that is late or refused costs nothing: what follows ends the session all the same.
-		sendCancel(p.dialer(), v.Engine, s.PID, s.Secret, limit)
-		pids = append(pids, fmt.Sprint(s.PID))
+	for _, s := range r.Sessions {
+		pids = append(pids, strconv.FormatUint(uint64(s.PID), 10))
 	}
-	for _, n := range v.IncarnationNames {
-		names = append(names, "'"+strings.ReplaceAll(n, "'", "''")+"'")
+	for _, name := range r.IncarnationNames {
+		names = append(names, "'"+strings.ReplaceAll(name, "'", "''")+"'")
 	}
 	which := "state LIKE 'idle in transaction%'"
 	if len(pids) > 0 {
 		which = "(" + which + " OR pid IN (" + strings.Join(pids, ", ") + "))"
 	}
-	c, r := connect(p, &engine{id: cresspass.EngineID(v.Engine)})
-	if c == nil {
-		return 0, fmt.Errorf("engine %s: %s", v.Engine, r.Message)
-	}
-	defer c.netConn.Close()
-	c.netConn.SetDeadline(limit)
-	text := "SELECT pg_terminate_backend(pid) FROM pg_stat_activity WHERE application_name IN (" +
+	return "SELECT pg_terminate_backend(pid) FROM pg_stat_activity WHERE application_name IN (" +
 		strings.Join(names, ", ") + ") AND " + which
-	if _, err := c.netConn.Write(pgwire.AppendText(nil, 'Q', text)); err != nil {
+}
+
+// countRows runs a statement and returns the number of rows of its result.
+func (c *conn) countRows(statement string) (rows int, err error) {
+	if _, err := c.netConn.Write(pgwire.AppendText(nil, 'Q', statement)); err != nil {
 		return 0, err
 	}
-	buf := make([]byte, 4096)
-	var refused error
-	for {
-		n, err := c.netConn.Read(buf)
-		if err != nil {
-			return ended, fmt.Errorf("engine %s: %w", v.Engine, err)
-		}
-		c.reader.Push(buf[:n])
-		for {
-			m, ok, fault := c.reader.Next()
-			if fault != nil {
-				return ended, fault
-			}
-			if !ok {
-				break
-			}
-			switch m.Type {
-			case 'D':
-				ended++
-			case 'E':
-				f, _ := pgwire.ParseFields(m.Body)
-				refused = fmt.Errorf("engine %s: %s %s", v.Engine, f.Code, f.Message)
-			case 'Z':
-				return ended, refused
-			}
+	var refusal error
+	err = c.receiveUntilReady(func(m pgwire.Message) error {
+		switch m.Type {
+		case 'D': // DataRow
+			rows++
+		case 'E': // ErrorResponse; of one that is malformed the fields count that could be read
+			f, _ := pgwire.ParseFields(m.Body)
+			refusal = fmt.Errorf("%s %s", f.Code, f.Message)
 		}
-		c.reader.Rest()
+		return nil
+	})
+	if err == nil {
+		err = refusal
 	}
+	return rows, err
 }
