--- a/internal/backend/pgbackend/conn_test.go
+++ b/internal/backend/pgbackend/conn_test.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// TestLocalDialErrorIsRetried: a connect that fails by this machine's own fault is retried, and counts against no
-// engine.
+// TestLocalDialErrorIsRetried: a connect that fails by this machine's own fault is retried, and counts
+// against no engine.
 func TestLocalDialErrorIsRetried(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENETUNREACH,
 		syscall.ENFILE, syscall.EMFILE} {
--- a/internal/frontend/pgfrontend/pgsession/copyin.go
+++ b/internal/frontend/pgfrontend/pgsession/copyin.go
@@ -7,29 +7,29 @@
 	"cresspass/internal/protocol/pgwire"
 )
 
-// Section "COPY Operations". The engine's CopyInResponse opens copy-in mode: from there the client's
-// CopyData, CopyDone and CopyFail are the engine's, Flush and Sync are passed over, and anything else aborts
-// the copy. The mode ends with CopyDone or CopyFail, or with the query; copy messages that come later are
-// passed over.
+// Copy-in mode ("COPY Operations"). The engine's CopyInResponse opens it: from there the client's CopyData,
+// CopyDone and CopyFail go to the engine, Flush and Sync are skipped, and any other message aborts the copy.
+// The mode ends with CopyDone or CopyFail, or with the query; copy messages that come later are skipped.
 
-// StartCopyIn puts the session into copy-in mode; what the client sent ahead is taken now. It returns false
-// where no query is out.
+// maxIdleCopyData is the largest buffer that a session keeps between two reads of a copy's data.
+const maxIdleCopyData = 1 << 12
+
+// StartCopyIn puts the session into copy-in mode and handles what the client sent ahead. It returns false
+// where no query runs.
 func (s *Session) StartCopyIn() bool {
 	if s.phase != phaseBusy {
 		return false
 	}
 	s.copyIn = true
-	s.reader.Push(nil)
-	s.processInput()
-	s.bytesAhead = s.reader.Rest()
+	s.processInput(nil)
 	return true
 }
 
-// TakeCopyData returns the bytes for the engine since the last call, as messages, valid until the next call
-// of any method, and how the data ended with them.
+// TakeCopyData returns the messages for the engine since the last call, valid until the next call of any
+// method, and how the data ended with them.
 func (s *Session) TakeCopyData() ([]byte, copyin.End) {
 	b, end := s.copyData, s.copyEnd
-	if s.copyData = s.copyData[:0]; cap(b) > 1<<12 {
+	if s.copyData = s.copyData[:0]; cap(b) > maxIdleCopyData {
 		s.copyData = nil
 	}
 	s.copyEnd = copyin.Open
@@ -38,21 +38,25 @@
 
 func (s *Session) handleCopyMessage(m pgwire.Message) {
 	switch m.Type {
-	case 'd':
-		s.copyData = pgwire.Append(s.copyData, 'd', m.Body)
-	case 'c', 'f':
+	case 'd': // CopyData
+		s.copyData = pgwire.Append(s.copyData, m.Type, m.Body)
+	case 'c': // CopyDone
 		s.copyData = pgwire.Append(s.copyData, m.Type, m.Body)
-		s.copyIn, s.copyEnd = false, copyin.Done
-		if m.Type == 'f' {
-			s.copyEnd = copyin.Failed
-		}
-	case 'H', 'S':
-	case 'X':
+		s.endCopyData(copyin.Done)
+	case 'f': // CopyFail
+		s.copyData = pgwire.Append(s.copyData, m.Type, m.Body)
+		s.endCopyData(copyin.Failed)
+	case 'H', 'S': // Flush, Sync
+	case 'X': // Terminate
 		s.phase = phaseClosing
 	default:
-		// Danger: passed on, it would be run as a query where the engine has just ended the copy by itself.
-		why := fmt.Sprintf("unexpected message type 0x%02x during COPY from stdin", m.Type)
-		s.copyData = pgwire.AppendText(s.copyData, 'f', why)
-		s.copyIn, s.copyEnd = false, copyin.Failed
+		// The message is not passed on: where the engine has just ended the copy by itself, it would run the
+		// message as a query.
+		reason := fmt.Sprintf("unexpected message type 0x%02x during COPY from stdin", m.Type)
+		s.copyData = pgwire.AppendText(s.copyData, 'f', reason)
+		s.endCopyData(copyin.Failed)
 	}
 }
+
+// endCopyData leaves copy-in mode.
+func (s *Session) endCopyData(end copyin.End) { s.copyIn, s.copyEnd = false, end }
--- /dev/null
+++ b/internal/frontend/pgfrontend/pgsession/extended.go
@@ -0,0 +1,220 @@
+package pgsession
+
+import (
+	"bytes"
+	"fmt"
+
+	"cresspass/internal/backend/enginequery"
+	"cresspass/internal/protocol/pgwire"
+	"cresspass/internal/protocol/sqlscan"
+	"cresspass/internal/protocol/sqlstate"
+)
+
+// The extended protocol ("Extended Query"). Parse, Bind and Close are answered here; an engine sees a
+// statement when it is described or executed, and each connection prepares it under a name of its own.
+
+// statement is a prepared statement.
+type statement struct {
+	text           string
+	parameterTypes string // OIDs as sent, 4 bytes each
+	parsed         []sqlscan.Statement
+	local          bool // the dispatcher answers it
+}
+
+// portal is a statement with its parameters.
+type portal struct {
+	statement *statement
+	bindBody  []byte
+	executed  bool
+	atEngine  bool // it exists at the engine until the transaction ends
+}
+
+func (s *Session) handleParse(b []byte) error {
+	p, err := pgwire.ParseParse(b)
+	if err != nil {
+		return err
+	}
+	name := string(p.Name)
+	limit := s.cfg.MaxPrepared
+	if limit == 0 {
+		limit = defaultMaxPrepared
+	}
+	st := &statement{text: string(p.Text), parameterTypes: string(p.Types)}
+	st.parsed = s.scan(st.text)
+	st.local = s.allLocal(st.parsed) || len(st.parsed) == 0
+	switch {
+	case len(st.parsed) > 1:
+		s.failStatement(sqlstate.SyntaxError, "cannot insert multiple commands into a prepared statement")
+	case name != "" && s.statements[name] != nil:
+		s.failStatement(sqlstate.DuplicatePreparedStatement,
+			fmt.Sprintf("prepared statement %q already exists", name))
+	case len(s.statements) >= limit:
+		s.failStatement(sqlstate.ConfigurationLimitExceeded,
+			fmt.Sprintf("more than %d prepared statements", limit))
+	default:
+		if s.statements == nil {
+			s.statements = map[string]*statement{}
+		}
+		s.statements[name] = st
+		s.out = pgwire.Append(s.out, '1', nil) // ParseComplete
+	}
+	return nil
+}
+
+func (s *Session) handleBind(b []byte) error {
+	m, err := pgwire.ParseBind(b)
+	if err != nil {
+		return err
+	}
+	st := s.statements[string(m.Statement)]
+	name := string(m.Portal)
+	switch {
+	case st == nil:
+		s.failNoStatement(m.Statement)
+	case name != "" && s.portals[name] != nil:
+		s.failStatement(sqlstate.DuplicateCursor, fmt.Sprintf("portal %q already exists", name))
+	default:
+		if s.portals == nil {
+			s.portals = map[string]*portal{}
+		}
+		s.portals[name] = &portal{statement: st, bindBody: bytes.Clone(m.Rest)}
+		s.out = pgwire.Append(s.out, '2', nil) // BindComplete
+	}
+	return nil
+}
+
+func (s *Session) handleDescribe(b []byte) error {
+	kind, name, err := pgwire.ParseTarget(b)
+	if err != nil {
+		return err
+	}
+	if kind == 'P' {
+		s.describePortal(name)
+	} else {
+		s.describeStatement(name)
+	}
+	return nil
+}
+
+// describePortal waits for the next message: where that executes the portal, both are one query for the
+// engine.
+func (s *Session) describePortal(name []byte) {
+	switch p := s.portals[string(name)]; {
+	case p == nil:
+		s.failNoPortal(name)
+	case p.statement.local:
+		s.out = append(s.out, s.localDescription(p.statement)...)
+	default:
+		s.describedPortal, s.describePending = string(name), true
+	}
+}
+
+// describeAlone runs a portal's Describe as a query of its own, where the next message m does not execute the
+// portal. m is deferred until the query has ended.
+func (s *Session) describeAlone(m pgwire.Message) bool {
+	if m.Type == 'E' {
+		name, _, err := pgwire.ParseExecute(m.Body)
+		if err == nil && string(name) == s.describedPortal {
+			return false
+		}
+	}
+	s.describePending = false
+	p := s.portals[s.describedPortal]
+	s.deferred = pgwire.Message{Type: m.Type, Body: bytes.Clone(m.Body)}
+	s.hasDeferred = true
+	s.submit(&enginequery.Query{Kind: enginequery.DescribePortal, Text: p.statement.text,
+		Parsed: p.statement.parsed, ParameterTypes: p.statement.parameterTypes, BindBody: p.bindBody})
+	return true
+}
+
+func (s *Session) describeStatement(name []byte) {
+	st := s.statements[string(name)]
+	switch {
+	case st == nil:
+		s.failNoStatement(name)
+		return
+	case st.local:
+		s.out = pgwire.Append(s.out, 't', []byte{0, 0}) // ParameterDescription of no parameters
+		s.out = append(s.out, s.localDescription(st)...)
+		return
+	}
+	q := &enginequery.Query{Kind: enginequery.DescribeStatement, Text: st.text, Parsed: st.parsed,
+		ParameterTypes: st.parameterTypes}
+	if s.cfg.CachedDescription != nil {
+		if cached := s.cfg.CachedDescription(q.PrepareKey()); cached != nil {
+			s.out = append(s.out, cached...)
+			return
+		}
+	}
+	s.submit(q)
+}
+
+func (s *Session) handleExecute(b []byte) error {
+	name, maxRows, err := pgwire.ParseExecute(b)
+	if err != nil {
+		return err
+	}
+	p := s.portals[string(name)]
+	withDescribe := s.describePending
+	s.describePending = false
+	switch {
+	case p == nil:
+		s.failNoPortal(name)
+	case len(p.statement.parsed) == 0:
+		s.out = pgwire.Append(s.out, 'I', nil) // EmptyQueryResponse
+	case p.statement.local:
+		s.executeLocal(&p.statement.parsed[0], false)
+	case p.executed && p.atEngine && s.Affinity.Status() == 'T':
+		s.submit(&enginequery.Query{Kind: enginequery.Execute, Text: p.statement.text,
+			Parsed: p.statement.parsed, Portal: string(name), ContinuePortal: true, MaxRows: maxRows})
+	case p.executed:
+		s.failStatement(sqlstate.FeatureNotSupported,
+			"a portal is executed once: fetching on would need a session that is kept on one engine")
+	default:
+		s.executePortal(p, name, maxRows, withDescribe)
+	}
+	return nil
+}
+
+// executePortal executes a portal for the first time. In a transaction it exists at the engine from then on.
+func (s *Session) executePortal(p *portal, name []byte, maxRows int32, withDescribe bool) {
+	q := &enginequery.Query{Kind: enginequery.Execute, Text: p.statement.text, Parsed: p.statement.parsed,
+		ParameterTypes: p.statement.parameterTypes, BindBody: p.bindBody, WithDescribe: withDescribe,
+		MaxRows: maxRows}
+	p.executed, p.atEngine = true, s.Affinity.Status() == 'T'
+	if p.atEngine {
+		q.Portal = string(name)
+	}
+	s.submit(q)
+}
+
+func (s *Session) handleClose(b []byte) error {
+	kind, name, err := pgwire.ParseTarget(b)
+	if err != nil {
+		return err
+	}
+	if kind == 'S' {
+		delete(s.statements, string(name))
+	} else {
+		delete(s.portals, string(name))
+	}
+	s.out = pgwire.Append(s.out, '3', nil) // CloseComplete
+	return nil
+}
+
+func (s *Session) handleSync() {
+	s.skipToSync, s.describePending = false, false
+	if s.Affinity.Status() == 'I' {
+		clear(s.portals) // the implicit transaction ends here
+	}
+	s.out = pgwire.AppendReady(s.out, s.Affinity.Status())
+}
+
+func (s *Session) failNoStatement(name []byte) {
+	s.failStatement(sqlstate.InvalidSQLStatementName,
+		fmt.Sprintf("prepared statement %q does not exist", name))
+}
+
+func (s *Session) failNoPortal(name []byte) {
+	s.failStatement(sqlstate.InvalidCursorName, fmt.Sprintf("portal %q does not exist", name))
+}
--- a/internal/frontend/pgfrontend/pgsession/local.go
+++ b/internal/frontend/pgfrontend/pgsession/local.go
@@ -4,17 +4,19 @@
 	"encoding/binary"
 	"fmt"
 	"strings"
-	"time"
 
 	"cresspass/internal/backend/sessionparams"
 	"cresspass/internal/protocol/pgwire"
 	"cresspass/internal/protocol/sqlscan"
+	"cresspass/internal/protocol/sqlstate"
 )
 
-// allLocal tells whether statements are answered on the spot. While the session is kept on an engine
-// connection, everything goes there: the engine's own settings count. But names of prepared statements are
-// kept here.
-func (s *Session) allLocal(parsed []sqlscan.Statement) (local bool) {
+// Statements that the dispatcher answers by itself: those that ask for what is so anyway, or that are about
+// state that is held here.
+
+// allLocal reports whether the dispatcher answers a text. While the session is on an engine connection all
+// statements go there, as the engine's own settings count; but prepared statements are held here.
+func (s *Session) allLocal(parsed []sqlscan.Statement) bool {
 	if len(parsed) == 1 && parsed[0].Words[0] == "DEALLOCATE" &&
 		s.statements[deallocateName(&parsed[0])] != nil {
 		return true
@@ -30,21 +32,23 @@
 	return true
 }
 
-// isLocal reports whether a free session's statement is answered on the spot: it asks for what is so anyway,
-// or is about what is kept here. All else about settings is an engine's to judge, and is replayed or pins.
+// isLocal reports whether the dispatcher answers a statement of a session that is on no engine connection.
+// All other statements about settings are an engine's to judge; they are replayed, or make the session
+// sticky.
 func (s *Session) isLocal(st *sqlscan.Statement) bool {
+	settings := s.Affinity.Params.Desired()
 	switch st.Words[0] {
 	case "SET":
 		name, value, ok := sessionparams.ParseAssignment(st)
-		return ok && st.Words[1] != "LOCAL" && s.Affinity.Params.Desired().Statement(name) == "" &&
-			(dispatcherSettings[name] || s.isFixedValue(name, value))
+		return ok && st.Words[1] != "LOCAL" && settings.Statement(name) == "" &&
+			(dispatcherSettings[name] || isFixedValue(name, value))
 	case "SHOW":
-		name := strings.ToLower(strings.TrimSpace(st.Text[len("SHOW"):]))
+		name := shownSetting(st)
 		if name == "time zone" {
 			name = "timezone"
 		}
-		return localSettingNames[name] && s.Affinity.Params.Desired().Statement(name) == ""
-	case "RESET", "DISCARD": // a free session that has set nothing has nothing at an engine
+		return localSettingNames[name] && settings.Statement(name) == ""
+	case "RESET", "DISCARD": // a session on no connection that has set nothing has nothing at an engine
 		return s.Affinity.Params.Unchanged()
 	case "DEALLOCATE":
 		return true
@@ -52,145 +56,19 @@
 	return false
 }
 
-func deallocateName(st *sqlscan.Statement) string {
-	rest := strings.TrimSpace(st.Text[len("DEALLOCATE"):])
-	if len(rest) > 8 && strings.EqualFold(rest[:8], "PREPARE ") {
-		rest = strings.TrimSpace(rest[8:])
-	}
-	return strings.Trim(rest, `"`)
-}
-
-// dispatcherSettings are the settings that no engine hears of.
-var dispatcherSettings = map[string]bool{"statement_timeout": true, "application_name": true}
-
-// localSettingNames are the settings that are kept here: those that change no answer, and this dispatcher's
-// own.
-var localSettingNames = map[string]bool{
-	"statement_timeout":             true,
-	"application_name":              true,
-	"client_encoding":               true,
-	"datestyle":                     true,
-	"timezone":                      true,
-	"standard_conforming_strings":   true,
-	"extra_float_digits":            true,
-	"default_transaction_read_only": true,
-	"server_version":                true,
-	"transaction_read_only":         true,
-	"transaction isolation level":   true,
-	"transaction_isolation":         true,
-	"default_transaction_isolation": true,
-	"server_encoding":               true,
-	"time zone":                     true,
-	"integer_datetimes":             true,
-}
-
-type settingError struct{ code, message string }
-
-// applyStartupSetting takes a setting of the startup packet. One that is replayed is put in force on the
-// engine that runs the first statement, and refused there where it is wrong.
-func (s *Session) applyStartupSetting(name, value string) *settingError {
-	name = strings.ToLower(strings.TrimSpace(name))
-	switch {
-	case dispatcherSettings[name] || s.isFixedValue(name, value):
-		return s.setLocal(name, value)
-	case sessionparams.Replayed(name):
-		s.Affinity.Params.SetAtStartup(name, value)
-		if shown := sessionparams.Reported(name); shown != "" {
-			s.storeLocal("started "+strings.ToLower(shown), value)
-		}
-		return nil
-	}
-	return &settingError{"0A000",
-		fmt.Sprintf("setting %s to %s is not served: engines would not hear of it", name, value)}
-}
-
-func normalizedValue(value string) string {
-	return strings.ToLower(strings.Trim(strings.TrimSpace(value), "'\""))
-}
-
-// isFixedValue reports whether a setting asks for what is so anyway, on engines and here. Danger: a setting
-// that was taken and not obeyed would change answers without a word.
-func (s *Session) isFixedValue(name, value string) bool {
-	plain := normalizedValue(value)
-	switch name {
-	case "client_encoding":
-		p := strings.ReplaceAll(plain, "-", "")
-		return p == "utf8" || p == "unicode"
-	case "datestyle":
-		return plain == "iso" || plain == "iso, mdy"
-	case "timezone":
-		return plain == "utc" || plain == "etc/utc" || plain == "gmt"
-	case "standard_conforming_strings":
-		return plain == "on" || plain == "true"
-	case "extra_float_digits":
-		return plain == "1" || plain == "2" || plain == "3" // all mean the shortest exact form
-	case "default_transaction_read_only":
-		return plain == "off" || plain == "false"
-	}
-	return false
-}
-
-// setLocal takes a setting that is kept here, or that asks for what is so anyway.
-func (s *Session) setLocal(name, value string) *settingError {
-	plain := normalizedValue(value)
-	switch name {
-	case "statement_timeout":
-		d, ok := parseTimeout(plain)
-		if plain == "default" {
-			d, ok = 0, true
-		}
-		if !ok {
-			return &settingError{"22023", fmt.Sprintf("statement_timeout: %q is no time", plain)}
-		}
-		s.StatementTimeout = d
-	case "application_name":
-		s.Application = strings.Trim(strings.TrimSpace(value), "'\"")
-	default:
-		s.storeLocal(name, strings.Trim(strings.TrimSpace(value), "'\""))
-	}
-	return nil
-}
-
-func (s *Session) storeLocal(name, value string) {
-	if s.localSettings == nil {
-		s.localSettings = map[string]string{}
-	}
-	s.localSettings[name] = value
-}
-
-// executeLocal answers a statement on the spot. It returns false where it ended in an error.
-func (s *Session) executeLocal(st *sqlscan.Statement, describe bool) bool {
+// executeLocal answers a statement. It returns false where the statement ended in an error.
+func (s *Session) executeLocal(st *sqlscan.Statement, withDescription bool) bool {
 	var err *settingError
 	switch st.Words[0] {
 	case "SET":
 		name, value, _ := sessionparams.ParseAssignment(st)
 		err = s.setLocal(name, value)
 	case "RESET", "DISCARD":
-		if st.Words[1] == "ALL" || st.Words[1] == "STATEMENT_TIMEOUT" {
-			s.StatementTimeout = 0
-		}
-		if st.Words[0] == "DISCARD" && st.Words[1] == "ALL" {
-			clear(s.statements)
-		}
+		s.resetLocal(st)
 	case "DEALLOCATE":
-		if name := deallocateName(st); strings.EqualFold(name, "all") {
-			clear(s.statements)
-		} else if s.statements[name] == nil {
-			err = &settingError{"26000", fmt.Sprintf("prepared statement %q does not exist", name)}
-		} else {
-			delete(s.statements, name)
-		}
+		err = s.deallocate(deallocateName(st))
 	case "SHOW":
-		name, value, ok := s.showValue(st)
-		if !ok {
-			err = &settingError{"42704", fmt.Sprintf("SHOW: %q is not known here", name)}
-			break
-		}
-		if describe {
-			s.out = append(s.out, textRowDescription(name)...)
-		}
-		row := binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value)))
-		s.out = pgwire.Append(s.out, 'D', append(row, value...))
+		err = s.show(st, withDescription)
 	}
 	if err != nil {
 		s.failStatement(err.code, err.message)
@@ -204,47 +82,80 @@
 	return true
 }
 
-func (s *Session) showValue(st *sqlscan.Statement) (name, value string, ok bool) {
-	name = strings.ToLower(strings.TrimSpace(st.Text[len("SHOW"):]))
-	switch name {
-	case "statement_timeout":
-		if s.StatementTimeout == 0 {
-			return name, "0", true
-		}
-		return name, fmt.Sprintf("%dms", s.StatementTimeout/time.Millisecond), true
-	case "application_name":
-		return name, s.Application, true
-	case "server_version":
-		return name, s.cfg.ServerVersion, true
-	case "transaction_read_only":
-		return name, "off", true
-	case "transaction isolation level", "transaction_isolation", "default_transaction_isolation":
-		return "transaction_isolation", "read committed", true
+// resetLocal executes RESET and DISCARD.
+func (s *Session) resetLocal(st *sqlscan.Statement) {
+	if st.Words[1] == "ALL" || st.Words[1] == "STATEMENT_TIMEOUT" {
+		s.StatementTimeout = 0
 	}
-	if value, ok = s.localSettings[name]; ok {
-		return name, value, true
+	if st.Words[0] == "DISCARD" && st.Words[1] == "ALL" {
+		clear(s.statements)
 	}
-	value, ok = map[string]string{"client_encoding": "UTF8", "server_encoding": "UTF8",
-		"datestyle": "ISO, MDY",
-		"timezone":  "UTC", "time zone": "UTC", "standard_conforming_strings": "on",
-		"extra_float_digits": "1",
-		"integer_datetimes":  "on"}[name]
-	return name, value, ok
 }
 
-// localDescription describes what a statement served here returns.
+// deallocate executes DEALLOCATE.
+func (s *Session) deallocate(name string) *settingError {
+	switch {
+	case strings.EqualFold(name, "all"):
+		clear(s.statements)
+	case s.statements[name] == nil:
+		return &settingError{sqlstate.InvalidSQLStatementName,
+			fmt.Sprintf("prepared statement %q does not exist", name)}
+	default:
+		delete(s.statements, name)
+	}
+	return nil
+}
+
+// deallocateName returns the name in a DEALLOCATE.
+func deallocateName(st *sqlscan.Statement) string {
+	const prepare = "PREPARE "
+	rest := strings.TrimSpace(st.Text[len("DEALLOCATE"):])
+	if len(rest) > len(prepare) && strings.EqualFold(rest[:len(prepare)], prepare) {
+		rest = strings.TrimSpace(rest[len(prepare):])
+	}
+	return strings.Trim(rest, `"`)
+}
+
+// show executes SHOW.
+func (s *Session) show(st *sqlscan.Statement, withDescription bool) *settingError {
+	name, value, ok := s.showValue(st)
+	if !ok {
+		return &settingError{sqlstate.UndefinedObject, fmt.Sprintf("SHOW: %q is not known here", name)}
+	}
+	if withDescription {
+		s.out = append(s.out, textRowDescription(name)...)
+	}
+	row := binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value))) // one column
+	s.out = pgwire.Append(s.out, 'D', append(row, value...))
+	return nil
+}
+
+// localDescription describes the result of a statement that the dispatcher answers.
 func (s *Session) localDescription(st *statement) []byte {
 	if len(st.parsed) == 1 && st.parsed[0].Words[0] == "SHOW" {
 		name, _, _ := s.showValue(&st.parsed[0])
 		return textRowDescription(name)
 	}
-	return pgwire.Append(nil, 'n', nil)
+	return pgwire.Append(nil, 'n', nil) // NoData
 }
 
-// textRowDescription is a RowDescription of one text column.
+// textRowDescription returns a RowDescription of one column of type text ("Message Formats").
 func textRowDescription(name string) []byte {
-	b := append([]byte{0, 1}, name...)
-	b = append(b, 0, 0, 0, 0, 0, 0, 0) // end of name, table, column number
-	b = append(b, 0, 0, 0, 25, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0, 0)
+	const (
+		oidText       = 25
+		variableSize  = 0xffff
+		noModifier    = 0xffffffff
+		textFormat    = 0
+		noTable       = 0
+		noTableColumn = 0
+	)
+	b := binary.BigEndian.AppendUint16(nil, 1)
+	b = append(append(b, name...), 0)
+	b = binary.BigEndian.AppendUint32(b, noTable)
+	b = binary.BigEndian.AppendUint16(b, noTableColumn)
+	b = binary.BigEndian.AppendUint32(b, oidText)
+	b = binary.BigEndian.AppendUint16(b, variableSize)
+	b = binary.BigEndian.AppendUint32(b, noModifier)
+	b = binary.BigEndian.AppendUint16(b, textFormat)
 	return pgwire.Append(nil, 'T', b)
 }
--- /dev/null
+++ b/internal/frontend/pgfrontend/pgsession/localsettings.go
@@ -0,0 +1,144 @@
+package pgsession
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+
+	"cresspass/internal/protocol/sqlscan"
+	"cresspass/internal/protocol/sqlstate"
+)
+
+// dispatcherSettings are the settings that no engine is sent.
+var dispatcherSettings = map[string]bool{"statement_timeout": true, "application_name": true}
+
+// localSettingNames are the settings that are held here: those with one value that changes no result, and
+// those of the dispatcher itself.
+var localSettingNames = map[string]bool{
+	"statement_timeout": true, "application_name": true, "client_encoding": true,
+	"datestyle": true, "timezone": true, "standard_conforming_strings": true, "extra_float_digits": true,
+	"default_transaction_read_only": true, "server_version": true, "transaction_read_only": true,
+	"transaction isolation level": true, "transaction_isolation": true, "default_transaction_isolation": true,
+	"server_encoding": true, "time zone": true, "integer_datetimes": true,
+}
+
+// defaultValues are the values of settings that nobody has set.
+var defaultValues = map[string]string{
+	"client_encoding": "UTF8", "server_encoding": "UTF8", "datestyle": "ISO, MDY", "timezone": "UTC",
+	"time zone": "UTC", "standard_conforming_strings": "on", "extra_float_digits": "1",
+	"integer_datetimes": "on",
+}
+
+// settingError is why a statement about settings fails, in the terms of an ErrorResponse.
+type settingError struct{ code, message string }
+
+// normalizedValue returns a value in lower case and without quotes.
+func normalizedValue(value string) string { return strings.ToLower(unquoted(value)) }
+
+func unquoted(value string) string { return strings.Trim(strings.TrimSpace(value), "'\"") }
+
+// isFixedValue reports whether a setting asks for what holds anyway, on engines and here. Any other value is
+// not taken here: a setting that was taken and not obeyed would change results, and nobody would be told.
+func isFixedValue(name, value string) bool {
+	value = normalizedValue(value)
+	switch name {
+	case "client_encoding":
+		encoding := strings.ReplaceAll(value, "-", "")
+		return encoding == "utf8" || encoding == "unicode"
+	case "datestyle":
+		return value == "iso" || value == "iso, mdy"
+	case "timezone":
+		return value == "utc" || value == "etc/utc" || value == "gmt"
+	case "standard_conforming_strings":
+		return value == "on" || value == "true"
+	case "extra_float_digits":
+		return value == "1" || value == "2" || value == "3" // all mean the shortest exact form
+	case "default_transaction_read_only":
+		return value == "off" || value == "false"
+	}
+	return false
+}
+
+// setLocal takes a setting that is held here, or that asks for what holds anyway.
+func (s *Session) setLocal(name, value string) *settingError {
+	switch name {
+	case "statement_timeout":
+		timeout, ok := parseTimeout(normalizedValue(value))
+		if !ok {
+			return &settingError{sqlstate.InvalidParameterValue,
+				fmt.Sprintf("statement_timeout: %q is no time", normalizedValue(value))}
+		}
+		s.StatementTimeout = timeout
+	case "application_name":
+		s.Application = unquoted(value)
+	default:
+		s.storeLocal(name, unquoted(value))
+	}
+	return nil
+}
+
+func (s *Session) storeLocal(name, value string) {
+	if s.localSettings == nil {
+		s.localSettings = map[string]string{}
+	}
+	s.localSettings[name] = value
+}
+
+// shownSetting returns the name in a SHOW.
+func shownSetting(st *sqlscan.Statement) string {
+	return strings.ToLower(strings.TrimSpace(st.Text[len("SHOW"):]))
+}
+
+// showValue returns the value that a SHOW asks for, and the name of its column.
+func (s *Session) showValue(st *sqlscan.Statement) (name, value string, ok bool) {
+	name = shownSetting(st)
+	switch name {
+	case "statement_timeout":
+		if s.StatementTimeout == 0 {
+			return name, "0", true
+		}
+		return name, fmt.Sprintf("%dms", s.StatementTimeout/time.Millisecond), true
+	case "application_name":
+		return name, s.Application, true
+	case "server_version":
+		return name, s.cfg.ServerVersion, true
+	case "transaction_read_only":
+		return name, "off", true
+	case "transaction isolation level", "transaction_isolation", "default_transaction_isolation":
+		return "transaction_isolation", "read committed", true
+	}
+	if value, ok = s.localSettings[name]; ok {
+		return name, value, true
+	}
+	value, ok = defaultValues[name]
+	return name, value, ok
+}
+
+// timeoutUnits are the units of time of a setting.
+var timeoutUnits = map[string]time.Duration{
+	"us": time.Microsecond, "ms": time.Millisecond, "s": time.Second, "min": time.Minute, "h": time.Hour,
+	"d": 24 * time.Hour,
+}
+
+// maxTimeout is the longest timeout in nanoseconds; a longer one could overflow a Duration.
+const maxTimeout = 1e18
+
+// parseTimeout parses a timeout as PostgreSQL does: a number of milliseconds, or a number with a unit. The
+// default is no timeout.
+func parseTimeout(value string) (time.Duration, bool) {
+	if value == "default" {
+		return 0, true
+	}
+	value = strings.TrimSpace(value)
+	if n, err := strconv.ParseInt(value, 10, 32); err == nil && n >= 0 {
+		return time.Duration(n) * time.Millisecond, true
+	}
+	unitAt := strings.LastIndexAny(value, "0123456789") + 1
+	unit, ok := timeoutUnits[strings.TrimSpace(value[unitAt:])]
+	n, err := strconv.ParseFloat(strings.TrimSpace(value[:unitAt]), 64)
+	if !ok || err != nil || n < 0 || n*float64(unit) > maxTimeout {
+		return 0, false
+	}
+	return time.Duration(n * float64(unit)), true
+}
--- /dev/null
+++ b/internal/frontend/pgfrontend/pgsession/query.go
@@ -0,0 +1,64 @@
+package pgsession
+
+import (
+	"slices"
+
+	"cresspass/internal/affinity"
+	"cresspass/internal/backend/enginequery"
+	"cresspass/internal/backend/sessionparams"
+	"cresspass/internal/protocol/pgwire"
+	"cresspass/internal/protocol/sqlscan"
+)
+
+// handleQuery handles a Query: a text of any number of statements.
+func (s *Session) handleQuery(b []byte) error {
+	raw, err := pgwire.ParseQuery(b)
+	if err != nil {
+		return err
+	}
+	text := string(raw)
+	parsed := s.scan(text)
+	switch {
+	case len(parsed) == 0:
+		s.out = pgwire.Append(s.out, 'I', nil) // EmptyQueryResponse
+	case s.allLocal(parsed):
+		for i := range parsed {
+			if !s.executeLocal(&parsed[i], true) {
+				break
+			}
+		}
+	default:
+		s.submit(&enginequery.Query{Kind: enginequery.Simple, Text: text, Parsed: parsed})
+		return nil
+	}
+	s.skipToSync = false
+	s.out = pgwire.AppendReady(s.out, s.Affinity.Status())
+	return nil
+}
+
+// scan parses a text.
+func (s *Session) scan(text string) []sqlscan.Statement {
+	return enginequery.ParseStatements(text, s.cfg.StatelessFunction)
+}
+
+// submit makes a query the one that runs. It waits for TakeQuery.
+func (s *Session) submit(q *enginequery.Query) {
+	s.pendingQuery, s.phase = q, phaseBusy
+	q.Sticky = s.Affinity.Bound()
+	q.OutsideTransaction = s.Affinity.Status() == 'I'
+	q.Settings = s.Affinity.Params.Desired()
+	if q.Kind == enginequery.Simple || q.Kind == enginequery.Execute {
+		s.Affinity.StatementsSent(q.Parsed)
+	}
+	// A query that makes the session sticky may yet be rejected before an engine saw it; QueryEnded then says
+	// that no connection is held.
+	q.MayBecomeSticky = !q.Sticky && (s.Affinity.Bound() || slices.ContainsFunc(q.Parsed, mayLeaveState))
+	q.Stateful = q.Sticky || q.MayBecomeSticky || slices.ContainsFunc(q.Parsed, changesSettings)
+}
+
+func mayLeaveState(st sqlscan.Statement) bool { return affinity.MayLeaveState(&st) }
+
+func changesSettings(st sqlscan.Statement) bool {
+	_, ok := sessionparams.ChangeOf(&st)
+	return ok
+}
--- /dev/null
+++ b/internal/frontend/pgfrontend/pgsession/startup.go
@@ -0,0 +1,201 @@
+package pgsession
+
+import (
+	"fmt"
+	"strings"
+
+	"cresspass/internal/backend/sessionparams"
+	"cresspass/internal/protocol/pgwire"
+	"cresspass/internal/protocol/sqlstate"
+)
+
+// protocolOption is the prefix of startup parameters that are options of the protocol itself.
+const protocolOption = "_pq_."
+
+// legacySecretSize is the length of the secret that clients before version 3.2 expect.
+const legacySecretSize = 4
+
+// handleStartup handles a packet of the startup phase.
+func (s *Session) handleStartup(b []byte) {
+	p, err := pgwire.ParseStartup(b)
+	switch {
+	case err != nil:
+		s.failFatal(sqlstate.ProtocolViolation, err.Error())
+	case p.Code == pgwire.CodeTLS || p.Code == pgwire.CodeGSS:
+		s.out = append(s.out, 'N') // encryption is not served; the client may go on without
+	case p.Code == pgwire.CodeCancel:
+		s.cancelRequest = &CancelRequest{PID: p.PID, Secret: string(p.Secret)}
+		s.phase = phaseClosing
+	case p.Parameters["user"] == "":
+		s.failFatal(sqlstate.InvalidAuthorization, "no user name in the startup packet")
+	default:
+		s.startSession(&p)
+	}
+}
+
+// startSession takes the parameters of a StartupMessage and welcomes the client.
+func (s *Session) startSession(p *pgwire.Startup) {
+	s.reader.Startup, s.reader.Known = false, pgwire.FrontendType
+	s.negotiate(p)
+	s.User, s.Database = p.Parameters["user"], p.Parameters["database"]
+	s.Application = p.Parameters["application_name"]
+	if s.Database == "" {
+		s.Database = s.User
+	}
+	if err := s.applyStartupParameters(p.Parameters); err != nil {
+		s.failFatal(err.code, err.message)
+		return
+	}
+	if asksForReplication(p.Parameters["replication"]) {
+		s.failFatal(sqlstate.FeatureNotSupported, "replication connections are not served")
+		return
+	}
+	s.out = pgwire.AppendAuthOK(s.out)
+	s.reportParameters()
+	if p.Code < pgwire.Version32 {
+		s.Secret = s.Secret[:legacySecretSize]
+	}
+	s.out = pgwire.AppendKey(s.out, s.PID, []byte(s.Secret))
+	s.out = pgwire.AppendReady(s.out, 'I')
+	s.phase = phaseIdle
+}
+
+// negotiate tells a client of a later version, or with options of the protocol, what is served instead.
+func (s *Session) negotiate(p *pgwire.Startup) {
+	var unknown []string
+	for name := range p.Parameters {
+		if strings.HasPrefix(name, protocolOption) {
+			unknown = append(unknown, name)
+		}
+	}
+	if p.Code > pgwire.Version32 || len(unknown) > 0 {
+		s.out = pgwire.AppendNegotiate(s.out, min(p.Code, pgwire.Version32), unknown)
+	}
+}
+
+// asksForReplication reports whether the value of the parameter replication is true or "database".
+func asksForReplication(value string) bool {
+	switch value {
+	case "", "false", "off", "0", "no":
+		return false
+	}
+	return true
+}
+
+// applyStartupParameters applies the settings among the parameters of a StartupMessage.
+func (s *Session) applyStartupParameters(parameters map[string]string) *settingError {
+	for name, value := range parameters {
+		var err *settingError
+		switch {
+		case name == "options":
+			err = s.applyStartupOptions(value)
+		case name == "user", name == "database", name == "replication",
+			strings.HasPrefix(name, protocolOption):
+		default:
+			err = s.applyStartupSetting(name, value)
+		}
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (s *Session) applyStartupOptions(value string) *settingError {
+	for _, option := range parseStartupOptions(value) {
+		name, value, ok := strings.Cut(option, "=")
+		if !ok {
+			continue
+		}
+		if err := s.applyStartupSetting(name, value); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// applyStartupSetting applies one setting. A setting that is replayed is put in force by the engine that runs
+// the first statement, and refused there where it is wrong.
+func (s *Session) applyStartupSetting(name, value string) *settingError {
+	name = strings.ToLower(strings.TrimSpace(name))
+	switch {
+	case dispatcherSettings[name] || isFixedValue(name, value):
+		return s.setLocal(name, value)
+	case sessionparams.Replayed(name):
+		s.Affinity.Params.SetAtStartup(name, value)
+		if reported := sessionparams.Reported(name); reported != "" {
+			s.storeLocal(startupReportKey(reported), value)
+		}
+		return nil
+	}
+	return &settingError{sqlstate.FeatureNotSupported,
+		fmt.Sprintf("setting %s to %s is not served: engines would not hear of it", name, value)}
+}
+
+// startupReportKey is the key under which localSettings holds the startup value of a setting that is reported
+// to the client. It is no name of a setting.
+func startupReportKey(reported string) string { return "started " + strings.ToLower(reported) }
+
+// reportParameters sends a ParameterStatus for each setting of which a server informs its clients
+// ("Asynchronous Operations").
+func (s *Session) reportParameters() {
+	for _, parameter := range [...]struct{ name, value string }{
+		{"server_version", s.cfg.ServerVersion},
+		{"server_encoding", "UTF8"},
+		{"client_encoding", "UTF8"},
+		{"DateStyle", "ISO, MDY"},
+		{"IntervalStyle", "postgres"},
+		{"TimeZone", "UTC"},
+		{"integer_datetimes", "on"},
+		{"standard_conforming_strings", "on"},
+		{"application_name", s.Application},
+		{"session_authorization", s.User},
+		{"is_superuser", "off"},
+		{"in_hot_standby", "off"},
+		{"default_transaction_read_only", "off"},
+	} {
+		value := parameter.value
+		if requested, ok := s.localSettings[startupReportKey(parameter.name)]; ok {
+			value = requested
+		}
+		s.out = pgwire.AppendText(s.out, 'S', parameter.name, value)
+	}
+}
+
+// parseStartupOptions returns the settings of the parameter options, which has the form of a command line:
+// "-c name=value" or "--name=value", with spaces escaped by a backslash.
+func parseStartupOptions(options string) (settings []string) {
+	words := splitOptions(options)
+	for i := 0; i < len(words); i++ {
+		switch word := words[i]; {
+		case word == "-c" && i+1 < len(words):
+			i++
+			settings = append(settings, words[i])
+		case strings.HasPrefix(word, "-c"):
+			settings = append(settings, word[len("-c"):])
+		case strings.HasPrefix(word, "--"):
+			settings = append(settings, strings.ReplaceAll(word[len("--"):], "-", "_"))
+		}
+	}
+	return settings
+}
+
+// splitOptions splits a command line at spaces that are not escaped.
+func splitOptions(options string) (words []string) {
+	word := ""
+	for i := 0; i <= len(options); i++ {
+		switch {
+		case i == len(options) || options[i] == ' ':
+			if word != "" {
+				words = append(words, word)
+			}
+			word = ""
+		case options[i] == '\\' && i+1 < len(options):
+			i++
+			word += options[i : i+1]
+		default:
+			word += options[i : i+1]
+		}
+	}
+	return words
+}
--- /dev/null
+++ b/internal/frontend/pgfrontend/query.go
@@ -0,0 +1,221 @@
+package pgfrontend
+
+import (
+	"fmt"
+	"time"
+
+	"cresspass/internal/affinity"
+	"cresspass/internal/affinity/orphanedsession"
+	"cresspass/internal/backend/copyin"
+	"cresspass/internal/backend/enginequery"
+	"cresspass/internal/backend/pgbackend"
+	"cresspass/internal/dispatch/response"
+	"cresspass/internal/dispatch/verdict"
+	"cresspass/internal/frontend"
+	"cresspass/internal/frontend/classify"
+	"cresspass/internal/protocol/pgwire"
+	"cresspass/internal/protocol/sqlstate"
+)
+
+// newQuery makes the client's current query of what the session has for an engine; nil: it has nothing. The
+// caller holds c.mu.
+func (c *client) newQuery(engineQuery *enginequery.Query) *frontend.Query {
+	if engineQuery == nil || c.closed {
+		return nil
+	}
+	s := c.session
+	q := &frontend.Query{Frontend: Name, EngineQuery: engineQuery, OnResponseEnded: c.submitNext,
+		Client: classify.Client{User: s.User, Database: s.Database, Application: s.Application,
+			Timeout: s.StatementTimeout}}
+	q.Response = response.New(&sink{c, engineQuery.Kind}, &c.server.budget, c.server.cfg.Load().HoldBack)
+	q.Throttle = func() { c.awaitCapacity(q.Response.Done()) }
+	q.Lease = &c.lease
+	q.StartCopyIn = func(p *copyin.Pipe) bool { return c.startCopyIn(q, p) }
+	q.OnCopyCapacity = func() { go c.readAvailable() }
+	q.Settle = func(end pgbackend.QueryEnd) pgbackend.Disposition { return c.settleQuery(q, end) }
+	q.OnConnectionLost = func(sent bool) { c.onConnectionLost(q, sent) }
+	c.current = q
+	return q
+}
+
+// submitNext submits the client's next query, where one came behind the query that ended.
+func (c *client) submitNext() {
+	c.mu.Lock()
+	pending := c.nextQuery
+	c.nextQuery = nil
+	q := c.newQuery(pending)
+	c.mu.Unlock()
+	if q != nil && !c.rejectIfStickyLimit(q) {
+		c.server.dispatcher.Submit(q)
+	}
+}
+
+// rejectIfStickyLimit answers a query that would make its session sticky, where no more sessions may be.
+// Nothing of it ran.
+func (c *client) rejectIfStickyLimit(q *frontend.Query) bool {
+	switch {
+	case !q.EngineQuery.Stateful || q.Lease.Engine() != "":
+		return false
+	case q.EngineQuery.Sticky: // its connection is gone, and the session with it
+		c.onConnectionLost(q, false)
+		return true
+	case !q.EngineQuery.MayBecomeSticky: // it changes settings only
+		return false
+	}
+	reason, ok := c.server.cfg.Load().Registry.Allow(c.session.User)
+	if ok {
+		return false
+	}
+	if q.Response.FinishWithVerdict(verdict.RejectOverLimit(reason)) {
+		c.submitNext()
+	}
+	return true
+}
+
+// settleQuery takes the end of a query at its engine.
+func (c *client) settleQuery(q *frontend.Query, end pgbackend.QueryEnd) pgbackend.Disposition {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.current != q {
+		return pgbackend.Disposition{} // others have ended its response
+	}
+	a := c.session.Affinity
+	a.Params.ConnectionHad(end.Settings)
+	if end.SettingReported {
+		a.UnexpectedParameterStatus()
+	}
+	for _, tag := range end.CommandTags {
+		c.session.CommandComplete(tag)
+	}
+	registry := c.server.cfg.Load().Registry
+	changed := a.ReadyForQuery(registry.Now(), end.TransactionStatus)
+	keep := a.Bound()
+	if changed {
+		registry.Update(&c.registration, keep, orphanedsession.Session{Engine: string(end.Engine),
+			PID: end.PID, Secret: end.Secret})
+	}
+	return pgbackend.Disposition{Known: true, Keep: keep, Settings: a.Params.OnConnection()}
+}
+
+// onConnectionLost ends the session, whose engine connection was lost while a query of its ran.
+func (c *client) onConnectionLost(q *frontend.Query, sent bool) {
+	if !q.Response.Abandon() {
+		return
+	}
+	c.mu.Lock()
+	t := c.session.Affinity.ConnectionLost(sent)
+	c.mu.Unlock()
+	c.endSession(t)
+}
+
+// onIdleConnectionLost ends the session, whose engine connection was lost. A query that runs is ended first.
+func (c *client) onIdleConnectionLost() {
+	c.mu.Lock()
+	bound := c.session.Affinity.Bound()
+	ended := bound && !c.session.Busy()
+	var t affinity.Termination
+	if ended {
+		t = c.session.Affinity.ConnectionLost(false)
+	} else if bound {
+		c.connectionLost = true
+	}
+	c.mu.Unlock()
+	if ended {
+		c.endSession(t)
+	}
+}
+
+// onEngineDraining notifies a session that its engine drains, and has it ended at the limit.
+func (c *client) onEngineDraining(within time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	notice := c.session.Affinity.StartDrain(c.server.cfg.Load().Registry.Now() + within)
+	if notice != "" && !c.session.Busy() && !c.closed {
+		c.sendWarning(notice)
+	}
+}
+
+// terminateIfDue ends the session where its time has come.
+func (c *client) terminateIfDue(now time.Duration, limits affinity.Limits) {
+	c.mu.Lock()
+	if c.closed {
+		c.mu.Unlock()
+		return
+	}
+	t, due := c.session.Affinity.Expire(now, c.session.Busy(), limits)
+	q := c.current
+	c.mu.Unlock()
+	if !due {
+		return
+	}
+	if q != nil && q.Response.Abandon() {
+		c.server.dispatcher.Withdraw(q, true)
+	}
+	c.endSession(t)
+}
+
+// sink passes a response to its client.
+type sink struct {
+	client *client
+	kind   enginequery.Kind
+}
+
+// WritePartial passes on messages of the engine.
+func (k *sink) WritePartial(b []byte) {
+	c := k.client
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.flushOutput()
+	if !c.closed && !c.session.Closing() { // nothing goes out behind a FATAL error
+		c.write(b)
+	}
+}
+
+// WriteVerdict ends the response by an ErrorResponse of ours.
+func (k *sink) WriteVerdict(v *verdict.Verdict) {
+	f := &pgwire.Fields{Severity: "ERROR", Code: v.Code, Message: v.Message, Detail: v.Detail}
+	if v.RetryAfter > 0 {
+		f.Hint = fmt.Sprintf("Come back in %d ms.", v.RetryAfter.Milliseconds())
+	}
+	k.WriteFinal(pgwire.AppendFields(nil, 'E', f), true)
+}
+
+// WriteFinal ends the response by the engine's last messages.
+func (k *sink) WriteFinal(b []byte, failed bool) {
+	c := k.client
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.current = nil
+	if p := c.copyPipe.Swap(nil); p != nil && p.Full() {
+		go c.readAvailable() // what the client sends now belongs to no copy
+	}
+	t, ended := c.affinityAtEnd()
+	c.session.QueryEnded(k.kind, b, failed)
+	switch {
+	case ended:
+		c.session.Terminate(t.Code, terminationText(t))
+	case c.closeWhenIdle && !c.session.Busy() && !c.session.Affinity.Bound():
+		c.session.Terminate(sqlstate.AdminShutdown, shutdownMessage)
+	}
+	c.flushOutput()
+	c.nextQuery = c.session.TakeQuery()
+	c.resumeReading()
+	if c.session.Closing() {
+		go c.closeConn()
+	}
+}
+
+// affinityAtEnd updates the session's affinity at the end of a response. ended: the engine connection was
+// lost while the query ran, and the session ends with it. The caller holds c.mu.
+func (c *client) affinityAtEnd() (t affinity.Termination, ended bool) {
+	switch {
+	case c.connectionLost:
+		t = c.session.Affinity.ConnectionLost(false)
+		ended = t.Code != ""
+	case c.lease.Engine() == "":
+		// A statement that was rejected before an engine saw it has left nothing. Without this, it would bind
+		// the session to an engine connection that does not exist.
+		c.session.Affinity.Reset()
+	}
+	return t, ended
+}
