--- a/internal/dispatch/stats.go
+++ b/internal/dispatch/stats.go
@@ -1,7 +1,5 @@
 package dispatch
 
-import "log/slog"
-
 // Stats counts what a Core has seen since it was made.
 type Stats struct {
 	// Queries by their end: Arrived = Served + Rejected + Failed + Abandoned + Open.
@@ -18,25 +16,6 @@
 	Timers  int // timers that wait
 }
 
-// LogValue is the counts as typed keys of a log line.
-func (s Stats) LogValue() slog.Value {
-	return slog.GroupValue(
-		slog.Uint64("arrived", s.Arrived),
-		slog.Uint64("served", s.Served),
-		slog.Uint64("rejected", s.Rejected),
-		slog.Uint64("failed", s.Failed),
-		slog.Uint64("abandoned", s.Abandoned),
-		slog.Uint64("attempts", s.Attempts),
-		slog.Uint64("retries", s.Retries),
-		slog.Uint64("stopped", s.Stopped),
-		slog.Uint64("not_started", s.NotStarted),
-		slog.Uint64("overdue", s.Overdue),
-		slog.Int("open", s.Open),
-		slog.Int("running", s.Running),
-		slog.Int("timers", s.Timers),
-	)
-}
-
 // Stats returns the counts so far.
 func (c *Core) Stats() Stats {
 	s := c.stats
