--- /dev/null
+++ b/internal/recording/golden_test.go
@@ -0,0 +1,80 @@
+package recording
+
+import (
+	"bytes"
+	"io"
+	"os"
+	"reflect"
+	"testing"
+	"time"
+)
+
+// goldenEntries has every field set, and one entry of zeros.
+func goldenEntries() []Entry {
+	return []Entry{
+		{},
+		{
+			At:          1500 * time.Microsecond,
+			Took:        20 * time.Millisecond,
+			Class:       "report",
+			Tenant:      "alu",
+			Dispatcher:  "d1",
+			Fingerprint: 0x0123456789abcdef,
+			Key:         42,
+			Cost:        300 * time.Millisecond,
+			Threads:     2.5,
+			Outcome:     Refused,
+			Repeat:      true,
+			Write:       true,
+		},
+		{
+			At:          2 * time.Second,
+			Took:        time.Minute,
+			Class:       "report",
+			Dispatcher:  "d2",
+			Fingerprint: 7,
+			Threads:     1,
+			Outcome:     GivenUp,
+		},
+		{
+			At:         3 * time.Second,
+			Took:       time.Second,
+			Class:      "load",
+			Tenant:     "bor",
+			Dispatcher: "d1",
+			Outcome:    Failed,
+			Write:      true,
+		},
+	}
+}
+
+// TestGoldenRecording reads a recording that an earlier version wrote, and writes the same bytes.
+// UPDATE_GOLDEN=1 writes the file anew.
+func TestGoldenRecording(t *testing.T) {
+	const file = "testdata/golden.rec"
+	start := time.UnixMicro(1764600000123456)
+	written := AppendBlock(AppendHeader(nil, Header{Start: start}), goldenEntries())
+	if os.Getenv("UPDATE_GOLDEN") != "" {
+		if err := os.WriteFile(file, written, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	golden, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(written, golden) {
+		t.Errorf("written %x, want %x", written, golden)
+	}
+	r, err := NewReader(bytes.NewReader(golden))
+	if err != nil || !r.Header.Start.Equal(start) {
+		t.Fatalf("header: %v, %v", r, err)
+	}
+	entries, err := r.Next()
+	if err != nil || !reflect.DeepEqual(entries, goldenEntries()) {
+		t.Errorf("read %+v, %v, want %+v", entries, err, goldenEntries())
+	}
+	if _, err := r.Next(); err != io.EOF {
+		t.Errorf("after the last block: %v, want EOF", err)
+	}
+}
--- /dev/null
+++ b/internal/rehearsal/golden_test.go
@@ -0,0 +1,126 @@
+package rehearsal
+
+import (
+	"bytes"
+	"compress/gzip"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"cresspass/internal/rehearsal/rulecheck"
+)
+
+// fill sets every field of a value, and of what it holds, to something that is not zero.
+func fill(t *testing.T, v reflect.Value, next *int) {
+	t.Helper()
+	*next++
+	if at, ok := v.Addr().Interface().(*time.Time); ok {
+		*at = time.UnixMilli(1764600000000 + int64(*next)).UTC()
+		return
+	}
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			fill(t, v.Field(i), next)
+		}
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		fill(t, v.Elem(), next)
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
+		fill(t, v.Index(0), next)
+	case reflect.Map:
+		value := reflect.New(v.Type().Elem()).Elem()
+		fill(t, value, next)
+		v.Set(reflect.MakeMap(v.Type()))
+		v.SetMapIndex(reflect.ValueOf("key"), value)
+	case reflect.String:
+		v.SetString("text")
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Int, reflect.Int64:
+		v.SetInt(int64(*next))
+	case reflect.Uint32, reflect.Uint64:
+		v.SetUint(uint64(*next))
+	case reflect.Float64:
+		v.SetFloat(float64(*next) + 0.5)
+	default:
+		t.Fatalf("no value for %s", v.Type())
+	}
+}
+
+// compareGolden compares text with a file that an earlier version wrote. UPDATE_GOLDEN=1 writes it anew.
+func compareGolden(t *testing.T, file string, text []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", file)
+	if os.Getenv("UPDATE_GOLDEN") != "" {
+		if err := os.WriteFile(path, text, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	golden, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(text, golden) {
+		t.Errorf("%s: written\n%s\nwant\n%s", file, text, golden)
+	}
+}
+
+// TestGoldenEvidence keeps the form of the evidence that is stored of a day whose rules broke, and judges
+// evidence that an earlier version stored.
+func TestGoldenEvidence(t *testing.T) {
+	var e evidence
+	next := 0
+	fill(t, reflect.ValueOf(&e).Elem(), &next)
+	text, err := json.MarshalIndent(e, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	compareGolden(t, "evidence.json", text)
+	golden, err := os.ReadFile(filepath.Join("testdata", "evidence.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var read evidence
+	if err := json.Unmarshal(golden, &read); err != nil || !reflect.DeepEqual(read, e) {
+		t.Errorf("read %+v, %v, want %+v", read, err, e)
+	}
+	dir := t.TempDir()
+	var zipped bytes.Buffer
+	z := gzip.NewWriter(&zipped)
+	if _, err := z.Write(golden); err != nil {
+		t.Fatal(err)
+	}
+	if err := z.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(filepath.Join(dir, "traffic.json.gz"), zipped.Bytes(), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	day, seed, verdicts, err := JudgeAgain(dir)
+	if err != nil || day != e.Day || seed != e.Seed ||
+		!reflect.DeepEqual(verdicts, rulecheck.Judge(e.Figures, e.Log)) {
+		t.Errorf("judged again: day %q, seed %d, %+v, %v", day, seed, verdicts, err)
+	}
+}
+
+// TestGoldenReport keeps the form of the numbers that are written beside a day's plots.
+func TestGoldenReport(t *testing.T) {
+	var parts struct {
+		Verdicts []rulecheck.Verdict
+		Troubles []Trouble
+		Samples  []Sample
+		Watches  []Watch
+	}
+	next := 0
+	fill(t, reflect.ValueOf(&parts).Elem(), &next)
+	text, err := json.MarshalIndent(parts, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	compareGolden(t, "report.json", text)
+}
