--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -63,7 +63,7 @@
 func accept(instances map[int]*instance, order []int, m *wire.Message) []int {
 	it := instances[m.Instance]
 	switch m.Type {
-	case wire.Start:
+	case wire.StartInstance:
 		queued := it != nil && it.queued
 		it = &instance{queued: queued}
 		g, err := cresspass.New(m.Config)
@@ -72,12 +72,12 @@
 		}
 		it.gateway = g
 		instances[m.Instance] = it
-	case wire.Stop:
+	case wire.StopInstance:
 		if it != nil {
 			it.gateway, it.events, it.fault = nil, it.events[:0], ""
 		}
 		return order
-	case wire.Happening:
+	case wire.EventMessage:
 		if it == nil {
 			return order
 		}
@@ -100,7 +100,7 @@
 		}
 	}
 	if it.fault != "" {
-		wire.WriteFault(w, id, it.fault)
+		wire.WriteError(w, id, it.fault)
 		it.gateway, it.fault = nil, ""
 	}
 	it.events = it.events[:0]
--- a/cmd/cresspass/model.go
+++ b/cmd/cresspass/model.go
@@ -35,9 +35,9 @@
 }
 
 func (c modelMembersCmd) Run() error {
-	w := simulation.Calm()
+	w := simulation.CalmNetwork()
 	if c.Storm {
-		w = simulation.Storm()
+		w = simulation.StormyNetwork()
 	}
 	for _, n := range c.Sizes {
 		if n < 1 || n > 5000 || c.Engines < 1 {
@@ -53,8 +53,8 @@
 	fmt.Println("members   agreed    known   return   kB/s each (mean, most)")
 	for _, v := range all {
 		fmt.Printf("%7d %7.1f s %6.1f s %6.1f s %6.1f %6.1f\n", v.Members, v.Agreed.Seconds(),
-			v.Known.Seconds(),
-			v.Return.Seconds(), v.BytesSecond/1000, v.BytesMost/1000)
+			v.Propagated.Seconds(),
+			v.Reconverged.Seconds(), v.BytesSecond/1000, v.MaxBytesSecond/1000)
 	}
 	return writePage(c.Report, "members", plot.Convergence(all))
 }
@@ -70,12 +70,12 @@
 		return fmt.Errorf("model newcomers: %d seeds, costs told as %g of the truth", c.Seeds, c.Told)
 	}
 	arms := []simulation.Arm{
-		{Name: "no talk", Talk: simulation.Silent},
-		{Name: "cold", Talk: simulation.Talking},
-		{Name: "newcomers", Talk: simulation.Newcomers},
-		{Name: "cold, 1 in 5 lies", Talk: simulation.Talking,
-			Liars: 4},
-		{Name: "newcomers, 1 in 5 lies", Talk: simulation.Newcomers, Liars: 4},
+		{Name: "no talk", Gossip: simulation.NoGossip},
+		{Name: "cold", Gossip: simulation.GossipOnly},
+		{Name: "newcomers", Gossip: simulation.GossipAndBootstrap},
+		{Name: "cold, 1 in 5 lies", Gossip: simulation.GossipOnly,
+			Byzantine: 4},
+		{Name: "newcomers, 1 in 5 lies", Gossip: simulation.GossipAndBootstrap, Byzantine: 4},
 	}
 	n, err := simulation.CompareNewcomers(arms, c.Seeds, c.Told)
 	if err != nil {
@@ -116,10 +116,10 @@
 		fmt.Println(simulation.Figures[f].Name)
 		for w, since := range n.Windows {
 			for a, arm := range n.Arms {
-				b := simulation.BarOf(n.Samples(a, w, f))
-				d := simulation.BarOf(simulation.Differences(n.Samples(a, w, f), n.Samples(against, w, f)))
+				b := simulation.EstimateMean(n.Samples(a, w, f))
+				d := simulation.EstimateMean(simulation.Differences(n.Samples(a, w, f), n.Samples(against, w, f)))
 				fmt.Printf("  %4.0f s  %-24s %6.1f%% ±%4.1f   against cold %+6.1f ±%4.1f\n",
-					since.Seconds(), arm.Name, 100*b.Mean, 100*b.Half, 100*d.Mean, 100*d.Half)
+					since.Seconds(), arm.Name, 100*b.Mean, 100*b.HalfWidth, 100*d.Mean, 100*d.HalfWidth)
 			}
 		}
 	}
@@ -182,7 +182,7 @@
 		if e.After = c.After; c.Seeds > 1 {
 			e.Seeds = c.Seeds
 		}
-		for _, kind := range experiment.LeftOut(e.Day) {
+		for _, kind := range experiment.OmittedFigures(e.Day) {
 			fmt.Fprintf(os.Stderr,
 				"%s: trouble %s is left out: it is of bytes, or of clients that give up\n", name, kind)
 		}
--- a/cmd/cresspass/record.go
+++ b/cmd/cresspass/record.go
@@ -20,7 +20,7 @@
 // loadRecording reads a recording, and says what of it could not be read.
 func loadRecording(path string) (recording.Header, []recording.Entry, error) {
 	h, all, skipped, err := recording.Load(path)
-	if errors.Is(err, recording.ErrCut) || errors.Is(err, recording.ErrDamaged) {
+	if errors.Is(err, recording.ErrTruncated) || errors.Is(err, recording.ErrDamaged) {
 		fmt.Fprintf(os.Stderr, "%s: %v; %d entries before that are used\n", path, err, len(all))
 		err = nil
 	}
@@ -82,7 +82,7 @@
 		fmt.Println("no entries")
 		return nil
 	}
-	length := max(all[len(all)-1].At, time.Millisecond)
+	length := max(all[len(all)-1].ArrivedAt, time.Millisecond)
 	fmt.Printf("from %s, %s, %d entries, %.1f a second\n", h.Start.UTC().Format(time.RFC3339),
 		length.Round(time.Millisecond), len(all), float64(len(all))/length.Seconds())
 	type sum struct {
@@ -100,7 +100,7 @@
 		s.n++
 		s.ends[e.Outcome]++
 		if e.Outcome == recording.Served {
-			s.took = append(s.took, e.Took)
+			s.took = append(s.took, e.Elapsed)
 		}
 		shapes[e.Fingerprint] = true
 	}
--- a/cmd/cresspass/rehearse.go
+++ b/cmd/cresspass/rehearse.go
@@ -114,7 +114,7 @@
 			return p.err
 		}
 		p.result.Print(os.Stdout)
-		if !p.result.Kept() || len(p.result.Short) > 0 {
+		if !p.result.Kept() || len(p.result.Missed) > 0 {
 			broken++
 		}
 	}
@@ -146,12 +146,12 @@
 	}
 	o := rehearsal.Options{Seed: c.Seed, Program: []string{self}, Dir: dir, Log: log, Policy: c.Policy,
 		Mutate:  c.Mutate,
-		NoState: c.NoState, Talk: c.Talk}
+		NoState: c.NoState, Gossip: c.Talk}
 	stopView := func() {}
 	if c.View == "terminal" || c.View == "auto" && c.Jobs <= 1 && isTerminal(os.Stdout) {
-		o.Look, stopView = watchInTerminal(d)
+		o.Observe, stopView = watchInTerminal(d)
 	} else {
-		o.Look = statusLogger(log)
+		o.Observe = statusLogger(log)
 	}
 	result, err := rehearsal.Play(ctx, d, o)
 	stopView()
@@ -166,7 +166,7 @@
 	if !result.Kept() {
 		folder := filepath.Join(c.Broken, fmt.Sprintf("%s-%d-%s", d.Name, c.Seed,
 			time.Now().Format("150405")))
-		if err := result.Keep(folder); err != nil {
+		if err := result.StoreEvidence(folder); err != nil {
 			return nil, err
 		}
 		fmt.Fprintln(os.Stderr, "the traffic is kept in", folder)
@@ -188,7 +188,7 @@
 	for _, v := range all {
 		fmt.Println(v)
 	}
-	if !rulecheck.Kept(all) {
+	if !rulecheck.AllKept(all) {
 		return errors.New("a rule broke")
 	}
 	return nil
@@ -209,7 +209,7 @@
 	fmt.Printf("%s: %s\n%d engines, %d dispatchers, %v\n", d.Name, d.Title, d.Engines, d.Dispatchers,
 		d.Length)
 	const width = 60
-	for _, t := range d.Troubles {
+	for _, t := range d.Faults {
 		from := int(int64(t.At) * width / int64(d.Length))
 		long := min(max(1, int(int64(t.For)*width/int64(d.Length))), width-from)
 		fmt.Printf("%-12s |%s%s%s| at %v for %v, engines %v, dispatcher %d, size %g\n", t.Kind,
@@ -233,7 +233,7 @@
 	}
 	o.StartServer = func(cfg *config.Config, log *slog.Logger, ln net.Listener) (*server.Server, error) {
 		module := cfg.Module
-		baseline.Loosen(c.Mutate, &cfg.Module)
+		baseline.LoosenRule(c.Mutate, &cfg.Module)
 		cfg.AllowViolations = c.Mutate != 0
 		return server.StartWithDecider(cfg, log, ln, func(cresspass.Config) (dispatch.Decider, error) {
 			return baseline.New(c.Policy, c.Mutate, module)
--- a/cmd/cresspass/view.go
+++ b/cmd/cresspass/view.go
@@ -36,7 +36,7 @@
 			threads += e.Threads
 		}
 		var kinds []string
-		for _, t := range s.Troubles {
+		for _, t := range s.Faults {
 			kinds = append(kinds, t.Kind)
 		}
 		log.Info("day", "name", s.Day.Name, "at", s.At.Round(time.Second), "engines up", up, "threads",
@@ -121,9 +121,9 @@
 	for _, name := range names {
 		c := s.Counts[name]
 		fmt.Fprintf(&b, "%-12s served %6d  refused %5d  failed %5d  gave up %5d\n", name, c[rehearsal.Served],
-			c[rehearsal.Refused], c[rehearsal.Failed], c[rehearsal.GaveUp])
+			c[rehearsal.Rejected], c[rehearsal.Failed], c[rehearsal.Abandoned])
 	}
-	for _, t := range s.Troubles {
+	for _, t := range s.Faults {
 		fmt.Fprintf(&b, "%s engines %v until %v\n", warningStyle.Render(t.Kind), t.Engines, (t.At +
 			t.For).Round(time.Second))
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -601,10 +601,10 @@
 	c.applyPeers(cfg, f.Peers)
 	if r := f.Record; r != nil {
 		cfg.RecordingDir = r.Dir
-		cfg.RecordingLimits = recording.Limits{File: int64(c.nonNegative("file_mb", r.FileMB, 64)) << 20,
-			Total: int64(c.nonNegative("total_mb", r.TotalMB, 1024)) << 20}
-		if cfg.RecordingLimits.Total < 2*cfg.RecordingLimits.File {
-			c.errorf("record", 0, "total_mb", "less than two files: %d MB each", cfg.RecordingLimits.File>>20)
+		cfg.RecordingLimits = recording.Limits{FileBytes: int64(c.nonNegative("file_mb", r.FileMB, 64)) << 20,
+			TotalBytes: int64(c.nonNegative("total_mb", r.TotalMB, 1024)) << 20}
+		if cfg.RecordingLimits.TotalBytes < 2*cfg.RecordingLimits.FileBytes {
+			c.errorf("record", 0, "total_mb", "less than two files: %d MB each", cfg.RecordingLimits.FileBytes>>20)
 		}
 	}
 	kinds := map[string]bool{}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -130,8 +130,8 @@
 	line("peers.rate", c.Peers.Rate)
 	line("peers.wait", c.Peers.Wait)
 	line("record.dir", c.RecordingDir)
-	line("record.file_mb", c.RecordingLimits.File)
-	line("record.total_mb", c.RecordingLimits.Total)
+	line("record.file_mb", c.RecordingLimits.FileBytes)
+	line("record.total_mb", c.RecordingLimits.TotalBytes)
 	for i := range m.Classes {
 		k := &m.Classes[i]
 		line("class", k.Name)
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -89,7 +89,7 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	settings = append(settings, wire.Setting{Path: "rng-seed", Value: strconv.FormatUint(seed>>1, 10)})
-	if c.Module, err = wire.ConfigOf(settings); err != nil {
+	if c.Module, err = wire.ConfigFromSettings(settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	micros := func(path string, otherwise time.Duration) time.Duration {
--- a/internal/recording/recording.go
+++ b/internal/recording/format.go
@@ -20,14 +20,14 @@
 // The outcomes.
 const (
 	Served Outcome = iota
-	Refused
+	Rejected
 	Failed
-	GivenUp
-	outcomes
+	Abandoned
+	outcomeCount
 )
 
 func (o Outcome) String() string {
-	if o >= outcomes {
+	if o >= outcomeCount {
 		return "unknown"
 	}
 	return [...]string{"served", "refused", "failed", "given up"}[o]
@@ -35,8 +35,8 @@
 
 // Entry is one query that was taken and has ended.
 type Entry struct {
-	At          time.Duration // since the recording's start
-	Took        time.Duration // until its final answer
+	ArrivedAt   time.Duration // since the recording's start
+	Elapsed     time.Duration // until its final answer
 	Class       string
 	Tenant      string
 	Dispatcher  string
@@ -45,8 +45,8 @@
 	Cost        time.Duration // as it was told, thread time; 0: it was not
 	Threads     float64       // 0: not known
 	Outcome     Outcome
-	Repeat      bool // its client had asked before
-	Write       bool
+	IsRetry     bool // its client had asked before
+	IsWrite     bool
 }
 
 // Header begins a file.
@@ -59,16 +59,16 @@
 const (
 	version    = 1
 	headerSize = 16
-	// BlockMost is the most entries of a block.
-	BlockMost = 4096
-	blockHead = 12 // length, checksum
-	bytesMost = 1 << 22
+	// MaxBlockEntries is the most entries of a block.
+	MaxBlockEntries = 4096
+	blockHeaderSize = 12 // length, checksum
+	maxBlockBytes   = 1 << 22
 )
 
 // Errors of reading.
 var (
-	ErrCut     = errors.New("recording: the last block is cut")
-	ErrDamaged = errors.New("recording: a block is damaged")
+	ErrTruncated = errors.New("recording: the last block is cut")
+	ErrDamaged   = errors.New("recording: a block is damaged")
 )
 
 // AppendHeader appends a header.
@@ -78,10 +78,10 @@
 	return binary.LittleEndian.AppendUint64(b, uint64(h.Start.UnixMicro()))
 }
 
-// AppendBlock appends a block of entries, which are in the order of their times; at most BlockMost.
+// AppendBlock appends a block of entries, which are in the order of their times; at most MaxBlockEntries.
 func AppendBlock(b []byte, entries []Entry) []byte {
 	head := len(b)
-	b = append(b, make([]byte, blockHead)...)
+	b = append(b, make([]byte, blockHeaderSize)...)
 	names, list := map[string]uint64{}, []string{}
 	name := func(s string) uint64 {
 		if _, known := names[s]; !known {
@@ -94,9 +94,9 @@
 	last := time.Duration(0)
 	for i := range entries {
 		e := &entries[i]
-		body = binary.AppendVarint(body, (e.At - last).Microseconds())
-		last = e.At.Truncate(time.Microsecond)
-		body = binary.AppendUvarint(body, uint64(max(e.Took, 0).Microseconds()))
+		body = binary.AppendVarint(body, (e.ArrivedAt - last).Microseconds())
+		last = e.ArrivedAt.Truncate(time.Microsecond)
+		body = binary.AppendUvarint(body, uint64(max(e.Elapsed, 0).Microseconds()))
 		for _, s := range []string{e.Class, e.Tenant, e.Dispatcher} {
 			body = binary.AppendUvarint(body, name(s))
 		}
@@ -105,10 +105,10 @@
 		body = binary.AppendUvarint(body, uint64(max(e.Cost, 0).Microseconds()))
 		body = binary.LittleEndian.AppendUint32(body, math.Float32bits(float32(e.Threads)))
 		flags := byte(e.Outcome)
-		if e.Repeat {
+		if e.IsRetry {
 			flags |= 0x10
 		}
-		if e.Write {
+		if e.IsWrite {
 			flags |= 0x20
 		}
 		body = append(body, flags)
@@ -120,47 +120,47 @@
 	}
 	b = binary.AppendUvarint(b, uint64(len(entries)))
 	b = append(b, body...)
-	payload := b[head+blockHead:]
+	payload := b[head+blockHeaderSize:]
 	binary.LittleEndian.PutUint32(b[head:], uint32(len(payload)))
 	binary.LittleEndian.PutUint64(b[head+4:], xxhash.Sum64(payload))
 	return b
 }
 
-// cursor reads a payload. Its first error stands.
-type cursor struct {
-	b   []byte
-	err error
+// decoder reads a payload. Its first error stands.
+type decoder struct {
+	rest []byte
+	err  error
 }
 
-func (c *cursor) take(n uint64) []byte {
-	if c.err != nil || n > uint64(len(c.b)) {
+func (c *decoder) take(n uint64) []byte {
+	if c.err != nil || n > uint64(len(c.rest)) {
 		c.err = ErrDamaged
 		return make([]byte, min(n, 8))
 	}
-	out := c.b[:n]
-	c.b = c.b[n:]
+	out := c.rest[:n]
+	c.rest = c.rest[n:]
 	return out
 }
 
-func (c *cursor) uvarint() uint64 { return number(c, binary.Uvarint) }
-func (c *cursor) varint() int64   { return number(c, binary.Varint) }
+func (c *decoder) uvarint() uint64 { return decodeNumber(c, binary.Uvarint) }
+func (c *decoder) varint() int64   { return decodeNumber(c, binary.Varint) }
 
-func number[T int64 | uint64](c *cursor, read func([]byte) (T, int)) T {
-	v, n := read(c.b)
+func decodeNumber[T int64 | uint64](c *decoder, read func([]byte) (T, int)) T {
+	v, n := read(c.rest)
 	if n <= 0 {
 		c.err = ErrDamaged
 		return 0
 	}
-	c.b = c.b[n:]
+	c.rest = c.rest[n:]
 	return v
 }
 
-func micros(v uint64) time.Duration {
+func microseconds(v uint64) time.Duration {
 	return time.Duration(min(v, math.MaxInt64/1000)) * time.Microsecond
 }
 
-func decode(payload []byte) ([]Entry, error) {
-	c := &cursor{b: payload}
+func decodeBlock(payload []byte) ([]Entry, error) {
+	c := &decoder{rest: payload}
 	n := c.uvarint()
 	if n > uint64(len(payload)) {
 		return nil, ErrDamaged
@@ -177,7 +177,7 @@
 		return ""
 	}
 	n = c.uvarint()
-	if c.err != nil || n > BlockMost {
+	if c.err != nil || n > MaxBlockEntries {
 		return nil, ErrDamaged
 	}
 	out := make([]Entry, n)
@@ -185,19 +185,19 @@
 	for i := range out {
 		e := &out[i]
 		last += time.Duration(c.varint()) * time.Microsecond
-		e.At, e.Took = last, micros(c.uvarint())
+		e.ArrivedAt, e.Elapsed = last, microseconds(c.uvarint())
 		e.Class, e.Tenant, e.Dispatcher = name(), name(), name()
 		e.Fingerprint = binary.LittleEndian.Uint64(c.take(8))
 		e.Key = binary.LittleEndian.Uint64(c.take(8))
-		e.Cost = micros(c.uvarint())
+		e.Cost = microseconds(c.uvarint())
 		e.Threads = float64(math.Float32frombits(binary.LittleEndian.Uint32(c.take(4))))
 		flags := c.take(1)[0]
-		e.Outcome, e.Repeat, e.Write = Outcome(flags&0x0f), flags&0x10 != 0, flags&0x20 != 0
-		if c.err != nil || e.Outcome >= outcomes {
+		e.Outcome, e.IsRetry, e.IsWrite = Outcome(flags&0x0f), flags&0x10 != 0, flags&0x20 != 0
+		if c.err != nil || e.Outcome >= outcomeCount {
 			return nil, ErrDamaged
 		}
 	}
-	if len(c.b) > 0 {
+	if len(c.rest) > 0 {
 		return nil, ErrDamaged
 	}
 	return out, nil
@@ -226,30 +226,30 @@
 	return &Reader{r: r, Header: Header{Start: time.UnixMicro(int64(binary.LittleEndian.Uint64(b[8:])))}}, nil
 }
 
-// Next returns the entries of the next block that is whole; io.EOF after the last one, ErrCut where the
+// Next returns the entries of the next block that is whole; io.EOF after the last one, ErrTruncated where the
 // file ends within a block. A block that is damaged within is skipped; where its length cannot be, what
 // follows is not found.
 func (r *Reader) Next() ([]Entry, error) {
 	for {
-		var head [blockHead]byte
+		var head [blockHeaderSize]byte
 		if _, err := io.ReadFull(r.r, head[:]); err == io.EOF {
 			return nil, io.EOF
 		} else if errors.Is(err, io.ErrUnexpectedEOF) {
-			return nil, ErrCut
+			return nil, ErrTruncated
 		} else if err != nil {
 			return nil, err
 		}
 		size := binary.LittleEndian.Uint32(head[:])
-		if size > bytesMost {
+		if size > maxBlockBytes {
 			return nil, ErrDamaged
 		}
 		payload := make([]byte, size)
 		if _, err := io.ReadFull(r.r, payload); err == io.EOF || errors.Is(err, io.ErrUnexpectedEOF) {
-			return nil, ErrCut
+			return nil, ErrTruncated
 		} else if err != nil {
 			return nil, err
 		}
-		entries, err := decode(payload)
+		entries, err := decodeBlock(payload)
 		if xxhash.Sum64(payload) == binary.LittleEndian.Uint64(head[4:]) && err == nil {
 			return entries, nil
 		}
--- a/internal/recording/recording_test.go
+++ b/internal/recording/format_test.go
@@ -16,25 +16,27 @@
 	"pgregory.net/rapid"
 )
 
-func draw(t *rapid.T) (out []Entry) {
+func drawEntries(t *rapid.T) (out []Entry) {
 	at := time.Duration(0)
 	word := rapid.SampledFrom([]string{"", "a", "class of some length", "é\x00"})
 	for range rapid.IntRange(0, 50).Draw(t, "entries") {
 		at += time.Duration(rapid.IntRange(0, 1e6).Draw(t, "gap")) * time.Microsecond
-		out = append(out, Entry{At: at, Took: time.Duration(rapid.Uint32().Draw(t,
+		out = append(out, Entry{ArrivedAt: at, Elapsed: time.Duration(rapid.Uint32().Draw(t,
 			"took")) * time.Microsecond,
 			Class: word.Draw(t, "class"), Tenant: word.Draw(t, "tenant"), Dispatcher: word.Draw(t,
 				"dispatcher"),
 			Fingerprint: rapid.Uint64().Draw(t, "fingerprint"), Key: rapid.Uint64().Draw(t, "key"),
 			Cost:    time.Duration(rapid.Uint32().Draw(t, "cost")) * time.Microsecond,
 			Threads: float64(rapid.IntRange(0, 64).Draw(t, "threads")),
-			Outcome: Outcome(rapid.IntRange(0, 3).Draw(t, "outcome")), Repeat: rapid.Bool().Draw(t, "repeat"),
-			Write: rapid.Bool().Draw(t, "write")})
+			Outcome: Outcome(
+				rapid.IntRange(0, 3).Draw(t, "outcome"),
+			), IsRetry: rapid.Bool().Draw(t, "repeat"),
+			IsWrite: rapid.Bool().Draw(t, "write")})
 	}
 	return out
 }
 
-func read(b []byte) (all []Entry, skipped int, err error) {
+func readAll(b []byte) (all []Entry, skipped int, err error) {
 	r, err := NewReader(bytes.NewReader(b))
 	if err != nil {
 		return nil, 0, err
@@ -51,14 +53,14 @@
 // What was written is read; a file that is cut anywhere gives all of its whole blocks and says that it is
 // cut; a byte that is changed costs the block that it is in, at most what follows where it is a length, and
 // nothing is made up.
-func TestCutAndDamaged(t *testing.T) {
+func TestTruncatedAndDamagedFiles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.UnixMicro(1764600000123456)
 		b := AppendHeader(nil, Header{Start: start})
 		var blocks [][]Entry
 		ends := []int{len(b)}
 		for range rapid.IntRange(1, 4).Draw(t, "blocks") {
-			blocks = append(blocks, draw(t))
+			blocks = append(blocks, drawEntries(t))
 			b = AppendBlock(b, blocks[len(blocks)-1])
 			ends = append(ends, len(b))
 		}
@@ -66,12 +68,12 @@
 		for _, l := range blocks {
 			want = append(want, l...)
 		}
-		got, skipped, err := read(b)
+		got, skipped, err := readAll(b)
 		if !reflect.DeepEqual(got, want) && len(got)+len(want) > 0 || skipped != 0 || err != io.EOF {
 			t.Fatalf("%v %d %v, want %v", got, skipped, err, want)
 		}
 		cut := rapid.IntRange(0, len(b)).Draw(t, "cut")
-		got, _, err = read(b[:cut])
+		got, _, err = readAll(b[:cut])
 		whole := 0
 		for i := range blocks {
 			if ends[i+1] <= cut {
@@ -83,17 +85,17 @@
 			atEnd = atEnd || e == cut
 		}
 		if cut >= headerSize && (len(got) != whole || (err == io.EOF) != atEnd || !atEnd && !errors.Is(err,
-			ErrCut)) {
+			ErrTruncated)) {
 			t.Fatalf("cut at %d of %v: %d entries of %d, %v", cut, ends, len(got), whole, err)
 		}
 		at := rapid.IntRange(headerSize, len(b)-1).Draw(t, "at")
 		b[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "change"))
-		got, _, _ = read(b)
+		got, _, _ = readAll(b)
 		if len(got) >= len(want) && len(want) > 0 && !reflect.DeepEqual(got, want) {
 			t.Fatal("a changed byte, and other entries")
 		}
-		read(rapid.SliceOf(rapid.Byte()).Draw(t, "any"))
-		read(AppendHeader(nil, Header{}))
+		readAll(rapid.SliceOf(rapid.Byte()).Draw(t, "any"))
+		readAll(AppendHeader(nil, Header{}))
 	})
 }
 
@@ -110,14 +112,17 @@
 			if k%2 == 0 {
 				at = 30*time.Second + time.Duration(k)*time.Millisecond // half of all in one burst
 			}
-			all = append(all, Entry{At: at, Class: "c", Dispatcher: fmt.Sprint("d", i), Key: uint64(k % 7)})
+			all = append(
+				all,
+				Entry{ArrivedAt: at, Class: "c", Dispatcher: fmt.Sprint("d", i), Key: uint64(k % 7)},
+			)
 		}
 	}
 	all = Merge([][]Entry{all}, []time.Duration{0})
 	burst := func(l []Entry) float64 {
 		n := 0.0
 		for _, e := range l {
-			if e.At >= 29*time.Second && e.At < 32*time.Second {
+			if e.ArrivedAt >= 29*time.Second && e.ArrivedAt < 32*time.Second {
 				n++
 			}
 		}
@@ -147,8 +152,8 @@
 				burst(got), burst(all), tenth(got), tenth(all))
 		}
 	}
-	if got := Cut(all, 10*time.Second, 20*time.Second); len(got) == 0 || got[0].At > time.Second ||
-		got[len(got)-1].At >= 10*time.Second {
+	if got := Cut(all, 10*time.Second, 20*time.Second); len(got) == 0 || got[0].ArrivedAt > time.Second ||
+		got[len(got)-1].ArrivedAt >= 10*time.Second {
 		t.Error("cut")
 	}
 }
@@ -157,8 +162,8 @@
 // the newest stays, and nothing of others is removed.
 func TestRotate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := Limits{File: int64(rapid.IntRange(20, 2000).Draw(t, "file")),
-			Total: int64(rapid.IntRange(3000, 9000).Draw(t, "total"))}
+		l := Limits{FileBytes: int64(rapid.IntRange(20, 2000).Draw(t, "file")),
+			TotalBytes: int64(rapid.IntRange(3000, 9000).Draw(t, "total"))}
 		var files []File
 		open, n := "", 0
 		for range rapid.IntRange(0, 80).Draw(t, "blocks") {
@@ -187,17 +192,18 @@
 			sum := int64(0)
 			for _, f := range files {
 				sum += f.Size
-				if !Ours(f.Name) || f.Size > l.File+block+headerSize && f.Size > l.File+900+headerSize {
+				if !IsRecording(f.Name) ||
+					f.Size > l.FileBytes+block+headerSize && f.Size > l.FileBytes+900+headerSize {
 					t.Fatalf("%+v", f)
 				}
 			}
-			if sum > l.Total {
-				t.Fatalf("%d bytes, %d allowed: %+v", sum, l.Total, files)
+			if sum > l.TotalBytes {
+				t.Fatalf("%d bytes, %d allowed: %+v", sum, l.TotalBytes, files)
 			}
 		}
 	})
 	for _, name := range []string{"notes.rec", "cresspass-1.rec", "cresspass-0000000000000000000x.rec", ""} {
-		if Ours(name) {
+		if IsRecording(name) {
 			t.Errorf("%q is taken for ours", name)
 		}
 	}
@@ -210,13 +216,13 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	begin := time.UnixMicro(1764600000000000)
 	for life := range 2 {
-		r, err := NewRecorder(dir, Limits{File: 1 << 20, Total: 1 << 22}, log)
+		r, err := NewRecorder(dir, Limits{FileBytes: 1 << 20, TotalBytes: 1 << 22}, log)
 		if err != nil {
 			t.Fatal(err)
 		}
 		taken := uint64(0)
 		for i := range 30000 {
-			if r.Take(begin.Add(time.Duration(life*30000+i)*time.Millisecond), Entry{Class: "c",
+			if r.Record(begin.Add(time.Duration(life*30000+i)*time.Millisecond), Entry{Class: "c",
 				Fingerprint: uint64(i)}) {
 				taken++
 			}
@@ -238,19 +244,19 @@
 	}
 	all := Merge(lists, shifts)
 	for i := 1; i < len(all); i++ {
-		if all[i].At <= all[i-1].At {
-			t.Fatalf("%v after %v", all[i].At, all[i-1].At)
+		if all[i].ArrivedAt <= all[i-1].ArrivedAt {
+			t.Fatalf("%v after %v", all[i].ArrivedAt, all[i-1].ArrivedAt)
 		}
 	}
 	if len(found) < 2 || len(all) < 10000 {
 		t.Errorf("%d files, %d entries", len(found), len(all))
 	}
-	r, err := NewRecorder(filepath.Join(dir, "sub"), Limits{File: 100, Total: 1000}, log)
+	r, err := NewRecorder(filepath.Join(dir, "sub"), Limits{FileBytes: 100, TotalBytes: 1000}, log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	os.RemoveAll(filepath.Join(dir, "sub"))
-	r.Take(begin, Entry{})
+	r.Record(begin, Entry{})
 	r.Close()
 	if _, _, failed := r.Counts(); failed != 1 {
 		t.Errorf("a folder that is gone: %d failed", failed)
--- a/internal/recording/recorder.go
+++ b/internal/recording/recorder.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	queueMost  = 8192
-	blockEvery = time.Second
+	queueCapacity = 8192
+	blockInterval = time.Second
 )
 
 // Recorder writes what a dispatcher took into a folder. Take never blocks: a goroutine writes, in blocks,
@@ -22,7 +22,7 @@
 	dir     string
 	limits  Limits
 	log     *slog.Logger
-	queue   chan entry
+	queue   chan timedEntry
 	stop    chan struct{}
 	done    chan struct{}
 	close   sync.Once
@@ -36,8 +36,8 @@
 	size  int64
 }
 
-// entry is one with the wall clock's time, which files count from their own start.
-type entry struct {
+// timedEntry is one with the wall clock's time, which files count from their own start.
+type timedEntry struct {
 	at time.Time
 	Entry
 }
@@ -47,17 +47,17 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	r := &Recorder{dir: dir, limits: l, log: log, queue: make(chan entry, queueMost),
+	r := &Recorder{dir: dir, limits: l, log: log, queue: make(chan timedEntry, queueCapacity),
 		stop: make(chan struct{}),
 		done: make(chan struct{})}
 	go r.run()
 	return r, nil
 }
 
-// Take has an entry written, of a query that was taken at a time. It returns false where it was dropped.
-func (r *Recorder) Take(at time.Time, e Entry) bool {
+// Record has an entry written, of a query that was taken at a time. It returns false where it was dropped.
+func (r *Recorder) Record(at time.Time, e Entry) bool {
 	select {
-	case r.queue <- entry{at, e}:
+	case r.queue <- timedEntry{at, e}:
 		return true
 	default:
 		r.dropped.Add(1)
@@ -78,9 +78,9 @@
 
 func (r *Recorder) run() {
 	defer close(r.done)
-	tick := time.NewTicker(blockEvery)
+	tick := time.NewTicker(blockInterval)
 	defer tick.Stop()
-	var waiting []entry
+	var waiting []timedEntry
 	flush := func() {
 		if len(waiting) == 0 {
 			return
@@ -90,7 +90,7 @@
 			if r.failed.Add(1) == 1 {
 				r.log.Error("recording not written", "error", err)
 			}
-			r.end()
+			r.finish()
 		} else {
 			r.written.Add(uint64(len(waiting)))
 		}
@@ -99,7 +99,7 @@
 	for {
 		select {
 		case e := <-r.queue:
-			if waiting = append(waiting, e); len(waiting) == BlockMost {
+			if waiting = append(waiting, e); len(waiting) == MaxBlockEntries {
 				flush()
 			}
 		case <-tick.C:
@@ -108,7 +108,7 @@
 			for {
 				select {
 				case e := <-r.queue:
-					if waiting = append(waiting, e); len(waiting) == BlockMost {
+					if waiting = append(waiting, e); len(waiting) == MaxBlockEntries {
 						flush()
 					}
 					continue
@@ -117,46 +117,46 @@
 				break
 			}
 			flush()
-			r.end()
+			r.finish()
 			return
 		}
 	}
 }
 
-// end closes the file that is open.
-func (r *Recorder) end() {
+// finish closes the file that is open.
+func (r *Recorder) finish() {
 	if r.file != nil {
 		r.file.Close()
 		r.file, r.name = nil, ""
 	}
 }
 
-func (r *Recorder) block(all []entry) []byte {
+func (r *Recorder) appendBlock(all []timedEntry) []byte {
 	entries := make([]Entry, len(all))
 	for i, e := range all {
 		entries[i] = e.Entry
-		entries[i].At = e.at.Sub(r.start)
+		entries[i].ArrivedAt = e.at.Sub(r.start)
 	}
 	return AppendBlock(nil, entries)
 }
 
 // write writes a block, to another file where the limits want one.
-func (r *Recorder) write(all []entry) error {
-	block := r.block(all)
+func (r *Recorder) write(all []timedEntry) error {
+	block := r.appendBlock(all)
 	found, err := os.ReadDir(r.dir)
 	if err != nil {
 		return err
 	}
 	var files []File
 	for _, f := range found {
-		if info, err := f.Info(); err == nil && Ours(f.Name()) {
+		if info, err := f.Info(); err == nil && IsRecording(f.Name()) {
 			files = append(files, File{f.Name(), info.Size()})
 		}
 	}
 	begin, remove := r.limits.Rotate(files, r.name, int64(len(block)))
 	for _, name := range remove {
 		if name == r.name {
-			r.end()
+			r.finish()
 		}
 		err = errors.Join(err, os.Remove(filepath.Join(r.dir, name)))
 	}
@@ -164,7 +164,7 @@
 		return err
 	}
 	if begin {
-		r.end()
+		r.finish()
 		r.start = all[0].at
 		name := FileName(r.start)
 		if r.file, err = os.OpenFile(filepath.Join(r.dir, name), os.O_CREATE|os.O_EXCL|os.O_WRONLY,
@@ -176,7 +176,7 @@
 		if _, err := r.file.Write(AppendHeader(nil, Header{Start: r.start})); err != nil {
 			return err
 		}
-		block = r.block(all)
+		block = r.appendBlock(all)
 	}
 	// Danger: half a block, as a full disk leaves, would hide all that comes after it in the file.
 	_, err = r.file.Write(block)
@@ -210,7 +210,7 @@
 func Save(path string, h Header, all []Entry) error {
 	b := AppendHeader(nil, h)
 	for len(all) > 0 {
-		n := min(len(all), BlockMost)
+		n := min(len(all), MaxBlockEntries)
 		b = AppendBlock(b, all[:n])
 		all = all[n:]
 	}
--- a/internal/recording/rotate.go
+++ b/internal/recording/rotate.go
@@ -9,8 +9,8 @@
 
 // Limits bound what a recorder keeps on disk.
 type Limits struct {
-	File  int64 // bytes of a file, after which another is begun
-	Total int64 // bytes of all files together; the oldest go first
+	FileBytes  int64 // bytes of a file, after which another is begun
+	TotalBytes int64 // bytes of all files together; the oldest go first
 }
 
 // File is one of a recorder's files.
@@ -27,9 +27,9 @@
 // FileName is that of a recording begun at a time; names are in the order of times.
 func FileName(at time.Time) string { return fmt.Sprintf("%s%020d%s", prefix, at.UnixMicro(), suffix) }
 
-// Ours reports whether a file is a recorder's by its name. Danger: what somebody else keeps in the folder
-// is not ours to remove.
-func Ours(name string) bool {
+// IsRecording reports whether a file is a recorder's by its name. Danger: what somebody else keeps in the
+// folder is not ours to remove.
+func IsRecording(name string) bool {
 	middle := strings.TrimSuffix(strings.TrimPrefix(name, prefix), suffix)
 	if len(name) != len(prefix)+20+len(suffix) || len(middle) != 20 {
 		return false
@@ -46,7 +46,7 @@
 	begin = open == ""
 	for _, f := range files {
 		total += f.Size
-		if f.Name == open && f.Size+block > l.File && f.Size > headerSize {
+		if f.Name == open && f.Size+block > l.FileBytes && f.Size > headerSize {
 			begin = true
 		}
 	}
@@ -54,7 +54,7 @@
 		total += headerSize
 	}
 	for _, f := range files {
-		if total <= l.Total || f.Name == open && !begin {
+		if total <= l.TotalBytes || f.Name == open && !begin {
 			break
 		}
 		remove = append(remove, f.Name)
--- a/internal/recording/change.go
+++ b/internal/recording/transform.go
@@ -11,8 +11,8 @@
 // Cut returns the entries from a time on and before another, their times counted from the first.
 func Cut(all []Entry, from, to time.Duration) (out []Entry) {
 	for _, e := range all {
-		if e.At >= from && e.At < to {
-			e.At -= from
+		if e.ArrivedAt >= from && e.ArrivedAt < to {
+			e.ArrivedAt -= from
 			out = append(out, e)
 		}
 	}
@@ -25,15 +25,15 @@
 	var out []Entry
 	for i, list := range all {
 		for _, e := range list {
-			e.At += shifts[i]
+			e.ArrivedAt += shifts[i]
 			out = append(out, e)
 		}
 	}
 	slices.SortStableFunc(out, func(a, b Entry) int {
 		switch {
-		case a.At < b.At:
+		case a.ArrivedAt < b.ArrivedAt:
 			return -1
-		case a.At > b.At:
+		case a.ArrivedAt > b.ArrivedAt:
 			return 1
 		}
 		return 0
@@ -47,7 +47,7 @@
 // copies are put apart.
 func Scale(all []Entry, times float64, dispatchers []string, jitter time.Duration, seed uint64) []Entry {
 	r := rand.New(rand.NewPCG(seed, 19))
-	place := places(all, dispatchers, r)
+	place := assignDispatchers(all, dispatchers, r)
 	var out []Entry
 	for _, e := range all {
 		n := int(times)
@@ -57,7 +57,7 @@
 		for i := range n {
 			c := e
 			if i > 0 { // another client's query of the same kind, a moment apart
-				c.At = max(0, c.At+time.Duration((2*r.Float64()-1)*float64(jitter)))
+				c.ArrivedAt = max(0, c.ArrivedAt+time.Duration((2*r.Float64()-1)*float64(jitter)))
 				c.Fingerprint ^= uint64(i) * 0x9e3779b97f4a7c15
 				if c.Key != 0 {
 					c.Key ^= uint64(i) * 0x9e3779b97f4a7c15
@@ -67,14 +67,15 @@
 			out = append(out, c)
 		}
 	}
-	sort.SliceStable(out, func(i, j int) bool { return out[i].At < out[j].At })
+	sort.SliceStable(out, func(i, j int) bool { return out[i].ArrivedAt < out[j].ArrivedAt })
 	return out
 }
 
-// places maps a recorded dispatcher to one of others. Both are laid along one line, the recorded ones by
-// their shares of all entries, the largest first, the others in equal parts: a recorded one's entries go to
-// the others that lie where it lies, so that the busiest tenth carries what the busiest tenth carried.
-func places(all []Entry, dispatchers []string, r *rand.Rand) func(string) string {
+// assignDispatchers maps a recorded dispatcher to one of others. Both are laid along one line, the recorded
+// ones by their shares of all entries, the largest first, the others in equal parts: a recorded one's
+// entries go to the others that lie where it lies, so that the busiest tenth carries what the busiest tenth
+// carried.
+func assignDispatchers(all []Entry, dispatchers []string, r *rand.Rand) func(string) string {
 	if len(dispatchers) == 0 {
 		return func(name string) string { return name }
 	}
--- a/internal/rehearsal/day.go
+++ b/internal/rehearsal/day.go
@@ -26,11 +26,11 @@
 	Length   string            `hcl:"length"`
 	Short    float64           `hcl:"short,optional"`
 	Flight   float64           `hcl:"flight,optional"`
-	Talk     string            `hcl:"talk,optional"`
+	Gossip   string            `hcl:"talk,optional"`
 	Base     string            `hcl:"base,optional"`
 	Fleet    *fleetFile        `hcl:"fleet,block"`
 	Traffic  []trafficFile     `hcl:"traffic,block"`
-	Troubles []troubleFile     `hcl:"trouble,block"`
+	Faults   []faultFile       `hcl:"trouble,block"`
 	Expects  []expectFile      `hcl:"expect,block"`
 	Random   int               `hcl:"random,optional"`
 	Settings string            `hcl:"settings,optional"`
@@ -66,7 +66,7 @@
 	Told    float64 `hcl:"told,optional"`
 }
 
-type troubleFile struct {
+type faultFile struct {
 	Kind       string  `hcl:"kind,label"`
 	At         string  `hcl:"at"`
 	For        string  `hcl:"for,optional"`
@@ -93,8 +93,8 @@
 	Told    float64 // its cost is told as so many times its work; 0: it is not
 }
 
-// Trouble is one thing that goes wrong.
-type Trouble struct {
+// Fault is one thing that goes wrong.
+type Fault struct {
 	Kind       string
 	At, For    time.Duration
 	Engines    []int
@@ -109,7 +109,7 @@
 	Length      time.Duration
 	Short       float64 // --short plays the day so much shorter
 	Flight      float64 // share of the queries that come by Flight SQL
-	Talk        string  // see Options
+	Gossip      string  // see Options
 	Engines     int
 	Dispatchers int
 	MemoryMB    float64
@@ -118,7 +118,7 @@
 	Expects     map[string]float64
 	Zones       int
 	Traffic     []Traffic
-	Troubles    []Trouble
+	Faults      []Fault
 	Settings    string
 	Module      cresspass.Config
 }
@@ -161,8 +161,8 @@
 	"slow-cancel": {true, false, 0.3, "cancel requests are taken size seconds late"},
 }
 
-// talks reports whether a word says how dispatchers talk.
-func talks(v string) bool { return slices.Contains([]string{"", "no", "cold", "ask"}, v) }
+// validGossip reports whether a word says how dispatchers talk.
+func validGossip(v string) bool { return slices.Contains([]string{"", "no", "cold", "ask"}, v) }
 
 // baseFile is what several days share: the fleet, the traffic and the settings' name.
 type baseFile struct {
@@ -212,10 +212,10 @@
 	if f.Flight < 0 || f.Flight > 1 {
 		return nil, fmt.Errorf("%s: flight is a share from 0 to 1", name)
 	}
-	if !talks(f.Talk) {
+	if !validGossip(f.Gossip) {
 		return nil, fmt.Errorf("%s: talk is no, cold or ask", name)
 	}
-	d := &Day{Name: name, Title: f.Title, Short: f.Short, Flight: f.Flight, Talk: f.Talk,
+	d := &Day{Name: name, Title: f.Title, Short: f.Short, Flight: f.Flight, Gossip: f.Gossip,
 		Engines:     f.Fleet.Engines,
 		Dispatchers: f.Fleet.Dispatchers,
 		MemoryMB:    f.Fleet.MemoryMB, Kinds: f.Fleet.Kinds,
@@ -281,9 +281,9 @@
 			Writes: t.Writes, Session: t.Session,
 			Repeats: t.Repeats, Told: t.Told})
 	}
-	for i, t := range f.Troubles {
+	for i, t := range f.Faults {
 		k, ok := kinds[t.Kind]
-		v := Trouble{Kind: t.Kind, At: duration("at", t.At), Engines: t.Engines, Dispatcher: t.Dispatcher,
+		v := Fault{Kind: t.Kind, At: duration("at", t.At), Engines: t.Engines, Dispatcher: t.Dispatcher,
 			Size:  t.Size,
 			Class: t.Class}
 		if t.For != "" {
@@ -306,7 +306,7 @@
 		if v.Size == 0 {
 			v.Size = k.size
 		}
-		d.Troubles = append(d.Troubles, v)
+		d.Faults = append(d.Faults, v)
 	}
 	for _, e := range f.Expects {
 		if !classes[e.Class] {
@@ -331,19 +331,19 @@
 func (d *Day) Drawn(seed uint64) *Day {
 	out := *d
 	r := rand.New(rand.NewPCG(seed, 23))
-	out.Troubles = append([]Trouble(nil), d.Troubles...)
+	out.Faults = append([]Fault(nil), d.Faults...)
 	var names []string
 	for name := range kinds {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	for range d.Random {
-		t := Trouble{Kind: names[r.IntN(len(names))], Dispatcher: r.IntN(d.Dispatchers)}
+		t := Fault{Kind: names[r.IntN(len(names))], Dispatcher: r.IntN(d.Dispatchers)}
 		t.Size = kinds[t.Kind].size
 		t.At = time.Duration((0.1 + 0.6*r.Float64()) * float64(d.Length))
 		t.For = time.Duration((0.05 + 0.15*r.Float64()) * float64(d.Length))
 		t.Engines = r.Perm(d.Engines)[:1+r.IntN(max(1, d.Engines/3))]
-		out.Troubles = append(out.Troubles, t)
+		out.Faults = append(out.Faults, t)
 	}
 	return &out
 }
@@ -353,32 +353,35 @@
 	out := *d
 	shrink := func(t time.Duration) time.Duration { return time.Duration(float64(t) * by) }
 	out.Length = shrink(d.Length)
-	out.Troubles = nil
-	for _, t := range d.Troubles {
+	out.Faults = nil
+	for _, t := range d.Faults {
 		t.At, t.For = shrink(t.At), shrink(t.For)
-		out.Troubles = append(out.Troubles, t)
+		out.Faults = append(out.Faults, t)
 	}
 	return &out
 }
 
-// Figures are the rules' for the judge.
-func (d *Day) Figures() rulecheck.Figures {
-	return FiguresOf(&d.Module)
+// Parameters are the rules' for the judge.
+func (d *Day) Parameters() rulecheck.Parameters {
+	return ParametersFromConfig(&d.Module)
 }
 
-// FiguresOf returns the judge's figures for a dispatcher's settings.
-func FiguresOf(m *cresspass.Config) rulecheck.Figures {
+// ParametersFromConfig returns the judge's figures for a dispatcher's settings.
+func ParametersFromConfig(m *cresspass.Config) rulecheck.Parameters {
 	r := m.Rules
-	f := rulecheck.Figures{Classes: map[string]rulecheck.Class{}, AnswerGrace: r.AnswerGrace,
+	f := rulecheck.Parameters{Classes: map[string]rulecheck.Class{}, AnswerGrace: r.AnswerGrace,
 		DrainGrace: r.DrainGrace,
-		ColdFrom:   r.SlowStartFrom, ColdFor: r.SlowStartDuration, ColdMultiple: r.SlowStartOverloadFactor, ColdWindow: r.SlowStartWindow,
-		OrderRest: r.OrderSettleDelay, HasBudget: r.HasRetryBudget, BudgetFree: r.RetryBudgetFree, BudgetShare: r.RetryBudgetRatio,
+		ColdFrom:   r.SlowStartFrom, ColdFor: r.SlowStartDuration, ColdMultiple: r.SlowStartOverloadFactor,
+		ColdWindow: r.SlowStartWindow,
+		OrderRest:  r.OrderSettleDelay, HasBudget: r.HasRetryBudget, BudgetFree: r.RetryBudgetFree,
+		BudgetShare:    r.RetryBudgetRatio,
 		BudgetLookBack: r.RetryBudgetWindow, Skew: 50 * time.Millisecond}
 	for _, c := range m.Classes {
 		f.Classes[c.Name] = rulecheck.Class{Effect: [...]string{"safe", "keyed", "unsafe"}[c.Effect],
-			Scope: [...]string{"all", "zone", "cell"}[c.DeduplicationScope], Window: c.DeduplicationWindow, Deadline: c.Deadline,
-			InOrder: c.OrderedByKey,
-			Kinds:   c.AllowedKinds, Zones: c.AllowedZones}
+			Scope: [...]string{"all", "zone", "cell"}[c.DeduplicationScope], Window: c.DeduplicationWindow,
+			Deadline: c.Deadline,
+			InOrder:  c.OrderedByKey,
+			Kinds:    c.AllowedKinds, Zones: c.AllowedZones}
 	}
 	return f
 }
--- a/internal/rehearsal/day_test.go
+++ b/internal/rehearsal/day_test.go
@@ -19,7 +19,7 @@
 }
 
 // All days that ship are good, and what is drawn from a seed is drawn again.
-func TestDaysThatShip(t *testing.T) {
+func TestShippedDaysParse(t *testing.T) {
 	files, err := rehearsals.Days.ReadDir(".")
 	if err != nil || len(files) < 12 {
 		t.Fatal(len(files), err)
@@ -33,15 +33,15 @@
 			continue
 		}
 		a, b := d.Drawn(7), d.Drawn(7)
-		if !reflect.DeepEqual(a.Troubles, b.Troubles) || len(a.Troubles) != len(d.Troubles)+d.Random ||
-			len(a.Troubles) == 0 {
-			t.Errorf("%s: drawn %v, then %v", d.Name, a.Troubles, b.Troubles)
+		if !reflect.DeepEqual(a.Faults, b.Faults) || len(a.Faults) != len(d.Faults)+d.Random ||
+			len(a.Faults) == 0 {
+			t.Errorf("%s: drawn %v, then %v", d.Name, a.Faults, b.Faults)
 		}
-		if s := d.Scaled(0.5); s.Length != d.Length/2 || len(s.Troubles) != len(d.Troubles) {
+		if s := d.Scaled(0.5); s.Length != d.Length/2 || len(s.Faults) != len(d.Faults) {
 			t.Errorf("%s: scaled to %v", d.Name, s.Length)
 		}
-		for i, t1 := range d.Troubles {
-			for _, t2 := range d.Troubles[i+1:] {
+		for i, t1 := range d.Faults {
+			for _, t2 := range d.Faults[i+1:] {
 				if t1.At < t2.At+t2.For && t2.At < t1.At+t1.For {
 					overlapping++
 				}
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestBadDays(t *testing.T) {
+func TestInvalidDays(t *testing.T) {
 	const good = `title = "x"
 length = "10s"
 base = "search"
@@ -80,7 +80,7 @@
 }
 
 // A report has its plots and its numbers; kept traffic is judged again with the same verdicts.
-func TestReportAndKeep(t *testing.T) {
+func TestReportAndStoredEvidence(t *testing.T) {
 	src, _ := rehearsals.Days.ReadFile("deploy.hcl")
 	d, err := ParseDay("deploy", src, shared)
 	if err != nil {
@@ -88,13 +88,20 @@
 	}
 	at := time.Now()
 	log := &rulecheck.Log{
-		Asks: []*rulecheck.Ask{{ID: "q", Class: "lookup", Dispatcher: "d0", At: at, Finals: 2,
+		Requests: []*rulecheck.Request{{ID: "q", Class: "lookup", Dispatcher: "d0", At: at, Finals: 2,
 			Final: at}},
 	}
-	r := &Result{Day: d, Seed: 5, Log: log, Verdicts: rulecheck.Judge(d.Figures(), log), Samples: []Sample{{
-		At:    time.Second,
-		Class: "lookup", Took: time.Millisecond}}, Watches: []Watch{{At: time.Second, Threads: make([]float64,
-		d.Engines)}}}
+	r := &Result{
+		Day:      d,
+		Seed:     5,
+		Log:      log,
+		Verdicts: rulecheck.Judge(d.Parameters(), log),
+		Samples: []Sample{{
+			At:    time.Second,
+			Class: "lookup", Took: time.Millisecond}},
+		EngineSamples: []EngineSample{{At: time.Second, Threads: make([]float64,
+			d.Engines)}},
+	}
 	r.Classes = []Count{{Class: "lookup", Times: hdrhistogram.New(1, 1000, 3)}}
 	dir := t.TempDir()
 	if err := r.Report(dir); err != nil {
@@ -107,11 +114,11 @@
 			t.Errorf("the page lacks %q", want)
 		}
 	}
-	if err := r.Keep(dir); err != nil {
+	if err := r.StoreEvidence(dir); err != nil {
 		t.Fatal(err)
 	}
 	name, seed, all, err := JudgeAgain(dir)
-	if err != nil || name != "deploy" || seed != 5 || rulecheck.Kept(all) || all[0].Kept {
+	if err != nil || name != "deploy" || seed != 5 || rulecheck.AllKept(all) || all[0].Kept {
 		t.Errorf("judged again: %s, seed %d, %v, %v", name, seed, all, err)
 	}
 	if _, _, _, err := JudgeAgain(t.TempDir()); err == nil {
--- a/internal/rehearsal/fairness.go
+++ b/internal/rehearsal/fairness.go
@@ -23,8 +23,9 @@
 // Fairness of the fronts: both are asked at a calm pace by clients of their own; for a while one of them is
 // flooded, then the other. What the calm clients of the front beside the flood get is the measure.
 
-// fairSettings has few places for queries that wait, so that a flood takes them all where nobody hinders it.
-const fairSettings = `
+// fairnessSettings has few places for queries that wait, so that a flood takes them all where nobody hinders
+// it.
+const fairnessSettings = `
 default_class = "lookup"
 max_held      = 40
 max_clients   = 2000
@@ -37,8 +38,8 @@
 }
 `
 
-// Calm is what the calm clients of one front got in one stretch.
-type Calm struct {
+// FairnessSample is what the calm clients of one front got in one stretch.
+type FairnessSample struct {
 	Front  string
 	Phase  string
 	Tries  int
@@ -48,11 +49,11 @@
 
 // Fairness plays the floods with and without shares, and writes a page with plots into a folder, if one is
 // named. It returns what calm clients got, with shares first.
-func Fairness(ctx context.Context, dir string, seed uint64) (with, without []Calm, err error) {
+func Fairness(ctx context.Context, dir string, seed uint64) (with, without []FairnessSample, err error) {
 	page := components.NewPage()
 	page.SetPageTitle("Fairness of the fronts")
 	for _, shares := range []float64{0.25, 0} {
-		calm, chart, err := fair(ctx, shares, seed)
+		calm, chart, err := playFairness(ctx, shares, seed)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -82,20 +83,21 @@
 
 // The stretches: calm, PostgreSQL flooded, calm, Flight SQL flooded, calm.
 const (
-	fairCalm  = 4 * time.Second
-	fairFlood = 8 * time.Second
+	fairnessCalmPhase  = 4 * time.Second
+	fairnessFloodPhase = 8 * time.Second
 )
 
-var fairPhases = []struct {
+var fairnessPhases = []struct {
 	name  string
 	flood int // front that is flooded: 0 PostgreSQL, 1 Flight SQL, -1 none
 	for_  time.Duration
-}{{"calm", -1, fairCalm}, {"PostgreSQL flooded", 0, fairFlood}, {"calm again", -1, fairCalm},
-	{"Flight SQL flooded", 1, fairFlood}, {"calm at last", -1, fairCalm}}
+}{{"calm", -1, fairnessCalmPhase}, {"PostgreSQL flooded", 0, fairnessFloodPhase}, {"calm again", -1,
+	fairnessCalmPhase},
+	{"Flight SQL flooded", 1, fairnessFloodPhase}, {"calm at last", -1, fairnessCalmPhase}}
 
 var frontNames = [2]string{"PostgreSQL", "Flight SQL"}
 
-func fair(ctx context.Context, shares float64, seed uint64) ([]Calm, *charts.Line, error) {
+func playFairness(ctx context.Context, shares float64, seed uint64) ([]FairnessSample, *charts.Line, error) {
 	cfg := make([]standin.EngineConfig, 3)
 	for i := range cfg {
 		cfg[i] = standin.EngineConfig{Kind: testbed.Kind(8, 4096), Seed: seed}
@@ -105,7 +107,7 @@
 		return nil, nil, err
 	}
 	defer r.Close()
-	s, err := r.Dispatch(fairSettings+fmt.Sprintf(
+	s, err := r.Dispatch(fairnessSettings+fmt.Sprintf(
 		"flight { listen = \"127.0.0.1:0\" }\nshares {\n  postgresql = %g\n  flight = %g\n}\n", shares,
 		shares), nil)
 	if err != nil {
@@ -113,10 +115,10 @@
 	}
 	defer s.Close()
 	length := time.Duration(0)
-	for _, p := range fairPhases {
+	for _, p := range fairnessPhases {
 		length += p.for_
 	}
-	loadOf := func(front int, rate float64, length time.Duration, seed uint64) *load {
+	loadOf := func(front int, rate float64, length time.Duration, seed uint64) *workload {
 		d := &Day{Traffic: []Traffic{{Class: "lookup", Rate: rate, Work: 0.03, Spread: 0.5, Threads: 1,
 			Rows: 3}},
 			Length: length, Flight: float64(front)}
@@ -126,13 +128,13 @@
 		return l
 	}
 	var work sync.WaitGroup
-	calm := [2]*load{loadOf(0, 25, length, seed), loadOf(1, 25, length, seed+1)}
+	calm := [2]*workload{loadOf(0, 25, length, seed), loadOf(1, 25, length, seed+1)}
 	start := time.Now()
 	for _, l := range calm {
 		work.Go(func() { l.run(ctx, start) })
 	}
 	at := time.Duration(0)
-	for i, p := range fairPhases {
+	for i, p := range fairnessPhases {
 		if p.flood >= 0 {
 			l := loadOf(p.flood, 1500, p.for_, seed+10+uint64(i))
 			from := start.Add(at)
@@ -160,7 +162,7 @@
 		axis = append(axis, i)
 	}
 	chart.SetXAxis(axis)
-	var out []Calm
+	var out []FairnessSample
 	for front, l := range calm {
 		var points []opts.LineData
 		for i := range seconds {
@@ -169,7 +171,7 @@
 		}
 		chart.AddSeries(frontNames[front], points)
 		at := time.Duration(0)
-		for _, p := range fairPhases {
+		for _, p := range fairnessPhases {
 			c := l.between(at, at+p.for_)
 			c.Front, c.Phase = frontNames[front], p.name
 			out = append(out, c)
@@ -180,7 +182,7 @@
 }
 
 // between is what the tries that began in a stretch got.
-func (l *load) between(from, to time.Duration) (c Calm) {
+func (l *workload) between(from, to time.Duration) (c FairnessSample) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var took []time.Duration
--- a/internal/rehearsal/flight.go
+++ b/internal/rehearsal/flight.go
@@ -22,13 +22,13 @@
 
 // flightClient is a connection of the raw client, with a session of its own.
 type flightClient struct {
-	c    *flightsql.Client
-	ctx  context.Context // with the session's token
-	tx   *flightsql.Txn
-	n    int
-	gone atomic.Bool
-	busy sync.Mutex // the library does not bear its close while a call is under way
-	nc   atomic.Pointer[net.Conn]
+	c          *flightsql.Client
+	ctx        context.Context // with the session's token
+	tx         *flightsql.Txn
+	statements int
+	gone       atomic.Bool
+	busy       sync.Mutex // the library does not bear its close while a call is under way
+	nc         atomic.Pointer[net.Conn]
 }
 
 func newFlight(ctx context.Context, addr string) (*flightClient, error) {
@@ -72,7 +72,7 @@
 }
 
 func (f *flightClient) run(ctx context.Context, text string) (err error) {
-	f.n++
+	f.statements++
 	switch {
 	case strings.HasPrefix(text, "begin"):
 		f.tx, err = f.c.BeginTransaction(ctx)
@@ -98,7 +98,7 @@
 	switch {
 	case f.tx != nil:
 		info, err = f.tx.Execute(ctx, text)
-	case f.n%2 == 0:
+	case f.statements%2 == 0:
 		p, e := f.c.Prepare(ctx, text)
 		if e != nil {
 			return e
--- a/internal/rehearsal/golden_test.go
+++ b/internal/rehearsal/golden_test.go
@@ -103,7 +103,7 @@
 	}
 	day, seed, verdicts, err := JudgeAgain(dir)
 	if err != nil || day != e.Day || seed != e.Seed ||
-		!reflect.DeepEqual(verdicts, rulecheck.Judge(e.Figures, e.Log)) {
+		!reflect.DeepEqual(verdicts, rulecheck.Judge(e.Parameters, e.Log)) {
 		t.Errorf("judged again: day %q, seed %d, %+v, %v", day, seed, verdicts, err)
 	}
 }
@@ -112,9 +112,9 @@
 func TestGoldenReport(t *testing.T) {
 	var parts struct {
 		Verdicts []rulecheck.Verdict
-		Troubles []Trouble
+		Troubles []Fault
 		Samples  []Sample
-		Watches  []Watch
+		Watches  []EngineSample
 	}
 	next := 0
 	fill(t, reflect.ValueOf(&parts).Elem(), &next)
--- a/internal/rehearsal/load.go
+++ b/internal/rehearsal/load.go
@@ -20,38 +20,38 @@
 	"cresspass"
 )
 
-// Answer is how a client's try ended.
-type Answer int
+// Outcome is how a client's try ended.
+type Outcome int
 
 // The ends of a try.
 const (
-	Served  Answer = iota
-	Refused        // by 53000
-	Failed         // any other error
-	GaveUp         // the client cancelled it or went away
-	answers
+	Served    Outcome = iota
+	Rejected          // by 53000
+	Failed            // any other error
+	Abandoned         // the client cancelled it or went away
+	outcomeCount
 )
 
 // Count is what became of a class's queries. Times are from the intended start to the answer.
 type Count struct {
 	Class string
-	Tries [answers]int
+	Tries [outcomeCount]int
 	Times *hdrhistogram.Histogram // of served ones, in microseconds
 }
 
-// load sends queries at their times, whatever becomes of those before: arrivals never wait for answers.
-type load struct {
-	day    *Day
-	addrs  []string // the relay before each dispatcher
-	flight []string // the same for Flight SQL
-	random *rand.Rand
-	burst  atomic.Uint64 // math.Float64bits of the factor
-	hot    atomic.Int64  // dispatcher that gets more than its part, -1: none
-	hotFor atomic.Uint64 // its share
-	giveUp atomic.Uint64 // share of clients that give up early
-	tail   atomic.Uint64 // a twentieth of the queries cost so many times as much
-	key    atomic.Uint64 // share of the keyed queries with the first key
-	shift  atomic.Pointer[Trouble]
+// workload sends queries at their times, whatever becomes of those before: arrivals never wait for answers.
+type workload struct {
+	day          *Day
+	addrs        []string // the relay before each dispatcher
+	flight       []string // the same for Flight SQL
+	random       *rand.Rand
+	burst        atomic.Uint64 // math.Float64bits of the factor
+	hot          atomic.Int64  // dispatcher that gets more than its part, -1: none
+	hotFor       atomic.Uint64 // its share
+	abandonShare atomic.Uint64 // share of clients that give up early
+	heavyTail    atomic.Uint64 // a twentieth of the queries cost so many times as much
+	key          atomic.Uint64 // share of the keyed queries with the first key
+	shift        atomic.Pointer[Fault]
 
 	mu      sync.Mutex
 	counts  map[string]*Count
@@ -78,8 +78,8 @@
 	broken() bool
 }
 
-func newLoad(d *Day, seed uint64, addrs []string) *load {
-	l := &load{day: d, addrs: addrs, random: rand.New(rand.NewPCG(seed, 11)), counts: map[string]*Count{},
+func newLoad(d *Day, seed uint64, addrs []string) *workload {
+	l := &workload{day: d, addrs: addrs, random: rand.New(rand.NewPCG(seed, 11)), counts: map[string]*Count{},
 		faults: map[string]int{}}
 	for range addrs {
 		l.idle = append(l.idle, &pool{})
@@ -93,13 +93,13 @@
 	}
 	l.burst.Store(math.Float64bits(1))
 	l.hot.Store(-1)
-	l.tail.Store(math.Float64bits(1))
+	l.heavyTail.Store(math.Float64bits(1))
 	return l
 }
 
 // arrival is one query that a client will ask.
 type arrival struct {
-	t          *Traffic
+	traffic    *Traffic
 	at         time.Duration
 	dispatcher int
 	work       float64
@@ -112,10 +112,10 @@
 }
 
 // run lets clients come until the day is over, and waits for their answers.
-func (l *load) run(ctx context.Context, start time.Time) {
+func (l *workload) run(ctx context.Context, start time.Time) {
 	next := make([]time.Duration, len(l.day.Traffic))
 	for i := range l.day.Traffic {
-		next[i] = l.gap(&l.day.Traffic[i])
+		next[i] = l.nextGap(&l.day.Traffic[i])
 	}
 	for {
 		first := 0
@@ -135,13 +135,13 @@
 			return
 		}
 		t := &l.day.Traffic[first]
-		a := l.draw(t)
+		a := l.drawArrival(t)
 		a.at = at
-		next[first] += l.gap(t)
+		next[first] += l.nextGap(t)
 		l.work.Add(1)
 		go func() {
 			defer l.work.Done()
-			l.ask(ctx, start, a)
+			l.sendWithRetries(ctx, start, a)
 		}()
 	}
 	l.work.Wait()
@@ -152,7 +152,7 @@
 	}
 }
 
-func (l *load) gap(t *Traffic) time.Duration {
+func (l *workload) nextGap(t *Traffic) time.Duration {
 	if t.Rate <= 0 {
 		return l.day.Length
 	}
@@ -165,15 +165,15 @@
 	return time.Duration(l.random.ExpFloat64() / rate * float64(time.Second))
 }
 
-func (l *load) draw(t *Traffic) arrival {
+func (l *workload) drawArrival(t *Traffic) arrival {
 	r := l.random
-	a := arrival{t: t, dispatcher: r.IntN(len(l.addrs)), simple: r.IntN(2) == 0, library: r.IntN(3) / 2}
+	a := arrival{traffic: t, dispatcher: r.IntN(len(l.addrs)), simple: r.IntN(2) == 0, library: r.IntN(3) / 2}
 	if hot := l.hot.Load(); hot >= 0 && r.Float64() < math.Float64frombits(l.hotFor.Load()) {
 		a.dispatcher = int(hot)
 	}
 	a.work = t.Work * math.Exp(r.NormFloat64()*t.Spread-t.Spread*t.Spread/2)
 	if r.IntN(20) == 0 {
-		a.work *= math.Float64frombits(l.tail.Load())
+		a.work *= math.Float64frombits(l.heavyTail.Load())
 	}
 	if t.Keys > 0 {
 		a.key = fmt.Sprintf("k%d", r.IntN(t.Keys))
@@ -190,28 +190,28 @@
 			a.library = 2
 		}
 	}
-	if r.Float64() < math.Float64frombits(l.giveUp.Load()) {
+	if r.Float64() < math.Float64frombits(l.abandonShare.Load()) {
 		a.giveUp = time.Duration(r.Float64() * 2 * a.work * float64(time.Second))
 		a.hard = r.IntN(2) == 0
 	}
 	return a
 }
 
-// ask puts a query, again where it was refused and the class's clients do so.
-func (l *load) ask(ctx context.Context, start time.Time, a arrival) {
+// sendWithRetries puts a query, again where it was refused and the class's clients do so.
+func (l *workload) sendWithRetries(ctx context.Context, start time.Time, a arrival) {
 	intended := start.Add(a.at)
 	var class time.Duration
 	for _, c := range l.day.Module.Classes {
-		if c.Name == a.t.Class {
+		if c.Name == a.traffic.Class {
 			class = c.Deadline
 		}
 	}
 	until := intended.Add(class)
 	for try := 0; ; try++ {
-		end, err := l.once(ctx, a, try, until)
-		l.count(a, end, time.Since(intended), err)
+		end, err := l.sendOnce(ctx, a, try, until)
+		l.recordOutcome(a, end, time.Since(intended), err)
 		var pe *pgconn.PgError
-		if end != Refused || try >= a.t.Repeats {
+		if end != Rejected || try >= a.traffic.Repeats {
 			return
 		}
 		wait := 200 * time.Millisecond
@@ -235,11 +235,11 @@
 	}
 }
 
-func (l *load) count(a arrival, end Answer, took time.Duration, err error) {
+func (l *workload) recordOutcome(a arrival, end Outcome, took time.Duration, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	class := a.t.Class
-	if a.t.Session {
+	class := a.traffic.Class
+	if a.traffic.Session {
 		class = "session"
 	}
 	c := l.counts[class]
@@ -249,12 +249,12 @@
 		c.Times.RecordValue(took.Microseconds())
 	}
 	if end == Failed {
-		l.faults[code(err)]++
+		l.faults[sqlState(err)]++
 	}
 }
 
-// code is the SQLSTATE of an error, or its text.
-func code(err error) string {
+// sqlState is the SQLSTATE of an error, or its text.
+func sqlState(err error) string {
 	var e *pgconn.PgError
 	var p *pq.Error
 	switch {
@@ -269,10 +269,10 @@
 	return "connection"
 }
 
-func (l *load) once(ctx context.Context, a arrival, try int, until time.Time) (Answer, error) {
+func (l *workload) sendOnce(ctx context.Context, a arrival, try int, until time.Time) (Outcome, error) {
 	left := time.Until(until)
 	if left <= 0 {
-		return GaveUp, nil
+		return Abandoned, nil
 	}
 	l.mu.Lock()
 	l.nextID++
@@ -288,39 +288,52 @@
 	}
 	limit, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	if a.t.Session {
+	if a.traffic.Session {
 		err = l.transaction(limit, c, a, id, left)
 	} else if a.giveUp > 0 && a.hard {
 		stop := context.AfterFunc(limit, func() { c.close(true) })
 		defer stop()
-		err = c.do(ctx, a.simple, l.text(a, id, try, left, a.simple), l.parameter(a, id, try, left))
+		err = c.do(ctx, a.simple, l.statementText(a, id, try, left, a.simple), l.parameter(a, id, try, left))
 	} else {
-		err = c.do(limit, a.simple, l.text(a, id, try, left, a.simple), l.parameter(a, id, try, left))
+		err = c.do(limit, a.simple, l.statementText(a, id, try, left, a.simple), l.parameter(a, id, try,
+			left))
 	}
 	gaveUp := limit.Err() != nil
 	if err != nil && (gaveUp || c.broken()) {
 		c.close(true)
-		l.drop(a)
+		l.dropClient(a)
 	} else {
-		l.give(a, c)
+		l.returnClient(a, c)
 	}
 	switch {
 	case err == nil:
 		return Served, nil
-	case code(err) == "53000":
-		return Refused, err
+	case sqlState(err) == "53000":
+		return Rejected, err
 	case gaveUp && a.giveUp > 0:
-		return GaveUp, err
+		return Abandoned, err
 	}
 	return Failed, err
 }
 
 // transaction is a session of its own: a transaction of some statements, the last of which commits. Each
 // statement has a name of its own, and the session's.
-func (l *load) transaction(ctx context.Context, c client, a arrival, id string, left time.Duration) error {
+func (l *workload) transaction(
+	ctx context.Context,
+	c client,
+	a arrival,
+	id string,
+	left time.Duration,
+) error {
 	for n, text := range []string{"begin", "insert into t select 1", "select n, value from t", "commit"} {
-		tags := fmt.Sprintf(" /*id='%s-%d',session='%s',class='%s',work_ms='%.3f'*/", id, n, id, a.t.Class,
-			a.work*1000/2)
+		tags := fmt.Sprintf(
+			" /*id='%s-%d',session='%s',class='%s',work_ms='%.3f'*/",
+			id,
+			n,
+			id,
+			a.traffic.Class,
+			a.work*1000/2,
+		)
 		if err := c.do(ctx, true, text+tags, ""); err != nil {
 			if n > 0 && !c.broken() {
 				c.do(ctx, true, "rollback", "")
@@ -331,12 +344,12 @@
 	return nil
 }
 
-// say lists what a statement tells of itself, in pairs.
-func (l *load) say(a arrival, id string, try int, left time.Duration) [][2]string {
-	out := [][2]string{{"id", id}, {"class", a.t.Class}, {"work_ms", fmt.Sprintf("%.3f", a.work*1000)},
-		{"threads", fmt.Sprint(a.t.Threads)}, {"rows", fmt.Sprint(a.t.Rows)}}
-	if a.t.Told > 0 {
-		out = append(out, [2]string{"cost_ms", fmt.Sprintf("%.3f", a.work*a.t.Told*1000)})
+// statementTags lists what a statement tells of itself, in pairs.
+func (l *workload) statementTags(a arrival, id string, try int, left time.Duration) [][2]string {
+	out := [][2]string{{"id", id}, {"class", a.traffic.Class}, {"work_ms", fmt.Sprintf("%.3f", a.work*1000)},
+		{"threads", fmt.Sprint(a.traffic.Threads)}, {"rows", fmt.Sprint(a.traffic.Rows)}}
+	if a.traffic.Told > 0 {
+		out = append(out, [2]string{"cost_ms", fmt.Sprintf("%.3f", a.work*a.traffic.Told*1000)})
 	}
 	if a.key != "" {
 		out = append(out, [2]string{"key", a.key})
@@ -344,7 +357,7 @@
 	if a.tables != "" {
 		out = append(out, [2]string{"tables", a.tables})
 	}
-	if a.t.Loads {
+	if a.traffic.Loads {
 		out = append(out, [2]string{"loads", "1"})
 	}
 	if try > 0 {
@@ -354,16 +367,16 @@
 	return out
 }
 
-// text is the statement. Prepared ones are alike for all of a class and say the rest in their parameter,
-// except that what the dispatcher must read stands in a comment.
-func (l *load) text(a arrival, id string, try int, left time.Duration, simple bool) string {
+// statementText is the statement. Prepared ones are alike for all of a class and say the rest in their
+// parameter, except that what the dispatcher must read stands in a comment.
+func (l *workload) statementText(a arrival, id string, try int, left time.Duration, simple bool) string {
 	head := "select n, value from t where id = "
-	if a.t.Loads || a.t.Writes {
+	if a.traffic.Loads || a.traffic.Writes {
 		head = "insert into t select "
 	}
 	if simple {
 		s := head + "1 /*"
-		for i, p := range l.say(a, id, try, left) {
+		for i, p := range l.statementTags(a, id, try, left) {
 			if i > 0 {
 				s += ","
 			}
@@ -371,7 +384,7 @@
 		}
 		return s + "*/"
 	}
-	s := head + "$1::text /*class='" + a.t.Class + "'"
+	s := head + "$1::text /*class='" + a.traffic.Class + "'"
 	if a.key != "" {
 		s += ",key='" + a.key + "'"
 	}
@@ -381,24 +394,24 @@
 	return s + "*/"
 }
 
-func (l *load) parameter(a arrival, id string, try int, left time.Duration) string {
+func (l *workload) parameter(a arrival, id string, try int, left time.Duration) string {
 	if a.simple {
 		return ""
 	}
 	s := id
-	for _, p := range l.say(a, id, try, left)[1:] {
+	for _, p := range l.statementTags(a, id, try, left)[1:] {
 		s += ";" + p[0] + "=" + p[1]
 	}
 	return s
 }
 
 // client takes an idle connection to the arrival's dispatcher, or makes one.
-func (l *load) client(ctx context.Context, a arrival) (client, error) {
+func (l *workload) client(ctx context.Context, a arrival) (client, error) {
 	p := l.idle[a.dispatcher]
 	p.mu.Lock()
 	for i := len(p.free) - 1; i >= 0; i-- {
 		c := p.free[i]
-		if library(c) == a.library {
+		if driverOf(c) == a.library {
 			p.free = append(p.free[:i], p.free[i+1:]...)
 			p.mu.Unlock()
 			return c, nil
@@ -425,22 +438,22 @@
 	return &pgxClient{c}, nil
 }
 
-func (l *load) give(a arrival, c client) {
+func (l *workload) returnClient(a arrival, c client) {
 	p := l.idle[a.dispatcher]
 	p.mu.Lock()
 	p.free = append(p.free, c)
 	p.mu.Unlock()
 }
 
-func (l *load) drop(a arrival) {
+func (l *workload) dropClient(a arrival) {
 	p := l.idle[a.dispatcher]
 	p.mu.Lock()
 	p.total--
 	p.mu.Unlock()
 }
 
-// library is which of the libraries a client is of.
-func library(c client) int {
+// driverOf is which of the libraries a client is of.
+func driverOf(c client) int {
 	switch c.(type) {
 	case *pqClient:
 		return 1
@@ -452,7 +465,7 @@
 	return 0
 }
 
-type pgxClient struct{ c *pgx.Conn }
+type pgxClient struct{ conn *pgx.Conn }
 
 func (p *pgxClient) do(ctx context.Context, simple bool, text, parameter string) error {
 	var args []any
@@ -461,21 +474,21 @@
 	} else {
 		args = append(args, parameter)
 	}
-	_, err := p.c.Exec(ctx, text, args...)
+	_, err := p.conn.Exec(ctx, text, args...)
 	return err
 }
 
 func (p *pgxClient) close(hard bool) {
 	if hard {
-		p.c.PgConn().Conn().Close()
+		p.conn.PgConn().Conn().Close()
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	p.c.Close(ctx)
+	p.conn.Close(ctx)
 }
 
-func (p *pgxClient) broken() bool { return p.c.IsClosed() }
+func (p *pgxClient) broken() bool { return p.conn.IsClosed() }
 
 // pqClient is one connection of lib/pq, through database/sql as its users have it.
 type pqClient struct {
@@ -525,7 +538,7 @@
 		args = append(args, parameter)
 	}
 	_, err := p.c.ExecContext(ctx, text, args...)
-	if err != nil && code(err) == "connection" {
+	if err != nil && sqlState(err) == "connection" {
 		p.gone.Store(true)
 	}
 	return err
--- a/internal/rehearsal/newcomers.go
+++ b/internal/rehearsal/newcomers.go
@@ -23,17 +23,17 @@
 	first, seeds, jobs int,
 ) (*simulation.Comparison,
 	error) {
-	i := slices.IndexFunc(d.Troubles, func(t Trouble) bool { return t.Kind == "return" })
+	i := slices.IndexFunc(d.Faults, func(t Fault) bool { return t.Kind == "return" })
 	if i < 0 || seeds < 1 {
 		return nil, fmt.Errorf("%s: a day with a return, and seeds, are wanted", d.Name)
 	}
-	back := d.Troubles[i].At + d.Troubles[i].For
+	back := d.Faults[i].At + d.Faults[i].For
 	out := &simulation.Comparison{
 		Windows: []time.Duration{10 * time.Second, 30 * time.Second, 60 * time.Second},
 	}
 	for _, arm := range returnArms {
 		out.Arms = append(out.Arms, simulation.Arm{Name: arm.name})
-		out.Got = append(out.Got, make([][]simulation.Since, seeds))
+		out.Summaries = append(out.Summaries, make([][]simulation.WindowSummary, seeds))
 	}
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, max(jobs, 1))
@@ -52,7 +52,7 @@
 				}
 				defer os.RemoveAll(dir)
 				r, err := Play(ctx, d, Options{Seed: uint64(first + seed), Program: program, Dir: dir,
-					Talk: arm.talk})
+					Gossip: arm.talk})
 				if err != nil {
 					errs <- err
 					return
@@ -62,7 +62,7 @@
 					return
 				}
 				for _, w := range out.Windows {
-					out.Got[a][seed] = append(out.Got[a][seed], r.since(back, back+w))
+					out.Summaries[a][seed] = append(out.Summaries[a][seed], r.requestsBetween(back, back+w))
 				}
 			}()
 		}
@@ -75,17 +75,17 @@
 	return out, nil
 }
 
-// ends are the model's, of the kit's.
-var ends = map[Answer]simulation.End{
-	Served:  simulation.Served,
-	Refused: simulation.Refused,
-	Failed:  simulation.Failed,
-	GaveUp:  simulation.GaveUp,
+// simulationEnds are the model's, of the kit's.
+var simulationEnds = map[Outcome]simulation.End{
+	Served:    simulation.Served,
+	Rejected:  simulation.Rejected,
+	Failed:    simulation.Failed,
+	Abandoned: simulation.Abandoned,
 }
 
-// Asks returns a day's tries in the model's terms, their classes numbered in the settings'
+// AllRequests returns a day's tries in the model's terms, their classes numbered in the settings'
 // order; -1: sessions, which are of none.
-func (r *Result) Asks() (out []simulation.Ask) {
+func (r *Result) AllRequests() (out []simulation.Request) {
 	numbers, aims := map[string]int{}, map[string]time.Duration{}
 	for i, c := range r.Day.Module.Classes {
 		numbers[c.Name], aims[c.Name] = i, c.LatencyObjective
@@ -95,21 +95,21 @@
 		if !known {
 			number = -1
 		}
-		out = append(out, simulation.Ask{Class: number, Dispatcher: v.Dispatcher, At: v.At - v.Took,
-			Took: v.Took, End: ends[v.End], Late: aims[v.Class] > 0 && v.Took > aims[v.Class]})
+		out = append(out, simulation.Request{Class: number, Dispatcher: v.Dispatcher, At: v.At - v.Took,
+			Elapsed: v.Took, End: simulationEnds[v.End], Late: aims[v.Class] > 0 && v.Took > aims[v.Class]})
 	}
 	return out
 }
 
-// since sums up what clients of every second dispatcher got, by when they began.
-func (r *Result) since(from, to time.Duration) simulation.Since {
-	all := simulation.Result{Asks: r.Asks()}
-	for _, w := range r.Watches {
-		l := simulation.Look{At: w.At}
+// requestsBetween sums up what clients of every second dispatcher got, by when they began.
+func (r *Result) requestsBetween(from, to time.Duration) simulation.WindowSummary {
+	all := simulation.Result{Requests: r.AllRequests()}
+	for _, w := range r.EngineSamples {
+		l := simulation.LoadSample{At: w.At}
 		for i, threads := range w.Threads {
-			l.Load = append(l.Load, threads/r.Day.cores(i))
+			l.Threads = append(l.Threads, threads/r.Day.cores(i))
 		}
-		all.Looks = append(all.Looks, l)
+		all.Loads = append(all.Loads, l)
 	}
 	var returned []int
 	for i := 1; i < r.Day.Dispatchers; i += 2 {
--- a/internal/rehearsal/report.go
+++ b/internal/rehearsal/report.go
@@ -20,23 +20,23 @@
 type Sample struct {
 	At    time.Duration `json:"at"` // since the day's start
 	Class string        `json:"class"`
-	End   Answer        `json:"end"`
+	End   Outcome       `json:"end"`
 	Took  time.Duration `json:"took"` // from the intended start
 
 	Dispatcher int `json:"dispatcher"`
 }
 
-// Watch is a look at the engines.
-type Watch struct {
+// EngineSample is a look at the engines.
+type EngineSample struct {
 	At      time.Duration `json:"at"`
 	Threads []float64     `json:"threads"` // of each engine
 }
 
 // names of ends, in the order of Answer.
-var endNames = [answers]string{"served", "refused", "failed", "gave up"}
+var outcomeNames = [outcomeCount]string{"served", "refused", "failed", "gave up"}
 
-// second is the plots' grain.
-const second = time.Second
+// plotInterval is the plots' grain.
+const plotInterval = time.Second
 
 // Report writes one HTML page with plots, and the same as JSON, into a folder.
 func (r *Result) Report(dir string) error {
@@ -48,10 +48,10 @@
 		Verdicts []rulecheck.Verdict `json:"verdicts"`
 		Kept     bool                `json:"kept"`
 		Missed   []string            `json:"missed"`
-		Troubles []Trouble           `json:"troubles"`
+		Troubles []Fault             `json:"troubles"`
 		Samples  []Sample            `json:"samples"`
-		Watches  []Watch             `json:"watches"`
-	}{r.Day.Name, r.Verdicts, r.Kept(), r.Short, r.Day.Troubles, r.Samples, r.Watches}, "", " ")
+		Watches  []EngineSample      `json:"watches"`
+	}{r.Day.Name, r.Verdicts, r.Kept(), r.Missed, r.Day.Faults, r.Samples, r.EngineSamples}, "", " ")
 	if err != nil {
 		return err
 	}
@@ -77,9 +77,9 @@
 
 // line starts a plot over the day's seconds, with troubles as bands.
 func (r *Result) line(title, unit string) (*charts.Line, int) {
-	n := int(r.Day.Length/second) + 1
+	n := int(r.Day.Length/plotInterval) + 1
 	for _, s := range r.Samples {
-		n = max(n, int(s.At/second)+1)
+		n = max(n, int(s.At/plotInterval)+1)
 	}
 	axis := make([]string, n)
 	for i := range axis {
@@ -97,8 +97,8 @@
 // bands marks the troubles.
 func (r *Result) bands(n int) []charts.SeriesOpts {
 	var out []charts.SeriesOpts
-	for _, t := range r.Day.Troubles {
-		from, to := int(t.At/second), min(int((t.At+t.For)/second)+1, n-1)
+	for _, t := range r.Day.Faults {
+		from, to := int(t.At/plotInterval), min(int((t.At+t.For)/plotInterval)+1, n-1)
 		out = append(out, charts.WithMarkAreaNameCoordItemOpts(opts.MarkAreaNameCoordItem{Name: t.Kind,
 			Coordinate0: []interface{}{fmt.Sprint(from), "min"}, Coordinate1: []interface{}{fmt.Sprint(to),
 				"max"},
@@ -118,11 +118,11 @@
 // ends plots how tries ended, by the second in which they did.
 func (r *Result) ends() *charts.Line {
 	l, n := r.line("Answers by kind", "tries a second")
-	for end, name := range endNames {
+	for end, name := range outcomeNames {
 		v := make([]float64, n)
 		for _, s := range r.Samples {
-			if s.End == Answer(end) {
-				v[s.At/second]++
+			if s.End == Outcome(end) {
+				v[s.At/plotInterval]++
 			}
 		}
 		var o []charts.SeriesOpts
@@ -140,7 +140,7 @@
 	times := make([][]float64, n)
 	for _, s := range r.Samples {
 		if s.End == Served {
-			times[s.At/second] = append(times[s.At/second], float64(s.Took.Microseconds())/1000)
+			times[s.At/plotInterval] = append(times[s.At/plotInterval], float64(s.Took.Microseconds())/1000)
 		}
 	}
 	for i, q := range []float64{0.5, 0.9, 0.99} {
@@ -165,8 +165,8 @@
 	l, n := r.line("Threads of each engine", "threads")
 	for e := range r.Day.Engines {
 		v, seen := make([]float64, n), make([]float64, n)
-		for _, w := range r.Watches {
-			if k := int(w.At / second); k < n && e < len(w.Threads) {
+		for _, w := range r.EngineSamples {
+			if k := int(w.At / plotInterval); k < n && e < len(w.Threads) {
 				v[k] += w.Threads[e]
 				seen[k]++
 			}
@@ -185,14 +185,14 @@
 
 // evidence is what is kept of a day whose rules broke, to be judged again without playing it.
 type evidence struct {
-	Day     string
-	Seed    uint64
-	Figures rulecheck.Figures
-	Log     *rulecheck.Log
+	Day        string
+	Seed       uint64
+	Parameters rulecheck.Parameters `json:"Figures"`
+	Log        *rulecheck.Log
 }
 
-// Keep writes what the relays saw, with seed and day, into a folder.
-func (r *Result) Keep(dir string) error {
+// StoreEvidence writes what the relays saw, with seed and day, into a folder.
+func (r *Result) StoreEvidence(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
@@ -202,7 +202,7 @@
 	}
 	defer f.Close()
 	z := gzip.NewWriter(f)
-	if err := json.NewEncoder(z).Encode(evidence{r.Day.Name, r.Seed, r.Day.Figures(), r.Log}); err != nil {
+	if err := json.NewEncoder(z).Encode(evidence{r.Day.Name, r.Seed, r.Day.Parameters(), r.Log}); err != nil {
 		return err
 	}
 	return z.Close()
@@ -226,5 +226,5 @@
 	if e.Log == nil {
 		return "", 0, nil, fmt.Errorf("%s holds no traffic", dir)
 	}
-	return e.Day, e.Seed, rulecheck.Judge(e.Figures, e.Log), nil
+	return e.Day, e.Seed, rulecheck.Judge(e.Parameters, e.Log), nil
 }
--- a/internal/rehearsal/rulecheck/rules_test.go
+++ b/internal/rehearsal/rulecheck/checker_test.go
@@ -14,8 +14,8 @@
 
 func at(ms int) time.Time { return zero.Add(time.Duration(ms) * time.Millisecond) }
 
-func figures() Figures {
-	return Figures{Classes: map[string]Class{
+func figures() Parameters {
+	return Parameters{Classes: map[string]Class{
 		"lookup": {Effect: "safe", Deadline: 5 * time.Second},
 		"load": {Effect: "keyed", Scope: "zone", Window: 3 * time.Second, Deadline: 10 * time.Second,
 			InOrder: true},
@@ -27,92 +27,107 @@
 		BudgetShare: 0.1, BudgetLookBack: 10 * time.Second, Skew: 10 * time.Millisecond}
 }
 
-func ask(id, class, key string, t, end int, code string) *Ask {
-	return &Ask{ID: id, Class: class, Key: key, Dispatcher: "d0", At: at(t), Final: at(end), Code: code,
+func ask(id, class, key string, t, end int, code string) *Request {
+	return &Request{ID: id, Class: class, Key: key, Dispatcher: "d0", At: at(t), Final: at(end), Code: code,
 		Finals: 1}
 }
 
-func send(id, class, engine string, t, end int, code string) *Send {
-	return &Send{ID: id, Class: class, Engine: engine, Dispatcher: "d0", At: at(t), End: at(end), Code: code,
-		Done: code == "", Work: 0.1}
+func send(id, class, engine string, t, end int, code string) *Attempt {
+	return &Attempt{
+		ID:         id,
+		Class:      class,
+		Engine:     engine,
+		Dispatcher: "d0",
+		At:         at(t),
+		End:        at(end),
+		Code:       code,
+		Done:       code == "",
+		Work:       0.1,
+	}
 }
 
-// sound is traffic that keeps every rule.
-func sound() *Log {
-	on := map[string]Place{"e1": {Zone: "a", Cores: 4}, "e2": {Zone: "b", Cores: 4, Started: at(0)}}
+// validLog is traffic that keeps every rule.
+func validLog() *Log {
+	on := map[string]Endpoint{"e1": {Zone: "a", Cores: 4}, "e2": {Zone: "b", Cores: 4, Started: at(0)}}
 	return &Log{
-		Told: []Told{{At: at(-1000), Dispatcher: "d0", Engines: on}},
-		Asks: []*Ask{ask("l1", "lookup", "", 0, 300, ""), ask("w1", "write", "", 0, 300, "08007"),
+		Notifications: []Notification{{At: at(-1000), Dispatcher: "d0", Engines: on}},
+		Requests: []*Request{ask("l1", "lookup", "", 0, 300, ""), ask("w1", "write", "", 0, 300, "08007"),
 			ask("k1", "load", "x", 0, 500, ""), ask("k2", "load", "x", 100, 900, ""), ask("b1", "bound", "",
 				0, 300, "")},
-		Sends: []*Send{send("l1", "lookup", "e1", 1, 100, "58000"), send("l1", "lookup", "e2", 110, 290, ""),
-			send("w1", "write", "e1", 1, 200, "58000"), send("k1", "load", "e1", 1, 490, ""),
-			send("k2", "load", "e1", 520, 890, ""), send("b1", "bound", "e2", 1, 290, "")},
+		Attempts: []*Attempt{
+			send("l1", "lookup", "e1", 1, 100, "58000"),
+			send("l1", "lookup", "e2", 110, 290, ""),
+			send("w1", "write", "e1", 1, 200, "58000"),
+			send("k1", "load", "e1", 1, 490, ""),
+			send("k2", "load", "e1", 520, 890, ""),
+			send("b1", "bound", "e2", 1, 290, ""),
+		},
 	}
 }
 
 func TestEachRuleIsCaught(t *testing.T) {
-	if v := Judge(figures(), sound()); !Kept(v) {
+	if v := Judge(figures(), validLog()); !AllKept(v) {
 		t.Fatalf("sound traffic: %v", v)
 	}
 	for name, c := range map[string]struct {
 		rule int
 		do   func(l *Log)
 	}{
-		"no answer":             {1, func(l *Log) { l.Asks[0].Finals = 0 }},
-		"two answers":           {1, func(l *Log) { l.Asks[0].Finals = 2 }},
-		"rows after the answer": {1, func(l *Log) { l.Asks[0].After = 1 }},
-		"late answer":           {1, func(l *Log) { l.Asks[0].Final = at(5200) }},
-		"sent after its end":    {1, func(l *Log) { l.Sends[1].At = at(400) }},
-		"sent for nobody":       {1, func(l *Log) { l.Sends[0].ID = "nobody" }},
-		"skipped, yet sent":     {1, func(l *Log) { l.Asks[0].Skipped = true }},
+		"no answer":             {1, func(l *Log) { l.Requests[0].Finals = 0 }},
+		"two answers":           {1, func(l *Log) { l.Requests[0].Finals = 2 }},
+		"rows after the answer": {1, func(l *Log) { l.Requests[0].After = 1 }},
+		"late answer":           {1, func(l *Log) { l.Requests[0].Final = at(5200) }},
+		"sent after its end":    {1, func(l *Log) { l.Attempts[1].At = at(400) }},
+		"sent for nobody":       {1, func(l *Log) { l.Attempts[0].ID = "nobody" }},
+		"skipped, yet sent":     {1, func(l *Log) { l.Requests[0].Skipped = true }},
 		"left without an answer": {1, func(l *Log) {
-			a := l.Asks[0]
+			a := l.Requests[0]
 			a.Finals, a.Gone, a.ServerGone = 0,
 				at(300), true
 		}},
 		"stray rows": {1, func(l *Log) { l.Stray = 1 }},
 		"unsafe sent twice": {2, func(l *Log) {
-			l.Sends = append(l.Sends, send("w1", "write", "e2", 210,
+			l.Attempts = append(l.Attempts, send("w1", "write", "e2", 210,
 				280, ""))
 		}},
-		"unsafe refused in doubt": {2, func(l *Log) { l.Asks[1].Code = "53000" }},
+		"unsafe refused in doubt": {2, func(l *Log) { l.Requests[1].Code = "53000" }},
 		"keyed after its window": {2, func(l *Log) {
-			l.Asks[2].Final, l.Asks[3].Finals, l.Asks[3].Gone = at(4000), 0, at(200)
-			l.Sends = append(l.Sends[:4], l.Sends[5], send("k1", "load", "e1", 3600, 3900, ""))
+			l.Requests[2].Final, l.Requests[3].Finals, l.Requests[3].Gone = at(4000), 0, at(200)
+			l.Attempts = append(l.Attempts[:4], l.Attempts[5], send("k1", "load", "e1", 3600, 3900, ""))
 		}},
 		"keyed outside its zone": {2, func(l *Log) {
-			l.Sends = append(l.Sends, send("k2", "load", "e2", 895,
+			l.Attempts = append(l.Attempts, send("k2", "load", "e2", 895,
 				898, ""))
 		}},
 		"drained engine": {3, func(l *Log) {
-			l.Told = append(l.Told, Told{At: at(-1100 + 1), Dispatcher: "d0"})
-			l.Told[0].At = at(-2000)
+			l.Notifications = append(l.Notifications, Notification{At: at(-1100 + 1), Dispatcher: "d0"})
+			l.Notifications[0].At = at(-2000)
 		}},
 		"cold engine": {4, func(l *Log) {
 			for i := range 60 {
 				id := fmt.Sprint("c", i)
-				l.Asks = append(l.Asks, ask(id, "lookup", "", 100, 900, ""))
-				l.Sends = append(l.Sends, send(id, "lookup", "e2", 100+i, 900, ""))
+				l.Requests = append(l.Requests, ask(id, "lookup", "", 100, 900, ""))
+				l.Attempts = append(l.Attempts, send(id, "lookup", "e2", 100+i, 900, ""))
 			}
 		}},
 		"engine fell over":    {4, func(l *Log) { l.Fallen = []string{"e2"} }},
-		"out of order":        {5, func(l *Log) { l.Sends[4].At = at(300) }},
-		"no rest after doubt": {5, func(l *Log) { l.Sends[3].Code, l.Sends[3].Done = "57014", false }},
-		"wrong zone":          {6, func(l *Log) { l.Sends[5].Engine = "e1" }},
+		"out of order":        {5, func(l *Log) { l.Attempts[4].At = at(300) }},
+		"no rest after doubt": {5, func(l *Log) { l.Attempts[3].Code, l.Attempts[3].Done = "57014", false }},
+		"wrong zone":          {6, func(l *Log) { l.Attempts[5].Engine = "e1" }},
 		"session on two engines": {8, func(l *Log) {
-			l.Sends[3].Session, l.Sends[4].Session = "s", "s"
-			l.Sends[4].PID = 9
+			l.Attempts[3].Session, l.Attempts[4].Session = "s", "s"
+			l.Attempts[4].PID = 9
 		}},
 		"another in a session": {8, func(l *Log) {
-			l.Sends[0].Session, l.Sends[3].Session, l.Sends[4].Session = "s", "s", "s"
+			l.Attempts[0].Session, l.Attempts[3].Session, l.Attempts[4].Session = "s", "s", "s"
 		}},
 		"too many attempts": {7, func(l *Log) {
-			l.Sends = append(l.Sends, send("l1", "lookup", "e1", 291, 292, "58000"), send("l1", "lookup",
+			l.Attempts = append(l.Attempts, send("l1", "lookup", "e1", 291, 292, "58000"), send("l1",
+				"lookup",
 				"e1", 293, 294, "58000"), send("l1", "lookup", "e1", 295, 296, ""))
 		}},
 	} {
-		l := sound()
+		l := validLog()
 		c.do(l)
 		var broken []string
 		for _, v := range Judge(figures(), l) {
@@ -127,9 +142,9 @@
 			t.Errorf("%s: more than rule %d broke:\n%s", name, c.rule, strings.Join(broken, "\n"))
 		}
 	}
-	l := sound()
+	l := validLog()
 	l.Unjudged = []string{"the relay fell behind"}
-	if v := Judge(figures(), l); Kept(v) || v[0].Judged {
+	if v := Judge(figures(), l); AllKept(v) || v[0].Judged {
 		t.Error("a log that cannot be judged is said to be kept")
 	}
 }
@@ -199,8 +214,9 @@
 		r.Close()
 		log := rec.Stop(5 * time.Second)
 		v := Judge(figures(), log)[0]
-		if len(log.Asks) != 1 || (want == "") != v.Kept || want != "" && !strings.Contains(v.String(), want) {
-			t.Errorf("%d answers: %d asks, %v", n, len(log.Asks), v)
+		if len(log.Requests) != 1 || (want == "") != v.Kept ||
+			want != "" && !strings.Contains(v.String(), want) {
+			t.Errorf("%d answers: %d asks, %v", n, len(log.Requests), v)
 		}
 	}
 }
@@ -211,13 +227,13 @@
 		sent, at int
 		kept     bool
 	}{{3000, 3090, true}, {3040, 3090, false}} {
-		l := sound()
-		all := l.Told[0].Engines
-		l.Told = append(l.Told, Told{Sent: at(-900), At: at(-900), Dispatcher: "d0",
-			Engines: map[string]Place{"e2": all["e2"]}},
-			Told{Sent: at(c.sent), At: at(c.at), Dispatcher: "d0", Engines: all})
-		l.Sends = []*Send{send("l1", "lookup", "e1", 3010, 3050, "")}
-		l.Asks = []*Ask{ask("l1", "lookup", "", 2990, 3060, "")}
+		l := validLog()
+		all := l.Notifications[0].Engines
+		l.Notifications = append(l.Notifications, Notification{Sent: at(-900), At: at(-900), Dispatcher: "d0",
+			Engines: map[string]Endpoint{"e2": all["e2"]}},
+			Notification{Sent: at(c.sent), At: at(c.at), Dispatcher: "d0", Engines: all})
+		l.Attempts = []*Attempt{send("l1", "lookup", "e1", 3010, 3050, "")}
+		l.Requests = []*Request{ask("l1", "lookup", "", 2990, 3060, "")}
 		if v := Judge(figures(), l)[2]; v.Kept != c.kept {
 			t.Errorf("list sent at %d ms, send at 3010: %v", c.sent, v)
 		}
@@ -225,17 +241,17 @@
 }
 
 // A recorder that cannot keep up says so; nothing is called kept that was not read.
-func TestBehindIsNotKept(t *testing.T) {
+func TestLaggingRelayIsNotJudged(t *testing.T) {
 	rec := NewRecorder()
 	rec.pending.Add(1) // a stream that is never decoded to its end
 	log := rec.Stop(10 * time.Millisecond)
-	if v := Judge(figures(), log); Kept(v) || v[2].Judged || !strings.Contains(v[2].String(),
+	if v := Judge(figures(), log); AllKept(v) || v[2].Judged || !strings.Contains(v[2].String(),
 		"CANNOT BE JUDGED") {
 		t.Errorf("verdicts of a log that is not whole: %v", v)
 	}
 	rec.pending.Done()
-	rec.lag(6 * time.Second)
-	if v := Judge(figures(), rec.Stop(time.Second)); Kept(v) {
+	rec.recordLag(6 * time.Second)
+	if v := Judge(figures(), rec.Stop(time.Second)); AllKept(v) {
 		t.Error("a relay that fell behind by 6 s is believed")
 	}
 }
--- a/internal/rehearsal/rulecheck/grpc.go
+++ b/internal/rehearsal/rulecheck/grpc.go
@@ -28,34 +28,34 @@
 	return rec.newRelay(Clients, name, target, true)
 }
 
-// texts are the statements behind tickets and handles, of all connections.
-type texts struct {
-	mu   sync.Mutex
-	of   map[string]string
-	more chan struct{} // closed and made anew with each entry
+// statementCache are the statements behind tickets and handles, of all connections.
+type statementCache struct {
+	mu      sync.Mutex
+	byKey   map[string]string
+	changed chan struct{} // closed and made anew with each entry
 }
 
-func (t *texts) put(key []byte, text string) {
+func (t *statementCache) put(key []byte, text string) {
 	t.mu.Lock()
-	t.of[string(key)] = text
-	if t.more != nil {
-		close(t.more)
-		t.more = nil
+	t.byKey[string(key)] = text
+	if t.changed != nil {
+		close(t.changed)
+		t.changed = nil
 	}
 	t.mu.Unlock()
 }
 
 // get waits for a text: the answer that told of it came before it was asked for, but its decoder may be a
 // moment behind.
-func (t *texts) get(key []byte) string {
+func (t *statementCache) get(key []byte) string {
 	late := time.After(time.Second)
 	for {
 		t.mu.Lock()
-		text, ok := t.of[string(key)]
-		if t.more == nil {
-			t.more = make(chan struct{})
+		text, ok := t.byKey[string(key)]
+		if t.changed == nil {
+			t.changed = make(chan struct{})
 		}
-		more := t.more
+		more := t.changed
 		t.mu.Unlock()
 		if ok {
 			return text
@@ -70,50 +70,50 @@
 
 // rpc is one stream of a connection.
 type rpc struct {
-	method string
-	up     []byte // bytes of messages not yet whole
-	down   []byte
-	told   bool   // the first message of the client was read
-	text   string // the statement that its answer's ticket or handle stands for
-	ask    *Ask
-	over   bool
+	method   string
+	up       []byte // bytes of messages not yet whole
+	down     []byte
+	notified bool   // the first message of the client was read
+	text     string // the statement that its answer's ticket or handle stands for
+	request  *Request
+	finished bool
 }
 
 // grpcConn is one connection's state while it is decoded.
 type grpcConn struct {
-	rec  *Recorder
-	name string
+	recorder *Recorder
+	name     string
 
 	mu      sync.Mutex
-	more    *sync.Cond
+	changed *sync.Cond
 	streams map[uint32]*rpc
 	ended   bool // no more requests
 }
 
 func (rec *Recorder) decodeGRPC(name string, up, down *tap) {
-	c := &grpcConn{rec: rec, name: name, streams: map[uint32]*rpc{}}
-	c.more = sync.NewCond(&c.mu)
+	c := &grpcConn{recorder: rec, name: name, streams: map[uint32]*rpc{}}
+	c.changed = sync.NewCond(&c.mu)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if err := c.requests(up); err != nil && !cut(err) {
-			rec.note(Clients, "gRPC requests: "+err.Error(), name)
+		if err := c.readRequests(up); err != nil && !isEndOfStream(err) {
+			rec.recordUnreadable(Clients, "gRPC requests: "+err.Error(), name)
 		}
 		c.mu.Lock()
 		c.ended = true
 		c.mu.Unlock()
-		c.more.Broadcast()
+		c.changed.Broadcast()
 		io.Copy(io.Discard, up)
 	}()
-	if err := c.answers(down); err != nil && !cut(err) {
-		rec.note(Clients, "gRPC answers: "+err.Error(), name)
+	if err := c.readAnswers(down); err != nil && !isEndOfStream(err) {
+		rec.recordUnreadable(Clients, "gRPC answers: "+err.Error(), name)
 	}
 	io.Copy(io.Discard, down)
 	<-done
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
 	for _, r := range c.streams {
-		if a := r.ask; a != nil && a.Finals == 0 && a.Gone.IsZero() {
+		if a := r.request; a != nil && a.Finals == 0 && a.Gone.IsZero() {
 			if a.Gone = up.ended; down.ended.Before(up.ended) {
 				a.Gone, a.ServerGone = down.ended, true
 			}
@@ -121,18 +121,20 @@
 	}
 }
 
-// cut reports whether a direction ended, wherever that was.
-func cut(err error) bool { return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) }
+// isEndOfStream reports whether a direction ended, wherever that was.
+func isEndOfStream(err error) bool {
+	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
+}
 
-func framer(r io.Reader) *http2.Framer {
+func newFramer(r io.Reader) *http2.Framer {
 	f := http2.NewFramer(io.Discard, r)
 	f.SetMaxReadFrameSize(1<<24 - 1)
 	f.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
 	return f
 }
 
-// requests reads the client's frames.
-func (c *grpcConn) requests(up *tap) error {
+// readRequests reads the client's frames.
+func (c *grpcConn) readRequests(up *tap) error {
 	preface := make([]byte, len(http2.ClientPreface))
 	if _, err := io.ReadFull(up, preface); err != nil {
 		return err
@@ -140,7 +142,7 @@
 	if string(preface) != http2.ClientPreface {
 		return errors.New("no preface")
 	}
-	f := framer(up)
+	f := newFramer(up)
 	for {
 		fr, err := f.ReadFrame()
 		if err != nil {
@@ -153,32 +155,32 @@
 			c.streams[fr.StreamID] = &rpc{method: fr.PseudoValue("path")[strings.LastIndexByte(
 				fr.PseudoValue("path"), '/')+1:]}
 		case *http2.DataFrame:
-			if r != nil && !r.told {
+			if r != nil && !r.notified {
 				r.up = append(r.up, fr.Data()...)
-				if m, _, ok := message(r.up); ok {
+				if m, _, ok := splitMessage(r.up); ok {
 					c.mu.Unlock()
-					c.request(r, m, up.at)
+					c.handleRequest(r, m, up.at)
 					c.mu.Lock()
-					r.told, r.up = true, nil
+					r.notified, r.up = true, nil
 				}
 			}
 		case *http2.RSTStreamFrame:
-			if r != nil && r.ask != nil {
-				c.rec.mu.Lock()
-				if r.ask.Finals == 0 && r.ask.Gone.IsZero() {
-					r.ask.Gone = up.at
+			if r != nil && r.request != nil {
+				c.recorder.mu.Lock()
+				if r.request.Finals == 0 && r.request.Gone.IsZero() {
+					r.request.Gone = up.at
 				}
-				c.rec.mu.Unlock()
-				r.over = true
+				c.recorder.mu.Unlock()
+				r.finished = true
 			}
 		}
 		c.mu.Unlock()
-		c.more.Broadcast()
+		c.changed.Broadcast()
 	}
 }
 
-// message takes the first of gRPC's messages ("gRPC over HTTP2", Length-Prefixed-Message).
-func message(b []byte) (m, rest []byte, ok bool) {
+// splitMessage takes the first of gRPC's messages ("gRPC over HTTP2", Length-Prefixed-Message).
+func splitMessage(b []byte) (m, rest []byte, ok bool) {
 	if len(b) < 5 {
 		return nil, b, false
 	}
@@ -189,8 +191,8 @@
 	return b[5 : 5+n], b[5+n:], true
 }
 
-// command reads a command of Flight SQL's; nil: it is none.
-func command(b []byte) proto.Message {
+// decodeCommand reads a command of Flight SQL's; nil: it is none.
+func decodeCommand(b []byte) proto.Message {
 	var any anypb.Any
 	if proto.Unmarshal(b, &any) != nil {
 		return nil
@@ -202,14 +204,14 @@
 	return m
 }
 
-// request takes a call's first message.
-func (c *grpcConn) request(r *rpc, b []byte, at time.Time) {
-	t := &c.rec.texts
+// handleRequest takes a call's first message.
+func (c *grpcConn) handleRequest(r *rpc, b []byte, at time.Time) {
+	t := &c.recorder.texts
 	switch r.method {
 	case "GetFlightInfo":
 		var d flight.FlightDescriptor
 		if proto.Unmarshal(b, &d) == nil {
-			switch m := command(d.Cmd).(type) {
+			switch m := decodeCommand(d.Cmd).(type) {
 			case *pb.CommandStatementQuery:
 				r.text = m.Query
 			case *pb.CommandPreparedStatementQuery:
@@ -219,44 +221,44 @@
 	case "DoAction":
 		var a flight.Action
 		if proto.Unmarshal(b, &a) == nil {
-			if m, ok := command(a.Body).(*pb.ActionCreatePreparedStatementRequest); ok {
+			if m, ok := decodeCommand(a.Body).(*pb.ActionCreatePreparedStatementRequest); ok {
 				r.text = m.Query
 			}
 		}
 	case "DoGet":
 		var k flight.Ticket
 		if proto.Unmarshal(b, &k) == nil {
-			c.asked(r, t.get(k.Ticket), at)
+			c.recordRequest(r, t.get(k.Ticket), at)
 		}
 	case "DoPut":
 		var d flight.FlightData
 		if proto.Unmarshal(b, &d) == nil {
-			switch m := command(d.GetFlightDescriptor().GetCmd()).(type) {
+			switch m := decodeCommand(d.GetFlightDescriptor().GetCmd()).(type) {
 			case *pb.CommandStatementUpdate:
-				c.asked(r, m.Query, at)
+				c.recordRequest(r, m.Query, at)
 			case *pb.CommandPreparedStatementUpdate:
-				c.asked(r, t.get(m.PreparedStatementHandle), at)
+				c.recordRequest(r, t.get(m.PreparedStatementHandle), at)
 			}
 		}
 	}
 }
 
-// asked enters a query.
-func (c *grpcConn) asked(r *rpc, text string, at time.Time) {
-	t := tags(text, "")
+// recordRequest enters a query.
+func (c *grpcConn) recordRequest(r *rpc, text string, at time.Time) {
+	t := statementTags(text, "")
 	if t["id"] == "" || t["class"] == "" {
 		return
 	}
-	r.ask = &Ask{ID: t["id"], Class: t["class"], Key: t["key"], Dispatcher: c.name, At: at, Tags: t}
-	c.rec.mu.Lock()
-	c.rec.log.Asks = append(c.rec.log.Asks, r.ask)
-	c.rec.byID[r.ask.ID] = r.ask
-	c.rec.mu.Unlock()
+	r.request = &Request{ID: t["id"], Class: t["class"], Key: t["key"], Dispatcher: c.name, At: at, Tags: t}
+	c.recorder.mu.Lock()
+	c.recorder.log.Requests = append(c.recorder.log.Requests, r.request)
+	c.recorder.byID[r.request.ID] = r.request
+	c.recorder.mu.Unlock()
 }
 
-// answers reads the dispatcher's frames. A call's answer is taken once its request has been.
-func (c *grpcConn) answers(down *tap) error {
-	f := framer(down)
+// readAnswers reads the dispatcher's frames. A call's answer is taken once its request has been.
+func (c *grpcConn) readAnswers(down *tap) error {
+	f := newFramer(down)
 	for {
 		fr, err := f.ReadFrame()
 		if err != nil {
@@ -267,15 +269,15 @@
 		switch fr := fr.(type) {
 		case *http2.MetaHeadersFrame:
 			if r != nil && fr.StreamEnded() {
-				c.final(r, state(fr), down.at)
+				c.recordFinal(r, sqlStateOf(fr), down.at)
 			}
 		case *http2.DataFrame:
 			if r != nil {
-				c.data(r, fr.Data())
+				c.handleData(r, fr.Data())
 			}
 		case *http2.RSTStreamFrame:
-			if r != nil && !r.over {
-				c.final(r, "reset", down.at)
+			if r != nil && !r.finished {
+				c.recordFinal(r, "reset", down.at)
 			}
 		}
 		c.mu.Unlock()
@@ -293,22 +295,22 @@
 		c.mu.Lock()
 		late = true
 		c.mu.Unlock()
-		c.more.Broadcast()
+		c.changed.Broadcast()
 	})
 	defer limit.Stop()
 	for {
 		// a handshake by header has no message to wait for
-		if r := c.streams[id]; r != nil && (r.told || r.method == "Handshake") || late || c.ended {
+		if r := c.streams[id]; r != nil && (r.notified || r.method == "Handshake") || late || c.ended {
 			return r
 		}
-		c.more.Wait()
+		c.changed.Wait()
 	}
 }
 
-// data takes bytes of an answer.
-func (c *grpcConn) data(r *rpc, b []byte) {
-	rec := c.rec
-	if a := r.ask; a != nil {
+// handleData takes bytes of an answer.
+func (c *grpcConn) handleData(r *rpc, b []byte) {
+	rec := c.recorder
+	if a := r.request; a != nil {
 		rec.mu.Lock()
 		if a.Rows++; a.Finals > 0 {
 			a.After++
@@ -320,7 +322,7 @@
 		return
 	}
 	r.down = append(r.down, b...)
-	m, _, ok := message(r.down)
+	m, _, ok := splitMessage(r.down)
 	if !ok {
 		return
 	}
@@ -335,7 +337,7 @@
 	case "DoAction":
 		var v flight.Result
 		if proto.Unmarshal(m, &v) == nil {
-			if p, ok := command(v.Body).(*pb.ActionCreatePreparedStatementResult); ok {
+			if p, ok := decodeCommand(v.Body).(*pb.ActionCreatePreparedStatementResult); ok {
 				rec.texts.put(p.PreparedStatementHandle, r.text)
 			}
 		}
@@ -343,20 +345,20 @@
 	r.text, r.down = "", nil
 }
 
-// final takes a call's end.
-func (c *grpcConn) final(r *rpc, code string, at time.Time) {
-	r.over = true
-	if a := r.ask; a != nil {
-		c.rec.mu.Lock()
+// recordFinal takes a call's end.
+func (c *grpcConn) recordFinal(r *rpc, code string, at time.Time) {
+	r.finished = true
+	if a := r.request; a != nil {
+		c.recorder.mu.Lock()
 		if a.Finals++; a.Finals == 1 {
 			a.Final, a.Code = at, code
 		}
-		c.rec.mu.Unlock()
+		c.recorder.mu.Unlock()
 	}
 }
 
-// state is the SQLSTATE of trailers; "": served.
-func state(h *http2.MetaHeadersFrame) string {
+// sqlStateOf is the SQLSTATE of trailers; "": served.
+func sqlStateOf(h *http2.MetaHeadersFrame) string {
 	code, details := "", ""
 	for _, f := range h.Fields {
 		switch f.Name {
--- a/internal/rehearsal/rulecheck/relay.go
+++ b/internal/rehearsal/rulecheck/relay.go
@@ -17,16 +17,16 @@
 type Recorder struct {
 	mu      sync.Mutex
 	log     Log
-	byID    map[string]*Ask
-	texts   texts
-	behind  time.Duration // longest time from a byte's arrival to its decoding
+	byID    map[string]*Request
+	texts   statementCache
+	maxLag  time.Duration // longest time from a byte's arrival to its decoding
 	broken  []string      // streams that could not be decoded
 	pending sync.WaitGroup
 }
 
 // NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder {
-	return &Recorder{byID: map[string]*Ask{}, texts: texts{of: map[string]string{}}}
+	return &Recorder{byID: map[string]*Request{}, texts: statementCache{byKey: map[string]string{}}}
 }
 
 // Side says between whom a relay stands.
@@ -40,16 +40,16 @@
 
 // Relay passes bytes on between two sockets and records them.
 type Relay struct {
-	rec    *Recorder
-	side   Side
-	name   string // of the dispatcher, or the engine's listed address
-	target string
-	flight bool // Flight SQL, not PostgreSQL
-	ln     net.Listener
-	mu     sync.Mutex
-	conns  map[net.Conn]struct{}
-	closed bool
-	work   sync.WaitGroup
+	recorder   *Recorder
+	side       Side
+	name       string // of the dispatcher, or the engine's listed address
+	target     string
+	flight     bool // Flight SQL, not PostgreSQL
+	listener   net.Listener
+	mu         sync.Mutex
+	conns      map[net.Conn]struct{}
+	closed     bool
+	background sync.WaitGroup
 }
 
 // NewRelay starts a relay before target. name is the dispatcher's, or "" for an engine, which is named by the
@@ -63,47 +63,47 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{rec: rec, flight: flight, side: side, name: name, target: target, ln: ln,
+	r := &Relay{recorder: rec, flight: flight, side: side, name: name, target: target, listener: ln,
 		conns: map[net.Conn]struct{}{}}
 	if name == "" {
 		r.name = ln.Addr().String()
 	}
-	r.work.Add(1)
+	r.background.Add(1)
 	go r.accept()
 	return r, nil
 }
 
 // Addr is where the relay listens.
-func (r *Relay) Addr() string { return r.ln.Addr().String() }
+func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
 // Close ends the relay and its connections.
 func (r *Relay) Close() {
-	r.ln.Close()
+	r.listener.Close()
 	r.mu.Lock()
 	r.closed = true
 	for c := range r.conns {
 		c.Close()
 	}
 	r.mu.Unlock()
-	r.work.Wait()
+	r.background.Wait()
 }
 
 func (r *Relay) accept() {
-	defer r.work.Done()
+	defer r.background.Done()
 	for {
-		c, err := r.ln.Accept()
+		c, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		r.work.Add(1)
+		r.background.Add(1)
 		go func() {
-			defer r.work.Done()
+			defer r.background.Done()
 			r.serve(c)
 		}()
 	}
 }
 
-func (r *Relay) keep(c net.Conn) bool {
+func (r *Relay) trackConn(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.closed {
@@ -122,18 +122,18 @@
 		return
 	}
 	defer s.Close()
-	if !r.keep(c) || !r.keep(s) {
+	if !r.trackConn(c) || !r.trackConn(s) {
 		return
 	}
-	up, down := newTap(r.rec), newTap(r.rec)
-	r.rec.pending.Add(1)
+	up, down := newTap(r.recorder), newTap(r.recorder)
+	r.recorder.pending.Add(1)
 	go func() {
-		defer r.rec.pending.Done()
+		defer r.recorder.pending.Done()
 		if r.flight {
-			r.rec.decodeGRPC(r.name, up, down)
+			r.recorder.decodeGRPC(r.name, up, down)
 			return
 		}
-		r.rec.decode(r.side, r.name, up, down)
+		r.recorder.decode(r.side, r.name, up, down)
 	}()
 	var wg sync.WaitGroup
 	wg.Add(2)
@@ -176,24 +176,24 @@
 
 // chunk is bytes with the time at which they came.
 type chunk struct {
-	at time.Time
-	b  []byte
+	at   time.Time
+	data []byte
 }
 
 // tap keeps one direction's bytes until they are decoded. It never blocks who adds to it.
 type tap struct {
-	rec   *Recorder
-	mu    sync.Mutex
-	more  *sync.Cond
-	queue []chunk
-	ended time.Time
-	at    time.Time // of the bytes read last
-	rest  []byte
+	recorder *Recorder
+	mu       sync.Mutex
+	changed  *sync.Cond
+	queue    []chunk
+	ended    time.Time
+	at       time.Time // of the bytes read last
+	unread   []byte
 }
 
 func newTap(rec *Recorder) *tap {
-	t := &tap{rec: rec}
-	t.more = sync.NewCond(&t.mu)
+	t := &tap{recorder: rec}
+	t.changed = sync.NewCond(&t.mu)
 	return t
 }
 
@@ -201,22 +201,22 @@
 	t.mu.Lock()
 	t.queue = append(t.queue, chunk{time.Now(), append([]byte(nil), b...)})
 	t.mu.Unlock()
-	t.more.Signal()
+	t.changed.Signal()
 }
 
 func (t *tap) end() {
 	t.mu.Lock()
 	t.ended = time.Now()
 	t.mu.Unlock()
-	t.more.Signal()
+	t.changed.Signal()
 }
 
 // Read is the decoder's side.
 func (t *tap) Read(b []byte) (int, error) {
-	if len(t.rest) == 0 {
+	if len(t.unread) == 0 {
 		t.mu.Lock()
 		for len(t.queue) == 0 && t.ended.IsZero() {
-			t.more.Wait()
+			t.changed.Wait()
 		}
 		if len(t.queue) == 0 {
 			t.mu.Unlock()
@@ -225,17 +225,17 @@
 		c := t.queue[0]
 		t.queue = t.queue[1:]
 		t.mu.Unlock()
-		t.at, t.rest = c.at, c.b
-		t.rec.lag(time.Since(c.at))
+		t.at, t.unread = c.at, c.data
+		t.recorder.recordLag(time.Since(c.at))
 	}
-	n := copy(b, t.rest)
-	t.rest = t.rest[n:]
+	n := copy(b, t.unread)
+	t.unread = t.unread[n:]
 	return n, nil
 }
 
-func (rec *Recorder) lag(d time.Duration) {
+func (rec *Recorder) recordLag(d time.Duration) {
 	rec.mu.Lock()
-	rec.behind = max(rec.behind, d)
+	rec.maxLag = max(rec.maxLag, d)
 	rec.mu.Unlock()
 }
 
@@ -259,36 +259,36 @@
 	if late {
 		out.Unjudged = append(out.Unjudged, "the relays' bytes were not decoded in time")
 	}
-	if rec.behind > 5*time.Second {
-		out.Unjudged = append(out.Unjudged, "decoding fell behind by "+rec.behind.String())
+	if rec.maxLag > 5*time.Second {
+		out.Unjudged = append(out.Unjudged, "decoding fell behind by "+rec.maxLag.String())
 	}
 	out.Unjudged = append(out.Unjudged, rec.broken...)
 	return &out
 }
 
-// unit is a request on a connection that is owed an answer, in order.
-type unit struct {
-	kind byte // as the message's type; 'Q' and 'E' are queries
-	ask  *Ask
-	send *Send
+// pendingReply is a request on a connection that is owed an answer, in order.
+type pendingReply struct {
+	kind    byte // as the message's type; 'Q' and 'E' are queries
+	request *Request
+	attempt *Attempt
 }
 
 // stream is one connection's state while it is decoded.
 type stream struct {
-	rec        *Recorder
+	recorder   *Recorder
 	side       Side
 	name, user string
 	pid        uint32
 	statements map[string]string
 	portals    map[string][2]string // text and first parameter
-	units      []unit
+	pending    []pendingReply
 	failed     bool // after an error in the extended protocol, until Sync's answer
 }
 
 // decode reads both directions of a connection in the order of their bytes' times: a request always comes
 // before its answer.
 func (rec *Recorder) decode(side Side, name string, up, down *tap) {
-	s := &stream{rec: rec, side: side, name: name, statements: map[string]string{},
+	s := &stream{recorder: rec, side: side, name: name, statements: map[string]string{},
 		portals: map[string][2]string{}}
 	from := pgproto3.NewBackend(up, io.Discard)
 	for {
@@ -304,7 +304,7 @@
 			io.ReadFull(down, b[:])
 			continue
 		case *pgproto3.CancelRequest:
-			rec.cancelled(side, name, m.ProcessID, up.at)
+			rec.recordCancel(side, name, m.ProcessID, up.at)
 			io.Copy(io.Discard, up)
 			io.Copy(io.Discard, down)
 			return
@@ -322,7 +322,7 @@
 			return
 		}
 		if _, welcome = m.(*pgproto3.ReadyForQuery); !welcome {
-			s.answer(m, down.at)
+			s.handleAnswer(m, down.at)
 		}
 	}
 	requests := make(chan struct{}) // closed once all requests are decoded
@@ -338,14 +338,14 @@
 			if err != nil {
 				ended = true
 				if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
-					rec.note(side, "requests: "+err.Error(), name)
+					rec.recordUnreadable(side, "requests: "+err.Error(), name)
 				}
 				asked.Broadcast()
 				wake.Unlock()
 				io.Copy(io.Discard, up)
 				return
 			}
-			s.request(m, up.at)
+			s.handleRequest(m, up.at)
 			count++
 			asked.Broadcast()
 			wake.Unlock()
@@ -356,35 +356,36 @@
 		wake.Lock()
 		if err != nil {
 			if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
-				rec.note(side, "answers: "+err.Error(), name)
+				rec.recordUnreadable(side, "answers: "+err.Error(), name)
 			}
 			wake.Unlock()
 			break
 		}
-		if len(s.units) == 0 && !ended && owed(m) { // the request's own decoder may be a moment behind
+		if len(s.pending) == 0 && !ended &&
+			expectsReply(m) { // the request's own decoder may be a moment behind
 			limit := time.AfterFunc(time.Second, func() {
 				wake.Lock()
 				ended = true
 				wake.Unlock()
 				asked.Broadcast()
 			})
-			for len(s.units) == 0 && !ended {
+			for len(s.pending) == 0 && !ended {
 				asked.Wait()
 			}
 			limit.Stop()
 			ended = false
 		}
-		s.answer(m, down.at)
+		s.handleAnswer(m, down.at)
 		wake.Unlock()
 	}
 	io.Copy(io.Discard, down)
 	<-requests
-	s.over(down, up)
+	s.connectionEnded(down, up)
 }
 
-// note takes down a stream that is no protocol: on the engines' side that is a fault some engine was told to
-// have.
-func (rec *Recorder) note(side Side, what, name string) {
+// recordUnreadable takes down a stream that is no protocol: on the engines' side that is a fault some engine
+// was told to have.
+func (rec *Recorder) recordUnreadable(side Side, what, name string) {
 	if side == Engines {
 		return
 	}
@@ -393,8 +394,8 @@
 	rec.mu.Unlock()
 }
 
-// owed reports whether a message answers some request.
-func owed(m pgproto3.BackendMessage) bool {
+// expectsReply reports whether a message answers some request.
+func expectsReply(m pgproto3.BackendMessage) bool {
 	switch m := m.(type) {
 	case *pgproto3.ErrorResponse:
 		return m.Severity == "ERROR" // a FATAL one may be of the connection
@@ -405,46 +406,47 @@
 	return true
 }
 
-func (s *stream) request(m pgproto3.FrontendMessage, at time.Time) {
+func (s *stream) handleRequest(m pgproto3.FrontendMessage, at time.Time) {
 	if _, ok := m.(*pgproto3.Sync); s.failed && !ok { // its error was decoded before this was
-		n := len(s.units)
+		n := len(s.pending)
 		s.failed = false
-		s.request(m, at)
+		s.handleRequest(m, at)
 		s.failed = true
-		for _, u := range s.units[n:] {
-			s.skipped(u)
+		for _, u := range s.pending[n:] {
+			s.recordSkipped(u)
 		}
-		s.units = s.units[:n]
+		s.pending = s.pending[:n]
 		return
 	}
 	s.failed = false
 	switch m := m.(type) {
 	case *pgproto3.Query:
-		s.query('Q', m.String, "", at)
+		s.recordQuery('Q', m.String, "", at)
 	case *pgproto3.Parse:
 		s.statements[m.Name] = m.Query
-		s.units = append(s.units, unit{kind: 'P'})
+		s.pending = append(s.pending, pendingReply{kind: 'P'})
 	case *pgproto3.Bind:
 		first := ""
 		if len(m.Parameters) > 0 {
 			first = string(m.Parameters[0])
 		}
 		s.portals[m.DestinationPortal] = [2]string{s.statements[m.PreparedStatement], first}
-		s.units = append(s.units, unit{kind: 'B'})
+		s.pending = append(s.pending, pendingReply{kind: 'B'})
 	case *pgproto3.Describe:
-		s.units = append(s.units, unit{kind: 'D'})
+		s.pending = append(s.pending, pendingReply{kind: 'D'})
 	case *pgproto3.Close:
-		s.units = append(s.units, unit{kind: 'C'})
+		s.pending = append(s.pending, pendingReply{kind: 'C'})
 	case *pgproto3.Execute:
 		p := s.portals[m.Portal]
-		s.query('E', p[0], p[1], at)
+		s.recordQuery('E', p[0], p[1], at)
 	case *pgproto3.Sync:
-		s.units = append(s.units, unit{kind: 'S'})
+		s.pending = append(s.pending, pendingReply{kind: 'S'})
 	}
 }
 
-// tags returns what a statement says of itself: in its comment, or in a first parameter "id;name=value;...".
-func tags(text, first string) map[string]string {
+// statementTags returns what a statement says of itself: in its comment, or in a first parameter
+// "id;name=value;...".
+func statementTags(text, first string) map[string]string {
 	out := sqlscan.Tags(text)
 	if out == nil {
 		out = map[string]string{}
@@ -461,30 +463,38 @@
 	return out
 }
 
-func (s *stream) query(kind byte, text, first string, at time.Time) {
-	u := unit{kind: kind}
-	t := tags(text, first)
+func (s *stream) recordQuery(kind byte, text, first string, at time.Time) {
+	u := pendingReply{kind: kind}
+	t := statementTags(text, first)
 	if t["id"] != "" && t["class"] != "" {
-		rec := s.rec
+		rec := s.recorder
 		rec.mu.Lock()
 		if s.side == Clients {
-			u.ask = &Ask{ID: t["id"], Class: t["class"], Key: t["key"], Dispatcher: s.name, At: at, Tags: t}
-			rec.log.Asks = append(rec.log.Asks, u.ask)
-			rec.byID[u.ask.ID] = u.ask
+			u.request = &Request{
+				ID:         t["id"],
+				Class:      t["class"],
+				Key:        t["key"],
+				Dispatcher: s.name,
+				At:         at,
+				Tags:       t,
+			}
+			rec.log.Requests = append(rec.log.Requests, u.request)
+			rec.byID[u.request.ID] = u.request
 		} else {
-			u.send = &Send{ID: t["id"], Class: t["class"], Key: t["key"], Engine: s.name, Dispatcher: s.user,
-				At:  at,
-				PID: s.pid, Work: number(t["work_ms"]) / 1000, Session: t["session"]}
-			rec.log.Sends = append(rec.log.Sends, u.send)
+			u.attempt = &Attempt{ID: t["id"], Class: t["class"], Key: t["key"], Engine: s.name,
+				Dispatcher: s.user,
+				At:         at,
+				PID:        s.pid, Work: number(t["work_ms"]) / 1000, Session: t["session"]}
+			rec.log.Attempts = append(rec.log.Attempts, u.attempt)
 		}
 		rec.mu.Unlock()
 	}
-	s.units = append(s.units, u)
+	s.pending = append(s.pending, u)
 }
 
-// answer takes a message of the server against the request that it belongs to.
-func (s *stream) answer(m pgproto3.BackendMessage, at time.Time) {
-	rec := s.rec
+// handleAnswer takes a message of the server against the request that it belongs to.
+func (s *stream) handleAnswer(m pgproto3.BackendMessage, at time.Time) {
+	rec := s.recorder
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
 	switch m := m.(type) {
@@ -497,113 +507,113 @@
 	case *pgproto3.CloseComplete:
 		s.pop('C')
 	case *pgproto3.RowDescription, *pgproto3.NoData:
-		if len(s.units) > 0 && s.units[0].kind == 'D' {
-			s.units = s.units[1:]
+		if len(s.pending) > 0 && s.pending[0].kind == 'D' {
+			s.pending = s.pending[1:]
 		}
 	case *pgproto3.DataRow:
-		if u := s.front(); u != nil && u.ask != nil {
-			u.ask.Rows++
-			if u.ask.Finals > 0 {
-				u.ask.After++
+		if u := s.nextPending(); u != nil && u.request != nil {
+			u.request.Rows++
+			if u.request.Finals > 0 {
+				u.request.After++
 			}
 		} else if s.side == Clients && u == nil {
 			rec.log.Stray++
 		}
 	case *pgproto3.CommandComplete, *pgproto3.EmptyQueryResponse, *pgproto3.PortalSuspended:
-		u := s.front()
+		u := s.nextPending()
 		if u == nil {
 			rec.log.Stray++
 			return
 		}
-		u.final(at, "")
+		u.recordFinal(at, "")
 		if u.kind == 'E' {
-			s.units = s.units[1:]
+			s.pending = s.pending[1:]
 		}
 	case *pgproto3.ErrorResponse:
-		u := s.front()
+		u := s.nextPending()
 		if u == nil {
 			return // of the connection as a whole
 		}
-		u.final(at, m.Code)
+		u.recordFinal(at, m.Code)
 		if u.kind != 'Q' {
-			for len(s.units) > 0 && s.units[0].kind != 'S' { // the rest up to Sync is skipped, unanswered
-				s.skipped(s.units[0])
-				s.units = s.units[1:]
+			for len(s.pending) > 0 && s.pending[0].kind != 'S' { // the rest up to Sync is skipped, unanswered
+				s.recordSkipped(s.pending[0])
+				s.pending = s.pending[1:]
 			}
-			s.failed = len(s.units) == 0
+			s.failed = len(s.pending) == 0
 		}
 	case *pgproto3.ReadyForQuery:
-		if len(s.units) > 0 && (s.units[0].kind == 'S' || s.units[0].kind == 'Q') {
-			if u := &s.units[0]; u.ask != nil && u.ask.Finals == 0 {
-				u.ask.After++ // ready again, and no answer came
+		if len(s.pending) > 0 && (s.pending[0].kind == 'S' || s.pending[0].kind == 'Q') {
+			if u := &s.pending[0]; u.request != nil && u.request.Finals == 0 {
+				u.request.After++ // ready again, and no answer came
 			}
-			s.units = s.units[1:]
+			s.pending = s.pending[1:]
 		}
 	}
 }
 
-// skipped marks a request behind an error.
-func (s *stream) skipped(u unit) {
-	if u.ask != nil && u.ask.Finals == 0 {
-		u.ask.Skipped = true
-	} else if u.send != nil && u.send.End.IsZero() {
-		u.send.Skipped = true
+// recordSkipped marks a request behind an error.
+func (s *stream) recordSkipped(u pendingReply) {
+	if u.request != nil && u.request.Finals == 0 {
+		u.request.Skipped = true
+	} else if u.attempt != nil && u.attempt.End.IsZero() {
+		u.attempt.Skipped = true
 	}
 }
 
-// front is the query that messages now belong to; nil: there is none.
-func (s *stream) front() *unit {
-	for len(s.units) > 0 && s.units[0].kind == 'D' { // described by ParameterDescription alone
-		s.units = s.units[1:]
+// nextPending is the query that messages now belong to; nil: there is none.
+func (s *stream) nextPending() *pendingReply {
+	for len(s.pending) > 0 && s.pending[0].kind == 'D' { // described by ParameterDescription alone
+		s.pending = s.pending[1:]
 	}
-	if len(s.units) == 0 {
+	if len(s.pending) == 0 {
 		return nil
 	}
-	return &s.units[0]
+	return &s.pending[0]
 }
 
 func (s *stream) pop(kind byte) {
-	if len(s.units) > 0 && s.units[0].kind == kind {
-		s.units = s.units[1:]
+	if len(s.pending) > 0 && s.pending[0].kind == kind {
+		s.pending = s.pending[1:]
 	}
 }
 
-func (u *unit) final(at time.Time, code string) {
-	if a := u.ask; a != nil {
+func (u *pendingReply) recordFinal(at time.Time, code string) {
+	if a := u.request; a != nil {
 		if a.Finals++; a.Finals == 1 {
 			a.Final, a.Code = at, code
 		}
 	}
-	if v := u.send; v != nil && v.End.IsZero() {
+	if v := u.attempt; v != nil && v.End.IsZero() {
 		v.End, v.Code = at, code
 		v.Done = code == ""
 	}
 }
 
-// over tells the requests that were out what became of them when the connection ended.
-func (s *stream) over(down, up *tap) {
-	rec := s.rec
+// connectionEnded tells the requests that were out what became of them when the connection ended.
+func (s *stream) connectionEnded(down, up *tap) {
+	rec := s.recorder
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
-	for _, u := range s.units {
-		if u.ask != nil && u.ask.Finals == 0 {
-			u.ask.Gone = up.ended
+	for _, u := range s.pending {
+		if u.request != nil && u.request.Finals == 0 {
+			u.request.Gone = up.ended
 			if down.ended.Before(up.ended) {
-				u.ask.Gone, u.ask.ServerGone = down.ended, true
+				u.request.Gone, u.request.ServerGone = down.ended, true
 			}
 		}
-		if u.send != nil && u.send.End.IsZero() {
-			u.send.End, u.send.Lost = down.ended, true
+		if u.attempt != nil && u.attempt.End.IsZero() {
+			u.attempt.End, u.attempt.Lost = down.ended, true
 		}
 	}
 }
 
-func (rec *Recorder) cancelled(side Side, name string, pid uint32, at time.Time) {
+func (rec *Recorder) recordCancel(side Side, name string, pid uint32, at time.Time) {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
 	if side == Engines {
-		for i := len(rec.log.Sends) - 1; i >= 0; i-- {
-			if v := rec.log.Sends[i]; v.Engine == name && v.PID == pid && v.End.IsZero() {
+		for i := len(rec.log.Attempts) - 1; i >= 0; i-- {
+			if v := rec.log.Attempts[i]; v.Engine == name && v.PID == pid && v.End.IsZero() {
 				v.Cancel = at
 				return
 			}
--- a/internal/rehearsal/run.go
+++ b/internal/rehearsal/run.go
@@ -35,23 +35,23 @@
 	Program []string // the dispatcher: a command to which its sub-command and flags are added
 	Policy  string   // a baseline in the module's place; "": the module
 	NoState bool     // dispatchers keep nothing but their lists
-	// Talk is how dispatchers talk, in place of the day's: "no"; "cold", and one that begins does so from
+	// Gossip is how dispatchers talk, in place of the day's: "no"; "cold", and one that begins does so from
 	// nothing; "ask", and it asks others for what they have learnt; "": as the day says, else not.
-	Talk   string
-	Mutate int    // the module without the guard of this rule; 0: whole
-	Dir    string // for settings, kept lists and the dispatchers' logs
-	Log    *slog.Logger
-	Look   func(Status) // called twice a second; may be nil
+	Gossip  string
+	Mutate  int    // the module without the guard of this rule; 0: whole
+	Dir     string // for settings, kept lists and the dispatchers' logs
+	Log     *slog.Logger
+	Observe func(Status) // called twice a second; may be nil
 }
 
 // Status is how a day stands.
 type Status struct {
-	Day      *Day
-	At       time.Duration
-	Engines  []EngineStatus
-	Up       []bool // of the dispatchers
-	Counts   map[string][answers]int
-	Troubles []Trouble // in force
+	Day     *Day
+	At      time.Duration
+	Engines []EngineStatus
+	Up      []bool // of the dispatchers
+	Counts  map[string][outcomeCount]int
+	Faults  []Fault // in force
 }
 
 // EngineStatus is how an engine stands.
@@ -63,53 +63,53 @@
 
 // Result is what a day came to.
 type Result struct {
-	Day      *Day
-	Verdicts []rulecheck.Verdict
-	Classes  []Count
-	Faults   map[string]int // failed tries by SQLSTATE
-	Loads    int            // keyed loads that had their effect
-	Twice    []string       // and those that had it twice within their window
-	Violated []string       // invariants, as the dispatchers logged them
-	Short    []string       // expectations beyond the rules that were missed
-	Asked    int
-	Sent     int
-	Seed     uint64
-	Log      *rulecheck.Log // what the relays saw
-	Samples  []Sample
-	Watches  []Watch
-	Start    time.Time
+	Day           *Day
+	Verdicts      []rulecheck.Verdict
+	Classes       []Count
+	LoggedErrors  map[string]int // failed tries by SQLSTATE
+	Loads         int            // keyed loads that had their effect
+	RanTwice      []string       // and those that had it twice within their window
+	Violations    []string       // invariants, as the dispatchers logged them
+	Missed        []string       // expectations beyond the rules that were missed
+	Requests      int
+	Attempts      int
+	Seed          uint64
+	Log           *rulecheck.Log // what the relays saw
+	Samples       []Sample
+	EngineSamples []EngineSample
+	Start         time.Time
 }
 
 // Kept reports whether every rule held, no load had its effect twice, and no dispatcher found a violation.
 func (r *Result) Kept() bool {
-	return rulecheck.Kept(r.Verdicts) && len(r.Twice) == 0 && len(r.Violated) == 0
+	return rulecheck.AllKept(r.Verdicts) && len(r.RanTwice) == 0 && len(r.Violations) == 0
 }
 
 // Print writes the result as lines.
 func (r *Result) Print(w io.Writer) {
 	fmt.Fprintf(w, "%s: %s\n", r.Day.Name, r.Day.Title)
-	fmt.Fprintf(w, "%d tries asked, %d attempts sent to engines\n", r.Asked, r.Sent)
+	fmt.Fprintf(w, "%d tries asked, %d attempts sent to engines\n", r.Requests, r.Attempts)
 	for _, c := range r.Classes {
 		fmt.Fprintln(w, " ", c.String())
 	}
-	if len(r.Faults) > 0 {
-		fmt.Fprintf(w, "  failures by code: %v\n", r.Faults)
+	if len(r.LoggedErrors) > 0 {
+		fmt.Fprintf(w, "  failures by code: %v\n", r.LoggedErrors)
 	}
-	fmt.Fprintf(w, "loads with effect: %d; twice within their window: %d %v\n", r.Loads, len(r.Twice),
-		r.Twice)
+	fmt.Fprintf(w, "loads with effect: %d; twice within their window: %d %v\n", r.Loads, len(r.RanTwice),
+		r.RanTwice)
 	for _, v := range r.Verdicts {
 		fmt.Fprintln(w, v)
 	}
-	for _, v := range r.Violated {
+	for _, v := range r.Violations {
 		fmt.Fprintln(w, "violation logged:", v)
 	}
-	if share, median, n := r.FirstAfter(10 * time.Second); n > 0 {
+	if share, median, n := r.FirstAttemptsAfter(10 * time.Second); n > 0 {
 		fmt.Fprintf(w,
 			"first 10 s after a kill: %d asked of those dispatchers, %.1f%% served, %v at the median\n", n,
 			100*share,
 			median.Round(time.Millisecond))
 	}
-	for _, s := range r.Short {
+	for _, s := range r.Missed {
 		fmt.Fprintln(w, "expectation missed:", s)
 	}
 }
@@ -123,21 +123,21 @@
 	ms := func(quantile float64) float64 { return float64(c.Times.ValueAtQuantile(quantile)) / 1000 }
 	return fmt.Sprintf("%-12s %6d tries: served %d (%.1f%%), refused %d, failed %d, given up %d; "+
 		"served in %.0f ms (p50), %.0f ms (p99)", c.Class, n, c.Tries[Served],
-		100*float64(c.Tries[Served])/math.Max(1, float64(n)), c.Tries[Refused], c.Tries[Failed],
-		c.Tries[GaveUp],
+		100*float64(c.Tries[Served])/math.Max(1, float64(n)), c.Tries[Rejected], c.Tries[Failed],
+		c.Tries[Abandoned],
 		ms(50), ms(99))
 }
 
-// FirstAfter counts what a dispatcher served in a stretch after it was back from a kill, of all that was
-// asked of it, and the median time of what was served. n 0: none was killed.
-func (r *Result) FirstAfter(stretch time.Duration) (share float64, median time.Duration, n int) {
+// FirstAttemptsAfter counts what a dispatcher served in a stretch after it was back from a kill, of all that
+// was asked of it, and the median time of what was served. n 0: none was killed.
+func (r *Result) FirstAttemptsAfter(stretch time.Duration) (share float64, median time.Duration, n int) {
 	var times []time.Duration
-	for _, k := range r.Log.Killed {
+	for _, k := range r.Log.Outages {
 		from := k.Back.Sub(r.Start)
 		for _, s := range r.Samples {
 			begun := s.At - s.Took
 			if fmt.Sprint("d", s.Dispatcher) != k.Dispatcher || begun < from || begun > from+stretch ||
-				s.End == GaveUp {
+				s.End == Abandoned {
 				continue
 			}
 			if n++; s.End == Served {
@@ -154,25 +154,25 @@
 
 // Share is the part of a class's tries that were served, of those that did not give up.
 func (c *Count) Share() float64 {
-	n := c.Tries[Served] + c.Tries[Refused] + c.Tries[Failed]
+	n := c.Tries[Served] + c.Tries[Rejected] + c.Tries[Failed]
 	return float64(c.Tries[Served]) / math.Max(1, float64(n))
 }
 
 // dispatcher is one dispatcher process.
 type dispatcher struct {
-	run   *run
-	index int
-	addr  string
-	args  []string
-	log   *os.File
-	relay *rulecheck.Relay
-	gate  *rulecheck.Relay // for Flight SQL; nil: it is not served
+	run         *run
+	index       int
+	addr        string
+	args        []string
+	log         *os.File
+	relay       *rulecheck.Relay
+	flightRelay *rulecheck.Relay // for Flight SQL; nil: it is not served
 
 	mu     sync.Mutex
 	up     atomic.Bool
 	cmd    *exec.Cmd
-	hold   io.Closer
-	killed []rulecheck.Killed
+	held   io.Closer
+	killed []rulecheck.Outage
 }
 
 func (d *dispatcher) name() string { return "d" + strconv.Itoa(d.index) }
@@ -190,7 +190,7 @@
 	if err != nil {
 		return err
 	}
-	d.hold = hold
+	d.held = hold
 	if err := d.cmd.Start(); err != nil {
 		return err
 	}
@@ -210,21 +210,21 @@
 func (d *dispatcher) kill() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.killed = append(d.killed, rulecheck.Killed{Dispatcher: d.name(), At: time.Now()})
+	d.killed = append(d.killed, rulecheck.Outage{Dispatcher: d.name(), At: time.Now()})
 	d.up.Store(false)
 	d.cmd.Process.Kill()
 	d.cmd.Wait()
 }
 
-// roll ends the process in good order, to be started again.
-func (d *dispatcher) roll() {
+// restart ends the process in good order, to be started again.
+func (d *dispatcher) restart() {
 	d.mu.Lock()
-	d.killed = append(d.killed, rulecheck.Killed{Dispatcher: d.name(), At: time.Now()})
+	d.killed = append(d.killed, rulecheck.Outage{Dispatcher: d.name(), At: time.Now()})
 	d.mu.Unlock()
 	d.stop()
 }
 
-func (d *dispatcher) back(ctx context.Context) error {
+func (d *dispatcher) startAgain(ctx context.Context) error {
 	err := d.start(ctx)
 	d.mu.Lock()
 	d.killed[len(d.killed)-1].Back = time.Now()
@@ -248,19 +248,19 @@
 
 // run is a day that is being played.
 type run struct {
-	day         *Day
-	options     Options
-	rig         *testbed.Rig
-	recorder    *rulecheck.Recorder
-	relays      []*rulecheck.Relay // before the engines
-	dispatchers []*dispatcher
-	load        *load
-	work        sync.WaitGroup
-	mu          sync.Mutex
-	faults      []standin.Faults // in force, for each engine
-	errs        []error
-	watches     []Watch
-	window      time.Duration
+	day           *Day
+	options       Options
+	testbed       *testbed.Rig
+	recorder      *rulecheck.Recorder
+	relays        []*rulecheck.Relay // before the engines
+	dispatchers   []*dispatcher
+	load          *workload
+	work          sync.WaitGroup
+	mu            sync.Mutex
+	faults        []standin.Faults // in force, for each engine
+	failures      []error
+	engineSamples []EngineSample
+	window        time.Duration
 }
 
 // Play plays a day and judges it.
@@ -274,19 +274,19 @@
 		recorder: rulecheck.NewRecorder(),
 		faults:   make([]standin.Faults, d.Engines),
 	}
-	defer r.end()
-	if err := r.raise(ctx); err != nil {
+	defer r.tearDown()
+	if err := r.setUp(ctx); err != nil {
 		return nil, err
 	}
 	start := time.Now()
 	timed, cancel := context.WithCancel(ctx)
 	defer cancel()
-	for _, t := range d.Troubles {
+	for _, t := range d.Faults {
 		r.work.Add(1)
 		go func() {
 			defer r.work.Done()
 			if sleep(timed, time.Until(start.Add(t.At))) {
-				r.trouble(timed, t)
+				r.inject(timed, t)
 			}
 		}()
 	}
@@ -294,7 +294,7 @@
 	go func() {
 		defer close(watched)
 		for sleep(timed, 500*time.Millisecond) {
-			r.look(time.Since(start))
+			r.sample(time.Since(start))
 		}
 	}()
 	r.load.start = start
@@ -302,27 +302,27 @@
 	cancel()
 	<-watched
 	r.work.Wait()
-	if err := errors.Join(append(r.errs, ctx.Err())...); err != nil {
+	if err := errors.Join(append(r.failures, ctx.Err())...); err != nil {
 		return nil, err
 	}
-	return r.judge(), nil
+	return r.evaluate(), nil
 }
 
-// look takes note of how the day stands, and tells who watches.
-func (r *run) look(at time.Duration) {
-	s := Status{Day: r.day, At: at, Counts: map[string][answers]int{}}
-	w := Watch{At: at}
-	for i, e := range r.rig.Engines {
+// sample takes note of how the day stands, and tells who watches.
+func (r *run) sample(at time.Duration) {
+	s := Status{Day: r.day, At: at, Counts: map[string][outcomeCount]int{}}
+	w := EngineSample{At: at}
+	for i, e := range r.testbed.Engines {
 		up, fallen := e.Up()
-		v := EngineStatus{Cores: r.day.cores(i), Up: up, Fallen: fallen, State: string(r.rig.State(i))}
+		v := EngineStatus{Cores: r.day.cores(i), Up: up, Fallen: fallen, State: string(r.testbed.State(i))}
 		if up {
 			v.Threads = e.Threads()
 		}
 		s.Engines = append(s.Engines, v)
 		w.Threads = append(w.Threads, v.Threads)
 	}
-	r.watches = append(r.watches, w)
-	if r.options.Look == nil {
+	r.engineSamples = append(r.engineSamples, w)
+	if r.options.Observe == nil {
 		return
 	}
 	for _, d := range r.dispatchers {
@@ -333,12 +333,12 @@
 		s.Counts[name] = c.Tries
 	}
 	r.load.mu.Unlock()
-	for _, t := range r.day.Troubles {
+	for _, t := range r.day.Faults {
 		if t.At <= at && at <= t.At+t.For {
-			s.Troubles = append(s.Troubles, t)
+			s.Faults = append(s.Faults, t)
 		}
 	}
-	r.options.Look(s)
+	r.options.Observe(s)
 }
 
 func sleep(ctx context.Context, d time.Duration) bool {
@@ -352,17 +352,17 @@
 	}
 }
 
-// raise brings up engines, roster, relays and dispatchers.
-func (r *run) raise(ctx context.Context) error {
+// setUp brings up engines, roster, relays and dispatchers.
+func (r *run) setUp(ctx context.Context) error {
 	d := r.day
 	for _, c := range d.Module.Classes {
 		r.window = max(r.window, c.DeduplicationWindow)
 	}
 	kind := enginemodel.Kind{MemoryMB: d.MemoryMB, SpillCost: 2.5, WarmSets: 4,
-		WarmSaves: 0.3,
-		ColdFrom:  d.Module.Rules.SlowStartFrom, ColdFor: d.Module.Rules.SlowStartDuration,
-		ColdMultiple: d.Module.Rules.SlowStartOverloadFactor,
-		ColdWindow:   d.Module.Rules.SlowStartWindow}
+		WarmSaves:     0.3,
+		SlowStartFrom: d.Module.Rules.SlowStartFrom, SlowStartDuration: d.Module.Rules.SlowStartDuration,
+		SlowStartOverloadFactor: d.Module.Rules.SlowStartOverloadFactor,
+		SlowStartWindow:         d.Module.Rules.SlowStartWindow}
 	cfg := make([]standin.EngineConfig, d.Engines)
 	for i := range cfg {
 		kind.Cores = d.cores(i)
@@ -376,10 +376,10 @@
 		}
 	}
 	var err error
-	if r.rig, err = testbed.New(cfg...); err != nil {
+	if r.testbed, err = testbed.New(cfg...); err != nil {
 		return err
 	}
-	for i, e := range r.rig.Engines {
+	for i, e := range r.testbed.Engines {
 		relay, err := r.recorder.NewRelay(rulecheck.Engines, "", e.Addr())
 		if err != nil {
 			return err
@@ -388,7 +388,7 @@
 		e.Entry.Address, e.Entry.Kind = relay.Addr(), d.kind(i)
 		e.Entry.Zone, e.Entry.Cell = d.zone(i), i/2
 	}
-	r.rig.Publish()
+	r.testbed.Publish()
 	if err := os.MkdirAll(r.options.Dir, 0o755); err != nil {
 		return err
 	}
@@ -397,9 +397,9 @@
 		return err
 	}
 	var addrs, flights []string
-	talk, seed := d.Talk, ""
-	if r.options.Talk != "" {
-		talk = r.options.Talk
+	talk, seed := d.Gossip, ""
+	if r.options.Gossip != "" {
+		talk = r.options.Gossip
 	}
 	for i := range d.Dispatchers {
 		settings := settings
@@ -409,7 +409,7 @@
 				return err
 			}
 			settings = filepath.Join(r.options.Dir, fmt.Sprintf("settings-%d.hcl", i))
-			if err := os.WriteFile(settings, []byte(d.Settings+peersBlock(i, at, seed, talk)),
+			if err := os.WriteFile(settings, []byte(d.Settings+membershipBlock(i, at, seed, talk)),
 				0o644); err != nil {
 				return err
 			}
@@ -431,7 +431,7 @@
 			p.args = []string{"rehearse", "dispatcher", "--policy", r.options.Policy, "--mutate",
 				strconv.Itoa(r.options.Mutate)}
 		}
-		p.args = append(p.args, "-c", settings, "--listen", addr, "--eds", r.rig.Roster.Addr(),
+		p.args = append(p.args, "-c", settings, "--listen", addr, "--eds", r.testbed.Roster.Addr(),
 			"--cache", filepath.Join(r.options.Dir, fmt.Sprintf("list-%d", i)), "--ordinal", strconv.Itoa(i),
 			"--gateways", strconv.Itoa(d.Dispatchers), "--engine-user", p.name(), "--with-parent")
 		if !r.options.NoState {
@@ -453,14 +453,14 @@
 		}
 		addrs = append(addrs, p.relay.Addr())
 		if d.Flight > 0 {
-			if p.gate, err = r.recorder.NewFlightRelay(p.name(), at); err != nil {
+			if p.flightRelay, err = r.recorder.NewFlightRelay(p.name(), at); err != nil {
 				return err
 			}
-			flights = append(flights, p.gate.Addr())
+			flights = append(flights, p.flightRelay.Addr())
 		}
 	}
 	for begin := time.Now(); ; time.Sleep(10 * time.Millisecond) { // until all have the list
-		told, _ := r.rig.Roster.Told()
+		told, _ := r.testbed.Roster.Told()
 		nodes := map[string]bool{}
 		for _, t := range told {
 			if t.Version >= 2 {
@@ -480,9 +480,9 @@
 	return nil
 }
 
-// peersBlock is the settings block by which a dispatcher talks, in HCL. The first has no seed, and is
+// membershipBlock is the settings block by which a dispatcher talks, in HCL. The first has no seed, and is
 // everybody's.
-func peersBlock(i int, at, seed, talk string) string {
+func membershipBlock(i int, at, seed, talk string) string {
 	seeds, wait := "[]", "0s"
 	if seed != "" {
 		seeds = fmt.Sprintf("[%q]", seed)
@@ -494,8 +494,8 @@
 		"  wait = %q\n}\n", at, i, seeds, strings.Repeat("5c", 32), wait)
 }
 
-// end ends all that runs.
-func (r *run) end() {
+// tearDown ends all that runs.
+func (r *run) tearDown() {
 	for _, p := range r.dispatchers {
 		p.stop()
 		p.log.Close()
@@ -504,45 +504,45 @@
 		if p.relay != nil {
 			p.relay.Close()
 		}
-		if p.gate != nil {
-			p.gate.Close()
+		if p.flightRelay != nil {
+			p.flightRelay.Close()
 		}
 	}
 	for _, v := range r.relays {
 		v.Close()
 	}
-	if r.rig != nil {
-		r.rig.Close()
+	if r.testbed != nil {
+		r.testbed.Close()
 	}
 }
 
 func (r *run) fail(err error) {
 	if err != nil {
 		r.mu.Lock()
-		r.errs = append(r.errs, err)
+		r.failures = append(r.failures, err)
 		r.mu.Unlock()
 	}
 }
 
-// fault changes what is wrong with an engine; faults of different kinds add up.
-func (r *run) fault(i int, f func(*standin.Faults)) {
+// setEngineFault changes what is wrong with an engine; faults of different kinds add up.
+func (r *run) setEngineFault(i int, f func(*standin.Faults)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(&r.faults[i])
-	if up, _ := r.rig.Engines[i].Up(); up {
-		r.rig.Engines[i].Set(r.faults[i])
+	if up, _ := r.testbed.Engines[i].Up(); up {
+		r.testbed.Engines[i].Set(r.faults[i])
 	}
 }
 
 // restart brings a dead engine back. It tells a change of an engine's process to the roster, which knows only
 // whether it runs, a second late.
 func (r *run) restart(ctx context.Context, i int, after time.Duration) {
-	e := r.rig.Engines[i]
+	e := r.testbed.Engines[i]
 	if up, _ := e.Up(); up {
 		return // another trouble has brought it back
 	}
 	if sleep(ctx, min(time.Second, after/2)) {
-		r.rig.Change(i, func(v *eds.Engine) { v.State = eds.StateRemoved })
+		r.testbed.Change(i, func(v *eds.Engine) { v.State = eds.StateRemoved })
 	}
 	sleep(ctx, after-min(time.Second, after/2))
 	if ctx.Err() != nil {
@@ -555,21 +555,21 @@
 		r.fail(err)
 		return
 	}
-	r.fault(i, func(f *standin.Faults) { f.DieAfterRows = 0 })
-	r.rig.Change(i, func(v *eds.Engine) { v.State, v.Started = eds.StateActive, e.Started() })
+	r.setEngineFault(i, func(f *standin.Faults) { f.DieAfterRows = 0 })
+	r.testbed.Change(i, func(v *eds.Engine) { v.State, v.Started = eds.StateActive, e.Started() })
 }
 
 // drain has an engine told to drain, and come back as a new process.
 func (r *run) drain(ctx context.Context, i int, after time.Duration) {
-	r.rig.Change(i, func(v *eds.Engine) { v.State = eds.StateDraining })
+	r.testbed.Change(i, func(v *eds.Engine) { v.State = eds.StateDraining })
 	if sleep(ctx, after) {
-		r.rig.Engines[i].Die()
+		r.testbed.Engines[i].Die()
 		r.restart(ctx, i, 500*time.Millisecond)
 	}
 }
 
-// trouble plays one trouble from its beginning to its end.
-func (r *run) trouble(ctx context.Context, t Trouble) {
+// inject plays one trouble from its beginning to its end.
+func (r *run) inject(ctx context.Context, t Fault) {
 	r.options.Log.Info("trouble", "kind", t.Kind, "engines", t.Engines, "dispatcher", t.Dispatcher, "size",
 		t.Size, "for", t.For)
 	var wg sync.WaitGroup
@@ -584,9 +584,9 @@
 	}
 	during := func(set func(f *standin.Faults, on bool)) {
 		each(func(i int) {
-			r.fault(i, func(f *standin.Faults) { set(f, true) })
+			r.setEngineFault(i, func(f *standin.Faults) { set(f, true) })
 			sleep(ctx, t.For)
-			r.fault(i, func(f *standin.Faults) { set(f, false) })
+			r.setEngineFault(i, func(f *standin.Faults) { set(f, false) })
 		})
 	}
 	size := func(on bool) float64 {
@@ -619,26 +619,26 @@
 			f.LateReports = time.Duration(size(on) * float64(time.Second))
 		})
 	case "shared":
-		for i := range r.rig.Engines {
+		for i := range r.testbed.Engines {
 			t.Engines = append(t.Engines, i)
 		}
 		during(func(f *standin.Faults, on bool) { f.Slow = size(on) })
 	case "neighbour":
 		each(func(i int) {
 			for end := time.Now().Add(t.For); time.Now().Before(end) && ctx.Err() == nil; {
-				r.fault(i, func(f *standin.Faults) { f.Slow = t.Size })
+				r.setEngineFault(i, func(f *standin.Faults) { f.Slow = t.Size })
 				sleep(ctx, t.For/8)
-				r.fault(i, func(f *standin.Faults) { f.Slow = 0 })
+				r.setEngineFault(i, func(f *standin.Faults) { f.Slow = 0 })
 				sleep(ctx, t.For/8)
 			}
 		})
 	case "ageing":
 		each(func(i int) {
 			for n := 1.0; n <= 10 && sleep(ctx, t.For/14); n++ {
-				r.fault(i, func(f *standin.Faults) { f.Slow = 1 + (t.Size-1)*n/10 })
+				r.setEngineFault(i, func(f *standin.Faults) { f.Slow = 1 + (t.Size-1)*n/10 })
 			}
-			r.rig.Engines[i].Die()
-			r.fault(i, func(f *standin.Faults) { f.Slow = 0 })
+			r.testbed.Engines[i].Die()
+			r.setEngineFault(i, func(f *standin.Faults) { f.Slow = 0 })
 			r.restart(ctx, i, t.For*4/14)
 		})
 	case "deploy":
@@ -647,14 +647,14 @@
 		}
 	case "preemption":
 		each(func(i int) {
-			r.rig.Change(i, func(v *eds.Engine) { v.State = eds.StateDraining })
+			r.testbed.Change(i, func(v *eds.Engine) { v.State = eds.StateDraining })
 			if sleep(ctx, 2*time.Second) {
-				r.rig.Engines[i].Die()
+				r.testbed.Engines[i].Die()
 				r.restart(ctx, i, t.For)
 			}
 		})
 	case "zone-loss":
-		for i := range r.rig.Engines {
+		for i := range r.testbed.Engines {
 			if r.day.zone(i) == "a" {
 				t.Engines = append(t.Engines, i)
 			}
@@ -666,24 +666,24 @@
 					defer wg.Done()
 					p.kill()
 					sleep(ctx, t.For)
-					r.fail(p.back(context.Background()))
+					r.fail(p.startAgain(context.Background()))
 				}()
 			}
 		}
 		each(func(i int) {
-			r.rig.Engines[i].Die()
+			r.testbed.Engines[i].Die()
 			r.restart(ctx, i, t.For)
 		})
 	case "roll":
 		for _, p := range r.dispatchers {
-			p.roll()
-			r.fail(p.back(context.Background()))
+			p.restart()
+			r.fail(p.startAgain(context.Background()))
 			sleep(ctx, t.For/time.Duration(len(r.dispatchers)))
 		}
 	case "heavy-tail":
-		r.load.tail.Store(math.Float64bits(t.Size))
+		r.load.heavyTail.Store(math.Float64bits(t.Size))
 		sleep(ctx, t.For)
-		r.load.tail.Store(math.Float64bits(1))
+		r.load.heavyTail.Store(math.Float64bits(1))
 	case "shift":
 		if t.Class == "" {
 			t.Class = r.day.Traffic[0].Class
@@ -696,17 +696,17 @@
 		sleep(ctx, t.For)
 		r.load.key.Store(0)
 	case "flush":
-		each(func(i int) { r.rig.Engines[i].Flush() })
+		each(func(i int) { r.testbed.Engines[i].Flush() })
 	case "crash":
 		each(func(i int) {
-			r.rig.Engines[i].Die()
+			r.testbed.Engines[i].Die()
 			r.restart(ctx, i, t.For)
 		})
 	case "mid-answer":
 		each(func(i int) {
-			r.fault(i, func(f *standin.Faults) { f.DieAfterRows = int(t.Size) })
+			r.setEngineFault(i, func(f *standin.Faults) { f.DieAfterRows = int(t.Size) })
 			for up := true; up && sleep(ctx, 5*time.Millisecond); {
-				up, _ = r.rig.Engines[i].Up()
+				up, _ = r.testbed.Engines[i].Up()
 			}
 			if ctx.Err() == nil {
 				r.restart(ctx, i, t.For)
@@ -715,13 +715,13 @@
 	case "drain":
 		each(func(i int) { r.drain(ctx, i, t.For) })
 	case "roster-away":
-		r.rig.Roster.Away(true)
+		r.testbed.Roster.Away(true)
 		sleep(ctx, t.For)
-		r.rig.Roster.Away(false)
+		r.testbed.Roster.Away(false)
 	case "roster-late":
-		r.rig.Roster.Late(time.Duration(t.Size * float64(time.Second)))
+		r.testbed.Roster.Late(time.Duration(t.Size * float64(time.Second)))
 		sleep(ctx, t.For)
-		r.rig.Roster.Late(0)
+		r.testbed.Roster.Late(0)
 	case "return":
 		for i, p := range r.dispatchers {
 			if i%2 == 0 {
@@ -735,7 +735,7 @@
 					r.fail(storage.RemoveModelState(filepath.Join(r.options.Dir, fmt.Sprintf("state-%d", i))))
 				}
 				sleep(ctx, t.For)
-				r.fail(p.back(context.Background()))
+				r.fail(p.startAgain(context.Background()))
 			}()
 		}
 	case "kill":
@@ -743,7 +743,7 @@
 		p := r.dispatchers[t.Dispatcher]
 		p.kill()
 		sleep(ctx, t.For)
-		r.fail(p.back(context.Background()))
+		r.fail(p.startAgain(context.Background()))
 	case "burst":
 		r.load.burst.Store(math.Float64bits(t.Size))
 		sleep(ctx, t.For)
@@ -754,21 +754,21 @@
 		sleep(ctx, t.For)
 		r.load.hot.Store(-1)
 	case "give-up":
-		r.load.giveUp.Store(math.Float64bits(t.Size))
+		r.load.abandonShare.Store(math.Float64bits(t.Size))
 		sleep(ctx, t.For)
-		r.load.giveUp.Store(0)
+		r.load.abandonShare.Store(0)
 	}
 	wg.Wait()
 }
 
-// judge stops everything and judges what the relays saw.
-func (r *run) judge() *Result {
+// evaluate stops everything and judges what the relays saw.
+func (r *run) evaluate() *Result {
 	time.Sleep(200 * time.Millisecond) // for what is still on its way from dispatchers to engines
 	for _, p := range r.dispatchers {
 		p.stop()
 	}
 	var fallen []string
-	for i, e := range r.rig.Engines {
+	for i, e := range r.testbed.Engines {
 		if _, f := e.Up(); f {
 			fallen = append(fallen, e.Entry.Address)
 		}
@@ -776,20 +776,30 @@
 	}
 	for _, p := range r.dispatchers {
 		p.relay.Close()
-		if p.gate != nil {
-			p.gate.Close()
+		if p.flightRelay != nil {
+			p.flightRelay.Close()
 		}
 	}
 	log := r.recorder.Stop(10 * time.Second)
 	log.Fallen = fallen
-	log.Told = r.told()
+	log.Notifications = r.notifications()
 	for _, p := range r.dispatchers {
-		log.Killed = append(log.Killed, p.killed...)
+		log.Outages = append(log.Outages, p.killed...)
+	}
+	out := &Result{
+		Day:          r.day,
+		Verdicts:     rulecheck.Judge(r.day.Parameters(), log),
+		LoggedErrors: r.load.faults,
+		Requests:     len(log.Requests),
+		Attempts: len(
+			log.Attempts,
+		),
+		Seed:          r.options.Seed,
+		Log:           log,
+		Samples:       r.load.samples,
+		EngineSamples: r.engineSamples,
+		Start:         r.load.start,
 	}
-	out := &Result{Day: r.day, Verdicts: rulecheck.Judge(r.day.Figures(), log), Faults: r.load.faults,
-		Asked: len(log.Asks),
-		Sent:  len(log.Sends), Seed: r.options.Seed, Log: log, Samples: r.load.samples, Watches: r.watches,
-		Start: r.load.start}
 	for _, t := range r.day.Traffic {
 		if t.Session {
 			t.Class = "session"
@@ -798,7 +808,7 @@
 	}
 	for _, c := range out.Classes {
 		if want := r.day.Expects[c.Class]; c.Share() < want {
-			out.Short = append(out.Short, fmt.Sprintf("%s served %.1f%%, wanted %.1f%%", c.Class,
+			out.Missed = append(out.Missed, fmt.Sprintf("%s served %.1f%%, wanted %.1f%%", c.Class,
 				100*c.Share(),
 				100*want))
 		}
@@ -808,14 +818,14 @@
 		if err != nil {
 			lines = append(lines, err.Error())
 		}
-		out.Violated = append(out.Violated, lines...)
+		out.Violations = append(out.Violations, lines...)
 	}
-	out.Loads, out.Twice = twice(r.rig.Group.Ran(), r.window)
+	out.Loads, out.RanTwice = ranTwice(r.testbed.Group.Ran(), r.window)
 	return out
 }
 
-// twice counts loads that had their effect, and names those that had it again within a window.
-func twice(ran map[string][]time.Time, window time.Duration) (n int, again []string) {
+// ranTwice counts loads that had their effect, and names those that had it again within a window.
+func ranTwice(ran map[string][]time.Time, window time.Duration) (n int, again []string) {
 	for id, times := range ran {
 		n++
 		for i := 1; i < len(times); i++ {
@@ -828,16 +838,16 @@
 	return n, again
 }
 
-// told is what each dispatcher was told, in the judge's terms.
-func (r *run) told() (out []rulecheck.Told) {
-	all, _ := r.rig.Roster.Told()
+// notifications is what each dispatcher was told, in the judge's terms.
+func (r *run) notifications() (out []rulecheck.Notification) {
+	all, _ := r.testbed.Roster.Told()
 	for _, t := range all {
-		v := rulecheck.Told{Sent: t.Sent, At: t.At, Engines: map[string]rulecheck.Place{}}
+		v := rulecheck.Notification{Sent: t.Sent, At: t.At, Engines: map[string]rulecheck.Endpoint{}}
 		fmt.Sscanf(t.Node, "cresspass-%s", &v.Dispatcher)
 		v.Dispatcher = "d" + v.Dispatcher
 		for _, e := range t.List {
 			if e.State == eds.StateActive {
-				v.Engines[e.Address] = rulecheck.Place{Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
+				v.Engines[e.Address] = rulecheck.Endpoint{Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
 					Cores:   r.day.Module.KindCores[slices.Index(r.day.Module.KindNames, e.Kind)],
 					Started: e.Started}
 			}
--- a/internal/rehearsal/testbed/rig.go
+++ b/internal/rehearsal/testbed/testbed.go
@@ -23,8 +23,9 @@
 // Kind is a stand-in's machine with the usual figures of engines.
 func Kind(cores, memoryMB float64) enginemodel.Kind {
 	return enginemodel.Kind{Cores: cores, MemoryMB: memoryMB, SpillCost: 2.5, WarmSets: 4, WarmSaves: 0.3,
-		ColdFrom: 0.31,
-		ColdFor:  15 * time.Second, ColdMultiple: 3, ColdWindow: 3 * time.Second, MaxJobs: int(8 * cores)}
+		SlowStartFrom:     0.31,
+		SlowStartDuration: 15 * time.Second, SlowStartOverloadFactor: 3, SlowStartWindow: 3 * time.Second,
+		MaxJobs: int(8 * cores)}
 }
 
 // FreePort finds an address for a dispatcher over all its lives. Danger: a port that the system hands out
--- a/internal/server/fault_test.go
+++ b/internal/server/fault_test.go
@@ -502,7 +502,7 @@
 	}
 	t.Cleanup(r.Close)
 	rec := rulecheck.NewRecorder()
-	places := map[string]rulecheck.Place{}
+	places := map[string]rulecheck.Endpoint{}
 	var relays []*rulecheck.Relay
 	for _, e := range r.Engines {
 		relay, err := rec.NewRelay(rulecheck.Engines, "", e.Addr())
@@ -511,7 +511,7 @@
 		}
 		relays = append(relays, relay)
 		e.Entry.Address = relay.Addr()
-		places[relay.Addr()] = rulecheck.Place{Zone: "a", Kind: "std", Cores: 16}
+		places[relay.Addr()] = rulecheck.Endpoint{Zone: "a", Kind: "std", Cores: 16}
 	}
 	r.Publish()
 	s, err := r.Dispatch(strings.Replace(baseSettings, "engines {", "engines {\n  user = \"d0\"", 1), nil)
@@ -571,12 +571,12 @@
 		v.Close()
 	}
 	log := rec.Stop(20 * time.Second)
-	log.Told = []rulecheck.Told{{At: listedAt, Dispatcher: "d0", Engines: places}}
+	log.Notifications = []rulecheck.Notification{{At: listedAt, Dispatcher: "d0", Engines: places}}
 	parsed, err := config.Parse("x", []byte(baseSettings+"\nroster { eds = \"127.0.0.1:1\" }"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, v := range rulecheck.Judge(rehearsal.FiguresOf(&parsed.Module), log) {
+	for _, v := range rulecheck.Judge(rehearsal.ParametersFromConfig(&parsed.Module), log) {
 		if !v.Judged || !v.Kept {
 			t.Error(v)
 		}
@@ -587,8 +587,8 @@
 			timeouts += n
 		}
 	}
-	if len(log.Asks) > total || len(log.Asks) < total-timeouts || st.Overdue != 0 {
-		t.Errorf("%d asks seen of %d, %d clients gave up; books %+v", len(log.Asks), total, timeouts, st)
+	if len(log.Requests) > total || len(log.Requests) < total-timeouts || st.Overdue != 0 {
+		t.Errorf("%d asks seen of %d, %d clients gave up; books %+v", len(log.Requests), total, timeouts, st)
 	}
 	if ends["<nil>"] < total*8/10 {
 		t.Errorf("served %d of %d: %v", ends["<nil>"], total, ends)
--- a/internal/server/recording.go
+++ b/internal/server/recording.go
@@ -25,8 +25,8 @@
 		Dispatcher:  s.memberName(),
 		Cost:        ev.CostEstimate,
 		Fingerprint: sqlscan.Fingerprint(q.EngineQuery.Text),
-		Repeat:      ev.IsRetry,
-		Write:       ev.IsWrite,
+		IsRetry:     ev.IsRetry,
+		IsWrite:     ev.IsWrite,
 	}
 	if ev.Key != "" {
 		q.recordEntry.Key = xxhash.Sum64String(ev.Key)
@@ -48,6 +48,6 @@
 	if note == nil {
 		return
 	}
-	note.Outcome, note.Took = how, time.Since(q.arrivedAt)
-	s.recorder.Take(q.arrivedAt, *note)
+	note.Outcome, note.Elapsed = how, time.Since(q.arrivedAt)
+	s.recorder.Record(q.arrivedAt, *note)
 }
--- a/internal/server/recording_test.go
+++ b/internal/server/recording_test.go
@@ -43,7 +43,7 @@
 	for _, e := range all {
 		ends[e.Outcome]++
 		shapes[e.Fingerprint] = true
-		if e.Took <= 0 || e.Class == "" || e.Dispatcher == "" {
+		if e.Elapsed <= 0 || e.Class == "" || e.Dispatcher == "" {
 			t.Errorf("%+v", e)
 		}
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -395,7 +395,7 @@
 	ev.StickyEngine, ev.OpensSession = clientQuery.Lease.Engine(), clientQuery.EngineQuery.MayBecomeSticky
 	s.beginRecording(q, &ev)
 	if why, ok := s.admitQuery(q); !ok {
-		s.finishRecording(q, recording.Refused)
+		s.finishRecording(q, recording.Rejected)
 		s.respond(q, verdict.RejectOverLimit(why))
 		return
 	}
@@ -430,7 +430,7 @@
 		ev.Outcome = cresspass.OutcomeCancelled
 	}
 	if q := s.lookup(ev.Query); q != nil {
-		s.finishRecording(q, recording.GivenUp)
+		s.finishRecording(q, recording.Abandoned)
 		s.forget(q, true)
 	}
 	s.loop.Post(ev)
@@ -488,7 +488,7 @@
 		}
 	case dispatch.RejectQuery:
 		if q := s.lookup(o.Query); q != nil {
-			s.finishRecording(q, recording.Refused)
+			s.finishRecording(q, recording.Rejected)
 			s.forget(q, true)
 			s.respond(q, verdict.Reject(o.RetryAfter, o.MayHaveRun, s.lastError(q)))
 		}
--- a/internal/server/state.go
+++ b/internal/server/state.go
@@ -266,7 +266,7 @@
 		})
 		return true
 	case storage.Reject:
-		s.finishRecording(q, recording.Refused)
+		s.finishRecording(q, recording.Rejected)
 		s.forget(q, true)
 		s.respond(q, verdict.RejectAfterRestart(wait))
 		return true
--- a/internal/simulation/baseline/baseline.go
+++ b/internal/simulation/baseline/baseline.go
@@ -27,32 +27,33 @@
 	return nil, fmt.Errorf("baseline: there is no policy %q", policy)
 }
 
-// plain admits everything and sends it on at once. It heeds the list, tries safe queries again elsewhere, and
-// answers in the client's time; it knows nothing of mixes, cold engines, order, placement or a budget.
-type plain struct {
-	cfg     cresspass.Config
-	least   bool
-	now     time.Duration
-	classes map[string]cresspass.Class
-	engines []cresspass.EngineID // that are on, by name
-	running map[cresspass.EngineID]int
-	next    int
-	queries map[cresspass.QueryID]*plainQuery
-	out     []cresspass.Action
+// plainDecider admits everything and sends it on at once. It heeds the list, tries safe queries again
+// elsewhere, and answers in the client's time; it knows nothing of mixes, cold engines, order, placement or
+// a budget.
+type plainDecider struct {
+	cfg        cresspass.Config
+	minRunning bool
+	now        time.Duration
+	classes    map[string]cresspass.Class
+	engines    []cresspass.EngineID // that are on, by name
+	running    map[cresspass.EngineID]int
+	next       int
+	queries    map[cresspass.QueryID]*plainQuery
+	out        []cresspass.Action
 }
 
 type plainQuery struct {
-	id       cresspass.QueryID
-	class    cresspass.Class
-	deadline time.Duration
-	tries    int
-	ran      bool
-	out      bool // an attempt has no outcome
-	done     bool
+	id         cresspass.QueryID
+	class      cresspass.Class
+	deadline   time.Duration
+	attempts   int
+	mayHaveRun bool
+	out        bool // an attempt has no outcome
+	done       bool
 }
 
-func newPlain(cfg cresspass.Config, least bool) *plain {
-	p := &plain{cfg: cfg, least: least, classes: map[string]cresspass.Class{},
+func newPlain(cfg cresspass.Config, least bool) *plainDecider {
+	p := &plainDecider{cfg: cfg, minRunning: least, classes: map[string]cresspass.Class{},
 		running: map[cresspass.EngineID]int{},
 		queries: map[cresspass.QueryID]*plainQuery{}}
 	for _, c := range cfg.Classes {
@@ -61,10 +62,10 @@
 	return p
 }
 
-func (p *plain) Snapshot() []byte                             { return nil }
-func (p *plain) Restore(data []byte, age time.Duration) error { return nil }
+func (p *plainDecider) Snapshot() []byte                             { return nil }
+func (p *plainDecider) Restore(data []byte, age time.Duration) error { return nil }
 
-func (p *plain) Handle(now time.Duration, events []cresspass.Event,
+func (p *plainDecider) Handle(now time.Duration, events []cresspass.Event,
 	actions []cresspass.Action) []cresspass.Action {
 	p.now, p.out = now, actions
 	for i := range events {
@@ -73,9 +74,9 @@
 	return p.out
 }
 
-func (p *plain) do(a cresspass.Action) { p.out = append(p.out, a) }
+func (p *plainDecider) do(a cresspass.Action) { p.out = append(p.out, a) }
 
-func (p *plain) take(ev *cresspass.Event) {
+func (p *plainDecider) take(ev *cresspass.Event) {
 	q := p.queries[ev.Query]
 	switch ev.Type {
 	case cresspass.EngineListReceived:
@@ -112,12 +113,13 @@
 			return
 		}
 		q.out = false
-		q.ran = q.ran || !ev.Outcome.NeverRan()
+		q.mayHaveRun = q.mayHaveRun || !ev.Outcome.NeverRan()
 		switch {
 		case q.done || ev.QueryFinished:
 			q.done = true
 			p.drop(q)
-		case q.tries < max(p.cfg.MaxAttempts, 1) && (q.class.Effect == cresspass.Idempotent || !q.ran) &&
+		case q.attempts < max(p.cfg.MaxAttempts, 1) && (q.class.Effect == cresspass.Idempotent ||
+			!q.mayHaveRun) &&
 			p.now < q.deadline:
 			p.send(q)
 		default:
@@ -126,40 +128,40 @@
 	}
 }
 
-func (p *plain) drop(q *plainQuery) {
+func (p *plainDecider) drop(q *plainQuery) {
 	if !q.out {
 		delete(p.queries, q.id)
 	}
 }
 
-func (p *plain) end(q *plainQuery) {
+func (p *plainDecider) end(q *plainQuery) {
 	q.done = true
-	if q.class.Effect == cresspass.Idempotent || !q.ran && !q.out {
+	if q.class.Effect == cresspass.Idempotent || !q.mayHaveRun && !q.out {
 		p.do(cresspass.Action{Type: cresspass.Reject, Query: q.id})
 	} else {
 		p.do(cresspass.Action{Type: cresspass.Fail, Query: q.id})
 	}
 	if q.out && p.cfg.MayCancel {
-		p.do(cresspass.Action{Type: cresspass.Cancel, Query: q.id, Attempt: q.tries - 1})
+		p.do(cresspass.Action{Type: cresspass.Cancel, Query: q.id, Attempt: q.attempts - 1})
 	}
 	p.drop(q)
 }
 
-func (p *plain) send(q *plainQuery) {
+func (p *plainDecider) send(q *plainQuery) {
 	if len(p.engines) == 0 {
 		p.end(q)
 		return
 	}
 	p.next++
 	e := p.engines[p.next%len(p.engines)]
-	if p.least {
+	if p.minRunning {
 		for i := range p.engines { // ties go on from where the last search began
 			if c := p.engines[(p.next+i)%len(p.engines)]; p.running[c] < p.running[e] {
 				e = c
 			}
 		}
 	}
-	q.tries++
+	q.attempts++
 	q.out = true
 	p.running[e]++
 	p.do(cresspass.Action{Type: cresspass.Send, Query: q.id, Engine: e})
@@ -218,8 +220,8 @@
 	return m.Gateway.Handle(now, m.buf, actions)
 }
 
-// Loosen takes away, with the module's guard of a rule, the dispatcher's own behind it.
-func Loosen(rule int, cfg *cresspass.Config) {
+// LoosenRule takes away, with the module's guard of a rule, the dispatcher's own behind it.
+func LoosenRule(rule int, cfg *cresspass.Config) {
 	if rule == 1 {
 		cfg.Rules.AnswerGrace = time.Minute // its last resort for a query that the module forgot
 	}
--- a/internal/simulation/baseline/baseline_test.go
+++ b/internal/simulation/baseline/baseline_test.go
@@ -46,12 +46,14 @@
 		for id := range cresspass.QueryID(100) {
 			now += 20 * time.Millisecond
 			out := append([]dispatch.Output(nil), core.Step(now, []cresspass.Event{{
-				Type: cresspass.QueryArrived, Query: id + 1, Class: "q", RemainingDeadline: 4 * time.Second}})...)
+				Type: cresspass.QueryArrived, Query: id + 1, Class: "q",
+				RemainingDeadline: 4 * time.Second}})...)
 			for _, o := range out {
 				if o.Type == dispatch.StartAttempt {
 					sent[o.Engine]++
 					end := cresspass.Event{Type: cresspass.AttemptDone, Query: o.Query, Attempt: o.Attempt,
-						Engine: o.Engine, Outcome: cresspass.OutcomeOK, Elapsed: 5 * time.Millisecond, QueryFinished: true}
+						Engine: o.Engine, Outcome: cresspass.OutcomeOK, Elapsed: 5 * time.Millisecond,
+						QueryFinished: true}
 					if id%10 == 3 {
 						end.Outcome, end.QueryFinished = cresspass.OutcomeConnectionReset, false
 					}
@@ -59,7 +61,8 @@
 						if again.Type == dispatch.StartAttempt {
 							core.Step(now+9*time.Millisecond, []cresspass.Event{{Type: cresspass.AttemptDone,
 								Query: again.Query, Attempt: again.Attempt, Engine: again.Engine,
-								Outcome: cresspass.OutcomeOK, Elapsed: time.Millisecond, QueryFinished: true}})
+								Outcome: cresspass.OutcomeOK, Elapsed: time.Millisecond,
+								QueryFinished: true}})
 						}
 					}
 				}
--- a/internal/simulation/compare.go
+++ b/internal/simulation/compare.go
@@ -9,32 +9,32 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Bar is a mean over independent seeds with half the width of its 95% interval (Student's t).
-type Bar struct {
-	Mean, Half float64
-	N          int
+// Estimate is a mean over independent seeds with half the width of its 95% interval (Student's t).
+type Estimate struct {
+	Mean, HalfWidth float64
+	N               int
 }
 
-// BarOf returns the bar of samples from independent seeds.
-func BarOf(samples []float64) Bar {
-	b := Bar{N: len(samples)}
+// EstimateMean returns the bar of samples from independent seeds.
+func EstimateMean(samples []float64) Estimate {
+	b := Estimate{N: len(samples)}
 	switch len(samples) {
 	case 0:
-		b.Half = math.Inf(1)
+		b.HalfWidth = math.Inf(1)
 		return b
 	case 1:
-		b.Mean, b.Half = samples[0], math.Inf(1)
+		b.Mean, b.HalfWidth = samples[0], math.Inf(1)
 		return b
 	}
 	mean, dev := stat.MeanStdDev(samples, nil)
 	n := float64(len(samples))
 	b.Mean = mean
-	b.Half = distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975) * dev / math.Sqrt(n)
+	b.HalfWidth = distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975) * dev / math.Sqrt(n)
 	return b
 }
 
-// Clear reports whether the interval does not hold zero: of a difference, that there is one.
-func (b Bar) Clear() bool { return math.Abs(b.Mean) > b.Half }
+// IsSignificant reports whether the interval does not hold zero: of a difference, that there is one.
+func (b Estimate) IsSignificant() bool { return math.Abs(b.Mean) > b.HalfWidth }
 
 // Differences are one by one: samples of the same seeds, so that what the seeds do to both falls out.
 func Differences(a, b []float64) []float64 {
--- a/internal/simulation/converge.go
+++ b/internal/simulation/converge.go
@@ -17,7 +17,7 @@
 		if !m.Up {
 			continue
 		}
-		st, clock := m.Talker.Stats(), m.Talker.FleetClock(m.now(f.Queue))
+		st, clock := m.Node.Stats(), m.Node.FleetClock(m.now(f.Queue))
 		if up++; up == 1 {
 			early, late = clock, clock
 		}
@@ -28,7 +28,7 @@
 		seen[st.Ordinal] = true
 	}
 	for _, m := range f.All {
-		if m.Up && m.Talker.Stats().Members != up {
+		if m.Up && m.Node.Stats().Members != up {
 			return false
 		}
 	}
@@ -40,13 +40,13 @@
 	return late-early < near
 }
 
-// Known is the share of members that hold a fact as it was seen by one.
-func (f *Members) Known(k observation.Key, value float64) float64 {
+// Propagated is the share of members that hold a fact as it was seen by one.
+func (f *Members) Propagated(k observation.Key, value float64) float64 {
 	up, known := 0.0, 0.0
 	for _, m := range f.All {
 		if m.Up {
 			up++
-			if o := m.Talker.Store().Assess(m.now(f.Queue), k); o.Known && o.Value == value {
+			if o := m.Node.Store().Assess(m.now(f.Queue), k); o.Known && o.Value == value {
 				known++
 			}
 		}
@@ -56,29 +56,29 @@
 
 // Convergence is what a fleet came to that began at once.
 type Convergence struct {
-	Members int
-	Agreed  time.Duration // ordinals, count and clock
-	Known   time.Duration // from one's evidence of an engine until all know of it
-	Return  time.Duration // from the return of a tenth until all agree again
+	Members     int
+	Agreed      time.Duration // ordinals, count and clock
+	Propagated  time.Duration // from one's evidence of an engine until all know of it
+	Reconverged time.Duration // from the return of a tenth until all agree again
 	// BytesSecond is what each says a second when all is calm, module's messages left out: the mean and the
 	// most.
-	BytesSecond, BytesMost float64
-	Events                 uint64
+	BytesSecond, MaxBytesSecond float64
+	Events                      uint64
 }
 
 // Converge has a fleet begin at once in a weather, with so many engines, and measures. A time of -1 was not
 // reached within two minutes.
-func Converge(seed uint64, n, engines int, w Weather) Convergence {
+func Converge(seed uint64, n, engines int, w NetworkConditions) Convergence {
 	q := &Queue{}
 	list := map[cresspass.EngineID]float64{}
 	for i := range engines {
 		list[engineID(i)] = 16
 	}
-	f := NewMembers(q, seed, n, w, DefaultDetection(), TalkConfig(1, 4),
+	f := NewMembers(q, seed, n, w, DefaultDetection(), GossipConfig(1, 4),
 		func(t *gossip.Node) { t.SetEngines(list) })
 	out := Convergence{Members: n}
 	for i := range n {
-		q.In(f.part(2*time.Second), func() { f.Start(i, -1, 0) })
+		q.In(f.partition(2*time.Second), func() { f.Start(i, -1, 0) })
 	}
 	until := func(ok func() bool) time.Duration {
 		for begin := q.Now(); q.Now()-begin < 2*time.Minute; q.Run(q.Now() + 100*time.Millisecond) {
@@ -95,7 +95,7 @@
 	var see func(m *Member)
 	see = func(m *Member) {
 		if m.Up {
-			m.Talker.RecordAttempt(m.now(q), engineID(f.random.IntN(engines)), true, -1)
+			m.Node.RecordAttempt(m.now(q), engineID(f.random.IntN(engines)), true, -1)
 		}
 		q.In(time.Second, func() { see(m) })
 	}
@@ -108,12 +108,12 @@
 	for i := range n {
 		b := float64(f.Net.Bytes[i]-before[i]) / 20
 		out.BytesSecond += b / float64(n)
-		out.BytesMost = max(out.BytesMost, b)
+		out.MaxBytesSecond = max(out.MaxBytesSecond, b)
 	}
 	k := observation.Key{Engine: string(engineID(0)), Property: observation.Uptime}
 	first := f.All[0]
-	first.Talker.Store().Observe(first.now(q), k, 77)
-	out.Known = until(func() bool { return f.Known(k, 77) == 1 })
+	first.Node.Store().Observe(first.now(q), k, 77)
+	out.Propagated = until(func() bool { return f.Propagated(k, 77) == 1 })
 	for i := range max(n/10, 1) {
 		f.Stop(i, false)
 	}
@@ -121,7 +121,7 @@
 	for i := range max(n/10, 1) {
 		f.Start(i, -1, 0)
 	}
-	out.Return = until(agreed)
+	out.Reconverged = until(agreed)
 	out.Events = q.Done()
 	return out
 }
--- a/internal/simulation/enginemodel/model.go
+++ b/internal/simulation/enginemodel/model.go
@@ -11,17 +11,18 @@
 
 // Kind describes a machine. Zero figures switch their effect off.
 type Kind struct {
-	Cores        float64
-	MemoryMB     float64
-	Knee         float64       // threads a core from which total work falls; 0: 1.7
-	SpillCost    float64       // a query without any of its memory does so many times its work more
-	WarmSets     int           // data sets kept warm
-	WarmSaves    float64       // part of the work that a warm set saves
-	ColdFrom     float64       // share of its capacity at a start
-	ColdFor      time.Duration // until it is warm
-	ColdMultiple float64       // sent more than this multiple of its present capacity...
-	ColdWindow   time.Duration // ...over this long, it falls over
-	MaxJobs      int           // more are turned away
+	Cores    float64
+	MemoryMB float64
+	Knee     float64 // threads a core from which total work falls; 0: 1.7
+	// a query without any of its memory does so many times its work more
+	SpillCost               float64
+	WarmSets                int           // data sets kept warm
+	WarmSaves               float64       // part of the work that a warm set saves
+	SlowStartFrom           float64       // share of its capacity at a start
+	SlowStartDuration       time.Duration // until it is warm
+	SlowStartOverloadFactor float64       // sent more than this multiple of its present capacity...
+	SlowStartWindow         time.Duration // ...over this long, it falls over
+	MaxJobs                 int           // more are turned away
 }
 
 // Job is a query as the engine sees it.
@@ -56,20 +57,20 @@
 
 // Model is one engine. It is for one goroutine at a time.
 type Model struct {
-	kind    Kind
-	started time.Duration
-	now     time.Duration
-	slow    float64
-	halted  bool
-	fallen  bool
-	jobs    []*Running
-	over    []*Running // ended, and not yet told of
-	warm    []string   // the last used in front
-	intake  []taken
-	done    float64 // thread seconds of work done, all jobs
+	kind       Kind
+	started    time.Duration
+	now        time.Duration
+	slow       float64
+	halted     bool
+	fallen     bool
+	jobs       []*Running
+	over       []*Running // ended, and not yet told of
+	cachedSets []string   // the last used in front
+	intake     []arrival
+	done       float64 // thread seconds of work done, all jobs
 }
 
-type taken struct {
+type arrival struct {
 	at   time.Duration
 	work float64
 }
@@ -78,7 +79,7 @@
 func New(kind Kind, now time.Duration, cold bool) *Model {
 	m := &Model{kind: kind, started: now, now: now, slow: 1}
 	if !cold {
-		m.started = now - kind.ColdFor
+		m.started = now - kind.SlowStartDuration
 	}
 	return m
 }
@@ -117,14 +118,14 @@
 	return sum
 }
 
-// Warmth is the share of its capacity that it has now.
-func (m *Model) Warmth() float64 {
+// RampFraction is the share of its capacity that it has now.
+func (m *Model) RampFraction() float64 {
 	k := &m.kind
 	age := m.now - m.started
-	if k.ColdFor <= 0 || age >= k.ColdFor || k.ColdFrom <= 0 {
+	if k.SlowStartDuration <= 0 || age >= k.SlowStartDuration || k.SlowStartFrom <= 0 {
 		return 1
 	}
-	return k.ColdFrom + (1-k.ColdFrom)*age.Seconds()/k.ColdFor.Seconds()
+	return k.SlowStartFrom + (1-k.SlowStartFrom)*age.Seconds()/k.SlowStartDuration.Seconds()
 }
 
 // Slow sets how many times slower than itself it is.
@@ -140,12 +141,12 @@
 }
 
 // Flush makes the engine forget what it kept warm.
-func (m *Model) Flush() { m.warm = nil }
+func (m *Model) Flush() { m.cachedSets = nil }
 
 // Start takes a job; nil: it is turned away unseen. The engine may fall over by it.
 func (m *Model) Start(now time.Duration, j Job) *Running {
 	m.advance(now)
-	m.pushed(j.Work)
+	m.recordArrivedWork(j.Work)
 	if m.fallen || m.kind.MaxJobs > 0 && len(m.jobs) >= m.kind.MaxJobs {
 		return nil
 	}
@@ -163,47 +164,48 @@
 		r.total *= 1 + m.kind.SpillCost*r.spillMB/r.NeedMB
 	}
 	if j.Tables != "" {
-		if m.touch(j.Tables) {
+		if m.accessDataSet(j.Tables) {
 			r.total *= 1 - m.kind.WarmSaves
 		}
 	}
 	r.left = r.total
 	m.jobs = append(m.jobs, r)
-	m.hold()
+	m.blockWaitingJobs()
 	return r
 }
 
-// touch makes a data set the last used and reports whether it was warm.
-func (m *Model) touch(set string) bool {
-	for i, v := range m.warm {
+// accessDataSet makes a data set the last used and reports whether it was warm.
+func (m *Model) accessDataSet(set string) bool {
+	for i, v := range m.cachedSets {
 		if v == set {
-			copy(m.warm[1:i+1], m.warm[:i])
-			m.warm[0] = set
+			copy(m.cachedSets[1:i+1], m.cachedSets[:i])
+			m.cachedSets[0] = set
 			return true
 		}
 	}
-	m.warm = append([]string{set}, m.warm...)
-	m.warm = m.warm[:min(len(m.warm), m.kind.WarmSets)]
+	m.cachedSets = append([]string{set}, m.cachedSets...)
+	m.cachedSets = m.cachedSets[:min(len(m.cachedSets), m.kind.WarmSets)]
 	return false
 }
 
-// pushed counts work that was sent, also what is turned away. A cold engine falls over under too much of it.
-func (m *Model) pushed(work float64) {
+// recordArrivedWork counts work that was sent, also what is turned away. A cold engine falls over under too
+// much of it.
+func (m *Model) recordArrivedWork(work float64) {
 	k := &m.kind
-	if k.ColdMultiple <= 0 || k.ColdWindow <= 0 || m.Warmth() >= 1 {
+	if k.SlowStartOverloadFactor <= 0 || k.SlowStartWindow <= 0 || m.RampFraction() >= 1 {
 		m.intake = m.intake[:0]
 		return
 	}
-	m.intake = append(m.intake, taken{m.now, work})
+	m.intake = append(m.intake, arrival{m.now, work})
 	sum := 0.0
 	for i := len(m.intake) - 1; i >= 0; i-- {
-		if m.now-m.intake[i].at > k.ColdWindow {
+		if m.now-m.intake[i].at > k.SlowStartWindow {
 			m.intake = m.intake[i+1:]
 			break
 		}
 		sum += m.intake[i].work
 	}
-	if sum > k.ColdMultiple*k.Cores*m.Warmth()*k.ColdWindow.Seconds() {
+	if sum > k.SlowStartOverloadFactor*k.Cores*m.RampFraction()*k.SlowStartWindow.Seconds() {
 		m.fallen, m.jobs = true, nil
 	}
 }
@@ -222,11 +224,11 @@
 			break
 		}
 	}
-	m.hold()
+	m.blockWaitingJobs()
 }
 
-// hold marks who stands still: of a data set that a load holds, all but the first load.
-func (m *Model) hold() {
+// blockWaitingJobs marks who stands still: of a data set that a load holds, all but the first load.
+func (m *Model) blockWaitingJobs() {
 	holders := map[string]*Running{}
 	for _, r := range m.jobs {
 		if r.Loads && r.Tables != "" && holders[r.Tables] == nil {
@@ -253,14 +255,14 @@
 	if knee <= 0 {
 		knee = 1.7
 	}
-	capacity := m.kind.Cores * m.Warmth() / m.slow
+	capacity := m.kind.Cores * m.RampFraction() / m.slow
 	if load := threads / m.kind.Cores; load > knee { // crowding: total work falls
 		capacity *= math.Pow(knee/load, 0.3)
 	}
 	if g := m.Granted(); g > 1 {
 		capacity *= math.Pow(g, -2.5)
 	}
-	single := math.Min(1, m.Warmth()) / m.slow // what one thread can do at most
+	single := math.Min(1, m.RampFraction()) / m.slow // what one thread can do at most
 	// Water-filling: who cannot use its share leaves it to the others.
 	open := make([]int, 0, len(m.jobs))
 	for i, r := range m.jobs {
@@ -315,7 +317,7 @@
 func (m *Model) advance(now time.Duration) {
 	for m.now < now {
 		until := now
-		if m.Warmth() < 1 {
+		if m.RampFraction() < 1 {
 			until = min(until, m.now+step)
 		}
 		speeds := m.speeds()
@@ -357,7 +359,7 @@
 			next, ok = min(next, m.now+ceil(r.left/speeds[i])), true
 		}
 	}
-	if ok && m.Warmth() < 1 {
+	if ok && m.RampFraction() < 1 {
 		next = min(next, m.now+step)
 	}
 	return next, ok
--- a/internal/simulation/enginemodel/model_test.go
+++ b/internal/simulation/enginemodel/model_test.go
@@ -98,7 +98,13 @@
 }
 
 func TestColdEngineFallsOver(t *testing.T) {
-	kind := Kind{Cores: 2, ColdFrom: 0.5, ColdFor: 10 * time.Second, ColdMultiple: 2, ColdWindow: time.Second}
+	kind := Kind{
+		Cores:                   2,
+		SlowStartFrom:           0.5,
+		SlowStartDuration:       10 * time.Second,
+		SlowStartOverloadFactor: 2,
+		SlowStartWindow:         time.Second,
+	}
 	m := New(kind, 0, true)
 	if r := m.Start(0, Job{Work: 1.9, Threads: 1}); r == nil || m.Fallen() {
 		t.Fatal("fell over within its budget of 2")
--- a/internal/simulation/experiment/binary_test.go
+++ b/internal/simulation/experiment/binary_test.go
@@ -40,8 +40,8 @@
 	}
 	for f, name := range Figures {
 		// Times are cut to microseconds on the wire, so single queries go other ways; not the figures.
-		if d := r.Difference(1, 0, f); d.Clear() && (d.Mean > 0.01 || d.Mean < -0.01) {
-			t.Errorf("%s differs by %.4f ±%.4f", name, d.Mean, d.Half)
+		if d := r.Difference(1, 0, f); d.IsSignificant() && (d.Mean > 0.01 || d.Mean < -0.01) {
+			t.Errorf("%s differs by %.4f ±%.4f", name, d.Mean, d.HalfWidth)
 		}
 	}
 	// Danger: an instance that lost its first timer serves, and looks at nothing any more.
--- a/internal/simulation/experiment/calibrate.go
+++ b/internal/simulation/experiment/calibrate.go
@@ -15,35 +15,35 @@
 
 // Row is a figure as it was seen through sockets and in the model.
 type Row struct {
-	Class, Figure  string
-	Sockets, Model simulation.Bar
+	Class, Figure        string
+	OnSockets, Simulated simulation.Estimate
 }
 
-// Apart reports whether the bars of a row do not meet.
-func (r *Row) Apart() bool {
-	return math.Abs(r.Sockets.Mean-r.Model.Mean) > r.Sockets.Half+r.Model.Half
+// Difference reports whether the bars of a row do not meet.
+func (r *Row) Difference() bool {
+	return math.Abs(r.OnSockets.Mean-r.Simulated.Mean) > r.OnSockets.HalfWidth+r.Simulated.HalfWidth
 }
 
-// tries are what is compared of a class in one play.
-type tries struct {
+// outcomeCounts are what is compared of a class in one play.
+type outcomeCounts struct {
 	n, served, refused, failed int
 	took                       []float64
 }
 
-func (t *tries) add(a *simulation.Ask) {
+func (t *outcomeCounts) add(a *simulation.Request) {
 	t.n++
 	switch a.End {
 	case simulation.Served:
 		t.served++
-		t.took = append(t.took, a.Took.Seconds())
-	case simulation.Refused:
+		t.took = append(t.took, a.Elapsed.Seconds())
+	case simulation.Rejected:
 		t.refused++
 	default:
 		t.failed++
 	}
 }
 
-func (t *tries) figures() []float64 {
+func (t *outcomeCounts) figures() []float64 {
 	n := math.Max(float64(t.n), 1)
 	sort.Float64s(t.took)
 	at := func(q float64) float64 {
@@ -93,31 +93,32 @@
 			failed = p.err
 			continue
 		}
-		by := map[string]*tries{}
-		for _, a := range p.result.Asks() {
+		by := map[string]*outcomeCounts{}
+		for _, a := range p.result.AllRequests() {
 			if a.At >= d.Length/10 && a.Class >= 0 { // without the warm-up, and sessions
-				of(by, d.Module.Classes[a.Class].Name).add(&a)
+				countsFor(by, d.Module.Classes[a.Class].Name).add(&a)
 			}
 		}
-		keep(sockets, by)
+		appendFigures(sockets, by)
 	}
 	if failed != nil {
 		return nil, failed
 	}
-	runs, err := simulation.Parallel(seeds, func(i int) (map[string]*tries, error) {
+	runs, err := simulation.Parallel(seeds, func(i int) (map[string]*outcomeCounts, error) {
 		c := FromDay(d, uint64(i+1))
 		c.Length += 20 * time.Second // those that came last have their answers as well
-		c.Talk = map[string]simulation.Talk{"cold": simulation.Talking, "ask": simulation.Newcomers}[d.Talk]
+		c.Gossip = map[string]simulation.GossipMode{"cold": simulation.GossipOnly,
+			"ask": simulation.GossipAndBootstrap}[d.Gossip]
 		f, err := simulation.NewFleet(c)
 		if err != nil {
 			return nil, err
 		}
-		by := map[string]*tries{}
-		for _, a := range f.Run().Asks {
+		by := map[string]*outcomeCounts{}
+		for _, a := range f.Run().Requests {
 			if a.At < d.Length/10 || a.At >= d.Length {
 				continue
 			}
-			of(by, c.Traffic[a.Class].Class).add(&a)
+			countsFor(by, c.Traffic[a.Class].Class).add(&a)
 		}
 		return by, nil
 	})
@@ -125,7 +126,7 @@
 		return nil, err
 	}
 	for _, by := range runs {
-		keep(modelled, by)
+		appendFigures(modelled, by)
 	}
 	var names []string
 	for name := range modelled {
@@ -135,32 +136,32 @@
 	var rows []Row
 	for _, name := range names {
 		for f, figure := range rowNames {
-			rows = append(rows, Row{Class: name, Figure: figure, Sockets: column(sockets[name], f),
-				Model: column(modelled[name], f)})
+			rows = append(rows, Row{Class: name, Figure: figure, OnSockets: column(sockets[name], f),
+				Simulated: column(modelled[name], f)})
 		}
 	}
 	return rows, nil
 }
 
-func of(by map[string]*tries, class string) *tries {
+func countsFor(by map[string]*outcomeCounts, class string) *outcomeCounts {
 	if by[class] == nil {
-		by[class] = &tries{}
+		by[class] = &outcomeCounts{}
 	}
 	return by[class]
 }
 
-func keep(into map[string][][]float64, by map[string]*tries) {
+func appendFigures(into map[string][][]float64, by map[string]*outcomeCounts) {
 	for class, t := range by {
 		into[class] = append(into[class], t.figures())
 	}
 }
 
-func column(runs [][]float64, f int) simulation.Bar {
+func column(runs [][]float64, f int) simulation.Estimate {
 	var v []float64
 	for _, r := range runs {
 		v = append(v, r[f])
 	}
-	return simulation.BarOf(v)
+	return simulation.EstimateMean(v)
 }
 
 // PrintRows writes a calibration's table.
@@ -169,10 +170,10 @@
 	for i := range rows {
 		r := &rows[i]
 		word := ""
-		if r.Apart() {
+		if r.Difference() {
 			word = "  apart"
 		}
-		fmt.Fprintf(w, "%-12s %-8s %12.4f ±%8.4f %12.4f ±%8.4f%s\n", r.Class, r.Figure, r.Sockets.Mean,
-			r.Sockets.Half, r.Model.Mean, r.Model.Half, word)
+		fmt.Fprintf(w, "%-12s %-8s %12.4f ±%8.4f %12.4f ±%8.4f%s\n", r.Class, r.Figure, r.OnSockets.Mean,
+			r.OnSockets.HalfWidth, r.Simulated.Mean, r.Simulated.HalfWidth, word)
 	}
 }
--- a/internal/simulation/experiment/experiment.go
+++ b/internal/simulation/experiment/experiment.go
@@ -228,19 +228,20 @@
 			c.Traffic[i].Told = a.Told
 		}
 	}
-	c.Uneven = a.Uneven
-	c.ListLate, _ = time.ParseDuration(a.ListLate) // checked
-	c.ReportLate, _ = time.ParseDuration(a.ReportLate)
-	c.Weather.Loss = math.Max(c.Weather.Loss, a.Loss)
+	c.Imbalance = a.Uneven
+	c.ListDelay, _ = time.ParseDuration(a.ListLate) // checked
+	c.ReportDelay, _ = time.ParseDuration(a.ReportLate)
+	c.Network.Loss = math.Max(c.Network.Loss, a.Loss)
 	if a.Calm {
-		c.Troubles = nil
+		c.Faults = nil
 	}
-	talk := d.Talk
+	talk := d.Gossip
 	if a.Talk != "" {
 		talk = a.Talk
 	}
-	c.Talk = map[string]simulation.Talk{"": simulation.Silent, "no": simulation.Silent, "cold": simulation.Talking,
-		"ask": simulation.Newcomers}[talk]
+	c.Gossip = map[string]simulation.GossipMode{"": simulation.NoGossip, "no": simulation.NoGossip,
+		"cold": simulation.GossipOnly,
+		"ask":  simulation.GossipAndBootstrap}[talk]
 	if e.Recorded != nil {
 		return c, replay(&c, e.Recorded)
 	}
@@ -254,8 +255,8 @@
 		Seed:        seed,
 		Dispatchers: d.Dispatchers,
 		Length:      d.Length,
-		Weather:     simulation.Calm(),
-		Travel:      300 * time.Microsecond,
+		Network:     simulation.CalmNetwork(),
+		TransitTime: 300 * time.Microsecond,
 		Module:      d.Module,
 	}
 	r := &d.Module.Rules
@@ -265,10 +266,11 @@
 		c.Engines = append(c.Engines, simulation.Engine{Kind: kind, Zone: string(rune('a' + i%d.Zones)),
 			Cell: i / 2,
 			Machine: enginemodel.Kind{Cores: cores, MemoryMB: d.MemoryMB, SpillCost: 2.5, WarmSets: 4,
-				WarmSaves: 0.3,
-				ColdFrom:  r.SlowStartFrom, ColdFor: r.SlowStartDuration, ColdMultiple: r.SlowStartOverloadFactor,
-				ColdWindow: r.SlowStartWindow,
-				MaxJobs:    int(8 * cores)}})
+				WarmSaves:     0.3,
+				SlowStartFrom: r.SlowStartFrom, SlowStartDuration: r.SlowStartDuration,
+				SlowStartOverloadFactor: r.SlowStartOverloadFactor,
+				SlowStartWindow:         r.SlowStartWindow,
+				MaxJobs:                 int(8 * cores)}})
 	}
 	for _, t := range d.Traffic {
 		if t.Session {
@@ -279,9 +281,9 @@
 			Threads: t.Threads, Repeats: t.Repeats, Keys: t.Keys, Tables: t.Tables, Loads: t.Loads,
 			Told: t.Told})
 	}
-	for _, t := range d.Troubles {
-		if slices.Contains(simulation.Troubles(), t.Kind) {
-			c.Troubles = append(c.Troubles, simulation.Trouble{Kind: t.Kind, At: t.At, For: t.For,
+	for _, t := range d.Faults {
+		if slices.Contains(simulation.FaultKinds(), t.Kind) {
+			c.Faults = append(c.Faults, simulation.Fault{Kind: t.Kind, At: t.At, For: t.For,
 				Engines:    t.Engines,
 				Dispatcher: t.Dispatcher, Size: t.Size, Class: t.Class})
 		}
@@ -289,10 +291,10 @@
 	return c
 }
 
-// LeftOut are the troubles of a day that the model does not know.
-func LeftOut(d *rehearsal.Day) (out []string) {
-	for _, t := range d.Troubles {
-		if !slices.Contains(simulation.Troubles(), t.Kind) && !slices.Contains(out, t.Kind) {
+// OmittedFigures are the troubles of a day that the model does not know.
+func OmittedFigures(d *rehearsal.Day) (out []string) {
+	for _, t := range d.Faults {
+		if !slices.Contains(simulation.FaultKinds(), t.Kind) && !slices.Contains(out, t.Kind) {
 			out = append(out, t.Kind)
 		}
 	}
@@ -314,7 +316,7 @@
 	quick := map[uint64][]float64{}
 	for _, e := range all {
 		if e.Outcome == recording.Served {
-			quick[e.Fingerprint] = append(quick[e.Fingerprint], e.Took.Seconds())
+			quick[e.Fingerprint] = append(quick[e.Fingerprint], e.Elapsed.Seconds())
 		}
 	}
 	least := map[uint64]float64{}
@@ -339,7 +341,7 @@
 		dispatchers[name] = i
 	}
 	for _, e := range all {
-		if e.Repeat {
+		if e.IsRetry {
 			continue // clients of the model come again by themselves
 		}
 		i, known := traffic[e.Class]
@@ -351,7 +353,7 @@
 			threads = e.Threads
 		}
 		r := simulation.Replay{
-			At:         e.At,
+			At:         e.ArrivedAt,
 			Traffic:    i,
 			Dispatcher: dispatchers[e.Dispatcher],
 			Told:       e.Cost.Seconds(),
@@ -360,7 +362,7 @@
 		case e.Outcome == recording.Served && least[e.Fingerprint] > 0:
 			// It took what it took. Danger: one shape has quick and long queries, a long way apart; cut to a
 			// few times the quickest, a recording would ask for a fraction of its work.
-			r.Work = threads * math.Min(e.Took.Seconds(), widest*least[e.Fingerprint])
+			r.Work = threads * math.Min(e.Elapsed.Seconds(), widest*least[e.Fingerprint])
 		case least[e.Fingerprint] > 0:
 			r.Work = threads * least[e.Fingerprint]
 		default:
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -46,9 +46,9 @@
 		Shared: func(string) ([]byte, error) { return settings, nil },
 		Recording: func(string) (out []recording.Entry, err error) {
 			for i := range 200 {
-				out = append(out, recording.Entry{At: time.Duration(i) * 90 * time.Millisecond,
-					Class: "board",
-					Took:  300 * time.Millisecond, Threads: 2, Fingerprint: uint64(i % 3),
+				out = append(out, recording.Entry{ArrivedAt: time.Duration(i) * 90 * time.Millisecond,
+					Class:   "board",
+					Elapsed: 300 * time.Millisecond, Threads: 2, Fingerprint: uint64(i % 3),
 					Dispatcher: fmt.Sprint("d", i*i%4)})
 			}
 			return out, nil
@@ -109,14 +109,14 @@
 		t.Fatal(err)
 	}
 	for f := range Figures {
-		if d := r.Difference(1, 0, f); d.Mean != 0 || d.Clear() {
+		if d := r.Difference(1, 0, f); d.Mean != 0 || d.IsSignificant() {
 			t.Errorf("%s of the same: %+v", Figures[f], d)
 		}
 	}
 	if a, b := r.Cells[0][0].Bar(0), r.Cells[0][1].Bar(0); a.Mean < 0.95 || b.Mean > a.Mean-0.1 {
 		t.Errorf("served in time at a fifth of capacity %+v, at eight times that %+v", a, b)
 	}
-	if d := r.Difference(2, 1, 0); !d.Clear() || d.Mean > 0 {
+	if d := r.Difference(2, 1, 0); !d.IsSignificant() || d.Mean > 0 {
 		t.Errorf("half of the engines: %+v", d)
 	}
 	var b strings.Builder
--- a/internal/simulation/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -28,7 +28,7 @@
 }
 
 // Bar is a figure's.
-func (c *Cell) Bar(figure int) simulation.Bar { return simulation.BarOf(c.Samples[figure]) }
+func (c *Cell) Bar(figure int) simulation.Estimate { return simulation.EstimateMean(c.Samples[figure]) }
 
 // Result is what an experiment came to.
 type Result struct {
@@ -75,12 +75,12 @@
 		last = min(last, cfg.Length-min(c.Deadline, cfg.Length/4))
 	}
 	s := got.Between(e.WarmUp, last, nil)
-	r.figures = []float64{s.Served * (1 - s.Late), s.Served, s.Refused, s.Failed, s.Mean.Seconds(),
+	r.figures = []float64{s.Served * (1 - s.Late), s.Served, s.Rejected, s.Failed, s.Mean.Seconds(),
 		s.Overload,
 		float64(got.Rules.Broken())}
-	for _, a := range got.Asks {
+	for _, a := range got.Requests {
 		if a.End == simulation.Served && a.At >= e.WarmUp && a.At < last {
-			r.times = append(r.times, a.Took.Seconds())
+			r.times = append(r.times, a.Elapsed.Seconds())
 		}
 	}
 	r.unstable, r.events = simulation.Unstable(got.Queued), got.Events
@@ -142,7 +142,7 @@
 				if half == 0 { // all seeds
 					half = math.SmallestNonzeroFloat64
 				}
-				more = max(more, simulation.Enough(b, half, e.Seeds))
+				more = max(more, simulation.EnoughSamples(b, half, e.Seeds))
 			}
 		}
 	}
@@ -150,8 +150,8 @@
 }
 
 // Difference is a figure's of an arm from the first, seed by seed.
-func (r *Result) Difference(arm, value, figure int) simulation.Bar {
-	return simulation.BarOf(simulation.Differences(r.Cells[arm][value].Samples[figure],
+func (r *Result) Difference(arm, value, figure int) simulation.Estimate {
+	return simulation.EstimateMean(simulation.Differences(r.Cells[arm][value].Samples[figure],
 		r.Cells[0][value].Samples[figure]))
 }
 
@@ -173,20 +173,20 @@
 			}
 			for f, name := range Figures {
 				b := c.Bar(f)
-				fmt.Fprintf(w, "    %-32s %8.4f ±%.4f", name, b.Mean, b.Half)
+				fmt.Fprintf(w, "    %-32s %8.4f ±%.4f", name, b.Mean, b.HalfWidth)
 				if arm > 0 {
 					d := r.Difference(arm, i, f)
 					word := "equal"
-					if d.Clear() {
+					if d.IsSignificant() {
 						word = "differs"
 					}
-					fmt.Fprintf(w, "   %+8.4f ±%.4f %s", d.Mean, d.Half, word)
+					fmt.Fprintf(w, "   %+8.4f ±%.4f %s", d.Mean, d.HalfWidth, word)
 				}
 				fmt.Fprintln(w)
 			}
 			for _, q := range []float64{0.5, 0.99} {
 				b := simulation.Bootstrap(c.Times, 200, 1, q)
-				fmt.Fprintf(w, "    time to answer, p%-14g  %8.3f ±%.3f s\n", 100*q, b.Mean, b.Half)
+				fmt.Fprintf(w, "    time to answer, p%-14g  %8.3f ±%.3f s\n", 100*q, b.Mean, b.HalfWidth)
 			}
 		}
 	}
--- a/internal/simulation/trouble.go
+++ b/internal/simulation/faults.go
@@ -11,8 +11,8 @@
 	"cresspass/internal/simulation/enginemodel"
 )
 
-// Trouble is one thing that goes wrong, by the rehearsal's names.
-type Trouble struct {
+// Fault is one thing that goes wrong, by the rehearsal's names.
+type Fault struct {
 	Kind       string
 	At, For    time.Duration
 	Engines    []int
@@ -28,21 +28,21 @@
 
 // Rules counts what broke a rule.
 type Rules struct {
-	Late    int // answers after the client's time (rule 1)
-	Drained int // sends to an engine later than the grace after the drain was told (rule 3)
-	Fallen  int // engines pushed over while cold by those who were told of their start (rule 4)
-	Budget  int // further attempts beyond it (rule 7)
-	Untold  int // engines pushed over mostly by those who were not: no rule's
+	Late          int // answers after the client's time (rule 1)
+	Drained       int // sends to an engine later than the grace after the drain was told (rule 3)
+	Fallen        int // engines pushed over while cold by those who were told of their start (rule 4)
+	Budget        int // further attempts beyond it (rule 7)
+	UnknownStarts int // engines pushed over mostly by those who were not: no rule's
 }
 
 // Broken is how many there are.
 func (r Rules) Broken() int { return r.Late + r.Drained + r.Fallen + r.Budget }
 
-// lateSlack is the time of the way to a client, and of the timers' grain.
-const lateSlack = 100 * time.Millisecond
+// lateTolerance is the time of the way to a client, and of the timers' grain.
+const lateTolerance = 100 * time.Millisecond
 
-// reportEvery is how often an engine draws up a report.
-const reportEvery = 200 * time.Millisecond
+// reportInterval is how often an engine draws up a report.
+const reportInterval = 200 * time.Millisecond
 
 // report is what an engine said of itself at a time.
 type report struct {
@@ -55,7 +55,7 @@
 // sent judges a send by the rules that are seen here.
 func (f *Fleet) sent(d *dispatcher, e *engine, attempt int) {
 	now, r := f.queue.Now(), &f.cfg.Module.Rules
-	if e.state != cresspass.EngineActive && e.told > 0 && now > e.told+r.DrainGrace {
+	if e.state != cresspass.EngineActive && e.listed > 0 && now > e.listed+r.DrainGrace {
 		f.out.Rules.Drained++
 	}
 	if attempt == 0 || !r.HasRetryBudget {
@@ -63,9 +63,9 @@
 	}
 	from := now - r.RetryBudgetWindow
 	old := func(at time.Duration) bool { return at < from }
-	d.takes, d.sends = slices.DeleteFunc(d.takes, old), slices.DeleteFunc(d.sends, old)
-	if d.sends = append(d.sends,
-		now); float64(len(d.sends)) > r.RetryBudgetFree+r.RetryBudgetRatio*float64(len(d.takes)) {
+	d.accepting, d.attempts = slices.DeleteFunc(d.accepting, old), slices.DeleteFunc(d.attempts, old)
+	if d.attempts = append(d.attempts,
+		now); float64(len(d.attempts)) > r.RetryBudgetFree+r.RetryBudgetRatio*float64(len(d.accepting)) {
 		f.out.Rules.Budget++
 	}
 }
@@ -91,8 +91,8 @@
 		return f.hotOne
 	}
 	busy := max(n/10, 1)
-	if f.cfg.Uneven > 0 && busy < n {
-		if x < f.cfg.Uneven {
+	if f.cfg.Imbalance > 0 && busy < n {
+		if x < f.cfg.Imbalance {
 			return int(y * float64(busy))
 		}
 		return busy + int(y*float64(n-busy))
@@ -114,31 +114,31 @@
 	return all
 }
 
-// list is an engine list as a dispatcher hears it, by its own clock.
-func (d *dispatcher) list(all []entry) cresspass.Event {
+// handleEngineList is an engine list as a dispatcher hears it, by its own clock.
+func (d *dispatcher) handleEngineList(all []entry) cresspass.Event {
 	ev := cresspass.Event{Type: cresspass.EngineListReceived, ListType: cresspass.ListComplete}
 	for i, e := range d.fleet.engines {
 		info := cresspass.EngineInfo{ID: e.id, State: all[i].state, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell}
 		if all[i].started > 0 {
-			info.StartedAt = all[i].started - d.zero
+			info.StartedAt = all[i].started - d.epoch
 		}
 		ev.Engines = append(ev.Engines, info)
 	}
 	return ev
 }
 
-// tell has all dispatchers told of the list as it stands now, as late as lists are. Danger: were it the list
-// as it stands when they hear of it, each change would bring word of later ones before their time.
-func (f *Fleet) tell(changed *engine) {
-	after := f.cfg.ListLate + f.listLate + 10*time.Millisecond
+// publishList has all dispatchers told of the list as it stands now, as late as lists are. Danger: were it
+// the list as it stands when they hear of it, each change would bring word of later ones before their time.
+func (f *Fleet) publishList(changed *engine) {
+	after := f.cfg.ListDelay + f.listLate + 10*time.Millisecond
 	all := f.stands()
 	f.queue.In(after, func() {
 		if was := all[changed.number]; was.state == changed.state && was.started == changed.started {
-			changed.told = f.queue.Now()
+			changed.listed = f.queue.Now()
 		}
 		for _, d := range f.dispatchers {
-			if d.up && !d.asked {
-				d.step(d.list(all))
+			if d.up && !d.bootstrapRequested {
+				d.step(d.handleEngineList(all))
 			}
 		}
 	})
@@ -154,39 +154,44 @@
 // arrived keeps what comes to a cold engine, as long as it counts.
 func (f *Fleet) arrived(e *engine, work float64, told bool) {
 	now := f.queue.Now()
-	if e.started == 0 || now-e.started > e.Machine.ColdFor {
+	if e.started == 0 || now-e.started > e.Machine.SlowStartDuration {
 		e.arrivals = nil
 		return
 	}
 	e.arrivals = slices.DeleteFunc(e.arrivals,
-		func(a arrival) bool { return now-a.at > e.Machine.ColdWindow })
+		func(a arrival) bool { return now-a.at > e.Machine.SlowStartWindow })
 	e.arrivals = append(e.arrivals, arrival{now, work, told})
 }
 
 func (f *Fleet) state(e *engine, s cresspass.EngineState) {
 	e.state = s
-	e.told = 0
-	f.tell(e)
+	e.listed = 0
+	f.publishList(e)
 }
 
-// die ends an engine: what it ran is lost.
-func (f *Fleet) die(e *engine) {
+// engineCrashed ends an engine: what it ran is lost.
+func (f *Fleet) engineCrashed(e *engine) {
 	e.up = false
 	var jobs []*job
 	for _, j := range e.jobs {
 		jobs = append(jobs, j)
 	}
 	slices.SortFunc(jobs, func(a, b *job) int {
-		return int(a.d.number-b.d.number)*1e6 + int(int64(a.query)-int64(b.query))*10 + a.attempt - b.attempt
+		return int(
+			a.dispatcher.number-b.dispatcher.number,
+		)*1e6 + int(
+			int64(a.query)-int64(b.query),
+		)*10 + a.attempt - b.attempt
 	})
 	clear(e.jobs)
 	for _, j := range jobs {
-		if j.d.life == j.life && j.d.up && j.d.jobs[jobKey{j.query, j.attempt}] == j {
-			delete(j.d.jobs, jobKey{j.query, j.attempt})
-			if j.d.member != nil {
-				j.d.member.Talker.RecordAttempt(j.d.member.now(f.queue), e.id, false, -1)
+		if j.dispatcher.incarnation == j.incarnation && j.dispatcher.up &&
+			j.dispatcher.jobs[jobKey{j.query, j.attempt}] == j {
+			delete(j.dispatcher.jobs, jobKey{j.query, j.attempt})
+			if j.dispatcher.member != nil {
+				j.dispatcher.member.Node.RecordAttempt(j.dispatcher.member.now(f.queue), e.id, false, -1)
 			}
-			j.d.post(f.cfg.Travel, cresspass.Event{Type: cresspass.AttemptDone, Query: j.query,
+			j.dispatcher.post(f.cfg.TransitTime, cresspass.Event{Type: cresspass.AttemptDone, Query: j.query,
 				Attempt: j.attempt,
 				Engine:  e.id, Outcome: cresspass.OutcomeConnectionReset})
 		}
@@ -207,15 +212,15 @@
 	if 3*told >= 2*all {
 		f.out.Rules.Fallen++
 	} else {
-		f.out.Rules.Untold++
+		f.out.Rules.UnknownStarts++
 	}
 	e.arrivals = nil
-	f.die(e)
-	f.queue.In(5*time.Second, func() { f.rise(e) })
+	f.engineCrashed(e)
+	f.queue.In(5*time.Second, func() { f.engineRestarted(e) })
 }
 
-// rise brings an engine back, cold.
-func (f *Fleet) rise(e *engine) {
+// engineRestarted brings an engine back, cold.
+func (f *Fleet) engineRestarted(e *engine) {
 	if e.up {
 		return
 	}
@@ -224,20 +229,20 @@
 	f.state(e, cresspass.EngineActive)
 }
 
-// probe asks an engine for a sign of life.
-func (d *dispatcher) probe(id cresspass.EngineID) {
+// checkHealth asks an engine for a sign of life.
+func (d *dispatcher) checkHealth(id cresspass.EngineID) {
 	f := d.fleet
 	e := f.byID[id]
 	if e == nil {
 		return
 	}
-	ev := cresspass.Event{Type: cresspass.HealthCheckDone, Engine: id, Elapsed: 2 * f.cfg.Travel}
+	ev := cresspass.Event{Type: cresspass.HealthCheckDone, Engine: id, Elapsed: 2 * f.cfg.TransitTime}
 	if !e.up {
 		ev.Outcome = cresspass.OutcomeConnectFailed
 	} else {
 		ev.LoadReport, ev.HasLoadReport = f.report(e)
 	}
-	d.post(2*f.cfg.Travel, ev)
+	d.post(2*f.cfg.TransitTime, ev)
 }
 
 // report is what an engine tells of itself with an answer, as old as reports are.
@@ -247,7 +252,7 @@
 		return nil, false
 	}
 	now := f.queue.Now()
-	if n := len(e.history); n == 0 || now-e.history[n-1].at >= reportEvery {
+	if n := len(e.stateHistory); n == 0 || now-e.stateHistory[n-1].at >= reportInterval {
 		values := make([]float64, len(fields))
 		for i, name := range fields {
 			switch name {
@@ -257,21 +262,21 @@
 				values[i] = e.model.Granted()
 			}
 		}
-		e.history = append(e.history, report{now, values})
-		if len(e.history) > 100 {
-			e.history = e.history[50:]
+		e.stateHistory = append(e.stateHistory, report{now, values})
+		if len(e.stateHistory) > 100 {
+			e.stateHistory = e.stateHistory[50:]
 		}
 	}
-	for i := len(e.history) - 1; i >= 0; i-- {
-		if now-e.history[i].at >= f.cfg.ReportLate+f.late {
-			return e.history[i].values, true
+	for i := len(e.stateHistory) - 1; i >= 0; i-- {
+		if now-e.stateHistory[i].at >= f.cfg.ReportDelay+f.late {
+			return e.stateHistory[i].values, true
 		}
 	}
 	return nil, false
 }
 
-// plan sets a trouble's beginning.
-func (f *Fleet) plan(t Trouble) error {
+// scheduleFaults sets a trouble's beginning.
+func (f *Fleet) scheduleFaults(t Fault) error {
 	for _, i := range t.Engines {
 		if i < 0 || i >= len(f.engines) {
 			return fmt.Errorf("model: trouble %s: there is no engine %d", t.Kind, i)
@@ -280,69 +285,69 @@
 	if t.Dispatcher < 0 || t.Dispatcher >= len(f.dispatchers) {
 		return fmt.Errorf("model: trouble %s: there is no dispatcher %d", t.Kind, t.Dispatcher)
 	}
-	if troubles[t.Kind] == nil {
+	if faultTable[t.Kind] == nil {
 		return fmt.Errorf("model: there is no trouble %q here", t.Kind)
 	}
-	f.queue.At(t.At, func() { troubles[t.Kind](f, t) })
+	f.queue.At(t.At, func() { faultTable[t.Kind](f, t) })
 	return nil
 }
 
-// Troubles are the names that are known here.
-func Troubles() (out []string) {
-	for name := range troubles {
+// FaultKinds are the names that are known here.
+func FaultKinds() (out []string) {
+	for name := range faultTable {
 		out = append(out, name)
 	}
 	slices.Sort(out)
 	return out
 }
 
-// troubles play one each.
-var troubles map[string]func(f *Fleet, t Trouble)
+// faultTable play one each.
+var faultTable map[string]func(f *Fleet, t Fault)
 
 func init() {
-	troubles = map[string]func(f *Fleet, t Trouble){
-		"slow": func(f *Fleet, t Trouble) { f.slow(t.Engines, t.Size, t.For) },
-		"shared": func(f *Fleet, t Trouble) {
+	faultTable = map[string]func(f *Fleet, t Fault){
+		"slow": func(f *Fleet, t Fault) { f.slow(t.Engines, t.Size, t.For) },
+		"shared": func(f *Fleet, t Fault) {
 			var all []int
 			for i := range f.engines {
 				all = append(all, i)
 			}
 			f.slow(all, t.Size, t.For)
 		},
-		"neighbour": func(f *Fleet, t Trouble) {
+		"neighbour": func(f *Fleet, t Fault) {
 			for n := range 4 {
 				f.queue.In(time.Duration(n)*t.For/4, func() { f.slow(t.Engines, t.Size, t.For/8) })
 			}
 		},
-		"hang": func(f *Fleet, t Trouble) {
+		"hang": func(f *Fleet, t Fault) {
 			f.each(t.Engines, func(e *engine) { f.halt(e, true) })
 			f.queue.In(t.For, func() { f.each(t.Engines, func(e *engine) { f.halt(e, false) }) })
 		},
-		"errors": func(f *Fleet, t Trouble) {
-			f.fault(t, func(e *engine,
+		"errors": func(f *Fleet, t Fault) {
+			f.applyFault(t, func(e *engine,
 				on float64) {
 				e.faults.errors = on * t.Size
 			})
 		},
-		"lost": func(f *Fleet, t Trouble) {
-			f.fault(t, func(e *engine,
+		"lost": func(f *Fleet, t Fault) {
+			f.applyFault(t, func(e *engine,
 				on float64) {
 				e.faults.lost = on * t.Size
 			})
 		},
-		"flush": func(f *Fleet, t Trouble) { f.each(t.Engines, func(e *engine) { e.model.Flush() }) },
-		"crash": func(f *Fleet, t Trouble) { f.each(t.Engines, func(e *engine) { f.crash(e, t.For) }) },
-		"drain": func(f *Fleet, t Trouble) { f.each(t.Engines, func(e *engine) { f.drain(e, t.For) }) },
-		"preemption": func(f *Fleet, t Trouble) {
+		"flush": func(f *Fleet, t Fault) { f.each(t.Engines, func(e *engine) { e.model.Flush() }) },
+		"crash": func(f *Fleet, t Fault) { f.each(t.Engines, func(e *engine) { f.crash(e, t.For) }) },
+		"drain": func(f *Fleet, t Fault) { f.each(t.Engines, func(e *engine) { f.drain(e, t.For) }) },
+		"preemption": func(f *Fleet, t Fault) {
 			f.each(t.Engines, func(e *engine) { f.drain(e, 2*time.Second) })
 		},
-		"deploy": func(f *Fleet, t Trouble) {
+		"deploy": func(f *Fleet, t Fault) {
 			each := t.For / time.Duration(max(len(t.Engines), 1))
 			for n, i := range t.Engines {
 				f.queue.In(time.Duration(n)*each, func() { f.drain(f.engines[i], each) })
 			}
 		},
-		"zone-loss": func(f *Fleet, t Trouble) {
+		"zone-loss": func(f *Fleet, t Fault) {
 			for _, e := range f.engines {
 				if e.Zone == "a" {
 					f.crash(e, t.For)
@@ -350,42 +355,45 @@
 			}
 			for i, d := range f.dispatchers {
 				if i > 0 && d.zone == "a" {
-					f.leave(Return{After: t.For, Dispatchers: []int{i}})
+					f.restartDispatchers(Restart{After: t.For, Dispatchers: []int{i}})
 				}
 			}
 		},
-		"kill": func(f *Fleet, t Trouble) { f.leave(Return{After: t.For, Dispatchers: []int{t.Dispatcher}}) },
-		"return": func(f *Fleet, t Trouble) {
-			r := Return{After: t.For, Cold: true}
+		"kill": func(f *Fleet, t Fault) {
+			f.restartDispatchers(Restart{After: t.For,
+				Dispatchers: []int{t.Dispatcher}})
+		},
+		"return": func(f *Fleet, t Fault) {
+			r := Restart{After: t.For, WithoutState: true}
 			for i := 1; i < len(f.dispatchers); i += 2 {
 				r.Dispatchers = append(r.Dispatchers, i)
 			}
-			f.leave(r)
+			f.restartDispatchers(r)
 		},
-		"roll": func(f *Fleet, t Trouble) {
+		"roll": func(f *Fleet, t Fault) {
 			each := t.For / time.Duration(len(f.dispatchers))
 			for i := range f.dispatchers {
 				f.queue.In(time.Duration(i)*each, func() {
-					f.leave(Return{After: min(time.Second, each/2), Dispatchers: []int{i}})
+					f.restartDispatchers(Restart{After: min(time.Second, each/2), Dispatchers: []int{i}})
 				})
 			}
 		},
-		"burst":        func(f *Fleet, t Trouble) { f.during(t.For, &f.load.burst, t.Size, 1) },
-		"heavy-tail":   func(f *Fleet, t Trouble) { f.during(t.For, &f.load.tail, t.Size, 1) },
-		"reports-late": func(f *Fleet, t Trouble) { f.lateBy(t, &f.late) },
-		"roster-late":  func(f *Fleet, t Trouble) { f.lateBy(t, &f.listLate) },
-		"hot": func(f *Fleet, t Trouble) {
+		"burst":        func(f *Fleet, t Fault) { f.during(t.For, &f.load.burst, t.Size, 1) },
+		"heavy-tail":   func(f *Fleet, t Fault) { f.during(t.For, &f.load.tail, t.Size, 1) },
+		"reports-late": func(f *Fleet, t Fault) { f.lateBy(t, &f.late) },
+		"roster-late":  func(f *Fleet, t Fault) { f.lateBy(t, &f.listLate) },
+		"hot": func(f *Fleet, t Fault) {
 			f.hotOne = t.Dispatcher
 			f.during(t.For, &f.load.hot, t.Size, 0)
 		},
-		"shift": func(f *Fleet, t Trouble) {
+		"shift": func(f *Fleet, t Fault) {
 			if t.Class == "" {
 				t.Class = f.cfg.Traffic[0].Class
 			}
 			f.shift = &t
 			f.queue.In(t.For, func() { f.shift = nil })
 		},
-		"ageing": func(f *Fleet, t Trouble) {
+		"ageing": func(f *Fleet, t Fault) {
 			for n := range 10 {
 				f.queue.In(time.Duration(n)*t.For/14, func() {
 					f.slow(t.Engines, 1+(t.Size-1)*float64(n+1)/10, t.For/14)
@@ -402,8 +410,8 @@
 	}
 }
 
-// fault sets what is wrong with engines, and takes it away.
-func (f *Fleet) fault(t Trouble, set func(e *engine, on float64)) {
+// applyFault sets what is wrong with engines, and takes it away.
+func (f *Fleet) applyFault(t Fault, set func(e *engine, on float64)) {
 	f.each(t.Engines, func(e *engine) { set(e, 1) })
 	f.queue.In(t.For, func() { f.each(t.Engines, func(e *engine) { set(e, 0) }) })
 }
@@ -413,7 +421,7 @@
 	f.queue.In(length, func() { *v = was })
 }
 
-func (f *Fleet) lateBy(t Trouble, v *time.Duration) {
+func (f *Fleet) lateBy(t Fault, v *time.Duration) {
 	*v = time.Duration(t.Size * float64(time.Second))
 	f.queue.In(t.For, func() { *v = 0 })
 }
@@ -421,7 +429,7 @@
 func (f *Fleet) slow(engines []int, factor float64, length time.Duration) {
 	set := func(e *engine, v float64) {
 		e.model.Slow(f.queue.Now(), v)
-		f.rearm(e)
+		f.reschedule(e)
 	}
 	f.each(engines, func(e *engine) { set(e, max(factor, 1)) })
 	f.queue.In(length, func() { f.each(engines, func(e *engine) { set(e, 1) }) })
@@ -429,26 +437,26 @@
 
 func (f *Fleet) halt(e *engine, on bool) {
 	e.model.Halt(f.queue.Now(), on)
-	f.rearm(e)
+	f.reschedule(e)
 }
 
-// rearm sets the event of an engine's next end, where that may have become later.
-func (f *Fleet) rearm(e *engine) {
+// reschedule sets the event of an engine's next end, where that may have become later.
+func (f *Fleet) reschedule(e *engine) {
 	e.next = math.MaxInt64
-	f.arm(e)
+	f.scheduleEngine(e)
 }
 
 func (f *Fleet) crash(e *engine, back time.Duration) {
 	if !e.up {
 		return
 	}
-	f.die(e)
+	f.engineCrashed(e)
 	f.queue.In(min(time.Second, back/2), func() { // the roster knows only whether it runs, a second late
 		if !e.up {
 			f.state(e, cresspass.EngineRemoved)
 		}
 	})
-	f.queue.In(back, func() { f.rise(e) })
+	f.queue.In(back, func() { f.engineRestarted(e) })
 }
 
 // drain has an engine told to drain, and come back as a new process.
@@ -459,8 +467,8 @@
 	f.state(e, cresspass.EngineDraining)
 	f.queue.In(after, func() {
 		if e.up {
-			f.die(e)
-			f.queue.In(500*time.Millisecond, func() { f.rise(e) })
+			f.engineCrashed(e)
+			f.queue.In(500*time.Millisecond, func() { f.engineRestarted(e) })
 		}
 	})
 }
