--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -16,17 +16,17 @@
 	"cresspass/internal/simulation/enginemodel"
 )
 
-// Talk says what dispatchers have of one another.
-type Talk int
+// GossipMode says what dispatchers have of one another.
+type GossipMode int
 
 // The ways.
 const (
-	Silent    Talk = iota // nothing is said; the settings' ordinal and count stand
-	Talking               // they talk; one that begins does so from nothing
-	Newcomers             // they talk, and one that begins asks for what others have learnt
+	NoGossip           GossipMode = iota // nothing is said; the settings' ordinal and count stand
+	GossipOnly                           // they talk; one that begins does so from nothing
+	GossipAndBootstrap                   // they talk, and one that begins asks for what others have learnt
 )
 
-func (t Talk) String() string { return [...]string{"silent", "talking", "newcomers"}[t] }
+func (t GossipMode) String() string { return [...]string{"silent", "talking", "newcomers"}[t] }
 
 // Traffic is what clients of one class ask.
 type Traffic struct {
@@ -69,11 +69,11 @@
 	Key        string
 }
 
-// Return is dispatchers that end and come back.
-type Return struct {
-	At, After   time.Duration
-	Dispatchers []int
-	Cold        bool // without what they had learnt; else with it
+// Restart is dispatchers that end and come back.
+type Restart struct {
+	At, After    time.Duration
+	Dispatchers  []int
+	WithoutState bool // without what they had learnt; else with it
 }
 
 // Config describes a fleet and its day.
@@ -84,22 +84,22 @@
 	Policy      string // "" is the module; else a baseline, see Policies
 	// Decide makes each dispatcher's decisions at the beginning of a life; nil: Policy's. What it returns may
 	// have a Retire, which is called when that life ends.
-	Decide     func(cfg *cresspass.Config, now time.Duration) (dispatch.Decider, error)
-	Module     cresspass.Config
-	Traffic    []Traffic
-	Length     time.Duration
-	Talk       Talk
-	Liars      int // the first so many tell lies, as well as what they do
-	Weather    Weather
-	Returns    []Return
-	Troubles   []Trouble
-	Travel     time.Duration // from a dispatcher to an engine, one way
-	ListLate   time.Duration // a change of engines reaches dispatchers so much later
-	ReportLate time.Duration // engines' reports are so old
-	Uneven     float64       // share of all clients that the busiest tenth has; 0: all alike
-	Quiet      bool          // only tries are kept, not how engines stood
-	Workers    int           // cores that a run may use; 0: all
-	Replay     []Replay      // clients that come as they were recorded, besides those of the traffic
+	Decide      func(cfg *cresspass.Config, now time.Duration) (dispatch.Decider, error)
+	Module      cresspass.Config
+	Traffic     []Traffic
+	Length      time.Duration
+	Gossip      GossipMode
+	Byzantine   int // the first so many tell lies, as well as what they do
+	Network     NetworkConditions
+	Restarts    []Restart
+	Faults      []Fault
+	TransitTime time.Duration // from a dispatcher to an engine, one way
+	ListDelay   time.Duration // a change of engines reaches dispatchers so much later
+	ReportDelay time.Duration // engines' reports are so old
+	Imbalance   float64       // share of all clients that the busiest tenth has; 0: all alike
+	OmitLoads   bool          // only tries are kept, not how engines stood
+	Workers     int           // cores that a run may use; 0: all
+	Replay      []Replay      // clients that come as they were recorded, besides those of the traffic
 }
 
 // End is how a try ended.
@@ -108,35 +108,35 @@
 // The ends.
 const (
 	Served End = iota
-	Refused
+	Rejected
 	Failed
-	GaveUp // its client did; not in the model
+	Abandoned // its client did; not in the model
 )
 
-// Ask is a try of a client, once it has ended.
-type Ask struct {
+// Request is a try of a client, once it has ended.
+type Request struct {
 	Class      int
 	Dispatcher int
 	At         time.Duration // when the client first asked
-	Took       time.Duration
+	Elapsed    time.Duration
 	End        End
 	Late       bool // after its class's aim
 }
 
-// Look is how the engines stood.
-type Look struct {
-	At   time.Duration
-	Load []float64 // threads a core, by engine
+// LoadSample is how the engines stood.
+type LoadSample struct {
+	At      time.Duration
+	Threads []float64 // threads a core, by engine
 }
 
 // Result is what a day came to.
 type Result struct {
-	Asks   []Ask
-	Looks  []Look
-	Events uint64
-	Stats  []gossip.Stats
-	Rules  Rules
-	Queued []float64 // queries that had no answer, at even times
+	Requests []Request
+	Loads    []LoadSample
+	Events   uint64
+	Stats    []gossip.Stats
+	Rules    Rules
+	Queued   []float64 // queries that had no answer, at even times
 }
 
 // Fleet is a fleet that runs. Make one with NewFleet.
@@ -146,65 +146,65 @@
 	members     *Members
 	engines     []*engine
 	dispatchers []*dispatcher
-	chance      *rand.Rand
-	asks        uint64
+	random      *rand.Rand
+	requests    uint64
 	out         Result
 	byID        map[cresspass.EngineID]*engine
 	open        int // queries without an answer
 	load        struct{ burst, tail, hot float64 }
 	hotOne      int
-	shift       *Trouble
-	alone       bool          // dispatchers decide by what they hear alone
+	shift       *Fault
+	solo        bool          // dispatchers decide by what they hear alone
 	late        time.Duration // reports, by a trouble
 	listLate    time.Duration
 }
 
 type engine struct {
 	Engine
-	number   int
-	id       cresspass.EngineID
-	state    cresspass.EngineState
-	up       bool
-	started  time.Duration
-	told     time.Duration // when its dispatchers were told of its present state
-	faults   faults
-	history  []report
-	arrivals []arrival
-	model    *enginemodel.Model
-	jobs     map[*enginemodel.Running]*job
-	next     time.Duration // the event that is set
+	number       int
+	id           cresspass.EngineID
+	state        cresspass.EngineState
+	up           bool
+	started      time.Duration
+	listed       time.Duration // when its dispatchers were told of its present state
+	faults       faults
+	stateHistory []report
+	arrivals     []arrival
+	model        *enginemodel.Model
+	jobs         map[*enginemodel.Running]*job
+	next         time.Duration // the event that is set
 }
 
 type job struct {
-	d       *dispatcher
-	life    uint64
-	query   cresspass.QueryID
-	attempt int
-	at      time.Duration
-	running *enginemodel.Running
-	e       *engine
+	dispatcher  *dispatcher
+	incarnation uint64
+	query       cresspass.QueryID
+	attempt     int
+	at          time.Duration
+	running     *enginemodel.Running
+	engine      *engine
 }
 
 type dispatcher struct {
-	fleet   *Fleet
-	number  int
-	up      bool
-	life    uint64
-	zero    time.Duration
-	core    *dispatch.Core
-	decider dispatch.Decider
-	timer   time.Duration
-	member  *Member
-	asks    map[cresspass.QueryID]*ask
-	jobs    map[jobKey]*job
-	zone    string
-	sends   []time.Duration // further attempts
-	takes   []time.Duration
-	learnt  []byte // what it had learnt when it ended
-	ended   time.Duration
-	asked   bool // it waits for what others have learnt
-	line    []*ask
-	out     []dispatch.Output // of steps, not carried out yet
+	fleet              *Fleet
+	number             int
+	up                 bool
+	incarnation        uint64
+	epoch              time.Duration
+	core               *dispatch.Core
+	decider            dispatch.Decider
+	timer              time.Duration
+	member             *Member
+	requests           map[cresspass.QueryID]*request
+	jobs               map[jobKey]*job
+	zone               string
+	attempts           []time.Duration // further attempts
+	accepting          []time.Duration
+	modelState         []byte // what it had learnt when it ended
+	ended              time.Duration
+	bootstrapRequested bool // it waits for what others have learnt
+	line               []*request
+	out                []dispatch.Output // of steps, not carried out yet
 }
 
 type jobKey struct {
@@ -212,8 +212,8 @@
 	attempt int
 }
 
-// ask is a client's query.
-type ask struct {
+// request is a client's query.
+type request struct {
 	id      cresspass.QueryID
 	traffic int
 	class   *cresspass.Class
@@ -228,13 +228,13 @@
 
 // NewFleet returns a fleet that has not begun.
 func NewFleet(cfg Config) (*Fleet, error) {
-	f := &Fleet{cfg: cfg, queue: &Queue{}, chance: rand.New(rand.NewPCG(cfg.Seed, 1)),
+	f := &Fleet{cfg: cfg, queue: &Queue{}, random: rand.New(rand.NewPCG(cfg.Seed, 1)),
 		byID: map[cresspass.EngineID]*engine{}}
 	if cfg.Dispatchers < 1 || len(cfg.Engines) == 0 {
 		return nil, fmt.Errorf("model: %d dispatchers, %d engines", cfg.Dispatchers, len(cfg.Engines))
 	}
 	f.load.burst, f.load.tail, f.hotOne = 1, 1, -1
-	f.alone = cfg.Policy == "" && cfg.Decide == nil
+	f.solo = cfg.Policy == "" && cfg.Decide == nil
 	f.queue.Workers(cfg.Workers)
 	for _, t := range cfg.Traffic {
 		if f.class(t.Class) == nil {
@@ -256,8 +256,8 @@
 	for _, n := range cfg.Module.ClassThreads {
 		threads = max(threads, n)
 	}
-	f.members = NewMembers(f.queue, cfg.Seed, cfg.Dispatchers, cfg.Weather, DefaultDetection(),
-		TalkConfig(cfg.Dispatchers, threads), func(t *gossip.Node) { t.SetEngines(cores) })
+	f.members = NewMembers(f.queue, cfg.Seed, cfg.Dispatchers, cfg.Network, DefaultDetection(),
+		GossipConfig(cfg.Dispatchers, threads), func(t *gossip.Node) { t.SetEngines(cores) })
 	for i := range cfg.Dispatchers {
 		d := &dispatcher{fleet: f, number: i, zone: zoneOf(cfg.Engines, i)}
 		f.dispatchers = append(f.dispatchers, d)
@@ -275,18 +275,18 @@
 		}
 	}
 	f.replay(0)
-	for _, r := range cfg.Returns {
-		f.queue.At(r.At, func() { f.leave(r) })
+	for _, r := range cfg.Restarts {
+		f.queue.At(r.At, func() { f.restartDispatchers(r) })
 	}
-	for _, t := range cfg.Troubles {
-		if err := f.plan(t); err != nil {
+	for _, t := range cfg.Faults {
+		if err := f.scheduleFaults(t); err != nil {
 			return nil, err
 		}
 	}
-	for i := range cfg.Liars {
-		f.lie(f.dispatchers[i])
+	for i := range cfg.Byzantine {
+		f.forgeMessage(f.dispatchers[i])
 	}
-	f.look()
+	f.sampleLoads()
 	return f, nil
 }
 
@@ -305,7 +305,7 @@
 	f.out.Events = f.queue.Done()
 	for _, d := range f.dispatchers {
 		if d.member != nil {
-			f.out.Stats = append(f.out.Stats, d.member.Talker.Stats())
+			f.out.Stats = append(f.out.Stats, d.member.Node.Stats())
 		}
 	}
 	return &f.out
@@ -323,7 +323,7 @@
 			return
 		}
 		f.queue.In(time.Duration(r.ExpFloat64()/(t.Rate*f.rate(t.Class))*float64(time.Second)), func() {
-			a := &ask{traffic: i, class: class, first: f.queue.Now(),
+			a := &request{traffic: i, class: class, first: f.queue.Now(),
 				work: t.Work * math.Exp(t.Spread*r.NormFloat64()-t.Spread*t.Spread/2)}
 			if r.Float64() < 0.05 {
 				a.work *= f.load.tail
@@ -337,7 +337,7 @@
 			if a.told = t.Told * a.work * math.Exp(0.2*r.NormFloat64()); t.Told == 0 {
 				a.told = 0
 			}
-			f.come(a, f.place(r))
+			f.handleArrival(a, f.place(r))
 			next()
 		})
 	}
@@ -351,65 +351,74 @@
 	}
 	r := &f.cfg.Replay[i]
 	f.queue.At(r.At, func() {
-		f.come(&ask{traffic: r.Traffic, class: f.class(f.cfg.Traffic[r.Traffic].Class), first: f.queue.Now(),
-			work: r.Work, told: r.Told, key: r.Key}, r.Dispatcher%len(f.dispatchers))
+		f.handleArrival(
+			&request{traffic: r.Traffic, class: f.class(f.cfg.Traffic[r.Traffic].Class), first: f.queue.Now(),
+				work: r.Work, told: r.Told, key: r.Key},
+			r.Dispatcher%len(f.dispatchers),
+		)
 		f.replay(i + 1)
 	})
 }
 
-// come has a client ask a dispatcher; where it is down, the next one that is not.
-func (f *Fleet) come(a *ask, at int) {
+// handleArrival has a client ask a dispatcher; where it is down, the next one that is not.
+func (f *Fleet) handleArrival(a *request, at int) {
 	if a.tries == 0 {
 		f.open++
 	}
 	for range f.dispatchers {
 		if d := f.dispatchers[at]; d.up {
-			d.take(a)
+			d.admit(a)
 			return
 		}
 		at = (at + 1) % len(f.dispatchers)
 	}
-	f.end(a, f.dispatchers[at], Failed, 0)
+	f.recordEnd(a, f.dispatchers[at], Failed, 0)
 }
 
-// end is a client's answer.
-func (f *Fleet) end(a *ask, d *dispatcher, how End, back time.Duration) {
+// recordEnd is a client's answer.
+func (f *Fleet) recordEnd(a *request, d *dispatcher, how End, back time.Duration) {
 	if a.done {
 		return
 	}
 	t := &f.cfg.Traffic[a.traffic]
 	left := a.class.Deadline - (f.queue.Now() - a.first)
-	if a.tries++; how == Refused && a.tries <= t.Repeats && back > 0 && left > 2*back {
+	if a.tries++; how == Rejected && a.tries <= t.Repeats && back > 0 && left > 2*back {
 		// As clients do, not all at the same moment.
-		f.queue.In(back+time.Duration(f.chance.Float64()*float64(back)/2), func() { f.come(a, d.number) })
+		f.queue.In(
+			back+time.Duration(f.random.Float64()*float64(back)/2),
+			func() { f.handleArrival(a, d.number) },
+		)
 		return
 	}
 	a.done = true
 	f.open--
 	took := f.queue.Now() - a.first
-	if took > a.class.Deadline+f.cfg.Module.Rules.AnswerGrace+lateSlack {
+	if took > a.class.Deadline+f.cfg.Module.Rules.AnswerGrace+lateTolerance {
 		f.out.Rules.Late++
 	}
-	f.out.Asks = append(f.out.Asks, Ask{Class: a.traffic, Dispatcher: d.number, At: a.first, Took: took,
-		End:  how,
-		Late: took > a.class.LatencyObjective})
+	f.out.Requests = append(
+		f.out.Requests,
+		Request{Class: a.traffic, Dispatcher: d.number, At: a.first, Elapsed: took,
+			End:  how,
+			Late: took > a.class.LatencyObjective},
+	)
 }
 
-// look keeps how the engines stand, twice a second.
-func (f *Fleet) look() {
+// sampleLoads keeps how the engines stand, twice a second.
+func (f *Fleet) sampleLoads() {
 	f.out.Queued = append(f.out.Queued, float64(f.open))
-	if !f.cfg.Quiet {
-		l := Look{At: f.queue.Now()}
+	if !f.cfg.OmitLoads {
+		l := LoadSample{At: f.queue.Now()}
 		for _, e := range f.engines {
-			l.Load = append(l.Load, e.model.Threads()/e.Machine.Cores)
+			l.Threads = append(l.Threads, e.model.Threads()/e.Machine.Cores)
 		}
-		f.out.Looks = append(f.out.Looks, l)
+		f.out.Loads = append(f.out.Loads, l)
 	}
-	f.queue.In(500*time.Millisecond, f.look)
+	f.queue.In(500*time.Millisecond, f.sampleLoads)
 }
 
-// leave has dispatchers end, and come back.
-func (f *Fleet) leave(r Return) {
+// restartDispatchers has dispatchers end, and come back.
+func (f *Fleet) restartDispatchers(r Restart) {
 	var gone []*dispatcher
 	for _, i := range r.Dispatchers {
 		if d := f.dispatchers[i]; d.up { // another trouble may have ended it
@@ -422,8 +431,8 @@
 			if d.up {
 				continue
 			}
-			if r.Cold {
-				d.learnt = nil
+			if r.WithoutState {
+				d.modelState = nil
 			}
 			d.start(f.queue.Now(), false)
 		}
@@ -433,43 +442,43 @@
 // start begins a dispatcher's life.
 func (d *dispatcher) start(now time.Duration, first bool) error {
 	f := d.fleet
-	d.life++
-	life := d.life
-	d.up, d.zero, d.timer = true, now-day, math.MaxInt64
-	d.asks, d.jobs, d.line = map[cresspass.QueryID]*ask{}, map[jobKey]*job{}, nil
+	d.incarnation++
+	life := d.incarnation
+	d.up, d.epoch, d.timer = true, now-day, math.MaxInt64
+	d.requests, d.jobs, d.line = map[cresspass.QueryID]*request{}, map[jobKey]*job{}, nil
 	cfg := f.cfg.Module
 	cfg.Ordinal, cfg.GatewayCount, cfg.Seed = d.number, f.cfg.Dispatchers, f.cfg.Seed+uint64(
 		d.number,
-	)+1000*d.life
-	cfg.MayGossip = f.cfg.Talk != Silent
+	)+1000*d.incarnation
+	cfg.MayGossip = f.cfg.Gossip != NoGossip
 	g, err := decider(f, &cfg, d.clock())
 	if err != nil {
 		return err
 	}
 	d.decider = g
-	d.sends, d.takes = nil, nil
+	d.attempts, d.accepting = nil, nil
 	d.core = dispatch.NewCoreWithDecider(g, cfg, d.clock())
-	if f.cfg.Talk != Silent {
+	if f.cfg.Gossip != NoGossip {
 		wait := time.Duration(0)
-		if f.cfg.Talk == Newcomers && !first {
+		if f.cfg.Gossip == GossipAndBootstrap && !first {
 			wait = time.Second
 		}
-		d.asked = wait > 0
+		d.bootstrapRequested = wait > 0
 		d.member = f.members.All[d.number]
-		d.member.Do = d.heard
+		d.member.HandleAction = d.handleGossip
 		f.members.Start(d.number, d.number, wait)
-		d.snapshots(life)
+		d.saveSnapshots(life)
 	}
-	if !d.asked {
-		d.begin()
+	if !d.bootstrapRequested {
+		d.bootstrap()
 	}
 	return nil
 }
 
-// begin has it take clients.
-func (d *dispatcher) begin() {
+// bootstrap has it take clients.
+func (d *dispatcher) bootstrap() {
 	f := d.fleet
-	d.asked = false
+	d.bootstrapRequested = false
 	cfg := &f.cfg.Module
 	if d.member != nil {
 		var names []string
@@ -479,7 +488,7 @@
 		age := time.Duration(0)
 		now := d.member.now(f.queue)
 		data := modelstate.Assemble(names, cfg.KindNames, func(name string) (float64, bool) {
-			b, ok := d.member.Talker.Store().InitialParameter(now, name)
+			b, ok := d.member.Node.Store().InitialParameter(now, name)
 			age = max(age, b.Age)
 			return b.Value, ok
 		})
@@ -487,26 +496,26 @@
 			d.core.Restore(data, age)
 		}
 	}
-	if d.learnt != nil {
-		d.core.Restore(d.learnt, f.queue.Now()-d.ended)
+	if d.modelState != nil {
+		d.core.Restore(d.modelState, f.queue.Now()-d.ended)
 	}
-	d.step(d.list(f.stands()))
+	d.step(d.handleEngineList(f.stands()))
 	for _, a := range d.line {
-		d.take(a)
+		d.admit(a)
 	}
 	d.line = nil
 }
 
-// who it is in the order of events of one time.
-func (d *dispatcher) who() uint64 { return uint64(d.number) + 1 }
+// memberID it is in the order of events of one time.
+func (d *dispatcher) memberID() uint64 { return uint64(d.number) + 1 }
 
-func (d *dispatcher) clock() time.Duration { return d.fleet.queue.Now() - d.zero }
+func (d *dispatcher) clock() time.Duration { return d.fleet.queue.Now() - d.epoch }
 
 // stop ends its life: what it runs ends with its connections, and its clients' connections break.
 func (d *dispatcher) stop() {
 	f := d.fleet
 	d.up = false
-	d.learnt, d.ended = d.core.Snapshot(), f.queue.Now()
+	d.modelState, d.ended = d.core.Snapshot(), f.queue.Now()
 	if r, ok := d.decider.(interface{ Retire(now time.Duration) }); ok {
 		r.Retire(d.clock())
 	}
@@ -519,42 +528,42 @@
 		return cmp.Or(cmp.Compare(a.query, b.query), cmp.Compare(a.attempt, b.attempt))
 	})
 	for _, j := range jobs {
-		d.takeBack(j)
+		d.withdraw(j)
 	}
-	var open []*ask
-	for _, a := range d.asks {
+	var open []*request
+	for _, a := range d.requests {
 		open = append(open, a)
 	}
-	slices.SortFunc(open, func(a, b *ask) int { return cmp.Compare(a.id, b.id) })
+	slices.SortFunc(open, func(a, b *request) int { return cmp.Compare(a.id, b.id) })
 	for _, a := range append(open, d.line...) {
-		f.end(a, d, Failed, 0)
+		f.recordEnd(a, d, Failed, 0)
 	}
 	if d.member != nil {
 		f.members.Stop(d.number, false)
 	}
 }
 
-func (d *dispatcher) takeBack(j *job) {
+func (d *dispatcher) withdraw(j *job) {
 	f := d.fleet
 	if j.running != nil {
-		delete(j.e.jobs, j.running)
-		j.e.model.End(f.queue.Now(), j.running)
-		f.arm(j.e)
+		delete(j.engine.jobs, j.running)
+		j.engine.model.End(f.queue.Now(), j.running)
+		f.scheduleEngine(j.engine)
 	}
 	delete(d.jobs, jobKey{j.query, j.attempt})
 }
 
-// take has it take a client's query.
-func (d *dispatcher) take(a *ask) {
+// admit has it take a client's query.
+func (d *dispatcher) admit(a *request) {
 	f := d.fleet
-	if d.asked {
+	if d.bootstrapRequested {
 		d.line = append(d.line, a)
 		return
 	}
-	f.asks++
-	a.id = cresspass.QueryID(f.asks)
-	d.asks[a.id] = a
-	d.takes = append(d.takes, f.queue.Now())
+	f.requests++
+	a.id = cresspass.QueryID(f.requests)
+	d.requests[a.id] = a
+	d.accepting = append(d.accepting, f.queue.Now())
 	left := a.class.Deadline - (f.queue.Now() - a.first)
 	d.step(cresspass.Event{Type: cresspass.QueryArrived, Query: a.id, Class: a.class.Name,
 		RemainingDeadline: max(left, 1),
@@ -568,15 +577,15 @@
 		return
 	}
 	for _, o := range d.core.Step(d.clock(), events) {
-		d.do(o)
+		d.execute(o)
 	}
-	d.arm()
+	d.scheduleTimer()
 }
 
-// arm sets the event of its next timer.
-func (d *dispatcher) arm() {
+// scheduleTimer sets the event of its next timer.
+func (d *dispatcher) scheduleTimer() {
 	next, ok := d.core.NextWakeup()
-	at := max(next+d.zero, d.fleet.queue.Now()+time.Microsecond)
+	at := max(next+d.epoch, d.fleet.queue.Now()+time.Microsecond)
 	if !ok || at >= d.timer {
 		return
 	}
@@ -597,68 +606,68 @@
 
 // at has the core take events at a time, in this life, if they are due still.
 func (d *dispatcher) at(at time.Duration, due func() bool, events ...cresspass.Event) {
-	f, life := d.fleet, d.life
-	if !f.alone { // one that decides by what others do waits for its turn
-		f.queue.For(d.who(), at, func() {
-			if d.life == life && d.up && due() {
+	f, life := d.fleet, d.incarnation
+	if !f.solo { // one that decides by what others do waits for its turn
+		f.queue.For(d.memberID(), at, func() {
+			if d.incarnation == life && d.up && due() {
 				d.step(events...)
 			}
 		})
 		return
 	}
-	f.queue.Both(d.who(), at, func() {
-		if d.life == life && d.up && due() {
+	f.queue.Both(d.memberID(), at, func() {
+		if d.incarnation == life && d.up && due() {
 			d.out = append(d.out, d.core.Step(d.clock(), events)...)
 		}
 	}, func() {
 		out := d.out
-		if d.out = nil; d.life != life || !d.up {
+		if d.out = nil; d.incarnation != life || !d.up {
 			return
 		}
 		for _, o := range out {
-			d.do(o)
+			d.execute(o)
 		}
-		if d.arm(); d.out == nil {
+		if d.scheduleTimer(); d.out == nil {
 			d.out = out[:0]
 		}
 	})
 }
 
-func (d *dispatcher) do(o dispatch.Output) {
+func (d *dispatcher) execute(o dispatch.Output) {
 	f := d.fleet
 	switch o.Type {
 	case dispatch.StartAttempt:
-		d.send(o)
+		d.startAttempt(o)
 	case dispatch.StopAttempt:
 		if j := d.jobs[jobKey{o.Query, o.Attempt}]; j != nil {
-			d.takeBack(j)
+			d.withdraw(j)
 			d.post(0, cresspass.Event{Type: cresspass.AttemptDone, Query: o.Query, Attempt: o.Attempt,
 				Engine: o.Engine, Outcome: o.Outcome})
 		}
 	case dispatch.RejectQuery, dispatch.FailQuery:
-		a := d.asks[o.Query]
-		delete(d.asks, o.Query)
+		a := d.requests[o.Query]
+		delete(d.requests, o.Query)
 		if a != nil {
-			how := Refused
+			how := Rejected
 			if o.Type == dispatch.FailQuery {
 				how = Failed
 			}
-			f.end(a, d, how, o.RetryAfter)
+			f.recordEnd(a, d, how, o.RetryAfter)
 		}
 	case dispatch.CheckHealth:
-		d.probe(o.Engine)
+		d.checkHealth(o.Engine)
 	case dispatch.SendToPeer:
 		if d.member != nil {
-			d.member.Talker.SendMessage(d.member.now(f.queue), o.Peer, o.Data)
+			d.member.Node.SendMessage(d.member.now(f.queue), o.Peer, o.Data)
 			f.members.Carry(d.member)
 		}
 	}
 }
 
-// send has a query reach an engine.
-func (d *dispatcher) send(o dispatch.Output) {
+// startAttempt has a query reach an engine.
+func (d *dispatcher) startAttempt(o dispatch.Output) {
 	f := d.fleet
-	a, e := d.asks[o.Query], f.byID[o.Engine]
+	a, e := d.requests[o.Query], f.byID[o.Engine]
 	ev := cresspass.Event{Type: cresspass.AttemptDone, Query: o.Query, Attempt: o.Attempt, Engine: o.Engine}
 	if a == nil || e == nil {
 		ev.Outcome = cresspass.OutcomeConnectFailed
@@ -666,20 +675,27 @@
 		return
 	}
 	f.sent(d, e, o.Attempt)
-	j := &job{d: d, life: d.life, query: o.Query, attempt: o.Attempt, at: f.queue.Now(), e: e}
+	j := &job{
+		dispatcher:  d,
+		incarnation: d.incarnation,
+		query:       o.Query,
+		attempt:     o.Attempt,
+		at:          f.queue.Now(),
+		engine:      e,
+	}
 	d.jobs[jobKey{o.Query, o.Attempt}] = j
 	t := &f.cfg.Traffic[a.traffic]
-	told := e.told > 0
-	f.queue.In(f.cfg.Travel, func() {
-		if d.jobs[jobKey{o.Query, o.Attempt}] != j || d.life != j.life {
+	told := e.listed > 0
+	f.queue.In(f.cfg.TransitTime, func() {
+		if d.jobs[jobKey{o.Query, o.Attempt}] != j || d.incarnation != j.incarnation {
 			return // taken back on its way
 		}
-		if !e.up || e.faults.errors > 0 && f.chance.Float64() < e.faults.errors {
+		if !e.up || e.faults.errors > 0 && f.random.Float64() < e.faults.errors {
 			delete(d.jobs, jobKey{o.Query, o.Attempt})
 			if ev.Outcome = cresspass.OutcomeConnectFailed; e.up {
 				ev.Outcome = cresspass.OutcomeFailed
 			}
-			d.post(f.cfg.Travel, ev)
+			d.post(f.cfg.TransitTime, ev)
 			return
 		}
 		f.arrived(e, a.work, told)
@@ -697,16 +713,16 @@
 		if j.running == nil {
 			delete(d.jobs, jobKey{o.Query, o.Attempt})
 			ev.Outcome = cresspass.OutcomeRejected
-			d.post(f.cfg.Travel, ev)
+			d.post(f.cfg.TransitTime, ev)
 		} else {
 			e.jobs[j.running] = j
 		}
-		f.arm(e)
+		f.scheduleEngine(e)
 	})
 }
 
-// arm sets the event of an engine's next end.
-func (f *Fleet) arm(e *engine) {
+// scheduleEngine sets the event of an engine's next end.
+func (f *Fleet) scheduleEngine(e *engine) {
 	next, ok := e.model.Next()
 	if !ok || next >= e.next && e.next > f.queue.Now() {
 		return
@@ -720,41 +736,42 @@
 		for _, r := range e.model.Advance(f.queue.Now()) {
 			if j := e.jobs[r]; j != nil {
 				delete(e.jobs, r)
-				j.d.answered(j)
+				j.dispatcher.attemptEnded(j)
 			}
 		}
-		f.arm(e)
+		f.scheduleEngine(e)
 	})
 }
 
-// answered has an answer reach the dispatcher and its client.
-func (d *dispatcher) answered(j *job) {
+// attemptEnded has an answer reach the dispatcher and its client.
+func (d *dispatcher) attemptEnded(j *job) {
 	f := d.fleet
-	if j.e.faults.lost > 0 && f.chance.Float64() < j.e.faults.lost {
+	if j.engine.faults.lost > 0 && f.random.Float64() < j.engine.faults.lost {
 		return // its answer never comes
 	}
-	report, has := f.report(j.e)
-	f.queue.In(f.cfg.Travel, func() {
-		if d.life != j.life || !d.up || d.jobs[jobKey{j.query, j.attempt}] != j {
+	report, has := f.report(j.engine)
+	f.queue.In(f.cfg.TransitTime, func() {
+		if d.incarnation != j.incarnation || !d.up || d.jobs[jobKey{j.query, j.attempt}] != j {
 			return
 		}
 		delete(d.jobs, jobKey{j.query, j.attempt})
-		if a := d.asks[j.query]; a != nil {
-			delete(d.asks, j.query)
-			f.end(a, d, Served, 0)
+		if a := d.requests[j.query]; a != nil {
+			delete(d.requests, j.query)
+			f.recordEnd(a, d, Served, 0)
 		}
 		if d.member != nil {
-			d.member.Talker.RecordAttempt(d.member.now(f.queue), j.e.id, true, -1)
+			d.member.Node.RecordAttempt(d.member.now(f.queue), j.engine.id, true, -1)
 		}
 		d.step(cresspass.Event{Type: cresspass.AttemptDone, Query: j.query, Attempt: j.attempt,
-			Engine:  j.e.id,
-			Outcome: cresspass.OutcomeOK, Elapsed: f.queue.Now() - j.at, QueryFinished: true, LoadReport: report,
+			Engine:  j.engine.id,
+			Outcome: cresspass.OutcomeOK, Elapsed: f.queue.Now() - j.at, QueryFinished: true,
+			LoadReport:    report,
 			HasLoadReport: has})
 	})
 }
 
-// heard carries out what the others have to do with its module.
-func (d *dispatcher) heard(o gossip.Action) {
+// handleGossip carries out what the others have to do with its module.
+func (d *dispatcher) handleGossip(o gossip.Action) {
 	switch o.Type {
 	case gossip.DeliverMessage:
 		d.post(0, cresspass.Event{Type: cresspass.PeerMessageReceived, Peer: o.From, Data: o.Data})
@@ -765,33 +782,33 @@
 	case gossip.ReportEngineDown:
 		d.post(0, cresspass.Event{Type: cresspass.EngineReportedDown, Engine: cresspass.EngineID(o.Engine)})
 	case gossip.CompleteBootstrap:
-		if d.asked {
-			d.begin()
+		if d.bootstrapRequested {
+			d.bootstrap()
 		}
 	}
 }
 
-// snapshots has others able to learn what the module has learnt, every ten seconds.
-func (d *dispatcher) snapshots(life uint64) {
+// saveSnapshots has others able to learn what the module has learnt, every ten seconds.
+func (d *dispatcher) saveSnapshots(life uint64) {
 	f := d.fleet
 	f.queue.In(10*time.Second, func() {
-		if d.life != life || !d.up {
+		if d.incarnation != life || !d.up {
 			return
 		}
 		if all, err := modelstate.Flatten(d.core.Snapshot()); err == nil {
-			if d.number < f.cfg.Liars {
+			if d.number < f.cfg.Byzantine {
 				for name := range all {
 					all[name] = 100
 				}
 			}
-			d.member.Talker.RecordModelState(d.member.now(f.queue), all)
+			d.member.Node.RecordModelState(d.member.now(f.queue), all)
 		}
-		d.snapshots(life)
+		d.saveSnapshots(life)
 	})
 }
 
-// lie has a dispatcher tell, twice a second, that all engines are full, sick or dead.
-func (f *Fleet) lie(d *dispatcher) {
+// forgeMessage has a dispatcher tell, twice a second, that all engines are full, sick or dead.
+func (f *Fleet) forgeMessage(d *dispatcher) {
 	f.queue.In(500*time.Millisecond, func() {
 		if d.up && d.member != nil {
 			now := d.member.now(f.queue)
@@ -804,14 +821,14 @@
 						data = append(data, 0x0f)
 					}
 				}
-				d.member.Talker.SendMessage(now, -1, data)
+				d.member.Node.SendMessage(now, -1, data)
 			}
 			for _, e := range f.engines {
-				d.member.Talker.Store().Observe(now, observation.Key{Engine: string(e.id),
+				d.member.Node.Store().Observe(now, observation.Key{Engine: string(e.id),
 					Property: observation.Health}, 0)
 			}
 			f.members.Carry(d.member)
 		}
-		f.lie(d)
+		f.forgeMessage(d)
 	})
 }
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -7,22 +7,24 @@
 )
 
 // small is a short day of a small fleet.
-func small(seed uint64, how Talk, liars int) Config {
+func small(seed uint64, how GossipMode, liars int) Config {
 	c := HalfReturn(seed, how, liars, 0.33)
 	c.Dispatchers, c.Engines = 5, c.Engines[:3]
 	for i := range c.Traffic {
 		c.Traffic[i].Rate *= 0.3
 	}
-	c.Returns = []Return{{At: 8 * time.Second, After: time.Second, Dispatchers: []int{2, 3}, Cold: true}}
+	c.Restarts = []Restart{
+		{At: 8 * time.Second, After: time.Second, Dispatchers: []int{2, 3}, WithoutState: true},
+	}
 	c.Length = 16 * time.Second
 	return c
 }
 
 // One seed has one outcome, whatever else runs, and on however many cores; each client gets one answer,
 // within its time.
-func TestFleetIsItsSeed(t *testing.T) {
+func TestFleetIsDeterministic(t *testing.T) {
 	run := func(i int) (*Result, error) {
-		c := small(uint64(1+i/2), Newcomers, 1)
+		c := small(uint64(1+i/2), GossipAndBootstrap, 1)
 		c.Dispatchers, c.Workers = 2*fewest, 1+3*(i%2)
 		f, err := NewFleet(c)
 		if err != nil {
@@ -37,24 +39,24 @@
 	if !reflect.DeepEqual(all[0], all[1]) || !reflect.DeepEqual(all[2], all[3]) {
 		t.Error("the same seed had two outcomes")
 	}
-	if reflect.DeepEqual(all[0], all[2]) || len(all[0].Asks) < 200 {
-		t.Errorf("%d asks", len(all[0].Asks))
+	if reflect.DeepEqual(all[0], all[2]) || len(all[0].Requests) < 200 {
+		t.Errorf("%d asks", len(all[0].Requests))
 	}
-	f, _ := NewFleet(small(1, Newcomers, 1))
+	f, _ := NewFleet(small(1, GossipAndBootstrap, 1))
 	served := 0
-	for _, a := range f.Run().Asks {
+	for _, a := range f.Run().Requests {
 		class := f.class(f.cfg.Traffic[a.Class].Class)
-		if a.Took > class.Deadline+f.cfg.Module.Rules.AnswerGrace {
+		if a.Elapsed > class.Deadline+f.cfg.Module.Rules.AnswerGrace {
 			t.Errorf("%+v after its deadline of %v", a, class.Deadline)
 		}
 		if a.End == Served {
 			served++
 		}
 	}
-	if s := f.out.Stats[1]; served < len(f.out.Asks)/2 || s.PacketsSent == 0 || s.PacketsAccepted == 0 {
-		t.Errorf("%d of %d served, %+v", served, len(f.out.Asks), s)
+	if s := f.out.Stats[1]; served < len(f.out.Requests)/2 || s.PacketsSent == 0 || s.PacketsAccepted == 0 {
+		t.Errorf("%d of %d served, %+v", served, len(f.out.Requests), s)
 	}
-	if _, err := NewFleet(Config{Dispatchers: 1, Engines: Same(1, "none", small(1, Silent,
+	if _, err := NewFleet(Config{Dispatchers: 1, Engines: Same(1, "none", small(1, NoGossip,
 		0).Engines[0].Machine)}); err == nil {
 		t.Error("an unknown kind, and no error")
 	}
@@ -62,17 +64,17 @@
 
 // With costs told as a third of the truth, those that return and ask others serve at least as many in time
 // as those that begin from nothing, one liar of five among them or not.
-func TestNewcomersAgainstColdStarts(t *testing.T) {
+func TestBootstrapAgainstColdStarts(t *testing.T) {
 	if testing.Short() {
 		t.Skip("statistics: nothing runs side by side that the race detector does not see elsewhere")
 	}
-	n, err := CompareNewcomers([]Arm{{"cold", Talking, 0}, {"newcomers", Newcomers, 0},
-		{"newcomers, liars", Newcomers, 4}}, 2, 0.33)
+	n, err := CompareNewcomers([]Arm{{"cold", GossipOnly, 0}, {"newcomers", GossipAndBootstrap, 0},
+		{"newcomers, liars", GossipAndBootstrap, 4}}, 2, 0.33)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for arm := 1; arm < len(n.Arms); arm++ {
-		d := BarOf(Differences(n.Samples(arm, 0, 0), n.Samples(0, 0, 0)))
+		d := EstimateMean(Differences(n.Samples(arm, 0, 0), n.Samples(0, 0, 0)))
 		if d.Mean < 0 {
 			t.Errorf("%s served %.1f points less in their first ten seconds", n.Arms[arm].Name, -100*d.Mean)
 		}
--- a/internal/simulation/known.go
+++ b/internal/simulation/known.go
@@ -8,19 +8,19 @@
 	"cresspass/internal/simulation/enginemodel"
 )
 
-// Known is a queue with a known answer, to hold the engine and the bars against.
-type Known struct {
-	Name    string
-	Cores   int
-	Load    float64 // of the cores
-	Spread  float64 // sigma of the logarithm of the work; 0: exponential work
-	Answer  float64 // mean time in the system, in mean works
-	Queries int
+// ReferenceCase is a queue with a known answer, to hold the engine and the bars against.
+type ReferenceCase struct {
+	Name         string
+	Cores        int
+	Load         float64 // of the cores
+	Spread       float64 // sigma of the logarithm of the work; 0: exponential work
+	ResponseTime float64 // mean time in the system, in mean works
+	Queries      int
 }
 
 // MMC is an engine of so many cores and queries of one thread and exponential work: processor sharing holds
 // as many as a line of first come first served would, so its mean is that of Erlang's formula.
-func MMC(cores int, load float64, queries int) Known {
+func MMC(cores int, load float64, queries int) ReferenceCase {
 	c, a := float64(cores), load*float64(cores)
 	sum, term := 0.0, 1.0
 	for k := range cores {
@@ -29,19 +29,19 @@
 	}
 	last := term / (1 - load)
 	wait := last / (sum + last) / (c * (1 - load))
-	return Known{Name: "M/M/c", Cores: cores, Load: load, Answer: 1 + wait, Queries: queries}
+	return ReferenceCase{Name: "M/M/c", Cores: cores, Load: load, ResponseTime: 1 + wait, Queries: queries}
 }
 
 // MG1PS is an engine of one core and log-normal work: its mean is that of work over what is left, whatever
 // the spread.
-func MG1PS(load, spread float64, queries int) Known {
-	return Known{Name: "M/G/1-PS", Cores: 1, Load: load, Spread: spread, Answer: 1 / (1 - load),
+func MG1PS(load, spread float64, queries int) ReferenceCase {
+	return ReferenceCase{Name: "M/G/1-PS", Cores: 1, Load: load, Spread: spread, ResponseTime: 1 / (1 - load),
 		Queries: queries}
 }
 
-// Play returns the times in the system of a run from a seed, in mean works, warm-up left out, and how many
-// were in the system at even times.
-func (k Known) Play(seed uint64) (took, waiting []float64) {
+// Simulate returns the times in the system of a run from a seed, in mean works, warm-up left out, and how
+// many were in the system at even times.
+func (k ReferenceCase) Simulate(seed uint64) (took, waiting []float64) {
 	r := rand.New(rand.NewPCG(seed, 7))
 	q := &Queue{}
 	m := enginemodel.New(enginemodel.Kind{Cores: float64(k.Cores), Knee: 1e9}, 0, false)
@@ -96,10 +96,10 @@
 }
 
 // Coverage is in what share of runs the bar of batch means holds the known answer.
-func (k Known) Coverage(runs, batches int) (share float64, err error) {
+func (k ReferenceCase) Coverage(runs, batches int) (share float64, err error) {
 	held, err := Parallel(runs, func(i int) (float64, error) {
-		took, _ := k.Play(uint64(i + 1))
-		if b := BatchMeans(took, batches); math.Abs(b.Mean-k.Answer) <= b.Half {
+		took, _ := k.Simulate(uint64(i + 1))
+		if b := BatchMeans(took, batches); math.Abs(b.Mean-k.ResponseTime) <= b.HalfWidth {
 			return 1, nil
 		}
 		return 0, nil
--- a/internal/simulation/members.go
+++ b/internal/simulation/members.go
@@ -14,13 +14,13 @@
 // Detection is how membership learns of its members: what SWIM does is taken by its times, not modelled
 // packet by packet. A link that is cut one way is no loss, as others probe for each other.
 type Detection struct {
-	Gossip           time.Duration // a member's word reaches another within this
-	LostLeast, Found time.Duration // a loss is found out after the first and within the second
+	Gossip            time.Duration // a member's word reaches another within this
+	MinLoss, Detected time.Duration // a loss is found out after the first and within the second
 }
 
 // DefaultDetection is that of the program's probes, once a second.
 func DefaultDetection() Detection {
-	return Detection{Gossip: time.Second, LostLeast: 2 * time.Second, Found: 6 * time.Second}
+	return Detection{Gossip: time.Second, MinLoss: 2 * time.Second, Detected: 6 * time.Second}
 }
 
 const (
@@ -31,35 +31,35 @@
 
 // Member is a dispatcher among the others.
 type Member struct {
-	Number int
-	Name   string
-	Talker *gossip.Node
-	Up     bool
-	life   uint64
-	zero   time.Duration // the model's time at which its clock would have been zero
-	slow   time.Duration // it hears and does all so much later
-	Do     func(o gossip.Action)
+	Number       int
+	Name         string
+	Node         *gossip.Node
+	Up           bool
+	incarnation  uint64
+	epoch        time.Duration // the model's time at which its clock would have been zero
+	slow         time.Duration // it hears and does all so much later
+	HandleAction func(o gossip.Action)
 }
 
 // now is a member's own clock.
-func (m *Member) now(q *Queue) time.Duration { return q.Now() - m.zero }
+func (m *Member) now(q *Queue) time.Duration { return q.Now() - m.epoch }
 
 // Members are a fleet's, with their network. Make them with NewMembers.
 type Members struct {
-	Queue   *Queue
-	Net     *Network
-	All     []*Member
-	config  gossip.Config
-	detect  Detection
-	random  *rand.Rand
-	lives   uint64
-	named   map[string]*Member
-	engines func(t *gossip.Node)
+	Queue        *Queue
+	Net          *Network
+	All          []*Member
+	config       gossip.Config
+	detect       Detection
+	random       *rand.Rand
+	incarnations uint64
+	named        map[string]*Member
+	engines      func(t *gossip.Node)
 }
 
 // NewMembers returns a fleet of so many, none of which is up. What differs between members is put into
 // config; engines tells a new one which engines there are.
-func NewMembers(q *Queue, seed uint64, n int, w Weather, d Detection, config gossip.Config,
+func NewMembers(q *Queue, seed uint64, n int, w NetworkConditions, d Detection, config gossip.Config,
 	engines func(t *gossip.Node)) *Members {
 	f := &Members{Queue: q, Net: NewNetwork(q, seed, n, w), config: config, detect: d, engines: engines,
 		random: rand.New(rand.NewPCG(seed, 78)), named: map[string]*Member{}}
@@ -70,8 +70,8 @@
 	return f
 }
 
-// TalkConfig is what the program's dispatchers have, with a least count.
-func TalkConfig(least int, threads float64) gossip.Config {
+// GossipConfig is what the program's dispatchers have, with a least count.
+func GossipConfig(least int, threads float64) gossip.Config {
 	return gossip.Config{
 		OrdinalClaim:     -1,
 		BytesPerSecond:   50000,
@@ -90,21 +90,22 @@
 // the others'.
 func (f *Members) Start(i, claim int, wait time.Duration) *Member {
 	m := f.All[i]
-	f.lives++
-	m.life, m.Up, m.zero = f.lives, true, f.Queue.Now()-day
+	f.incarnations++
+	m.incarnation, m.Up, m.epoch = f.incarnations, true, f.Queue.Now()-day
 	c := f.config
-	c.Name, c.Incarnation, c.OrdinalClaim, c.BootstrapTimeout, c.RandomSeed = m.Name, m.life, claim, wait, f.random.Uint64()
-	m.Talker = gossip.New(c, observation.New(m.Name, observation.DefaultLimits()), m.now(f.Queue))
+	c.Name, c.Incarnation, c.OrdinalClaim, c.BootstrapTimeout, c.RandomSeed = m.Name, m.incarnation, claim,
+		wait, f.random.Uint64()
+	m.Node = gossip.New(c, observation.New(m.Name, observation.DefaultLimits()), m.now(f.Queue))
 	if f.engines != nil {
-		f.engines(m.Talker)
+		f.engines(m.Node)
 	}
 	for _, o := range f.All { // who joins is told of all by a seed
 		if o != m && o.Up && f.Net.Open(o.Number, i) && f.Net.Open(i, o.Number) {
-			m.Talker.MemberAlive(m.now(f.Queue), o.Talker.Self())
+			m.Node.MemberAlive(m.now(f.Queue), o.Node.Self())
 		}
 	}
-	f.say(m)
-	f.tick(m, m.life)
+	f.broadcast(m)
+	f.tick(m, m.incarnation)
 	return m
 }
 
@@ -112,40 +113,40 @@
 func (f *Members) Stop(i int, left bool) {
 	m := f.All[i]
 	m.Up = false
-	life := m.life
+	life := m.incarnation
 	for _, o := range f.All {
-		after := f.detect.LostLeast + f.part(f.detect.Found-f.detect.LostLeast)
+		after := f.detect.MinLoss + f.partition(f.detect.Detected-f.detect.MinLoss)
 		if left {
-			after = f.part(f.detect.Gossip)
+			after = f.partition(f.detect.Gossip)
 		}
 		f.Queue.In(after, func() {
-			if o.Up && m.life == life && o != m {
-				o.Talker.MemberLost(o.now(f.Queue), m.Name, left)
+			if o.Up && m.incarnation == life && o != m {
+				o.Node.MemberLost(o.now(f.Queue), m.Name, left)
 			}
 		})
 	}
 }
 
-func (f *Members) part(of time.Duration) time.Duration {
+func (f *Members) partition(of time.Duration) time.Duration {
 	return time.Duration(f.random.Float64() * float64(of))
 }
 
-// say has what a member says of itself reach the others. Words are numbered in SWIM, and an older one that
-// comes late is not taken: so what arrives is the word as it then stands.
-func (f *Members) say(m *Member) {
-	life := m.life
+// broadcast has what a member says of itself reach the others. Words are numbered in SWIM, and an older one
+// that comes late is not taken: so what arrives is the word as it then stands.
+func (f *Members) broadcast(m *Member) {
+	life := m.incarnation
 	for _, o := range f.All {
-		f.Queue.In(f.part(f.detect.Gossip), func() {
-			if o.Up && o != m && m.Up && m.life == life && f.near(m.Number, o.Number) {
-				o.Talker.MemberAlive(o.now(f.Queue), m.Talker.Self())
+		f.Queue.In(f.partition(f.detect.Gossip), func() {
+			if o.Up && o != m && m.Up && m.incarnation == life && f.reachable(m.Number, o.Number) {
+				o.Node.MemberAlive(o.now(f.Queue), m.Node.Self())
 			}
 		})
 	}
 }
 
-// near reports whether two are of one side of the network: a link one way is enough, as others pass the
+// reachable reports whether two are of one side of the network: a link one way is enough, as others pass the
 // word on.
-func (f *Members) near(a, b int) bool { return f.Net.Open(a, b) || f.Net.Open(b, a) }
+func (f *Members) reachable(a, b int) bool { return f.Net.Open(a, b) || f.Net.Open(b, a) }
 
 // Split cuts the network by the side of each member, and has the loss found out; nil heals it.
 func (f *Members) Split(side func(i int) int) {
@@ -153,7 +154,7 @@
 		f.Net.Cut(nil)
 		for _, m := range f.All {
 			if m.Up {
-				f.say(m)
+				f.broadcast(m)
 			}
 		}
 		return
@@ -162,9 +163,9 @@
 	for _, m := range f.All {
 		for _, o := range f.All {
 			if m != o && side(m.Number) != side(o.Number) {
-				f.Queue.In(f.detect.LostLeast+f.part(f.detect.Found-f.detect.LostLeast), func() {
-					if o.Up && !f.near(m.Number, o.Number) {
-						o.Talker.MemberLost(o.now(f.Queue), m.Name, false)
+				f.Queue.In(f.detect.MinLoss+f.partition(f.detect.Detected-f.detect.MinLoss), func() {
+					if o.Up && !f.reachable(m.Number, o.Number) {
+						o.Node.MemberLost(o.now(f.Queue), m.Name, false)
 					}
 				})
 			}
@@ -177,37 +178,37 @@
 
 // tick lets a member's time pass, and again.
 func (f *Members) tick(m *Member, life uint64) {
-	if !m.Up || m.life != life {
+	if !m.Up || m.incarnation != life {
 		return
 	}
-	m.Talker.Tick(m.now(f.Queue))
+	m.Node.Tick(m.now(f.Queue))
 	f.ticked(m, life)
 }
 
 // ticked carries out what came of a tick, and sets the next.
 func (f *Members) ticked(m *Member, life uint64) {
-	if !m.Up || m.life != life {
+	if !m.Up || m.incarnation != life {
 		return
 	}
 	f.Carry(m)
 	f.Queue.Both(uint64(m.Number)+1, f.Queue.Now()+tick+m.slow, func() {
-		if m.Up && m.life == life {
-			m.Talker.Tick(m.now(f.Queue))
+		if m.Up && m.incarnation == life {
+			m.Node.Tick(m.now(f.Queue))
 		}
 	}, func() { f.ticked(m, life) })
 }
 
 // Carry carries out what a member's part wants done.
 func (f *Members) Carry(m *Member) {
-	for _, o := range m.Talker.Ready() {
+	for _, o := range m.Node.Ready() {
 		switch o.Type {
 		case gossip.SendPacket:
 			f.deliver(m, f.named[o.To], o.Data)
 		case gossip.BroadcastMetadata:
-			f.say(m)
+			f.broadcast(m)
 		default:
-			if m.Do != nil {
-				m.Do(o)
+			if m.HandleAction != nil {
+				m.HandleAction(o)
 			}
 		}
 	}
@@ -216,7 +217,7 @@
 func (f *Members) deliver(from, to *Member, data []byte) {
 	take := func() {
 		if to.Up {
-			to.Talker.HandlePacket(to.now(f.Queue), data)
+			to.Node.HandlePacket(to.now(f.Queue), data)
 		}
 	}
 	carry := func() {
--- a/internal/simulation/members_test.go
+++ b/internal/simulation/members_test.go
@@ -15,9 +15,9 @@
 const s = time.Second
 
 // fleet has n members begin at once, their clocks as far apart as their begins, with the ordinals they claim.
-func fleet(seed uint64, n int, w Weather, claim func(i int) int) *Members {
+func fleet(seed uint64, n int, w NetworkConditions, claim func(i int) int) *Members {
 	q := &Queue{}
-	f := NewMembers(q, seed, n, w, DefaultDetection(), TalkConfig(1, 2), func(t *gossip.Node) {
+	f := NewMembers(q, seed, n, w, DefaultDetection(), GossipConfig(1, 2), func(t *gossip.Node) {
 		t.SetEngines(map[cresspass.EngineID]float64{"e0": 8, "e1": 8})
 	})
 	for i := range n {
@@ -42,7 +42,7 @@
 	}
 }
 
-func (f *Members) count(i int) int { return f.All[i].Talker.Stats().Ordinal }
+func (f *Members) count(i int) int { return f.All[i].Node.Stats().Ordinal }
 
 // Events come in their order, and those of one time as they were set, whatever is set meanwhile.
 func TestQueue(t *testing.T) {
@@ -101,7 +101,7 @@
 // What networks do to members, each with its defined result.
 func TestMembership(t *testing.T) {
 	agreed := func(f *Members) func() bool { return func() bool { return f.Agreed(1, s) } }
-	for name, w := range map[string]Weather{"calm": Calm(), "storm": Storm()} {
+	for name, w := range map[string]NetworkConditions{"calm": CalmNetwork(), "storm": StormyNetwork()} {
 		t.Run(name, func(t *testing.T) {
 			f := fleet(1, 9, w, func(i int) int { return i / 2 }) // each ordinal is claimed by two
 			f.within(t, "two with one ordinal", 30*s, agreed(f))
@@ -118,7 +118,7 @@
 
 			f.Stop(5, false)
 			f.Queue.Run(f.Queue.Now() + 5*s)
-			if n := f.All[0].Talker.Stats().Members; n != 9 {
+			if n := f.All[0].Node.Stats().Members; n != 9 {
 				t.Errorf("one lost for 5 s: %d count, within the grace", n)
 			}
 			f.within(t, "one lost for long", 60*s, agreed(f))
@@ -127,11 +127,11 @@
 
 			f.Split(func(i int) int { return i % 2 })
 			f.Queue.Run(f.Queue.Now() + 20*s)
-			if n := f.All[0].Talker.Stats().Members; n != 9 {
+			if n := f.All[0].Node.Stats().Members; n != 9 {
 				t.Errorf("a split of 20 s: %d count; each side would take the other's part", n)
 			}
 			f.Queue.Run(f.Queue.Now() + 40*s)
-			if a, b := f.All[0].Talker.Stats().Members, f.All[1].Talker.Stats().Members; a != 5 || b != 4 {
+			if a, b := f.All[0].Node.Stats().Members, f.All[1].Node.Stats().Members; a != 5 || b != 4 {
 				t.Errorf("a split of a minute: %d and %d count", a, b)
 			}
 			f.Split(nil)
@@ -145,7 +145,7 @@
 			f.Net.Cut(nil)
 			f.Slow(1, 2*s)
 			f.Queue.Run(f.Queue.Now() + 40*s)
-			if n := f.All[0].Talker.Stats().Members; n != 9 {
+			if n := f.All[0].Node.Stats().Members; n != 9 {
 				t.Errorf("one that is alive but slow: %d count", n)
 			}
 			// Its clock is behind by its words' way, nobody follows it, and its word of engines counts by
@@ -158,12 +158,12 @@
 
 // Whatever befalls a fleet of up to 40 in any weather: once it is over, and the grace too, all agree, and
 // what one sees then is known to all.
-func TestWhateverBefalls(t *testing.T) {
+func TestRulesUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 40).Draw(t, "members")
-		w := Weather{Loss: rapid.Float64Range(0, 0.3).Draw(t, "loss"), Double: 0.1,
-			DelayLeast: time.Millisecond,
-			Spread:     100 * time.Millisecond, Late: 0.05, LateBy: 3 * s}
+		w := NetworkConditions{Loss: rapid.Float64Range(0, 0.3).Draw(t, "loss"), Duplication: 0.1,
+			MinDelay: time.Millisecond,
+			Spread:   100 * time.Millisecond, LateShare: 0.05, LateDelay: 3 * s}
 		f := fleet(rapid.Uint64().Draw(t, "seed"), n, w, func(int) int {
 			return rapid.IntRange(-1,
 				5).Draw(t, "claim")
@@ -200,8 +200,8 @@
 			return f.Agreed(1, s)
 		})
 		k := observation.Key{Engine: "e1", Property: observation.Uptime}
-		f.All[0].Talker.Store().Observe(f.All[0].now(f.Queue), k, 9)
-		f.within(t, "known to all", 120*s, func() bool { return f.Known(k, 9) == 1 })
+		f.All[0].Node.Store().Observe(f.All[0].now(f.Queue), k, 9)
+		f.within(t, "known to all", 120*s, func() bool { return f.Propagated(k, 9) == 1 })
 	})
 }
 
@@ -211,8 +211,9 @@
 	if testing.Short() {
 		t.Skip("statistics: nothing runs side by side that the race detector does not see elsewhere")
 	}
-	c := Converge(1, 100, 30, Calm())
-	if c.Agreed < 0 || c.Known < 0 || c.Return < 0 || c.Agreed > time.Minute || c.Known > time.Minute {
+	c := Converge(1, 100, 30, CalmNetwork())
+	if c.Agreed < 0 || c.Propagated < 0 || c.Reconverged < 0 || c.Agreed > time.Minute ||
+		c.Propagated > time.Minute {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/simulation/net.go
+++ b/internal/simulation/net.go
@@ -5,40 +5,45 @@
 	"time"
 )
 
-// Weather is what a network does to packets.
-type Weather struct {
-	Loss, Double       float64 // shares
-	DelayLeast, Spread time.Duration
-	Late               float64       // share of those that come late...
-	LateBy             time.Duration // ...by so much
+// NetworkConditions is what a network does to packets.
+type NetworkConditions struct {
+	Loss, Duplication float64 // shares
+	MinDelay, Spread  time.Duration
+	LateShare         float64       // share of those that come late...
+	LateDelay         time.Duration // ...by so much
 }
 
-// Calm is a network as it is within a building.
-func Calm() Weather {
-	return Weather{Loss: 0.001, DelayLeast: 200 * time.Microsecond, Spread: 500 * time.Microsecond}
+// CalmNetwork is a network as it is within a building.
+func CalmNetwork() NetworkConditions {
+	return NetworkConditions{Loss: 0.001, MinDelay: 200 * time.Microsecond, Spread: 500 * time.Microsecond}
 }
 
-// Storm is one that loses, doubles and delays much.
-func Storm() Weather {
-	return Weather{Loss: 0.2, Double: 0.05, DelayLeast: time.Millisecond, Spread: 50 * time.Millisecond,
-		Late:   0.05,
-		LateBy: 2 * time.Second}
+// StormyNetwork is one that loses, doubles and delays much.
+func StormyNetwork() NetworkConditions {
+	return NetworkConditions{
+		Loss:        0.2,
+		Duplication: 0.05,
+		MinDelay:    time.Millisecond,
+		Spread:      50 * time.Millisecond,
+		LateShare:   0.05,
+		LateDelay:   2 * time.Second,
+	}
 }
 
 // Network carries packets between numbered places.
 type Network struct {
-	queue   *Queue
-	random  *rand.Rand
-	weather Weather
-	open    func(from, to int) bool // nil: all links are
-	Sent    uint64
-	Lost    uint64
-	Bytes   []uint64 // by sender
+	queue      *Queue
+	random     *rand.Rand
+	conditions NetworkConditions
+	open       func(from, to int) bool // nil: all links are
+	Sent       uint64
+	Lost       uint64
+	Bytes      []uint64 // by sender
 }
 
 // NewNetwork returns a network of so many places.
-func NewNetwork(q *Queue, seed uint64, places int, w Weather) *Network {
-	return &Network{queue: q, random: rand.New(rand.NewPCG(seed, 77)), weather: w, Bytes: make([]uint64,
+func NewNetwork(q *Queue, seed uint64, places int, w NetworkConditions) *Network {
+	return &Network{queue: q, random: rand.New(rand.NewPCG(seed, 77)), conditions: w, Bytes: make([]uint64,
 		places)}
 }
 
@@ -58,15 +63,15 @@
 	n.Sent++
 	n.Bytes[from] += uint64(bytes)
 	times := 1
-	if n.random.Float64() < n.weather.Double {
+	if n.random.Float64() < n.conditions.Duplication {
 		times = 2
 	}
 	for range times {
-		delay := n.weather.DelayLeast + time.Duration(n.random.Float64()*float64(n.weather.Spread))
-		if n.random.Float64() < n.weather.Late {
-			delay += n.weather.LateBy
+		delay := n.conditions.MinDelay + time.Duration(n.random.Float64()*float64(n.conditions.Spread))
+		if n.random.Float64() < n.conditions.LateShare {
+			delay += n.conditions.LateDelay
 		}
-		if n.random.Float64() < n.weather.Loss || !n.Open(from, to) {
+		if n.random.Float64() < n.conditions.Loss || !n.Open(from, to) {
 			n.Lost++
 			continue
 		}
--- a/internal/simulation/plot/plot.go
+++ b/internal/simulation/plot/plot.go
@@ -73,9 +73,9 @@
 	var agreed, known, back, mean, most []float64
 	for _, c := range all {
 		axis = append(axis, fmt.Sprint(c.Members))
-		agreed, known = append(agreed, c.Agreed.Seconds()), append(known, c.Known.Seconds())
-		back = append(back, c.Return.Seconds())
-		mean, most = append(mean, c.BytesSecond/1000), append(most, c.BytesMost/1000)
+		agreed, known = append(agreed, c.Agreed.Seconds()), append(known, c.Propagated.Seconds())
+		back = append(back, c.Reconverged.Seconds())
+		mean, most = append(mean, c.BytesSecond/1000), append(most, c.MaxBytesSecond/1000)
 	}
 	return []components.Charter{
 		Chart("Convergence", "model, simulated network", "members", "s", axis,
@@ -98,8 +98,8 @@
 		for a, arm := range n.Arms {
 			c := Curve{Name: arm.Name}
 			for w := range n.Windows {
-				b := simulation.BarOf(n.Samples(a, w, f))
-				c.Values, c.Halves = append(c.Values, b.Mean), append(c.Halves, b.Half)
+				b := simulation.EstimateMean(n.Samples(a, w, f))
+				c.Values, c.Halves = append(c.Values, b.Mean), append(c.Halves, b.HalfWidth)
 			}
 			curves = append(curves, c)
 		}
@@ -122,7 +122,7 @@
 			c := Curve{Name: r.Arms[arm].Name}
 			for i := range r.Cells[arm] {
 				b := r.Cells[arm][i].Bar(f)
-				c.Values, c.Halves = append(c.Values, b.Mean), append(c.Halves, b.Half)
+				c.Values, c.Halves = append(c.Values, b.Mean), append(c.Halves, b.HalfWidth)
 			}
 			curves = append(curves, c)
 		}
--- a/internal/simulation/policy.go
+++ b/internal/simulation/policy.go
@@ -23,9 +23,9 @@
 	cfg := *told
 	switch f.cfg.Policy {
 	case "two-choices", "oracle":
-		return &chooser{fleet: f, cfg: cfg, oracle: f.cfg.Policy == "oracle",
+		return &choiceDecider{fleet: f, cfg: cfg, oracle: f.cfg.Policy == "oracle",
 			random:  rand.New(rand.NewPCG(cfg.Seed, 3)),
-			queries: map[cresspass.QueryID]*choice{}, running: map[cresspass.EngineID]int{}}, nil
+			queries: map[cresspass.QueryID]*pendingQuery{}, running: map[cresspass.EngineID]int{}}, nil
 	}
 	d, err := baseline.New(f.cfg.Policy, 0, cfg)
 	if err != nil {
@@ -34,30 +34,31 @@
 	return d, nil
 }
 
-// chooser sends each query on at once: to the emptier of two engines drawn by chance, by its own count, or,
-// as an oracle, to the one where it would end first, or refuses it where it would end too late anywhere.
-type chooser struct {
+// choiceDecider sends each query on at once: to the emptier of two engines drawn by chance, by its own
+// count, or, as an oracle, to the one where it would end first, or refuses it where it would end too late
+// anywhere.
+type choiceDecider struct {
 	fleet   *Fleet
 	cfg     cresspass.Config
 	oracle  bool
 	random  *rand.Rand
 	now     time.Duration
 	engines []cresspass.EngineInfo
-	queries map[cresspass.QueryID]*choice
+	queries map[cresspass.QueryID]*pendingQuery
 	running map[cresspass.EngineID]int
 	out     []cresspass.Action
 }
 
-type choice struct {
+type pendingQuery struct {
 	class    *cresspass.Class
 	deadline time.Duration
 	tries    int
 }
 
-func (c *chooser) Snapshot() []byte                    { return nil }
-func (c *chooser) Restore([]byte, time.Duration) error { return nil }
+func (c *choiceDecider) Snapshot() []byte                    { return nil }
+func (c *choiceDecider) Restore([]byte, time.Duration) error { return nil }
 
-func (c *chooser) Handle(now time.Duration, events []cresspass.Event,
+func (c *choiceDecider) Handle(now time.Duration, events []cresspass.Event,
 	actions []cresspass.Action) []cresspass.Action {
 	c.now, c.out = now, actions
 	for i := range events {
@@ -66,7 +67,7 @@
 	return c.out
 }
 
-func (c *chooser) take(ev *cresspass.Event) {
+func (c *choiceDecider) take(ev *cresspass.Event) {
 	q := c.queries[ev.Query]
 	switch ev.Type {
 	case cresspass.EngineListReceived:
@@ -77,7 +78,7 @@
 			}
 		}
 	case cresspass.QueryArrived:
-		q = &choice{class: c.fleet.class(ev.Class), deadline: c.now + ev.RemainingDeadline}
+		q = &pendingQuery{class: c.fleet.class(ev.Class), deadline: c.now + ev.RemainingDeadline}
 		c.queries[ev.Query] = q
 		c.out = append(c.out, cresspass.Action{Type: cresspass.SetTimer, Label: uint64(ev.Query),
 			Wait: max(ev.RemainingDeadline-20*time.Millisecond, 1)})
@@ -94,7 +95,8 @@
 		case q == nil:
 		case ev.QueryFinished:
 			delete(c.queries, ev.Query)
-		case q.tries < max(c.cfg.MaxAttempts, 1) && q.class.Effect == cresspass.Idempotent && c.now < q.deadline:
+		case q.tries < max(c.cfg.MaxAttempts, 1) && q.class.Effect == cresspass.Idempotent &&
+			c.now < q.deadline:
 			c.send(ev.Query, q)
 		default:
 			c.end(ev.Query, q)
@@ -102,13 +104,13 @@
 	}
 }
 
-func (c *chooser) end(id cresspass.QueryID, q *choice) {
+func (c *choiceDecider) end(id cresspass.QueryID, q *pendingQuery) {
 	delete(c.queries, id)
 	c.out = append(c.out, cresspass.Action{Type: cresspass.Reject, Query: id, Wait: c.cfg.MaxRetryAfter},
 		cresspass.Action{Type: cresspass.Cancel, Query: id, Attempt: q.tries - 1})
 }
 
-func (c *chooser) send(id cresspass.QueryID, q *choice) {
+func (c *choiceDecider) send(id cresspass.QueryID, q *pendingQuery) {
 	var best *cresspass.EngineInfo
 	if c.oracle {
 		best = c.first(id, q)
@@ -134,10 +136,10 @@
 
 // first is the engine where a query would end first, all that runs there shared evenly with it; nil:
 // nowhere in time.
-func (c *chooser) first(id cresspass.QueryID, q *choice) (best *cresspass.EngineInfo) {
-	var a *ask
+func (c *choiceDecider) first(id cresspass.QueryID, q *pendingQuery) (best *cresspass.EngineInfo) {
+	var a *request
 	for _, d := range c.fleet.dispatchers {
-		if a = d.asks[id]; a != nil {
+		if a = d.requests[id]; a != nil {
 			break
 		}
 	}
@@ -151,7 +153,7 @@
 		if !e.up {
 			continue
 		}
-		crowd := math.Max(1, (e.model.Threads()+threads)/(e.Machine.Cores*e.model.Warmth()))
+		crowd := math.Max(1, (e.model.Threads()+threads)/(e.Machine.Cores*e.model.RampFraction()))
 		if took := a.work / threads * crowd; took < least {
 			best, least = &c.engines[i], took
 		}
--- a/internal/simulation/queue.go
+++ b/internal/simulation/queue.go
@@ -9,19 +9,19 @@
 // event is something that happens at a time; those of one time in the order of whom they concern, and those
 // of one in the order in which they were set.
 type event struct {
-	at  time.Duration
-	who uint64
-	seq uint64
-	do  func()
-	own func() // goes before do; it concerns who alone
+	at    time.Duration
+	owner uint64
+	seq   uint64
+	do    func()
+	own   func() // goes before do; it concerns who alone
 }
 
 func (e *event) before(o *event) bool {
 	switch {
 	case e.at != o.at:
 		return e.at < o.at
-	case e.who != o.who:
-		return e.who < o.who
+	case e.owner != o.owner:
+		return e.owner < o.owner
 	}
 	return e.seq < o.seq
 }
@@ -32,7 +32,7 @@
 	seq  uint64
 	now  time.Duration
 	done uint64
-	together
+	parallelRunner
 }
 
 // Now is the time of the event that is happening.
@@ -50,7 +50,7 @@
 // For does the same for one whom it concerns. Danger: many dispatchers tick at one moment; were their order
 // that in which they were set, a change that has nothing to do with it would give another outcome.
 func (q *Queue) For(who uint64, at time.Duration, do func()) {
-	q.push(event{at: max(at, q.now), who: who, do: do})
+	q.push(event{at: max(at, q.now), owner: who, do: do})
 }
 
 func (q *Queue) push(e event) {
--- a/internal/simulation/return.go
+++ b/internal/simulation/return.go
@@ -11,12 +11,12 @@
 
 // HalfReturn is a day on which half of a fleet's dispatchers end at once and come back, having lost what they
 // learnt. Costs are told as so many times the truth; 0: not at all.
-func HalfReturn(seed uint64, how Talk, liars int, told float64) Config {
+func HalfReturn(seed uint64, how GossipMode, liars int, told float64) Config {
 	const at = 60 * time.Second
-	c := Config{Seed: seed, Dispatchers: 20, Talk: how, Liars: liars,
+	c := Config{Seed: seed, Dispatchers: 20, Gossip: how, Byzantine: liars,
 		Engines: Same(10, "std", enginemodel.Kind{Cores: 16, MaxJobs: 200}), Length: at + 62*time.Second,
-		Weather: Calm(),
-		Travel:  300 * time.Microsecond,
+		Network:     CalmNetwork(),
+		TransitTime: 300 * time.Microsecond,
 		Module: cresspass.Config{
 			BatchInterval:     5 * time.Millisecond,
 			Zone:              "a",
@@ -46,27 +46,27 @@
 			{Class: "board", Rate: 160, Work: 0.6, Spread: 0.5, Threads: 2, Repeats: 2, Told: told},
 			{Class: "report", Rate: 10, Work: 8, Spread: 0.7, Threads: 4, Repeats: 1, Told: told},
 		}}
-	r := Return{At: at, After: time.Second, Cold: true}
+	r := Restart{At: at, After: time.Second, WithoutState: true}
 	for i := 1; i < c.Dispatchers; i += 2 {
 		r.Dispatchers = append(r.Dispatchers, i)
 	}
-	c.Returns = []Return{r}
+	c.Restarts = []Restart{r}
 	return c
 }
 
-// Since is what clients got of some dispatchers, and how engines stood, in a time.
-type Since struct {
-	Tries                   int
-	Served, Refused, Failed float64 // shares
-	Late                    float64 // of those served
-	Overload                float64 // share of engines' time at more than two threads a core
-	Mean                    time.Duration
+// WindowSummary is what clients got of some dispatchers, and how engines stood, in a time.
+type WindowSummary struct {
+	Tries                    int
+	Served, Rejected, Failed float64 // shares
+	Late                     float64 // of those served
+	Overload                 float64 // share of engines' time at more than two threads a core
+	Mean                     time.Duration
 }
 
 // Between sums up the tries that began in a time at some dispatchers; nil: at all.
-func (r *Result) Between(from, to time.Duration, at []int) (s Since) {
+func (r *Result) Between(from, to time.Duration, at []int) (s WindowSummary) {
 	var took time.Duration
-	for _, a := range r.Asks {
+	for _, a := range r.Requests {
 		if a.At < from || a.At >= to || at != nil && !slices.Contains(at, a.Dispatcher) {
 			continue
 		}
@@ -74,12 +74,12 @@
 		switch a.End {
 		case Served:
 			s.Served++
-			took += a.Took
+			took += a.Elapsed
 			if a.Late {
 				s.Late++
 			}
-		case Refused:
-			s.Refused++
+		case Rejected:
+			s.Rejected++
 		case Failed:
 			s.Failed++
 		}
@@ -87,11 +87,11 @@
 	s.Mean = took / time.Duration(max(s.Served, 1))
 	s.Late /= max(s.Served, 1)
 	n := math.Max(float64(s.Tries), 1)
-	s.Served, s.Refused, s.Failed = s.Served/n, s.Refused/n, s.Failed/n
+	s.Served, s.Rejected, s.Failed = s.Served/n, s.Rejected/n, s.Failed/n
 	over, all := 0.0, 0.0
-	for _, l := range r.Looks {
+	for _, l := range r.Loads {
 		if l.At >= from && l.At < to {
-			for _, v := range l.Load {
+			for _, v := range l.Threads {
 				if all++; v > 2 {
 					over++
 				}
--- a/internal/simulation/stats.go
+++ b/internal/simulation/stats.go
@@ -12,21 +12,21 @@
 
 // BatchMeans returns the bar of the mean of a long run's samples, which depend on those before them: of
 // batches so long that their means hardly do. Samples of the run's warm-up are to be left out before.
-func BatchMeans(samples []float64, batches int) Bar {
+func BatchMeans(samples []float64, batches int) Estimate {
 	size := len(samples) / max(batches, 1)
 	if size == 0 || batches < 2 {
-		return Bar{Half: math.Inf(1)}
+		return Estimate{HalfWidth: math.Inf(1)}
 	}
 	means := make([]float64, batches)
 	for i := range means {
 		means[i] = stat.Mean(samples[i*size:(i+1)*size], nil)
 	}
-	return BarOf(means)
+	return EstimateMean(means)
 }
 
 // Bootstrap returns the bar of a quantile over independent runs: runs are drawn anew, with replacement, so
 // many times, and the bar holds the middle 95% of what comes out.
-func Bootstrap(runs [][]float64, times int, seed uint64, q float64) Bar {
+func Bootstrap(runs [][]float64, times int, seed uint64, q float64) Estimate {
 	r := rand.New(rand.NewPCG(seed, 95))
 	type sample struct {
 		value float64
@@ -54,7 +54,7 @@
 		}
 		return math.NaN()
 	}
-	b := Bar{Mean: quantile(), N: len(runs), Half: math.Inf(1)}
+	b := Estimate{Mean: quantile(), N: len(runs), HalfWidth: math.Inf(1)}
 	if len(runs) < 2 || times < 20 {
 		return b
 	}
@@ -68,7 +68,7 @@
 	}
 	slices.Sort(got)
 	low, high := got[int(0.025*float64(times))], got[min(int(0.975*float64(times)), times-1)]
-	b.Half = math.Max(high-b.Mean, b.Mean-low)
+	b.HalfWidth = math.Max(high-b.Mean, b.Mean-low)
 	return b
 }
 
@@ -103,17 +103,17 @@
 	return up >= 6
 }
 
-// Enough decides how many more runs are to be made until a bar is as narrow as asked: none once it is; else
-// as many as its present width lets expect, at least two, at most as many as there are.
-func Enough(b Bar, half float64, most int) (more int) {
-	if b.Half <= half || b.N >= most {
+// EnoughSamples decides how many more runs are to be made until a bar is as narrow as asked: none once it
+// is; else as many as its present width lets expect, at least two, at most as many as there are.
+func EnoughSamples(b Estimate, half float64, most int) (more int) {
+	if b.HalfWidth <= half || b.N >= most {
 		return 0
 	}
 	if b.N < 3 || half <= 0 {
 		return min(3, most-b.N)
 	}
 	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(b.N - 1)}.Quantile(0.975)
-	dev := b.Half * math.Sqrt(float64(b.N)) / t
+	dev := b.HalfWidth * math.Sqrt(float64(b.N)) / t
 	want := int(math.Ceil(math.Pow(1.96*dev/half, 2))) - b.N
 	return min(max(want, 2), most-b.N)
 }
--- a/internal/simulation/stats_test.go
+++ b/internal/simulation/stats_test.go
@@ -7,11 +7,11 @@
 
 // The engine and the bars against queues with known answers: means lie within their bars as often as 95%
 // says, give or take what a few runs can show; the full check of 400 runs is BenchmarkCoverage.
-func TestKnownAnswers(t *testing.T) {
+func TestReferenceCases(t *testing.T) {
 	if testing.Short() {
 		t.Skip("statistics: nothing runs side by side that the race detector does not see elsewhere")
 	}
-	for _, k := range []Known{MMC(1, 0.6, 4000), MMC(4, 0.7, 4000), MG1PS(0.6, 1, 4000)} {
+	for _, k := range []ReferenceCase{MMC(1, 0.6, 4000), MMC(4, 0.7, 4000), MG1PS(0.6, 1, 4000)} {
 		share, err := k.Coverage(60, 10)
 		if err != nil || share < 0.85 {
 			t.Errorf("%s, %d cores, load %g: bars hold the known answer in %.0f%% of runs", k.Name,
@@ -27,19 +27,19 @@
 	if testing.Short() {
 		t.Skip("statistics: nothing runs side by side that the race detector does not see elsewhere")
 	}
-	mean := func(k Known, seed uint64) float64 {
-		took, _ := k.Play(seed)
-		return BarOf(took).Mean
+	mean := func(k ReferenceCase, seed uint64) float64 {
+		took, _ := k.Simulate(seed)
+		return EstimateMean(took).Mean
 	}
-	pair := func(a, b Known, seed int) Bar {
+	pair := func(a, b ReferenceCase, seed int) Estimate {
 		var x, y []float64
 		for i := range 6 {
 			x, y = append(x, mean(a, uint64(seed*100+i))), append(y, mean(b, uint64(seed*100+50+i)))
 		}
-		return BarOf(Differences(x, y))
+		return EstimateMean(Differences(x, y))
 	}
 	same, err := Parallel(200, func(i int) (bool, error) {
-		return !pair(MMC(2, 0.5, 300), MMC(2, 0.5, 300), i).Clear(), nil
+		return !pair(MMC(2, 0.5, 300), MMC(2, 0.5, 300), i).IsSignificant(), nil
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -59,51 +59,52 @@
 	for i := range 8 {
 		x, y = append(x, mean(MMC(2, 0.60, 3000), uint64(i))), append(y, mean(MMC(2, 0.612, 3000), uint64(i)))
 	}
-	if d := BarOf(Differences(y, x)); !d.Clear() || d.Mean < 0 {
+	if d := EstimateMean(Differences(y, x)); !d.IsSignificant() || d.Mean < 0 {
 		t.Errorf("a load of 0.612 against 0.60: %+v", d)
 	}
 	for _, c := range []struct {
 		load     float64
 		unstable bool
 	}{{0.5, false}, {0.9, false}, {1.3, true}} {
-		if _, waiting := MMC(2, c.load, 3000).Play(3); Unstable(waiting) != c.unstable {
+		if _, waiting := MMC(2, c.load, 3000).Simulate(3); Unstable(waiting) != c.unstable {
 			t.Errorf("load %g: unstable is %v", c.load, !c.unstable)
 		}
 	}
 }
 
 // Bars grow narrower as runs are added, until they are as narrow as asked; a quantile's holds the quantile.
-func TestBars(t *testing.T) {
-	b := Bar{Half: math.Inf(1)}
+func TestEstimates(t *testing.T) {
+	b := Estimate{HalfWidth: math.Inf(1)}
 	var all []float64
 	var runs [][]float64
 	rounds := 0
-	for more := Enough(b, 0.05, 400); more > 0; more = Enough(b, 0.05, 400) {
+	for more := EnoughSamples(b, 0.05, 400); more > 0; more = EnoughSamples(b, 0.05, 400) {
 		for range more {
-			took, _ := MMC(1, 0.5, 500).Play(uint64(len(all)))
-			all, runs = append(all, BarOf(took).Mean), append(runs, took)
+			took, _ := MMC(1, 0.5, 500).Simulate(uint64(len(all)))
+			all, runs = append(all, EstimateMean(took).Mean), append(runs, took)
 		}
-		b = BarOf(all)
+		b = EstimateMean(all)
 		if rounds++; rounds > 20 {
 			t.Fatal("no end")
 		}
 	}
-	if b.Half > 0.05 || math.Abs(b.Mean-2) > 0.15 || len(all) < 10 {
+	if b.HalfWidth > 0.05 || math.Abs(b.Mean-2) > 0.15 || len(all) < 10 {
 		t.Errorf("%+v of %d runs", b, len(all))
 	}
 	// Time in an M/M/1 with processor sharing has no simple median; that of the work is ln 2.
 	q := Bootstrap([][]float64{{1, 2, 3}, {2, 3, 4}, {1, 3, 5}}, 200, 1, 0.5)
-	if q.Mean != 3 || q.Half < 0 || q.Half > 2 || !math.IsNaN(Bootstrap(nil, 200, 1, 0.5).Mean) {
+	if q.Mean != 3 || q.HalfWidth < 0 || q.HalfWidth > 2 || !math.IsNaN(Bootstrap(nil, 200, 1, 0.5).Mean) {
 		t.Errorf("%+v", q)
 	}
-	if p := Bootstrap(runs, 100, 1, 0.9); p.Half <= 0 || p.Half > 1 {
+	if p := Bootstrap(runs, 100, 1, 0.9); p.HalfWidth <= 0 || p.HalfWidth > 1 {
 		t.Errorf("%+v", p)
 	}
 }
 
 // BenchmarkCoverage is the share of 400 runs whose 95% bar holds the known answer.
 func BenchmarkCoverage(b *testing.B) {
-	for _, k := range []Known{MMC(1, 0.6, 40000), MMC(4, 0.7, 40000), MMC(16, 0.8, 40000), MG1PS(0.6, 1,
+	for _, k := range []ReferenceCase{MMC(1, 0.6, 40000), MMC(4, 0.7, 40000), MMC(16, 0.8, 40000), MG1PS(0.6,
+		1,
 		40000)} {
 		b.Run(k.Name, func(b *testing.B) {
 			for b.Loop() {
--- a/internal/simulation/together.go
+++ b/internal/simulation/together.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// together has what concerns one dispatcher alone, of all those that do something at one moment, happen on
-// several cores: they tick together, and most of the work of a large fleet is in those ticks. What comes of
-// it happens in the queue's order, so that a run is the same on any number of cores.
-type together struct {
+// parallelRunner has what concerns one dispatcher alone, of all those that do something at one moment,
+// happen on several cores: they tick together, and most of the work of a large fleet is in those ticks. What
+// comes of it happens in the queue's order, so that a run is the same on any number of cores.
+type parallelRunner struct {
 	workers int // 0: as many as there are cores
 	batch   []event
 	starts  []int // of each one's events in batch
@@ -27,7 +27,7 @@
 
 // Both has own happen at a time, which may look at and change what is who's alone, and then do.
 func (q *Queue) Both(who uint64, at time.Duration, own, do func()) {
-	q.push(event{at: max(at, q.now), who: who, do: do, own: own})
+	q.push(event{at: max(at, q.now), owner: who, do: do, own: own})
 }
 
 // moment has an event with a part of its own happen, with those like it that follow it at once: first the
@@ -36,7 +36,7 @@
 	batch, starts := append(q.batch[:0], first), append(q.starts[:0], 0)
 	for len(q.heap) > 0 && q.heap[0].at == first.at && q.heap[0].own != nil {
 		e := q.pop()
-		if e.who != batch[len(batch)-1].who {
+		if e.owner != batch[len(batch)-1].owner {
 			starts = append(starts, len(batch))
 		}
 		batch = append(batch, e)
--- a/internal/simulation/trouble_test.go
+++ b/internal/simulation/trouble_test.go
@@ -10,20 +10,22 @@
 // Whatever troubles come together in whatever order, each client gets one answer in its time, nothing goes
 // to a drained engine after the grace, none is pushed over cold, and further attempts stay in their budget;
 // and the seed's outcome is its own.
-func TestTroubles(t *testing.T) {
+func TestFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := small(rapid.Uint64().Draw(t, "seed"), Talk(rapid.IntRange(0, 2).Draw(t, "talk")), 0)
-		c.Returns = nil
+		c := small(rapid.Uint64().Draw(t, "seed"), GossipMode(rapid.IntRange(0, 2).Draw(t, "talk")), 0)
+		c.Restarts = nil
 		c.Length = 12 * time.Second
 		r := &c.Module.Rules
-		r.SlowStartFrom, r.SlowStartDuration, r.SlowStartOverloadFactor, r.SlowStartWindow = 0.3, 10*time.Second, 3, time.Second
+		r.SlowStartFrom, r.SlowStartDuration, r.SlowStartOverloadFactor, r.SlowStartWindow = 0.3,
+			10*time.Second, 3, time.Second
 		for i := range c.Engines {
 			m := &c.Engines[i].Machine
-			m.ColdFrom, m.ColdFor, m.ColdMultiple, m.ColdWindow = r.SlowStartFrom, r.SlowStartDuration, r.SlowStartOverloadFactor,
+			m.SlowStartFrom, m.SlowStartDuration, m.SlowStartOverloadFactor,
+				m.SlowStartWindow = r.SlowStartFrom, r.SlowStartDuration, r.SlowStartOverloadFactor,
 				r.SlowStartWindow
 		}
 		for range rapid.IntRange(0, 4).Draw(t, "troubles") {
-			c.Troubles = append(c.Troubles, Trouble{Kind: rapid.SampledFrom(Troubles()).Draw(t, "kind"),
+			c.Faults = append(c.Faults, Fault{Kind: rapid.SampledFrom(FaultKinds()).Draw(t, "kind"),
 				At:      time.Duration(rapid.IntRange(0, 8000).Draw(t, "at")) * time.Millisecond,
 				For:     time.Duration(rapid.IntRange(1000, 5000).Draw(t, "for")) * time.Millisecond,
 				Engines: []int{rapid.IntRange(0, 2).Draw(t, "engine")}, Dispatcher: rapid.IntRange(0,
@@ -36,12 +38,12 @@
 		}
 		got := f.Run()
 		if got.Rules.Broken() > 0 {
-			t.Fatalf("%+v with %+v", got.Rules, c.Troubles)
+			t.Fatalf("%+v with %+v", got.Rules, c.Faults)
 		}
 		again, _ := NewFleet(c)
-		if b := again.Run(); len(b.Asks) != len(got.Asks) || b.Events != got.Events {
-			t.Fatalf("the same seed: %d asks and %d events, then %d and %d", len(got.Asks), got.Events,
-				len(b.Asks),
+		if b := again.Run(); len(b.Requests) != len(got.Requests) || b.Events != got.Events {
+			t.Fatalf("the same seed: %d asks and %d events, then %d and %d", len(got.Requests), got.Events,
+				len(b.Requests),
 				b.Events)
 		}
 	})
@@ -51,8 +53,8 @@
 func TestPolicies(t *testing.T) {
 	served := map[string]float64{}
 	for _, p := range Policies {
-		c := small(1, Silent, 0)
-		c.Returns, c.Policy, c.Length = nil, p, 40*time.Second
+		c := small(1, NoGossip, 0)
+		c.Restarts, c.Policy, c.Length = nil, p, 40*time.Second
 		for i := range c.Traffic {
 			c.Traffic[i].Rate *= 1.3
 		}
@@ -69,7 +71,7 @@
 		}
 	}
 	if _, err := NewFleet(func() Config {
-		c := small(1, Silent,
+		c := small(1, NoGossip,
 			0)
 		c.Policy = "best"
 		return c
@@ -84,20 +86,22 @@
 func TestNewEngineIsNotFlooded(t *testing.T) {
 	late := time.Duration(0)
 	play := func(policy string, uneven float64) *Result {
-		c := small(2, Talking, 0)
-		c.ListLate = late
-		c.Returns, c.Policy, c.Uneven, c.Dispatchers, c.Length = nil, policy, uneven, 20, 40*time.Second
+		c := small(2, GossipOnly, 0)
+		c.ListDelay = late
+		c.Restarts, c.Policy, c.Imbalance, c.Dispatchers, c.Length = nil, policy, uneven, 20, 40*time.Second
 		r := &c.Module.Rules
-		r.SlowStartFrom, r.SlowStartDuration, r.SlowStartOverloadFactor, r.SlowStartWindow = 0.3, 15*time.Second, 2, time.Second
+		r.SlowStartFrom, r.SlowStartDuration, r.SlowStartOverloadFactor, r.SlowStartWindow = 0.3,
+			15*time.Second, 2, time.Second
 		for i := range c.Engines {
 			m := &c.Engines[i].Machine
-			m.ColdFrom, m.ColdFor, m.ColdMultiple, m.ColdWindow = r.SlowStartFrom, r.SlowStartDuration, r.SlowStartOverloadFactor,
+			m.SlowStartFrom, m.SlowStartDuration, m.SlowStartOverloadFactor,
+				m.SlowStartWindow = r.SlowStartFrom, r.SlowStartDuration, r.SlowStartOverloadFactor,
 				r.SlowStartWindow
 		}
 		for i := range c.Traffic {
 			c.Traffic[i].Rate *= 0.75
 		}
-		c.Troubles = []Trouble{{Kind: "crash", At: 8 * time.Second, For: 3 * time.Second, Engines: []int{0}}}
+		c.Faults = []Fault{{Kind: "crash", At: 8 * time.Second, For: 3 * time.Second, Engines: []int{0}}}
 		f, err := NewFleet(c)
 		if err != nil {
 			t.Fatal(err)
@@ -118,11 +122,11 @@
 			t.Errorf("busiest tenth %g: %+v", uneven, s)
 		}
 	}
-	if r := play("least-connections", 0); r.Rules.Fallen == 0 || r.Rules.Untold > 0 {
+	if r := play("least-connections", 0); r.Rules.Fallen == 0 || r.Rules.UnknownStarts > 0 {
 		t.Errorf("a plain policy floods no cold engine: %+v", r.Rules)
 	}
 	late = time.Minute // nobody hears that the engine is new before the day is over
-	if r := play("least-connections", 0); r.Rules.Fallen > 0 || r.Rules.Untold == 0 {
+	if r := play("least-connections", 0); r.Rules.Fallen > 0 || r.Rules.UnknownStarts == 0 {
 		t.Errorf("pushed over by those who can't know: %+v", r.Rules)
 	}
 }
--- a/internal/simulation/wirehost/host.go
+++ b/internal/simulation/wirehost/host.go
@@ -17,39 +17,39 @@
 	"cresspass/internal/wire"
 )
 
-// endWithin is how long the program may take to end once its input has ended.
-const endWithin = 5 * time.Second
+// exitTimeout is how long the program may take to end once its input has ended.
+const exitTimeout = 5 * time.Second
 
 // Host is a running program. It is for one goroutine at a time, but for Close.
 type Host struct {
-	command string
-	cmd     *exec.Cmd
-	stop    context.CancelFunc
-	in      io.WriteCloser
-	out     *wire.BatchWriter
-	replies *wire.ReplyReader
-	last    int // instance
-	err     error
-	said    tail
+	command    string
+	cmd        *exec.Cmd
+	stop       context.CancelFunc
+	in         io.WriteCloser
+	out        *wire.BatchWriter
+	replies    *wire.ReplyReader
+	last       int // instance
+	err        error
+	stderrTail tailBuffer
 }
 
-// tail keeps the end of what a program says.
-type tail struct {
+// tailBuffer keeps the end of what a program says.
+type tailBuffer struct {
 	mu   sync.Mutex
 	text []byte
 }
 
-const tailMost = 2000
+const maxTailBytes = 2000
 
-func (t *tail) Write(b []byte) (int, error) {
+func (t *tailBuffer) Write(b []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.text = append(t.text, b...)
-	t.text = t.text[max(0, len(t.text)-tailMost):]
+	t.text = t.text[max(0, len(t.text)-maxTailBytes):]
 	return len(b), nil
 }
 
-func (t *tail) String() string {
+func (t *tailBuffer) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return strings.TrimSpace(string(t.text))
@@ -59,7 +59,7 @@
 func Start(command string) (*Host, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	h := &Host{command: command, stop: stop, cmd: exec.CommandContext(ctx, "/bin/sh", "-c", "exec "+command)}
-	h.cmd.Stderr, h.cmd.WaitDelay = &h.said, endWithin
+	h.cmd.Stderr, h.cmd.WaitDelay = &h.stderrTail, exitTimeout
 	in, err := h.cmd.StdinPipe()
 	var out io.ReadCloser
 	if err == nil {
@@ -79,7 +79,7 @@
 // Close ends the program and returns the first thing that went wrong with it.
 func (h *Host) Close() error {
 	h.in.Close()
-	late := time.AfterFunc(endWithin, h.stop)
+	late := time.AfterFunc(exitTimeout, h.stop)
 	defer late.Stop()
 	defer h.stop()
 	var exit *exec.ExitError
@@ -94,7 +94,7 @@
 	if h.err == nil {
 		return nil
 	}
-	if text := h.said.String(); text != "" {
+	if text := h.stderrTail.String(); text != "" {
 		return fmt.Errorf("wirehost: %s: %w; it said: %s", h.command, h.err, text)
 	}
 	return fmt.Errorf("wirehost: %s: %w", h.command, h.err)
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -32,14 +32,14 @@
 
 // clientConn is a client's connection.
 type clientConn struct {
-	d      *dispatcher
-	net    net.Conn
-	mu     sync.Mutex
-	next   int32
-	open   map[int32]string // tickets
-	done   map[int32]string // tickets that have their answer
-	sent   map[string]time.Time
-	closed bool
+	dispatcher *dispatcher
+	net        net.Conn
+	mu         sync.Mutex
+	next       int32
+	open       map[int32]string // tickets
+	done       map[int32]string // tickets that have their answer
+	sent       map[string]time.Time
+	closed     bool
 }
 
 // sender gives a dispatcher its requests while it takes any.
@@ -75,7 +75,7 @@
 	}
 	limit := 1200*time.Millisecond + time.Duration(s.random.IntN(2000))*time.Millisecond
 	switch x := s.random.Float64(); {
-	case x < longShare && s.d.fleet.left() > longMost:
+	case x < longShare && s.d.fleet.remaining() > longMost:
 		limit = longMost - time.Duration(s.random.IntN(2000))*time.Millisecond
 	case x < longShare+shortShare:
 		limit = time.Duration(10+s.random.IntN(80)) * time.Millisecond
@@ -106,7 +106,7 @@
 
 // conn returns a connection with room for a request: one that stands or a new one.
 func (s *sender) conn() *clientConn {
-	if !s.d.takes() {
+	if !s.d.accepting() {
 		return nil
 	}
 	var standing []*clientConn
@@ -117,7 +117,7 @@
 	}
 	s.conns = standing
 	if len(standing) > 0 && (len(standing) >= connsMost || s.random.Float64() > freshShare) {
-		if c := standing[s.random.IntN(len(standing))]; c.room() {
+		if c := standing[s.random.IntN(len(standing))]; c.hasCapacity() {
 			return c
 		}
 	}
@@ -147,7 +147,7 @@
 	if err != nil {
 		return nil
 	}
-	c := &clientConn{d: d, net: n, open: map[int32]string{}, done: map[int32]string{},
+	c := &clientConn{dispatcher: d, net: n, open: map[int32]string{}, done: map[int32]string{},
 		sent: map[string]time.Time{}}
 	d.track(c, true)
 	go c.read()
@@ -160,7 +160,7 @@
 	return !c.closed
 }
 
-func (c *clientConn) room() bool {
+func (c *clientConn) hasCapacity() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.closed && len(c.open) < openMost
@@ -186,16 +186,17 @@
 	seq := c.next
 	c.open[seq] = r.ticket
 	// What is seen of it may come before Write returns.
-	life := c.d.currentLife()
-	c.d.fleet.oracle.change(r.ticket, func(a *asked) {
-		a.class, a.key, a.dispatcher, a.life, a.limit = r.class.name, r.key, c.d.index, life, r.limit
+	life := c.dispatcher.currentLife()
+	c.dispatcher.fleet.oracle.change(r.ticket, func(a *observedRequest) {
+		a.class, a.key, a.dispatcher, a.incarnation, a.limit = r.class.name, r.key, c.dispatcher.index, life,
+			r.limit
 		a.stranger = r.stranger
 		a.sent = time.Now()
 	})
-	c.d.remember(r)
+	c.dispatcher.recordNotification(r)
 	err := c.write(dispatchMessage(seq, fields, "SELECT 1 FROM sales_3.orders"), r.halves)
 	c.sent[r.ticket] = time.Now()
-	c.d.fleet.oracle.change(r.ticket, func(a *asked) {
+	c.dispatcher.fleet.oracle.change(r.ticket, func(a *observedRequest) {
 		if a.sent = time.Now(); err != nil {
 			a.excused = "it could not be written"
 		}
@@ -251,7 +252,7 @@
 		}
 		c.next++
 		c.net.Write(cancelMessage(c.next, seq))
-		c.gone(ticket)
+		c.markGone(ticket)
 		delete(c.open, seq)
 	}
 }
@@ -265,7 +266,7 @@
 	}
 	c.closed = true
 	for _, ticket := range c.open {
-		c.gone(ticket)
+		c.markGone(ticket)
 	}
 	clear(c.open)
 	c.mu.Unlock()
@@ -275,35 +276,35 @@
 	c.net.Close()
 }
 
-// gone enters that the client waits no longer; the link may hold that back.
-func (c *clientConn) gone(ticket string) {
-	at := time.Now().Add(c.d.linkDelay())
-	c.d.fleet.oracle.change(ticket, func(a *asked) {
-		if a.gone.IsZero() {
-			a.gone = at
+// markGone enters that the client waits no longer; the link may hold that back.
+func (c *clientConn) markGone(ticket string) {
+	at := time.Now().Add(c.dispatcher.linkDelay())
+	c.dispatcher.fleet.oracle.change(ticket, func(a *observedRequest) {
+		if a.clientGone.IsZero() {
+			a.clientGone = at
 		}
 	})
 }
 
 // read takes answers until the connection ends.
 func (c *clientConn) read() {
-	defer c.d.track(c, false)
+	defer c.dispatcher.track(c, false)
 	in := bufio.NewReader(c.net)
 	for {
 		var head [4]byte
 		if _, err := io.ReadFull(in, head[:]); err != nil {
-			c.over()
+			c.connectionEnded()
 			return
 		}
 		n := binary.BigEndian.Uint32(head[:])
 		frame := make([]byte, min(n, frameMost))
 		if _, err := io.ReadFull(in, frame); err != nil {
-			c.over()
+			c.connectionEnded()
 			return
 		}
 		a, err := parseAnswer(frame)
 		if err != nil {
-			c.d.fleet.oracle.found("unreadable_answer", "", "%x", frame)
+			c.dispatcher.fleet.oracle.findingCount("unreadable_answer", "", "%x", frame)
 			c.leave(true)
 			return
 		}
@@ -313,7 +314,7 @@
 
 func (c *clientConn) answer(a answer) {
 	if a.method == "alive" {
-		c.d.answeredAlive(a.good)
+		c.dispatcher.answeredAlive(a.good)
 		return
 	}
 	c.mu.Lock()
@@ -328,21 +329,21 @@
 	if !ok {
 		return // taken back
 	}
-	c.d.fleet.oracle.change(ticket, func(r *asked) {
-		r.answers = append(r.answers, heard{a.kind, a.body, time.Now()})
+	c.dispatcher.fleet.oracle.change(ticket, func(r *observedRequest) {
+		r.answers = append(r.answers, response{a.kind, a.body, time.Now()})
 	})
 }
 
-// over ends a connection that the dispatcher closed. A request that crossed the close is sent again, once,
-// on a new connection.
-func (c *clientConn) over() {
+// connectionEnded ends a connection that the dispatcher closed. A request that crossed the close is sent
+// again, once, on a new connection.
+func (c *clientConn) connectionEnded() {
 	now := time.Now()
 	c.mu.Lock()
 	left := c.closed
 	c.closed = true
 	resting := true // nothing but what crossed was open
 	for _, ticket := range c.open {
-		resting = resting && now.Sub(c.sent[ticket]) <= crossing+c.d.linkDelay()
+		resting = resting && now.Sub(c.sent[ticket]) <= crossing+c.dispatcher.linkDelay()
 	}
 	open := make([]string, 0, len(c.open))
 	for _, ticket := range c.open {
@@ -354,17 +355,17 @@
 		return
 	}
 	for _, ticket := range open {
-		r, ok := c.d.recall(ticket)
-		if resting && ok && !r.again && c.d.takesNew() {
-			if other := c.d.connect(); other != nil {
+		r, ok := c.dispatcher.notifications(ticket)
+		if resting && ok && !r.again && c.dispatcher.takesNew() {
+			if other := c.dispatcher.connect(); other != nil {
 				r.again = true
 				if other.send(r) {
 					continue
 				}
 			}
 		}
-		crossed := resting && (c.d.ending() || c.d.isCrowded())
-		c.d.fleet.oracle.change(ticket, func(a *asked) {
+		crossed := resting && (c.dispatcher.ending() || c.dispatcher.isCrowded())
+		c.dispatcher.fleet.oracle.change(ticket, func(a *observedRequest) {
 			a.ended = now
 			if crossed && a.excused == "" {
 				a.excused = crossedClose
--- a/internal/soak/board.go
+++ b/internal/soak/discovery.go
@@ -29,38 +29,38 @@
 	Servers []server `json:"servers"`
 }
 
-type notice struct {
+type watchEvent struct {
 	Rev  int   `json:"rev"`
 	Pool *pool `json:"pool"`
 }
 
-// board stands in for discovery, as one dispatcher sees it: events numbered from its start, told at one of
-// two addresses.
-type board struct {
-	mu      sync.Mutex
-	events  []notice
-	current int // the address that tells
-	moved   time.Time
-	down    bool
-	mute    bool
-	slow    bool
-	torn    bool
-	trouble time.Time // its last trouble ended
-	lns     [2]net.Listener
-	servers [2]*http.Server
-	ended   sync.WaitGroup
-	added   chan struct{} // closed when an event comes
+// discoveryServer stands in for discovery, as one dispatcher sees it: events numbered from its start, told
+// at one of two addresses.
+type discoveryServer struct {
+	mu         sync.Mutex
+	events     []watchEvent
+	current    int // the address that tells
+	moved      time.Time
+	down       bool
+	silent     bool
+	slow       bool
+	truncating bool
+	underFault time.Time // its last trouble ended
+	lns        [2]net.Listener
+	servers    [2]*http.Server
+	ended      sync.WaitGroup
+	added      chan struct{} // closed when an event comes
 }
 
-// slowAnswer is how long a slow discovery takes for each answer, oldTells how long an address that was left
-// keeps its streams.
+// slowAnswer is how long a slow discovery takes for each answer, oldAddressServesFor how long an address
+// that was left keeps its streams.
 const (
-	slowAnswer = 2200 * time.Millisecond
-	oldTells   = 1500 * time.Millisecond
+	slowAnswer          = 2200 * time.Millisecond
+	oldAddressServesFor = 1500 * time.Millisecond
 )
 
-func newBoard() (*board, error) {
-	b := &board{added: make(chan struct{})}
+func newDiscoveryServer() (*discoveryServer, error) {
+	b := &discoveryServer{added: make(chan struct{})}
 	for i := range b.lns {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -76,34 +76,34 @@
 }
 
 // addr is where it tells now.
-func (b *board) addr() string {
+func (b *discoveryServer) addr() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.lns[b.current].Addr().String()
 }
 
 // restart numbers events anew, with a whole list first.
-func (b *board) restart(all []server) []notice {
+func (b *discoveryServer) restart(all []server) []watchEvent {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.events = []notice{{1, &pool{1, true, all}}}
+	b.events = []watchEvent{{1, &pool{1, true, all}}}
 	return b.events
 }
 
-// tell adds an event.
-func (b *board) tell(changed ...server) {
+// publish adds an event.
+func (b *discoveryServer) publish(changed ...server) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.events) == 0 {
 		return
 	}
-	b.events = append(b.events, notice{len(b.events) + 1, &pool{len(b.events) + 1, false, changed}})
+	b.events = append(b.events, watchEvent{len(b.events) + 1, &pool{len(b.events) + 1, false, changed}})
 	close(b.added)
 	b.added = make(chan struct{})
 }
 
-// move has the other address tell.
-func (b *board) move() {
+// redirect has the other address tell.
+func (b *discoveryServer) redirect() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.current, b.moved = 1-b.current, time.Now()
@@ -112,20 +112,20 @@
 }
 
 // set changes how it behaves.
-func (b *board) set(change func(b *board)) {
+func (b *discoveryServer) set(change func(b *discoveryServer)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	change(b)
-	b.trouble = time.Now()
+	b.underFault = time.Now()
 	close(b.added)
 	b.added = make(chan struct{})
 }
 
-// inTrouble reports whether it was not itself at any moment since a time.
-func (b *board) inTrouble(since time.Time) bool {
+// faulty reports whether it was not itself at any moment since a time.
+func (b *discoveryServer) faulty(since time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.down || b.mute || b.slow || b.torn || b.trouble.After(since) || b.moved.After(since)
+	return b.down || b.silent || b.slow || b.truncating || b.underFault.After(since) || b.moved.After(since)
 }
 
 // hangUp ends a call without a word.
@@ -135,7 +135,7 @@
 	}
 }
 
-func (b *board) serve(address int, w http.ResponseWriter, q *http.Request) {
+func (b *discoveryServer) serve(address int, w http.ResponseWriter, q *http.Request) {
 	b.mu.Lock()
 	down, slow, left := b.down, b.slow, address != b.current
 	b.mu.Unlock()
@@ -159,8 +159,9 @@
 	defer comment.Stop()
 	for q.Context().Err() == nil {
 		b.mu.Lock()
-		events, added, torn := b.events, b.added, b.torn
-		down, mute, left := b.down, b.mute, address != b.current && time.Since(b.moved) > oldTells
+		events, added, torn := b.events, b.added, b.truncating
+		down, mute, left := b.down, b.silent, address != b.current &&
+			time.Since(b.moved) > oldAddressServesFor
 		tells := address == b.current
 		b.mu.Unlock()
 		if down || left {
@@ -192,7 +193,7 @@
 	}
 }
 
-func (b *board) close() {
+func (b *discoveryServer) close() {
 	for _, s := range b.servers {
 		s.Close()
 	}
--- a/internal/soak/dispatcher.go
+++ b/internal/soak/dispatcher.go
@@ -29,29 +29,29 @@
 	index   int
 	fleet   *fleet
 	listen  string
-	board   *board
+	board   *discoveryServer
 	clients *proxy
 	nodes   []*proxy // to each compute node
 	dir     string
 	parsers sync.Map // of taps: a parser for each connection
 
-	mu       sync.Mutex
-	life     int
-	process  *exec.Cmd
-	ended    chan struct{} // closed when the process has ended
-	ready    bool
-	leaving  time.Time     // SIGTERM was sent; zero: not
-	busy     bool          // a change of life goes on
-	paused   time.Duration // in all its lives
-	crowded  time.Time     // until then idle clients may fill its descriptors
-	delay    time.Duration
-	conns    map[*clientConn]bool
-	requests map[string]request
-	alive    chan bool
+	mu          sync.Mutex
+	incarnation int
+	process     *exec.Cmd
+	ended       chan struct{} // closed when the process has ended
+	ready       bool
+	leaving     time.Time     // SIGTERM was sent; zero: not
+	busy        bool          // a change of life goes on
+	paused      time.Duration // in all its lives
+	crowded     time.Time     // until then idle clients may fill its descriptors
+	delay       time.Duration
+	conns       map[*clientConn]bool
+	requests    map[string]request
+	alive       chan bool
 }
 
-// tapKey names a connection on a link to a compute node.
-type tapKey struct{ node, connection int }
+// exchangeKey names a connection on a link to a compute node.
+type exchangeKey struct{ node, connection int }
 
 func newDispatcher(index int, f *fleet) (*dispatcher, error) {
 	d := &dispatcher{index: index, fleet: f, conns: map[*clientConn]bool{}, requests: map[string]request{},
@@ -63,7 +63,7 @@
 	d.listen = fmt.Sprintf("127.%d.%d.%d:%d", 10+os.Getpid()%200, 1+os.Getpid()/200%200, 1+index,
 		firstPort+f.run)
 	var err error
-	if d.board, err = newBoard(); err != nil {
+	if d.board, err = newDiscoveryServer(); err != nil {
 		return nil, err
 	}
 	if d.clients, err = newProxy(d.listen, nil); err != nil {
@@ -84,11 +84,11 @@
 
 // tap sees what the dispatcher writes to a compute node.
 func (d *dispatcher) tap(node, connection int, now time.Time, b []byte) {
-	v, _ := d.parsers.LoadOrStore(tapKey{node, connection}, &callParser{})
+	v, _ := d.parsers.LoadOrStore(exchangeKey{node, connection}, &callParser{})
 	for _, c := range v.(*callParser).feed(now, b) {
 		if c.method == "POST" {
-			p := post{c, node, d.fleet.nodes[node].id(), d.index, d.currentLife()}
-			d.fleet.oracle.change(c.ticket, func(a *asked) { a.posts = append(a.posts, p) })
+			p := postedQuery{c, node, d.fleet.nodes[node].id(), d.index, d.currentLife()}
+			d.fleet.oracle.change(c.ticket, func(a *observedRequest) { a.posts = append(a.posts, p) })
 		}
 	}
 }
@@ -103,7 +103,7 @@
 }
 
 // configuration writes the file that the process reads.
-func (d *dispatcher) configuration(known []notice) error {
+func (d *dispatcher) configuration(known []watchEvent) error {
 	settings := d.fleet.settings()
 	data, err := json.Marshal(map[string]any{"name": fmt.Sprintf("d%d", d.index), "listen": d.listen,
 		"seed":   fmt.Sprintf("%016x", d.fleet.plan.Seed*1000+uint64(d.index*100+d.currentLife())),
@@ -123,12 +123,12 @@
 // start begins a life and waits until it is ready.
 func (d *dispatcher) start() {
 	d.mu.Lock()
-	d.life++
-	life := d.life
+	d.incarnation++
+	life := d.incarnation
 	d.ready, d.leaving = false, time.Time{}
 	d.mu.Unlock()
 	if err := d.configuration(d.board.restart(d.list())); err != nil {
-		d.fleet.oracle.found("harness", "", "%v", err)
+		d.fleet.oracle.findingCount("harness", "", "%v", err)
 		return
 	}
 	for _, s := range d.fleet.list() {
@@ -138,7 +138,7 @@
 	}
 	log, err := os.OpenFile(filepath.Join(d.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		d.fleet.oracle.found("harness", "", "%v", err)
+		d.fleet.oracle.findingCount("harness", "", "%v", err)
 		return
 	}
 	c := exec.Command(d.fleet.program, "node")
@@ -147,7 +147,7 @@
 		"CRESSPASS_MUTANT="+d.fleet.mutant)
 	c.Stdout, c.Stderr = log, log
 	if err := c.Start(); err != nil {
-		d.fleet.oracle.found("harness", "", "%v", err)
+		d.fleet.oracle.findingCount("harness", "", "%v", err)
 		return
 	}
 	ended := make(chan struct{})
@@ -163,8 +163,15 @@
 		d.mu.Unlock()
 		close(ended)
 		if !expected && !d.fleet.closing() {
-			d.fleet.oracle.found("crash", "", "dispatcher %d life %d ended: %v; %s", d.index, life, err,
-				d.lastWords())
+			d.fleet.oracle.findingCount(
+				"crash",
+				"",
+				"dispatcher %d life %d ended: %v; %s",
+				d.index,
+				life,
+				err,
+				d.lastLogLines(),
+			)
 		}
 	}()
 	d.awaitReady(ended)
@@ -201,7 +208,7 @@
 			return
 		}
 	}
-	d.fleet.oracle.found("not_ready", "", "dispatcher %d after %v", d.index, readyWithin)
+	d.fleet.oracle.findingCount("not_ready", "", "dispatcher %d after %v", d.index, readyWithin)
 }
 
 func (d *dispatcher) answeredAlive(good bool) {
@@ -237,18 +244,18 @@
 	}
 	defer d.release()
 	d.mu.Lock()
-	c, ended, life, paused := d.process, d.ended, d.life, d.paused
+	c, ended, life, paused := d.process, d.ended, d.incarnation, d.paused
 	d.leaving = time.Now()
 	d.mu.Unlock()
 	c.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-ended:
 		if code := c.ProcessState.ExitCode(); code != 0 {
-			d.fleet.oracle.found("crash", "", "dispatcher %d life %d: exit %d after SIGTERM", d.index,
+			d.fleet.oracle.findingCount("crash", "", "dispatcher %d life %d: exit %d after SIGTERM", d.index,
 				life, code)
 		}
 	case <-d.after(endsWithin, paused):
-		d.fleet.oracle.found("not_ended", "", "dispatcher %d life %d, %v after SIGTERM", d.index, life,
+		d.fleet.oracle.findingCount("not_ended", "", "dispatcher %d life %d, %v after SIGTERM", d.index, life,
 			endsWithin)
 		c.Process.Kill()
 		<-ended
@@ -281,7 +288,7 @@
 	}
 	defer d.release()
 	d.mu.Lock()
-	c, ended, life := d.process, d.ended, d.life
+	c, ended, life := d.process, d.ended, d.incarnation
 	d.ready = false
 	d.mu.Unlock()
 	c.Process.Kill()
@@ -300,12 +307,12 @@
 	if !ready {
 		return
 	}
-	d.board.move()
+	d.board.redirect()
 	d.board.mu.Lock()
 	known := d.board.events
 	d.board.mu.Unlock()
 	if err := d.configuration(known); err != nil {
-		d.fleet.oracle.found("harness", "", "%v", err)
+		d.fleet.oracle.findingCount("harness", "", "%v", err)
 	}
 	c.Process.Signal(syscall.SIGHUP)
 }
@@ -326,8 +333,8 @@
 	d.paused += by
 }
 
-// takes reports whether it is sent requests, takesNew whether new connections too.
-func (d *dispatcher) takes() bool { return d.takesFor(requestsFor) }
+// accepting reports whether it is sent requests, takesNew whether new connections too.
+func (d *dispatcher) accepting() bool { return d.takesFor(requestsFor) }
 
 func (d *dispatcher) takesNew() bool { return d.takesFor(newConnsFor) }
 
@@ -343,7 +350,7 @@
 func (d *dispatcher) currentLife() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.life
+	return d.incarnation
 }
 
 func (d *dispatcher) linkDelay() time.Duration {
@@ -358,8 +365,8 @@
 	d.delay = by
 }
 
-// crowd tells that idle clients come for so long.
-func (d *dispatcher) crowd(by time.Duration) {
+// setCrowded tells that idle clients come for so long.
+func (d *dispatcher) setCrowded(by time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.crowded = time.Now().Add(by)
@@ -390,13 +397,13 @@
 	return all
 }
 
-func (d *dispatcher) remember(r request) {
+func (d *dispatcher) recordNotification(r request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.requests[r.ticket] = r
 }
 
-func (d *dispatcher) recall(ticket string) (request, bool) {
+func (d *dispatcher) notifications(ticket string) (request, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	r, ok := d.requests[ticket]
@@ -412,8 +419,8 @@
 	return lines
 }
 
-// lastWords returns the end of the dispatcher's log.
-func (d *dispatcher) lastWords() string {
+// lastLogLines returns the end of the dispatcher's log.
+func (d *dispatcher) lastLogLines() string {
 	data, _ := os.ReadFile(filepath.Join(d.dir, "log"))
 	lines := strings.Split(strings.TrimSpace(string(data)), "\n")
 	return lines[len(lines)-1]
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -29,14 +29,14 @@
 	Findings   []Finding
 	Violations []string // logged by the dispatchers themselves
 	Counts     map[string]int
-	stories    map[string][]string
+	traces     map[string][]string
 }
 
 // Broken reports whether any rule was.
 func (r *Report) Broken() bool { return len(r.Findings) > 0 || len(r.Violations) > 0 }
 
-// storiesMost bounds the requests whose story is written.
-const storiesMost = 5
+// maxTraces bounds the requests whose story is written.
+const maxTraces = 5
 
 // Write writes the report: the plan and stories where a rule was broken.
 func (r *Report) Write(w io.Writer) {
@@ -53,7 +53,7 @@
 		fmt.Fprintln(w, " ", v)
 	}
 	fmt.Fprint(w, r.Plan)
-	for _, lines := range r.stories {
+	for _, lines := range r.traces {
 		for _, line := range lines {
 			fmt.Fprintln(w, " ", line)
 		}
@@ -168,27 +168,27 @@
 // report judges.
 func (f *fleet) report() *Report {
 	r := &Report{Plan: f.plan, Findings: f.oracle.judge(), Counts: f.oracle.counts(),
-		stories: map[string][]string{}}
+		traces: map[string][]string{}}
 	for _, d := range f.dispatchers {
 		for _, v := range d.violations() {
 			r.Violations = append(r.Violations, fmt.Sprintf("dispatcher %d: %s", d.index, v))
 		}
 	}
 	for _, finding := range r.Findings {
-		if finding.Ticket == "" || len(r.stories) >= storiesMost {
+		if finding.Ticket == "" || len(r.traces) >= maxTraces {
 			continue
 		}
-		lines := f.oracle.story(finding.Ticket)
+		lines := f.oracle.trace(finding.Ticket)
 		for _, d := range f.dispatchers {
 			lines = append(lines, d.logOf(finding.Ticket)...)
 		}
-		r.stories[finding.Ticket] = lines
+		r.traces[finding.Ticket] = lines
 	}
 	return r
 }
 
-// left is how long requests are sent yet.
-func (f *fleet) left() time.Duration {
+// remaining is how long requests are sent yet.
+func (f *fleet) remaining() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return time.Until(f.until)
@@ -219,9 +219,9 @@
 		if was.ID != now.ID {
 			gone := was
 			gone.State, gone.Addr = "removed", mine.Addr
-			d.board.tell(gone, mine)
+			d.board.publish(gone, mine)
 		} else {
-			d.board.tell(mine)
+			d.board.publish(mine)
 		}
 		if now.State == "draining" {
 			f.drained(d, now.ID)
@@ -233,12 +233,12 @@
 // its discovery is in.
 func (f *fleet) drained(d *dispatcher, generation string) {
 	told, life := time.Now(), d.currentLife()
-	if !d.board.inTrouble(told.Add(-troubleTold)) {
+	if !d.board.faulty(told.Add(-troubleTold)) {
 		f.oracle.drained(d.index, life, generation, told)
 		return
 	}
 	f.work.Go(func() {
-		for d.board.inTrouble(time.Now().Add(-troubleTold)) && !f.closing() {
+		for d.board.faulty(time.Now().Add(-troubleTold)) && !f.closing() {
 			time.Sleep(20 * time.Millisecond)
 		}
 		f.oracle.drained(d.index, life, generation, time.Now())
@@ -283,13 +283,13 @@
 	f.mu.Lock()
 	f.until = begun.Add(f.plan.For)
 	f.mu.Unlock()
-	for _, t := range f.plan.Troubles {
+	for _, t := range f.plan.Faults {
 		select {
 		case <-time.After(time.Until(begun.Add(t.At))):
 		case <-ctx.Done():
 			return
 		}
-		f.work.Go(func() { f.trouble(t) })
+		f.work.Go(func() { f.inject(t) })
 	}
 	select {
 	case <-time.After(time.Until(begun.Add(f.plan.For))):
@@ -297,14 +297,14 @@
 	}
 }
 
-// trouble has one trouble happen.
-func (f *fleet) trouble(t Trouble) {
+// inject has one trouble happen.
+func (f *fleet) inject(t Fault) {
 	if t.Dispatcher < 0 {
-		f.nodeTrouble(t, f.nodes[t.Node])
+		f.injectNodeFault(t, f.nodes[t.Node])
 		return
 	}
 	d := f.dispatchers[t.Dispatcher]
-	links := func(m mode, delay time.Duration) {
+	links := func(m linkMode, delay time.Duration) {
 		for _, p := range d.nodes {
 			p.set(m, delay)
 		}
@@ -313,10 +313,10 @@
 			p.set(linkWell, 0)
 		}
 	}
-	discovery := func(set func(b *board, on bool)) {
-		d.board.set(func(b *board) { set(b, true) })
+	discovery := func(set func(b *discoveryServer, on bool)) {
+		d.board.set(func(b *discoveryServer) { set(b, true) })
 		time.Sleep(t.For)
-		d.board.set(func(b *board) { set(b, false) })
+		d.board.set(func(b *discoveryServer) { set(b, false) })
 	}
 	switch t.Kind {
 	case Terminate:
@@ -331,13 +331,13 @@
 			time.Sleep(t.For / 8)
 		}
 	case DiscDown:
-		discovery(func(b *board, on bool) { b.down = on })
+		discovery(func(b *discoveryServer, on bool) { b.down = on })
 	case DiscMute:
-		discovery(func(b *board, on bool) { b.mute = on })
+		discovery(func(b *discoveryServer, on bool) { b.silent = on })
 	case DiscSlow:
-		discovery(func(b *board, on bool) { b.slow = on })
+		discovery(func(b *discoveryServer, on bool) { b.slow = on })
 	case DiscTorn:
-		discovery(func(b *board, on bool) { b.torn = on })
+		discovery(func(b *discoveryServer, on bool) { b.truncating = on })
 	case LinkDelay:
 		links(linkDelay, 60*time.Millisecond)
 	case LinkCut:
@@ -374,20 +374,20 @@
 	case ClientsIdle:
 		f.idleClients(t, d)
 	case Strangers:
-		f.strangers(t, d)
+		f.sendMalformed(t, d)
 	case ClockStep: // of all machines alike
 		var all sync.WaitGroup
 		for _, d := range f.dispatchers {
-			all.Go(func() { f.fault(t, d) })
+			all.Go(func() { f.setProcessFaults(t, d) })
 		}
 		all.Wait()
 	case CallsFail, DialsLate:
-		f.fault(t, d)
+		f.setProcessFaults(t, d)
 	}
 }
 
 // clientLink has the clients' link of a dispatcher be slow.
-func (f *fleet) clientLink(t Trouble, d *dispatcher) {
+func (f *fleet) clientLink(t Fault, d *dispatcher) {
 	const delay = 30 * time.Millisecond
 	d.setLinkDelay(2 * delay)
 	if t.Kind == ClientDelay {
@@ -402,8 +402,8 @@
 }
 
 // idleClients opens connections that say nothing.
-func (f *fleet) idleClients(t Trouble, d *dispatcher) {
-	d.crowd(t.For + 300*time.Millisecond)
+func (f *fleet) idleClients(t Fault, d *dispatcher) {
+	d.setCrowded(t.For + 300*time.Millisecond)
 	var all []*clientConn
 	for range 60 {
 		if c := d.connect(); c != nil {
@@ -416,8 +416,8 @@
 	}
 }
 
-// strangers ask and take back at once, for a while.
-func (f *fleet) strangers(t Trouble, d *dispatcher) {
+// sendMalformed ask and take back at once, for a while.
+func (f *fleet) sendMalformed(t Fault, d *dispatcher) {
 	random := rand.New(rand.NewPCG(f.plan.Seed, uint64(t.At)))
 	for until := time.Now().Add(t.For); time.Now().Before(until) &&
 		d.takesNew(); time.Sleep(5 * time.Millisecond) {
@@ -435,8 +435,9 @@
 	}
 }
 
-// fault has calls of the system fail inside a dispatcher that was built for it, or its wall clock step.
-func (f *fleet) fault(t Trouble, d *dispatcher) {
+// setProcessFaults has calls of the system fail inside a dispatcher that was built for it, or its wall clock
+// step.
+func (f *fleet) setProcessFaults(t Fault, d *dispatcher) {
 	write := func(v map[string]any) {
 		data, _ := json.Marshal(v)
 		next := filepath.Join(d.dir, "faults.new")
@@ -456,8 +457,8 @@
 	write(map[string]any{})
 }
 
-// nodeTrouble has a trouble of a compute node happen.
-func (f *fleet) nodeTrouble(t Trouble, n *computeNode) {
+// injectNodeFault has a trouble of a compute node happen.
+func (f *fleet) injectNodeFault(t Fault, n *computeNode) {
 	during := func(set func(n *computeNode, on bool)) {
 		n.set(func(n *computeNode) { set(n, true) })
 		time.Sleep(t.For)
@@ -475,26 +476,26 @@
 		}
 		n.crash()
 		time.Sleep(t.For / 2)
-		f.comeBack(n)
+		f.restartNode(n)
 	case NodesHang:
 		var all sync.WaitGroup
 		for _, n := range f.nodes {
 			one := t
 			one.Kind = NodeHang
-			all.Go(func() { f.nodeTrouble(one, n) })
+			all.Go(func() { f.injectNodeFault(one, n) })
 		}
 		all.Wait()
 	case NodeHang:
 		hung := make(chan struct{})
 		n.set(func(n *computeNode) {
-			if n.hung == nil {
-				n.hung = hung
+			if n.hanging == nil {
+				n.hanging = hung
 			}
 		})
 		time.Sleep(t.For)
 		n.set(func(n *computeNode) {
-			if n.hung == hung {
-				n.hung = nil
+			if n.hanging == hung {
+				n.hanging = nil
 			}
 		})
 		close(hung)
@@ -503,12 +504,12 @@
 	case NodeErrors:
 		during(func(n *computeNode, on bool) { n.errors = on })
 	case NodeTwice:
-		during(func(n *computeNode, on bool) { n.twice = on })
+		during(func(n *computeNode, on bool) { n.answersTwice = on })
 	}
 }
 
 // drain has a compute node drain, leave, and another come at its address.
-func (f *fleet) drain(t Trouble, n *computeNode) {
+func (f *fleet) drain(t Fault, n *computeNode) {
 	f.mu.Lock()
 	up, others := f.servers[n.index].State == "up", 0
 	for _, s := range f.servers {
@@ -524,11 +525,11 @@
 	time.Sleep(drainGrace + time.Second + t.For)
 	n.crash()
 	time.Sleep(100 * time.Millisecond)
-	f.comeBack(n)
+	f.restartNode(n)
 }
 
-// comeBack has a new process come up at a compute node's address, cold.
-func (f *fleet) comeBack(n *computeNode) {
+// restartNode has a new process come up at a compute node's address, cold.
+func (f *fleet) restartNode(n *computeNode) {
 	for range 100 {
 		if n.listen(n.addr) == nil {
 			break
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -14,12 +14,12 @@
 
 // Of the platform's protocol, as this stand-in keeps it.
 const (
-	newsAfter = 250 * time.Millisecond // a question is answered without news
-	unaskedBy = 2 * time.Second        // a query that nobody asks for is given up
-	copyLeast = 2 * time.Millisecond   // after which an answer comes a second time
-	copyMost  = 120 * time.Millisecond
+	newsAfter       = 250 * time.Millisecond // a question is answered without news
+	unpolledTimeout = 2 * time.Second        // a query that nobody asks for is given up
+	copyLeast       = 2 * time.Millisecond   // after which an answer comes a second time
+	copyMost        = 120 * time.Millisecond
 
-	hardlyTime = 40 // milliseconds: a query that has less is dropped without a word
+	silentDropBelowMS = 40 // milliseconds: a query that has less is dropped without a word
 )
 
 // run is a query on a compute node.
@@ -39,20 +39,20 @@
 	index  int
 	oracle *oracle
 
-	mu         sync.Mutex
-	busy       bool // it is about to end or to come back
-	generation int
-	runs       map[string]*run
-	server     *http.Server
-	ln         net.Listener
-	addr       string
-	hung       chan struct{} // closed at the end of a hang; nil: none
-	full       bool
-	errors     bool
-	twice      bool
-	work       map[string]time.Duration // mean time by class
-	random     *rand.Rand
-	ended      sync.WaitGroup
+	mu           sync.Mutex
+	busy         bool // it is about to end or to come back
+	generation   int
+	runs         map[string]*run
+	server       *http.Server
+	ln           net.Listener
+	addr         string
+	hanging      chan struct{} // closed at the end of a hang; nil: none
+	full         bool
+	errors       bool
+	answersTwice bool
+	work         map[string]time.Duration // mean time by class
+	random       *rand.Rand
+	ended        sync.WaitGroup
 }
 
 func newComputeNode(index int, o *oracle, seed uint64) (*computeNode, error) {
@@ -109,7 +109,7 @@
 	}
 	n.mu.Unlock()
 	if !was {
-		n.oracle.out(ticket, n.index, false)
+		n.oracle.attemptOut(ticket, n.index, false)
 	}
 }
 
@@ -144,7 +144,7 @@
 		n.mu.Lock()
 		late := map[string]*run{}
 		for ticket, r := range n.runs {
-			if !r.over && time.Since(r.asked) > unaskedBy {
+			if !r.over && time.Since(r.asked) > unpolledTimeout {
 				late[ticket] = r
 			}
 		}
@@ -158,11 +158,11 @@
 func (n *computeNode) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	io.ReadAll(q.Body)
 	n.mu.Lock()
-	hung, full, failing := n.hung, n.full, n.errors
+	hung, full, failing := n.hanging, n.full, n.errors
 	n.mu.Unlock()
 	parts := strings.Split(strings.Trim(q.URL.Path, "/"), "/")
 	ticket := q.Header.Get("X-Ticket")
-	if limit, err := strconv.Atoi(q.Header.Get("X-Max-Ms")); err == nil && limit < hardlyTime {
+	if limit, err := strconv.Atoi(q.Header.Get("X-Max-Ms")); err == nil && limit < silentDropBelowMS {
 		<-q.Context().Done() // dropped without a word
 		return
 	}
@@ -192,7 +192,7 @@
 		}
 		w.WriteHeader(http.StatusNoContent)
 	case q.Method == "GET" && len(parts) == 3:
-		n.tell(w, q, parts[1], parts[2])
+		n.report(w, q, parts[1], parts[2])
 	default:
 		w.WriteHeader(http.StatusOK)
 	}
@@ -220,8 +220,8 @@
 	}
 	n.mu.Unlock()
 	if fresh {
-		n.oracle.out(ticket, n.index, true)
-		n.oracle.made(ticket, strings.Join(r.pages, ""))
+		n.oracle.attemptOut(ticket, n.index, true)
+		n.oracle.attemptMade(ticket, strings.Join(r.pages, ""))
 	}
 	return r
 }
@@ -248,7 +248,7 @@
 // page writes a page of a result, or that there is none.
 func (n *computeNode) page(w http.ResponseWriter, r *run, page int) {
 	n.mu.Lock()
-	twice, good := n.twice, r.good
+	twice, good := n.answersTwice, r.good
 	n.mu.Unlock()
 	if !good {
 		w.WriteHeader(http.StatusInternalServerError)
@@ -283,8 +283,8 @@
 	time.Sleep(100 * time.Millisecond)
 }
 
-// tell answers a question for a page, or for news.
-func (n *computeNode) tell(w http.ResponseWriter, q *http.Request, ticket, number string) {
+// report answers a question for a page, or for news.
+func (n *computeNode) report(w http.ResponseWriter, q *http.Request, ticket, number string) {
 	n.mu.Lock()
 	r := n.runs[ticket]
 	if r != nil {
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -81,20 +81,20 @@
 	return fmt.Sprintf("%.3fs %s %s: %s", f.At.Seconds(), f.Invariant, f.Ticket, f.Detail)
 }
 
-// heard is an answer that came.
-type heard struct {
+// response is an answer that came.
+type response struct {
 	kind answerKind
 	body string
 	at   time.Time
 }
 
-// post is a start of a query, as the tap on a link saw it.
-type post struct {
+// postedQuery is a start of a query, as the tap on a link saw it.
+type postedQuery struct {
 	call
-	node       int
-	generation string
-	dispatcher int
-	life       int
+	node        int
+	generation  string
+	dispatcher  int
+	incarnation int
 }
 
 // interval is a time in which an attempt was out at a compute node.
@@ -103,86 +103,91 @@
 	from, to time.Time // to zero: yet
 }
 
-// asked is a request with all that was seen of it.
-type asked struct {
-	ticket, class, key string
-	dispatcher, life   int
-	sent               time.Time // its last byte
-	limit              time.Duration
-	answers            []heard
-	gone               time.Time // its client cancelled or closed; zero: it waits
-	ended              time.Time // its connection ended without an answer
-	excused            string    // why no answer is owed
-	stranger           bool      // it raises no budget
-	posts              []post
-	outs               []interval
-	made               []string
+// observedRequest is a request with all that was seen of it.
+type observedRequest struct {
+	ticket, class, key      string
+	dispatcher, incarnation int
+	sent                    time.Time // its last byte
+	limit                   time.Duration
+	answers                 []response
+	clientGone              time.Time // its client cancelled or closed; zero: it waits
+	ended                   time.Time // its connection ended without an answer
+	excused                 string    // why no answer is owed
+	stranger                bool      // it raises no budget
+	posts                   []postedQuery
+	attemptsOut             []interval
+	attempts                []string
 }
 
-// toldKey names what a dispatcher was told of a compute node.
-type toldKey struct {
-	dispatcher, life int
-	generation       string
+// notificationKey names what a dispatcher was told of a compute node.
+type notificationKey struct {
+	dispatcher, incarnation int
+	generation              string
 }
 
 // oracle takes in what is seen, and judges it in the end. It is for any number of goroutines.
 type oracle struct {
 	mu       sync.Mutex
 	zero     time.Time
-	requests map[string]*asked
-	drains   map[toldKey]time.Time
+	requests map[string]*observedRequest
+	drains   map[notificationKey]time.Time
 	cold     map[string]time.Time // starts, by generation
 	findings []Finding
 	budget   bool
 }
 
 func newOracle(budget bool) *oracle {
-	return &oracle{zero: time.Now(), requests: map[string]*asked{}, drains: map[toldKey]time.Time{},
-		cold: map[string]time.Time{}, budget: budget}
+	return &oracle{
+		zero:     time.Now(),
+		requests: map[string]*observedRequest{},
+		drains:   map[notificationKey]time.Time{},
+		cold:     map[string]time.Time{},
+		budget:   budget,
+	}
 }
 
-// found enters a broken rule.
-func (o *oracle) found(invariant, ticket, format string, args ...any) {
+// findingCount enters a broken rule.
+func (o *oracle) findingCount(invariant, ticket, format string, args ...any) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.find(invariant, ticket, time.Now(), format, args...)
+	o.report(invariant, ticket, time.Now(), format, args...)
 }
 
-func (o *oracle) find(invariant, ticket string, at time.Time, format string, args ...any) {
+func (o *oracle) report(invariant, ticket string, at time.Time, format string, args ...any) {
 	o.findings = append(o.findings, Finding{invariant, ticket, at.Sub(o.zero), fmt.Sprintf(format, args...)})
 }
 
 // change has a request's entry changed.
-func (o *oracle) change(ticket string, f func(a *asked)) {
+func (o *oracle) change(ticket string, f func(a *observedRequest)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	a := o.requests[ticket]
 	if a == nil {
-		a = &asked{ticket: ticket, class: "?"}
+		a = &observedRequest{ticket: ticket, class: "?"}
 		o.requests[ticket] = a
 	}
 	f(a)
 }
 
-// out enters that an attempt came whole to a compute node, or that it is over there.
-func (o *oracle) out(ticket string, node int, begun bool) {
+// attemptOut enters that an attempt came whole to a compute node, or that it is over there.
+func (o *oracle) attemptOut(ticket string, node int, begun bool) {
 	now := time.Now()
-	o.change(ticket, func(a *asked) {
+	o.change(ticket, func(a *observedRequest) {
 		if begun {
-			a.outs = append(a.outs, interval{node: node, from: now})
+			a.attemptsOut = append(a.attemptsOut, interval{node: node, from: now})
 			return
 		}
-		for i := range a.outs {
-			if a.outs[i].node == node && a.outs[i].to.IsZero() {
-				a.outs[i].to = now
+		for i := range a.attemptsOut {
+			if a.attemptsOut[i].node == node && a.attemptsOut[i].to.IsZero() {
+				a.attemptsOut[i].to = now
 			}
 		}
 	})
 }
 
-// made enters a result.
-func (o *oracle) made(ticket, body string) {
-	o.change(ticket, func(a *asked) { a.made = append(a.made, body) })
+// attemptMade enters a result.
+func (o *oracle) attemptMade(ticket, body string) {
+	o.change(ticket, func(a *observedRequest) { a.attempts = append(a.attempts, body) })
 }
 
 // killed excuses all requests of a dispatcher's life that have no answer.
@@ -190,7 +195,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, a := range o.requests {
-		if a.dispatcher == dispatcher && a.life == life && len(a.answers) == 0 &&
+		if a.dispatcher == dispatcher && a.incarnation == life && len(a.answers) == 0 &&
 			(a.excused == "" || a.excused == crossedClose) {
 			a.excused = "its dispatcher was killed"
 		}
@@ -201,8 +206,8 @@
 func (o *oracle) drained(dispatcher, life int, generation string, at time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if _, ok := o.drains[toldKey{dispatcher, life, generation}]; !ok {
-		o.drains[toldKey{dispatcher, life, generation}] = at
+	if _, ok := o.drains[notificationKey{dispatcher, life, generation}]; !ok {
+		o.drains[notificationKey{dispatcher, life, generation}] = at
 	}
 }
 
@@ -233,13 +238,13 @@
 	return o.findings
 }
 
-func (o *oracle) judgeAnswer(a *asked) {
+func (o *oracle) judgeAnswer(a *observedRequest) {
 	switch {
 	case len(a.answers) > 1:
-		o.find("second_answer", a.ticket, a.answers[1].at, "%d answers", len(a.answers))
-	case len(a.answers) == 0 && a.gone.IsZero() && (a.excused == "" || a.excused == crossedClose &&
+		o.report("second_answer", a.ticket, a.answers[1].at, "%d answers", len(a.answers))
+	case len(a.answers) == 0 && a.clientGone.IsZero() && (a.excused == "" || a.excused == crossedClose &&
 		len(a.posts) > 0):
-		o.find("lost", a.ticket, a.sent,
+		o.report("lost", a.ticket, a.sent,
 			"class %s at dispatcher %d: no answer in %v; connection ended %v", a.class,
 			a.dispatcher, a.limit, !a.ended.IsZero())
 	}
@@ -247,60 +252,63 @@
 		return
 	}
 	first := a.answers[0]
-	if late := first.at.Sub(a.sent) - a.limit; late > lateAnswer+measured && a.gone.IsZero() {
-		o.find("late", a.ticket, first.at, "%s %v after its time", first.kind, late)
+	if late := first.at.Sub(a.sent) - a.limit; late > lateAnswer+measured && a.clientGone.IsZero() {
+		o.report("late", a.ticket, first.at, "%s %v after its time", first.kind, late)
 	}
-	if first.kind == answerServed && !slices.Contains(a.made, first.body) {
-		o.find("served_other", a.ticket, first.at, "%q, of %d results made", first.body, len(a.made))
+	if first.kind == answerServed && !slices.Contains(a.attempts, first.body) {
+		o.report("served_other", a.ticket, first.at, "%q, of %d results made", first.body, len(a.attempts))
 	}
 }
 
-func (o *oracle) judgePosts(a *asked) {
+func (o *oracle) judgePosts(a *observedRequest) {
 	for _, p := range a.posts {
-		if !a.gone.IsZero() {
-			if late := p.first.Sub(a.gone); late > afterClient+measured {
-				o.find("sent_after_gone", a.ticket, p.first, "%v after its client had gone", late)
+		if !a.clientGone.IsZero() {
+			if late := p.first.Sub(a.clientGone); late > afterClient+measured {
+				o.report("sent_after_gone", a.ticket, p.first, "%v after its client had gone", late)
 			}
 		}
 		if len(a.answers) > 0 {
 			if late := p.first.Sub(a.answers[0].at); late > 0 {
-				o.find("sent_after_answer", a.ticket, p.first, "%v after its answer", late)
+				o.report("sent_after_answer", a.ticket, p.first, "%v after its answer", late)
 			}
 		}
 		if more := p.limit - (a.limit - p.first.Sub(a.sent)); more > deadlineMore+measured {
-			o.find("told_deadline", a.ticket, p.first, "%v told, %v more than is left", p.limit, more)
+			o.report("told_deadline", a.ticket, p.first, "%v told, %v more than is left", p.limit, more)
 		}
-		if told, ok := o.drains[toldKey{p.dispatcher, p.life, p.generation}]; ok {
+		if told, ok := o.drains[notificationKey{p.dispatcher, p.incarnation, p.generation}]; ok {
 			if late := p.first.Sub(told); late > drainGrace+measured {
-				o.find("sent_to_drained", a.ticket, p.first, "%s %v after its drain was told",
+				o.report("sent_to_drained", a.ticket, p.first, "%s %v after its drain was told",
 					p.generation, late)
 			}
 		}
 	}
 }
 
-func (o *oracle) judgeRepeats(a *asked) {
+func (o *oracle) judgeRepeats(a *observedRequest) {
 	c := classOf(a.class)
-	sort.Slice(a.outs, func(i, j int) bool { return a.outs[i].from.Before(a.outs[j].from) })
-	for i := 1; i < len(a.outs); i++ {
-		before, now := a.outs[i-1], a.outs[i]
+	sort.Slice(
+		a.attemptsOut,
+		func(i, j int) bool { return a.attemptsOut[i].from.Before(a.attemptsOut[j].from) },
+	)
+	for i := 1; i < len(a.attemptsOut); i++ {
+		before, now := a.attemptsOut[i-1], a.attemptsOut[i]
 		if c.effect == unsafe {
-			o.find("repeated_unsafe", a.ticket, now.from, "at node %d after node %d", now.node, before.node)
+			o.report("repeated_unsafe", a.ticket, now.from, "at node %d after node %d", now.node, before.node)
 		}
 		alone := c.effect != safe || c.inOrder // of others the page forbids no second attempt
 		if alone && (before.to.IsZero() || now.from.Before(before.to)) {
-			o.find("repeated_beside", a.ticket, now.from, "at node %d while at node %d", now.node,
+			o.report("repeated_beside", a.ticket, now.from, "at node %d while at node %d", now.node,
 				before.node)
 		}
-		if late := now.from.Sub(a.outs[0].from) - c.window; c.effect == keyed && late > measured {
-			o.find("repeated_late", a.ticket, now.from, "%v after its window", late)
+		if late := now.from.Sub(a.attemptsOut[0].from) - c.window; c.effect == keyed && late > measured {
+			o.report("repeated_late", a.ticket, now.from, "%v after its window", late)
 		}
 	}
 }
 
 // judgeOrder finds requests of one key that were out together.
 func (o *oracle) judgeOrder() {
-	byKey := map[string][]*asked{}
+	byKey := map[string][]*observedRequest{}
 	for _, a := range o.requests {
 		if classOf(a.class).inOrder && a.key != "" {
 			byKey[a.key] = append(byKey[a.key], a)
@@ -309,20 +317,20 @@
 	for _, all := range byKey {
 		for i, a := range all {
 			for _, b := range all[i+1:] {
-				if both, at := together(a, b); both {
-					o.find("out_of_order", a.ticket, at, "key %s, beside %s", a.key, b.ticket)
+				if both, at := overlapping(a, b); both {
+					o.report("out_of_order", a.ticket, at, "key %s, beside %s", a.key, b.ticket)
 				}
 			}
 		}
 	}
 }
 
-func together(a, b *asked) (bool, time.Time) {
-	if a.dispatcher != b.dispatcher || a.life != b.life {
+func overlapping(a, b *observedRequest) (bool, time.Time) {
+	if a.dispatcher != b.dispatcher || a.incarnation != b.incarnation {
 		return false, time.Time{}
 	}
-	for _, x := range a.outs {
-		for _, y := range b.outs {
+	for _, x := range a.attemptsOut {
+		for _, y := range b.attemptsOut {
 			if (y.to.IsZero() || x.from.Before(y.to)) && (x.to.IsZero() || y.from.Before(x.to)) {
 				if x.from.Before(y.from) {
 					return true, y.from
@@ -338,9 +346,9 @@
 // time may be read a little later or earlier.
 func (o *oracle) judgeBudget() {
 	type life struct{ dispatcher, life int }
-	taken, further := map[life][]time.Time{}, map[life][]post{}
+	taken, further := map[life][]time.Time{}, map[life][]postedQuery{}
 	for _, a := range o.requests {
-		at := life{a.dispatcher, a.life}
+		at := life{a.dispatcher, a.incarnation}
 		if !a.sent.IsZero() && !a.stranger {
 			taken[at] = append(taken[at], a.sent)
 		}
@@ -371,7 +379,7 @@
 				broken = broken && used > allowed+1e-9
 			}
 			if broken {
-				o.find("over_budget", p.ticket, p.first, "dispatcher %d", at.dispatcher)
+				o.report("over_budget", p.ticket, p.first, "dispatcher %d", at.dispatcher)
 			}
 		}
 	}
@@ -379,7 +387,7 @@
 
 // judgeCold finds cold compute nodes that were given more than they bear.
 func (o *oracle) judgeCold() {
-	arrivals := map[string][]post{}
+	arrivals := map[string][]postedQuery{}
 	mean, shares := 0.0, 0.0
 	for _, c := range classes {
 		mean, shares = mean+c.share*c.work.Seconds(), shares+c.share
@@ -408,7 +416,7 @@
 				allowed = n + 3*math.Sqrt(n) + 3
 			}
 			if work > allowed {
-				o.find("cold_overload", p.ticket, p.first, "%s: %.0f requests in %v, %.0f allowed",
+				o.report("cold_overload", p.ticket, p.first, "%s: %.0f requests in %v, %.0f allowed",
 					generation, work,
 					coldWindow, allowed)
 				break
@@ -426,7 +434,7 @@
 		switch {
 		case len(a.answers) > 0:
 			out[string(a.answers[0].kind)]++
-		case !a.gone.IsZero():
+		case !a.clientGone.IsZero():
 			out["gone"]++
 		case a.excused != "":
 			out["excused"]++
@@ -440,8 +448,8 @@
 	return out
 }
 
-// story tells all that was seen of a request.
-func (o *oracle) story(ticket string) (lines []string) {
+// trace tells all that was seen of a request.
+func (o *oracle) trace(ticket string) (lines []string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	a := o.requests[ticket]
@@ -456,13 +464,14 @@
 	}
 	lines = append(lines,
 		fmt.Sprintf("request %s of class %s, key %q, at dispatcher %d life %d: sent %s, limit %v, "+
-			"client gone %s, connection ended %s, excused %q", a.ticket, a.class, a.key, a.dispatcher, a.life,
-			at(a.sent), a.limit, at(a.gone), at(a.ended), a.excused))
+			"client gone %s, connection ended %s, excused %q", a.ticket, a.class, a.key, a.dispatcher,
+			a.incarnation,
+			at(a.sent), a.limit, at(a.clientGone), at(a.ended), a.excused))
 	for _, p := range a.posts {
 		lines = append(lines, fmt.Sprintf("  started at node %d (%s) %s to %s, told %v", p.node, p.generation,
 			at(p.first), at(p.whole), p.limit))
 	}
-	for _, x := range a.outs {
+	for _, x := range a.attemptsOut {
 		lines = append(lines, fmt.Sprintf("  out at node %d %s to %s", x.node, at(x.from), at(x.to)))
 	}
 	for _, h := range a.answers {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -58,8 +58,8 @@
 	ofFault = []Kind{ClockStep, CallsFail, DialsLate} // these need the build for the soak
 )
 
-// Trouble is one trouble of a plan.
-type Trouble struct {
+// Fault is one trouble of a plan.
+type Fault struct {
 	At, For    time.Duration
 	Kind       Kind
 	Dispatcher int // -1: of a node
@@ -67,7 +67,7 @@
 	Step       time.Duration // of the wall clock
 }
 
-func (t Trouble) String() string {
+func (t Fault) String() string {
 	where := fmt.Sprintf("dispatcher %d", t.Dispatcher)
 	if t.Dispatcher < 0 {
 		where = fmt.Sprintf("node %d", t.Node)
@@ -88,7 +88,7 @@
 	Rate        float64 // requests a second for each dispatcher
 	Budget      bool    // further attempts are rationed
 	Sockets     int     // descriptors of each dispatcher
-	Troubles    []Trouble
+	Faults      []Fault
 }
 
 func (p *Plan) String() string {
@@ -96,7 +96,7 @@
 	fmt.Fprintf(&b,
 		"seed %d: %d dispatchers, %d compute nodes, %.0f requests a second each, budget %v, %d files, %v\n",
 		p.Seed, p.Dispatchers, p.Nodes, p.Rate, p.Budget, p.Sockets, p.For)
-	for _, t := range p.Troubles {
+	for _, t := range p.Faults {
 		fmt.Fprintf(&b, "  %s\n", t)
 	}
 	return b.String()
@@ -134,21 +134,21 @@
 		Budget: r.IntN(2) == 0, Sockets: sockets[r.IntN(len(sockets))]}
 	for at := quietFirst; at < o.For-quietLast; {
 		first := draw(r, p, o.Faults, at)
-		p.Troubles = append(p.Troubles, first)
+		p.Faults = append(p.Faults, first)
 		if r.Float64() < secondOf {
-			p.Troubles = append(p.Troubles, inside(r, p, o.Faults, first))
+			p.Faults = append(p.Faults, inside(r, p, o.Faults, first))
 		}
 		if r.Float64() < thirdOf {
-			p.Troubles = append(p.Troubles, inside(r, p, o.Faults, first))
+			p.Faults = append(p.Faults, inside(r, p, o.Faults, first))
 		}
 		at += time.Duration(r.ExpFloat64() * float64(troubleEvery))
 	}
-	sort.SliceStable(p.Troubles, func(i, j int) bool { return p.Troubles[i].At < p.Troubles[j].At })
+	sort.SliceStable(p.Faults, func(i, j int) bool { return p.Faults[i].At < p.Faults[j].At })
 	return p
 }
 
-func draw(r *rand.Rand, p *Plan, faults bool, at time.Duration) Trouble {
-	t := Trouble{At: at, For: 200*time.Millisecond +
+func draw(r *rand.Rand, p *Plan, faults bool, at time.Duration) Fault {
+	t := Fault{At: at, For: 200*time.Millisecond +
 		time.Duration(r.ExpFloat64()*float64(1500*time.Millisecond)),
 		Dispatcher: r.IntN(p.Dispatchers), Node: r.IntN(p.Nodes)}
 	switch n := r.IntN(10); {
@@ -176,7 +176,7 @@
 }
 
 // inside draws a trouble that begins while another goes on, mostly where that one is.
-func inside(r *rand.Rand, p *Plan, faults bool, first Trouble) Trouble {
+func inside(r *rand.Rand, p *Plan, faults bool, first Fault) Fault {
 	// The first moments of a trouble are those in which it crosses the most.
 	within := min(first.For, time.Duration(r.ExpFloat64()*float64(250*time.Millisecond)))
 	t := draw(r, p, faults, first.At+within)
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -9,16 +9,16 @@
 // restingFrom is the silence from which a connection counts as resting: more than a question for news takes.
 const restingFrom = 300 * time.Millisecond
 
-// mode is how a link behaves.
-type mode int
+// linkMode is how a link behaves.
+type linkMode int
 
 // The modes of a link.
 const (
-	linkWell  mode = iota
-	linkDelay      // each piece comes later
-	linkBytes      // one byte at a time
-	linkCut        // nothing comes through, nothing is closed, new connections stay silent
-	linkReset      // connections are reset when something comes on them
+	linkWell  linkMode = iota
+	linkDelay          // each piece comes later
+	linkBytes          // one byte at a time
+	linkCut            // nothing comes through, nothing is closed, new connections stay silent
+	linkReset          // connections are reset when something comes on them
 )
 
 // proxy is a link: it takes connections on a port of its own and passes bytes on as its mode says. tap
@@ -29,18 +29,18 @@
 	tap    func(connection int, now time.Time, b []byte)
 
 	mu    sync.Mutex
-	mode  mode
+	mode  linkMode
 	delay time.Duration
-	conns map[int]*pair
+	conns map[int]*proxiedConn
 	last  int
 	done  sync.WaitGroup
 }
 
-// pair is a connection through a link.
-type pair struct {
-	near, far net.Conn
-	forgotten bool // nothing comes through any more
-	lastUsed  time.Time
+// proxiedConn is a connection through a link.
+type proxiedConn struct {
+	client, server net.Conn
+	forgotten      bool // nothing comes through any more
+	lastUsed       time.Time
 }
 
 func newProxy(target string, tap func(connection int, now time.Time, b []byte)) (*proxy, error) {
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{ln: ln, target: target, tap: tap, conns: map[int]*pair{}}
+	p := &proxy{ln: ln, target: target, tap: tap, conns: map[int]*proxiedConn{}}
 	p.done.Go(p.run)
 	return p, nil
 }
@@ -67,7 +67,7 @@
 
 // serve connects a connection with the target and passes bytes both ways until one side ends.
 func (p *proxy) serve(near net.Conn) {
-	c := &pair{near: near, lastUsed: time.Now()}
+	c := &proxiedConn{client: near, lastUsed: time.Now()}
 	p.mu.Lock()
 	p.last++
 	id := p.last
@@ -86,7 +86,7 @@
 	}
 	defer far.Close()
 	p.mu.Lock()
-	c.far = far
+	c.server = far
 	p.mu.Unlock()
 	var both sync.WaitGroup
 	both.Go(func() { p.pass(id, c, near, far, true) })
@@ -95,7 +95,7 @@
 }
 
 // pass passes bytes one way.
-func (p *proxy) pass(id int, c *pair, from, to net.Conn, tapped bool) {
+func (p *proxy) pass(id int, c *proxiedConn, from, to net.Conn, tapped bool) {
 	b := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(b)
@@ -127,7 +127,7 @@
 }
 
 // forward writes bytes as the mode says. It returns false where the connection has ended.
-func (p *proxy) forward(c *pair, to net.Conn, b []byte) bool {
+func (p *proxy) forward(c *proxiedConn, to net.Conn, b []byte) bool {
 	p.mu.Lock()
 	mode, delay, forgotten := p.mode, p.delay, c.forgotten
 	c.lastUsed = time.Now()
@@ -137,8 +137,8 @@
 		return true // swallowed
 	case mode == linkReset:
 		to.Write(b[:len(b)/2])
-		reset(c.near)
-		reset(c.far)
+		reset(c.client)
+		reset(c.server)
 		return false
 	case mode == linkDelay:
 		time.Sleep(delay)
@@ -155,7 +155,7 @@
 }
 
 // set puts a mode in force.
-func (p *proxy) set(m mode, delay time.Duration) {
+func (p *proxy) set(m linkMode, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode, p.delay = m, delay
@@ -178,8 +178,8 @@
 	defer p.mu.Unlock()
 	for _, c := range p.conns {
 		if time.Since(c.lastUsed) > restingFrom {
-			reset(c.near)
-			reset(c.far)
+			reset(c.client)
+			reset(c.server)
 		}
 	}
 }
@@ -189,8 +189,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.conns {
-		reset(c.near)
-		reset(c.far)
+		reset(c.client)
+		reset(c.server)
 	}
 }
 
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestPlanIsItsSeed: a seed gives the same plan each time, and most troubles overlap another one.
-func TestPlanIsItsSeed(t *testing.T) {
+// TestPlanIsDeterministic: a seed gives the same plan each time, and most troubles overlap another one.
+func TestPlanIsDeterministic(t *testing.T) {
 	o := Options{Seed: 7, For: time.Minute, Dispatchers: 10, Faults: true}
 	p := NewPlan(o)
 	if p.String() != NewPlan(o).String() {
@@ -20,16 +20,16 @@
 		t.Error("another seed gives the same plan")
 	}
 	overlap := 0
-	for i, a := range p.Troubles {
-		for _, b := range p.Troubles[:i] {
+	for i, a := range p.Faults {
+		for _, b := range p.Faults[:i] {
 			if a.At < b.At+b.For {
 				overlap++
 				break
 			}
 		}
 	}
-	if 2*overlap < len(p.Troubles) {
-		t.Errorf("%d of %d troubles overlap an earlier one", overlap, len(p.Troubles))
+	if 2*overlap < len(p.Faults) {
+		t.Errorf("%d of %d troubles overlap an earlier one", overlap, len(p.Faults))
 	}
 }
 
@@ -40,22 +40,31 @@
 		at func(ms int) time.Time
 	}
 	started := func(w *world, ticket string, ms int) {
-		p := post{call: call{first: w.at(ms), whole: w.at(ms), limit: 100 * time.Millisecond},
-			generation: "n0-0", life: 1}
-		w.change(ticket, func(a *asked) {
+		p := postedQuery{call: call{first: w.at(ms), whole: w.at(ms), limit: 100 * time.Millisecond},
+			generation: "n0-0", incarnation: 1}
+		w.change(ticket, func(a *observedRequest) {
 			p.class = a.class
 			a.posts = append(a.posts, p)
 		})
 	}
 	out := func(w *world, ticket string, node, from, to int) {
-		w.change(ticket, func(a *asked) { a.outs = append(a.outs, interval{node, w.at(from), w.at(to)}) })
+		w.change(
+			ticket,
+			func(a *observedRequest) {
+				a.attemptsOut = append(a.attemptsOut, interval{node, w.at(from),
+					w.at(to)})
+			},
+		)
 	}
 	served := func(w *world, ticket string, ms int) {
-		w.change(ticket, func(a *asked) { a.answers = append(a.answers, heard{answerServed, "r", w.at(ms)}) })
-		w.made(ticket, "r")
+		w.change(
+			ticket,
+			func(a *observedRequest) { a.answers = append(a.answers, response{answerServed, "r", w.at(ms)}) },
+		)
+		w.attemptMade(ticket, "r")
 	}
 	gone := func(w *world, ticket string, ms int) {
-		w.change(ticket, func(a *asked) { a.gone = w.at(ms) })
+		w.change(ticket, func(a *observedRequest) { a.clientGone = w.at(ms) })
 	}
 	for name, c := range map[string]struct {
 		class string
@@ -72,7 +81,7 @@
 		}, "second_answer"},
 		"another result": {"quick", func(w *world) {
 			served(w, "a", 10)
-			w.change("a", func(a *asked) { a.made = []string{"s"} })
+			w.change("a", func(a *observedRequest) { a.attempts = []string{"s"} })
 		}, "served_other"},
 		"after its client": {"quick", func(w *world) { gone(w, "a", 100); started(w, "a", 400) },
 			"sent_after_gone"},
@@ -80,7 +89,7 @@
 			"sent_after_answer"},
 		"deadline": {"quick", func(w *world) {
 			started(w, "a", 10)
-			w.change("a", func(a *asked) { a.posts[0].limit = 5 * time.Second })
+			w.change("a", func(a *observedRequest) { a.posts[0].limit = 5 * time.Second })
 			served(w, "a", 100)
 		}, "told_deadline"},
 		"drained": {"quick", func(w *world) {
@@ -106,8 +115,9 @@
 		"out of order": {"turn", func(w *world) {
 			out(w, "a", 0, 1, 50)
 			served(w, "a", 60)
-			w.change("b", func(b *asked) {
-				b.class, b.key, b.life, b.limit, b.sent, b.gone = "turn", "k", 1, time.Second, w.at(0),
+			w.change("b", func(b *observedRequest) {
+				b.class, b.key, b.incarnation, b.limit, b.sent, b.clientGone = "turn", "k", 1, time.Second,
+					w.at(0),
 					w.at(90)
 			})
 			out(w, "b", 1, 40, 80)
@@ -122,8 +132,8 @@
 			w.cold["n0-0"] = w.at(0)
 			for i := range 400 {
 				ticket := string(rune('b' + i))
-				w.change(ticket, func(b *asked) {
-					b.class, b.life, b.limit, b.sent, b.gone = "load", 1,
+				w.change(ticket, func(b *observedRequest) {
+					b.class, b.incarnation, b.limit, b.sent, b.clientGone = "load", 1,
 						time.Second, w.at(0), w.at(900)
 				})
 				started(w, ticket, 1+i)
@@ -133,8 +143,8 @@
 	} {
 		o := newOracle(true)
 		w := &world{o, func(ms int) time.Time { return o.zero.Add(time.Duration(ms) * time.Millisecond) }}
-		o.change("a", func(a *asked) {
-			a.class, a.key, a.life, a.sent, a.limit = c.class, "k", 1, o.zero, time.Second
+		o.change("a", func(a *observedRequest) {
+			a.class, a.key, a.incarnation, a.sent, a.limit = c.class, "k", 1, o.zero, time.Second
 		})
 		c.play(w)
 		var found []string
--- a/internal/standin/roster.go
+++ b/internal/standin/discovery.go
@@ -24,14 +24,14 @@
 	server  *grpc.Server
 	addr    string
 
-	mu      sync.Mutex
-	version int
-	list    eds.List
-	late    time.Duration
-	away    chan struct{} // closed while out of reach
-	changed chan struct{} // closed at each change
-	told    []Told
-	nacks   int
+	mu            sync.Mutex
+	version       int
+	list          eds.List
+	delay         time.Duration
+	unavailable   chan struct{} // closed while out of reach
+	changed       chan struct{} // closed at each change
+	notifications []Told
+	nacks         int
 }
 
 // Told is a list that one subscriber accepted, and when.
@@ -50,8 +50,8 @@
 		return nil, err
 	}
 	r := &Roster{service: service, server: grpc.NewServer(), addr: ln.Addr().String(),
-		changed: make(chan struct{}),
-		away:    make(chan struct{})}
+		changed:     make(chan struct{}),
+		unavailable: make(chan struct{})}
 	endpointservice.RegisterEndpointDiscoveryServiceServer(r.server, r)
 	go r.server.Serve(ln)
 	return r, nil
@@ -77,7 +77,7 @@
 // Late has further changes told so much later.
 func (r *Roster) Late(by time.Duration) {
 	r.mu.Lock()
-	r.late = by
+	r.delay = by
 	r.mu.Unlock()
 }
 
@@ -86,13 +86,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	select {
-	case <-r.away:
+	case <-r.unavailable:
 		if !away {
-			r.away = make(chan struct{})
+			r.unavailable = make(chan struct{})
 		}
 	default:
 		if away {
-			close(r.away)
+			close(r.unavailable)
 		}
 	}
 }
@@ -101,7 +101,7 @@
 func (r *Roster) Told() ([]Told, int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]Told(nil), r.told...), r.nacks
+	return append([]Told(nil), r.notifications...), r.nacks
 }
 
 // Close ends it.
@@ -133,7 +133,7 @@
 	lists := map[string]Told{}
 	for {
 		r.mu.Lock()
-		version, list, away, changed, late := r.version, r.list, r.away, r.changed, r.late
+		version, list, away, changed, late := r.version, r.list, r.unavailable, r.changed, r.delay
 		r.mu.Unlock()
 		if version > sent {
 			if sent > 0 && late > 0 {
@@ -177,7 +177,7 @@
 			r.mu.Lock()
 			if t, ok := lists[m.ResponseNonce]; ok && m.ErrorDetail == nil {
 				t.At = time.Now()
-				r.told = append(r.told, t)
+				r.notifications = append(r.notifications, t)
 			} else if m.ErrorDetail != nil {
 				r.nacks++
 			}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -99,21 +99,21 @@
 	cfg  EngineConfig
 	addr string
 
-	mu      sync.Mutex
-	up      bool
-	ln      net.Listener
-	zero    time.Time
-	started time.Time
-	model   *enginemodel.Model
-	ended   map[*enginemodel.Running]chan string
-	timer   *time.Timer
-	faults  Faults
-	random  *rand.Rand
-	conns   map[uint32]*engineConn
-	nextPID uint32
-	runs    []*Run
-	load    string
-	loadAt  time.Time
+	mu       sync.Mutex
+	up       bool
+	listener net.Listener
+	epoch    time.Time
+	started  time.Time
+	model    *enginemodel.Model
+	ended    map[*enginemodel.Running]chan string
+	timer    *time.Timer
+	faults   Faults
+	random   *rand.Rand
+	conns    map[uint32]*engineConn
+	nextPID  uint32
+	runs     []*Run
+	load     string
+	loadAt   time.Time
 
 	copyBytes int
 	locks     map[string]*engineConn // advisory ones of sessions, by key
@@ -146,9 +146,9 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.addr, e.ln, e.up = ln.Addr().String(), ln, true
+	e.addr, e.listener, e.up = ln.Addr().String(), ln, true
 	e.started = time.Now()
-	e.zero = e.started
+	e.epoch = e.started
 	e.model = enginemodel.New(e.cfg.Kind, 0, cold)
 	e.ended = map[*enginemodel.Running]chan string{}
 	e.conns = map[uint32]*engineConn{}
@@ -173,21 +173,21 @@
 // Die ends the engine at once: connections break, work is lost.
 func (e *Engine) Die() {
 	e.mu.Lock()
-	e.die()
+	e.crash()
 	e.mu.Unlock()
 }
 
-func (e *Engine) die() {
+func (e *Engine) crash() {
 	if !e.up {
 		return
 	}
 	e.up = false
-	e.ln.Close()
+	e.listener.Close()
 	for _, c := range e.conns {
-		if t, ok := c.nc.(*net.TCPConn); ok {
+		if t, ok := c.netConn.(*net.TCPConn); ok {
 			t.SetLinger(0) // a crash resets
 		}
-		c.nc.Close()
+		c.netConn.Close()
 		select { // who waits for a cancel is let go
 		case c.cancel <- struct{}{}:
 		default:
@@ -221,7 +221,7 @@
 	e.finish(e.model.Advance(now))
 	e.model.Slow(now, slow)
 	e.model.Halt(now, f.Hang)
-	e.arm()
+	e.scheduleNext()
 }
 
 // Up reports whether it runs, and whether it was pushed over.
@@ -243,7 +243,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, c := range e.conns {
-		if c.holds.Load() {
+		if c.heldLocks.Load() {
 			n++
 		}
 	}
@@ -268,7 +268,7 @@
 	return out
 }
 
-func (e *Engine) now() time.Duration { return time.Since(e.zero) }
+func (e *Engine) now() time.Duration { return time.Since(e.epoch) }
 
 // finish hands out ends of jobs. The caller holds e.mu.
 func (e *Engine) finish(over []*enginemodel.Running) {
@@ -280,8 +280,8 @@
 	}
 }
 
-// arm sets the timer for the next end. The caller holds e.mu.
-func (e *Engine) arm() {
+// scheduleNext sets the timer for the next end. The caller holds e.mu.
+func (e *Engine) scheduleNext() {
 	if e.timer != nil {
 		e.timer.Stop()
 	}
@@ -292,7 +292,7 @@
 			defer e.mu.Unlock()
 			if e.up && e.model == model {
 				e.finish(e.model.Advance(e.now()))
-				e.arm()
+				e.scheduleNext()
 			}
 		})
 	}
@@ -312,7 +312,7 @@
 			return
 		}
 		e.nextPID++
-		c := &engineConn{e: e, nc: nc, pid: e.nextPID, secret: binary.BigEndian.AppendUint32(nil,
+		c := &engineConn{engine: e, netConn: nc, pid: e.nextPID, secret: binary.BigEndian.AppendUint32(nil,
 			e.random.Uint32()),
 			statements: map[string]string{}, cancel: make(chan struct{}, 1), priority: 1, tx: 'I',
 			portals: map[string]*enginePortal{}, local: map[string]string{},
@@ -334,8 +334,8 @@
 	}
 }
 
-// report is the load report, refreshed at its pace.
-func (e *Engine) report() string {
+// loadReport is the load report, refreshed at its pace.
+func (e *Engine) loadReport() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.cfg.ReportEvery <= 0 {
@@ -355,7 +355,7 @@
 	return share > 0 && e.random.Float64() < share
 }
 
-func (e *Engine) fault() Faults {
+func (e *Engine) currentFaults() Faults {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.faults
@@ -363,38 +363,38 @@
 
 // engineConn is one connection to the engine.
 type engineConn struct {
-	e          *Engine
-	nc         net.Conn
-	b          *pgproto3.Backend
-	pid        uint32
-	secret     []byte
-	cancel     chan struct{}
-	statements map[string]string
-	portals    map[string]*enginePortal
-	grant      float64
-	priority   int
-	toldLoad   string
-	bound      *enginePortal // that runs; nil: a simple query
-	limited    *enginePortal // whose answer is cut after limit rows
-	limit      int
-	tx         byte              // I, T or E
-	settings   map[string]string // by SET, out of what the dispatcher sets
-	temps      map[string]bool   // temporary tables, by name
-	local      map[string]string // what SET LOCAL has covered, until the transaction's end
-	points     []saved           // savepoints of the open transaction
-	saved      *saved            // what a rollback brings back; nil: no transaction
-	skip       bool
-	simple     bool        // a simple query runs
-	inTx       atomic.Bool // a transaction is open
-	app        string      // application_name
-	holds      atomic.Bool // a transaction is open, or a temporary table there
+	engine          *Engine
+	netConn         net.Conn
+	backend         *pgproto3.Backend
+	pid             uint32
+	secret          []byte
+	cancel          chan struct{}
+	statements      map[string]string
+	portals         map[string]*enginePortal
+	grant           float64
+	priority        int
+	reportedLoad    string
+	bound           *enginePortal // that runs; nil: a simple query
+	limited         *enginePortal // whose answer is cut after limit rows
+	limit           int
+	tx              byte              // I, T or E
+	settings        map[string]string // by SET, out of what the dispatcher sets
+	temps           map[string]bool   // temporary tables, by name
+	local           map[string]string // what SET LOCAL has covered, until the transaction's end
+	points          []savepoint       // savepoints of the open transaction
+	saved           *savepoint        // what a rollback brings back; nil: no transaction
+	skip            bool
+	simple          bool        // a simple query runs
+	inTx            atomic.Bool // a transaction is open
+	applicationName string      // application_name
+	heldLocks       atomic.Bool // a transaction is open, or a temporary table there
 }
 
 // enginePortal is a portal with what is left of its answer.
 type enginePortal struct {
 	text, first string
 	run         bool
-	rest        int // rows that are left
+	remaining   int // rows that are left
 	tags        map[string]string
 	formats     []int16  // of the rows
 	params      [][]byte // as text
@@ -403,49 +403,49 @@
 var errCut = errors.New("standin: connection is cut")
 
 func (c *engineConn) serve() {
-	c.b = pgproto3.NewBackend(c.nc, c.nc)
+	c.backend = pgproto3.NewBackend(c.netConn, c.netConn)
 	for {
-		m, err := c.b.ReceiveStartupMessage()
+		m, err := c.backend.ReceiveStartupMessage()
 		if err != nil {
 			return
 		}
 		switch m := m.(type) {
 		case *pgproto3.SSLRequest, *pgproto3.GSSEncRequest:
-			if _, err := c.nc.Write([]byte{'N'}); err != nil {
+			if _, err := c.netConn.Write([]byte{'N'}); err != nil {
 				return
 			}
 			continue
 		case *pgproto3.CancelRequest:
-			c.e.cancelled(m)
+			c.engine.handleCancel(m)
 			return
 		case *pgproto3.StartupMessage:
-			c.e.mu.Lock()
-			c.app = m.Parameters["application_name"]
-			c.e.mu.Unlock()
+			c.engine.mu.Lock()
+			c.applicationName = m.Parameters["application_name"]
+			c.engine.mu.Unlock()
 		}
 		break
 	}
-	c.b.Send(&pgproto3.AuthenticationOk{})
-	c.b.Send(&pgproto3.ParameterStatus{Name: "server_version", Value: "16.0 (stand-in)"})
-	c.b.Send(&pgproto3.ParameterStatus{Name: "client_encoding", Value: "UTF8"})
-	c.b.Send(&pgproto3.BackendKeyData{ProcessID: c.pid, SecretKey: c.secret})
-	c.b.Send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
-	if c.b.Flush() != nil {
+	c.backend.Send(&pgproto3.AuthenticationOk{})
+	c.backend.Send(&pgproto3.ParameterStatus{Name: "server_version", Value: "16.0 (stand-in)"})
+	c.backend.Send(&pgproto3.ParameterStatus{Name: "client_encoding", Value: "UTF8"})
+	c.backend.Send(&pgproto3.BackendKeyData{ProcessID: c.pid, SecretKey: c.secret})
+	c.backend.Send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
+	if c.backend.Flush() != nil {
 		return
 	}
 	for {
-		m, err := c.b.Receive()
+		m, err := c.backend.Receive()
 		if err != nil {
 			return
 		}
-		if err := c.message(m); err != nil {
+		if err := c.handleMessage(m); err != nil {
 			return
 		}
 	}
 }
 
-func (e *Engine) cancelled(m *pgproto3.CancelRequest) {
-	if f := e.fault(); f.SlowCancel > 0 {
+func (e *Engine) handleCancel(m *pgproto3.CancelRequest) {
+	if f := e.currentFaults(); f.SlowCancel > 0 {
 		time.Sleep(f.SlowCancel)
 	}
 	e.mu.Lock()
@@ -459,15 +459,15 @@
 }
 
 func (c *engineConn) ready() error {
-	if load := c.e.report(); load != "" && load != c.toldLoad {
-		c.toldLoad = load
-		c.b.Send(&pgproto3.ParameterStatus{Name: "cresspass.load", Value: load})
+	if load := c.engine.loadReport(); load != "" && load != c.reportedLoad {
+		c.reportedLoad = load
+		c.backend.Send(&pgproto3.ParameterStatus{Name: "cresspass.load", Value: load})
 	}
-	c.b.Send(&pgproto3.ReadyForQuery{TxStatus: c.tx})
-	return c.b.Flush()
+	c.backend.Send(&pgproto3.ReadyForQuery{TxStatus: c.tx})
+	return c.backend.Flush()
 }
 
-func (c *engineConn) message(m pgproto3.FrontendMessage) error {
+func (c *engineConn) handleMessage(m pgproto3.FrontendMessage) error {
 	if _, ok := m.(*pgproto3.Sync); ok {
 		if c.skip = false; c.tx == 'I' {
 			clear(c.portals)
@@ -479,7 +479,7 @@
 	}
 	switch m := m.(type) {
 	case *pgproto3.Query:
-		if err := c.query(m.String); err != nil {
+		if err := c.handleQuery(m.String); err != nil {
 			return err
 		}
 		c.skip = false
@@ -490,7 +490,7 @@
 			return nil
 		}
 		c.statements[m.Name] = m.Query
-		c.b.Send(&pgproto3.ParseComplete{})
+		c.backend.Send(&pgproto3.ParseComplete{})
 	case *pgproto3.Bind:
 		text, ok := c.statements[m.PreparedStatement]
 		if !ok {
@@ -506,7 +506,7 @@
 			p.params = append(p.params, slices.Clone(v))
 		}
 		c.portals[m.DestinationPortal] = p
-		c.b.Send(&pgproto3.BindComplete{})
+		c.backend.Send(&pgproto3.BindComplete{})
 	case *pgproto3.Describe:
 		text, formats := "", []int16(nil)
 		if p := c.portals[m.Name]; m.ObjectType == 'P' && p != nil {
@@ -514,12 +514,12 @@
 		}
 		if m.ObjectType == 'S' {
 			text = c.statements[m.Name]
-			c.b.Send(&pgproto3.ParameterDescription{ParameterOIDs: parameters(text)})
+			c.backend.Send(&pgproto3.ParameterDescription{ParameterOIDs: parameterTypes(text)})
 		}
-		if rows(text) {
-			c.b.Send(rowDescription(shape(text), formats))
+		if returnsRows(text) {
+			c.backend.Send(rowDescription(tableFor(text), formats))
 		} else {
-			c.b.Send(&pgproto3.NoData{})
+			c.backend.Send(&pgproto3.NoData{})
 		}
 	case *pgproto3.Execute:
 		p := c.portals[m.Portal]
@@ -532,9 +532,9 @@
 			return nil
 		}
 		if all := sqlscan.Statements(p.text); len(all) == 0 {
-			c.b.Send(&pgproto3.EmptyQueryResponse{})
+			c.backend.Send(&pgproto3.EmptyQueryResponse{})
 			return nil
-		} else if len(all) == 1 && c.state(&all[0], p.text, p.first) {
+		} else if len(all) == 1 && c.applySessionStatement(&all[0], p.text, p.first) {
 			return nil
 		}
 		p.run, c.bound = true, p
@@ -543,16 +543,16 @@
 			c.limited, c.limit = p, int(m.MaxRows)
 			defer func() { c.limited = nil }()
 		}
-		return c.run(p.text, p.first, false)
+		return c.runStatement(p.text, p.first, false)
 	case *pgproto3.Close:
 		if m.ObjectType == 'S' {
 			delete(c.statements, m.Name)
 		} else {
 			delete(c.portals, m.Name)
 		}
-		c.b.Send(&pgproto3.CloseComplete{})
+		c.backend.Send(&pgproto3.CloseComplete{})
 	case *pgproto3.Flush:
-		return c.b.Flush()
+		return c.backend.Flush()
 	case *pgproto3.CopyData, *pgproto3.CopyDone, *pgproto3.CopyFail: // of a copy that ended before
 	case *pgproto3.Terminate:
 		return errCut
@@ -563,7 +563,7 @@
 }
 
 func (c *engineConn) fail(code, message string) {
-	c.b.Send(&pgproto3.ErrorResponse{Severity: "ERROR", SeverityUnlocalized: "ERROR", Code: code,
+	c.backend.Send(&pgproto3.ErrorResponse{Severity: "ERROR", SeverityUnlocalized: "ERROR", Code: code,
 		Message: message})
 	c.skip = true
 	if c.tx == 'T' {
@@ -571,28 +571,28 @@
 	}
 }
 
-// state carries out statements that are about the session, without work. It returns false for others. In a
-// failed transaction all but its end is refused, as PostgreSQL does (25P02).
-func (c *engineConn) state(st *sqlscan.Statement, text, first string) (mine bool) {
+// applySessionStatement carries out statements that are about the session, without work. It returns false
+// for others. In a failed transaction all but its end is refused, as PostgreSQL does (25P02).
+func (c *engineConn) applySessionStatement(st *sqlscan.Statement, text, first string) (mine bool) {
 	tag := ""
 	// state_ms is the time that a statement about the session takes
-	time.Sleep(time.Duration(number(sqlscan.Tags(text), "state_ms", 0) * float64(time.Millisecond)))
+	time.Sleep(time.Duration(numberTag(sqlscan.Tags(text), "state_ms", 0) * float64(time.Millisecond)))
 	before := maps.Clone(c.settings)
 	defer func() {
-		c.tell(before)
+		c.reportParameters(before)
 		c.inTx.Store(c.tx != 'I')
-		c.holds.Store(c.tx != 'I' || len(c.temps) > 0)
+		c.heldLocks.Store(c.tx != 'I' || len(c.temps) > 0)
 	}()
 	switch w := st.Words; w[0] {
 	case "BEGIN", "START":
 		if tag = "BEGIN"; c.tx == 'I' {
-			c.saved, c.points = &saved{maps.Clone(c.settings), maps.Clone(c.temps)}, nil
+			c.saved, c.points = &savepoint{maps.Clone(c.settings), maps.Clone(c.temps)}, nil
 		}
 		c.tx = 'T'
 	case "COMMIT", "END":
 		if tag = "COMMIT"; c.tx == 'E' {
 			tag = "ROLLBACK"
-			c.undo()
+			c.rollBack()
 		}
 		for name, v := range c.local {
 			if c.settings[name] = v; v == "" {
@@ -615,7 +615,7 @@
 			p := c.points[len(c.points)-1]
 			c.settings, c.temps, c.tx = maps.Clone(p.settings), maps.Clone(p.temps), 'T'
 		} else {
-			c.undo()
+			c.rollBack()
 			c.tx = 'I'
 		}
 	default:
@@ -630,7 +630,7 @@
 				return true
 			}
 			if tag = w[0]; tag == "SAVEPOINT" {
-				c.points = append(c.points, saved{maps.Clone(c.settings), maps.Clone(c.temps)})
+				c.points = append(c.points, savepoint{maps.Clone(c.settings), maps.Clone(c.temps)})
 			}
 		case "LISTEN", "UNLISTEN", "DEALLOCATE":
 			tag = w[0]
@@ -673,7 +673,7 @@
 					return true
 				}
 				clear(c.settings)
-				c.e.unlock(c, "")
+				c.engine.unlock(c, "")
 			}
 			if w[1] == "ALL" || w[1] == "TEMP" || w[1] == "TEMPORARY" {
 				clear(c.temps)
@@ -687,13 +687,13 @@
 			tag = "CREATE TABLE"
 		case "SHOW":
 			if c.simple {
-				c.b.Send(description())
+				c.backend.Send(defaultDescription())
 			}
-			c.b.Send(&pgproto3.DataRow{Values: [][]byte{nil,
+			c.backend.Send(&pgproto3.DataRow{Values: [][]byte{nil,
 				[]byte(c.settings[strings.ToLower(strings.TrimSpace(st.Text[4:]))])}})
 			tag = "SHOW"
 		default:
-			if done := c.functions(st.Text); done {
+			if done := c.applyFunctions(st.Text); done {
 				return true
 			}
 			_, args, config := strings.Cut(st.Text, "set_config('")
@@ -720,44 +720,45 @@
 			return false
 		}
 	}
-	c.e.noteState(text, first, tag)
-	c.b.Send(&pgproto3.CommandComplete{CommandTag: []byte(tag)})
+	c.engine.recordSessionState(text, first, tag)
+	c.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte(tag)})
 	return true
 }
 
-// functions carries out calls of functions about sessions. It returns true where the statement has been
+// applyFunctions carries out calls of functions about sessions. It returns true where the statement has been
 // answered: one that waited for a lock and was cancelled, or one that ends other sessions.
-func (c *engineConn) functions(text string) bool {
+func (c *engineConn) applyFunctions(text string) bool {
 	call := func(name string) (arg string, ok bool) {
 		_, rest, ok := strings.Cut(text, name+"(")
 		arg, _, _ = strings.Cut(rest, ")")
 		return arg, ok
 	}
-	if key, ok := call("pg_advisory_lock"); ok && !c.e.lock(c, key) {
+	if key, ok := call("pg_advisory_lock"); ok && !c.engine.lock(c, key) {
 		c.fail("57014", "canceling statement due to user request")
 		return true
 	}
 	if key, ok := call("pg_advisory_unlock"); ok {
-		c.e.unlock(c, key)
+		c.engine.unlock(c, key)
 	}
 	if _, ok := call("pg_terminate_backend"); !ok {
 		return false
 	}
 	names, rest, _ := strings.Cut(text, "AND")
-	ended := c.e.terminate(func(o *engineConn) bool {
+	ended := c.engine.terminate(func(o *engineConn) bool {
 		_, pids, _ := strings.Cut(rest, "pid IN (")
 		pids, _, _ = strings.Cut(pids, ")")
 		named := false
 		for _, pid := range strings.Split(pids, ", ") {
 			named = named || pid == strconv.Itoa(int(o.pid))
 		}
-		return o != c && o.app != "" && strings.Contains(names, "'"+o.app+"'") && (o.inTx.Load() || named)
+		return o != c && o.applicationName != "" && strings.Contains(names, "'"+o.applicationName+"'") &&
+			(o.inTx.Load() || named)
 	})
-	c.b.Send(description())
+	c.backend.Send(defaultDescription())
 	for range ended {
-		c.b.Send(&pgproto3.DataRow{Values: [][]byte{[]byte("0"), []byte("t")}})
+		c.backend.Send(&pgproto3.DataRow{Values: [][]byte{[]byte("0"), []byte("t")}})
 	}
-	c.b.Send(&pgproto3.CommandComplete{CommandTag: []byte("SELECT " + strconv.Itoa(ended))})
+	c.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte("SELECT " + strconv.Itoa(ended))})
 	return true
 }
 
@@ -768,7 +769,7 @@
 	for _, c := range e.conns {
 		if which(c) {
 			n++
-			c.nc.Close()
+			c.netConn.Close()
 			select {
 			case c.cancel <- struct{}{}:
 			default:
@@ -808,30 +809,30 @@
 	}
 }
 
-// saved is what a transaction's rollback brings back.
-type saved struct {
+// savepoint is what a transaction's rollback brings back.
+type savepoint struct {
 	settings map[string]string
 	temps    map[string]bool
 }
 
-func (c *engineConn) undo() {
+func (c *engineConn) rollBack() {
 	clear(c.local)
 	if c.saved != nil {
 		c.settings, c.temps, c.saved = c.saved.settings, c.saved.temps, nil
 	}
 }
 
-// tell tells of settings that have changed, as PostgreSQL does of those that it reports.
-func (c *engineConn) tell(before map[string]string) {
+// reportParameters tells of settings that have changed, as PostgreSQL does of those that it reports.
+func (c *engineConn) reportParameters(before map[string]string) {
 	for _, name := range []string{"timezone", "datestyle"} {
 		if v := c.settings[name]; v != before[name] {
-			c.b.Send(&pgproto3.ParameterStatus{Name: sessionparams.Reported(name), Value: v})
+			c.backend.Send(&pgproto3.ParameterStatus{Name: sessionparams.Reported(name), Value: v})
 		}
 	}
 }
 
-// noteState notes a statement about the session among the runs, so that it is known where it went.
-func (e *Engine) noteState(text, first, tag string) {
+// recordSessionState notes a statement about the session among the runs, so that it is known where it went.
+func (e *Engine) recordSessionState(text, first, tag string) {
 	tags := sqlscan.Tags(text)
 	id := tags["id"]
 	if id == "" {
@@ -843,30 +844,30 @@
 	e.mu.Unlock()
 }
 
-// rows reports whether a text returns rows.
-func rows(text string) bool {
+// returnsRows reports whether a text returns rows.
+func returnsRows(text string) bool {
 	all := sqlscan.Statements(text)
 	return len(all) > 0 && !all[0].Writes
 }
 
-func description() *pgproto3.RowDescription {
+func defaultDescription() *pgproto3.RowDescription {
 	return &pgproto3.RowDescription{Fields: []pgproto3.FieldDescription{
 		{Name: []byte("n"), DataTypeOID: 25, DataTypeSize: -1, TypeModifier: -1},
 		{Name: []byte("value"), DataTypeOID: 25, DataTypeSize: -1, TypeModifier: -1}}}
 }
 
-// query runs a simple query, or obeys settings.
-func (c *engineConn) query(text string) error {
+// handleQuery runs a simple query, or obeys settings.
+func (c *engineConn) handleQuery(text string) error {
 	all := sqlscan.Statements(text)
 	if len(all) == 0 {
-		c.b.Send(&pgproto3.EmptyQueryResponse{})
+		c.backend.Send(&pgproto3.EmptyQueryResponse{})
 		return nil
 	}
 	if w := all[0].Words; w[0] == "SET" && (w[1] == "WORK_MEM" || w[1] == "CRESSPASS") ||
 		w[0] == "RESET" && w[1] == "WORK_MEM" {
 		for _, s := range all {
-			c.set(s)
-			c.b.Send(&pgproto3.CommandComplete{CommandTag: []byte(s.Words[0])})
+			c.applySetting(s)
+			c.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte(s.Words[0])})
 		}
 		return nil
 	}
@@ -876,7 +877,7 @@
 	}
 	c.simple = true
 	defer func() { c.simple = false }()
-	before, open := saved{maps.Clone(c.settings), maps.Clone(c.temps)}, c.tx != 'I'
+	before, open := savepoint{maps.Clone(c.settings), maps.Clone(c.temps)}, c.tx != 'I'
 	defer func() { // an error takes back what the text did, where it is a transaction of its own
 		if c.skip && !open && c.tx == 'I' && all[0].Words[0] != "BEGIN" {
 			c.settings, c.temps = before.settings, before.temps
@@ -886,17 +887,17 @@
 		if c.skip {
 			return nil // an error ends the whole text
 		}
-		if c.state(&all[i], text, "") {
+		if c.applySessionStatement(&all[i], text, "") {
 			continue
 		}
-		if err := c.run(text, "", true); err != nil {
+		if err := c.runStatement(text, "", true); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *engineConn) set(s sqlscan.Statement) {
+func (c *engineConn) applySetting(s sqlscan.Statement) {
 	_, value, _ := strings.Cut(s.Text, "=")
 	value = strings.Trim(strings.TrimSpace(value), "'")
 	switch {
@@ -909,17 +910,17 @@
 	}
 }
 
-func number(tags map[string]string, name string, otherwise float64) float64 {
+func numberTag(tags map[string]string, name string, otherwise float64) float64 {
 	if v, err := strconv.ParseFloat(tags[name], 64); err == nil {
 		return v
 	}
 	return otherwise
 }
 
-// run carries out a statement: what it needs stands in its comment (work_ms, threads, need_mb, rows,
+// runStatement carries out a statement: what it needs stands in its comment (work_ms, threads, need_mb, rows,
 // row_bytes, tables, loads), its name in the tag id or, where there is none, in its first parameter.
-func (c *engineConn) run(text, first string, describe bool) error {
-	e := c.e
+func (c *engineConn) runStatement(text, first string, describe bool) error {
+	e := c.engine
 	tags := sqlscan.Tags(text)
 	id := tags["id"]
 	if id == "" {
@@ -933,12 +934,12 @@
 			tags[k] = v
 		}
 	}
-	n := int(number(tags, "rows", 1))
+	n := int(numberTag(tags, "rows", 1))
 	r := &Run{ID: id, Class: tags["class"], Key: tags["key"], Text: text, Begun: time.Now(), GrantMB: c.grant,
 		Priority: c.priority}
-	f := e.fault()
-	job := enginemodel.Job{Work: number(tags, "work_ms", 2) / 1000, Threads: number(tags, "threads", 1),
-		NeedMB: number(tags, "need_mb", 0), GrantMB: c.grant, Priority: c.priority, Tables: tags["tables"],
+	f := e.currentFaults()
+	job := enginemodel.Job{Work: numberTag(tags, "work_ms", 2) / 1000, Threads: numberTag(tags, "threads", 1),
+		NeedMB: numberTag(tags, "need_mb", 0), GrantMB: c.grant, Priority: c.priority, Tables: tags["tables"],
 		Loads: tags["loads"] != ""}
 	ch := make(chan string, 1)
 	select { // a cancel for what ran before is none for this
@@ -960,7 +961,15 @@
 	var running *enginemodel.Running
 	if job.Work == 0 && !f.Full && !f.Hang && !repeat { // nothing to model: measurements of the way itself
 		e.mu.Unlock()
-		return c.answer(text, n, int(number(tags, "row_bytes", 20)), "done", describe, func(string) {}, tags)
+		return c.sendAnswer(
+			text,
+			n,
+			int(numberTag(tags, "row_bytes", 20)),
+			"done",
+			describe,
+			func(string) {},
+			tags,
+		)
 	}
 	if !f.Full {
 		e.finish(e.model.Advance(e.now()))
@@ -968,11 +977,11 @@
 			e.ended[running] = ch
 		}
 		if e.model.Fallen() {
-			e.die()
+			e.crash()
 			e.mu.Unlock()
 			return errCut
 		}
-		e.arm()
+		e.scheduleNext()
 	}
 	e.mu.Unlock()
 	outcome := func(v string) {
@@ -986,12 +995,12 @@
 		return nil
 	}
 	if e.chance(f.ErrorShare) {
-		e.take(running)
+		e.startJob(running)
 		outcome("failed")
 		c.fail("58000", "the engine failed")
 		return nil
 	}
-	how, err := c.wait(running, ch)
+	how, err := c.awaitJob(running, ch)
 	if err != nil {
 		outcome("died")
 		return err
@@ -1010,23 +1019,23 @@
 	if repeat {
 		how = "dropped"
 	}
-	return c.answer(text, n, int(number(tags, "row_bytes", 20)), how, describe, outcome, tags)
+	return c.sendAnswer(text, n, int(numberTag(tags, "row_bytes", 20)), how, describe, outcome, tags)
 }
 
-// take takes a job out of the model.
-func (e *Engine) take(r *enginemodel.Running) {
+// startJob takes a job out of the model.
+func (e *Engine) startJob(r *enginemodel.Running) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.ended, r)
 	e.finish(e.model.Advance(e.now()))
 	e.model.End(e.now(), r)
-	e.arm()
+	e.scheduleNext()
 }
 
-// wait waits for a job's end, with notes of its progress.
-func (c *engineConn) wait(r *enginemodel.Running, ch chan string) (string, error) {
+// awaitJob waits for a job's end, with notes of its progress.
+func (c *engineConn) awaitJob(r *enginemodel.Running, ch chan string) (string, error) {
 	var notes <-chan time.Time
-	if every := c.e.cfg.ProgressEvery; every > 0 {
+	if every := c.engine.cfg.ProgressEvery; every > 0 {
 		t := time.NewTicker(every)
 		defer t.Stop()
 		notes = t.C
@@ -1039,18 +1048,18 @@
 			}
 			return how, nil
 		case <-c.cancel:
-			c.e.take(r)
+			c.engine.startJob(r)
 			return "cancelled", nil
 		case <-notes:
-			if c.e.fault().Hang {
+			if c.engine.currentFaults().Hang {
 				continue // one that hangs says nothing
 			}
-			c.e.mu.Lock()
-			c.e.finish(c.e.model.Advance(c.e.now()))
+			c.engine.mu.Lock()
+			c.engine.finish(c.engine.model.Advance(c.engine.now()))
 			share, spill, waits := r.Done(), r.SpillMB(), r.Waits()
-			c.e.mu.Unlock()
+			c.engine.mu.Unlock()
 			note := func(code string, v float64) {
-				c.b.Send(&pgproto3.NoticeResponse{Severity: "NOTICE", SeverityUnlocalized: "NOTICE",
+				c.backend.Send(&pgproto3.NoticeResponse{Severity: "NOTICE", SeverityUnlocalized: "NOTICE",
 					Code:    code,
 					Message: strconv.FormatFloat(v, 'f', 3, 64)})
 			}
@@ -1061,22 +1070,22 @@
 			if waits {
 				note("CP003", 2)
 			}
-			if c.b.Flush() != nil {
-				c.e.take(r)
+			if c.backend.Flush() != nil {
+				c.engine.startJob(r)
 				return "died", errCut
 			}
 		}
 	}
 }
 
-// answer sends rows and the end of a statement.
-func (c *engineConn) answer(text string, n, bytes int, how string, describe bool, outcome func(string),
+// sendAnswer sends rows and the end of a statement.
+func (c *engineConn) sendAnswer(text string, n, bytes int, how string, describe bool, outcome func(string),
 	tags map[string]string) error {
-	e := c.e
-	f := e.fault()
+	e := c.engine
+	f := e.currentFaults()
 	if f.Garbage {
 		outcome("garbage")
-		c.nc.Write([]byte("\x00\xff!!! this is no protocol \x00\x01\x02\x03"))
+		c.netConn.Write([]byte("\x00\xff!!! this is no protocol \x00\x01\x02\x03"))
 		return errCut
 	}
 	cut := -1
@@ -1095,16 +1104,16 @@
 			return nil
 		}
 		outcome(how)
-		c.b.Send(&pgproto3.CommandComplete{CommandTag: []byte("COPY " + strconv.Itoa(lines))})
+		c.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte("COPY " + strconv.Itoa(lines))})
 		return nil
 	}
-	if !rows(text) {
+	if !returnsRows(text) {
 		n, tag = 0, "INSERT 0 1"
 		if how == "dropped" {
 			tag = "INSERT 0 0"
 		}
 	}
-	table := shape(text)
+	table := tableFor(text)
 	var formats []int16
 	var params [][]byte
 	if p := c.bound; p != nil {
@@ -1114,7 +1123,7 @@
 		params = nil
 	}
 	if describe && n > 0 {
-		c.b.Send(rowDescription(table, formats))
+		c.backend.Send(rowDescription(table, formats))
 	}
 	var typed []*pgproto3.DataRow
 	if table != nil && n > 0 {
@@ -1134,20 +1143,20 @@
 		value = []byte(echo)
 	}
 	if p := c.limited; p != nil && n > c.limit {
-		p.rest, p.tags = n-c.limit, map[string]string{"value": string(value)}
+		p.remaining, p.tags = n-c.limit, map[string]string{"value": string(value)}
 		n, tag = c.limit, ""
 	}
 	copies := strings.HasPrefix(strings.ToUpper(strings.TrimSpace(text)), "COPY")
 	if copies {
-		n = int(number(tags, "rows", 1))
-		c.b.Send(&pgproto3.CopyOutResponse{ColumnFormatCodes: []uint16{0, 0}})
+		n = int(numberTag(tags, "rows", 1))
+		c.backend.Send(&pgproto3.CopyOutResponse{ColumnFormatCodes: []uint16{0, 0}})
 	}
 	sent := 0
 	for i := range n {
 		if copies {
-			c.b.Send(&pgproto3.CopyData{Data: []byte(strconv.Itoa(i) + "\t" + string(value) + "\n")})
+			c.backend.Send(&pgproto3.CopyData{Data: []byte(strconv.Itoa(i) + "\t" + string(value) + "\n")})
 			if sent += len(value) + 20; sent > 8<<10 {
-				if sent = 0; c.b.Flush() != nil {
+				if sent = 0; c.backend.Flush() != nil {
 					outcome("died")
 					return errCut
 				}
@@ -1155,26 +1164,26 @@
 			continue
 		}
 		if typed != nil {
-			c.b.Send(typed[i%len(typed)])
+			c.backend.Send(typed[i%len(typed)])
 		} else {
-			c.b.Send(&pgproto3.DataRow{Values: [][]byte{[]byte(strconv.Itoa(i)), value}})
+			c.backend.Send(&pgproto3.DataRow{Values: [][]byte{[]byte(strconv.Itoa(i)), value}})
 		}
 		if sent += len(value) + 20; sent > 8<<10 {
 			sent = 0
-			if c.b.Flush() != nil {
+			if c.backend.Flush() != nil {
 				outcome("died")
 				return errCut
 			}
 		}
 		if f.DieAfterRows > 0 && i+1 == f.DieAfterRows {
-			c.b.Flush()
+			c.backend.Flush()
 			time.Sleep(20 * time.Millisecond) // the rows get out before the crash resets the connection
 			outcome("died")
 			e.Die()
 			return errCut
 		}
 		if i == cut {
-			c.b.Flush()
+			c.backend.Flush()
 			outcome("cut")
 			return errCut
 		}
@@ -1184,33 +1193,33 @@
 		return errCut
 	}
 	if copies {
-		c.b.Send(&pgproto3.CopyDone{})
+		c.backend.Send(&pgproto3.CopyDone{})
 		tag = "COPY " + strconv.Itoa(n)
 	}
 	if outcome(how); tag == "" {
-		c.b.Send(&pgproto3.PortalSuspended{})
+		c.backend.Send(&pgproto3.PortalSuspended{})
 		return nil
 	}
-	c.b.Send(&pgproto3.CommandComplete{CommandTag: []byte(tag)})
+	c.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte(tag)})
 	return nil
 }
 
 // copyIn takes the data of a COPY FROM STDIN and returns its lines, -1 where it failed. Tags: bad_line, at
 // which it fails by itself; chunk_ms, the time that each message takes.
 func (c *engineConn) copyIn(tags map[string]string) (lines int, err error) {
-	c.b.Send(&pgproto3.CopyInResponse{ColumnFormatCodes: []uint16{0, 0}})
-	if err := c.b.Flush(); err != nil {
+	c.backend.Send(&pgproto3.CopyInResponse{ColumnFormatCodes: []uint16{0, 0}})
+	if err := c.backend.Flush(); err != nil {
 		return 0, err
 	}
-	bad, pause := int(number(tags, "bad_line", 0)), number(tags, "chunk_ms", 0)
+	bad, pause := int(numberTag(tags, "bad_line", 0)), numberTag(tags, "chunk_ms", 0)
 	for {
-		m, err := c.b.Receive()
+		m, err := c.backend.Receive()
 		if err != nil {
 			return 0, err
 		}
 		switch m := m.(type) {
 		case *pgproto3.CopyData:
-			c.e.copied(len(m.Data))
+			c.engine.addCopied(len(m.Data))
 			lines += bytes.Count(m.Data, []byte("\n"))
 			time.Sleep(time.Duration(pause * float64(time.Millisecond)))
 			if bad > 0 && lines >= bad {
@@ -1230,7 +1239,7 @@
 	}
 }
 
-func (e *Engine) copied(n int) {
+func (e *Engine) addCopied(n int) {
 	e.mu.Lock()
 	e.copyBytes += n
 	e.mu.Unlock()
@@ -1245,17 +1254,17 @@
 
 // fetch goes on with a portal's answer.
 func (c *engineConn) fetch(p *enginePortal, limit int) {
-	n := p.rest
+	n := p.remaining
 	if limit > 0 {
 		n = min(n, limit)
 	}
-	p.rest -= n
+	p.remaining -= n
 	for i := range n {
-		c.b.Send(&pgproto3.DataRow{Values: [][]byte{[]byte(strconv.Itoa(i)), []byte(p.tags["value"])}})
+		c.backend.Send(&pgproto3.DataRow{Values: [][]byte{[]byte(strconv.Itoa(i)), []byte(p.tags["value"])}})
 	}
-	if p.rest > 0 {
-		c.b.Send(&pgproto3.PortalSuspended{})
+	if p.remaining > 0 {
+		c.backend.Send(&pgproto3.PortalSuspended{})
 		return
 	}
-	c.b.Send(&pgproto3.CommandComplete{CommandTag: []byte("SELECT " + strconv.Itoa(n))})
+	c.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte("SELECT " + strconv.Itoa(n))})
 }
--- a/internal/standin/typed.go
+++ b/internal/standin/typed.go
@@ -56,8 +56,8 @@
 
 var casts = regexp.MustCompile(`\$(\d+)::(\w+)`)
 
-// parameters are the types of a text's parameters, by their casts; text where there is none.
-func parameters(text string) []uint32 {
+// parameterTypes are the types of a text's parameters, by their casts; text where there is none.
+func parameterTypes(text string) []uint32 {
 	var oids []uint32
 	for strings.Contains(text, "$"+strconv.Itoa(len(oids)+1)) {
 		oids = append(oids, types["text"])
@@ -70,14 +70,14 @@
 	return oids
 }
 
-// shape is the table that a text asks for; nil: the plain two columns.
-func shape(text string) *table {
+// tableFor is the table that a text asks for; nil: the plain two columns.
+func tableFor(text string) *table {
 	tags := sqlscan.Tags(text)
 	if t, ok := catalog[tags["action"]]; ok {
 		return &t
 	}
 	if _, ok := tags["echo_params"]; ok {
-		t := &table{oids: parameters(text), mod: -1}
+		t := &table{oids: parameterTypes(text), mod: -1}
 		for i := range t.oids {
 			t.names = append(t.names, fmt.Sprint("p", i+1))
 		}
@@ -98,7 +98,7 @@
 // rowDescription is a shape as a RowDescription, in the formats that a Bind asked for.
 func rowDescription(t *table, formats []int16) *pgproto3.RowDescription {
 	if t == nil {
-		d := description()
+		d := defaultDescription()
 		for i := range d.Fields {
 			d.Fields[i].Format = format(formats, i)
 		}
--- a/internal/wire/peer.go
+++ b/internal/wire/peer.go
@@ -17,8 +17,8 @@
 
 // BatchWriter writes batches for one process that hosts instances.
 type BatchWriter struct {
-	w     *bufio.Writer
-	sheet int
+	w          *bufio.Writer
+	listNumber int
 }
 
 // NewBatchWriter returns a BatchWriter to w.
@@ -40,7 +40,7 @@
 // Start has an instance begin.
 func (b *BatchWriter) Start(instance int, c *cresspass.Config) {
 	fmt.Fprintf(b.w, "provision dispatcher=%d", instance)
-	for _, s := range SettingsOf(c) {
+	for _, s := range SettingsFromConfig(c) {
 		fmt.Fprintf(b.w, " %s=%s", s.Path, s.Value)
 	}
 	b.w.WriteByte('\n')
@@ -91,7 +91,7 @@
 		return false
 	}
 	if e.Type == cresspass.EngineListReceived && e.ListType != cresspass.ListFailed {
-		b.sheet = (b.sheet + 1) % sheetCount
+		b.listNumber = (b.listNumber + 1) % listCount
 		b.list(e.Engines)
 	}
 	fmt.Fprintf(b.w, "%s dispatcher=%d", name, instance)
@@ -108,18 +108,18 @@
 	}
 	switch e.Type {
 	case cresspass.EngineListReceived:
-		fmt.Fprintf(b.w, " scope=%s sheet=%d", scopes[e.ListType], b.sheet)
+		fmt.Fprintf(b.w, " scope=%s sheet=%d", scopes[e.ListType], b.listNumber)
 	case cresspass.QueryArrived:
 		fmt.Fprintf(b.w, " op-id=%d tables=%s opts=%d budget-us=%d ram-mb=%s cost-us=%d", e.Query,
 			float(e.TableGroup), bit(e.HasCostEstimate, 1)|bit(e.IsRetry, 2)|bit(e.IsWrite, 4),
 			e.RemainingDeadline.Microseconds(), float(e.MemoryEstimateMB), e.CostEstimate.Microseconds())
-		text("category", word(e.Class))
-		text("object", word(e.Key))
-		text("project", word(e.Tenant))
+		text("category", escapeWord(e.Class))
+		text("object", escapeWord(e.Key))
+		text("project", escapeWord(e.Tenant))
 	case cresspass.TimerFired:
 		fmt.Fprintf(b.w, " label=%d", e.Label)
 	case cresspass.PeerMessageReceived:
-		fmt.Fprintf(b.w, " sender=%d msg=%s", e.Peer, digits(e.Data))
+		fmt.Fprintf(b.w, " sender=%d msg=%s", e.Peer, hexDigits(e.Data))
 	case cresspass.HealthCheckDone:
 		fmt.Fprintf(
 			b.w,
@@ -154,26 +154,26 @@
 }
 
 func (b *BatchWriter) list(engines []cresspass.EngineInfo) {
-	fmt.Fprintf(b.w, "roster sheet=%d elements=%d\n", b.sheet, len(engines))
+	fmt.Fprintf(b.w, "roster sheet=%d elements=%d\n", b.listNumber, len(engines))
 	for _, e := range engines {
 		fmt.Fprintf(b.w, "entry node=%s state=%s block=%d size=%s start-time-us=%d", e.ID, states[e.State],
 			e.Cell, float(e.Size), e.StartedAt.Microseconds())
 		if e.Kind != "" {
-			fmt.Fprintf(b.w, " flavor=%s", word(e.Kind))
+			fmt.Fprintf(b.w, " flavor=%s", escapeWord(e.Kind))
 		}
 		if e.Zone != "" {
-			fmt.Fprintf(b.w, " area=%s", word(e.Zone))
+			fmt.Fprintf(b.w, " area=%s", escapeWord(e.Zone))
 		}
 		b.w.WriteByte('\n')
 	}
 }
 
-// word is a name as the wire has it: spaces and commas are underscores there.
-func word(s string) string { return strings.NewReplacer(" ", "_", ",", "_").Replace(s) }
+// escapeWord is a name as the wire has it: spaces and commas are underscores there.
+func escapeWord(s string) string { return strings.NewReplacer(" ", "_", ",", "_").Replace(s) }
 
-// SettingsOf are the settings of a dispatcher by the simulator's names and units; ConfigOf reads them back.
-// What the protocol has no place for (MaxSessions) is left out, and what is zero.
-func SettingsOf(c *cresspass.Config) (out []Setting) {
+// SettingsFromConfig are the settings of a dispatcher by the simulator's names and units; ConfigFromSettings
+// reads them back. What the protocol has no place for (MaxSessions) is left out, and what is zero.
+func SettingsFromConfig(c *cresspass.Config) (out []Setting) {
 	add := func(path, value string) {
 		if value != "" && value != "0" && value != "false" {
 			out = append(out, Setting{path, value})
@@ -185,7 +185,7 @@
 	words := func(path string, list []string) {
 		var out []string
 		for _, w := range list {
-			out = append(out, word(w))
+			out = append(out, escapeWord(w))
 		}
 		add(path, strings.Join(out, ","))
 	}
@@ -208,7 +208,7 @@
 	out = append(out, Setting{"rng-seed", strconv.FormatUint(c.Seed&math.MaxInt64, 10)})
 	add("ordinal", strconv.Itoa(c.Ordinal))
 	add("peers-total", strconv.Itoa(c.GatewayCount))
-	add("zone", word(c.Zone))
+	add("zone", escapeWord(c.Zone))
 	micros("tick-us", c.BatchInterval)
 	mode := "push"
 	if c.PollEngineList {
@@ -255,7 +255,7 @@
 	add("classes.count", strconv.Itoa(len(c.Classes)))
 	for i, k := range c.Classes {
 		at := fmt.Sprintf("classes.%d.", i)
-		add(at+"name", word(k.Name))
+		add(at+"name", escapeWord(k.Name))
 		micros(at+"aim-us", k.LatencyObjective)
 		number(at+"aim-stretch", k.ObjectiveStretch)
 		micros(at+"deadline-us", k.Deadline)
@@ -279,7 +279,7 @@
 	add("tenants.count", strconv.Itoa(len(c.Tenants)))
 	for i, t := range c.Tenants {
 		at := fmt.Sprintf("tenants.%d.", i)
-		add(at+"name", word(t.Name))
+		add(at+"name", escapeWord(t.Name))
 		number(at+"quota-per-s", t.QuotaPerSecond)
 		number(at+"share", t.Share)
 	}
@@ -301,26 +301,32 @@
 		line, err := rr.r.next()
 		switch {
 		case err == io.EOF:
-			return actions, rr.r.fault("the output ended, expected ready")
+			return actions, rr.r.errorf("the output ended, expected ready")
 		case err != nil:
 			return actions, err
 		case strings.HasPrefix(line, "emit "): // for people
 			continue
 		case strings.HasPrefix(line, "give_in "):
-			return actions, rr.r.fault("%s", line)
+			return actions, rr.r.errorf("%s", line)
 		}
 		name, p, err := rr.r.split(line)
 		if err != nil || name == "ready" {
 			return actions, err
 		}
 		var a cresspass.Action
-		a.Query = cresspass.QueryID(p.whole("op-id", false))
+		a.Query = cresspass.QueryID(p.unsigned("op-id", false))
 		a.Engine = cresspass.EngineID(p.text("node"))
 		switch name {
 		case "dispatch":
-			a.Type, a.Wait = cresspass.Send, p.micros("patience-us", false)
+			a.Type, a.Wait = cresspass.Send, p.duration("patience-us", false)
 		case "defer":
-			a.Type, a.Wait, a.Label = cresspass.SetTimer, p.micros("delay-us", true), p.whole("label", true)
+			a.Type, a.Wait, a.Label = cresspass.SetTimer, p.duration(
+				"delay-us",
+				true,
+			), p.unsigned(
+				"label",
+				true,
+			)
 		case "list_all":
 			a.Type = cresspass.FetchEngineList
 		case "let_go":
@@ -328,27 +334,27 @@
 		case "share":
 			to, err := strconv.Atoi(p.text("recipient"))
 			if err != nil {
-				p.bad("recipient", "a peer's number or -1")
+				p.invalid("recipient", "a peer's number or -1")
 			}
 			a.Type, a.Peer, a.Data = cresspass.SendToPeer, to, p.bytes("msg")
 		case "deny":
-			a.Type, a.Wait = cresspass.Reject, p.micros("not-before-for-us", false)
+			a.Type, a.Wait = cresspass.Reject, p.duration("not-before-for-us", false)
 		case "finish_error":
 			a.Type = cresspass.Fail
 		case "touch":
 			a.Type = cresspass.CheckHealth
 		case "retract":
-			a.Type, a.Attempt = cresspass.Cancel, int(p.whole("trial", true))
+			a.Type, a.Attempt = cresspass.Cancel, int(p.unsigned("trial", true))
 		case "allot":
-			a.Type, a.Priority = cresspass.SetResources, int(p.whole("rank", true))
+			a.Type, a.Priority = cresspass.SetResources, int(p.unsigned("rank", true))
 			a.MemoryGrantMB = p.number("workspace-mb")
 		case "follow":
 			a.Type, a.Enabled = cresspass.SubscribeEngineList, p.flag("want")
 		default:
-			return actions, rr.r.fault("%q is no action", name)
+			return actions, rr.r.errorf("%q is no action", name)
 		}
-		if of := p.whole("dispatcher", true); p.err == nil && of != uint64(instance) {
-			p.bad("dispatcher", strconv.Itoa(instance))
+		if of := p.unsigned("dispatcher", true); p.err == nil && of != uint64(instance) {
+			p.invalid("dispatcher", strconv.Itoa(instance))
 		}
 		if p.err != nil {
 			return actions, p.err
--- a/internal/wire/peer_test.go
+++ b/internal/wire/peer_test.go
@@ -15,8 +15,8 @@
 
 const us = time.Microsecond
 
-// TestSettingsComeBack: what is written of a configuration is read as it was.
-func TestSettingsComeBack(t *testing.T) {
+// TestSettingsRoundTrip: what is written of a configuration is read as it was.
+func TestSettingsRoundTrip(t *testing.T) {
 	want := cresspass.Config{
 		Seed:           99,
 		Ordinal:        3,
@@ -72,14 +72,14 @@
 		ProgressInterval:    9 * us,
 		ReportsCost:         true,
 	}
-	got, err := ConfigOf(SettingsOf(&want))
+	got, err := ConfigFromSettings(SettingsFromConfig(&want))
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%v\n got %+v\nwant %+v", err, got, want)
 	}
 }
 
-// TestEventsComeBack: whatever is told to an instance over the wire is what the model told.
-func TestEventsComeBack(t *testing.T) {
+// TestEventsRoundTrip: whatever is told to an instance over the wire is what the model told.
+func TestEventsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		whole := func(name string) int { return rapid.IntRange(0, 1<<30).Draw(t, name) }
 		micros := func(name string) time.Duration { return time.Duration(whole(name)) * us }
@@ -160,7 +160,7 @@
 			t.Fatalf("%+v, %v", b, err)
 		}
 		for i, m := range b.Messages {
-			if m.Type != Happening || m.Instance != 7 || !reflect.DeepEqual(m.Event, want[i]) {
+			if m.Type != EventMessage || m.Instance != 7 || !reflect.DeepEqual(m.Event, want[i]) {
 				t.Fatalf("event %d of %d:\n got %+v\nwant %+v", i, m.Instance, m.Event, want[i])
 			}
 		}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,19 +9,21 @@
 
 // config reads the settings of a new instance. Settings it does not know are ignored.
 func (p *parser) config() cresspass.Config {
-	cols := p.texts("feedback.columns")
+	cols := p.stringList("feedback.columns")
 	c := cresspass.Config{
-		Seed: p.whole("rng-seed", true), Ordinal: int(p.whole("ordinal", false)),
-		GatewayCount: int(p.whole("peers-total", false)), Zone: p.text("zone"),
-		BatchInterval: p.micros("tick-us", false), PollEngineList: p.text("membership-mode") == "ask",
-		ClassThreads: p.numbers(
+		Seed: p.unsigned("rng-seed", true), Ordinal: int(p.unsigned("ordinal", false)),
+		GatewayCount: int(p.unsigned("peers-total", false)), Zone: p.text("zone"),
+		BatchInterval: p.duration("tick-us", false), PollEngineList: p.text("membership-mode") == "ask",
+		ClassThreads: p.numberList(
 			"specifics.class-threads",
-		), ClassIsBulkLoad: p.flags("specifics.writes-tables"),
-		ClassWaitsForBulkLoad: p.flags("specifics.yields-to-loads"), KindNames: p.texts("shapes"),
-		KindCores: p.numbers("specifics.cpu-of-kind"), KindMemoryMB: p.numbers("specifics.kind-memory-mb"),
+		), ClassIsBulkLoad: p.flagList("specifics.writes-tables"),
+		ClassWaitsForBulkLoad: p.flagList("specifics.yields-to-loads"), KindNames: p.stringList("shapes"),
+		KindCores: p.numberList(
+			"specifics.cpu-of-kind",
+		), KindMemoryMB: p.numberList("specifics.kind-memory-mb"),
 		OverQuotaPriorityWeight: p.number("over-share-worth"),
-		MaxAttempts:             int(p.whole("limits.max-attempts", false)),
-		MaxRetryAfter: p.micros(
+		MaxAttempts:             int(p.unsigned("limits.max-attempts", false)),
+		MaxRetryAfter: p.duration(
 			"limits.max-retry-after-us",
 			false,
 		), MayCancel: p.flag("limits.cancel"),
@@ -33,7 +35,7 @@
 			"specifics.takes-grants",
 		), AcceptsPriority: p.flag("specifics.takes-priority"),
 		MaxGrantShare: p.number("specifics.max-grant-share"),
-		ProgressInterval: p.micros(
+		ProgressInterval: p.duration(
 			"specifics.progress-pace-us",
 			false,
 		), ReportsCost: p.flag("specifics.bills"),
@@ -47,21 +49,21 @@
 		c.OnMemoryShortage = cresspass.ShortagePages
 	}
 	_, c.Rules.HasRetryBudget = p.find("rules.look-back-us")
-	c.Rules.AnswerGrace = p.micros("rules.grace-to-answer-us", false)
-	c.Rules.DrainGrace = p.micros("rules.stop-sending-within-us", false)
+	c.Rules.AnswerGrace = p.duration("rules.grace-to-answer-us", false)
+	c.Rules.DrainGrace = p.duration("rules.stop-sending-within-us", false)
 	c.Rules.SlowStartFrom = p.number("rules.cold-from")
-	c.Rules.SlowStartDuration = p.micros("rules.ramp-time-us", false)
+	c.Rules.SlowStartDuration = p.duration("rules.ramp-time-us", false)
 	c.Rules.SlowStartOverloadFactor = p.number("rules.overload-factor")
-	c.Rules.SlowStartWindow = p.micros("rules.overload-for-us", false)
-	c.Rules.EngineListPollInterval = p.micros("rules.must-ask-in-us", false)
-	c.Rules.OrderSettleDelay = p.micros("rules.settle-after-doubt-us", false)
+	c.Rules.SlowStartWindow = p.duration("rules.overload-for-us", false)
+	c.Rules.EngineListPollInterval = p.duration("rules.must-ask-in-us", false)
+	c.Rules.OrderSettleDelay = p.duration("rules.settle-after-doubt-us", false)
 	c.Rules.RetryBudgetFree = p.number("rules.free-resends")
 	c.Rules.RetryBudgetRatio = p.number("rules.further-ratio")
-	c.Rules.RetryBudgetWindow = p.micros("rules.look-back-us", false)
-	for i := range p.whole("classes.count", false) {
+	c.Rules.RetryBudgetWindow = p.duration("rules.look-back-us", false)
+	for i := range p.unsigned("classes.count", false) {
 		c.Classes = append(c.Classes, p.class("classes."+strconv.FormatUint(i, 10)+"."))
 	}
-	for i := range p.whole("tenants.count", false) {
+	for i := range p.unsigned("tenants.count", false) {
 		at := "tenants." + strconv.FormatUint(i, 10) + "."
 		c.Tenants = append(c.Tenants, cresspass.Tenant{Name: p.text(at + "name"),
 			QuotaPerSecond: p.number(at + "quota-per-s"), Share: p.number(at + "share")})
@@ -71,16 +73,16 @@
 
 func (p *parser) class(at string) cresspass.Class {
 	c := cresspass.Class{
-		Name: p.text(at + "name"), LatencyObjective: p.micros(at+"aim-us", false),
-		ObjectiveStretch: p.number(at + "aim-stretch"), Deadline: p.micros(at+"deadline-us", false),
+		Name: p.text(at + "name"), LatencyObjective: p.duration(at+"aim-us", false),
+		ObjectiveStretch: p.number(at + "aim-stretch"), Deadline: p.duration(at+"deadline-us", false),
 		PriorityWeight: p.number(at + "importance"), LateAnswerValue: p.number(at + "late-value"),
-		DeduplicationWindow: p.micros(at+"window-us", false), OrderedByKey: p.flag(at + "in-turn"),
-		AllowedKinds: p.texts(at + "bound-to"), AllowedZones: p.texts(at + "runs-in"),
-		Effect: choose(p, at+"semantics", map[string]cresspass.Effect{"safe": cresspass.Idempotent,
+		DeduplicationWindow: p.duration(at+"window-us", false), OrderedByKey: p.flag(at + "in-turn"),
+		AllowedKinds: p.stringList(at + "bound-to"), AllowedZones: p.stringList(at + "runs-in"),
+		Effect: parseWord(p, at+"semantics", map[string]cresspass.Effect{"safe": cresspass.Idempotent,
 			"keyed": cresspass.IdempotentWithKey, "unsafe": cresspass.NotIdempotent}),
 	}
 	if _, ok := p.find(at + "key-scope"); ok {
-		c.DeduplicationScope = choose(
+		c.DeduplicationScope = parseWord(
 			p,
 			at+"key-scope",
 			map[string]cresspass.DeduplicationScope{"all": cresspass.ScopeAll,
@@ -90,7 +92,7 @@
 	return c
 }
 
-func (p *parser) texts(name string) []string {
+func (p *parser) stringList(name string) []string {
 	v := p.text(name)
 	if v == "" {
 		return nil
@@ -98,16 +100,16 @@
 	return strings.Split(v, ",")
 }
 
-func (p *parser) numbers(name string) []float64 {
+func (p *parser) numberList(name string) []float64 {
 	out, _ := p.row(name)
 	return out
 }
 
-func (p *parser) flags(name string) []bool {
+func (p *parser) flagList(name string) []bool {
 	var out []bool
-	for _, v := range p.texts(name) {
+	for _, v := range p.stringList(name) {
 		if v != "true" && v != "false" && v != "1" && v != "0" {
-			p.bad(name, "true or false, set apart by commas")
+			p.invalid(name, "true or false, set apart by commas")
 		}
 		out = append(out, v == "true" || v == "1")
 	}
@@ -117,9 +119,9 @@
 // Setting is one of a dispatcher's settings: its path in the settings, and its value.
 type Setting struct{ Path, Value string }
 
-// ConfigOf reads the settings of a dispatcher, with the same names and units as a new instance of the
-// simulator has.
-func ConfigOf(settings []Setting) (cresspass.Config, error) {
+// ConfigFromSettings reads the settings of a dispatcher, with the same names and units as a new instance of
+// the simulator has.
+func ConfigFromSettings(settings []Setting) (cresspass.Config, error) {
 	p := parser{reader: &Reader{}}
 	for _, s := range settings {
 		p.fields = append(p.fields, field{s.Path, s.Value})
