--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -14,17 +14,17 @@
 	"cresspass"
 )
 
-// sheetCount is how many numbered engine lists the protocol knows.
-const sheetCount = 16
+// listCount is how many numbered engine lists the protocol knows.
+const listCount = 16
 
 // MessageType tells what a Message carries.
 type MessageType int
 
 // The types of message.
 const (
-	Start     MessageType = iota // a new instance, with Config
-	Stop                         // the instance was killed
-	Happening                    // Event
+	StartInstance MessageType = iota // a new instance, with Config
+	StopInstance                     // the instance was killed
+	EventMessage                     // Event
 )
 
 // Message is one line addressed to an instance.
@@ -45,7 +45,7 @@
 type Reader struct {
 	in     *bufio.Reader
 	line   int
-	sheets [sheetCount][]cresspass.EngineInfo
+	lists  [listCount][]cresspass.EngineInfo
 	batch  Batch
 	fields []field
 }
@@ -65,9 +65,9 @@
 		return nil, err
 	}
 	if name != "clock" {
-		return nil, r.fault("%q where a batch should begin, expected clock", name)
+		return nil, r.errorf("%q where a batch should begin, expected clock", name)
 	}
-	r.batch.Now = p.micros("now-us", true)
+	r.batch.Now = p.duration("now-us", true)
 	r.batch.Messages = r.batch.Messages[:0]
 	if p.err != nil {
 		return nil, p.err
@@ -75,7 +75,7 @@
 	for {
 		name, p, err := r.read()
 		if err == io.EOF {
-			return nil, r.fault("the input ended inside a batch, expected eob")
+			return nil, r.errorf("the input ended inside a batch, expected eob")
 		}
 		if err != nil {
 			return nil, err
@@ -89,7 +89,7 @@
 	}
 }
 
-func (r *Reader) fault(format string, args ...any) error {
+func (r *Reader) errorf(format string, args ...any) error {
 	return fmt.Errorf("line %d: %s", r.line, fmt.Sprintf(format, args...))
 }
 
@@ -119,7 +119,7 @@
 func (r *Reader) split(text string) (string, *parser, error) {
 	name, rest, _ := strings.Cut(text, " ")
 	if name == "" || strings.Contains(name, "=") {
-		return "", nil, r.fault("%q where a name should stand, expected a message's name", name)
+		return "", nil, r.errorf("%q where a name should stand, expected a message's name", name)
 	}
 	r.fields = r.fields[:0]
 	for rest != "" {
@@ -127,7 +127,7 @@
 		part, rest, _ = strings.Cut(rest, " ")
 		key, value, ok := strings.Cut(part, "=")
 		if !ok || key == "" {
-			return "", nil, r.fault("%q is no field, expected name=value", part)
+			return "", nil, r.errorf("%q is no field, expected name=value", part)
 		}
 		r.fields = append(r.fields, field{key, value})
 	}
@@ -136,84 +136,84 @@
 
 // message adds the message of one line to the batch.
 func (r *Reader) message(name string, p *parser) error {
-	m := Message{Type: Happening}
+	m := Message{Type: EventMessage}
 	e := &m.Event
 	switch name {
 	case "roster":
 		return r.roster(p)
 	case "provision":
-		m.Type = Start
+		m.Type = StartInstance
 		m.Config = p.config()
 	case "retire":
-		m.Type = Stop
+		m.Type = StopInstance
 	case "sync":
 		e.Type = cresspass.EngineListReceived
-		e.ListType = choose(
+		e.ListType = parseWord(
 			p,
 			"scope",
 			map[string]cresspass.EngineListType{"delta": cresspass.ListIncremental,
 				"full": cresspass.ListComplete, "cached": cresspass.ListCached, "failed": cresspass.ListFailed},
 		)
 		if e.ListType != cresspass.ListFailed {
-			if n := p.whole("sheet", true); n >= sheetCount {
-				p.bad("sheet", "a list number from 0 to 15")
+			if n := p.unsigned("sheet", true); n >= listCount {
+				p.invalid("sheet", "a list number from 0 to 15")
 			} else {
-				e.Engines = r.sheets[n]
+				e.Engines = r.lists[n]
 			}
 		}
 	case "ask":
 		e.Type = cresspass.QueryArrived
-		e.Query = cresspass.QueryID(p.whole("op-id", true))
+		e.Query = cresspass.QueryID(p.unsigned("op-id", true))
 		e.TableGroup = p.number("tables")
-		opts := p.whole("opts", false)
+		opts := p.unsigned("opts", false)
 		e.HasCostEstimate, e.IsRetry, e.IsWrite = opts&1 != 0, opts&2 != 0, opts&4 != 0
-		e.RemainingDeadline = p.micros("budget-us", true)
+		e.RemainingDeadline = p.duration("budget-us", true)
 		e.Class = p.text("category")
 		e.Key = p.text("object")
 		e.MemoryEstimateMB = p.number("ram-mb")
 		if e.Tenant = p.text("project"); e.Tenant == "0" {
 			e.Tenant = ""
 		}
-		e.CostEstimate = p.micros("cost-us", false)
+		e.CostEstimate = p.duration("cost-us", false)
 	case "alarm":
 		e.Type = cresspass.TimerFired
-		e.Label = p.whole("label", true)
+		e.Label = p.unsigned("label", true)
 	case "message":
 		e.Type = cresspass.PeerMessageReceived
-		e.Peer = int(p.whole("sender", true))
+		e.Peer = int(p.unsigned("sender", true))
 		e.Data = p.bytes("msg")
 	case "check_result":
 		e.Type = cresspass.HealthCheckDone
 		e.Engine = cresspass.EngineID(p.text("node"))
-		e.Outcome = cresspass.Outcome(p.whole("disposition", true))
-		e.Elapsed = p.micros("duration-us", false)
+		e.Outcome = cresspass.Outcome(p.unsigned("disposition", true))
+		e.Elapsed = p.duration("duration-us", false)
 		e.LoadReport, e.HasLoadReport = p.row("health-info")
 	case "closed_attempt":
 		e.Type = cresspass.AttemptDone
 		p.attempt(e)
-		e.Outcome = cresspass.Outcome(p.whole("disposition", true))
-		e.Elapsed = p.micros("duration-us", false)
+		e.Outcome = cresspass.Outcome(p.unsigned("disposition", true))
+		e.Elapsed = p.duration("duration-us", false)
 		e.QueryFinished = p.flag("finished")
-		note := p.whole("note", false)
+		note := p.unsigned("note", false)
 		e.ActualCost = time.Duration(note>>12) * time.Millisecond
 		e.ActualMemoryMB = float64(note&4095) * 4
 		e.LoadReport, e.HasLoadReport = p.row("health-info")
 	case "notice":
 		e.Type = cresspass.ProgressReported
 		p.attempt(e)
-		e.Note = cresspass.NoteType(p.whole("topic", true))
+		e.Note = cresspass.NoteType(p.unsigned("topic", true))
 		e.Value = p.number("x")
 	case "flowing":
 		e.Type = cresspass.ResponseStarted
 		p.attempt(e)
-		e.Elapsed = p.micros("duration-us", false)
+		e.Elapsed = p.duration("duration-us", false)
 	case "gone":
 		e.Type = cresspass.QueryAbandoned
-		e.Query = cresspass.QueryID(p.whole("op-id", true))
+		e.Query = cresspass.QueryID(p.unsigned("op-id", true))
 	default:
 		return nil // a later protocol's event
 	}
-	m.Instance = int(p.whole("dispatcher", true))
+	m.Instance = int(p.unsigned("dispatcher", true))
 	if p.err != nil {
 		return p.err
 	}
@@ -223,9 +223,9 @@
 
 // roster reads a numbered engine list and its entries.
 func (r *Reader) roster(p *parser) error {
-	sheet, count := p.whole("sheet", true), p.whole("elements", true)
-	if sheet >= sheetCount {
-		p.bad("sheet", "a list number from 0 to 15")
+	sheet, count := p.unsigned("sheet", true), p.unsigned("elements", true)
+	if sheet >= listCount {
+		p.invalid("sheet", "a list number from 0 to 15")
 	}
 	if p.err != nil {
 		return p.err
@@ -234,26 +234,26 @@
 	for range count {
 		name, p, err := r.read()
 		if err == io.EOF {
-			return r.fault("the input ended inside a roster of %d, expected entry", count)
+			return r.errorf("the input ended inside a roster of %d, expected entry", count)
 		}
 		if err != nil {
 			return err
 		}
 		if name != "entry" {
-			return r.fault("%q inside a roster of %d, expected entry", name, count)
+			return r.errorf("%q inside a roster of %d, expected entry", name, count)
 		}
 		list = append(list, cresspass.EngineInfo{
-			ID: cresspass.EngineID(p.must("node")),
-			State: choose(p, "state", map[string]cresspass.EngineState{"on": cresspass.EngineActive,
+			ID: cresspass.EngineID(p.required("node")),
+			State: parseWord(p, "state", map[string]cresspass.EngineState{"on": cresspass.EngineActive,
 				"fading": cresspass.EngineDraining, "off": cresspass.EngineRemoved}),
-			Kind: p.text("flavor"), Zone: p.text("area"), Cell: int(p.whole("block", false)),
-			Size: p.number("size"), StartedAt: p.micros("start-time-us", false),
+			Kind: p.text("flavor"), Zone: p.text("area"), Cell: int(p.unsigned("block", false)),
+			Size: p.number("size"), StartedAt: p.duration("start-time-us", false),
 		})
 		if p.err != nil {
 			return p.err
 		}
 	}
-	r.sheets[sheet] = list
+	r.lists[sheet] = list
 	return nil
 }
 
@@ -278,44 +278,44 @@
 	return v
 }
 
-func (p *parser) must(name string) string {
+func (p *parser) required(name string) string {
 	v, ok := p.find(name)
 	if !ok || v == "" {
-		p.bad(name, "a value")
+		p.invalid(name, "a value")
 	}
 	return v
 }
 
-func (p *parser) bad(name, want string) {
+func (p *parser) invalid(name, want string) {
 	if p.err == nil {
 		v, ok := p.find(name)
 		if !ok {
 			v = "nothing"
 		}
-		p.err = p.reader.fault("%s is %s, expected %s", name, v, want)
+		p.err = p.reader.errorf("%s is %s, expected %s", name, v, want)
 	}
 }
 
-func (p *parser) whole(name string, required bool) uint64 {
+func (p *parser) unsigned(name string, required bool) uint64 {
 	v, ok := p.find(name)
 	if !ok && !required {
 		return 0
 	}
 	n, err := strconv.ParseUint(v, 10, 63)
 	if err != nil {
-		p.bad(name, "a whole number")
+		p.invalid(name, "a whole number")
 	}
 	return n
 }
 
-func (p *parser) micros(name string, required bool) time.Duration {
+func (p *parser) duration(name string, required bool) time.Duration {
 	v, ok := p.find(name)
 	if !ok && !required {
 		return 0
 	}
 	n, err := strconv.ParseInt(v, 10, 64)
 	if err != nil || n > math.MaxInt64/1000 || n < math.MinInt64/1000 {
-		p.bad(name, "microseconds in whole numbers")
+		p.invalid(name, "microseconds in whole numbers")
 		return 0
 	}
 	return time.Duration(n) * time.Microsecond
@@ -328,7 +328,7 @@
 	}
 	n, err := strconv.ParseFloat(v, 64)
 	if err != nil {
-		p.bad(name, "a number")
+		p.invalid(name, "a number")
 	}
 	return n
 }
@@ -340,7 +340,7 @@
 	case "", "0", "false":
 		return false
 	}
-	p.bad(name, "1 or 0")
+	p.invalid(name, "1 or 0")
 	return false
 }
 
@@ -351,7 +351,7 @@
 	}
 	b, err := hex.DecodeString(v)
 	if err != nil {
-		p.bad(name, "hex digits")
+		p.invalid(name, "hex digits")
 	}
 	return b
 }
@@ -365,7 +365,7 @@
 	for part := range strings.SplitSeq(v, ",") {
 		n, err := strconv.ParseFloat(part, 64)
 		if err != nil {
-			p.bad(name, "numbers set apart by commas")
+			p.invalid(name, "numbers set apart by commas")
 		}
 		out = append(out, n)
 	}
@@ -373,16 +373,16 @@
 }
 
 func (p *parser) attempt(e *cresspass.Event) {
-	e.Query = cresspass.QueryID(p.whole("op-id", true))
-	e.Attempt = int(p.whole("trial", false))
+	e.Query = cresspass.QueryID(p.unsigned("op-id", true))
+	e.Attempt = int(p.unsigned("trial", false))
 	e.Engine = cresspass.EngineID(p.text("node"))
 }
 
-// choose reads a field that holds one of a few words.
-func choose[T any](p *parser, name string, words map[string]T) T {
+// parseWord reads a field that holds one of a few words.
+func parseWord[T any](p *parser, name string, words map[string]T) T {
 	v, ok := words[p.text(name)]
 	if !ok {
-		p.bad(name, "one of the protocol's words")
+		p.invalid(name, "one of the protocol's words")
 	}
 	return v
 }
@@ -402,7 +402,7 @@
 	case cresspass.CloseIdleConnections:
 		fmt.Fprintf(w, "let_go dispatcher=%d node=%s", instance, a.Engine)
 	case cresspass.SendToPeer:
-		fmt.Fprintf(w, "share dispatcher=%d recipient=%d msg=%s", instance, a.Peer, digits(a.Data))
+		fmt.Fprintf(w, "share dispatcher=%d recipient=%d msg=%s", instance, a.Peer, hexDigits(a.Data))
 	case cresspass.Reject:
 		fmt.Fprintf(w, "deny dispatcher=%d op-id=%d", instance, a.Query)
 		if a.Wait > 0 {
@@ -431,13 +431,13 @@
 	w.WriteByte('\n')
 }
 
-// WriteFault declares that an instance's decision code has failed.
-func WriteFault(w *bufio.Writer, instance int, text string) {
+// WriteError declares that an instance's decision code has failed.
+func WriteError(w *bufio.Writer, instance int, text string) {
 	fmt.Fprintf(w, "give_in dispatcher=%d words=%s\n", instance, oneLine(text))
 }
 
-// digits are bytes as the wire has them.
-func digits(data []byte) string {
+// hexDigits are bytes as the wire has them.
+func hexDigits(data []byte) string {
 	if len(data) == 0 {
 		return "-"
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestMalformedLinesTellTheirNumber(t *testing.T) {
+func TestMalformedLinesNameTheirNumber(t *testing.T) {
 	for _, lines := range []string{"ask\n", "ask dispatcher=1 op-id=x budget-us=1\neob\n", "alarm dispatcher=1 label\neob\n",
 		"sync dispatcher=1 scope=odd sheet=0\neob\n", "=x\neob\n", "alarm dispatcher=1 label=1\n"} {
 		_, err := NewReader(strings.NewReader(opening + lines)).Next()
