--- a/admission_test.go
+++ b/admission_test.go
@@ -24,7 +24,8 @@
 	}
 }
 
-// TestLateRetriesAreRejected: a client's later try whose aim has passed only keeps an overload alive.
+// TestLateRetriesAreRejected: a client's retry whose latency objective has passed only keeps an overload
+// alive.
 func TestLateRetriesAreRejected(t *testing.T) {
 	b := newHarness(t, singleClassConfig(), standardEngine("e1"))
 	wantActions(t, b.submit(1, "short", ""), Send)
@@ -60,7 +61,7 @@
 			b.submit(id+1, "short", "")
 			b.advance(0, attemptDoneEvent(b.lastActions[0], 0, OutcomeOK, 200*ms))
 		}
-		b.g.overloaded = overload
+		b.g.pressure.overloaded = overload
 		got := b.advance(
 			ms,
 			Event{Type: QueryArrived, Query: 99, Class: "short", RemainingDeadline: 10 * time.Second,
@@ -74,8 +75,9 @@
 	}
 }
 
-// TestOverQuotaQueuesUnlessOverloaded: this gateway's part of a quota is a guess where fronts are uneven, so
-// a query beyond it is refused only in an overload, else held like any other (Quebec, a rolling restart).
+// TestOverQuotaQueuesUnlessOverloaded: this gateway's part of a quota is a guess where clients are spread
+// unevenly, so a query beyond it is rejected only in an overload, else queued like any other (Quebec, a
+// rolling restart).
 func TestOverQuotaQueuesUnlessOverloaded(t *testing.T) {
 	for _, overload := range []bool{false, true} {
 		cfg := singleClassConfig()
@@ -84,7 +86,7 @@
 		for id := range QueryID(10) { // fills the engine up to the bound's cap
 			b.submit(id+1, "short", "")
 		}
-		b.g.overloaded = overload
+		b.g.pressure.overloaded = overload
 		*b.g.tenants["t"] = tokenBucket{rate: 0.05, updatedAt: b.now} // used up
 		ev := Event{
 			Type:              QueryArrived,
@@ -123,7 +125,7 @@
 }
 
 func TestUnfittingQueryIsRejectedOnIdleEngines(t *testing.T) {
-	refused := 0
+	rejected := 0
 	for i := range 20 {
 		cfg := largeFleetConfig()
 		cfg.Ordinal = i
@@ -131,11 +133,11 @@
 		b.g.fleetLogSlowness = 3 // twenty times slower than the base
 		for _, a := range b.submit(1, "short", "") {
 			if a.Type == Reject {
-				refused++
+				rejected++
 			}
 		}
 	}
-	if refused < 15 {
-		t.Errorf("%d of 20 queries that cannot fit were refused", refused)
+	if rejected < 15 {
+		t.Errorf("%d of 20 queries that cannot fit were rejected", rejected)
 	}
 }
--- a/internal/config/record.go
+++ b/internal/config/record.go
@@ -21,10 +21,10 @@
 	}
 	cfg.RecordingDir = b.Dir
 	cfg.RecordingLimits = recording.Limits{
-		File:  int64(v.nonNegative("file_mb", b.FileMB, defaultRecordingFileMB)) * megabyte,
-		Total: int64(v.nonNegative("total_mb", b.TotalMB, defaultRecordingTotalMB)) * megabyte,
+		FileBytes:  int64(v.nonNegative("file_mb", b.FileMB, defaultRecordingFileMB)) * megabyte,
+		TotalBytes: int64(v.nonNegative("total_mb", b.TotalMB, defaultRecordingTotalMB)) * megabyte,
 	}
-	if l := cfg.RecordingLimits; l.Total < 2*l.File {
-		v.errorf(inBlock("record"), "total_mb", "less than two files: %d MB each", l.File/megabyte)
+	if l := cfg.RecordingLimits; l.TotalBytes < 2*l.FileBytes {
+		v.errorf(inBlock("record"), "total_mb", "less than two files: %d MB each", l.FileBytes/megabyte)
 	}
 }
--- a/pressure_test.go
+++ b/pressure_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// A moment of very slow answers must not leave a gateway that refuses all for ever: it runs nothing then, so
-// no outcome would ever correct what it believes.
+// A moment of very slow answers must not leave a gateway that rejects all for ever: it runs nothing then,
+// so no outcome would ever correct what it believes.
 func TestRecoversFromPessimisticEstimates(t *testing.T) {
 	cfg := Config{
 		Seed:          1,
@@ -32,7 +32,7 @@
 	}
 	b := newHarness(t, cfg, standardEngine("e1"), standardEngine("e2"))
 	id := QueryID(0)
-	ask := func() []Action {
+	submit := func() []Action {
 		id++
 		return b.advance(
 			0,
@@ -49,7 +49,7 @@
 	for range 40 { // waves of 32 queries that take 400 ms each
 		var sent []Action
 		for range 32 {
-			for _, a := range ask() {
+			for _, a := range submit() {
 				if a.Type == Send {
 					sent = append(sent, a)
 				}
@@ -62,29 +62,29 @@
 			b.advance(0, attemptDoneEvent(a, 0, OutcomeOK, 400*ms))
 		}
 	}
-	served, asked := 0, 0
+	served, submitted := 0, 0
 	for i := range 2000 { // then the engines are as quick as ever
 		if i%5 == 0 {
 			b.advance(10*ms, Event{Type: TimerFired})
 		} else {
 			b.advance(10 * ms)
 		}
-		for _, a := range ask() {
+		for _, a := range submit() {
 			if a.Type == Send {
 				b.advance(ms, attemptDoneEvent(a, 0, OutcomeOK, ms))
 				served++
 			}
 		}
-		asked++
+		submitted++
 	}
-	if served < asked/2 {
-		t.Errorf("served %d of %d asked over 20 s after the jam", served, asked)
+	if served < submitted/2 {
+		t.Errorf("served %d of %d submitted over 20 s after the jam", served, submitted)
 	}
 }
 
 // Engines that looked slow once, and then got nothing, are no overload of the fleet: what is seen of them
 // fades, and an engine of whose cores we use little is not under our pressure (a recorded day of
-// montreal-est refused a tenth).
+// montreal-est rejected a tenth).
 func TestNoOverloadOfIdleEngines(t *testing.T) {
 	cfg := Config{
 		Seed:          1,
@@ -104,25 +104,25 @@
 	}
 	b := newHarness(t, cfg, standardEngine("e1"), standardEngine("e2"), standardEngine("e3"))
 	for _, e := range b.g.engineList {
-		e.logLatency = 1.4 // four times the best
+		e.limiter.logLatency = 1.4 // four times the best
 	}
-	if b.advance(50*ms, Event{Type: TimerFired}); b.g.overloaded {
+	if b.advance(50*ms, Event{Type: TimerFired}); b.g.pressure.overloaded {
 		t.Error("idle engines count as an overload")
 	}
 	for _, e := range b.g.engineList {
 		e.ownThreads = 6
 	}
-	if b.advance(50*ms, Event{Type: TimerFired}); !b.g.overloaded {
+	if b.advance(50*ms, Event{Type: TimerFired}); !b.g.pressure.overloaded {
 		t.Error("slow engines with most of their cores in use count as none")
 	}
 	for range 400 {
 		b.advance(50*ms, Event{Type: TimerFired})
 	}
-	if b.g.overloaded || b.g.engineList[0].logLatency > 0.4 {
+	if b.g.pressure.overloaded || b.g.engineList[0].limiter.logLatency > 0.4 {
 		t.Errorf(
 			"20 s without an answer: latency %.2f, pressed %v",
-			b.g.engineList[0].logLatency,
-			b.g.overloaded,
+			b.g.engineList[0].limiter.logLatency,
+			b.g.pressure.overloaded,
 		)
 	}
 }
@@ -143,16 +143,17 @@
 			)
 		}
 	}
-	if b.g.pressure > 1 || b.g.fleetLogSlowness > 0.5 {
+	if b.g.pressure.level > 1 || b.g.fleetLogSlowness > 0.5 {
 		t.Errorf(
 			"pressure %.2f, slowness %.2f though engines report half a thread a core",
-			b.g.pressure,
+			b.g.pressure.level,
 			b.g.fleetLogSlowness,
 		)
 	}
 }
 
-// TestUseOfCoresGivesNoPressure: it ends at one, so a crowd never shows in it (Montreal grown).
+// TestUseOfCoresGivesNoPressure: it ends at one, so load beyond the cores never shows in it (Montreal
+// grown).
 func TestUseOfCoresGivesNoPressure(t *testing.T) {
 	b := newHarness(t, loadReportConfig("load_share"), standardEngines(3)...)
 	b.g.fleetLogSlowness = 3 // outcomes show a fleet twenty times slower than its bases
@@ -163,7 +164,7 @@
 		healthCheckWithReport("e02", 1),
 		Event{Type: TimerFired},
 	)
-	if b.g.pressure < 1 {
-		t.Errorf("pressure %.2f: cores in full use read as calm", b.g.pressure)
+	if b.g.pressure.level < 1 {
+		t.Errorf("pressure %.2f: cores in full use read as calm", b.g.pressure.level)
 	}
 }
