--- a/engine.go
+++ b/engine.go
@@ -21,7 +21,7 @@
 	tag           uint16        // stands for its ID in messages
 	active        bool          // on the present list and neither draining nor removed
 	inactiveSince time.Duration // when it was first listed as draining or removed
-	lastSeenAt   time.Duration // last sign of life
+	lastSeenAt    time.Duration // last sign of life
 	knownSince    time.Duration
 
 	running        []*attempt
