--- a/cmd/cresspass/standins.go
+++ b/cmd/cresspass/standins.go
@@ -38,14 +38,14 @@
 		return err
 	}
 	e, err := standin.NewEngine(
-		standin.EngineConfig{Listen: c.Listen, Kind: testbed.Kind(c.Cores, c.MemoryMB),
+		standin.EngineConfig{Listen: c.Listen, Kind: testbed.EngineKind(c.Cores, c.MemoryMB),
 			Cold:          c.Cold,
 			ProgressEvery: c.Progress, ReportEvery: 200 * time.Millisecond, Window: 15 * time.Second},
 	)
 	if err != nil {
 		return err
 	}
-	e.Set(standin.Faults{Slow: c.Slow, Hang: c.Hang, LoseShare: c.Lose, ErrorShare: c.Errors, Cut: c.Cut,
+	e.SetFaults(standin.Faults{Slow: c.Slow, Hang: c.Hang, LoseShare: c.Lose, ErrorShare: c.Errors, Cut: c.Cut,
 		DieAfterRows: c.DieAfter, Garbage: c.Garbage, Full: c.Full})
 	fmt.Println("engine", e.Addr())
 	<-ctx.Done()
@@ -78,7 +78,7 @@
 	if err := l.Validate(); err != nil {
 		return err
 	}
-	r, err := standin.NewRoster(c.Listen, c.Service)
+	r, err := standin.NewDiscoveryServer(c.Listen, c.Service)
 	if err != nil {
 		return err
 	}
@@ -114,15 +114,15 @@
 	if err != nil {
 		return err
 	}
-	list, err := standin.NewRoster("127.0.0.1:0", cfg.DiscoveryService)
+	list, err := standin.NewDiscoveryServer("127.0.0.1:0", cfg.DiscoveryService)
 	if err != nil {
 		return err
 	}
 	defer list.Close()
-	group := standin.NewGroup()
+	group := standin.NewDeduplicationGroup()
 	var engines []eds.Engine
 	for i := range 4 {
-		e, err := standin.NewEngine(standin.EngineConfig{Listen: "127.0.0.1:0", Kind: testbed.Kind(8, 4096),
+		e, err := standin.NewEngine(standin.EngineConfig{Listen: "127.0.0.1:0", Kind: testbed.EngineKind(8, 4096),
 			Seed:          uint64(i),
 			ProgressEvery: 2 * time.Second, ReportEvery: 200 * time.Millisecond, Window: 15 * time.Second,
 			Group: group})
--- a/internal/daemon/env_test.go
+++ b/internal/daemon/env_test.go
@@ -82,13 +82,13 @@
 // clients, and engines with the discovery service that lists them.
 type testEnv struct {
 	dir, listen string
-	rig         *testbed.Rig
+	rig         *testbed.Testbed
 }
 
 func newTestEnv(t *testing.T) *testEnv {
 	t.Helper()
-	r, err := testbed.New(standin.EngineConfig{Kind: testbed.Kind(64, 4096), Window: 10 * time.Second},
-		standin.EngineConfig{Kind: testbed.Kind(64, 4096), Window: 10 * time.Second})
+	r, err := testbed.New(standin.EngineConfig{Kind: testbed.EngineKind(64, 4096), Window: 10 * time.Second},
+		standin.EngineConfig{Kind: testbed.EngineKind(64, 4096), Window: 10 * time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,7 +109,7 @@
 takeover  = %q
 pid_file  = %q
 roster { eds = %q }
-`, env.listen, in("state"), in("sock"), in("pid"), env.rig.Roster.Addr())
+`, env.listen, in("state"), in("sock"), in("pid"), env.rig.Discovery.Addr())
 }
 
 func (env *testEnv) options(t *testing.T, extra string, takeover bool) (Options, *lockedBuffer) {
--- a/internal/daemon/handover_test.go
+++ b/internal/daemon/handover_test.go
@@ -173,7 +173,7 @@
 	}
 	predecessor.close()
 	a.waitForLog(t, "from=\"handing over\" to=ready")
-	env.rig.Roster.Away(true) // a successor that gets no list gives up by itself
+	env.rig.Discovery.SetUnavailable(true) // a successor that gets no list gives up by itself
 	if err := os.Rename(env.waitForCachedList(t), filepath.Join(env.dir, "list")); err != nil {
 		t.Fatal(err)
 	}
@@ -182,7 +182,7 @@
 	if err := Run(context.Background(), o); err == nil || !strings.Contains(err.Error(), "no engine list") {
 		t.Errorf("a successor without a list: %v", err)
 	}
-	env.rig.Roster.Away(false)
+	env.rig.Discovery.SetUnavailable(false)
 	time.Sleep(100 * time.Millisecond)
 	load.end(t)
 	if _, _, err := takeOverListeners(filepath.Join(env.dir, "nobody")); err == nil {
--- a/internal/daemon/restart_test.go
+++ b/internal/daemon/restart_test.go
@@ -48,7 +48,7 @@
 		t.Error(err)
 	}
 	env.dir = copyTo
-	env.rig.Roster.Away(true) // only the cached list is known
+	env.rig.Discovery.SetUnavailable(true) // only the cached list is known
 	s = env.start(t, "", false)
 	if !strings.Contains(s.log.String(), "loads without a known end\"=1") {
 		t.Errorf("the write is not logged: %s", s.log)
--- a/internal/rehearsal/fairness.go
+++ b/internal/rehearsal/fairness.go
@@ -100,14 +100,14 @@
 func playFairness(ctx context.Context, shares float64, seed uint64) ([]FairnessSample, *charts.Line, error) {
 	cfg := make([]standin.EngineConfig, 3)
 	for i := range cfg {
-		cfg[i] = standin.EngineConfig{Kind: testbed.Kind(8, 4096), Seed: seed}
+		cfg[i] = standin.EngineConfig{Kind: testbed.EngineKind(8, 4096), Seed: seed}
 	}
 	r, err := testbed.New(cfg...)
 	if err != nil {
 		return nil, nil, err
 	}
 	defer r.Close()
-	s, err := r.Dispatch(fairnessSettings+fmt.Sprintf(
+	s, err := r.StartDispatcher(fairnessSettings+fmt.Sprintf(
 		"flight { listen = \"127.0.0.1:0\" }\nshares {\n  postgresql = %g\n  flight = %g\n}\n", shares,
 		shares), nil)
 	if err != nil {
--- a/internal/rehearsal/run.go
+++ b/internal/rehearsal/run.go
@@ -250,7 +250,7 @@
 type run struct {
 	day           *Day
 	options       Options
-	testbed       *testbed.Rig
+	testbed       *testbed.Testbed
 	recorder      *rulecheck.Recorder
 	relays        []*rulecheck.Relay // before the engines
 	dispatchers   []*dispatcher
@@ -431,7 +431,7 @@
 			p.args = []string{"rehearse", "dispatcher", "--policy", r.options.Policy, "--mutate",
 				strconv.Itoa(r.options.Mutate)}
 		}
-		p.args = append(p.args, "-c", settings, "--listen", addr, "--eds", r.testbed.Roster.Addr(),
+		p.args = append(p.args, "-c", settings, "--listen", addr, "--eds", r.testbed.Discovery.Addr(),
 			"--cache", filepath.Join(r.options.Dir, fmt.Sprintf("list-%d", i)), "--ordinal", strconv.Itoa(i),
 			"--gateways", strconv.Itoa(d.Dispatchers), "--engine-user", p.name(), "--with-parent")
 		if !r.options.NoState {
@@ -460,7 +460,7 @@
 		}
 	}
 	for begin := time.Now(); ; time.Sleep(10 * time.Millisecond) { // until all have the list
-		told, _ := r.testbed.Roster.Told()
+		told, _ := r.testbed.Discovery.Notifications()
 		nodes := map[string]bool{}
 		for _, t := range told {
 			if t.Version >= 2 {
@@ -530,7 +530,7 @@
 	defer r.mu.Unlock()
 	f(&r.faults[i])
 	if up, _ := r.testbed.Engines[i].Up(); up {
-		r.testbed.Engines[i].Set(r.faults[i])
+		r.testbed.Engines[i].SetFaults(r.faults[i])
 	}
 }
 
@@ -542,7 +542,7 @@
 		return // another trouble has brought it back
 	}
 	if sleep(ctx, min(time.Second, after/2)) {
-		r.testbed.Change(i, func(v *eds.Engine) { v.State = eds.StateRemoved })
+		r.testbed.UpdateEngine(i, func(v *eds.Engine) { v.State = eds.StateRemoved })
 	}
 	sleep(ctx, after-min(time.Second, after/2))
 	if ctx.Err() != nil {
@@ -556,14 +556,14 @@
 		return
 	}
 	r.setEngineFault(i, func(f *standin.Faults) { f.DieAfterRows = 0 })
-	r.testbed.Change(i, func(v *eds.Engine) { v.State, v.Started = eds.StateActive, e.Started() })
+	r.testbed.UpdateEngine(i, func(v *eds.Engine) { v.State, v.Started = eds.StateActive, e.Started() })
 }
 
 // drain has an engine told to drain, and come back as a new process.
 func (r *run) drain(ctx context.Context, i int, after time.Duration) {
-	r.testbed.Change(i, func(v *eds.Engine) { v.State = eds.StateDraining })
+	r.testbed.UpdateEngine(i, func(v *eds.Engine) { v.State = eds.StateDraining })
 	if sleep(ctx, after) {
-		r.testbed.Engines[i].Die()
+		r.testbed.Engines[i].Crash()
 		r.restart(ctx, i, 500*time.Millisecond)
 	}
 }
@@ -637,7 +637,7 @@
 			for n := 1.0; n <= 10 && sleep(ctx, t.For/14); n++ {
 				r.setEngineFault(i, func(f *standin.Faults) { f.Slow = 1 + (t.Size-1)*n/10 })
 			}
-			r.testbed.Engines[i].Die()
+			r.testbed.Engines[i].Crash()
 			r.setEngineFault(i, func(f *standin.Faults) { f.Slow = 0 })
 			r.restart(ctx, i, t.For*4/14)
 		})
@@ -647,9 +647,9 @@
 		}
 	case "preemption":
 		each(func(i int) {
-			r.testbed.Change(i, func(v *eds.Engine) { v.State = eds.StateDraining })
+			r.testbed.UpdateEngine(i, func(v *eds.Engine) { v.State = eds.StateDraining })
 			if sleep(ctx, 2*time.Second) {
-				r.testbed.Engines[i].Die()
+				r.testbed.Engines[i].Crash()
 				r.restart(ctx, i, t.For)
 			}
 		})
@@ -671,7 +671,7 @@
 			}
 		}
 		each(func(i int) {
-			r.testbed.Engines[i].Die()
+			r.testbed.Engines[i].Crash()
 			r.restart(ctx, i, t.For)
 		})
 	case "roll":
@@ -699,7 +699,7 @@
 		each(func(i int) { r.testbed.Engines[i].Flush() })
 	case "crash":
 		each(func(i int) {
-			r.testbed.Engines[i].Die()
+			r.testbed.Engines[i].Crash()
 			r.restart(ctx, i, t.For)
 		})
 	case "mid-answer":
@@ -715,13 +715,13 @@
 	case "drain":
 		each(func(i int) { r.drain(ctx, i, t.For) })
 	case "roster-away":
-		r.testbed.Roster.Away(true)
+		r.testbed.Discovery.SetUnavailable(true)
 		sleep(ctx, t.For)
-		r.testbed.Roster.Away(false)
+		r.testbed.Discovery.SetUnavailable(false)
 	case "roster-late":
-		r.testbed.Roster.Late(time.Duration(t.Size * float64(time.Second)))
+		r.testbed.Discovery.SetDelay(time.Duration(t.Size * float64(time.Second)))
 		sleep(ctx, t.For)
-		r.testbed.Roster.Late(0)
+		r.testbed.Discovery.SetDelay(0)
 	case "return":
 		for i, p := range r.dispatchers {
 			if i%2 == 0 {
@@ -840,7 +840,7 @@
 
 // notifications is what each dispatcher was told, in the judge's terms.
 func (r *run) notifications() (out []rulecheck.Notification) {
-	all, _ := r.testbed.Roster.Told()
+	all, _ := r.testbed.Discovery.Notifications()
 	for _, t := range all {
 		v := rulecheck.Notification{Sent: t.Sent, At: t.At, Engines: map[string]rulecheck.Endpoint{}}
 		fmt.Sscanf(t.Node, "cresspass-%s", &v.Dispatcher)
--- a/internal/rehearsal/testbed/testbed.go
+++ b/internal/rehearsal/testbed/testbed.go
@@ -20,8 +20,8 @@
 	"cresspass/internal/standin"
 )
 
-// Kind is a stand-in's machine with the usual figures of engines.
-func Kind(cores, memoryMB float64) enginemodel.Kind {
+// EngineKind is a stand-in's machine with the usual figures of engines.
+func EngineKind(cores, memoryMB float64) enginemodel.Kind {
 	return enginemodel.Kind{Cores: cores, MemoryMB: memoryMB, SpillCost: 2.5, WarmSets: 4, WarmSaves: 0.3,
 		SlowStartFrom:     0.31,
 		SlowStartDuration: 15 * time.Second, SlowStartOverloadFactor: 3, SlowStartWindow: 3 * time.Second,
@@ -49,21 +49,21 @@
 	Entry eds.Engine
 }
 
-// Rig is a set of engines with their list.
-type Rig struct {
-	Roster  *standin.Roster
-	Engines []*Engine
-	Group   *standin.Group
+// Testbed is a set of engines with their list.
+type Testbed struct {
+	Discovery *standin.DiscoveryServer
+	Engines   []*Engine
+	Group     *standin.DeduplicationGroup
 
 	mu sync.Mutex
 }
 
 // New raises engines, each by its settings, and a roster that lists them. Settings without an address get
 // one.
-func New(engines ...standin.EngineConfig) (*Rig, error) {
-	r := &Rig{Group: standin.NewGroup()}
+func New(engines ...standin.EngineConfig) (*Testbed, error) {
+	r := &Testbed{Group: standin.NewDeduplicationGroup()}
 	var err error
-	if r.Roster, err = standin.NewRoster("127.0.0.1:0", "engines"); err != nil {
+	if r.Discovery, err = standin.NewDiscoveryServer("127.0.0.1:0", "engines"); err != nil {
 		return nil, err
 	}
 	for i, cfg := range engines {
@@ -89,8 +89,8 @@
 	return r, nil
 }
 
-// Change alters an engine's entry and publishes the list.
-func (r *Rig) Change(i int, f func(e *eds.Engine)) {
+// UpdateEngine alters an engine's entry and publishes the list.
+func (r *Testbed) UpdateEngine(i int, f func(e *eds.Engine)) {
 	r.mu.Lock()
 	f(&r.Engines[i].Entry)
 	r.mu.Unlock()
@@ -98,14 +98,14 @@
 }
 
 // State is what the list says of an engine; "": nothing.
-func (r *Rig) State(i int) eds.EngineState {
+func (r *Testbed) State(i int) eds.EngineState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.Engines[i].Entry.State
 }
 
 // Publish gives the present entries to the roster; those without a state are left out.
-func (r *Rig) Publish() {
+func (r *Testbed) Publish() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []eds.Engine
@@ -114,23 +114,23 @@
 			list = append(list, e.Entry)
 		}
 	}
-	r.Roster.Set(list)
+	r.Discovery.Set(list)
 }
 
-// Dispatch starts a dispatcher with settings in HCL, to which listen address and roster are added.
-func (r *Rig) Dispatch(settings string, log *slog.Logger) (*server.Server, error) {
-	return r.DispatchWith(settings, log, func(m cresspass.Config) (dispatch.Decider, error) {
+// StartDispatcher starts a dispatcher with settings in HCL, to which listen address and roster are added.
+func (r *Testbed) StartDispatcher(settings string, log *slog.Logger) (*server.Server, error) {
+	return r.StartDispatcherWith(settings, log, func(m cresspass.Config) (dispatch.Decider, error) {
 		return cresspass.New(m)
 	})
 }
 
-// DispatchWith does the same around the decider that decide makes.
-func (r *Rig) DispatchWith(settings string, log *slog.Logger,
+// StartDispatcherWith does the same around the decider that decide makes.
+func (r *Testbed) StartDispatcherWith(settings string, log *slog.Logger,
 	decide func(cresspass.Config) (dispatch.Decider, error)) (*server.Server, error) {
 	cfg, err := config.Parse("test.hcl", []byte(settings+fmt.Sprintf(`
 listen = "127.0.0.1:0"
 roster { eds = %q }
-`, r.Roster.Addr())))
+`, r.Discovery.Addr())))
 	if err != nil {
 		return nil, err
 	}
@@ -156,9 +156,9 @@
 }
 
 // Close ends all engines and the roster.
-func (r *Rig) Close() {
+func (r *Testbed) Close() {
 	for _, e := range r.Engines {
 		e.Close()
 	}
-	r.Roster.Close()
+	r.Discovery.Close()
 }
--- a/internal/server/accept_test.go
+++ b/internal/server/accept_test.go
@@ -49,7 +49,7 @@
 			}
 			r := startEngines(t, 1)
 			cfg, err := config.Parse("test.hcl", []byte(flightSettings+fmt.Sprintf(
-				"listen = \"127.0.0.1:0\"\nroster { eds = %q }\n", r.Roster.Addr())))
+				"listen = \"127.0.0.1:0\"\nroster { eds = %q }\n", r.Discovery.Addr())))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/server/benchmark_test.go
+++ b/internal/server/benchmark_test.go
@@ -36,15 +36,15 @@
 // client, in one run. The engine answers at once. One iteration is one statement.
 func BenchmarkStatementPath(b *testing.B) {
 	r, err := testbed.New(
-		standin.EngineConfig{Kind: testbed.Kind(64, 4096)},
-		standin.EngineConfig{Kind: testbed.Kind(64,
+		standin.EngineConfig{Kind: testbed.EngineKind(64, 4096)},
+		standin.EngineConfig{Kind: testbed.EngineKind(64,
 			4096)},
 	)
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer r.Close()
-	s, err := r.Dispatch(`engines { max_connections = 2000 }
+	s, err := r.StartDispatcher(`engines { max_connections = 2000 }
 tick = "1ms"
 max_clients = 20000
 default_class = "lookup"
@@ -140,12 +140,12 @@
 // BenchmarkIdleClient measures what an idle client holds in the dispatcher: 10,000 of them, in kB each. The
 // clients are in a process of their own, as one process may not have so many files.
 func BenchmarkIdleClient(b *testing.B) {
-	r, err := testbed.New(standin.EngineConfig{Kind: testbed.Kind(8, 4096)})
+	r, err := testbed.New(standin.EngineConfig{Kind: testbed.EngineKind(8, 4096)})
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer r.Close()
-	s, err := r.Dispatch(benchSettings, nil)
+	s, err := r.StartDispatcher(benchSettings, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/server/fault_test.go
+++ b/internal/server/fault_test.go
@@ -133,19 +133,19 @@
 func TestEngineDiesMidResponse(t *testing.T) {
 	r, s := startDispatcher(t, 2, baseSettings)
 	for _, e := range r.Engines {
-		e.Set(standin.Faults{DieAfterRows: 5})
+		e.SetFaults(standin.Faults{DieAfterRows: 5})
 	}
 	c := dialServer(t, s)
 	// 5 rows of 20 bytes are held back, so the second engine may try, and dies too: then none is left.
-	r.Engines[0].Set(standin.Faults{})
+	r.Engines[0].SetFaults(standin.Faults{})
 	c.send(&pgproto3.Query{String: "select 1 /*rows='20'*/"})
 	if seen := c.readUntil("Z"); countPrefix(seen, "D") != 20 || countPrefix(seen, "E") != 0 {
 		t.Fatalf("answer in spite of a death: %v", seen)
 	}
 	// Rows beyond what is held back have gone out when the engine dies.
-	r.Engines[0].Set(standin.Faults{DieAfterRows: 50})
+	r.Engines[0].SetFaults(standin.Faults{DieAfterRows: 50})
 	if up, _ := r.Engines[1].Up(); up {
-		r.Engines[1].Set(standin.Faults{DieAfterRows: 50})
+		r.Engines[1].SetFaults(standin.Faults{DieAfterRows: 50})
 	}
 	before := s.Stats()
 	c.send(&pgproto3.Query{String: "select 1 /*rows='100',row_bytes='500'*/"})
@@ -172,7 +172,7 @@
   max_connections = 2`, 1),
 	)
 	// Canceled late, so that a connection put back too early would have its next query struck.
-	r.Engines[0].Set(standin.Faults{SlowCancel: 100 * time.Millisecond})
+	r.Engines[0].SetFaults(standin.Faults{SlowCancel: 100 * time.Millisecond})
 	runs := func() (running, cancelled int) {
 		for _, v := range r.Engines[0].Runs() {
 			switch v.Outcome {
@@ -272,7 +272,7 @@
 	r, s := startDispatcher(t, 2, baseSettings)
 	c := connect(t, s, "")
 	for _, e := range r.Engines {
-		e.Set(standin.Faults{Hang: true})
+		e.SetFaults(standin.Faults{Hang: true})
 	}
 	done := make(chan error, 1)
 	go func() {
@@ -294,7 +294,7 @@
 	}
 	eventually(t, "a second attempt", func() bool { return attempts() == 2 })
 	for _, e := range r.Engines { // both answer now
-		e.Set(standin.Faults{})
+		e.SetFaults(standin.Faults{})
 	}
 	if err := <-done; err != nil {
 		t.Fatal(err)
@@ -312,16 +312,16 @@
 	}()
 	eventually(t, "it runs", func() bool { return s.Stats().Running == 1 })
 	for i := range r.Engines {
-		r.Change(i, func(e *eds.Engine) { e.State = "" }) // off the list, still at work
+		r.UpdateEngine(i, func(e *eds.Engine) { e.State = "" }) // off the list, still at work
 	}
 	if err := <-done; err != nil {
 		t.Fatalf("answer of an engine that left the list: %v", err)
 	}
-	r.Engines[0].Die()
+	r.Engines[0].Crash()
 	if err := r.Engines[0].Restart(); err != nil {
 		t.Fatal(err)
 	}
-	r.Change(0, func(e *eds.Engine) { e.State, e.Started = eds.StateActive, r.Engines[0].Started() })
+	r.UpdateEngine(0, func(e *eds.Engine) { e.State, e.Started = eds.StateActive, r.Engines[0].Started() })
 	eventually(t, "the new process serves", func() bool {
 		n, err := queryRowCount(t, c, "select 1 /*rows='2'*/")
 		return n == 2 && err == nil
@@ -424,9 +424,9 @@
 // answer, and the good engine's.
 func TestFaultyEngines(t *testing.T) {
 	r, s := startDispatcher(t, 4, baseSettings)
-	r.Engines[0].Set(standin.Faults{Garbage: true})
-	r.Engines[1].Set(standin.Faults{Cut: 1})
-	r.Engines[2].Set(standin.Faults{Full: true})
+	r.Engines[0].SetFaults(standin.Faults{Garbage: true})
+	r.Engines[1].SetFaults(standin.Faults{Cut: 1})
+	r.Engines[2].SetFaults(standin.Faults{Full: true})
 	c := connect(t, s, "")
 	served := 0
 	for i := range 60 {
@@ -494,7 +494,7 @@
 	}
 	cfg := make([]standin.EngineConfig, 4)
 	for i := range cfg {
-		cfg[i] = standin.EngineConfig{Kind: testbed.Kind(16, 8192), Window: 15 * time.Second, Seed: 5}
+		cfg[i] = standin.EngineConfig{Kind: testbed.EngineKind(16, 8192), Window: 15 * time.Second, Seed: 5}
 	}
 	r, err := testbed.New(cfg...)
 	if err != nil {
@@ -514,7 +514,7 @@
 		places[relay.Addr()] = rulecheck.Endpoint{Zone: "a", Kind: "std", Cores: 16}
 	}
 	r.Publish()
-	s, err := r.Dispatch(strings.Replace(baseSettings, "engines {", "engines {\n  user = \"d0\"", 1), nil)
+	s, err := r.StartDispatcher(strings.Replace(baseSettings, "engines {", "engines {\n  user = \"d0\"", 1), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -523,8 +523,8 @@
 		t.Fatal(err)
 	}
 	listedAt := time.Now()
-	r.Engines[1].Set(standin.Faults{Cut: 0.05, ErrorShare: 0.05})
-	r.Engines[2].Set(standin.Faults{LoseShare: 0.02, SlowCancel: 30 * time.Millisecond})
+	r.Engines[1].SetFaults(standin.Faults{Cut: 0.05, ErrorShare: 0.05})
+	r.Engines[2].SetFaults(standin.Faults{LoseShare: 0.02, SlowCancel: 30 * time.Millisecond})
 	var wg sync.WaitGroup
 	next := make(chan int)
 	ends := map[string]int{}
@@ -557,7 +557,7 @@
 	}
 	for i := range total {
 		if i == total/2 {
-			r.Engines[3].Die()
+			r.Engines[3].Crash()
 		}
 		next <- i
 	}
--- a/internal/server/flight_benchmark_test.go
+++ b/internal/server/flight_benchmark_test.go
@@ -18,12 +18,12 @@
 // BenchmarkMillionRows measures a million rows straight from an engine, through the PostgreSQL front and
 // through Flight SQL, in one run. One iteration is one query.
 func BenchmarkMillionRows(b *testing.B) {
-	r, err := testbed.New(standin.EngineConfig{Kind: testbed.Kind(64, 4096)})
+	r, err := testbed.New(standin.EngineConfig{Kind: testbed.EngineKind(64, 4096)})
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer r.Close()
-	s, err := r.Dispatch(`default_class = "lookup"
+	s, err := r.StartDispatcher(`default_class = "lookup"
 kind "std" { cores = 64 }
 flight { listen = "127.0.0.1:0" }
 class "lookup" {
--- a/internal/server/flight_fault_test.go
+++ b/internal/server/flight_fault_test.go
@@ -27,7 +27,7 @@
 )
 
 // countRuns counts the runs of a name over all engines.
-func countRuns(r *testbed.Rig, id string) (n int) {
+func countRuns(r *testbed.Testbed, id string) (n int) {
 	for _, e := range r.Engines {
 		for _, v := range e.Runs() {
 			if v.ID == id {
@@ -51,7 +51,7 @@
 func TestFlightEngineDiesAfterThreeBatches(t *testing.T) {
 	r, s := startDispatcher(t, 2, flightSettings)
 	for _, e := range r.Engines {
-		e.Set(standin.Faults{DieAfterRows: 15})
+		e.SetFaults(standin.Faults{DieAfterRows: 15})
 	}
 	c := dialFlight(t, s, "u")
 	fi, err := c.Execute(c.ctx, "select 1 /*rows='100',row_bytes='110000',id='dies'*/")
@@ -153,7 +153,7 @@
 	refusal := issue("insert into t values (1) /*id='refused'*/") // one that was refused may be fetched again
 	for _, full := range []bool{true, false} {
 		for _, e := range r.Engines {
-			e.Set(standin.Faults{Full: full})
+			e.SetFaults(standin.Faults{Full: full})
 		}
 		switch err := get(a, refusal); {
 		case full && (status.Code(err) != codes.ResourceExhausted || reportedRun(err) != "REFUSED false"):
@@ -245,7 +245,7 @@
 	for _, wait := range []bool{false, true} {
 		tx = begin()
 		for i := range r.Engines {
-			r.Change(i, func(e *eds.Engine) { e.State = eds.StateDraining })
+			r.UpdateEngine(i, func(e *eds.Engine) { e.State = eds.StateDraining })
 		}
 		var header metadata.MD
 		eventually(t, "a notice", func() bool {
@@ -267,7 +267,7 @@
 			t.Errorf("a commit within the grace: %v", err)
 		}
 		for i := range r.Engines {
-			r.Change(i, func(e *eds.Engine) { e.State = eds.StateActive })
+			r.UpdateEngine(i, func(e *eds.Engine) { e.State = eds.StateActive })
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
--- a/internal/server/invariant_test.go
+++ b/internal/server/invariant_test.go
@@ -19,9 +19,9 @@
 	const mayRepeatUnsafe = 2 // the rule that the decider has no guard for
 	r := startEngines(t, 3)
 	for _, e := range r.Engines {
-		e.Set(standin.Faults{ErrorShare: 1})
+		e.SetFaults(standin.Faults{ErrorShare: 1})
 	}
-	s, err := r.DispatchWith(baseSettings, nil, func(m cresspass.Config) (dispatch.Decider, error) {
+	s, err := r.StartDispatcherWith(baseSettings, nil, func(m cresspass.Config) (dispatch.Decider, error) {
 		return baseline.New("", mayRepeatUnsafe, m)
 	})
 	if err != nil {
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -21,7 +21,7 @@
 	seeds := ""
 	var all []*server.Server
 	for i := range 3 {
-		s, err := r.Dispatch(baseSettings+fmt.Sprintf(`
+		s, err := r.StartDispatcher(baseSettings+fmt.Sprintf(`
 ordinal  = %d
 gateways = 3
 peers {
@@ -39,7 +39,7 @@
 		}
 		all = append(all, s)
 	}
-	if _, err := r.Dispatch(baseSettings+fmt.Sprintf("peers {\n  listen = %q\n  keys = [%q]\n}\n",
+	if _, err := r.StartDispatcher(baseSettings+fmt.Sprintf("peers {\n  listen = %q\n  keys = [%q]\n}\n",
 		// nothing of it is left: goleak looks
 		all[0].Membership().Addr(), strings.Repeat("07", 32)), nil); err == nil {
 		t.Fatal("an address in use, and it started")
@@ -52,7 +52,7 @@
 		}
 		return true
 	})
-	r.Engines[0].Set(standin.Faults{Full: true})
+	r.Engines[0].SetFaults(standin.Faults{Full: true})
 	c := connect(t, all[0], "")
 	observationArrived := func() (known bool) {
 		all[2].Membership().WithStore(func(now time.Duration, k *observation.Store) {
@@ -80,7 +80,7 @@
 	r := startEngines(t, 2)
 	log := &lockedBuffer{}
 	start := func(name, seeds string) *server.Server {
-		s, err := r.Dispatch(baseSettings+fmt.Sprintf(`
+		s, err := r.StartDispatcher(baseSettings+fmt.Sprintf(`
 state_every = "100ms"
 peers {
   listen = "127.0.0.1:0"
--- a/internal/server/orphan_cleanup_test.go
+++ b/internal/server/orphan_cleanup_test.go
@@ -93,8 +93,8 @@
 // them, so that their locks come free; other programs' sessions stay.
 func TestOrphanedSessionsAreTerminated(t *testing.T) {
 	r, err := testbed.New(
-		standin.EngineConfig{Kind: testbed.Kind(8, 4096)},
-		standin.EngineConfig{Kind: testbed.Kind(8,
+		standin.EngineConfig{Kind: testbed.EngineKind(8, 4096)},
+		standin.EngineConfig{Kind: testbed.EngineKind(8,
 			4096)},
 	)
 	if err != nil {
@@ -104,10 +104,10 @@
 	var proxies []*partitionProxy
 	for i := range r.Engines {
 		proxies = append(proxies, newPartitionProxy(t, r.Engines[i].Addr()))
-		r.Change(i, func(e *eds.Engine) { e.Address = proxies[i].ln.Addr().String() })
+		r.UpdateEngine(i, func(e *eds.Engine) { e.Address = proxies[i].ln.Addr().String() })
 	}
 	first, second := t.TempDir(), t.TempDir()
-	s, err := r.Dispatch(baseSettings+"state = \""+first+"\"\n", nil)
+	s, err := r.StartDispatcher(baseSettings+"state = \""+first+"\"\n", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,7 +157,7 @@
 		w.mu.Unlock()
 	}
 	began := time.Now()
-	s, err = r.Dispatch(baseSettings+"state = \""+second+"\"\n", nil)
+	s, err = r.StartDispatcher(baseSettings+"state = \""+second+"\"\n", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/server/recording_test.go
+++ b/internal/server/recording_test.go
@@ -16,7 +16,7 @@
 func TestQueriesAreRecorded(t *testing.T) {
 	r := startEngines(t, 1)
 	dir := t.TempDir()
-	s, err := r.Dispatch(baseSettings+fmt.Sprintf("\nrecord {\n  dir = %q\n}\n", dir), nil)
+	s, err := r.StartDispatcher(baseSettings+fmt.Sprintf("\nrecord {\n  dir = %q\n}\n", dir), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,7 +27,7 @@
 			t.Fatal(err)
 		}
 	}
-	r.Engines[0].Set(standin.Faults{ErrorShare: 1})
+	r.Engines[0].SetFaults(standin.Faults{ErrorShare: 1})
 	c.Exec(context.Background(), "select 'secret-text'")
 	s.Close()
 	files, err := os.ReadDir(dir)
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -74,11 +74,11 @@
 `
 
 // startEngines raises stand-in engines and their list.
-func startEngines(t *testing.T, n int) *testbed.Rig {
+func startEngines(t *testing.T, n int) *testbed.Testbed {
 	t.Helper()
 	cfg := make([]standin.EngineConfig, n)
 	for i := range cfg {
-		cfg[i] = standin.EngineConfig{Kind: testbed.Kind(8, 4096), Window: 15 * time.Second}
+		cfg[i] = standin.EngineConfig{Kind: testbed.EngineKind(8, 4096), Window: 15 * time.Second}
 	}
 	r, err := testbed.New(cfg...)
 	if err != nil {
@@ -88,10 +88,10 @@
 	return r
 }
 
-func startDispatcher(t *testing.T, n int, settings string) (*testbed.Rig, *server.Server) {
+func startDispatcher(t *testing.T, n int, settings string) (*testbed.Testbed, *server.Server) {
 	t.Helper()
 	r := startEngines(t, n)
-	s, err := r.Dispatch(settings, nil)
+	s, err := r.StartDispatcher(settings, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/server/session_balance_test.go
+++ b/internal/server/session_balance_test.go
@@ -30,7 +30,7 @@
 func TestStickySessionsAreBalanced(t *testing.T) {
 	spread := func(reportSessions bool) (maxSessions, minSessions int) {
 		r := startEngines(t, 6)
-		s, err := r.DispatchWith(baseSettings, nil, func(m cresspass.Config) (dispatch.Decider, error) {
+		s, err := r.StartDispatcherWith(baseSettings, nil, func(m cresspass.Config) (dispatch.Decider, error) {
 			g, err := cresspass.New(m)
 			if reportSessions || err != nil {
 				return g, err
@@ -53,7 +53,7 @@
 			session()
 		}
 		for i := range 2 {
-			r.Engines[i].Die()
+			r.Engines[i].Crash()
 			if err := r.Engines[i].Restart(); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/server/stale_statement_test.go
+++ b/internal/server/stale_statement_test.go
@@ -64,10 +64,10 @@
 			r, s := startDispatcher(t, 1, strings.Replace(baseSettings, `drain_grace = "500ms"`,
 				`drain_grace = "100ms"`, 1))
 			g := newGatedProxy(t, r.Engines[0].Addr())
-			r.Change(0, func(e *eds.Engine) { e.Address = g.Addr().String() })
+			r.UpdateEngine(0, func(e *eds.Engine) { e.Address = g.Addr().String() })
 			eventually(t, "the gate is on the list", func() bool { return s.EngineActive(g.Addr().String()) })
 			w := &pendingStatement{client: dialServer(t, s), drain: func() {
-				r.Change(0, func(e *eds.Engine) { e.State = eds.StateDraining })
+				r.UpdateEngine(0, func(e *eds.Engine) { e.State = eds.StateDraining })
 				eventually(t, "the drain is known", func() bool { return !s.EngineActive(g.Addr().String()) })
 				time.Sleep(200 * time.Millisecond) // the grace is over
 			}}
--- a/internal/server/sticky_session_benchmark_test.go
+++ b/internal/server/sticky_session_benchmark_test.go
@@ -16,15 +16,15 @@
 // the same client.
 func BenchmarkStickyStatement(b *testing.B) {
 	r, err := testbed.New(
-		standin.EngineConfig{Kind: testbed.Kind(64, 4096)},
-		standin.EngineConfig{Kind: testbed.Kind(64,
+		standin.EngineConfig{Kind: testbed.EngineKind(64, 4096)},
+		standin.EngineConfig{Kind: testbed.EngineKind(64,
 			4096)},
 	)
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer r.Close()
-	s, err := r.Dispatch(benchSettings, nil)
+	s, err := r.StartDispatcher(benchSettings, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -54,12 +54,12 @@
 // BenchmarkIdleStickySession measures what an idle session in a transaction holds, client, dispatcher and
 // stand-in together, in kB each: the three share this process.
 func BenchmarkIdleStickySession(b *testing.B) {
-	r, err := testbed.New(standin.EngineConfig{Kind: testbed.Kind(64, 4096)})
+	r, err := testbed.New(standin.EngineConfig{Kind: testbed.EngineKind(64, 4096)})
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer r.Close()
-	s, err := r.Dispatch("engines { max_connections = 5000 }\n"+`default_class = "lookup"
+	s, err := r.StartDispatcher("engines { max_connections = 5000 }\n"+`default_class = "lookup"
 kind "std" { cores = 1000 }
 class "lookup" {
   aim = "5s"
--- a/internal/server/sticky_session_fault_test.go
+++ b/internal/server/sticky_session_fault_test.go
@@ -15,12 +15,12 @@
 )
 
 // openSessionOn begins a transaction on the engine of a number, and returns the session.
-func openSessionOn(t *testing.T, r *testbed.Rig, addr string, at int) *wireClient {
+func openSessionOn(t *testing.T, r *testbed.Testbed, addr string, at int) *wireClient {
 	t.Helper()
 	for i := range r.Engines { // the choice is the module's: for the moment there is no other engine
 		if i != at && r.State(i) == eds.StateActive {
-			r.Change(i, func(e *eds.Engine) { e.State = "" })
-			defer r.Change(i, func(e *eds.Engine) { e.State = eds.StateActive })
+			r.UpdateEngine(i, func(e *eds.Engine) { e.State = "" })
+			defer r.UpdateEngine(i, func(e *eds.Engine) { e.State = eds.StateActive })
 		}
 	}
 	for n := range 1000 { // an engine that died is passed over for a while
@@ -51,7 +51,7 @@
 			Name: "p"}, &pgproto3.Sync{})
 		c.readUntil("Z")
 	}
-	r.Change(0, func(e *eds.Engine) { e.State = eds.StateDraining })
+	r.UpdateEngine(0, func(e *eds.Engine) { e.State = eds.StateDraining })
 	time.Sleep(50 * time.Millisecond)
 	for i, c := range []*wireClient{inTx, free} {
 		c.send(&pgproto3.Bind{PreparedStatement: "p", Parameters: [][]byte{[]byte(fmt.Sprint("x", i,
@@ -87,9 +87,9 @@
 		time.Sleep(time.Duration(i*37%1500) * time.Microsecond)
 		engineLost := i%5 == 4
 		if engineLost {
-			r.Engines[0].Die()
+			r.Engines[0].Crash()
 		} else {
-			r.Change(0, func(e *eds.Engine) { e.State = eds.StateDraining })
+			r.UpdateEngine(0, func(e *eds.Engine) { e.State = eds.StateDraining })
 		}
 		seen, reported := c.readToEnd(), ""
 		for _, m := range seen {
@@ -122,7 +122,7 @@
 				t.Fatal(err)
 			}
 		}
-		r.Change(0, func(e *eds.Engine) {
+		r.UpdateEngine(0, func(e *eds.Engine) {
 			e.State, e.Started = eds.StateActive, r.Engines[0].Started().Add(-time.Hour)
 		})
 	}
@@ -219,7 +219,7 @@
 		2,
 		strings.Replace(baseSettings, "engines {", "engines {\n  max_connections = 2000", 1),
 	)
-	r.Change(1, func(e *eds.Engine) { e.State = "" })
+	r.UpdateEngine(1, func(e *eds.Engine) { e.State = "" })
 	time.Sleep(50 * time.Millisecond)
 	const n = 1000
 	all := make([]*wireClient, n)
@@ -252,8 +252,8 @@
 	if got := r.Engines[0].Sessions(); got != n || s.StickySessions() != n {
 		t.Fatalf("%d sessions at the engine, %d kept", got, s.StickySessions())
 	}
-	r.Change(1, func(e *eds.Engine) { e.State = eds.StateActive })
-	r.Change(0, func(e *eds.Engine) { e.State = eds.StateDraining })
+	r.UpdateEngine(1, func(e *eds.Engine) { e.State = eds.StateActive })
+	r.UpdateEngine(0, func(e *eds.Engine) { e.State = eds.StateDraining })
 	drainedAt := time.Now()
 	gate = make(chan struct{}, n)
 	var mu sync.Mutex
--- a/internal/server/sticky_session_test.go
+++ b/internal/server/sticky_session_test.go
@@ -159,7 +159,7 @@
 	})
 	pinned.send(&pgproto3.Query{String: "create temp table tmp_x (a int); commit"})
 	pinned.readUntil("Z")
-	r.Change(at, func(e *eds.Engine) { e.State = eds.StateDraining })
+	r.UpdateEngine(at, func(e *eds.Engine) { e.State = eds.StateDraining })
 	if seen := pinned.readUntil("NoticeResponse"); len(seen) != 1 {
 		t.Errorf("a pinned session was told %v", seen)
 	}
@@ -183,7 +183,7 @@
 	other := 1 - at
 	c := dialServer(t, s)
 	on(c, "last")
-	r.Engines[other].Set(standin.Faults{Cut: 1})
+	r.Engines[other].SetFaults(standin.Faults{Cut: 1})
 	c.send(&pgproto3.Query{String: "insert into t values (1); commit"})
 	if seen := c.readUntil("E:08007"); len(seen) == 0 {
 		t.Errorf("lost after commit: %v", seen)
@@ -359,16 +359,16 @@
 			}
 			n := i % 3 // the fourth is left alone
 			if i%2 == 0 {
-				r.Change(n, func(e *eds.Engine) { e.State = eds.StateDraining })
+				r.UpdateEngine(n, func(e *eds.Engine) { e.State = eds.StateDraining })
 				time.Sleep(500 * time.Millisecond)
 			}
-			r.Engines[n].Die()
+			r.Engines[n].Crash()
 			time.Sleep(50 * time.Millisecond)
 			if err := r.Engines[n].Restart(); err != nil {
 				t.Error(err)
 				return
 			}
-			r.Change(n, func(e *eds.Engine) { e.State, e.Started = eds.StateActive, r.Engines[n].Started() })
+			r.UpdateEngine(n, func(e *eds.Engine) { e.State, e.Started = eds.StateActive, r.Engines[n].Started() })
 		}
 	}()
 	var wg sync.WaitGroup
@@ -483,7 +483,7 @@
 // three: the same messages to the byte, but for what names the server or the moment.
 func TestScriptMatchesDirectConnection(t *testing.T) {
 	_, s := startDispatcher(t, 3, baseSettings)
-	direct, err := standin.NewEngine(standin.EngineConfig{Kind: testbed.Kind(8, 4096)})
+	direct, err := standin.NewEngine(standin.EngineConfig{Kind: testbed.EngineKind(8, 4096)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -538,7 +538,7 @@
 // gets the bytes that one engine gives it.
 func TestRandomSessionsMatchDirectConnection(t *testing.T) {
 	_, s := startDispatcher(t, 3, baseSettings)
-	direct, err := standin.NewEngine(standin.EngineConfig{Kind: testbed.Kind(8, 4096)})
+	direct, err := standin.NewEngine(standin.EngineConfig{Kind: testbed.EngineKind(8, 4096)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -16,9 +16,9 @@
 	"cresspass/internal/discovery/eds"
 )
 
-// Roster is a stand-in for an endpoint discovery service: it pushes a list to all that subscribe, late where
+// DiscoveryServer is a stand-in for an endpoint discovery service: it pushes a list to all that subscribe, late where
 // it is told to, and can be out of reach.
-type Roster struct {
+type DiscoveryServer struct {
 	endpointservice.UnimplementedEndpointDiscoveryServiceServer
 	service string
 	server  *grpc.Server
@@ -30,12 +30,12 @@
 	delay         time.Duration
 	unavailable   chan struct{} // closed while out of reach
 	changed       chan struct{} // closed at each change
-	notifications []Told
+	notifications []Notification
 	nacks         int
 }
 
-// Told is a list that one subscriber accepted, and when.
-type Told struct {
+// Notification is a list that one subscriber accepted, and when.
+type Notification struct {
 	Sent    time.Time
 	At      time.Time // when it was accepted
 	Node    string
@@ -43,13 +43,13 @@
 	List    []eds.Engine
 }
 
-// NewRoster serves lists for one service on a loopback address.
-func NewRoster(addr, service string) (*Roster, error) {
+// NewDiscoveryServer serves lists for one service on a loopback address.
+func NewDiscoveryServer(addr, service string) (*DiscoveryServer, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	r := &Roster{service: service, server: grpc.NewServer(), addr: ln.Addr().String(),
+	r := &DiscoveryServer{service: service, server: grpc.NewServer(), addr: ln.Addr().String(),
 		changed:     make(chan struct{}),
 		unavailable: make(chan struct{})}
 	endpointservice.RegisterEndpointDiscoveryServiceServer(r.server, r)
@@ -58,10 +58,10 @@
 }
 
 // Addr is where it listens.
-func (r *Roster) Addr() string { return r.addr }
+func (r *DiscoveryServer) Addr() string { return r.addr }
 
 // Set changes the list.
-func (r *Roster) Set(engines []eds.Engine) {
+func (r *DiscoveryServer) Set(engines []eds.Engine) {
 	r.mu.Lock()
 	r.list = eds.List{Engines: append([]eds.Engine(nil), engines...)}
 	r.version++
@@ -69,20 +69,20 @@
 	r.mu.Unlock()
 }
 
-func (r *Roster) wake() {
+func (r *DiscoveryServer) wake() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Late has further changes told so much later.
-func (r *Roster) Late(by time.Duration) {
+// SetDelay has further changes told so much later.
+func (r *DiscoveryServer) SetDelay(by time.Duration) {
 	r.mu.Lock()
 	r.delay = by
 	r.mu.Unlock()
 }
 
-// Away makes it be out of reach: streams break and new ones are refused; or be back.
-func (r *Roster) Away(away bool) {
+// SetUnavailable makes it be out of reach: streams break and new ones are refused; or be back.
+func (r *DiscoveryServer) SetUnavailable(away bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	select {
@@ -97,18 +97,18 @@
 	}
 }
 
-// Told returns which lists were accepted by whom, and how many were refused.
-func (r *Roster) Told() ([]Told, int) {
+// Notifications returns which lists were accepted by whom, and how many were refused.
+func (r *DiscoveryServer) Notifications() ([]Notification, int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]Told(nil), r.notifications...), r.nacks
+	return append([]Notification(nil), r.notifications...), r.nacks
 }
 
 // Close ends it.
-func (r *Roster) Close() { r.server.Stop() }
+func (r *DiscoveryServer) Close() { r.server.Stop() }
 
 // StreamEndpoints serves one subscriber (xDS protocol, "State of the World").
-func (r *Roster) StreamEndpoints(s endpointservice.EndpointDiscoveryService_StreamEndpointsServer) error {
+func (r *DiscoveryServer) StreamEndpoints(s endpointservice.EndpointDiscoveryService_StreamEndpointsServer) error {
 	first, err := s.Recv()
 	if err != nil {
 		return err
@@ -130,7 +130,7 @@
 		}
 	}()
 	sent := 0
-	lists := map[string]Told{}
+	lists := map[string]Notification{}
 	for {
 		r.mu.Lock()
 		version, list, away, changed, late := r.version, r.list, r.unavailable, r.changed, r.delay
@@ -158,7 +158,7 @@
 				return err
 			}
 			v := fmt.Sprint(version)
-			lists[v] = Told{Sent: time.Now(), Node: node, Version: version, List: list.Engines}
+			lists[v] = Notification{Sent: time.Now(), Node: node, Version: version, List: list.Engines}
 			if err := s.Send(&discoveryv3.DiscoveryResponse{VersionInfo: v, Nonce: v, TypeUrl: eds.TypeURL,
 				Resources: []*anypb.Any{any}}); err != nil {
 				return err
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -31,10 +31,10 @@
 	Kind          enginemodel.Kind
 	Cold          bool // it starts cold
 	Seed          uint64
-	ProgressEvery time.Duration // 0: no notes
-	ReportEvery   time.Duration // load reports are so old; 0: none are given
-	Window        time.Duration // repeats of a keyed load are dropped for so long
-	Group         *Group        // engines that drop repeats together; nil: this one alone
+	ProgressEvery time.Duration       // 0: no notes
+	ReportEvery   time.Duration       // load reports are so old; 0: none are given
+	Window        time.Duration       // repeats of a keyed load are dropped for so long
+	Group         *DeduplicationGroup // engines that drop repeats together; nil: this one alone
 }
 
 // Faults are what goes wrong with an engine. The zero value: nothing.
@@ -61,18 +61,20 @@
 	Priority       int
 }
 
-// Group remembers which keyed loads ran, for all engines that share it.
-type Group struct {
+// DeduplicationGroup remembers which keyed loads ran, for all engines that share it.
+type DeduplicationGroup struct {
 	mu   sync.Mutex
 	seen map[string]time.Time
 	ran  map[string][]time.Time
 }
 
-// NewGroup returns a group that has seen nothing.
-func NewGroup() *Group { return &Group{seen: map[string]time.Time{}, ran: map[string][]time.Time{}} }
+// NewDeduplicationGroup returns a group that has seen nothing.
+func NewDeduplicationGroup() *DeduplicationGroup {
+	return &DeduplicationGroup{seen: map[string]time.Time{}, ran: map[string][]time.Time{}}
+}
 
 // first reports whether a load is no repeat within the window, and remembers it.
-func (g *Group) first(id string, now time.Time, window time.Duration) bool {
+func (g *DeduplicationGroup) first(id string, now time.Time, window time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if at, ok := g.seen[id]; ok && now.Sub(at) < window {
@@ -84,7 +86,7 @@
 }
 
 // Ran returns when each load had its effect.
-func (g *Group) Ran() map[string][]time.Time {
+func (g *DeduplicationGroup) Ran() map[string][]time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := map[string][]time.Time{}
@@ -123,7 +125,7 @@
 // NewEngine starts an engine.
 func NewEngine(cfg EngineConfig) (*Engine, error) {
 	if cfg.Group == nil {
-		cfg.Group = NewGroup()
+		cfg.Group = NewDeduplicationGroup()
 	}
 	e := &Engine{cfg: cfg, addr: cfg.Listen, random: rand.New(rand.NewPCG(cfg.Seed, 7))}
 	return e, e.start(cfg.Cold)
@@ -170,8 +172,8 @@
 	return e.start(true)
 }
 
-// Die ends the engine at once: connections break, work is lost.
-func (e *Engine) Die() {
+// Crash ends the engine at once: connections break, work is lost.
+func (e *Engine) Crash() {
 	e.mu.Lock()
 	e.crash()
 	e.mu.Unlock()
@@ -204,12 +206,12 @@
 
 // Close ends the engine and waits for its goroutines.
 func (e *Engine) Close() {
-	e.Die()
+	e.Crash()
 	e.work.Wait()
 }
 
-// Set puts faults in force, in place of those before.
-func (e *Engine) Set(f Faults) {
+// SetFaults puts faults in force, in place of those before.
+func (e *Engine) SetFaults(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
@@ -1179,7 +1181,7 @@
 			c.backend.Flush()
 			time.Sleep(20 * time.Millisecond) // the rows get out before the crash resets the connection
 			outcome("died")
-			e.Die()
+			e.Crash()
 			return errCut
 		}
 		if i == cut {
