--- a/internal/recording/format.go
+++ b/internal/recording/format.go
@@ -1,6 +1,7 @@
-// Package recording is the form in which a dispatcher keeps what it took, for the model to replay: times,
-// classes, fingerprints, outcomes and durations, no text. A file is a header and blocks, each with its
-// checksum; what stands in whole blocks is read whatever became of the rest.
+// Package recording stores the queries that a dispatcher admitted, for the simulation to replay: times,
+// classes, fingerprints, outcomes and durations, but no text of a query. A file is a header and blocks, each
+// with its checksum; complete blocks are read whatever became of the rest. The package owns the files in the
+// folder that it is given and must never delay a query.
 package recording
 
 import (
@@ -26,6 +27,7 @@
 	outcomeCount
 )
 
+// String names the outcome.
 func (o Outcome) String() string {
 	if o >= outcomeCount {
 		return "unknown"
@@ -33,7 +35,7 @@
 	return [...]string{"served", "refused", "failed", "given up"}[o]
 }
 
-// Entry is one query that was taken and has ended.
+// Entry is one query that was admitted and has ended.
 type Entry struct {
 	ArrivedAt   time.Duration // since the recording's start
 	Elapsed     time.Duration // until its final answer
@@ -42,10 +44,10 @@
 	Dispatcher  string
 	Fingerprint uint64        // of its text's shape
 	Key         uint64        // a hash of its order key; 0: none
-	Cost        time.Duration // as it was told, thread time; 0: it was not
+	Cost        time.Duration // the client's estimate, thread time; 0: it gave none
 	Threads     float64       // 0: not known
 	Outcome     Outcome
-	IsRetry     bool // its client had asked before
+	IsRetry     bool // its client had sent it before
 	IsWrite     bool
 }
 
@@ -78,45 +80,44 @@
 	return binary.LittleEndian.AppendUint64(b, uint64(h.Start.UnixMicro()))
 }
 
+// nameTable numbers the names of a block, which stand once at its beginning.
+type nameTable struct {
+	numbers map[string]uint64
+	names   []string
+}
+
+func (t *nameTable) number(name string) uint64 {
+	n, known := t.numbers[name]
+	if !known {
+		n = uint64(len(t.names))
+		t.numbers[name] = n
+		t.names = append(t.names, name)
+	}
+	return n
+}
+
+// Flags of an entry beside its outcome, which is in the lower half.
+const (
+	outcomeMask = 0x0f
+	flagRetry   = 0x10
+	flagWrite   = 0x20
+)
+
 // AppendBlock appends a block of entries, which are in the order of their times; at most MaxBlockEntries.
 func AppendBlock(b []byte, entries []Entry) []byte {
 	head := len(b)
 	b = append(b, make([]byte, blockHeaderSize)...)
-	names, list := map[string]uint64{}, []string{}
-	name := func(s string) uint64 {
-		if _, known := names[s]; !known {
-			names[s] = uint64(len(list))
-			list = append(list, s)
-		}
-		return names[s]
-	}
+	table := nameTable{numbers: map[string]uint64{}}
 	var body []byte
 	last := time.Duration(0)
 	for i := range entries {
-		e := &entries[i]
-		body = binary.AppendVarint(body, (e.ArrivedAt - last).Microseconds())
-		last = e.ArrivedAt.Truncate(time.Microsecond)
-		body = binary.AppendUvarint(body, uint64(max(e.Elapsed, 0).Microseconds()))
-		for _, s := range []string{e.Class, e.Tenant, e.Dispatcher} {
-			body = binary.AppendUvarint(body, name(s))
-		}
-		body = binary.LittleEndian.AppendUint64(body, e.Fingerprint)
-		body = binary.LittleEndian.AppendUint64(body, e.Key)
-		body = binary.AppendUvarint(body, uint64(max(e.Cost, 0).Microseconds()))
-		body = binary.LittleEndian.AppendUint32(body, math.Float32bits(float32(e.Threads)))
-		flags := byte(e.Outcome)
-		if e.IsRetry {
-			flags |= 0x10
-		}
-		if e.IsWrite {
-			flags |= 0x20
-		}
-		body = append(body, flags)
+		body = appendEntry(body, &entries[i], last, &table)
+		last = entries[i].ArrivedAt.Truncate(time.Microsecond)
 	}
-	b = binary.AppendUvarint(b, uint64(len(list)))
-	for _, s := range list {
-		b = binary.AppendUvarint(b, uint64(len(s)))
-		b = append(b, s...)
+	b = binary.AppendUvarint(b, uint64(len(table.names)))
+	for _, name := range table.names {
+		b = binary.AppendUvarint(b, uint64(len(name)))
+		b = append(b, name...)
 	}
 	b = binary.AppendUvarint(b, uint64(len(entries)))
 	b = append(b, body...)
@@ -126,81 +127,114 @@
 	return b
 }
 
-// decoder reads a payload. Its first error stands.
+// appendEntry appends an entry, whose time counts from that of the one before it.
+func appendEntry(b []byte, e *Entry, last time.Duration, table *nameTable) []byte {
+	b = binary.AppendVarint(b, (e.ArrivedAt - last).Microseconds())
+	b = binary.AppendUvarint(b, uint64(max(e.Elapsed, 0).Microseconds()))
+	for _, name := range []string{e.Class, e.Tenant, e.Dispatcher} {
+		b = binary.AppendUvarint(b, table.number(name))
+	}
+	b = binary.LittleEndian.AppendUint64(b, e.Fingerprint)
+	b = binary.LittleEndian.AppendUint64(b, e.Key)
+	b = binary.AppendUvarint(b, uint64(max(e.Cost, 0).Microseconds()))
+	b = binary.LittleEndian.AppendUint32(b, math.Float32bits(float32(e.Threads)))
+	flags := byte(e.Outcome)
+	if e.IsRetry {
+		flags |= flagRetry
+	}
+	if e.IsWrite {
+		flags |= flagWrite
+	}
+	return append(b, flags)
+}
+
+// decoder reads a block's payload. Its first error stands, and what it returns after that means nothing.
 type decoder struct {
-	rest []byte
-	err  error
+	rest  []byte
+	names []string
+	err   error
 }
 
-func (c *decoder) take(n uint64) []byte {
-	if c.err != nil || n > uint64(len(c.rest)) {
-		c.err = ErrDamaged
+func (d *decoder) take(n uint64) []byte {
+	if d.err != nil || n > uint64(len(d.rest)) {
+		d.err = ErrDamaged
 		return make([]byte, min(n, 8))
 	}
-	out := c.rest[:n]
-	c.rest = c.rest[n:]
+	out := d.rest[:n]
+	d.rest = d.rest[n:]
 	return out
 }
 
-func (c *decoder) uvarint() uint64 { return decodeNumber(c, binary.Uvarint) }
-func (c *decoder) varint() int64   { return decodeNumber(c, binary.Varint) }
+func (d *decoder) uvarint() uint64 { return decodeNumber(d, binary.Uvarint) }
+func (d *decoder) varint() int64   { return decodeNumber(d, binary.Varint) }
+
+func (d *decoder) duration() time.Duration {
+	return time.Duration(min(d.uvarint(), math.MaxInt64/1000)) * time.Microsecond
+}
+
+// name reads the number of a name and returns the name.
+func (d *decoder) name() string {
+	if i := d.uvarint(); d.err == nil && i < uint64(len(d.names)) {
+		return d.names[i]
+	}
+	d.err = ErrDamaged
+	return ""
+}
 
-func decodeNumber[T int64 | uint64](c *decoder, read func([]byte) (T, int)) T {
-	v, n := read(c.rest)
+func decodeNumber[T int64 | uint64](d *decoder, read func([]byte) (T, int)) T {
+	v, n := read(d.rest)
 	if n <= 0 {
-		c.err = ErrDamaged
+		d.err = ErrDamaged
 		return 0
 	}
-	c.rest = c.rest[n:]
+	d.rest = d.rest[n:]
 	return v
 }
 
-func microseconds(v uint64) time.Duration {
-	return time.Duration(min(v, math.MaxInt64/1000)) * time.Microsecond
-}
-
 func decodeBlock(payload []byte) ([]Entry, error) {
-	c := &decoder{rest: payload}
-	n := c.uvarint()
+	d := &decoder{rest: payload}
+	n := d.uvarint()
 	if n > uint64(len(payload)) {
 		return nil, ErrDamaged
 	}
-	list := make([]string, n)
-	for i := range list {
-		list[i] = string(c.take(c.uvarint()))
-	}
-	name := func() string {
-		if i := c.uvarint(); c.err == nil && i < uint64(len(list)) {
-			return list[i]
-		}
-		c.err = ErrDamaged
-		return ""
+	names := make([]string, n)
+	for i := range names {
+		names[i] = string(d.take(d.uvarint()))
 	}
-	n = c.uvarint()
-	if c.err != nil || n > MaxBlockEntries {
+	d.names = names
+	n = d.uvarint()
+	if d.err != nil || n > MaxBlockEntries {
 		return nil, ErrDamaged
 	}
-	out := make([]Entry, n)
+	entries := make([]Entry, n)
 	last := time.Duration(0)
-	for i := range out {
-		e := &out[i]
-		last += time.Duration(c.varint()) * time.Microsecond
-		e.ArrivedAt, e.Elapsed = last, microseconds(c.uvarint())
-		e.Class, e.Tenant, e.Dispatcher = name(), name(), name()
-		e.Fingerprint = binary.LittleEndian.Uint64(c.take(8))
-		e.Key = binary.LittleEndian.Uint64(c.take(8))
-		e.Cost = microseconds(c.uvarint())
-		e.Threads = float64(math.Float32frombits(binary.LittleEndian.Uint32(c.take(4))))
-		flags := c.take(1)[0]
-		e.Outcome, e.IsRetry, e.IsWrite = Outcome(flags&0x0f), flags&0x10 != 0, flags&0x20 != 0
-		if c.err != nil || e.Outcome >= outcomeCount {
+	for i := range entries {
+		last += time.Duration(d.varint()) * time.Microsecond
+		entries[i] = d.entry()
+		entries[i].ArrivedAt = last
+		if d.err != nil || entries[i].Outcome >= outcomeCount {
 			return nil, ErrDamaged
 		}
 	}
-	if len(c.rest) > 0 {
+	if len(d.rest) > 0 {
 		return nil, ErrDamaged
 	}
-	return out, nil
+	return entries, nil
+}
+
+// entry reads what follows an entry's time.
+func (d *decoder) entry() (e Entry) {
+	e.Elapsed = d.duration()
+	e.Class, e.Tenant, e.Dispatcher = d.name(), d.name(), d.name()
+	e.Fingerprint = binary.LittleEndian.Uint64(d.take(8))
+	e.Key = binary.LittleEndian.Uint64(d.take(8))
+	e.Cost = d.duration()
+	e.Threads = float64(math.Float32frombits(binary.LittleEndian.Uint32(d.take(4))))
+	flags := d.take(1)[0]
+	e.Outcome = Outcome(flags & outcomeMask)
+	e.IsRetry = flags&flagRetry != 0
+	e.IsWrite = flags&flagWrite != 0
+	return e
 }
 
 // Reader reads a recording block by block.
@@ -218,7 +252,7 @@
 		return nil, fmt.Errorf("recording: header: %w", err)
 	}
 	if [4]byte(b[:4]) != magic {
-		return nil, errors.New("recording: this is none")
+		return nil, errors.New("recording: the file does not begin as a recording does")
 	}
 	if v := binary.LittleEndian.Uint32(b[4:]); v != version {
 		return nil, fmt.Errorf("recording: version %d, this program reads %d", v, version)
--- a/internal/recording/format_test.go
+++ b/internal/recording/format_test.go
@@ -69,7 +69,8 @@
 			want = append(want, l...)
 		}
 		got, skipped, err := readAll(b)
-		if !reflect.DeepEqual(got, want) && len(got)+len(want) > 0 || skipped != 0 || err != io.EOF {
+		if !reflect.DeepEqual(got, want) && len(got)+len(want) > 0 || skipped != 0 || !errors.Is(err,
+			io.EOF) {
 			t.Fatalf("%v %d %v, want %v", got, skipped, err, want)
 		}
 		cut := rapid.IntRange(0, len(b)).Draw(t, "cut")
@@ -84,8 +85,9 @@
 		for _, e := range ends {
 			atEnd = atEnd || e == cut
 		}
-		if cut >= headerSize && (len(got) != whole || (err == io.EOF) != atEnd || !atEnd && !errors.Is(err,
-			ErrTruncated)) {
+		if cut >= headerSize && (len(got) != whole || errors.Is(err, io.EOF) != atEnd || !atEnd &&
+			!errors.Is(err,
+				ErrTruncated)) {
 			t.Fatalf("cut at %d of %v: %d entries of %d, %v", cut, ends, len(got), whole, err)
 		}
 		at := rapid.IntRange(headerSize, len(b)-1).Draw(t, "at")
@@ -94,8 +96,13 @@
 		if len(got) >= len(want) && len(want) > 0 && !reflect.DeepEqual(got, want) {
 			t.Fatal("a changed byte, and other entries")
 		}
-		readAll(rapid.SliceOf(rapid.Byte()).Draw(t, "any"))
-		readAll(AppendHeader(nil, Header{}))
+		if _, _, err := readAll(rapid.SliceOf(rapid.Byte()).Draw(t, "any")); err == nil {
+			t.Fatal("any bytes were read to an end without an error")
+		}
+		if entries, _, err := readAll(AppendHeader(nil, Header{})); len(entries) > 0 || !errors.Is(err,
+			io.EOF) {
+			t.Fatalf("a header alone: %d entries, %v", len(entries), err)
+		}
 	})
 }
 
@@ -255,7 +262,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	os.RemoveAll(filepath.Join(dir, "sub"))
+	if err := os.RemoveAll(filepath.Join(dir, "sub")); err != nil {
+		t.Fatal(err)
+	}
 	r.Record(begin, Entry{})
 	r.Close()
 	if _, _, failed := r.Counts(); failed != 1 {
--- a/internal/recording/golden_test.go
+++ b/internal/recording/golden_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"io"
 	"os"
 	"reflect"
@@ -74,7 +75,7 @@
 	if err != nil || !reflect.DeepEqual(entries, goldenEntries()) {
 		t.Errorf("read %+v, %v, want %+v", entries, err, goldenEntries())
 	}
-	if _, err := r.Next(); err != io.EOF {
+	if _, err := r.Next(); !errors.Is(err, io.EOF) {
 		t.Errorf("after the last block: %v, want EOF", err)
 	}
 }
--- a/internal/recording/recorder.go
+++ b/internal/recording/recorder.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	queueCapacity = 8192
-	blockInterval = time.Second
+	queueCapacity = 8192        // entries that wait for the writer
+	blockInterval = time.Second // after which a block is written, full or not
 )
 
-// Recorder writes what a dispatcher took into a folder. Take never blocks: a goroutine writes, in blocks,
-// and what does not fit its queue is dropped and counted.
+// Recorder writes the queries that a dispatcher admitted into a folder. Record never blocks: a goroutine
+// writes, in blocks, and an entry that does not fit into its queue is dropped and counted.
 type Recorder struct {
 	dir     string
 	limits  Limits
@@ -30,31 +30,31 @@
 	failed  atomic.Uint64
 	written atomic.Uint64
 
-	file  *os.File
+	// The goroutine's alone.
+	file  *os.File // nil: none is open
 	name  string
-	start time.Time
-	size  int64
+	start time.Time // entries of the open file count from here
 }
 
-// timedEntry is one with the wall clock's time, which files count from their own start.
+// timedEntry is an entry with its time by the wall clock; in a file times count from the file's start.
 type timedEntry struct {
 	at time.Time
 	Entry
 }
 
-// NewRecorder begins to record into a folder, which is made where there is none.
+// NewRecorder begins to record into a folder, which is made where there is none. Close ends it.
 func NewRecorder(dir string, l Limits, log *slog.Logger) (*Recorder, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
 	r := &Recorder{dir: dir, limits: l, log: log, queue: make(chan timedEntry, queueCapacity),
-		stop: make(chan struct{}),
-		done: make(chan struct{})}
+		stop: make(chan struct{}), done: make(chan struct{})}
 	go r.run()
 	return r, nil
 }
 
-// Record has an entry written, of a query that was taken at a time. It returns false where it was dropped.
+// Record has the entry of a query written that arrived at a time. It returns false where the entry was
+// dropped.
 func (r *Recorder) Record(at time.Time, e Entry) bool {
 	select {
 	case r.queue <- timedEntry{at, e}:
@@ -70,7 +70,7 @@
 	return r.written.Load(), r.dropped.Load(), r.failed.Load()
 }
 
-// Close writes what waits and ends. Take must not be called after it.
+// Close writes what waits and ends. Record must not be called after it.
 func (r *Recorder) Close() {
 	r.close.Do(func() { close(r.stop) })
 	<-r.done
@@ -81,54 +81,54 @@
 	tick := time.NewTicker(blockInterval)
 	defer tick.Stop()
 	var waiting []timedEntry
-	flush := func() {
-		if len(waiting) == 0 {
-			return
-		}
-		if err := r.write(waiting); err != nil {
-			// A full disk costs the recording, never a query.
-			if r.failed.Add(1) == 1 {
-				r.log.Error("recording not written", "error", err)
-			}
-			r.finish()
-		} else {
-			r.written.Add(uint64(len(waiting)))
+	add := func(e timedEntry) {
+		if waiting = append(waiting, e); len(waiting) == MaxBlockEntries {
+			r.flush(waiting)
+			waiting = waiting[:0]
 		}
-		waiting = waiting[:0]
 	}
 	for {
 		select {
 		case e := <-r.queue:
-			if waiting = append(waiting, e); len(waiting) == MaxBlockEntries {
-				flush()
-			}
+			add(e)
 		case <-tick.C:
-			flush()
+			r.flush(waiting)
+			waiting = waiting[:0]
 		case <-r.stop:
-			for {
-				select {
-				case e := <-r.queue:
-					if waiting = append(waiting, e); len(waiting) == MaxBlockEntries {
-						flush()
-					}
-					continue
-				default:
-				}
-				break
+			for len(r.queue) > 0 {
+				add(<-r.queue)
 			}
-			flush()
-			r.finish()
+			r.flush(waiting)
+			r.closeFile()
 			return
 		}
 	}
 }
 
-// finish closes the file that is open.
-func (r *Recorder) finish() {
-	if r.file != nil {
-		r.file.Close()
-		r.file, r.name = nil, ""
+// flush writes entries as a block and counts them. A full disk costs the recording, never a query.
+func (r *Recorder) flush(entries []timedEntry) {
+	if len(entries) == 0 {
+		return
+	}
+	if err := r.write(entries); err != nil {
+		if r.failed.Add(1) == 1 {
+			r.log.Error("recording not written", "error", err)
+		}
+		r.closeFile()
+		return
+	}
+	r.written.Add(uint64(len(entries)))
+}
+
+// closeFile closes the file that is open, so that the next block begins another one.
+func (r *Recorder) closeFile() {
+	if r.file == nil {
+		return
+	}
+	if err := r.file.Close(); err != nil {
+		r.log.Error("recording not closed", "file", r.name, "error", err)
 	}
+	r.file, r.name = nil, ""
 }
 
 func (r *Recorder) appendBlock(all []timedEntry) []byte {
@@ -143,43 +143,62 @@
 // write writes a block, to another file where the limits want one.
 func (r *Recorder) write(all []timedEntry) error {
 	block := r.appendBlock(all)
-	found, err := os.ReadDir(r.dir)
+	files, err := r.recordings()
 	if err != nil {
 		return err
 	}
-	var files []File
+	begin, remove := r.limits.Rotate(files, r.name, int64(len(block)))
+	if err := r.remove(remove); err != nil {
+		return err
+	}
+	if begin {
+		if err := r.begin(all[0].at); err != nil {
+			return err
+		}
+		block = r.appendBlock(all) // its times count from the new file's start
+	}
+	// After half a block, as a full disk leaves it, nothing that follows in the file could be read; so an
+	// error ends the file.
+	_, err = r.file.Write(block)
+	return err
+}
+
+// recordings lists the recordings in the folder.
+func (r *Recorder) recordings() (files []File, err error) {
+	found, err := os.ReadDir(r.dir)
+	if err != nil {
+		return nil, err
+	}
 	for _, f := range found {
 		if info, err := f.Info(); err == nil && IsRecording(f.Name()) {
 			files = append(files, File{f.Name(), info.Size()})
 		}
 	}
-	begin, remove := r.limits.Rotate(files, r.name, int64(len(block)))
-	for _, name := range remove {
+	return files, nil
+}
+
+// remove removes recordings, the open one too.
+func (r *Recorder) remove(names []string) (err error) {
+	for _, name := range names {
 		if name == r.name {
-			r.finish()
+			r.closeFile()
 		}
 		err = errors.Join(err, os.Remove(filepath.Join(r.dir, name)))
 	}
+	return err
+}
+
+// begin opens a new file, whose times count from start.
+func (r *Recorder) begin(start time.Time) error {
+	r.closeFile()
+	r.start = start
+	name := FileName(start)
+	file, err := os.OpenFile(filepath.Join(r.dir, name), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	if begin {
-		r.finish()
-		r.start = all[0].at
-		name := FileName(r.start)
-		if r.file, err = os.OpenFile(filepath.Join(r.dir, name), os.O_CREATE|os.O_EXCL|os.O_WRONLY,
-			0o600); err != nil {
-			r.file = nil
-			return err
-		}
-		r.name = name
-		if _, err := r.file.Write(AppendHeader(nil, Header{Start: r.start})); err != nil {
-			return err
-		}
-		block = r.appendBlock(all)
-	}
-	// Danger: half a block, as a full disk leaves, would hide all that comes after it in the file.
-	_, err = r.file.Write(block)
+	r.file, r.name = file, name
+	_, err = file.Write(AppendHeader(nil, Header{Start: start}))
 	return err
 }
 
@@ -189,7 +208,7 @@
 	if err != nil {
 		return h, nil, 0, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it is only read
 	r, err := NewReader(f)
 	if err != nil {
 		return h, nil, 0, err
--- a/internal/recording/rotate.go
+++ b/internal/recording/rotate.go
@@ -27,8 +27,8 @@
 // FileName is that of a recording begun at a time; names are in the order of times.
 func FileName(at time.Time) string { return fmt.Sprintf("%s%020d%s", prefix, at.UnixMicro(), suffix) }
 
-// IsRecording reports whether a file is a recorder's by its name. Danger: what somebody else keeps in the
-// folder is not ours to remove.
+// IsRecording reports whether a file is a recorder's by its name. Rotation removes files: without this check
+// it would remove what others keep in the folder.
 func IsRecording(name string) bool {
 	middle := strings.TrimSuffix(strings.TrimPrefix(name, prefix), suffix)
 	if len(name) != len(prefix)+20+len(suffix) || len(middle) != 20 {
