--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -4,6 +4,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -37,7 +38,7 @@
 	var order []int
 	for {
 		batch, err := r.Next()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
--- a/internal/elfcheck/main.go
+++ b/internal/elfcheck/main.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it is only read
 	for _, p := range f.Progs {
 		if p.Type == elf.PT_INTERP {
 			return nil
--- a/internal/protocol/pgwire/pgwire_test.go
+++ b/internal/protocol/pgwire/pgwire_test.go
@@ -181,12 +181,13 @@
 					if err != nil || !ok {
 						break
 					}
-					ParseStartup(m.Body)
-					ParseParse(m.Body)
-					ParseBind(m.Body)
-					ParseTarget(m.Body)
-					ParseExecute(m.Body)
-					ParseKey(m.Body)
+					// Whatever they return, none may panic or read past the body.
+					_, _ = ParseStartup(m.Body)
+					_, _ = ParseParse(m.Body)
+					_, _ = ParseBind(m.Body)
+					_, _, _ = ParseTarget(m.Body)
+					_, _, _ = ParseExecute(m.Body)
+					_, _, _ = ParseKey(m.Body)
 					if fl, err := ParseFields(m.Body); err == nil {
 						again, err := ParseFields(AppendFields(nil, 'E', &fl)[5:])
 						if err != nil || again.Message != fl.Message || again.Code != fl.Code {
--- a/internal/wire/peer.go
+++ b/internal/wire/peer.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"math"
@@ -300,7 +301,7 @@
 	for {
 		line, err := rr.r.next()
 		switch {
-		case err == io.EOF:
+		case errors.Is(err, io.EOF):
 			return actions, rr.r.errorf("the output ended, expected ready")
 		case err != nil:
 			return actions, err
--- a/internal/wire/peer_test.go
+++ b/internal/wire/peer_test.go
@@ -154,7 +154,9 @@
 				t.Fatalf("%+v has no place on the wire", want[i])
 			}
 		}
-		w.End()
+		if err := w.End(); err != nil {
+			t.Fatal(err)
+		}
 		b, err := NewReader(&wired).Next()
 		if err != nil || b.Now != 5*us || len(b.Messages) != len(want) {
 			t.Fatalf("%+v, %v", b, err)
@@ -186,7 +188,9 @@
 		WriteAction(w, 4, &cresspass.Action{Type: cresspass.Log, Text: "two = engines known"})
 	}
 	w.WriteString("ready\n")
-	w.Flush()
+	if err := w.Flush(); err != nil {
+		t.Fatal(err)
+	}
 	got, err := NewReplyReader(&wired).Next(4, nil)
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%v\n got %+v\nwant %+v", err, got, want)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -4,6 +4,7 @@
 import (
 	"bufio"
 	"encoding/hex"
+	"errors"
 	"fmt"
 	"io"
 	"math"
@@ -74,7 +75,7 @@
 	}
 	for {
 		name, p, err := r.read()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil, r.errorf("the input ended inside a batch, expected eob")
 		}
 		if err != nil {
@@ -233,7 +234,7 @@
 	var list []cresspass.EngineInfo
 	for range count {
 		name, p, err := r.read()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return r.errorf("the input ended inside a roster of %d, expected entry", count)
 		}
 		if err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"io"
 	"reflect"
 	"strings"
@@ -98,7 +99,7 @@
 			t.Errorf("%q: error %v", lines, err)
 		}
 	}
-	if _, err := NewReader(strings.NewReader("")).Next(); err != io.EOF {
+	if _, err := NewReader(strings.NewReader("")).Next(); !errors.Is(err, io.EOF) {
 		t.Errorf("empty input: %v, want EOF", err)
 	}
 	if b, err := NewReader(strings.NewReader(opening + "novelty dispatcher=1 a=b\neob\n")).Next(); err != nil ||
@@ -130,7 +131,9 @@
 		var out strings.Builder
 		w := bufio.NewWriter(&out)
 		WriteAction(w, 3, &c.a)
-		w.Flush()
+		if err := w.Flush(); err != nil {
+			t.Fatal(err)
+		}
 		if out.String() != c.want+"\n" {
 			t.Errorf("got %q, want %q", out.String(), c.want)
 		}
@@ -149,7 +152,7 @@
 		r := NewReader(strings.NewReader(text))
 		for {
 			_, err := r.Next()
-			if err == io.EOF {
+			if errors.Is(err, io.EOF) {
 				return
 			}
 			if err != nil {
