--- a/internal/rehearsal/testbed/testbed.go
+++ b/internal/rehearsal/testbed/testbed.go
@@ -1,5 +1,5 @@
-// Package testbed raises a dispatcher's surroundings in one process: stand-in engines, a stand-in roster and,
-// where asked, the dispatcher itself. Tests and the rehearsal kit use it.
+// Package testbed starts the peers of a dispatcher in one process: stand-in engines, a stand-in discovery
+// service that lists them and, where asked, the dispatcher itself. Only tests and rehearsals may use it.
 package testbed
 
 import (
@@ -20,7 +20,17 @@
 	"cresspass/internal/standin"
 )
 
-// EngineKind is a stand-in's machine with the usual figures of engines.
+// listTimeout limits the wait for a dispatcher's first engine list.
+const listTimeout = 10 * time.Second
+
+// Ports for dispatchers: below the range from which the system takes the ports of outgoing connections.
+const (
+	firstPort    = 15000
+	portCount    = 15000
+	portAttempts = 50
+)
+
+// EngineKind describes a machine for stand-in engines with the usual costs of spilling and starting.
 func EngineKind(cores, memoryMB float64) enginemodel.Kind {
 	return enginemodel.Kind{Cores: cores, MemoryMB: memoryMB, SpillCost: 2.5, WarmSets: 4, WarmSaves: 0.3,
 		SlowStartFrom:     0.31,
@@ -28,12 +38,13 @@
 		MaxJobs: int(8 * cores)}
 }
 
-// FreePort finds an address for a dispatcher over all its lives. Danger: a port that the system hands out
-// would be taken by some connection while the dispatcher is dead; so it is one below those.
+// FreePort finds an address that a dispatcher keeps over its restarts. It lies below the range from which
+// the system takes ports of outgoing connections: a port of that range could be taken by some connection
+// while the dispatcher is down, and the dispatcher could not listen again.
 func FreePort() (string, error) {
 	var last error
-	for range 50 {
-		addr := fmt.Sprintf("127.0.0.1:%d", 15000+rand.IntN(15000))
+	for range portAttempts {
+		addr := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(portCount))
 		ln, err := net.Listen("tcp", addr)
 		if last = err; err == nil {
 			return addr, ln.Close()
@@ -42,28 +53,27 @@
 	return "", last
 }
 
-// Engine is a stand-in engine and its entry in the list. Listed is the address the list gives: that of a
-// relay before it, where there is one.
+// Engine is a stand-in engine and its entry in the list, whose address is that of a relay where there is one.
 type Engine struct {
 	*standin.Engine
 	Entry eds.Engine
 }
 
-// Testbed is a set of engines with their list.
+// Testbed is a set of engines with the service that lists them.
 type Testbed struct {
 	Discovery *standin.DiscoveryServer
 	Engines   []*Engine
 	Group     *standin.DeduplicationGroup
 
-	mu sync.Mutex
+	mu sync.Mutex // guards the engines' entries
 }
 
-// New raises engines, each by its settings, and a roster that lists them. Settings without an address get
-// one.
+// New starts engines, each by its configuration, and a discovery service that lists them. An engine
+// without an address gets one.
 func New(engines ...standin.EngineConfig) (*Testbed, error) {
-	r := &Testbed{Group: standin.NewDeduplicationGroup()}
+	t := &Testbed{Group: standin.NewDeduplicationGroup()}
 	var err error
-	if r.Discovery, err = standin.NewDiscoveryServer("127.0.0.1:0", "engines"); err != nil {
+	if t.Discovery, err = standin.NewDiscoveryServer("127.0.0.1:0", "engines"); err != nil {
 		return nil, err
 	}
 	for i, cfg := range engines {
@@ -71,66 +81,67 @@
 			cfg.Listen = "127.0.0.1:0"
 		}
 		if cfg.Group == nil {
-			cfg.Group = r.Group
+			cfg.Group = t.Group
 		}
 		cfg.Seed += uint64(i)
 		e, err := standin.NewEngine(cfg)
 		if err != nil {
-			r.Close()
+			t.Close()
 			return nil, err
 		}
 		entry := eds.Engine{Address: e.Addr(), State: eds.StateActive, Kind: "std", Zone: "a"}
 		if cfg.Cold {
 			entry.Started = e.Started()
 		}
-		r.Engines = append(r.Engines, &Engine{Engine: e, Entry: entry})
+		t.Engines = append(t.Engines, &Engine{Engine: e, Entry: entry})
 	}
-	r.Publish()
-	return r, nil
+	t.Publish()
+	return t, nil
 }
 
-// UpdateEngine alters an engine's entry and publishes the list.
-func (r *Testbed) UpdateEngine(i int, f func(e *eds.Engine)) {
-	r.mu.Lock()
-	f(&r.Engines[i].Entry)
-	r.mu.Unlock()
-	r.Publish()
+// UpdateEngine changes an engine's entry and publishes the list.
+func (t *Testbed) UpdateEngine(i int, f func(e *eds.Engine)) {
+	t.mu.Lock()
+	f(&t.Engines[i].Entry)
+	t.mu.Unlock()
+	t.Publish()
 }
 
-// State is what the list says of an engine; "": nothing.
-func (r *Testbed) State(i int) eds.EngineState {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.Engines[i].Entry.State
+// State is the state of an engine in the list; "": the engine is not listed.
+func (t *Testbed) State(i int) eds.EngineState {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.Engines[i].Entry.State
 }
 
-// Publish gives the present entries to the roster; those without a state are left out.
-func (r *Testbed) Publish() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// Publish sends the present entries to the discovery service, without those that have no state.
+func (t *Testbed) Publish() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var list []eds.Engine
-	for _, e := range r.Engines {
+	for _, e := range t.Engines {
 		if e.Entry.State != "" {
 			list = append(list, e.Entry)
 		}
 	}
-	r.Discovery.Set(list)
+	t.Discovery.Set(list)
 }
 
-// StartDispatcher starts a dispatcher with settings in HCL, to which listen address and roster are added.
-func (r *Testbed) StartDispatcher(settings string, log *slog.Logger) (*server.Server, error) {
-	return r.StartDispatcherWith(settings, log, func(m cresspass.Config) (dispatch.Decider, error) {
+// StartDispatcher starts a dispatcher with settings in HCL, to which listen address and discovery service
+// are added.
+func (t *Testbed) StartDispatcher(settings string, log *slog.Logger) (*server.Server, error) {
+	return t.StartDispatcherWith(settings, log, func(m cresspass.Config) (dispatch.Decider, error) {
 		return cresspass.New(m)
 	})
 }
 
-// StartDispatcherWith does the same around the decider that decide makes.
-func (r *Testbed) StartDispatcherWith(settings string, log *slog.Logger,
-	decide func(cresspass.Config) (dispatch.Decider, error)) (*server.Server, error) {
+// StartDispatcherWith starts a dispatcher around the decider that newDecider returns.
+func (t *Testbed) StartDispatcherWith(settings string, log *slog.Logger,
+	newDecider func(cresspass.Config) (dispatch.Decider, error)) (*server.Server, error) {
 	cfg, err := config.Parse("test.hcl", []byte(settings+fmt.Sprintf(`
 listen = "127.0.0.1:0"
 roster { eds = %q }
-`, r.Discovery.Addr())))
+`, t.Discovery.Addr())))
 	if err != nil {
 		return nil, err
 	}
@@ -141,7 +152,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s, err := server.StartWithDecider(cfg, log, ln, decide)
+	s, err := server.StartWithDecider(cfg, log, ln, newDecider)
 	if err != nil {
 		ln.Close()
 		return nil, err
@@ -149,16 +160,16 @@
 	select {
 	case <-s.ListReady():
 		return s, nil
-	case <-time.After(10 * time.Second):
+	case <-time.After(listTimeout):
 		s.Close()
-		return nil, fmt.Errorf("rig: no engine list came within 10 s")
+		return nil, fmt.Errorf("testbed: no engine list came within %v", listTimeout)
 	}
 }
 
-// Close ends all engines and the roster.
-func (r *Testbed) Close() {
-	for _, e := range r.Engines {
+// Close ends all engines and the discovery service.
+func (t *Testbed) Close() {
+	for _, e := range t.Engines {
 		e.Close()
 	}
-	r.Discovery.Close()
+	t.Discovery.Close()
 }
--- /dev/null
+++ b/internal/standin/answer.go
@@ -0,0 +1,259 @@
+package standin
+
+import (
+	"bytes"
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/jackc/pgx/v5/pgproto3"
+)
+
+const (
+	flushBytes     = 8 << 10               // rows are flushed when about so many bytes wait
+	rowOverhead    = 20                    // bytes of a row besides its value, about
+	crashDelay     = 20 * time.Millisecond // for the rows to leave before a crash resets the connection
+	garbageMessage = "\x00\xff!!! this is no protocol \x00\x01\x02\x03"
+)
+
+// answer is what is sent for a statement.
+type answer struct {
+	rows    int
+	tag     string              // of CommandComplete; "": the portal is suspended
+	value   []byte              // the second column of plain rows
+	typed   []*pgproto3.DataRow // rows of other columns, repeated in turn; nil: plain rows
+	copyOut bool
+}
+
+// sendAnswer sends rows and the end of a statement, or what the faults have in their place.
+func (c *engineConn) sendAnswer(x *execution, outcome Outcome) error {
+	faults := c.engine.currentFaults()
+	if faults.Garbage {
+		x.end(OutcomeGarbage)
+		_, _ = c.netConn.Write([]byte(garbageMessage)) // the connection ends next, whether it arrives or not
+		return errConnectionEnded
+	}
+	cutAt := -1
+	if c.engine.chance(faults.Cut) {
+		cutAt = x.rows / 2
+	}
+	if upper := strings.ToUpper(x.text); strings.HasPrefix(upper, "COPY") &&
+		strings.Contains(upper, "FROM STDIN") {
+		return c.answerCopyIn(x, outcome)
+	}
+	a, err := c.prepareAnswer(x, outcome)
+	if err != nil {
+		x.end(OutcomeFailed)
+		c.fail(codeInvalidTextRepresentation, err.Error())
+		return nil
+	}
+	if a.copyOut {
+		err = c.sendCopyOut(x, a)
+	} else {
+		err = c.sendRows(x, a, faults.DieAfterRows, cutAt)
+	}
+	if err != nil {
+		return err
+	}
+	if cutAt >= 0 && a.rows == 0 {
+		x.end(OutcomeCut)
+		return errConnectionEnded
+	}
+	if a.copyOut {
+		c.backend.Send(&pgproto3.CopyDone{})
+	}
+	x.end(outcome)
+	if a.tag == "" {
+		c.backend.Send(&pgproto3.PortalSuspended{})
+		return nil
+	}
+	c.complete(a.tag)
+	return nil
+}
+
+// prepareAnswer determines the rows of an answer, and sends what goes before them. An error is one of the
+// statement's parameters.
+func (c *engineConn) prepareAnswer(x *execution, outcome Outcome) (answer, error) {
+	a := answer{rows: x.rows, tag: "SELECT " + strconv.Itoa(x.rows)}
+	if !returnsRows(x.text) {
+		a.rows, a.tag = 0, "INSERT 0 1"
+		if outcome == OutcomeDropped {
+			a.tag = "INSERT 0 0"
+		}
+	}
+	if err := c.prepareTypedRows(x, &a); err != nil {
+		return a, err
+	}
+	a.value = []byte(strings.Repeat("v", max(int(numberTag(x.tags, "row_bytes", defaultRowBytes)), 0)))
+	if echo := x.tags["echo"]; echo != "" {
+		a.value = []byte(echo)
+	}
+	if p := c.limited; p != nil && a.rows > c.limit {
+		p.remaining, p.value = a.rows-c.limit, string(a.value)
+		a.rows, a.tag = c.limit, ""
+	}
+	if strings.HasPrefix(strings.ToUpper(strings.TrimSpace(x.text)), "COPY") {
+		a.copyOut = true
+		a.rows = x.rows
+		a.tag = "COPY " + strconv.Itoa(a.rows)
+		c.backend.Send(&pgproto3.CopyOutResponse{ColumnFormatCodes: []uint16{0, 0}})
+	}
+	return a, nil
+}
+
+// prepareTypedRows describes the rows, and encodes those of a statement that asks for columns of its own.
+func (c *engineConn) prepareTypedRows(x *execution, a *answer) error {
+	table := tableFor(x.text)
+	var formats []int16
+	var params [][]byte
+	if p := c.bound; p != nil {
+		formats, params = p.formats, p.params
+	}
+	hasColumns := x.tags["columns"] != ""
+	if table != nil && hasColumns {
+		params = nil
+	}
+	if x.describe && a.rows > 0 {
+		c.backend.Send(rowDescription(table, formats))
+	}
+	if table == nil || a.rows == 0 {
+		return nil
+	}
+	typed, err := table.encode(formats, params)
+	if err != nil {
+		return err
+	}
+	a.typed = typed
+	if !hasColumns {
+		a.rows = len(typed)
+		a.tag = "SELECT " + strconv.Itoa(a.rows)
+	}
+	return nil
+}
+
+// sendRows sends rows, up to that at which a fault ends the engine or the connection.
+func (c *engineConn) sendRows(x *execution, a answer, dieAfterRows, cutAt int) error {
+	buffered := 0
+	for i := range a.rows {
+		if a.typed != nil {
+			c.backend.Send(a.typed[i%len(a.typed)])
+		} else {
+			c.backend.Send(plainRow(i, a.value))
+		}
+		if err := c.flushWhenFull(x, &buffered, len(a.value)); err != nil {
+			return err
+		}
+		if dieAfterRows > 0 && i+1 == dieAfterRows {
+			_ = c.backend.Flush() // the connection ends next in any case
+			time.Sleep(crashDelay)
+			x.end(OutcomeDied)
+			c.engine.Crash()
+			return errConnectionEnded
+		}
+		if i == cutAt {
+			_ = c.backend.Flush() // the connection ends next in any case
+			x.end(OutcomeCut)
+			return errConnectionEnded
+		}
+	}
+	return nil
+}
+
+func (c *engineConn) sendCopyOut(x *execution, a answer) error {
+	buffered := 0
+	for i := range a.rows {
+		c.backend.Send(&pgproto3.CopyData{Data: []byte(strconv.Itoa(i) + "\t" + string(a.value) + "\n")})
+		if err := c.flushWhenFull(x, &buffered, len(a.value)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// flushWhenFull counts a row that was put into the buffer, and sends the buffer when it is large.
+func (c *engineConn) flushWhenFull(x *execution, buffered *int, valueBytes int) error {
+	*buffered += valueBytes + rowOverhead
+	if *buffered <= flushBytes {
+		return nil
+	}
+	*buffered = 0
+	if c.backend.Flush() != nil {
+		x.end(OutcomeDied)
+		return errConnectionEnded
+	}
+	return nil
+}
+
+func plainRow(i int, value []byte) *pgproto3.DataRow {
+	return &pgproto3.DataRow{Values: [][]byte{[]byte(strconv.Itoa(i)), value}}
+}
+
+// answerCopyIn receives the data of COPY FROM STDIN and answers it.
+func (c *engineConn) answerCopyIn(x *execution, outcome Outcome) error {
+	lines, ok, err := c.receiveCopy(x.tags)
+	switch {
+	case err != nil:
+		x.end(OutcomeDied)
+		return err
+	case !ok:
+		x.end(OutcomeFailed)
+		return nil
+	}
+	x.end(outcome)
+	c.complete("COPY " + strconv.Itoa(lines))
+	return nil
+}
+
+// receiveCopy receives the data of COPY FROM STDIN and counts its lines; ok is false where an error was sent.
+// Tags: bad_line, at which it fails; chunk_ms, the time that each message takes.
+func (c *engineConn) receiveCopy(tags map[string]string) (lines int, ok bool, err error) {
+	c.backend.Send(&pgproto3.CopyInResponse{ColumnFormatCodes: []uint16{0, 0}})
+	if err := c.backend.Flush(); err != nil {
+		return 0, false, err
+	}
+	badLine := int(numberTag(tags, "bad_line", 0))
+	pause := time.Duration(numberTag(tags, "chunk_ms", 0) * float64(time.Millisecond))
+	for {
+		m, err := c.backend.Receive()
+		if err != nil {
+			return 0, false, err
+		}
+		switch m := m.(type) {
+		case *pgproto3.CopyData:
+			c.engine.addCopied(len(m.Data))
+			lines += bytes.Count(m.Data, []byte("\n"))
+			time.Sleep(pause)
+			if badLine > 0 && lines >= badLine {
+				c.fail(codeBadCopyFileFormat, "a line of the copy is bad, as the text asks for")
+				return 0, false, nil
+			}
+		case *pgproto3.CopyDone:
+			return lines, true, nil
+		case *pgproto3.CopyFail:
+			c.fail(codeQueryCanceled, "COPY from stdin failed: "+m.Message)
+			return 0, false, nil
+		case *pgproto3.Flush, *pgproto3.Sync:
+		default:
+			c.fail(codeProtocolViolation, fmt.Sprintf("%T during COPY from stdin", m))
+			return 0, false, nil
+		}
+	}
+}
+
+// fetch sends further rows of a suspended portal.
+func (c *engineConn) fetch(p *enginePortal, limit int) {
+	n := p.remaining
+	if limit > 0 {
+		n = min(n, limit)
+	}
+	p.remaining -= n
+	for i := range n {
+		c.backend.Send(plainRow(i, []byte(p.value)))
+	}
+	if p.remaining > 0 {
+		c.backend.Send(&pgproto3.PortalSuspended{})
+		return
+	}
+	c.complete("SELECT " + strconv.Itoa(n))
+}
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -1,6 +1,7 @@
 package standin
 
 import (
+	"context"
 	"fmt"
 	"net"
 	"sync"
@@ -16,8 +17,10 @@
 	"cresspass/internal/discovery/eds"
 )
 
-// DiscoveryServer is a stand-in for an endpoint discovery service: it pushes a list to all that subscribe, late where
-// it is told to, and can be out of reach.
+var errUnavailable = status.Error(codes.Unavailable, "out of reach")
+
+// DiscoveryServer is a stand-in for an endpoint discovery service: it pushes a list to all
+// subscribers. Changes can be delayed, and the service can be made unavailable.
 type DiscoveryServer struct {
 	endpointservice.UnimplementedEndpointDiscoveryServiceServer
 	service string
@@ -28,10 +31,10 @@
 	version       int
 	list          eds.List
 	delay         time.Duration
-	unavailable   chan struct{} // closed while out of reach
+	unavailable   chan struct{} // closed while the service is unavailable
 	changed       chan struct{} // closed at each change
 	notifications []Notification
-	nacks         int
+	rejections    int
 }
 
 // Notification is a list that one subscriber accepted, and when.
@@ -53,11 +56,13 @@
 		changed:     make(chan struct{}),
 		unavailable: make(chan struct{})}
 	endpointservice.RegisterEndpointDiscoveryServiceServer(r.server, r)
-	go r.server.Serve(ln)
+	go func() {
+		_ = r.server.Serve(ln) // nil after Close; otherwise subscribers lose their streams
+	}()
 	return r, nil
 }
 
-// Addr is where it listens.
+// Addr is the address on which the service listens.
 func (r *DiscoveryServer) Addr() string { return r.addr }
 
 // Set changes the list.
@@ -69,98 +74,78 @@
 	r.mu.Unlock()
 }
 
+// wake has all streams look at the list. The caller holds r.mu.
 func (r *DiscoveryServer) wake() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// SetDelay has further changes told so much later.
-func (r *DiscoveryServer) SetDelay(by time.Duration) {
+// SetDelay delays further changes on their way to subscribers.
+func (r *DiscoveryServer) SetDelay(delay time.Duration) {
 	r.mu.Lock()
-	r.delay = by
+	r.delay = delay
 	r.mu.Unlock()
 }
 
-// SetUnavailable makes it be out of reach: streams break and new ones are refused; or be back.
-func (r *DiscoveryServer) SetUnavailable(away bool) {
+// SetUnavailable makes the service unavailable, which ends streams and rejects new ones, or available again.
+func (r *DiscoveryServer) SetUnavailable(unavailable bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	select {
 	case <-r.unavailable:
-		if !away {
+		if !unavailable {
 			r.unavailable = make(chan struct{})
 		}
 	default:
-		if away {
+		if unavailable {
 			close(r.unavailable)
 		}
 	}
 }
 
-// Notifications returns which lists were accepted by whom, and how many were refused.
+// Notifications returns which lists were accepted by whom, and how many were rejected.
 func (r *DiscoveryServer) Notifications() ([]Notification, int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]Notification(nil), r.notifications...), r.nacks
+	return append([]Notification(nil), r.notifications...), r.rejections
 }
 
-// Close ends it.
+// Close ends the service and its streams.
 func (r *DiscoveryServer) Close() { r.server.Stop() }
 
+// subscription is the stream of one subscriber.
+type subscription = endpointservice.EndpointDiscoveryService_StreamEndpointsServer
+
 // StreamEndpoints serves one subscriber (xDS protocol, "State of the World").
-func (r *DiscoveryServer) StreamEndpoints(s endpointservice.EndpointDiscoveryService_StreamEndpointsServer) error {
+func (r *DiscoveryServer) StreamEndpoints(s subscription) error {
 	first, err := s.Recv()
 	if err != nil {
 		return err
 	}
 	node := first.GetNode().GetId()
 	acks := make(chan *discoveryv3.DiscoveryRequest)
-	go func() {
-		defer close(acks)
-		for {
-			m, err := s.Recv()
-			if err != nil {
-				return
-			}
-			select {
-			case acks <- m:
-			case <-s.Context().Done():
-				return
-			}
-		}
-	}()
+	go receiveAcks(s, acks)
 	sent := 0
-	lists := map[string]Notification{}
+	unacknowledged := map[string]Notification{}
 	for {
 		r.mu.Lock()
-		version, list, away, changed, late := r.version, r.list, r.unavailable, r.changed, r.delay
+		version, list, unavailable, changed, delay := r.version, r.list, r.unavailable, r.changed, r.delay
 		r.mu.Unlock()
 		if version > sent {
-			if sent > 0 && late > 0 {
-				select {
-				case <-time.After(late):
-				case <-away:
-				case <-s.Context().Done():
-					return nil
-				}
+			if sent > 0 && !waitDelay(s.Context(), delay, unavailable) {
+				return nil
 			}
-			select {
-			case <-away:
-				return status.Error(codes.Unavailable, "out of reach")
-			default:
+			if isClosed(unavailable) {
+				return errUnavailable
 			}
-			a, err := eds.NewAssignment(r.service, &list)
+			nonce := fmt.Sprint(version)
+			response, err := r.response(nonce, &list)
 			if err != nil {
 				return err
 			}
-			any, err := anypb.New(a)
-			if err != nil {
-				return err
-			}
-			v := fmt.Sprint(version)
-			lists[v] = Notification{Sent: time.Now(), Node: node, Version: version, List: list.Engines}
-			if err := s.Send(&discoveryv3.DiscoveryResponse{VersionInfo: v, Nonce: v, TypeUrl: eds.TypeURL,
-				Resources: []*anypb.Any{any}}); err != nil {
+			unacknowledged[nonce] = Notification{Sent: time.Now(), Node: node, Version: version,
+				List: list.Engines}
+			if err := s.Send(response); err != nil {
 				return err
 			}
 			sent = version
@@ -168,20 +153,81 @@
 		}
 		select {
 		case <-changed:
-		case <-away:
-			return status.Error(codes.Unavailable, "out of reach")
+		case <-unavailable:
+			return errUnavailable
 		case m, ok := <-acks:
 			if !ok {
 				return nil
 			}
-			r.mu.Lock()
-			if t, ok := lists[m.ResponseNonce]; ok && m.ErrorDetail == nil {
-				t.At = time.Now()
-				r.notifications = append(r.notifications, t)
-			} else if m.ErrorDetail != nil {
-				r.nacks++
-			}
-			r.mu.Unlock()
+			r.acknowledge(m, unacknowledged)
 		}
 	}
 }
+
+// receiveAcks passes a subscriber's requests on until its stream ends, and then closes acks.
+func receiveAcks(s subscription, acks chan<- *discoveryv3.DiscoveryRequest) {
+	defer close(acks)
+	for {
+		m, err := s.Recv()
+		if err != nil {
+			return
+		}
+		select {
+		case acks <- m:
+		case <-s.Context().Done():
+			return
+		}
+	}
+}
+
+// waitDelay waits before a change is sent, or until the service becomes unavailable. It returns false
+// where the subscriber is gone.
+func waitDelay(ctx context.Context, delay time.Duration, unavailable <-chan struct{}) bool {
+	if delay <= 0 {
+		return true
+	}
+	select {
+	case <-time.After(delay):
+	case <-unavailable:
+	case <-ctx.Done():
+		return false
+	}
+	return true
+}
+
+func isClosed(c <-chan struct{}) bool {
+	select {
+	case <-c:
+		return true
+	default:
+		return false
+	}
+}
+
+func (r *DiscoveryServer) response(nonce string, list *eds.List) (*discoveryv3.DiscoveryResponse, error) {
+	assignment, err := eds.NewAssignment(r.service, list)
+	if err != nil {
+		return nil, err
+	}
+	resource, err := anypb.New(assignment)
+	if err != nil {
+		return nil, err
+	}
+	return &discoveryv3.DiscoveryResponse{VersionInfo: nonce, Nonce: nonce, TypeUrl: eds.TypeURL,
+		Resources: []*anypb.Any{resource}}, nil
+}
+
+// acknowledge records a list that the subscriber accepted, or counts one that it rejected.
+func (r *DiscoveryServer) acknowledge(m *discoveryv3.DiscoveryRequest,
+	unacknowledged map[string]Notification) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if m.ErrorDetail != nil {
+		r.rejections++
+		return
+	}
+	if n, ok := unacknowledged[m.ResponseNonce]; ok {
+		n.At = time.Now()
+		r.notifications = append(r.notifications, n)
+	}
+}
--- /dev/null
+++ b/internal/standin/fault.go
@@ -0,0 +1,48 @@
+package standin
+
+import (
+	"time"
+)
+
+// Faults are what goes wrong with an engine. The zero value is an engine without faults.
+type Faults struct {
+	Slow         float64       // service times are multiplied by this; 0 means 1
+	Hang         bool          // the engine accepts queries and answers none
+	LoseShare    float64       // share of the answers that are never sent
+	ErrorShare   float64       // share of the queries that fail at once
+	DieAfterRows int           // the next answer that reaches this number of rows crashes the engine
+	Garbage      bool          // answers are bytes that are no protocol
+	Cut          float64       // share of the answers during which the connection is closed
+	Full         bool          // all queries are rejected with 53300
+	SlowCancel   time.Duration // delay before a cancel request is carried out
+	LateReports  time.Duration // additional age of load reports
+}
+
+// SetFaults puts faults in force, in place of those before.
+func (e *Engine) SetFaults(f Faults) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.faults = f
+	now := e.now()
+	slow := f.Slow
+	if slow == 0 {
+		slow = 1
+	}
+	e.finish(e.model.Advance(now))
+	e.model.Slow(now, slow)
+	e.model.Halt(now, f.Hang)
+	e.scheduleNext()
+}
+
+func (e *Engine) currentFaults() Faults {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.faults
+}
+
+// chance draws whether one event belongs to a share of all events.
+func (e *Engine) chance(share float64) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return share > 0 && e.random.Float64() < share
+}
--- /dev/null
+++ b/internal/standin/statement.go
@@ -0,0 +1,261 @@
+package standin
+
+import (
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/jackc/pgx/v5/pgproto3"
+
+	"cresspass/internal/protocol/sqlscan"
+	"cresspass/internal/simulation/enginemodel"
+)
+
+const (
+	defaultWorkMS   = 2
+	defaultRows     = 1
+	defaultRowBytes = 20
+	repeatWork      = 0.001 // thread seconds to find that a load is a repeat
+)
+
+// Codes of the notices that report progress.
+const (
+	noticeProgress = "CP001"
+	noticeSpill    = "CP002"
+	noticeWaiting  = "CP003"
+)
+
+// waitingForMemory is the value of a notice that a query waits.
+const waitingForMemory = 2
+
+// execution is one run of a statement.
+type execution struct {
+	engine   *Engine
+	text, id string
+	tags     map[string]string
+	describe bool // a RowDescription goes before the rows
+	rows     int
+	job      enginemodel.Job
+	running  *enginemodel.Running
+	done     chan Outcome // the end of the job
+	repeat   bool         // of a load, within the deduplication window
+	run      *Run         // nil: the run is not recorded
+}
+
+func (c *engineConn) newExecution(text, first string, describe bool) *execution {
+	tags := sqlscan.Tags(text)
+	id := statementID(tags, first)
+	tags = addParameterTags(tags, first)
+	return &execution{
+		engine:   c.engine,
+		text:     text,
+		id:       id,
+		tags:     tags,
+		describe: describe,
+		rows:     int(numberTag(tags, "rows", defaultRows)),
+		job: enginemodel.Job{
+			Work:     numberTag(tags, "work_ms", defaultWorkMS) / 1000,
+			Threads:  numberTag(tags, "threads", 1),
+			NeedMB:   numberTag(tags, "need_mb", 0),
+			GrantMB:  c.grantMB,
+			Priority: c.priority,
+			Tables:   tags["tables"],
+			Loads:    tags["loads"] != "",
+		},
+		done: make(chan Outcome, 1),
+		run: &Run{ID: id, Class: tags["class"], Key: tags["key"], Text: text, Begun: time.Now(),
+			GrantMB: c.grantMB, Priority: c.priority},
+	}
+}
+
+// end records the outcome.
+func (x *execution) end(outcome Outcome) {
+	if x.run == nil {
+		return
+	}
+	x.engine.mu.Lock()
+	x.run.Ended, x.run.Outcome = time.Now(), outcome
+	x.engine.mu.Unlock()
+}
+
+// addParameterTags adds the tags of a first parameter, such as "id;work_ms=20;rows=3", to those of the
+// comment.
+func addParameterTags(tags map[string]string, first string) map[string]string {
+	for _, pair := range strings.Split(first, ";") {
+		if name, value, ok := strings.Cut(pair, "="); ok {
+			if tags == nil {
+				tags = map[string]string{}
+			}
+			tags[name] = value
+		}
+	}
+	return tags
+}
+
+// statementID is the tag id or, where there is none, the beginning of the first parameter.
+func statementID(tags map[string]string, first string) string {
+	if id := tags["id"]; id != "" {
+		return id
+	}
+	id, _, _ := strings.Cut(first, ";")
+	return id
+}
+
+func numberTag(tags map[string]string, name string, otherwise float64) float64 {
+	if v, err := strconv.ParseFloat(tags[name], 64); err == nil {
+		return v
+	}
+	return otherwise
+}
+
+// runStatement carries out a statement. Its comment says what it needs (tags work_ms, threads, need_mb, rows,
+// row_bytes, tables, loads).
+func (c *engineConn) runStatement(text, first string, describe bool) error {
+	x := c.newExecution(text, first, describe)
+	faults := c.engine.currentFaults()
+	c.dropStaleCancel()
+	admitted, err := c.engine.startJob(x, faults)
+	if err != nil {
+		return err
+	}
+	switch admitted {
+	case jobRejected:
+		x.end(OutcomeFull)
+		c.fail(codeTooManyConnections, "the engine takes no more queries")
+		return nil
+	case jobNotModelled:
+		return c.sendAnswer(x, OutcomeDone)
+	}
+	if c.engine.chance(faults.ErrorShare) {
+		c.engine.removeJob(x.running)
+		x.end(OutcomeFailed)
+		c.fail(codeSystemError, "the engine failed")
+		return nil
+	}
+	outcome, err := c.awaitJob(x.running, x.done)
+	if err != nil {
+		x.end(OutcomeDied)
+		return err
+	}
+	if outcome == OutcomeCancelled {
+		x.end(outcome)
+		c.fail(codeQueryCanceled, messageCanceled)
+		return nil
+	}
+	if c.engine.chance(faults.LoseShare) {
+		x.end(OutcomeLost)
+		<-c.cancel // the answer never comes; the connection stays as it is until somebody cancels
+		c.fail(codeQueryCanceled, messageCanceled)
+		return nil
+	}
+	if x.repeat {
+		outcome = OutcomeDropped
+	}
+	return c.sendAnswer(x, outcome)
+}
+
+// jobAdmission is what the engine does with a job.
+type jobAdmission int
+
+const (
+	jobAdmitted    jobAdmission = iota
+	jobRejected                 // the engine is full
+	jobNotModelled              // it has no work, and is answered at once
+)
+
+// startJob starts a job in the model. The engine may fall over from it.
+func (e *Engine) startJob(x *execution, faults Faults) (jobAdmission, error) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if !e.up {
+		return jobRejected, errConnectionEnded
+	}
+	if x.job.Work > 0 {
+		e.runs = append(e.runs, x.run)
+	}
+	x.repeat = x.job.Loads && !faults.Full && !e.cfg.Group.first(x.id, x.run.Begun, e.cfg.Window)
+	if x.repeat {
+		x.job.Work = repeatWork
+	}
+	if faults.Full {
+		return jobRejected, nil
+	}
+	if x.job.Work == 0 && !faults.Hang { // such statements measure the way to the engine alone
+		x.run = nil
+		return jobNotModelled, nil
+	}
+	e.finish(e.model.Advance(e.now()))
+	x.running = e.model.Start(e.now(), x.job)
+	if x.running != nil {
+		e.ended[x.running] = x.done
+	}
+	if e.model.Fallen() {
+		e.crash()
+		return jobRejected, errConnectionEnded
+	}
+	e.scheduleNext()
+	if x.running == nil {
+		return jobRejected, nil
+	}
+	return jobAdmitted, nil
+}
+
+// removeJob takes a job out of the model before its end.
+func (e *Engine) removeJob(r *enginemodel.Running) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	delete(e.ended, r)
+	e.finish(e.model.Advance(e.now()))
+	e.model.End(e.now(), r)
+	e.scheduleNext()
+}
+
+// awaitJob waits for a job's end, and sends notices of its progress meanwhile.
+func (c *engineConn) awaitJob(r *enginemodel.Running, done <-chan Outcome) (Outcome, error) {
+	var progress <-chan time.Time
+	if every := c.engine.cfg.ProgressEvery; every > 0 {
+		t := time.NewTicker(every)
+		defer t.Stop()
+		progress = t.C
+	}
+	for {
+		select {
+		case outcome := <-done:
+			if outcome == OutcomeDied {
+				return outcome, errConnectionEnded
+			}
+			return outcome, nil
+		case <-c.cancel:
+			c.engine.removeJob(r)
+			return OutcomeCancelled, nil
+		case <-progress:
+			if c.engine.currentFaults().Hang {
+				continue // an engine that hangs sends nothing
+			}
+			if c.sendProgress(r) != nil {
+				c.engine.removeJob(r)
+				return OutcomeDied, errConnectionEnded
+			}
+		}
+	}
+}
+
+func (c *engineConn) sendProgress(r *enginemodel.Running) error {
+	c.engine.mu.Lock()
+	c.engine.finish(c.engine.model.Advance(c.engine.now()))
+	share, spilledMB, waits := r.Done(), r.SpillMB(), r.Waits()
+	c.engine.mu.Unlock()
+	c.sendNotice(noticeProgress, share)
+	if spilledMB > 0 {
+		c.sendNotice(noticeSpill, spilledMB)
+	}
+	if waits {
+		c.sendNotice(noticeWaiting, waitingForMemory)
+	}
+	return c.backend.Flush()
+}
+
+func (c *engineConn) sendNotice(code string, value float64) {
+	c.backend.Send(&pgproto3.NoticeResponse{Severity: "NOTICE", SeverityUnlocalized: "NOTICE", Code: code,
+		Message: strconv.FormatFloat(value, 'f', 3, 64)})
+}
