--- /dev/null
+++ b/internal/frontend/flightsql/arrowbatch/append.go
@@ -0,0 +1,225 @@
+package arrowbatch
+
+import (
+	"encoding/binary"
+	"fmt"
+	"math"
+
+	"github.com/apache/arrow-go/v18/arrow"
+	"github.com/apache/arrow-go/v18/arrow/array"
+)
+
+// An appender reads a value in the form in which the engine sends it and appends it to a column.
+type appender func(v []byte) error
+
+// Days and microseconds from Arrow's epoch, 1970, to PostgreSQL's, 2000.
+const (
+	epochOffsetDays   = 10957
+	epochOffsetMicros = epochOffsetDays * 86400 * 1000000
+)
+
+// toUnixEpoch moves a time from PostgreSQL's epoch to Arrow's. PostgreSQL's infinities are the ends of the
+// range and stay there.
+func toUnixEpoch(micros int64) int64 {
+	if micros == math.MaxInt64 || micros == math.MinInt64 {
+		return micros
+	}
+	return micros + epochOffsetMicros
+}
+
+// dateToUnixEpoch is toUnixEpoch of a date.
+func dateToUnixEpoch(days int32) int32 {
+	if days == math.MaxInt32 || days == math.MinInt32 {
+		return days
+	}
+	return days + epochOffsetDays
+}
+
+// textAppender reads values in text form.
+func textAppender(f *array.StringBuilder) appender {
+	return func(v []byte) error { f.BinaryBuilder.Append(v); return nil }
+}
+
+// fixedWidth is the appender of values of size bytes.
+func fixedWidth(size int, appendValue func(v []byte)) appender {
+	return func(v []byte) error {
+		if len(v) != size {
+			return fmt.Errorf("a value of %d bytes, not %d", len(v), size)
+		}
+		appendValue(v)
+		return nil
+	}
+}
+
+// scalarAppender returns the appender for the binary form of a type, as the type's send function writes it.
+func scalarAppender(f array.Builder, oid uint32) appender {
+	if a := numberAppender(f); a != nil {
+		return a
+	}
+	if a := timeAppender(f); a != nil {
+		return a
+	}
+	switch f := f.(type) {
+	case *array.FixedSizeBinaryBuilder:
+		return fixedWidth(uuidSize, f.Append)
+	case *array.Decimal128Builder:
+		return decimalAppender(f)
+	case *array.BinaryBuilder:
+		return func(v []byte) error { f.Append(v); return nil }
+	case *array.StringBuilder:
+		if oid == oidNumeric {
+			return numericTextAppender(f)
+		}
+		return textAppender(f)
+	}
+	return func([]byte) error { return fmt.Errorf("type %d is not read", oid) }
+}
+
+// numberAppender returns the appender for truth values and numbers of fixed size; nil: f is for neither.
+func numberAppender(f array.Builder) appender {
+	u64, u32, u16 := binary.BigEndian.Uint64, binary.BigEndian.Uint32, binary.BigEndian.Uint16
+	switch f := f.(type) {
+	case *array.BooleanBuilder:
+		return fixedWidth(1, func(v []byte) { f.Append(v[0] != 0) })
+	case *array.Int16Builder:
+		return fixedWidth(2, func(v []byte) { f.Append(int16(u16(v))) })
+	case *array.Int32Builder:
+		return fixedWidth(4, func(v []byte) { f.Append(int32(u32(v))) })
+	case *array.Int64Builder:
+		return fixedWidth(8, func(v []byte) { f.Append(int64(u64(v))) })
+	case *array.Uint32Builder:
+		return fixedWidth(4, func(v []byte) { f.Append(u32(v)) })
+	case *array.Float32Builder:
+		return fixedWidth(4, func(v []byte) { f.Append(math.Float32frombits(u32(v))) })
+	case *array.Float64Builder:
+		return fixedWidth(8, func(v []byte) { f.Append(math.Float64frombits(u64(v))) })
+	}
+	return nil
+}
+
+// timeAppender returns the appender for dates, times and intervals; nil: f is for none.
+func timeAppender(f array.Builder) appender {
+	u64, u32 := binary.BigEndian.Uint64, binary.BigEndian.Uint32
+	switch f := f.(type) {
+	case *array.Date32Builder:
+		return fixedWidth(4, func(v []byte) { f.Append(arrow.Date32(dateToUnixEpoch(int32(u32(v))))) })
+	case *array.Time64Builder:
+		return fixedWidth(8, func(v []byte) { f.Append(arrow.Time64(u64(v))) })
+	case *array.TimestampBuilder:
+		return fixedWidth(8, func(v []byte) { f.Append(arrow.Timestamp(toUnixEpoch(int64(u64(v))))) })
+	case *array.MonthDayNanoIntervalBuilder:
+		return fixedWidth(16, func(v []byte) { // microseconds, days, months
+			f.Append(arrow.MonthDayNanoInterval{Months: int32(u32(v[12:])), Days: int32(u32(v[8:])),
+				Nanoseconds: int64(u64(v)) * 1000})
+		})
+	}
+	return nil
+}
+
+// decimalAppender reads numerics that have a precision.
+func decimalAppender(f *array.Decimal128Builder) appender {
+	t := f.Type().(*arrow.Decimal128Type)
+	return func(v []byte) error {
+		n, err := parseNumeric(v)
+		if err != nil {
+			return err
+		}
+		d, err := n.decimal(t.Precision, t.Scale)
+		if err == nil {
+			f.Append(d)
+		}
+		return err
+	}
+}
+
+// numericTextAppender reads numerics that have no precision.
+func numericTextAppender(f *array.StringBuilder) appender {
+	var buf []byte
+	return func(v []byte) error {
+		n, err := parseNumeric(v)
+		if err == nil {
+			buf = n.appendText(buf[:0])
+			f.BinaryBuilder.Append(buf)
+		}
+		return err
+	}
+}
+
+// Parts of an array in its binary form (array_send): the number of dimensions, whether nulls are in it, the
+// element's type, 4 bytes each; for each dimension its length and lower bound; then the elements.
+const (
+	arrayHeader    = 12
+	arrayElementAt = 8
+	arrayDimension = 8
+)
+
+// listAppender reads arrays of one dimension.
+func listAppender(f *array.ListBuilder, element uint32) appender {
+	values := f.ValueBuilder()
+	appendElement := scalarAppender(values, element)
+	return func(v []byte) error {
+		n, v, err := parseArrayHeader(v, element)
+		if err != nil {
+			return err
+		}
+		f.Append(true)
+		for range n {
+			item, rest, err := nextValue(v)
+			if err != nil {
+				return err
+			}
+			v = rest
+			if item == nil {
+				values.AppendNull()
+			} else if err := appendElement(item); err != nil {
+				return err
+			}
+		}
+		return nil
+	}
+}
+
+// parseArrayHeader returns the number of elements of an array, and what follows its header.
+func parseArrayHeader(v []byte, element uint32) (n int, rest []byte, err error) {
+	if len(v) < arrayHeader {
+		return 0, nil, errTruncated
+	}
+	dimensions := binary.BigEndian.Uint32(v)
+	if oid := binary.BigEndian.Uint32(v[arrayElementAt:]); oid != element {
+		return 0, nil, fmt.Errorf("an array of type %d, not %d", oid, element)
+	}
+	v = v[arrayHeader:]
+	switch {
+	case dimensions > 1:
+		return 0, nil, fmt.Errorf("an array of %d dimensions is not served; cast it to text", dimensions)
+	case dimensions == 1:
+		if len(v) < arrayDimension {
+			return 0, nil, errTruncated
+		}
+		n = int(binary.BigEndian.Uint32(v))
+		v = v[arrayDimension:]
+	}
+	if n > len(v)/valueHeader {
+		return 0, nil, errTruncated
+	}
+	return n, v, nil
+}
+
+// valueHeader is the size of the length before a value.
+const valueHeader = 4
+
+// nextValue cuts a value with its length before it off b. A nil value is null.
+func nextValue(b []byte) (v, rest []byte, err error) {
+	if len(b) < valueHeader {
+		return nil, nil, errTruncated
+	}
+	n := int32(binary.BigEndian.Uint32(b))
+	b = b[valueHeader:]
+	if n < 0 {
+		return nil, b, nil
+	}
+	if int(n) > len(b) {
+		return nil, nil, errTruncated
+	}
+	return b[:n:n], b[n:], nil
+}
--- a/internal/frontend/flightsql/arrowbatch/rowbatch_test.go
+++ b/internal/frontend/flightsql/arrowbatch/arrowbatch_test.go
@@ -1,6 +1,7 @@
 package arrowbatch
 
 import (
+	"errors"
 	"fmt"
 	"math/big"
 	"testing"
@@ -13,9 +14,9 @@
 
 var ten = big.NewInt(10)
 
-func description(oid uint32, mod int32) []byte {
+func description(oid uint32, modifier int32) []byte {
 	m := &pgproto3.RowDescription{Fields: []pgproto3.FieldDescription{{Name: []byte("c"), DataTypeOID: oid,
-		TypeModifier: mod, Format: 1}}}
+		TypeModifier: modifier, Format: 1}}}
 	b, _ := m.Encode(nil)
 	return b[5:]
 }
@@ -25,8 +26,8 @@
 	return b[5:]
 }
 
-// Any numeric comes out to the last digit, as text and as decimal; one that a decimal cannot hold is an
-// error, never another number.
+// TestNumeric: any numeric comes out to the last digit, as text and as decimal; one that a decimal cannot
+// hold is an error, never another number.
 func TestNumeric(t *testing.T) {
 	m := pgtype.NewMap()
 	rapid.Check(t, func(t *rapid.T) {
@@ -51,8 +52,9 @@
 			x, _ := a.Value()
 			y, _ := b.Value()
 			var p, q pgtype.Numeric
-			p.Scan(x)
-			q.Scan(y)
+			if err := errors.Join(p.Scan(x), q.Scan(y)); err != nil {
+				t.Fatal(err)
+			}
 			for p.Exp > q.Exp {
 				p.Int.Mul(p.Int, ten)
 				p.Exp--
@@ -81,7 +83,7 @@
 	})
 }
 
-// Whatever bytes come as a value of whatever type, a row is taken or refused, without a panic.
+// FuzzRow: whatever bytes come as a value of whatever type, a row is accepted or rejected, without a panic.
 func FuzzRow(f *testing.F) {
 	for oid := range arrayElementTypes {
 		f.Add(oid, int32(-1), []byte{0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 25, 0, 0, 0, 1, 0, 0, 0, 1})
@@ -90,8 +92,8 @@
 		f.Add(oid, int32(-1), []byte{0, 0, 0, 1, 0, 0, 0, 0})
 	}
 	f.Add(uint32(oidNumeric), int32(655366), []byte{0, 1, 0, 0, 0, 0, 0, 0, 0, 5})
-	f.Fuzz(func(t *testing.T, oid uint32, mod int32, v []byte) {
-		s, err := NewSchema(description(oid, mod), false)
+	f.Fuzz(func(t *testing.T, oid uint32, modifier int32, v []byte) {
+		s, err := NewSchema(description(oid, modifier), false)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -105,11 +107,11 @@
 		if r.NumRows() != 1 {
 			t.Fatalf("%d rows of one", r.NumRows())
 		}
-		PostgresText(r.Column(0), 0)
+		_, _, _ = PostgresText(r.Column(0), 0) // any result will do, but no panic
 	})
 }
 
-// BenchmarkBatch is the cost of rows to batches, and what is allocated for each batch.
+// BenchmarkBatch measures the conversion of rows into batches, and what is allocated for each batch.
 func BenchmarkBatch(b *testing.B) {
 	m := &pgproto3.RowDescription{}
 	data := &pgproto3.DataRow{}
@@ -127,16 +129,16 @@
 	line, _ := data.Encode(nil)
 	line = line[5:]
 	const rows = 8192
-	bl := NewBuilder(s, memory.DefaultAllocator)
-	defer bl.Release()
+	builder := NewBuilder(s, memory.DefaultAllocator)
+	defer builder.Release()
 	b.SetBytes(int64(rows * len(line)))
 	b.ReportAllocs()
 	for b.Loop() {
 		for range rows {
-			if err := bl.Row(line); err != nil {
+			if err := builder.Row(line); err != nil {
 				b.Fatal(err)
 			}
 		}
-		bl.Batch().Release()
+		builder.Batch().Release()
 	}
 }
--- a/internal/frontend/flightsql/arrowbatch/bind.go
+++ b/internal/frontend/flightsql/arrowbatch/bind.go
@@ -13,10 +13,13 @@
 	"github.com/apache/arrow-go/v18/arrow/array"
 )
 
-// AppendBind writes one row of a batch as PostgreSQL's Bind has it behind its two names: parameters as text,
-// and the formats wanted of the result.
-func AppendBind(out []byte, r arrow.RecordBatch, row int, formats *Schema) ([]byte, error) {
-	out = binary.BigEndian.AppendUint16(out, 0) // all are text
+// nullLength is the length of a null in PostgreSQL's messages.
+const nullLength = math.MaxUint32
+
+// AppendBind appends the body of a Bind message behind its two names: one row of a batch as parameters in
+// text format, and the formats of the result. A nil batch has no parameters.
+func AppendBind(out []byte, r arrow.RecordBatch, row int, result *Schema) ([]byte, error) {
+	out = binary.BigEndian.AppendUint16(out, 0) // no format: all parameters are text
 	columns := 0
 	if r != nil {
 		columns = int(r.NumCols())
@@ -28,18 +31,27 @@
 		case err != nil:
 			return nil, fmt.Errorf("parameter %d: %w", i+1, err)
 		case null:
-			out = binary.BigEndian.AppendUint32(out, math.MaxUint32)
+			out = binary.BigEndian.AppendUint32(out, nullLength)
 		default:
 			out = binary.BigEndian.AppendUint32(out, uint32(len(v)))
 			out = append(out, v...)
 		}
 	}
-	return formats.AppendFormats(out), nil
+	return result.AppendFormats(out), nil
 }
 
 const day = 24 * time.Hour
 
-// PostgresText is a value in PostgreSQL's text form.
+// Layouts of PostgreSQL's text forms.
+const (
+	dateLayout      = "2006-01-02"
+	timeLayout      = "15:04:05.999999"
+	timestampLayout = dateLayout + " " + timeLayout
+)
+
+const uuidSize = 16
+
+// PostgresText returns a value in PostgreSQL's text form.
 func PostgresText(a arrow.Array, i int) (v string, null bool, err error) {
 	if a.IsNull(i) {
 		return "", true, nil
@@ -47,69 +59,96 @@
 	switch a := a.(type) {
 	case *array.Null:
 		return "", true, nil
+	case *array.List:
+		from, to := a.ValueOffsets(i)
+		return arrayText(a.ListValues(), int(from), int(to))
+	case *array.LargeList:
+		from, to := a.ValueOffsets(i)
+		return arrayText(a.ListValues(), int(from), int(to))
+	case *array.Dictionary:
+		return PostgresText(a.Dictionary(), a.GetValueIndex(i))
+	case array.ExtensionArray:
+		return PostgresText(a.Storage(), i)
+	case *array.DenseUnion: // the JDBC driver binds parameters of unknown type like this
+		return PostgresText(a.Field(a.ChildID(i)), int(a.ValueOffset(i)))
+	}
+	if v, ok := scalarText(a, i); ok {
+		return v, false, nil
+	}
+	if v, ok := timeText(a, i); ok {
+		return v, false, nil
+	}
+	return "", false, fmt.Errorf("values of type %s are not bound", a.DataType())
+}
+
+// scalarText returns a number, a truth value, a text or bytes in PostgreSQL's text form.
+func scalarText(a arrow.Array, i int) (v string, ok bool) {
+	switch a := a.(type) {
 	case *array.Boolean:
-		return strconv.FormatBool(a.Value(i)), false, nil
+		return strconv.FormatBool(a.Value(i)), true
 	case *array.Float32:
-		return formatFloat(float64(a.Value(i)), 32), false, nil
+		return formatFloat(float64(a.Value(i)), 32), true
 	case *array.Float64:
-		return formatFloat(a.Value(i), 64), false, nil
+		return formatFloat(a.Value(i), 64), true
 	case *array.String:
-		return a.Value(i), false, nil
+		return a.Value(i), true
 	case *array.LargeString:
-		return a.Value(i), false, nil
+		return a.Value(i), true
 	case *array.Binary:
-		return `\x` + hex.EncodeToString(a.Value(i)), false, nil
+		return byteaText(a.Value(i)), true
 	case *array.LargeBinary:
-		return `\x` + hex.EncodeToString(a.Value(i)), false, nil
+		return byteaText(a.Value(i)), true
 	case *array.FixedSizeBinary:
-		if b := a.Value(i); len(b) == 16 { // a uuid, as this package gives them
-			x := hex.EncodeToString(b)
-			return x[:8] + "-" + x[8:12] + "-" + x[12:16] + "-" + x[16:20] + "-" + x[20:], false, nil
+		if b := a.Value(i); len(b) == uuidSize { // this package converts a uuid to these
+			return uuidText(b), true
 		}
-		return `\x` + hex.EncodeToString(a.Value(i)), false, nil
+		return byteaText(a.Value(i)), true
+	case *array.Int8, *array.Int16, *array.Int32, *array.Int64, *array.Uint8, *array.Uint16, *array.Uint32,
+		*array.Uint64, *array.Decimal128, *array.Decimal256:
+		return a.ValueStr(i), true
+	}
+	return "", false
+}
+
+// timeText returns a date, a time or an interval in PostgreSQL's text form.
+func timeText(a arrow.Array, i int) (v string, ok bool) {
+	switch a := a.(type) {
 	case *array.Date32:
-		return withEra(a.Value(i).ToTime().Format("2006-01-02"), a.Value(i).ToTime()), false, nil
+		return dateText(a.Value(i).ToTime()), true
 	case *array.Date64:
-		return withEra(a.Value(i).ToTime().Format("2006-01-02"), a.Value(i).ToTime()), false, nil
+		return dateText(a.Value(i).ToTime()), true
 	case *array.Timestamp:
 		t := a.DataType().(*arrow.TimestampType)
 		at := a.Value(i).ToTime(t.Unit).UTC()
-		form := "2006-01-02 15:04:05.999999"
+		layout := timestampLayout
 		if t.TimeZone != "" {
-			form += "+00"
+			layout += "+00"
 		}
-		return withEra(at.Format(form), at), false, nil
+		return withEra(at.Format(layout), at), true
 	case *array.Time32:
-		return a.Value(i).ToTime(a.DataType().(*arrow.Time32Type).Unit).Format("15:04:05.999999"), false, nil
+		return a.Value(i).ToTime(a.DataType().(*arrow.Time32Type).Unit).Format(timeLayout), true
 	case *array.Time64:
-		u := a.DataType().(*arrow.Time64Type).Unit
-		if d := time.Duration(a.Value(i)) * u.Multiplier(); d == day {
-			return "24:00:00", false, nil
+		unit := a.DataType().(*arrow.Time64Type).Unit
+		if time.Duration(a.Value(i))*unit.Multiplier() == day {
+			return "24:00:00", true
 		}
-		return a.Value(i).ToTime(u).Format("15:04:05.999999"), false, nil
+		return a.Value(i).ToTime(unit).Format(timeLayout), true
 	case *array.MonthDayNanoInterval:
 		v := a.Value(i)
-		return fmt.Sprintf("%d mons %d days %d microseconds", v.Months, v.Days, v.Nanoseconds/1000), false,
-			nil
-	case *array.List:
-		from, to := a.ValueOffsets(i)
-		return arrayText(a.ListValues(), int(from), int(to))
-	case *array.LargeList:
-		from, to := a.ValueOffsets(i)
-		return arrayText(a.ListValues(), int(from), int(to))
-	case *array.Dictionary:
-		return PostgresText(a.Dictionary(), a.GetValueIndex(i))
-	case array.ExtensionArray:
-		return PostgresText(a.Storage(), i)
-	case *array.Int8, *array.Int16, *array.Int32, *array.Int64, *array.Uint8, *array.Uint16, *array.Uint32,
-		*array.Uint64, *array.Decimal128, *array.Decimal256:
-		return a.ValueStr(i), false, nil
-	case *array.DenseUnion: // JDBC's driver binds parameters of unknown type so
-		return PostgresText(a.Field(a.ChildID(i)), int(a.ValueOffset(i)))
+		return fmt.Sprintf("%d mons %d days %d microseconds", v.Months, v.Days, v.Nanoseconds/1000), true
 	}
-	return "", false, fmt.Errorf("values of type %s are not bound", a.DataType())
+	return "", false
 }
 
+func byteaText(b []byte) string { return `\x` + hex.EncodeToString(b) }
+
+func uuidText(b []byte) string {
+	x := hex.EncodeToString(b)
+	return x[:8] + "-" + x[8:12] + "-" + x[12:16] + "-" + x[16:20] + "-" + x[20:]
+}
+
+func dateText(at time.Time) string { return withEra(at.Format(dateLayout), at) }
+
 func formatFloat(v float64, bits int) string {
 	switch {
 	case math.IsNaN(v):
@@ -131,8 +170,11 @@
 	return v
 }
 
-// arrayText is an array's text form: each element quoted, so that none is mistaken.
-func arrayText(a arrow.Array, from, to int) (string, bool, error) {
+var elementEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`)
+
+// arrayText returns elements of an array in PostgreSQL's text form. Each element is quoted, so that none is
+// taken for a delimiter or a null.
+func arrayText(a arrow.Array, from, to int) (v string, null bool, err error) {
 	var b strings.Builder
 	b.WriteByte('{')
 	for i := from; i < to; i++ {
@@ -147,7 +189,7 @@
 			b.WriteString("NULL")
 		default:
 			b.WriteByte('"')
-			b.WriteString(strings.NewReplacer(`\`, `\\`, `"`, `\"`).Replace(v))
+			b.WriteString(elementEscaper.Replace(v))
 			b.WriteByte('"')
 		}
 	}
--- a/internal/frontend/flightsql/arrowbatch/schema.go
+++ b/internal/frontend/flightsql/arrowbatch/schema.go
@@ -1,5 +1,5 @@
-// Package arrowbatch turns an engine's rows into Arrow record batches, column by column and by type OID, and
-// Arrow values into parameters for an engine. Rows come as the bodies of PostgreSQL's DataRow messages,
+// Package arrowbatch converts an engine's rows into Arrow record batches, column by column and by type OID,
+// and Arrow values into parameters for an engine. Rows come as the bodies of PostgreSQL's DataRow messages,
 // binary where this package reads the type's binary form and as text elsewhere. It does no I/O.
 package arrowbatch
 
@@ -19,30 +19,14 @@
 	oidNumeric, oidUUID, oidChar                                           = 1700, 2950, 18
 )
 
-// arrayElementTypes are the types of arrays' elements.
-var arrayElementTypes = map[uint32]uint32{
-	1000: oidBool,
-	1001: oidBytea,
-	1003: oidName,
-	1005: oidInt2,
+// arrayElementTypes are the element types of array types.
+var arrayElementTypes = map[uint32]uint32{1000: oidBool, 1001: oidBytea, 1003: oidName, 1005: oidInt2,
 	1007: oidInt4,
-	1009: oidText,
-	1014: oidBPChar,
-	1015: oidVarchar,
-	1016: oidInt8,
-	1021: oidFloat4,
-	1022: oidFloat8,
-	1028: oidOID,
-	1115: oidTimestamp,
-	1182: oidDate,
-	1183: oidTime,
-	1185: oidTimestampTZ,
-	1187: oidInterval,
-	1231: oidNumeric,
-	2951: oidUUID,
-}
+	1009: oidText, 1014: oidBPChar, 1015: oidVarchar, 1016: oidInt8, 1021: oidFloat4, 1022: oidFloat8,
+	1028: oidOID, 1115: oidTimestamp, 1182: oidDate, 1183: oidTime, 1185: oidTimestampTZ, 1187: oidInterval,
+	1231: oidNumeric, 2951: oidUUID}
 
-// arrowTypes are the Arrow types of those that need no modifier.
+// arrowTypes are the Arrow types of the types whose modifier does not matter.
 var arrowTypes = map[uint32]arrow.DataType{oidBool: arrow.FixedWidthTypes.Boolean,
 	oidBytea: arrow.BinaryTypes.Binary, oidInt8: arrow.PrimitiveTypes.Int64,
 	oidInt2: arrow.PrimitiveTypes.Int16, oidInt4: arrow.PrimitiveTypes.Int32,
@@ -56,17 +40,17 @@
 	oidInterval:    arrow.FixedWidthTypes.MonthDayNanoInterval,
 	oidUUID:        &arrow.FixedSizeBinaryType{ByteWidth: 16}}
 
-// Column is one column of an answer.
+// Column is one column of a result.
 type Column struct {
 	Name         string
 	OID          uint32
-	TypeModifier int32 // type modifier; -1: none
-	Binary       bool  // its values come in binary form
-	Element      uint32
+	TypeModifier int32  // -1: none
+	Binary       bool   // its values come in binary form
+	Element      uint32 // type of an array's elements; 0: no array
 	Type         arrow.DataType
 }
 
-// Schema is the shape of an answer.
+// Schema describes the rows of a result.
 type Schema struct {
 	Columns []Column
 	Arrow   *arrow.Schema
@@ -74,26 +58,43 @@
 
 var errTruncated = errors.New("message is cut")
 
-// arrowTypeOf is the Arrow type of a PostgreSQL type; nil: this package does not read its binary form.
-func arrowTypeOf(oid uint32, mod int32) arrow.DataType {
+// noModifier is the type modifier of a type without one.
+const noModifier = -1
+
+// The modifier of a numeric is its precision and scale, plus modifierOffset ("Numeric Types").
+const (
+	modifierOffset   = 4
+	precisionShift   = 16
+	precisionMask    = 0xffff
+	scaleMask        = 0x7ff
+	maxDecimalDigits = 38 // of Arrow's Decimal128
+)
+
+// arrowTypeOf returns the Arrow type of a PostgreSQL type; nil: this package does not read its binary form.
+func arrowTypeOf(oid uint32, modifier int32) arrow.DataType {
 	if oid == oidNumeric {
-		// "Numeric Types": the modifier holds precision and scale, and a scale below zero or beyond the
-		// precision is not Arrow's to hold. One without modifier may hold anything: it goes out as text, to
-		// the last digit.
-		if p, s := (mod-4)>>16&0xffff, (mod-4)&0x7ff; mod >= 4 && p <= 38 && s <= p {
-			return &arrow.Decimal128Type{Precision: p, Scale: s}
-		}
-		return arrow.BinaryTypes.String
+		return numericType(modifier)
 	}
-	if e, ok := arrayElementTypes[oid]; ok {
-		return arrow.ListOf(arrowTypeOf(e, mod))
+	if element, ok := arrayElementTypes[oid]; ok {
+		return arrow.ListOf(arrowTypeOf(element, modifier))
 	}
 	return arrowTypes[oid]
 }
 
-// NewSchema reads the body of a RowDescription. inBinary: the formats told are those that Formats asks for,
-// as in a statement's description, where the engine tells none.
-func NewSchema(b []byte, inBinary bool) (*Schema, error) {
+// numericType returns the Arrow type of a numeric. One without modifier may hold anything, and a scale below
+// zero or beyond the precision is none of Arrow's: these come as text, to the last digit.
+func numericType(modifier int32) arrow.DataType {
+	precision := (modifier - modifierOffset) >> precisionShift & precisionMask
+	scale := (modifier - modifierOffset) & scaleMask
+	if modifier >= modifierOffset && precision <= maxDecimalDigits && scale <= precision {
+		return &arrow.Decimal128Type{Precision: precision, Scale: scale}
+	}
+	return arrow.BinaryTypes.String
+}
+
+// NewSchema reads the body of a RowDescription. assumeBinary: the columns have the formats that AppendFormats
+// asks for, whatever the message says. In a statement's description the engine does not know them yet.
+func NewSchema(b []byte, assumeBinary bool) (*Schema, error) {
 	if len(b) < 2 {
 		return nil, errTruncated
 	}
@@ -102,82 +103,104 @@
 	s := &Schema{Columns: make([]Column, 0, n)}
 	fields := make([]arrow.Field, 0, n)
 	for range n {
-		end := 0
-		for end < len(b) && b[end] != 0 {
-			end++
-		}
-		if len(b) < end+19 {
-			return nil, errTruncated
-		}
-		c := Column{Name: string(b[:end])}
-		b = b[end+1:]
-		c.OID, c.TypeModifier = binary.BigEndian.Uint32(b[6:]), int32(binary.BigEndian.Uint32(b[12:]))
-		c.Binary = binary.BigEndian.Uint16(b[16:]) == 1
-		b = b[18:]
-		c.Type, c.Element = arrowTypeOf(c.OID, c.TypeModifier), arrayElementTypes[c.OID]
-		if inBinary {
-			c.Binary = c.Type != nil
-		}
-		switch {
-		case !c.Binary: // as text, whatever it is
-			c.Type, c.Element = arrow.BinaryTypes.String, 0
-		case c.Type == nil:
-			c.Type = arrow.BinaryTypes.Binary
+		c, rest, err := parseColumn(b)
+		if err != nil {
+			return nil, err
 		}
+		b = rest
+		c.resolveType(assumeBinary)
 		s.Columns = append(s.Columns, c)
-		f := arrow.Field{Name: c.Name, Type: c.Type, Nullable: true}
-		if c.Binary && c.OID == oidUUID { // Arrow's canonical extension types
-			f.Metadata = arrow.NewMetadata([]string{"ARROW:extension:name", "ARROW:extension:metadata"},
-				[]string{"arrow.uuid", ""})
-		}
-		fields = append(fields, f)
+		fields = append(fields, c.field())
 	}
 	s.Arrow = arrow.NewSchema(fields, nil)
 	return s, nil
 }
 
-// ParameterSchema reads the body of a ParameterDescription as a schema of what a client may bind, and the
-// OIDs.
-func ParameterSchema(b []byte) (*arrow.Schema, []uint32, error) {
+// columnTail is the size of a column's description behind its name and the zero byte that ends it.
+const columnTail = 18
+
+// parseColumn reads one column of a RowDescription and returns what follows it.
+func parseColumn(b []byte) (c Column, rest []byte, err error) {
+	end := 0
+	for end < len(b) && b[end] != 0 {
+		end++
+	}
+	if len(b) < end+1+columnTail {
+		return c, nil, errTruncated
+	}
+	c.Name = string(b[:end])
+	b = b[end+1:]
+	c.OID = binary.BigEndian.Uint32(b[6:]) // behind the table's OID and the column's number
+	c.TypeModifier = int32(binary.BigEndian.Uint32(b[12:]))
+	c.Binary = binary.BigEndian.Uint16(b[16:]) == formatBinary
+	return c, b[columnTail:], nil
+}
+
+// Formats of values ("Formats and Format Codes").
+const (
+	formatText   = 0
+	formatBinary = 1
+)
+
+// resolveType sets the Arrow type of a column.
+func (c *Column) resolveType(assumeBinary bool) {
+	c.Type, c.Element = arrowTypeOf(c.OID, c.TypeModifier), arrayElementTypes[c.OID]
+	if assumeBinary {
+		c.Binary = c.Type != nil
+	}
+	switch {
+	case !c.Binary: // as text, whatever it is
+		c.Type, c.Element = arrow.BinaryTypes.String, 0
+	case c.Type == nil:
+		c.Type = arrow.BinaryTypes.Binary
+	}
+}
+
+// field returns the column as a field. A uuid is one of Arrow's canonical extension types.
+func (c *Column) field() arrow.Field {
+	f := arrow.Field{Name: c.Name, Type: c.Type, Nullable: true}
+	if c.Binary && c.OID == oidUUID {
+		f.Metadata = arrow.NewMetadata([]string{"ARROW:extension:name", "ARROW:extension:metadata"},
+			[]string{"arrow.uuid", ""})
+	}
+	return f
+}
+
+// ParameterSchema reads the body of a ParameterDescription as a schema of what a client may bind.
+func ParameterSchema(b []byte) (*arrow.Schema, error) {
 	if len(b) < 2 || len(b) != 2+4*int(binary.BigEndian.Uint16(b)) {
-		return nil, nil, errTruncated
+		return nil, errTruncated
 	}
 	var fields []arrow.Field
-	var oids []uint32
 	for b = b[2:]; len(b) > 0; b = b[4:] {
-		oid := binary.BigEndian.Uint32(b)
-		oids = append(oids, oid)
-		t := arrowTypeOf(oid, -1)
-		if t == nil {
-			t = arrow.BinaryTypes.String
-		}
-		fields = append(fields, arrow.Field{Name: fmt.Sprint("parameter_", len(oids)), Type: t,
-			Nullable: true})
+		name := fmt.Sprint("parameter_", len(fields)+1)
+		fields = append(fields, Field(name, binary.BigEndian.Uint32(b), noModifier, true))
 	}
-	return arrow.NewSchema(fields, nil), oids, nil
+	return arrow.NewSchema(fields, nil), nil
 }
 
-// AppendFormats are the result formats to ask for in a Bind ("Bind"): a count and one code for each column.
+// Field returns a column of a table, or a parameter, as a field.
+func Field(name string, oid uint32, modifier int32, nullable bool) arrow.Field {
+	t := arrowTypeOf(oid, modifier)
+	if t == nil {
+		t = arrow.BinaryTypes.String
+	}
+	return arrow.Field{Name: name, Type: t, Nullable: nullable}
+}
+
+// AppendFormats appends the result formats of a Bind message: their number and one for each column. A nil
+// schema asks for text.
 func (s *Schema) AppendFormats(out []byte) []byte {
 	if s == nil {
 		return binary.BigEndian.AppendUint16(out, 0)
 	}
 	out = binary.BigEndian.AppendUint16(out, uint16(len(s.Columns)))
 	for _, c := range s.Columns {
-		code := uint16(0)
+		format := uint16(formatText)
 		if c.Binary {
-			code = 1
+			format = formatBinary
 		}
-		out = binary.BigEndian.AppendUint16(out, code)
+		out = binary.BigEndian.AppendUint16(out, format)
 	}
 	return out
 }
-
-// Field is a table's column as a field.
-func Field(name string, oid uint32, mod int32, nullable bool) arrow.Field {
-	t := arrowTypeOf(oid, mod)
-	if t == nil {
-		t = arrow.BinaryTypes.String
-	}
-	return arrow.Field{Name: name, Type: t, Nullable: nullable}
-}
--- /dev/null
+++ b/internal/frontend/flightsql/batches.go
@@ -0,0 +1,165 @@
+package flightsql
+
+import (
+	"context"
+	"time"
+
+	"github.com/apache/arrow-go/v18/arrow"
+	"github.com/apache/arrow-go/v18/arrow/flight"
+	"google.golang.org/grpc/codes"
+
+	"cresspass/internal/frontend/flightsql/arrowbatch"
+)
+
+// How rows are gathered: a batch goes out at batchBytes or batchRows, or when no row came for
+// batchIdleFlush.
+const (
+	batchBytes     = 512 << 10
+	batchRows      = 64 << 10
+	batchIdleFlush = 5 * time.Millisecond
+)
+
+// batchReader turns one response into record batches.
+type batchReader struct {
+	server   *Server
+	call     *call
+	chunks   chan flight.StreamChunk
+	schema   *arrowbatch.Schema  // nil: not known yet
+	builder  *arrowbatch.Builder // nil: no rows come
+	complete bool                // the response has been read to its end
+	batches  []arrow.RecordBatch // to be sent
+}
+
+// streamBatches reads a response's rows into record batches. It returns once their schema is known, or the
+// query has ended without; ended is called at the end.
+func (s *Server) streamBatches(ctx context.Context, c *call,
+	ended func(error)) (*arrow.Schema, <-chan flight.StreamChunk, error) {
+	r := &batchReader{server: s, call: c, chunks: make(chan flight.StreamChunk)}
+	var spare []byte
+	for r.schema == nil {
+		b, more, err := c.receive(ctx, spare, 0)
+		if err == nil {
+			err = r.handleMessages(b)
+		}
+		if err != nil {
+			if r.builder != nil {
+				r.builder.Release()
+			}
+			c.abandon()
+			ended(err)
+			return nil, nil, err
+		}
+		if spare = b; !more {
+			r.complete = true
+			if r.schema == nil {
+				r.schema = &arrowbatch.Schema{Arrow: arrow.NewSchema(nil, nil)}
+			}
+		}
+	}
+	go r.deliver(ctx, spare, ended)
+	return r.schema.Arrow, r.chunks, nil
+}
+
+// handleMessages handles messages of an engine.
+func (r *batchReader) handleMessages(b []byte) error {
+	return forEachMessage(b, func(kind byte, body []byte) (err error) {
+		switch kind {
+		case 'T': // RowDescription
+			if r.schema, err = arrowbatch.NewSchema(body, false); err == nil {
+				r.builder = arrowbatch.NewBuilder(r.schema, r.server.mem)
+			}
+		case 'n': // NoData
+			r.schema = &arrowbatch.Schema{Arrow: arrow.NewSchema(nil, nil)}
+		case 'D': // DataRow
+			return r.addRow(body)
+		case 'H', 'G', 'W': // CopyOutResponse, CopyInResponse, CopyBothResponse
+			return errCopy()
+		case 'E': // ErrorResponse
+			return engineError(body)
+		}
+		return err
+	})
+}
+
+func (r *batchReader) addRow(body []byte) error {
+	if r.builder == nil {
+		return invalidCall(codes.Unknown, "a row came before its description")
+	}
+	if err := r.builder.Row(body); err != nil {
+		return invalidCall(codes.OutOfRange, "%v", err)
+	}
+	if r.builder.Bytes() >= batchBytes || r.builder.Rows() >= batchRows {
+		r.batches = append(r.batches, r.builder.Batch())
+	}
+	return nil
+}
+
+// deliver sends batches as they are taken. While nobody takes them nothing is read, the response's buffer
+// fills, and the engine is no longer read.
+func (r *batchReader) deliver(ctx context.Context, spare []byte, ended func(error)) {
+	defer close(r.chunks)
+	err := r.sendAll(ctx, spare)
+	for _, b := range r.batches {
+		b.Release()
+	}
+	if r.builder != nil {
+		r.builder.Release()
+	}
+	if err != nil {
+		r.call.abandon()
+	}
+	ended(err)
+}
+
+// sendAll reads the response to its end and sends its batches. An error of the response is sent too.
+func (r *batchReader) sendAll(ctx context.Context, spare []byte) error {
+	for {
+		if err := r.sendBatches(ctx); err != nil {
+			return err
+		}
+		if r.complete {
+			break
+		}
+		within := time.Duration(0)
+		if r.builder != nil && r.builder.Rows() > 0 {
+			within = batchIdleFlush
+		}
+		b, more, err := r.call.receive(ctx, spare, within)
+		if err == nil {
+			err = r.handleMessages(b)
+		}
+		if err != nil {
+			select {
+			case r.chunks <- flight.StreamChunk{Err: err}:
+			case <-ctx.Done():
+			}
+			return err
+		}
+		r.complete = !more
+		if idle := len(b) == 0 && more; idle || r.complete {
+			r.flushRows()
+		}
+		spare = b
+	}
+	r.flushRows()
+	return r.sendBatches(ctx)
+}
+
+// flushRows makes a batch of the rows that were gathered.
+func (r *batchReader) flushRows() {
+	if r.builder != nil && r.builder.Rows() > 0 {
+		r.batches = append(r.batches, r.builder.Batch())
+	}
+}
+
+func (r *batchReader) sendBatches(ctx context.Context) error {
+	for len(r.batches) > 0 {
+		select {
+		case r.chunks <- flight.StreamChunk{Data: r.batches[0]}:
+			r.batches = r.batches[1:]
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+	}
+	return nil
+}
--- a/internal/frontend/flightsql/call.go
+++ b/internal/frontend/flightsql/call.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"strconv"
 	"sync"
@@ -23,6 +24,7 @@
 	"cresspass/internal/frontend/flightsql/statementqueue"
 	"cresspass/internal/protocol/pgwire"
 	"cresspass/internal/protocol/sqlscan"
+	"cresspass/internal/protocol/sqlstate"
 )
 
 // callError is the error of a call, with what its client may do.
@@ -30,17 +32,33 @@
 
 func (e *callError) Error() string { return e.Status.Err().Error() }
 
-// GRPCStatus is what the client gets.
+// GRPCStatus returns what the client gets.
 func (e *callError) GRPCStatus() *status.Status { return e.Status.Status }
 
 func verdictError(v *verdict.Verdict) error { return &callError{grpcstatus.FromVerdict(v)} }
 
+// invalidCall is the error of a call that asks for what is not to be had. Nothing ran.
 func invalidCall(code codes.Code, format string, args ...any) error {
 	return &callError{grpcstatus.InvalidCall(code, fmt.Sprintf(format, args...))}
 }
 
-// call is one query on its way, and the sink of its answer: an engine's messages are gathered in a buffer,
-// which the call's own goroutine takes whole.
+// engineError is an ErrorResponse as the call's error.
+func engineError(body []byte) error {
+	f, err := pgwire.ParseFields(body)
+	if err != nil {
+		return err
+	}
+	return &callError{grpcstatus.FromEngineError(&f)}
+}
+
+// mayHaveRun reports whether a statement whose call ended by an error may have run.
+func mayHaveRun(err error) bool {
+	var e *callError
+	return !errors.As(err, &e) || e.MayHaveRun
+}
+
+// call is one query on its way, and the sink of its response: an engine's messages are gathered in a buffer,
+// which the call's own goroutine takes as a whole.
 type call struct {
 	server    *Server
 	scope     *scope
@@ -51,10 +69,9 @@
 	mu          sync.Mutex
 	buf         []byte
 	done        bool
-	failed      bool // the last message is an ErrorResponse
 	verdict     *verdict.Verdict
 	dataReady   chan struct{} // of one: there is something new
-	bufferTaken chan struct{} // of one: the buffer was taken
+	bufferTaken chan struct{} // of one
 }
 
 // statement is what is to be run.
@@ -65,75 +82,49 @@
 	kind                 enginequery.Kind
 }
 
-// scan reads a text. Functions that the settings call harmless are in no doubt.
+// scan parses a text.
 func (s *Server) scan(text string) []sqlscan.Statement {
-	all := sqlscan.Statements(text)
-	for i := range all {
-		if f := all[i].Function; f != "" && s.cfg.StatelessFunction != nil && s.cfg.StatelessFunction(f) {
-			all[i].Function = ""
-		}
-	}
-	return all
+	return enginequery.ParseStatements(text, s.cfg.StatelessFunction)
 }
 
-// client is the client of a call. Its time left is what grpc-timeout says; a call that gRPC or its client
-// repeats says so by grpc-previous-rpc-attempts ("gRPC Retry Design").
+// client returns the client of a call. The remaining deadline is what grpc-timeout says; a call that gRPC or
+// its client retries says so by grpc-previous-rpc-attempts ("gRPC Retry Design").
 func (v *session) client(ctx context.Context) classify.Client {
 	v.mu.Lock()
-	w := classify.Client{User: v.user, Database: v.database, Application: v.application}
+	client := classify.Client{User: v.user, Database: v.database, Application: v.application}
 	v.mu.Unlock()
-	if at, ok := ctx.Deadline(); ok {
-		w.Timeout = max(time.Until(at), time.Nanosecond)
+	if deadline, ok := ctx.Deadline(); ok {
+		client.Timeout = max(time.Until(deadline), time.Nanosecond)
 	}
 	if md, ok := metadata.FromIncomingContext(ctx); ok {
-		for _, n := range md.Get("grpc-previous-rpc-attempts") {
-			if n, err := strconv.Atoi(n); err == nil && n > 0 {
-				w.IsRetry = true
+		for _, attempts := range md.Get(headerAttempts) {
+			if n, err := strconv.Atoi(attempts); err == nil && n > 0 {
+				client.IsRetry = true
 			}
 		}
 	}
-	return w
+	return client
 }
 
-// startStatement has a statement run in its lane, once its turn has come. The call must be read to its end,
-// or given up.
-func (s *Server) startStatement(ctx context.Context, t *scope, st statement) (*call, error) {
-	c := &call{server: s, scope: t, dataReady: make(chan struct{}, 1), bufferTaken: make(chan struct{}, 1),
+// startStatement has a statement run in its scope, once its turn has come. The call must be read to its end,
+// or abandoned.
+func (s *Server) startStatement(ctx context.Context, sc *scope, st statement) (*call, error) {
+	c := &call{server: s, scope: sc, dataReady: make(chan struct{}, 1), bufferTaken: make(chan struct{}, 1),
 		exclusive: st.kind == enginequery.Execute && needsExclusive(st.parsed)}
-	id, v := t.acquireTurn(ctx, c.exclusive)
+	id, v := sc.acquireTurn(ctx, c.exclusive)
 	if v != nil {
 		return nil, verdictError(v)
 	}
-	if s.draining.Load() && !t.isSticky() {
-		t.releaseTurn(id)
+	if s.draining.Load() && !sc.isSticky() {
+		sc.releaseTurn(id)
 		return nil, verdictError(verdict.ShuttingDown(false))
 	}
 	c.id = id
-	k := &enginequery.Query{
-		Kind:           st.kind,
-		Text:           st.text,
-		Parsed:         st.parsed,
-		ParameterTypes: st.parameterTypes,
-		BindBody:       st.bindBody,
-		WithDescribe:   st.kind == enginequery.Execute,
-	}
-	q := &frontend.Query{
-		Frontend:        Name,
-		EngineQuery:     k,
-		Client:          t.session.client(ctx),
-		OnResponseEnded: func() { t.releaseTurn(id) },
-	}
-	q.Response = response.New(c, s.cfg.Budget, s.cfg.HoldBack)
-	q.Throttle = c.awaitCapacity
-	q.StartCopyIn = func(*copyin.Pipe) bool { return false } // data comes by other ways than COPY here
-	q.OnCopyCapacity = func() {}
-	q.Settle = func(end pgbackend.QueryEnd) pgbackend.Disposition { return t.settleQuery(c, end) }
-	q.OnConnectionLost = func(sent bool) { t.onConnectionLost(c, sent) }
-	c.query = q
-	t.prepareQuery(c, k)
-	if k.MayBecomeSticky && q.Lease.Engine() == "" {
-		if why, ok := s.cfg.Registry.Allow(t.session.user); !ok {
-			if q.Response.FinishWithVerdict(verdict.RejectOverLimit(why)) {
+	q := c.newQuery(ctx, st)
+	sc.prepareQuery(c, q.EngineQuery)
+	if q.EngineQuery.MayBecomeSticky && q.Lease.Engine() == "" {
+		if reason, ok := s.cfg.Registry.Allow(sc.session.user); !ok {
+			if q.Response.FinishWithVerdict(verdict.RejectOverLimit(reason)) {
 				q.OnResponseEnded()
 			}
 			return c, nil
@@ -143,6 +134,24 @@
 	return c, nil
 }
 
+// newQuery makes the call's query.
+func (c *call) newQuery(ctx context.Context, st statement) *frontend.Query {
+	s, sc := c.server, c.scope
+	q := &frontend.Query{Frontend: Name, Client: sc.session.client(ctx),
+		EngineQuery: &enginequery.Query{Kind: st.kind, Text: st.text, Parsed: st.parsed,
+			ParameterTypes: st.parameterTypes, BindBody: st.bindBody,
+			WithDescribe: st.kind == enginequery.Execute},
+		OnResponseEnded: func() { sc.releaseTurn(c.id) }}
+	q.Response = response.New(c, s.cfg.Budget, s.cfg.HoldBack)
+	q.Throttle = c.awaitCapacity
+	q.StartCopyIn = func(*copyin.Pipe) bool { return false } // COPY is not served over Flight SQL
+	q.OnCopyCapacity = func() {}
+	q.Settle = func(end pgbackend.QueryEnd) pgbackend.Disposition { return sc.settleQuery(c, end) }
+	q.OnConnectionLost = func(sent bool) { sc.onConnectionLost(c, sent) }
+	c.query = q
+	return q
+}
+
 // WritePartial takes messages of the engine.
 func (c *call) WritePartial(b []byte) {
 	c.server.pendingBytes.Add(int64(len(b)))
@@ -153,18 +162,17 @@
 }
 
 // WriteFinal takes the last of them.
-func (c *call) WriteFinal(b []byte, failed bool) {
+func (c *call) WriteFinal(b []byte, _ bool) {
 	c.scope.onResponseEnded(c)
 	c.server.pendingBytes.Add(int64(len(b)))
 	c.mu.Lock()
 	c.buf = append(c.buf, b...)
-	c.done, c.failed = true, failed
+	c.done = true
 	c.mu.Unlock()
 	signal(c.dataReady)
 }
 
-// WriteVerdict takes a verdict. What came before it and was not taken does not matter any more: the client
-// is told at once.
+// WriteVerdict takes a verdict. What came before it and was not taken is dropped: the client is told at once.
 func (c *call) WriteVerdict(v *verdict.Verdict) {
 	c.scope.onResponseEnded(c)
 	c.mu.Lock()
@@ -181,7 +189,7 @@
 	}
 }
 
-// awaitCapacity waits until the client has taken what was read for it.
+// awaitCapacity blocks until the client has taken what was read for it.
 func (c *call) awaitCapacity() {
 	for {
 		c.mu.Lock()
@@ -198,34 +206,23 @@
 	}
 }
 
-// receive waits for more of the answer and returns it in a buffer in exchange for a spare one. It waits no
-// longer than within, 0: as long as it takes. more is false at the end.
+// receive waits for more of the response and returns it in exchange for a spare buffer. It waits no longer
+// than within; 0: as long as it takes. more is false at the end.
 func (c *call) receive(ctx context.Context, spare []byte, within time.Duration) (b []byte, more bool,
 	err error) {
-	var late <-chan time.Time
+	var timeout <-chan time.Time
 	if within > 0 {
-		t := time.NewTimer(within)
-		defer t.Stop()
-		late = t.C
+		timer := time.NewTimer(within)
+		defer timer.Stop()
+		timeout = timer.C
 	}
 	for {
-		c.mu.Lock()
-		if len(c.buf) > 0 || c.done {
-			if c.verdict != nil {
-				c.mu.Unlock()
-				return nil, false, verdictError(c.verdict)
-			}
-			b, c.buf = c.buf, spare[:0]
-			done := c.done
-			c.mu.Unlock()
-			c.server.pendingBytes.Add(-int64(len(b)))
-			signal(c.bufferTaken)
-			return b, !done, nil
+		if b, more, ok, err := c.takeBuffer(spare); ok {
+			return b, more, err
 		}
-		c.mu.Unlock()
 		select {
 		case <-c.dataReady:
-		case <-late:
+		case <-timeout:
 			return spare[:0], true, nil
 		case <-ctx.Done():
 			c.abandon()
@@ -234,33 +231,54 @@
 	}
 }
 
-// abandon tells that the client is gone. Nothing more goes out. A statement that has its lane alone takes
-// what is kept with it: what it left there nobody would know.
+// takeBuffer takes what has come of the response, in exchange for a spare buffer. ok is false where nothing
+// has come.
+func (c *call) takeBuffer(spare []byte) (b []byte, more, ok bool, err error) {
+	c.mu.Lock()
+	if len(c.buf) == 0 && !c.done {
+		c.mu.Unlock()
+		return nil, true, false, nil
+	}
+	if c.verdict != nil {
+		c.mu.Unlock()
+		return nil, false, true, verdictError(c.verdict)
+	}
+	b, c.buf = c.buf, spare[:0]
+	done := c.done
+	c.mu.Unlock()
+	c.server.pendingBytes.Add(-int64(len(b)))
+	signal(c.bufferTaken)
+	return b, !done, true, nil
+}
+
+// abandon ends the call of a client that is gone. Nothing more goes out. A statement that runs exclusively
+// takes its sticky scope with it: nobody would know what it left there.
 func (c *call) abandon() {
 	ours := c.query.Response.Abandon()
 	c.mu.Lock()
-	// Danger: of an answer that was complete and is not taken, these bytes would be counted for ever.
+	// A response that was complete and is not taken would otherwise count as pending for ever.
 	c.server.pendingBytes.Add(-int64(len(c.buf)))
 	c.buf = nil
 	c.mu.Unlock()
 	if !ours {
 		return
 	}
-	c.scope.mu.Lock()
-	kept := c.scope.current == c && c.scope.affinity.Bound()
-	if c.scope.current == c {
-		c.scope.current = nil
+	sc := c.scope
+	sc.mu.Lock()
+	sticky := sc.current == c && sc.affinity.Bound()
+	if sc.current == c {
+		sc.current = nil
 	}
-	c.scope.mu.Unlock()
-	c.server.dispatcher.Withdraw(c.query, kept)
-	if kept {
-		c.scope.terminate(&verdict.Verdict{Kind: verdict.Cancelled, Code: "57014",
+	sc.mu.Unlock()
+	c.server.dispatcher.Withdraw(c.query, sticky)
+	if sticky {
+		sc.terminate(&verdict.Verdict{Kind: verdict.Cancelled, Code: sqlstate.QueryCanceled,
 			Message: "a statement in it was taken back", Detail: "What was not committed was rolled back."})
 	}
 	c.query.OnResponseEnded()
 }
 
-// cancel ends the query by a verdict, whatever it does.
+// cancel ends the query by a verdict. It returns false where the query had ended.
 func (c *call) cancel(v *verdict.Verdict) bool {
 	if !c.query.Response.FinishWithVerdict(v) {
 		return false
@@ -270,17 +288,20 @@
 	return true
 }
 
+// messageHeader is the size of a message's type and length.
+const messageHeader = 5
+
 // forEachMessage calls f for each of an engine's messages in b.
 func forEachMessage(b []byte, f func(kind byte, body []byte) error) error {
 	for len(b) > 0 {
-		if len(b) < 5 {
-			return fmt.Errorf("message is cut")
+		if len(b) < messageHeader {
+			return errors.New("message is cut")
 		}
-		n := int(binary.BigEndian.Uint32(b[1:])) + 1
-		if n < 5 || n > len(b) {
+		n := int(binary.BigEndian.Uint32(b[1:])) + 1 // the length does not count the type
+		if n < messageHeader || n > len(b) {
 			return fmt.Errorf("message of %d bytes in %d", n, len(b))
 		}
-		if err := f(b[0], b[5:n]); err != nil {
+		if err := f(b[0], b[messageHeader:n]); err != nil {
 			return err
 		}
 		b = b[n:]
@@ -288,18 +309,9 @@
 	return nil
 }
 
-// engineError is an ErrorResponse as the call's error.
-func engineError(body []byte) error {
-	f, err := pgwire.ParseFields(body)
-	if err != nil {
-		return err
-	}
-	return &callError{grpcstatus.FromEngineError(&f)}
-}
-
-// readToEnd reads an answer to its end without its rows. It returns the tag and, of a description, its
-// messages.
-func (c *call) readToEnd(ctx context.Context) (tag string, shape []byte, err error) {
+// readToEnd reads a response to its end without its rows. It returns the command tag and, of a description,
+// its messages.
+func (c *call) readToEnd(ctx context.Context) (tag string, description []byte, err error) {
 	var spare []byte
 	for more := true; more; {
 		var b []byte
@@ -308,14 +320,14 @@
 		}
 		err = forEachMessage(b, func(kind byte, body []byte) error {
 			switch kind {
-			case 'E':
+			case 'E': // ErrorResponse
 				return engineError(body)
-			case 'C':
+			case 'C': // CommandComplete
 				v, err := pgwire.ParseTag(body)
 				tag = string(v)
 				return err
-			case 't', 'T', 'n':
-				shape = pgwire.Append(shape, kind, body)
+			case 't', 'T', 'n': // ParameterDescription, RowDescription, NoData
+				description = pgwire.Append(description, kind, body)
 			}
 			return nil
 		})
@@ -327,5 +339,5 @@
 		}
 		spare = b
 	}
-	return tag, shape, nil
+	return tag, description, nil
 }
--- /dev/null
+++ b/internal/frontend/flightsql/connection.go
@@ -0,0 +1,120 @@
+package flightsql
+
+import (
+	"context"
+	"net"
+	"slices"
+	"sync/atomic"
+
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/stats"
+	"google.golang.org/grpc/status"
+
+	"cresspass/internal/overload/rapidreset"
+)
+
+// limitedListener accepts as many connections as there is capacity for.
+type limitedListener struct {
+	net.Listener
+	server *Server
+}
+
+func (l *limitedListener) Accept() (net.Conn, error) {
+	for {
+		nc, err := l.Listener.Accept()
+		if err != nil {
+			return nil, err
+		}
+		if acquire := l.server.cfg.AcquireConnection; acquire != nil && !acquire() {
+			_ = nc.Close() // gRPC has no way to reject a connection before its own handshake
+			continue
+		}
+		c := &countedConn{Conn: nc, server: l.server}
+		l.server.mu.Lock()
+		l.server.connsByAddr[nc.RemoteAddr().String()] = c
+		l.server.mu.Unlock()
+		return c, nil
+	}
+}
+
+// countedConn is one connection, which gives its capacity back as it closes.
+type countedConn struct {
+	net.Conn
+	server *Server
+	closed atomic.Bool
+}
+
+func (c *countedConn) Close() error {
+	if !c.closed.Swap(true) {
+		c.server.mu.Lock()
+		delete(c.server.connsByAddr, c.RemoteAddr().String())
+		c.server.mu.Unlock()
+		if c.server.cfg.ReleaseConnection != nil {
+			c.server.cfg.ReleaseConnection()
+		}
+	}
+	return c.Conn.Close()
+}
+
+// clientConn is a connection as gRPC sees it: it has the session of calls that bring no token.
+type clientConn struct {
+	token       string
+	netConn     *countedConn
+	basicTokens []string            // of its sessions by Basic authorization; under the server's lock
+	limiter     *rapidreset.Limiter // under the server's lock, as is rejected
+	rejected    bool
+}
+
+// close closes the connection; its error says nothing that gRPC does not see.
+func (c *clientConn) close() { _ = c.netConn.Close() }
+
+type connContextKey struct{}
+
+// TagConn gives each connection a token for its session.
+func (s *Server) TagConn(ctx context.Context, info *stats.ConnTagInfo) context.Context {
+	c := &clientConn{token: connTokenPrefix + randomName(),
+		limiter: rapidreset.New(rapidreset.DefaultLimits(), s.now())}
+	s.mu.Lock()
+	c.netConn = s.connsByAddr[info.RemoteAddr.String()]
+	s.clientConns[c] = struct{}{}
+	s.mu.Unlock()
+	return context.WithValue(ctx, connContextKey{}, c)
+}
+
+// HandleConn ends a connection's sessions with it.
+func (s *Server) HandleConn(ctx context.Context, st stats.ConnStats) {
+	if _, ok := st.(*stats.ConnEnd); !ok {
+		return
+	}
+	c := ctx.Value(connContextKey{}).(*clientConn)
+	s.mu.Lock()
+	delete(s.clientConns, c)
+	tokens := slices.Concat(c.basicTokens, []string{c.token})
+	c.basicTokens = nil
+	s.mu.Unlock()
+	for _, token := range tokens {
+		s.endSession(token, connectionIsGone)
+	}
+}
+
+// TagRPC does nothing: calls need no tag.
+func (s *Server) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
+
+// HandleRPC closes a connection that floods the server with calls that it cancels.
+func (s *Server) HandleRPC(ctx context.Context, st stats.RPCStats) {
+	end, ok := st.(*stats.End)
+	c, known := ctx.Value(connContextKey{}).(*clientConn)
+	if !ok || !known {
+		return
+	}
+	cancelled := status.Code(end.Error) == codes.Canceled
+	s.mu.Lock()
+	exceeded := c.limiter.CallEnded(s.now(), end.EndTime.Sub(end.BeginTime), cancelled) && !c.rejected
+	c.rejected = c.rejected || exceeded
+	s.mu.Unlock()
+	if exceeded {
+		s.log.Warn("connection closed", "peer", c.netConn.RemoteAddr(),
+			"reason", "it opens calls only to cancel them")
+		go c.close()
+	}
+}
--- a/internal/frontend/flightsql/grpcstatus/golden_test.go
+++ b/internal/frontend/flightsql/grpcstatus/golden_test.go
@@ -40,9 +40,12 @@
 	}
 	for _, v := range []*verdict.Verdict{verdict.Reject(0, false, ""), verdict.Reject(time.Second, true,
 		"last"),
-		verdict.Fail(""), verdict.Fail("last"), verdict.RejectOverLimit("full"), verdict.RejectAfterRestart(time.Second),
-		verdict.ShuttingDown(false), verdict.ShuttingDown(true), verdict.Invalid("22023", "x"), verdict.CancelledByClient(),
-		verdict.ConnectionLost("08006", "a", "b"), {Kind: verdict.InvalidRequest, Code: "25000", Message: "over", Detail: "d"},
+		verdict.Fail(""), verdict.Fail("last"), verdict.RejectOverLimit("full"),
+		verdict.RejectAfterRestart(time.Second),
+		verdict.ShuttingDown(false), verdict.ShuttingDown(true), verdict.Invalid("22023", "x"),
+		verdict.CancelledByClient(),
+		verdict.ConnectionLost("08006", "a", "b"), {Kind: verdict.InvalidRequest, Code: "25000",
+			Message: "over", Detail: "d"},
 		{Kind: verdict.Cancelled, Code: "57P01", Message: "m", Detail: "d"}} {
 		write(FromVerdict(v))
 	}
--- a/internal/frontend/flightsql/grpcstatus/status.go
+++ b/internal/frontend/flightsql/grpcstatus/status.go
@@ -1,7 +1,7 @@
-// Package grpcstatus puts final answers into gRPC's terms: a verdict of the dispatcher's, or an engine's
-// error, as a code with details that say what a client may do. It does no I/O.
+// Package grpcstatus converts final responses into gRPC's terms: a verdict of the dispatcher, or an engine's
+// error, becomes a code with details that say what a client may do. It does no I/O.
 //
-// UNAVAILABLE is what retry policies repeat. It never stands for something that may have run.
+// UNAVAILABLE is what retry policies repeat. It never stands for a statement that may have run.
 package grpcstatus
 
 import (
@@ -16,86 +16,101 @@
 
 	"cresspass/internal/dispatch/verdict"
 	"cresspass/internal/protocol/pgwire"
+	"cresspass/internal/protocol/sqlstate"
 )
 
 // Domain is the ErrorInfo domain of all statuses.
 const Domain = "cresspass"
 
-// The reasons of ErrorInfo.
+// The reasons of ErrorInfo, as clients receive them.
 const (
-	ReasonRejected  = "REFUSED"   // trying again is harmless
+	ReasonRejected  = "REFUSED"   // a retry is harmless
 	ReasonFailed    = "FAILED"    // nothing is promised
-	ReasonInvalid   = "FAULTY"    // turned away for what it says; nothing ran
-	ReasonCancelled = "CANCELLED" // by its client
+	ReasonInvalid   = "FAULTY"    // rejected for what the call says; nothing ran
+	ReasonCancelled = "CANCELLED" // by the client
 	ReasonEngine    = "ENGINE"    // the engine's own error
 )
 
-// Status is an end of a call.
+// Keys of ErrorInfo's metadata, and the values of ran.
+const (
+	metadataSQLState = "sqlstate"
+	metadataRan      = "ran"
+
+	ranNo       = "false"
+	ranUnknown  = "unknown"
+	ranHarmless = "harmless" // the statement may have run, and a retry does no harm
+)
+
+const (
+	// noRetry is the pushback that forbids a retry.
+	noRetry = -1
+	// minPushback is the shortest pushback that gRPC can send.
+	minPushback = time.Millisecond
+)
+
+// Status is the end of a call.
 type Status struct {
 	*status.Status
 	// Pushback is for the trailer grpc-retry-pushback-ms ("gRPC Retry Design", server pushback): how long to
-	// wait; below zero: do not repeat.
+	// wait before a retry; below zero: there must be none.
 	Pushback time.Duration
 	// MayHaveRun reports that the statement may have run.
 	MayHaveRun bool
 }
 
-// PushbackText is the value of the trailer.
+// PushbackText returns the value of the trailer.
 func (s *Status) PushbackText() string {
 	if s.Pushback < 0 {
-		return "-1"
+		return strconv.Itoa(noRetry)
 	}
-	return strconv.FormatInt(max(s.Pushback.Milliseconds(), 1), 10)
+	return strconv.FormatInt(max(s.Pushback, minPushback).Milliseconds(), 10)
 }
 
-// FromVerdict is a verdict's status.
+// FromVerdict returns a verdict's status.
 func FromVerdict(v *verdict.Verdict) *Status {
-	info := map[string]string{"sqlstate": v.Code, "ran": "false"}
-	if v.MayHaveRun {
-		info["ran"] = "unknown"
-	}
 	message := v.Message
 	if v.Detail != "" {
 		message += ". " + v.Detail
 	}
 	switch v.Kind {
 	case verdict.Rejected:
-		code := codes.ResourceExhausted
-		if v.Code == "57P01" && !v.MayHaveRun {
-			code = codes.Unavailable // another instance may take it at once
-		}
-		if v.MayHaveRun {
-			info["ran"] = "harmless"
-		}
-		details := []protoadapt.MessageV1{protoadapt.MessageV1Of(errorInfo(ReasonRejected, info))}
-		if v.RetryAfter > 0 {
-			details = append(details, protoadapt.MessageV1Of(&errdetails.RetryInfo{
-				RetryDelay: durationpb.New(v.RetryAfter)}))
-		}
-		return build(code, message, max(v.RetryAfter, time.Millisecond), v.MayHaveRun, details...)
+		return rejection(v, message)
 	case verdict.Cancelled:
-		return build(
-			codes.Canceled,
-			message,
-			-1,
-			true,
-			protoadapt.MessageV1Of(errorInfo(ReasonCancelled, info)),
-		)
+		return build(codes.Canceled, message, noRetry, true,
+			errorInfo(ReasonCancelled, metadata(v.Code, mayHaveRunText(v))))
 	case verdict.InvalidRequest:
-		return build(
-			codeOfSQLState(v.Code),
-			message,
-			-1,
-			false,
-			protoadapt.MessageV1Of(errorInfo(ReasonInvalid, info)),
-		)
+		return build(codeOfSQLState(v.Code), message, noRetry, false,
+			errorInfo(ReasonInvalid, metadata(v.Code, mayHaveRunText(v))))
 	}
-	info["ran"] = "unknown"
-	return build(codes.Unknown, message, -1, true, protoadapt.MessageV1Of(errorInfo(ReasonFailed, info)))
+	return build(codes.Unknown, message, noRetry, true,
+		errorInfo(ReasonFailed, metadata(v.Code, ranUnknown)))
 }
 
-// FromEngineError is the status of an engine's ErrorResponse. It ended the statement, which had no effect;
-// but what the text did before, outside a transaction, may stand.
+// rejection returns the status of a rejected statement, which may be retried.
+func rejection(v *verdict.Verdict, message string) *Status {
+	code, ran := codes.ResourceExhausted, ranNo
+	if v.MayHaveRun {
+		ran = ranHarmless
+	} else if v.Code == sqlstate.AdminShutdown {
+		code = codes.Unavailable // another instance may take it at once
+	}
+	details := []protoadapt.MessageV1{errorInfo(ReasonRejected, metadata(v.Code, ran))}
+	if v.RetryAfter > 0 {
+		details = append(details, protoadapt.MessageV1Of(&errdetails.RetryInfo{
+			RetryDelay: durationpb.New(v.RetryAfter)}))
+	}
+	return build(code, message, max(v.RetryAfter, minPushback), v.MayHaveRun, details...)
+}
+
+func mayHaveRunText(v *verdict.Verdict) string {
+	if v.MayHaveRun {
+		return ranUnknown
+	}
+	return ranNo
+}
+
+// FromEngineError returns the status of an engine's ErrorResponse. The statement that it ended had no effect,
+// but what the text did before, outside a transaction, may be in force.
 func FromEngineError(f *pgwire.Fields) *Status {
 	message := f.Message
 	if f.Detail != "" {
@@ -104,59 +119,87 @@
 	if f.Hint != "" {
 		message += ". " + f.Hint
 	}
-	return build(codeOfSQLState(f.Code), message, -1, true, protoadapt.MessageV1Of(errorInfo(ReasonEngine,
-		map[string]string{"sqlstate": f.Code, "ran": "unknown"})))
+	return build(codeOfSQLState(f.Code), message, noRetry, true,
+		errorInfo(ReasonEngine, metadata(f.Code, ranUnknown)))
 }
 
-// InvalidCall is a status of ours for a call that asks for what is not to be had. Nothing ran.
+// InvalidCall returns the status of a call that asks for what is not to be had. Nothing ran.
 func InvalidCall(code codes.Code, message string) *Status {
-	return build(code, message, -1, false, protoadapt.MessageV1Of(errorInfo(ReasonInvalid,
-		map[string]string{"ran": "false"})))
+	return build(code, message, noRetry, false,
+		errorInfo(ReasonInvalid, map[string]string{metadataRan: ranNo}))
+}
+
+func metadata(code, ran string) map[string]string {
+	return map[string]string{metadataSQLState: code, metadataRan: ran}
 }
 
-func errorInfo(reason string, info map[string]string) *errdetails.ErrorInfo {
-	return &errdetails.ErrorInfo{Reason: reason, Domain: Domain, Metadata: info}
+func errorInfo(reason string, metadata map[string]string) protoadapt.MessageV1 {
+	return protoadapt.MessageV1Of(&errdetails.ErrorInfo{Reason: reason, Domain: Domain, Metadata: metadata})
 }
 
-func build(code codes.Code, message string, pushback time.Duration, ran bool,
+// build returns a status. Details that cannot be encoded are left out.
+func build(code codes.Code, message string, pushback time.Duration, mayHaveRun bool,
 	details ...protoadapt.MessageV1) *Status {
 	s := status.New(code, message)
 	if with, err := s.WithDetails(details...); err == nil {
 		s = with
 	}
-	return &Status{Status: s, Pushback: pushback, MayHaveRun: ran}
+	return &Status{Status: s, Pushback: pushback, MayHaveRun: mayHaveRun}
+}
+
+// codesByState are the codes of SQLSTATEs that say more than their class ("PostgreSQL Error Codes").
+var codesByState = map[string]codes.Code{
+	sqlstate.QueryCanceled: codes.Canceled,
+	"23505":                codes.AlreadyExists, // unique_violation
+	"42P04":                codes.AlreadyExists, // duplicate_database
+	"42P05":                codes.AlreadyExists, // duplicate_prepared_statement
+	"42P06":                codes.AlreadyExists, // duplicate_schema
+	"42P07":                codes.AlreadyExists, // duplicate_table
+	"42710":                codes.AlreadyExists, // duplicate_object
+	"42723":                codes.AlreadyExists, // duplicate_function
+	"42P01":                codes.NotFound,      // undefined_table
+	"42703":                codes.NotFound,      // undefined_column
+	"42704":                codes.NotFound,      // undefined_object
+	"42883":                codes.NotFound,      // undefined_function
+	"3D000":                codes.NotFound,      // invalid_catalog_name
+	"3F000":                codes.NotFound,      // invalid_schema_name
+	"26000":                codes.NotFound,      // invalid_sql_statement_name
+	"34000":                codes.NotFound,      // invalid_cursor_name
+	"42501":                codes.PermissionDenied,
+	"25P03":                codes.DeadlineExceeded, // idle_in_transaction_session_timeout
+	"57P05":                codes.DeadlineExceeded, // idle_session_timeout
 }
 
-// codeOfSQLState is the code of a SQLSTATE ("PostgreSQL Error Codes"): by the state where it says more than
-// its class, else by its class. Danger: none of them is UNAVAILABLE, or RESOURCE_EXHAUSTED, which says here
-// that nothing ran.
+// codesByClass are the codes of classes of SQLSTATE; any other is Unknown.
+var codesByClass = map[string]codes.Code{
+	"0A": codes.Unimplemented,
+	"03": codes.InvalidArgument,
+	"22": codes.InvalidArgument,
+	"42": codes.InvalidArgument,
+	"28": codes.Unauthenticated,
+	"23": codes.FailedPrecondition,
+	"24": codes.FailedPrecondition,
+	"25": codes.FailedPrecondition,
+	"27": codes.FailedPrecondition,
+	"2B": codes.FailedPrecondition,
+	"2D": codes.FailedPrecondition,
+	"3B": codes.FailedPrecondition,
+	"44": codes.FailedPrecondition,
+	"54": codes.FailedPrecondition,
+	"55": codes.FailedPrecondition,
+	"40": codes.Aborted,
+}
+
+// codeOfSQLState returns the code of a SQLSTATE. It is never UNAVAILABLE, which clients retry, nor
+// RESOURCE_EXHAUSTED, which says here that nothing ran: an engine's error proves neither.
 func codeOfSQLState(state string) codes.Code {
-	switch state {
-	case "57014":
-		return codes.Canceled
-	case "23505", "42P04", "42P05", "42P06", "42P07", "42710", "42723":
-		return codes.AlreadyExists
-	case "42P01", "42703", "42704", "42883", "3D000", "3F000", "26000", "34000":
-		return codes.NotFound
-	case "42501":
-		return codes.PermissionDenied
-	case "25P03", "57P05":
-		return codes.DeadlineExceeded
-	}
-	if len(state) < 2 {
-		return codes.Unknown
+	if code, ok := codesByState[state]; ok {
+		return code
 	}
-	switch state[:2] {
-	case "0A":
-		return codes.Unimplemented
-	case "22", "42", "03":
-		return codes.InvalidArgument
-	case "28":
-		return codes.Unauthenticated
-	case "23", "25", "24", "55", "2B", "2D", "3B", "44", "27", "54":
-		return codes.FailedPrecondition
-	case "40":
-		return codes.Aborted
+	if len(state) >= 2 {
+		if code, ok := codesByClass[state[:2]]; ok {
+			return code
+		}
 	}
 	return codes.Unknown
 }
--- a/internal/frontend/flightsql/grpcstatus/status_test.go
+++ b/internal/frontend/flightsql/grpcstatus/status_test.go
@@ -11,7 +11,8 @@
 	"cresspass/internal/protocol/pgwire"
 )
 
-// What each end becomes. No code that clients repeat by themselves stands for what may have run.
+// TestStatuses: what each end of a call becomes. No code that clients retry by themselves stands for a
+// statement that may have run.
 func TestStatuses(t *testing.T) {
 	for _, c := range []struct {
 		s        *Status
@@ -20,14 +21,16 @@
 		ran      string
 		pushback string
 	}{
-		{FromVerdict(verdict.Reject(1500*time.Millisecond, false, "")), codes.ResourceExhausted, ReasonRejected, "false",
+		{FromVerdict(verdict.Reject(1500*time.Millisecond, false, "")), codes.ResourceExhausted,
+			ReasonRejected, "false",
 			"1500"},
 		{FromVerdict(verdict.Reject(0, true, "x")), codes.ResourceExhausted, ReasonRejected, "harmless", "1"},
 		{FromVerdict(verdict.RejectOverLimit("full")), codes.ResourceExhausted, ReasonRejected, "false", "1"},
 		{FromVerdict(verdict.ShuttingDown(false)), codes.Unavailable, ReasonRejected, "false", "1"},
 		{FromVerdict(verdict.ShuttingDown(true)), codes.Unknown, ReasonFailed, "unknown", "-1"},
 		{FromVerdict(verdict.Fail("")), codes.Unknown, ReasonFailed, "unknown", "-1"},
-		{FromVerdict(verdict.ConnectionLost("08007", "a", "b")), codes.Unknown, ReasonFailed, "unknown", "-1"},
+		{FromVerdict(verdict.ConnectionLost("08007", "a", "b")), codes.Unknown, ReasonFailed, "unknown",
+			"-1"},
 		{FromVerdict(verdict.CancelledByClient()), codes.Canceled, ReasonCancelled, "unknown", "-1"},
 		{FromVerdict(verdict.Invalid("22023", "x")), codes.InvalidArgument, ReasonInvalid, "false", "-1"},
 		{FromEngineError(&pgwire.Fields{Code: "42P01"}), codes.NotFound, ReasonEngine, "unknown", "-1"},
--- /dev/null
+++ b/internal/frontend/flightsql/options.go
@@ -0,0 +1,124 @@
+package flightsql
+
+import (
+	"context"
+	"strconv"
+	"strings"
+
+	"github.com/apache/arrow-go/v18/arrow/flight"
+	pb "github.com/apache/arrow-go/v18/arrow/flight/gen/flight"
+
+	"cresspass/internal/backend/sessionparams"
+)
+
+// Options of a session besides the engine's settings.
+const (
+	optionCatalog     = "catalog"
+	optionSchema      = "schema"
+	optionApplication = "application_name"
+)
+
+// settingSearchPath is the engine's setting behind optionSchema.
+const settingSearchPath = "search_path"
+
+// SetSessionOptions sets what is replayed on whatever engine connection runs the session's statements.
+func (s *Server) SetSessionOptions(ctx context.Context,
+	req *flight.SetSessionOptionsRequest) (*flight.SetSessionOptionsResult, error) {
+	v := sessionOf(ctx)
+	res := &flight.SetSessionOptionsResult{Errors: map[string]*flight.SetSessionOptionsResultError{}}
+	for key, value := range req.GetSessionOptions() {
+		text, ok := optionText(value)
+		if !ok {
+			res.Errors[key] = &flight.SetSessionOptionsResultError{
+				Value: flight.SetSessionOptionsResultErrorInvalidValue}
+			continue
+		}
+		if !v.setOption(key, text) {
+			res.Errors[key] = &flight.SetSessionOptionsResultError{
+				Value: flight.SetSessionOptionsResultErrorInvalidName}
+		}
+	}
+	return res, nil
+}
+
+// setOption sets an option; an empty text sets it back to the default. It returns false where there is no
+// option of the name.
+func (v *session) setOption(key, text string) bool {
+	setting := strings.ToLower(key)
+	if setting == optionSchema {
+		setting = settingSearchPath
+	}
+	replayed := sessionparams.Replayed(setting)
+	if !replayed && setting != optionCatalog && setting != optionApplication {
+		return false
+	}
+	v.storeOption(key, setting, text)
+	if replayed {
+		v.defaultScope.replaySetting(setting, text)
+	}
+	return true
+}
+
+func (v *session) storeOption(key, setting, text string) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	switch setting {
+	case optionCatalog:
+		v.database = text
+	case optionApplication:
+		v.application = text
+	}
+	if v.options[key] = text; text == "" {
+		delete(v.options, key)
+	}
+}
+
+// replaySetting changes a setting that is replayed; an empty text sets it back to the default.
+func (sc *scope) replaySetting(name, text string) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	if text == "" {
+		sc.affinity.Params.ResetSetting(name)
+	} else {
+		sc.affinity.Params.ChangeSetting(name, text)
+	}
+}
+
+// optionText returns the text of an option's value. ok is false for a value of an unknown type.
+func optionText(o *flight.SessionOptionValue) (text string, ok bool) {
+	switch x := o.GetOptionValue().(type) {
+	case nil:
+		return "", true
+	case *pb.SessionOptionValue_StringValue:
+		return x.StringValue, true
+	case *pb.SessionOptionValue_BoolValue:
+		if x.BoolValue {
+			return "on", true
+		}
+		return "off", true
+	case *pb.SessionOptionValue_Int64Value:
+		return strconv.FormatInt(x.Int64Value, 10), true
+	case *pb.SessionOptionValue_DoubleValue:
+		return strconv.FormatFloat(x.DoubleValue, 'g', -1, 64), true
+	case *pb.SessionOptionValue_StringListValue_:
+		return strings.Join(x.StringListValue.GetValues(), ", "), true
+	}
+	return "", false
+}
+
+// GetSessionOptions returns what was set.
+func (s *Server) GetSessionOptions(ctx context.Context,
+	_ *flight.GetSessionOptionsRequest) (*flight.GetSessionOptionsResult, error) {
+	v := sessionOf(ctx)
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	options := map[string]*flight.SessionOptionValue{}
+	for key, text := range v.options {
+		option, err := flight.NewSessionOptionValue(text)
+		if err != nil {
+			return nil, err
+		}
+		options[key] = &option
+	}
+	return &flight.GetSessionOptionsResult{SessionOptions: options}, nil
+}
--- a/internal/frontend/flightsql/query.go
+++ b/internal/frontend/flightsql/query.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"strconv"
 	"strings"
 	"time"
@@ -18,12 +19,8 @@
 	"cresspass/internal/frontend/flightsql/ticket"
 )
 
-// How rows are gathered: a batch goes out at batchBytes or batchRows, or when no more came for lull.
-const (
-	batchBytes     = 512 << 10
-	batchRows      = 64 << 10
-	batchIdleFlush = 5 * time.Millisecond
-)
+// unknownCount is the number of rows or bytes in a FlightInfo where it is not known.
+const unknownCount = -1
 
 // description is what an engine said of a statement.
 type description struct {
@@ -32,8 +29,8 @@
 	parameterTypes string // OIDs of the parameters, 4 bytes each
 }
 
-// describe has a statement described, by what is known of its text or by an engine.
-func (s *Server) describe(ctx context.Context, t *scope, text string) (*description, error) {
+// describe has a statement described, from the cache or by an engine.
+func (s *Server) describe(ctx context.Context, sc *scope, text string) (*description, error) {
 	st := statement{text: text, parsed: s.scan(text), kind: enginequery.DescribeStatement}
 	switch len(st.parsed) {
 	case 0:
@@ -43,17 +40,11 @@
 		return nil, invalidCall(codes.InvalidArgument, "more than one statement in a query")
 	}
 	if st.parsed[0].Words[0] == "COPY" {
-		return nil, invalidCall(codes.Unimplemented, "COPY is not served over Flight SQL")
-	}
-	var b []byte
-	t.mu.Lock()
-	bound := t.affinity.Bound() // a table may be its session's own
-	t.mu.Unlock()
-	if s.cfg.CachedDescription != nil && !bound {
-		b = s.cfg.CachedDescription((&enginequery.Query{Text: text}).PrepareKey())
+		return nil, errCopy()
 	}
+	b := s.cachedDescription(sc, text)
 	if b == nil {
-		c, err := s.startStatement(ctx, t, st)
+		c, err := s.startStatement(ctx, sc, st)
 		if err != nil {
 			return nil, err
 		}
@@ -61,310 +52,200 @@
 			return nil, err
 		}
 	}
-	out := &description{params: arrow.NewSchema(nil, nil)}
+	return parseDescription(b)
+}
+
+func errCopy() error { return invalidCall(codes.Unimplemented, "COPY is not served over Flight SQL") }
+
+// cachedDescription returns the messages that describe a statement, from the cache; nil: they are not cached.
+// A sticky scope may have a table of its own, so for its statements the cache does not count.
+func (s *Server) cachedDescription(sc *scope, text string) []byte {
+	sc.mu.Lock()
+	sticky := sc.affinity.Bound()
+	sc.mu.Unlock()
+	if s.cfg.CachedDescription == nil || sticky {
+		return nil
+	}
+	return s.cfg.CachedDescription((&enginequery.Query{Text: text}).PrepareKey())
+}
+
+// parseDescription reads the messages that describe a statement.
+func parseDescription(b []byte) (*description, error) {
+	d := &description{params: arrow.NewSchema(nil, nil)}
 	err := forEachMessage(b, func(kind byte, body []byte) (err error) {
 		switch kind {
-		case 't':
-			out.params, _, err = arrowbatch.ParameterSchema(body)
-			out.parameterTypes = string(body[2:])
-		case 'T':
-			out.rows, err = arrowbatch.NewSchema(body, true)
+		case 't': // ParameterDescription
+			d.params, err = arrowbatch.ParameterSchema(body)
+			if err == nil {
+				d.parameterTypes = string(body[2:]) // behind their number
+			}
+		case 'T': // RowDescription
+			d.rows, err = arrowbatch.NewSchema(body, true)
 		}
 		return err
 	})
-	return out, err
+	return d, err
 }
 
-// arrowSchema is the schema of the rows; of none where there are none.
-func (h *description) arrowSchema() *arrow.Schema {
-	if h.rows == nil {
+// arrowSchema returns the schema of the rows; an empty one where there are none.
+func (d *description) arrowSchema() *arrow.Schema {
+	if d.rows == nil {
 		return arrow.NewSchema(nil, nil)
 	}
-	return h.rows.Arrow
+	return d.rows.Arrow
 }
 
 // issueTicket makes a FlightInfo with a ticket for a statement.
-func (s *Server) issueTicket(ctx context.Context, t *scope, text string, h *description, bind []byte,
-	d *flight.FlightDescriptor) (*flight.FlightInfo, error) {
+func (s *Server) issueTicket(ctx context.Context, sc *scope, text string, d *description, bindBody []byte,
+	fd *flight.FlightDescriptor) (*flight.FlightInfo, error) {
 	v := sessionOf(ctx)
-	tk := &ticket.Ticket{
-		Nonce:          s.nextID.Add(1),
-		Session:        v.token,
-		Transaction:    t.transactionID,
-		Text:           text,
-		ParameterTypes: h.parameterTypes,
-		BindBody:       bind,
-		ExpiresAt:      s.now() + s.cfg.TicketLifetime,
-	}
-	tk.SingleUse = s.cfg.Idempotent == nil ||
-		!s.cfg.Idempotent(v.client(ctx), &enginequery.Query{Kind: enginequery.Execute, Text: text,
-			Parsed: s.scan(text)})
-	handle, err := flightsql.CreateStatementQueryTicket(ticket.Seal(s.ticketKey, tk))
+	t := &ticket.Ticket{Nonce: s.nextID.Add(1), Session: v.token, Transaction: sc.transactionID, Text: text,
+		ParameterTypes: d.parameterTypes, BindBody: bindBody, ExpiresAt: s.now() + s.cfg.TicketLifetime}
+	t.SingleUse = s.cfg.Idempotent == nil || !s.cfg.Idempotent(v.client(ctx),
+		&enginequery.Query{Kind: enginequery.Execute, Text: text, Parsed: s.scan(text)})
+	handle, err := flightsql.CreateStatementQueryTicket(ticket.Seal(s.ticketKey, t))
 	if err != nil {
 		return nil, err
 	}
-	return &flight.FlightInfo{Schema: flight.SerializeSchema(h.arrowSchema(), s.mem), FlightDescriptor: d,
+	return &flight.FlightInfo{Schema: flight.SerializeSchema(d.arrowSchema(), s.mem), FlightDescriptor: fd,
 		Endpoint: []*flight.FlightEndpoint{{Ticket: &flight.Ticket{Ticket: handle},
 			ExpirationTime: timestamppb.New(time.Now().Add(s.cfg.TicketLifetime))}},
-		TotalRecords: -1, TotalBytes: -1}, nil
+		TotalRecords: unknownCount, TotalBytes: unknownCount}, nil
 }
 
-// describeStatement finds a statement's lane and has it described there.
-func (s *Server) describeStatement(
-	ctx context.Context,
-	q flightsql.StatementQuery,
-) (*scope, *description, error) {
-	t, err := sessionOf(ctx).scopeFor(q.GetTransactionId())
+// commandInfo makes a FlightInfo whose ticket is the command itself, as for catalog calls.
+func (s *Server) commandInfo(fd *flight.FlightDescriptor, schema *arrow.Schema) (*flight.FlightInfo, error) {
+	return &flight.FlightInfo{Endpoint: []*flight.FlightEndpoint{{Ticket: &flight.Ticket{Ticket: fd.Cmd}}},
+		FlightDescriptor: fd, Schema: flight.SerializeSchema(schema, s.mem), TotalRecords: unknownCount,
+		TotalBytes: unknownCount}, nil
+}
+
+// describeStatement finds a statement's scope and has it described there.
+func (s *Server) describeStatement(ctx context.Context, q flightsql.StatementQuery) (*scope, *description,
+	error) {
+	sc, err := sessionOf(ctx).scopeFor(q.GetTransactionId())
 	if err != nil {
 		return nil, nil, err
 	}
-	h, err := s.describe(ctx, t, q.GetQuery())
-	return t, h, err
+	d, err := s.describe(ctx, sc, q.GetQuery())
+	return sc, d, err
 }
 
 // GetFlightInfoStatement has a statement described and signs a ticket for it. Nothing of it runs.
 func (s *Server) GetFlightInfoStatement(ctx context.Context, q flightsql.StatementQuery,
-	d *flight.FlightDescriptor) (*flight.FlightInfo, error) {
-	t, h, err := s.describeStatement(ctx, q)
+	fd *flight.FlightDescriptor) (*flight.FlightInfo, error) {
+	sc, d, err := s.describeStatement(ctx, q)
 	if err != nil {
 		return nil, err
 	}
-	bind, err := arrowbatch.AppendBind(nil, nil, 0, h.rows)
+	bindBody, err := arrowbatch.AppendBind(nil, nil, 0, d.rows)
 	if err != nil {
 		return nil, err
 	}
-	return s.issueTicket(ctx, t, q.GetQuery(), h, bind, d)
+	return s.issueTicket(ctx, sc, q.GetQuery(), d, bindBody, fd)
 }
 
 // GetSchemaStatement has a statement described.
 func (s *Server) GetSchemaStatement(ctx context.Context, q flightsql.StatementQuery,
 	_ *flight.FlightDescriptor) (*flight.SchemaResult, error) {
-	_, h, err := s.describeStatement(ctx, q)
+	_, d, err := s.describeStatement(ctx, q)
 	if err != nil {
 		return nil, err
 	}
-	return &flight.SchemaResult{Schema: flight.SerializeSchema(h.arrowSchema(), s.mem)}, nil
+	return &flight.SchemaResult{Schema: flight.SerializeSchema(d.arrowSchema(), s.mem)}, nil
 }
 
 // DoGetStatement runs a ticket's statement, if this fetch may.
 func (s *Server) DoGetStatement(ctx context.Context,
 	q flightsql.StatementQueryTicket) (*arrow.Schema, <-chan flight.StreamChunk, error) {
-	tk, err := ticket.Open(s.ticketKey, q.GetStatementHandle())
+	t, err := s.openTicket(q.GetStatementHandle())
 	if err != nil {
-		return nil, nil, invalidCall(codes.PermissionDenied, "%v", err)
+		return nil, nil, err
 	}
 	v := sessionOf(ctx)
-	s.mu.Lock()
-	wait, err := s.tickets.BeginFetch(s.now(), tk, v.token)
-	s.mu.Unlock()
-	switch err {
-	case nil:
-	case ticket.ErrLedgerFull:
-		limit := verdict.RejectOverLimit(err.Error())
-		limit.RetryAfter = wait
-		return nil, nil, verdictError(limit)
-	case ticket.ErrOtherSession:
-		return nil, nil, invalidCall(codes.PermissionDenied, "%v", err)
-	case ticket.ErrExpired:
-		return nil, nil, invalidCall(codes.NotFound, "%v", err)
-	default:
-		return nil, nil, invalidCall(codes.FailedPrecondition, "%v", err)
-	}
-	done := func(ran bool) {
-		s.mu.Lock()
-		s.tickets.EndFetch(tk, ran)
-		s.mu.Unlock()
+	if err := s.beginFetch(t, v); err != nil {
+		return nil, nil, err
 	}
-	t, err := v.scopeFor([]byte(tk.Transaction))
+	sc, err := v.scopeFor([]byte(t.Transaction))
 	if err != nil {
-		done(false)
+		s.endFetch(t, false)
 		return nil, nil, err
 	}
-	st := statement{
-		text:           tk.Text,
-		parameterTypes: tk.ParameterTypes,
-		bindBody:       tk.BindBody,
-		parsed:         s.scan(tk.Text),
-		kind:           enginequery.Execute,
-	}
+	st := statement{text: t.Text, parameterTypes: t.ParameterTypes, bindBody: t.BindBody,
+		parsed: s.scan(t.Text), kind: enginequery.Execute}
 	if len(st.parsed) == 0 {
-		done(true)
-		ch := make(chan flight.StreamChunk)
-		close(ch)
-		return arrow.NewSchema(nil, nil), ch, nil
+		s.endFetch(t, true)
+		chunks := make(chan flight.StreamChunk)
+		close(chunks)
+		return arrow.NewSchema(nil, nil), chunks, nil
 	}
-	c, err := s.startStatement(ctx, t, st)
+	c, err := s.startStatement(ctx, sc, st)
 	if err != nil {
-		done(mayHaveRun(err))
+		s.endFetch(t, mayHaveRun(err))
 		return nil, nil, err
 	}
-	s.mu.Lock()
-	if s.runningFetches[tk.Nonce] == nil {
-		s.runningFetches[tk.Nonce] = map[*call]struct{}{}
-	}
-	s.runningFetches[tk.Nonce][c] = struct{}{}
-	s.mu.Unlock()
-	over := func(err error) {
-		s.mu.Lock()
-		if delete(s.runningFetches[tk.Nonce], c); len(s.runningFetches[tk.Nonce]) == 0 {
-			delete(s.runningFetches, tk.Nonce)
-		}
-		s.mu.Unlock()
-		done(mayHaveRun(err))
-	}
-	return s.streamBatches(ctx, c, over)
-}
-
-// mayHaveRun reports whether what ended so may have run.
-func mayHaveRun(err error) bool {
-	e, ok := err.(*callError)
-	return !ok || e.MayHaveRun
+	s.addRunning(t, c)
+	return s.streamBatches(ctx, c, func(err error) {
+		s.removeRunning(t, c)
+		s.endFetch(t, mayHaveRun(err))
+	})
 }
 
-// streamBatches reads an answer's rows into record batches. It returns once their schema is known, or the
-// query has ended without; over is called at the end.
-func (s *Server) streamBatches(ctx context.Context, c *call,
-	over func(error)) (*arrow.Schema, <-chan flight.StreamChunk, error) {
-	r := &batchReader{server: s, call: c, chunks: make(chan flight.StreamChunk)}
-	var spare []byte
-	for r.schema == nil {
-		b, more, err := c.receive(ctx, spare, 0)
-		if err == nil {
-			err = r.handleMessages(b)
-		}
-		if err != nil {
-			if r.builder != nil {
-				r.builder.Release()
-			}
-			c.abandon()
-			over(err)
-			return nil, nil, err
-		}
-		if spare = b; !more {
-			if r.schema == nil {
-				r.schema = &arrowbatch.Schema{Arrow: arrow.NewSchema(nil, nil)}
-			}
-			r.complete = true
-		}
+// openTicket decodes a ticket that a client sends.
+func (s *Server) openTicket(handle []byte) (*ticket.Ticket, error) {
+	t, err := ticket.Open(s.ticketKey, handle)
+	if err != nil {
+		return nil, invalidCall(codes.PermissionDenied, "%v", err)
 	}
-	go r.deliver(ctx, spare, over)
-	return r.schema.Arrow, r.chunks, nil
-}
-
-// batchReader turns one answer into record batches.
-type batchReader struct {
-	server   *Server
-	call     *call
-	chunks   chan flight.StreamChunk
-	schema   *arrowbatch.Schema
-	builder  *arrowbatch.Builder
-	complete bool // the answer is complete
-	batches  []arrow.RecordBatch
+	return t, nil
 }
 
-// handleMessages takes an engine's messages.
-func (r *batchReader) handleMessages(b []byte) error {
-	return forEachMessage(b, func(kind byte, body []byte) (err error) {
-		switch kind {
-		case 'T':
-			if r.schema, err = arrowbatch.NewSchema(body, false); err == nil {
-				r.builder = arrowbatch.NewBuilder(r.schema, r.server.mem)
-			}
-		case 'n':
-			r.schema = &arrowbatch.Schema{Arrow: arrow.NewSchema(nil, nil)}
-		case 'D':
-			if r.builder == nil {
-				return invalidCall(codes.Unknown, "a row came before its description")
-			}
-			if err := r.builder.Row(body); err != nil {
-				return invalidCall(codes.OutOfRange, "%v", err)
-			}
-			if r.builder.Bytes() >= batchBytes || r.builder.Rows() >= batchRows {
-				r.batches = append(r.batches, r.builder.Batch())
-			}
-		case 'H', 'G', 'W':
-			return invalidCall(codes.Unimplemented, "COPY is not served over Flight SQL")
-		case 'E':
-			return engineError(body)
-		}
-		return err
-	})
+// beginFetch decides whether a session may fetch a ticket now. endFetch must follow where the error is nil.
+func (s *Server) beginFetch(t *ticket.Ticket, v *session) error {
+	s.mu.Lock()
+	retryAfter, err := s.tickets.BeginFetch(s.now(), t, v.token)
+	s.mu.Unlock()
+	switch {
+	case err == nil:
+		return nil
+	case errors.Is(err, ticket.ErrLedgerFull):
+		rejection := verdict.RejectOverLimit(err.Error())
+		rejection.RetryAfter = retryAfter
+		return verdictError(rejection)
+	case errors.Is(err, ticket.ErrOtherSession):
+		return invalidCall(codes.PermissionDenied, "%v", err)
+	case errors.Is(err, ticket.ErrExpired):
+		return invalidCall(codes.NotFound, "%v", err)
+	}
+	return invalidCall(codes.FailedPrecondition, "%v", err)
 }
 
-// deliver hands batches on as they are taken. While nobody takes them nothing is read, the answer's buffer
-// fills and the engine is no longer read.
-func (r *batchReader) deliver(ctx context.Context, spare []byte, over func(error)) {
-	defer close(r.chunks)
-	var err error
-	defer func() {
-		for _, b := range r.batches {
-			b.Release()
-		}
-		if r.builder != nil {
-			r.builder.Release()
-		}
-		if err != nil {
-			r.call.abandon()
-		}
-		over(err)
-	}()
-	for {
-		if !r.sendBatches(ctx) {
-			err = ctx.Err()
-			return
-		}
-		if r.complete {
-			break
-		}
-		within := time.Duration(0)
-		if r.builder != nil && r.builder.Rows() > 0 {
-			within = batchIdleFlush
-		}
-		b, more, fail := r.call.receive(ctx, spare, within)
-		if fail == nil {
-			fail = r.handleMessages(b)
-		}
-		if fail != nil {
-			// What was whole goes out before the error: the client has it or not, as it pleases.
-			err = fail
-			select {
-			case r.chunks <- flight.StreamChunk{Err: fail}:
-			case <-ctx.Done():
-			}
-			return
-		}
-		r.complete = !more
-		if spare = b; len(b) == 0 && more || !more {
-			r.flushRows()
-		}
-	}
-	r.flushRows()
-	if !r.sendBatches(ctx) {
-		err = ctx.Err()
-	}
+func (s *Server) endFetch(t *ticket.Ticket, mayHaveRun bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.tickets.EndFetch(t, mayHaveRun)
 }
 
-// flushRows makes a batch of what rows there are.
-func (r *batchReader) flushRows() {
-	if r.builder != nil && r.builder.Rows() > 0 {
-		r.batches = append(r.batches, r.builder.Batch())
+// addRunning notes a call that runs for a ticket, so that CancelFlightInfo finds it.
+func (s *Server) addRunning(t *ticket.Ticket, c *call) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.runningFetches[t.Nonce] == nil {
+		s.runningFetches[t.Nonce] = map[*call]struct{}{}
 	}
+	s.runningFetches[t.Nonce][c] = struct{}{}
 }
 
-func (r *batchReader) sendBatches(ctx context.Context) bool {
-	for len(r.batches) > 0 {
-		select {
-		case r.chunks <- flight.StreamChunk{Data: r.batches[0]}:
-			r.batches = r.batches[1:]
-		case <-ctx.Done():
-			return false
-		}
+func (s *Server) removeRunning(t *ticket.Ticket, c *call) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if delete(s.runningFetches[t.Nonce], c); len(s.runningFetches[t.Nonce]) == 0 {
+		delete(s.runningFetches, t.Nonce)
 	}
-	return true
 }
 
 // executeUpdate runs a statement and returns how many rows it changed.
-func (s *Server) executeUpdate(ctx context.Context, t *scope, st statement) (int64, error) {
+func (s *Server) executeUpdate(ctx context.Context, sc *scope, st statement) (int64, error) {
 	st.kind = enginequery.Execute
 	switch len(st.parsed) {
 	case 0:
@@ -373,7 +254,7 @@
 	default:
 		return 0, invalidCall(codes.InvalidArgument, "more than one statement in an update")
 	}
-	c, err := s.startStatement(ctx, t, st)
+	c, err := s.startStatement(ctx, sc, st)
 	if err != nil {
 		return 0, err
 	}
@@ -384,7 +265,7 @@
 	return affectedRows(tag), nil
 }
 
-// affectedRows is the count of a command tag ("CommandComplete"); 0 for one that counts none.
+// affectedRows returns the count in a command tag ("CommandComplete"); 0 for a tag without one.
 func affectedRows(tag string) int64 {
 	n, err := strconv.ParseInt(tag[strings.LastIndexByte(tag, ' ')+1:], 10, 64)
 	if err != nil {
@@ -396,67 +277,63 @@
 // DoPutCommandStatementUpdate runs a statement that returns no rows.
 func (s *Server) DoPutCommandStatementUpdate(ctx context.Context, q flightsql.StatementUpdate) (int64,
 	error) {
-	t, err := sessionOf(ctx).scopeFor(q.GetTransactionId())
+	sc, err := sessionOf(ctx).scopeFor(q.GetTransactionId())
 	if err != nil {
 		return 0, err
 	}
-	bind, err := arrowbatch.AppendBind(nil, nil, 0, nil)
+	bindBody, err := arrowbatch.AppendBind(nil, nil, 0, nil)
 	if err != nil {
 		return 0, err
 	}
-	return s.executeUpdate(
-		ctx,
-		t,
-		statement{text: q.GetQuery(), parsed: s.scan(q.GetQuery()), bindBody: bind},
-	)
+	return s.executeUpdate(ctx, sc,
+		statement{text: q.GetQuery(), parsed: s.scan(q.GetQuery()), bindBody: bindBody})
 }
 
 // CancelFlightInfo cancels what runs for the tickets of a FlightInfo. Only its own session may.
 func (s *Server) CancelFlightInfo(ctx context.Context,
 	req *flight.CancelFlightInfoRequest) (flight.CancelFlightInfoResult, error) {
-	end := flight.CancelStatusNotCancellable
+	result := flight.CancelStatusNotCancellable
 	v := sessionOf(ctx)
-	for _, e := range req.GetInfo().GetEndpoint() {
-		q, err := flightsql.GetStatementQueryTicket(e.GetTicket())
+	for _, endpoint := range req.GetInfo().GetEndpoint() {
+		q, err := flightsql.GetStatementQueryTicket(endpoint.GetTicket())
 		if err != nil {
 			return flight.CancelFlightInfoResult{}, invalidCall(codes.InvalidArgument,
 				"the ticket is no statement's")
 		}
-		tk, err := ticket.Open(s.ticketKey, q.GetStatementHandle())
+		t, err := s.openTicket(q.GetStatementHandle())
 		if err != nil {
-			return flight.CancelFlightInfoResult{}, invalidCall(codes.PermissionDenied, "%v", err)
-		}
-		if tk.Session != v.token {
-			return flight.CancelFlightInfoResult{}, invalidCall(
-				codes.PermissionDenied,
-				"%v",
-				ticket.ErrOtherSession,
-			)
+			return flight.CancelFlightInfoResult{}, err
 		}
-		s.mu.Lock()
-		var calls []*call
-		for c := range s.runningFetches[tk.Nonce] {
-			calls = append(calls, c)
+		if t.Session != v.token {
+			return flight.CancelFlightInfoResult{}, invalidCall(codes.PermissionDenied, "%v",
+				ticket.ErrOtherSession)
 		}
-		// One that is not fetched yet will not be.
-		if len(calls) == 0 && tk.SingleUse {
-			if _, err := s.tickets.BeginFetch(s.now(), tk, v.token); err == nil {
-				s.tickets.EndFetch(tk, true)
-				end = flight.CancelStatusCancelled
-			}
-		}
-		s.mu.Unlock()
-		for _, c := range calls {
-			if c.cancel(verdict.CancelledByClient()) {
-				end = flight.CancelStatusCancelled
-			}
+		if s.cancelTicket(t, v) {
+			result = flight.CancelStatusCancelled
 		}
 	}
-	return flight.CancelFlightInfoResult{Status: end}, nil
+	return flight.CancelFlightInfoResult{Status: result}, nil
 }
 
-// commandInfo is a FlightInfo whose ticket is the command itself, as for catalog calls.
-func (s *Server) commandInfo(d *flight.FlightDescriptor, sc *arrow.Schema) (*flight.FlightInfo, error) {
-	return &flight.FlightInfo{Endpoint: []*flight.FlightEndpoint{{Ticket: &flight.Ticket{Ticket: d.Cmd}}},
-		FlightDescriptor: d, Schema: flight.SerializeSchema(sc, s.mem), TotalRecords: -1, TotalBytes: -1}, nil
+// cancelTicket cancels the calls that run for a ticket. A ticket for a single use that was not fetched yet
+// counts as fetched from then on. It returns whether anything was cancelled.
+func (s *Server) cancelTicket(t *ticket.Ticket, v *session) (cancelled bool) {
+	s.mu.Lock()
+	var calls []*call
+	for c := range s.runningFetches[t.Nonce] {
+		calls = append(calls, c)
+	}
+	if len(calls) == 0 && t.SingleUse {
+		if _, err := s.tickets.BeginFetch(s.now(), t, v.token); err == nil {
+			s.tickets.EndFetch(t, true)
+			cancelled = true
+		}
+	}
+	s.mu.Unlock()
+	for _, c := range calls {
+		if c.cancel(verdict.CancelledByClient()) {
+			cancelled = true
+		}
+	}
+	return cancelled
 }
--- a/internal/frontend/flightsql/scope.go
+++ b/internal/frontend/flightsql/scope.go
@@ -15,282 +15,286 @@
 	"cresspass/internal/dispatch/verdict"
 	"cresspass/internal/frontend/flightsql/statementqueue"
 	"cresspass/internal/protocol/sqlscan"
+	"cresspass/internal/protocol/sqlstate"
 )
 
-// scope is one lane of a session: that of its statements outside transactions, or a transaction.
+// scope is what statements of a session share an engine connection in: a transaction, or all that is outside
+// of transactions.
 type scope struct {
 	session       *session
-	transactionID string // of the transaction; "": outside
+	transactionID string // "": outside of transactions
 	lease         pgbackend.Lease
 
 	mu               sync.Mutex
 	queue            statementqueue.Queue
-	waiters          map[statementqueue.StatementID]chan struct{}
+	waiters          map[statementqueue.StatementID]chan struct{} // closed when the statement's turn comes
 	affinity         *affinity.Session
-	current          *call            // that has the lane alone
-	endVerdict       *verdict.Verdict // why the lane has ended; nil: it has not
-	connectionLost   bool             // its engine connection was lost while a statement was under way
-	notice           string           // to be told at the next call's end
-	transactionBegan bool             // a transaction's BEGIN was carried out
 	registration     registry.Entry
+	current          *call            // that runs exclusively; nil: none
+	endVerdict       *verdict.Verdict // why the scope has ended; nil: it has not
+	connectionLost   bool             // the engine connection was lost while a statement ran
+	transactionBegan bool             // the transaction's BEGIN was carried out
+	notice           string           // for the client, with its next calls
 }
 
-func newScope(of *session, id string, settings *sessionparams.Set) *scope {
-	t := &scope{
-		session:       of,
-		transactionID: id,
-		waiters:       map[statementqueue.StatementID]chan struct{}{},
-		affinity:      affinity.NewSession(),
-	}
-	t.affinity.Params.Inherit(settings)
-	t.lease.OnLost, t.lease.OnDrain = t.onIdleConnectionLost, t.onEngineDraining
-	t.registration.User, t.registration.Expire = of.user, t.terminateIfDue
-	return t
+func newScope(v *session, transactionID string, settings *sessionparams.Set) *scope {
+	sc := &scope{session: v, transactionID: transactionID,
+		waiters: map[statementqueue.StatementID]chan struct{}{}, affinity: affinity.NewSession()}
+	sc.affinity.Params.Inherit(settings)
+	sc.lease.OnLost, sc.lease.OnDrain = sc.onIdleConnectionLost, sc.onEngineDraining
+	sc.registration.User, sc.registration.Expire = v.user, sc.terminateIfDue
+	return sc
 }
 
-// acquireTurn waits for a statement's turn.
-func (t *scope) acquireTurn(ctx context.Context, alone bool) (statementqueue.StatementID, *verdict.Verdict) {
-	t.mu.Lock()
-	if t.endVerdict != nil {
-		defer t.mu.Unlock()
-		return 0, t.endedVerdict()
+// acquireTurn waits for a statement's turn. releaseTurn must follow where the verdict is nil.
+func (sc *scope) acquireTurn(ctx context.Context, exclusive bool) (statementqueue.StatementID,
+	*verdict.Verdict) {
+	sc.mu.Lock()
+	if sc.endVerdict != nil {
+		defer sc.mu.Unlock()
+		return 0, sc.endedVerdict()
 	}
-	if most := t.session.server.cfg.MaxWaiting; most > 0 && t.queue.Waiting() >= most {
-		t.mu.Unlock()
+	if limit := sc.session.server.cfg.MaxWaiting; limit > 0 && sc.queue.Waiting() >= limit {
+		sc.mu.Unlock()
 		return 0, verdict.RejectOverLimit("too many statements of the session wait for their turn")
 	}
-	id := statementqueue.StatementID(t.session.server.nextID.Add(1))
-	ch := make(chan struct{})
-	t.waiters[id] = ch
-	t.wakeWaiters(t.queue.Enqueue(id, alone))
-	t.mu.Unlock()
+	id := statementqueue.StatementID(sc.session.server.nextID.Add(1))
+	turn := make(chan struct{})
+	sc.waiters[id] = turn
+	sc.wakeWaiters(sc.queue.Enqueue(id, exclusive))
+	sc.mu.Unlock()
 	select {
-	case <-ch:
-		t.mu.Lock()
-		defer t.mu.Unlock()
-		if t.endVerdict != nil {
-			return 0, t.endedVerdict()
+	case <-turn:
+		sc.mu.Lock()
+		defer sc.mu.Unlock()
+		if sc.endVerdict != nil {
+			return 0, sc.endedVerdict()
 		}
 		return id, nil
 	case <-ctx.Done():
-		t.releaseTurn(id)
+		sc.releaseTurn(id)
 		return 0, verdict.RejectOverLimit("its time was over before its session's turn came")
 	}
 }
 
-// endedVerdict is what a statement of a lane that has ended is told: nothing of it ran. The caller holds the
-// lock.
-func (t *scope) endedVerdict() *verdict.Verdict {
+// endedVerdict is what a statement of a scope that has ended is answered: nothing of it ran. The caller holds
+// the lock.
+func (sc *scope) endedVerdict() *verdict.Verdict {
 	what := "the transaction has ended: "
-	if t.transactionID == "" {
+	if sc.transactionID == "" {
 		what = "the session has ended: "
 	}
-	return verdict.Invalid("25000", what+t.endVerdict.Message+". "+t.endVerdict.Detail)
+	return verdict.Invalid(sqlstate.InvalidTransactionState,
+		what+sc.endVerdict.Message+". "+sc.endVerdict.Detail)
 }
 
 // wakeWaiters lets statements run. The caller holds the lock.
-func (t *scope) wakeWaiters(run []statementqueue.StatementID) {
-	for _, id := range run {
-		if ch := t.waiters[id]; ch != nil {
-			close(ch)
-			delete(t.waiters, id)
+func (sc *scope) wakeWaiters(started []statementqueue.StatementID) {
+	for _, id := range started {
+		if turn := sc.waiters[id]; turn != nil {
+			close(turn)
+			delete(sc.waiters, id)
 		}
 	}
 }
 
 // releaseTurn ends a statement's turn.
-func (t *scope) releaseTurn(id statementqueue.StatementID) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if ch := t.waiters[id]; ch != nil {
-		delete(t.waiters, id)
-	}
-	t.wakeWaiters(t.queue.Remove(id))
+func (sc *scope) releaseTurn(id statementqueue.StatementID) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	delete(sc.waiters, id)
+	sc.wakeWaiters(sc.queue.Remove(id))
 }
 
-// needsExclusive reports whether statements may leave something, or change what is replayed.
+// needsExclusive reports whether statements may leave session state, or change what is replayed.
 func needsExclusive(parsed []sqlscan.Statement) bool {
 	return slices.ContainsFunc(parsed, func(st sqlscan.Statement) bool {
-		_, sets := sessionparams.ChangeOf(&st)
-		return sets || affinity.MayLeaveState(&st) || changesSessionState(&st)
+		return changesSettings(st) || affinity.MayLeaveState(&st) || changesSessionState(&st)
 	})
 }
 
-// changesSessionState reports whether a statement is about the transaction or session state that may stand.
+// changesSessionState reports whether a statement is about a transaction or session state that may exist.
 func changesSessionState(st *sqlscan.Statement) bool {
 	switch st.Words[0] {
 	case "COMMIT", "END", "ROLLBACK", "ABORT", "RELEASE", "DISCARD", "RESET", "UNLISTEN", "CLOSE",
-		"DEALLOCATE",
-		"PREPARE":
+		"DEALLOCATE", "PREPARE":
 		return true
 	}
 	return false
 }
 
-// prepareQuery puts a statement that has its turn into the terms of the core. The caller has the turn.
-func (t *scope) prepareQuery(c *call, k *enginequery.Query) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	k.OutsideTransaction, k.Settings = t.affinity.Status() == 'I', t.affinity.Params.Desired()
-	bound := t.affinity.Bound()
-	if !c.exclusive && !bound {
+func changesSettings(st sqlscan.Statement) bool {
+	_, ok := sessionparams.ChangeOf(&st)
+	return ok
+}
+
+func mayLeaveState(st sqlscan.Statement) bool { return affinity.MayLeaveState(&st) }
+
+// prepareQuery fills in what a query has to do with its scope. The caller has the turn.
+func (sc *scope) prepareQuery(c *call, q *enginequery.Query) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	q.OutsideTransaction = sc.affinity.Status() == 'I'
+	q.Settings = sc.affinity.Params.Desired()
+	sticky := sc.affinity.Bound()
+	if !c.exclusive && !sticky {
 		c.query.Lease = &pgbackend.Lease{OnLost: func() {}, OnDrain: func(time.Duration) {}}
 		return
 	}
-	t.current = c
-	c.query.Lease = &t.lease
-	k.Sticky = bound
-	if k.Kind == enginequery.Execute {
-		t.affinity.StatementsSent(k.Parsed)
-		k.MayBecomeSticky = !bound &&
-			(t.affinity.Bound() || slices.ContainsFunc(k.Parsed, func(st sqlscan.Statement) bool {
-				return affinity.MayLeaveState(&st)
-			}))
+	sc.current = c
+	c.query.Lease = &sc.lease
+	q.Sticky = sticky
+	if q.Kind == enginequery.Execute {
+		sc.affinity.StatementsSent(q.Parsed)
+		q.MayBecomeSticky = !sticky &&
+			(sc.affinity.Bound() || slices.ContainsFunc(q.Parsed, mayLeaveState))
 	}
-	k.Stateful = bound || k.MayBecomeSticky || slices.ContainsFunc(k.Parsed, func(st sqlscan.Statement) bool {
-		_, ok := sessionparams.ChangeOf(&st)
-		return ok
-	})
+	q.Stateful = sticky || q.MayBecomeSticky || slices.ContainsFunc(q.Parsed, changesSettings)
 }
 
 // settleQuery takes the end of a statement at its engine.
-func (t *scope) settleQuery(c *call, end pgbackend.QueryEnd) pgbackend.Disposition {
-	t.mu.Lock()
-	if t.current != c || t.endVerdict != nil {
-		t.mu.Unlock()
-		return pgbackend.Disposition{} // its answer has ended by other hands, or it was to leave nothing
+func (sc *scope) settleQuery(c *call, end pgbackend.QueryEnd) pgbackend.Disposition {
+	sc.mu.Lock()
+	if sc.current != c || sc.endVerdict != nil {
+		sc.mu.Unlock()
+		return pgbackend.Disposition{} // others have ended its response, or it was to leave nothing
 	}
-	p := t.affinity
-	p.Params.ConnectionHad(end.Settings)
+	a := sc.affinity
+	a.Params.ConnectionHad(end.Settings)
 	if end.SettingReported {
-		p.UnexpectedParameterStatus()
+		a.UnexpectedParameterStatus()
 	}
 	for _, tag := range end.CommandTags {
-		p.CommandComplete(tag)
+		a.CommandComplete(tag)
 	}
-	book := t.session.server.cfg.Registry
-	changed := p.ReadyForQuery(book.Now(), end.TransactionStatus)
-	keep := p.Bound()
-	t.queue.SetSticky(keep)
-	t.transactionBegan = t.transactionBegan || keep
-	stay := pgbackend.Disposition{Known: true, Keep: keep, Settings: p.Params.OnConnection()}
-	if t.transactionID != "" && t.transactionBegan && end.TransactionStatus == 'I' {
+	registry := sc.session.server.cfg.Registry
+	changed := a.ReadyForQuery(registry.Now(), end.TransactionStatus)
+	keep := a.Bound()
+	sc.queue.SetSticky(keep)
+	sc.transactionBegan = sc.transactionBegan || keep
+	d := pgbackend.Disposition{Known: true, Keep: keep, Settings: a.Params.OnConnection()}
+	if sc.transactionID != "" && sc.transactionBegan && end.TransactionStatus == 'I' {
 		// What a transaction leaves behind itself belongs to nobody: its connection is closed.
-		t.endVerdict = &verdict.Verdict{Kind: verdict.InvalidRequest, Code: "25000",
-			Message: "it was committed or rolled back"}
-		stay.Keep, stay.Known = false, !keep
+		sc.endVerdict = verdict.Invalid(sqlstate.InvalidTransactionState, "it was committed or rolled back")
+		d.Keep, d.Known = false, !keep
 		changed, keep = true, false
 	}
-	t.mu.Unlock()
+	sc.mu.Unlock()
 	if changed {
-		book.Update(&t.registration, keep, orphanedsession.Session{Engine: string(end.Engine), PID: end.PID,
-			Secret: end.Secret})
+		registry.Update(&sc.registration, keep, orphanedsession.Session{Engine: string(end.Engine),
+			PID: end.PID, Secret: end.Secret})
 	}
-	return stay
+	return d
 }
 
-// onResponseEnded tells that the lane's statement has its final answer. It is called under the answer's lock.
-func (t *scope) onResponseEnded(c *call) {
-	t.mu.Lock()
-	var end affinity.Termination
-	if t.current == c {
-		t.current = nil
-		if t.connectionLost {
-			end = t.affinity.ConnectionLost(false)
-		} else if t.lease.Engine() == "" {
-			// Danger: a statement that was refused before an engine saw it would hold the session to nothing.
-			t.affinity.Reset()
-			t.queue.SetSticky(false)
+// onResponseEnded is called under the response's lock when a statement has its final response.
+func (sc *scope) onResponseEnded(c *call) {
+	sc.mu.Lock()
+	var t affinity.Termination
+	if sc.current == c {
+		sc.current = nil
+		if sc.connectionLost {
+			t = sc.affinity.ConnectionLost(false)
+		} else if sc.lease.Engine() == "" {
+			// A statement that was rejected before an engine saw it has left nothing. Without this, it would
+			// bind the scope to an engine connection that does not exist.
+			sc.affinity.Reset()
+			sc.queue.SetSticky(false)
 		}
 	}
-	t.mu.Unlock()
-	if end.Code != "" {
-		go t.terminate(verdict.ConnectionLost(end.Code, end.Message, end.Detail))
+	sc.mu.Unlock()
+	if t.Code != "" {
+		go sc.terminate(lostVerdict(t))
 	}
 }
 
-// onConnectionLost ends the lane, whose engine connection was lost while a statement was out.
-func (t *scope) onConnectionLost(c *call, sent bool) {
-	t.mu.Lock()
-	end := t.affinity.ConnectionLost(sent)
-	t.mu.Unlock()
-	v := verdict.ConnectionLost(end.Code, end.Message, end.Detail)
-	if !sent {
-		v.MayHaveRun = false
-	}
+// onConnectionLost ends the scope, whose engine connection was lost while a statement ran.
+func (sc *scope) onConnectionLost(c *call, sent bool) {
+	sc.mu.Lock()
+	t := sc.affinity.ConnectionLost(sent)
+	sc.mu.Unlock()
+	v := lostVerdict(t)
+	v.MayHaveRun = sent
 	c.query.Response.FinishWithVerdict(v)
-	t.terminate(v)
+	sc.terminate(v)
 }
 
-// onIdleConnectionLost ends a lane whose engine connection was lost at rest.
-func (t *scope) onIdleConnectionLost() {
-	t.mu.Lock()
-	busy, bound := t.current != nil, t.affinity.Bound()
-	var end affinity.Termination
-	switch {
-	case bound && !busy:
-		end = t.affinity.ConnectionLost(false)
-	case bound: // the statement that is under way is ended first; then the lane is
-		t.connectionLost = true
+// onIdleConnectionLost ends the scope, whose engine connection was lost. A statement that runs is ended
+// first.
+func (sc *scope) onIdleConnectionLost() {
+	sc.mu.Lock()
+	bound := sc.affinity.Bound()
+	ended := bound && sc.current == nil
+	var t affinity.Termination
+	if ended {
+		t = sc.affinity.ConnectionLost(false)
+	} else if bound {
+		sc.connectionLost = true
 	}
-	t.mu.Unlock()
-	if end.Code != "" {
-		t.terminate(verdict.ConnectionLost(end.Code, end.Message, end.Detail))
+	sc.mu.Unlock()
+	if ended {
+		sc.terminate(lostVerdict(t))
 	}
 }
 
-// onEngineDraining tells the lane that its engine drains, and ends it at the limit.
-func (t *scope) onEngineDraining(within time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.affinity.StartDrain(t.session.server.cfg.Registry.Now() + within)
-	if t.affinity.Bound() {
-		t.notice = "the engine that this is kept on drains; what is not ended within " + within.String() +
+func lostVerdict(t affinity.Termination) *verdict.Verdict {
+	return verdict.ConnectionLost(t.Code, t.Message, t.Detail)
+}
+
+// onEngineDraining notifies the scope that its engine drains, and has it ended at the limit.
+func (sc *scope) onEngineDraining(within time.Duration) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	sc.affinity.StartDrain(sc.session.server.cfg.Registry.Now() + within)
+	if sc.affinity.Bound() {
+		sc.notice = "the engine that this is kept on drains; what is not ended within " + within.String() +
 			" will be"
 	}
 }
 
-// terminateIfDue ends the lane where its time has come.
-func (t *scope) terminateIfDue(now time.Duration, l affinity.Limits) {
-	t.mu.Lock()
-	if t.endVerdict != nil {
-		t.mu.Unlock()
+// terminateIfDue ends the scope where its time has come.
+func (sc *scope) terminateIfDue(now time.Duration, limits affinity.Limits) {
+	sc.mu.Lock()
+	if sc.endVerdict != nil {
+		sc.mu.Unlock()
 		return
 	}
-	end, due := t.affinity.Expire(now, t.current != nil, l)
-	t.mu.Unlock()
+	t, due := sc.affinity.Expire(now, sc.current != nil, limits)
+	sc.mu.Unlock()
 	if due {
-		t.terminate(verdict.ConnectionLost(end.Code, end.Message, end.Detail))
+		sc.terminate(lostVerdict(t))
 	}
 }
 
-// terminate ends the lane: what runs gets the verdict, what waits is told that it did not run, and the
-// engine's connection is closed, so that nothing stays open there. A session whose own lane ends, ends.
-func (t *scope) terminate(v *verdict.Verdict) {
-	t.mu.Lock()
-	if t.endVerdict == nil {
-		t.endVerdict = v
+// terminate ends the scope: what runs gets the verdict, what waits is answered that it did not run, and the
+// engine connection is closed, so that nothing stays open there. A session whose own scope ends, ends.
+func (sc *scope) terminate(v *verdict.Verdict) {
+	sc.mu.Lock()
+	if sc.endVerdict == nil {
+		sc.endVerdict = v
 	}
-	cur := t.current
-	t.queue.Close()
-	for id, ch := range t.waiters {
-		close(ch)
-		delete(t.waiters, id)
+	current := sc.current
+	sc.queue.Close()
+	for id, turn := range sc.waiters {
+		close(turn)
+		delete(sc.waiters, id)
 	}
-	t.mu.Unlock()
-	if cur != nil {
-		cur.cancel(v)
+	sc.mu.Unlock()
+	if current != nil {
+		current.cancel(v)
 	}
-	t.lease.Close()
-	t.session.server.cfg.Registry.Update(&t.registration, false, orphanedsession.Session{})
-	if t.transactionID == "" {
-		t.session.server.endSession(t.session.token, v.Message)
+	sc.lease.Close()
+	server := sc.session.server
+	server.cfg.Registry.Update(&sc.registration, false, orphanedsession.Session{})
+	if sc.transactionID == "" {
+		server.endSession(sc.session.token, v.Message)
 	}
 }
 
-// isSticky reports whether the lane is kept on an engine, or a statement of its runs.
-func (t *scope) isSticky() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.endVerdict == nil && (t.affinity.Bound() || t.transactionID != "" && !t.queue.Idle())
+// isSticky reports whether the scope is on an engine connection, or is a transaction whose statement runs.
+func (sc *scope) isSticky() bool {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	return sc.endVerdict == nil &&
+		(sc.affinity.Bound() || sc.transactionID != "" && !sc.queue.Idle())
 }
--- a/internal/frontend/flightsql/statementqueue/queue.go
+++ b/internal/frontend/flightsql/statementqueue/queue.go
@@ -1,8 +1,8 @@
-// Package statementqueue decides which statement of a session runs now. A Flight client asks for many things
-// of one session at once, and an engine's connection does one after the other. Statements that leave nothing
-// share the lane; one that may leave something, or needs what was left, has it alone. Nobody overtakes: one
-// that waits for the lane alone holds later ones back, so that a flood of plain ones cannot starve it. It
-// does no I/O and has no clock.
+// Package statementqueue decides which statement of a session runs now. A Flight client sends many statements
+// of one session at once, and an engine connection runs one after the other. Statements that leave no session
+// state run beside each other; one that may leave some, or needs what was left, runs exclusively. Statements
+// start in the order of their arrival: one that waits to run exclusively holds later ones back, so that a
+// flood of others cannot starve it. The package does no I/O and has no clock.
 package statementqueue
 
 // StatementID names a statement.
@@ -13,88 +13,87 @@
 	exclusive bool
 }
 
-// Queue is one session's lane. The zero value is free. It is for one goroutine at a time.
+// Queue holds the statements of one session. The zero value is empty. It is for one goroutine at a time.
 type Queue struct {
-	sharedRunning    int // running
-	exclusiveRunning bool
 	waiting          []entry
-	running          map[StatementID]bool // running ones; true: alone
+	running          map[StatementID]bool // true: exclusively
+	sharedRunning    int
+	exclusiveRunning bool
 	sticky           bool
 	closed           bool
 }
 
-// SetSticky tells that the session is kept on an engine's connection from here on, or is no more. Where it
-// is, every statement has the lane alone.
-func (l *Queue) SetSticky(sticky bool) { l.sticky = sticky }
+// SetSticky sets whether the session is on an engine connection. While it is, every statement runs
+// exclusively.
+func (q *Queue) SetSticky(sticky bool) { q.sticky = sticky }
 
-// Close has no further statement run. It returns those that wait; each is to be told so.
-func (l *Queue) Close() (waiting []StatementID) {
-	for _, e := range l.waiting {
+// Close lets no further statement start. It returns those that wait; each is to be notified.
+func (q *Queue) Close() (waiting []StatementID) {
+	for _, e := range q.waiting {
 		waiting = append(waiting, e.id)
 	}
-	l.waiting, l.closed = nil, true
+	q.waiting, q.closed = nil, true
 	return waiting
 }
 
-// Closed reports whether the lane was closed.
-func (l *Queue) Closed() bool { return l.closed }
-
-// Idle reports whether nothing runs or waits.
-func (l *Queue) Idle() bool {
-	return l.sharedRunning == 0 && !l.exclusiveRunning && len(l.waiting) == 0
+// Idle reports whether no statement runs or waits.
+func (q *Queue) Idle() bool {
+	return q.sharedRunning == 0 && !q.exclusiveRunning && len(q.waiting) == 0
 }
 
-// Waiting is the number of statements that wait.
-func (l *Queue) Waiting() int { return len(l.waiting) }
+// Waiting returns the number of statements that wait.
+func (q *Queue) Waiting() int { return len(q.waiting) }
 
-// Enqueue takes a statement. alone: it may leave something. It returns those that run from now on, the new
-// one perhaps among them. A closed lane runs none.
-func (l *Queue) Enqueue(id StatementID, exclusive bool) []StatementID {
-	if l.closed {
+// Enqueue adds a statement. exclusive: it may leave session state. It returns the statements that start now,
+// the new one perhaps among them. A closed queue starts none.
+func (q *Queue) Enqueue(id StatementID, exclusive bool) (started []StatementID) {
+	if q.closed {
 		return nil
 	}
-	l.waiting = append(l.waiting, entry{id, exclusive})
-	return l.startNext()
+	q.waiting = append(q.waiting, entry{id, exclusive})
+	return q.startNext()
 }
 
-// Remove tells that a statement has ended, or waits no more. It returns those that run from now on.
-func (l *Queue) Remove(id StatementID) []StatementID {
-	if exclusive, ok := l.running[id]; ok {
-		delete(l.running, id)
+// Remove takes out a statement that has ended, or that waits no more. It returns the statements that start
+// now.
+func (q *Queue) Remove(id StatementID) (started []StatementID) {
+	if exclusive, ok := q.running[id]; ok {
+		delete(q.running, id)
 		if exclusive {
-			l.exclusiveRunning = false
+			q.exclusiveRunning = false
 		} else {
-			l.sharedRunning--
+			q.sharedRunning--
 		}
-		return l.startNext()
+		return q.startNext()
 	}
-	for i, e := range l.waiting {
+	for i, e := range q.waiting {
 		if e.id == id {
-			l.waiting = append(l.waiting[:i], l.waiting[i+1:]...)
+			q.waiting = append(q.waiting[:i], q.waiting[i+1:]...)
 			break
 		}
 	}
-	return l.startNext()
+	return q.startNext()
 }
 
-func (l *Queue) startNext() (run []StatementID) {
-	if l.running == nil {
-		l.running = map[StatementID]bool{}
+// startNext starts the statements that may run, in order.
+func (q *Queue) startNext() (started []StatementID) {
+	if q.running == nil {
+		q.running = map[StatementID]bool{}
 	}
-	for len(l.waiting) > 0 && !l.exclusiveRunning {
-		e := l.waiting[0]
-		exclusive := e.exclusive || l.sticky
-		if exclusive && l.sharedRunning > 0 {
+	for len(q.waiting) > 0 && !q.exclusiveRunning {
+		next := q.waiting[0]
+		exclusive := next.exclusive || q.sticky
+		if exclusive && q.sharedRunning > 0 {
 			break
 		}
-		l.waiting = l.waiting[1:]
-		l.running[e.id] = exclusive
+		q.waiting = q.waiting[1:]
+		q.running[next.id] = exclusive
 		if exclusive {
-			l.exclusiveRunning = true
+			q.exclusiveRunning = true
 		} else {
-			l.sharedRunning++
+			q.sharedRunning++
 		}
-		run = append(run, e.id)
+		started = append(started, next.id)
 	}
-	return run
+	return started
 }
--- a/internal/frontend/flightsql/ticket/golden_test.go
+++ b/internal/frontend/flightsql/ticket/golden_test.go
@@ -20,7 +20,8 @@
 			BindBody: []byte{0, 0, 0, 0, 0, 1, 0, 1}, ExpiresAt: 5 * time.Minute},
 		"write": {Nonce: 1 << 60, Session: "conn-00/user", Transaction: "tx-0123456789abcdef0123456789abcdef",
 			Text: "insert into t values ($1) -- ä", ParameterTypes: "\x00\x00\x00\x19",
-			BindBody: []byte{0, 0, 0, 1, 0, 0, 0, 1, 'x', 0, 0}, ExpiresAt: 90*time.Second + 7, SingleUse: true},
+			BindBody: []byte{0, 0, 0, 1, 0, 0, 0, 1, 'x', 0, 0}, ExpiresAt: 90*time.Second + 7,
+			SingleUse: true},
 		"empty": {},
 	} {
 		file := filepath.Join("testdata", name+".ticket")
--- /dev/null
+++ b/internal/frontend/flightsql/ticket/ledger.go
@@ -0,0 +1,86 @@
+package ticket
+
+import (
+	"math"
+	"time"
+)
+
+// FetchLedger remembers which tickets for a single use were fetched. It is for one goroutine at a time.
+type FetchLedger struct {
+	capacity int
+	fetched  map[uint64]*fetch // by nonce
+	byExpiry []*fetch          // in the order of BeginFetch, which is that of expiry as far as it needs to be
+}
+
+type fetch struct {
+	nonce     uint64
+	expiresAt time.Duration
+}
+
+// NewFetchLedger returns a ledger that remembers up to capacity fetches.
+func NewFetchLedger(capacity int) *FetchLedger {
+	return &FetchLedger{capacity: capacity, fetched: map[uint64]*fetch{}}
+}
+
+// BeginFetch decides whether a session's fetch of a ticket runs its statement. EndFetch must follow where the
+// error is nil. retryAfter comes with ErrLedgerFull: when there may be capacity.
+func (l *FetchLedger) BeginFetch(now time.Duration, t *Ticket, session string) (retryAfter time.Duration,
+	err error) {
+	l.evictExpired(now)
+	switch {
+	case t.Session != session:
+		return 0, ErrOtherSession
+	case now >= t.ExpiresAt:
+		return 0, ErrExpired
+	case !t.SingleUse:
+		return 0, nil
+	case l.fetched[t.Nonce] != nil:
+		return 0, ErrAlreadyFetched
+	case len(l.fetched) >= l.capacity:
+		// No older fetch is evicted for this one: its statement would run a second time if its ticket were
+		// fetched again before it expires.
+		return max(l.earliestExpiry()-now, time.Millisecond), ErrLedgerFull
+	}
+	f := &fetch{nonce: t.Nonce, expiresAt: t.ExpiresAt}
+	l.fetched[t.Nonce] = f
+	l.byExpiry = append(l.byExpiry, f)
+	return 0, nil
+}
+
+// EndFetch reports how a fetch ended. mayHaveRun: its statement may have run. A ticket whose statement did
+// not may be fetched again.
+func (l *FetchLedger) EndFetch(t *Ticket, mayHaveRun bool) {
+	f := l.fetched[t.Nonce]
+	if f == nil || mayHaveRun {
+		return
+	}
+	delete(l.fetched, t.Nonce)
+	f.expiresAt = 0 // evictExpired drops it from byExpiry
+}
+
+// Len returns the number of fetches that are remembered.
+func (l *FetchLedger) Len() int { return len(l.fetched) }
+
+// earliestExpiry returns when the first ticket that is remembered expires.
+func (l *FetchLedger) earliestExpiry() time.Duration {
+	earliest := time.Duration(math.MaxInt64)
+	for _, f := range l.fetched {
+		earliest = min(earliest, f.expiresAt)
+	}
+	return earliest
+}
+
+// evictExpired forgets fetches whose tickets have expired and can be fetched no more, even while a statement
+// runs on behind that. All tickets have the same lifetime, so the oldest is the first.
+func (l *FetchLedger) evictExpired(now time.Duration) {
+	n := 0
+	for n < len(l.byExpiry) && now >= l.byExpiry[n].expiresAt {
+		if f := l.byExpiry[n]; l.fetched[f.nonce] == f {
+			delete(l.fetched, f.nonce)
+		}
+		n++
+	}
+	if l.byExpiry = l.byExpiry[n:]; n > 0 && len(l.byExpiry) == 0 {
+		l.byExpiry = nil
+	}
+}
--- a/internal/frontend/flightsql/ticket/ticket_test.go
+++ b/internal/frontend/flightsql/ticket/ticket_test.go
@@ -9,32 +9,22 @@
 	"pgregory.net/rapid"
 )
 
-// A ticket opens to what was sealed; changed in any byte, cut or signed by another key it does not.
+// FuzzOpen: a ticket opens to what was sealed. Changed in any byte, truncated or signed by another key it
+// does not open.
 func FuzzOpen(f *testing.F) {
-	key := []byte("key of a life")
-	f.Add("session", "lane", "select 1", "\x00\x00\x00\x19", []byte{1, 2}, uint64(7), int64(9), true, 3,
+	key := []byte("key of a process")
+	f.Add("session", "transaction", "select 1", "\x00\x00\x00\x19", []byte{1, 2}, uint64(7), int64(9), true,
+		3,
 		byte(1))
-	f.Fuzz(func(t *testing.T, session, lane, text, types string, bind []byte, nonce uint64, until int64,
-		once bool,
-		at int, change byte) {
-		in := &Ticket{
-			Nonce:          nonce,
-			Session:        session,
-			Transaction:    lane,
-			Text:           text,
-			ParameterTypes: types,
-			BindBody:       bind,
-			ExpiresAt:      time.Duration(until),
-			SingleUse:      once,
-		}
+	f.Fuzz(func(t *testing.T, session, transaction, text, types string, bind []byte, nonce uint64,
+		expiresAt int64, singleUse bool, at int, change byte) {
+		in := &Ticket{Nonce: nonce, Session: session, Transaction: transaction, Text: text,
+			ParameterTypes: types, BindBody: bind, ExpiresAt: time.Duration(expiresAt), SingleUse: singleUse}
 		b := Seal(key, in)
 		out, err := Open(key, b)
-		if err != nil || out.Session != session || out.Transaction != lane || out.Text != text ||
-			out.ParameterTypes != types ||
-			!bytes.Equal(
-				out.BindBody,
-				bind,
-			) || out.Nonce != nonce || out.ExpiresAt != in.ExpiresAt || out.SingleUse != once {
+		if err != nil || out.Session != session || out.Transaction != transaction || out.Text != text ||
+			out.ParameterTypes != types || !bytes.Equal(out.BindBody, bind) || out.Nonce != nonce ||
+			out.ExpiresAt != in.ExpiresAt || out.SingleUse != singleUse {
 			t.Fatalf("%+v comes back as %+v, %v", in, out, err)
 		}
 		if _, err := Open([]byte("another"), b); !errors.Is(err, ErrForged) {
@@ -52,20 +42,21 @@
 	})
 }
 
-// Against a model: what may change data is let run once, unless a run of it did not happen; never for another
-// session, never past its end; memory is bounded, and given back.
+// TestFetchLedger compares the ledger with a model: a statement that may change data runs once, unless a run
+// of it did not happen; never for another session, and never behind its ticket's expiry; memory is bounded,
+// and given back.
 func TestFetchLedger(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const life, most = 10 * time.Second, 4
-		b := NewFetchLedger(most)
+		const lifetime, capacity = 10 * time.Second, 4
+		ledger := NewFetchLedger(capacity)
 		now := time.Duration(0)
 		var all []*Ticket
-		runs, out := map[uint64]int{}, map[uint64]bool{}
+		runs, running := map[uint64]int{}, map[uint64]bool{}
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "kind") {
 			case 0:
-				all = append(all, &Ticket{Nonce: uint64(len(all)), Session: "s", ExpiresAt: now + life,
-					SingleUse: rapid.Bool().Draw(t, "once")})
+				all = append(all, &Ticket{Nonce: uint64(len(all)), Session: "s", ExpiresAt: now + lifetime,
+					SingleUse: rapid.Bool().Draw(t, "single use")})
 			case 1:
 				now += time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond
 			case 2:
@@ -74,44 +65,48 @@
 				}
 				k := rapid.SampledFrom(all).Draw(t, "ticket")
 				session := rapid.SampledFrom([]string{"s", "s", "other"}).Draw(t, "session")
-				wait, err := b.BeginFetch(now, k, session)
+				retryAfter, err := ledger.BeginFetch(now, k, session)
 				want := error(nil)
 				switch {
 				case session != "s":
 					want = ErrOtherSession
 				case now >= k.ExpiresAt:
 					want = ErrExpired
-				case k.SingleUse && (out[k.Nonce] || runs[k.Nonce] > 0):
+				case k.SingleUse && (running[k.Nonce] || runs[k.Nonce] > 0):
 					want = ErrAlreadyFetched
-				case k.SingleUse && err == ErrLedgerFull && b.Len() == most && wait > 0:
+				case k.SingleUse && errors.Is(err, ErrLedgerFull) && ledger.Len() == capacity &&
+					retryAfter > 0:
 					want = ErrLedgerFull
 				}
-				if err != want {
+				if !errors.Is(err, want) || err != nil && err.Error() != want.Error() {
 					t.Fatalf("ticket %+v at %v: %v, want %v", k, now, err, want)
 				}
 				if err == nil && k.SingleUse {
-					out[k.Nonce] = true
+					running[k.Nonce] = true
 				}
 			case 3:
 				for _, k := range all {
-					if out[k.Nonce] {
+					if running[k.Nonce] {
 						ran := rapid.Bool().Draw(t, "ran")
-						if b.EndFetch(k, ran); ran {
+						if ledger.EndFetch(k, ran); ran {
 							runs[k.Nonce]++
 						}
-						delete(out, k.Nonce)
+						delete(running, k.Nonce)
 						break
 					}
 				}
 			}
-			if b.Len() > most {
-				t.Fatalf("%d remembered, at most %d may be", b.Len(), most)
+			if ledger.Len() > capacity {
+				t.Fatalf("%d remembered, at most %d may be", ledger.Len(), capacity)
 			}
 		}
-		now += 2 * life
-		if b.BeginFetch(now, &Ticket{Nonce: 1 << 40, Session: "s", ExpiresAt: now + life}, "s"); b.Len() != 0 ||
-			len(b.byExpiry) != 0 {
-			t.Fatalf("%d and %d are left", b.Len(), len(b.byExpiry))
+		now += 2 * lifetime
+		last := &Ticket{Nonce: 1 << 40, Session: "s", ExpiresAt: now + lifetime}
+		if _, err := ledger.BeginFetch(now, last, "s"); err != nil {
+			t.Fatal(err)
+		}
+		if ledger.Len() != 0 || len(ledger.byExpiry) != 0 {
+			t.Fatalf("%d and %d are left", ledger.Len(), len(ledger.byExpiry))
 		}
 	})
 }
