--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -449,7 +449,7 @@
 		case <-time.After(10 * time.Second):
 			t.Fatalf("the former does not end:\n%s", a.log)
 		}
-		b.waitForLog(t, "msg=dispatchers ordinal=0")
+		b.waitForLog(t, `msg="membership changed" ordinal=0`)
 		time.Sleep(300 * time.Millisecond)
 		a = b
 	}
@@ -629,7 +629,7 @@
 	p.dir = copyTo
 	p.rig.Roster.Away(true) // only the kept list is known
 	s = p.start(t, "", false)
-	if !strings.Contains(s.log.String(), "loads without a known end\"=1") {
+	if !strings.Contains(s.log.String(), `msg="previous incarnation did not shut down cleanly" pending_writes=1`) {
 		t.Errorf("not told of the load: %s", s.log)
 	}
 	c = p.connect(t)
--- a/internal/server/accept_test.go
+++ b/internal/server/accept_test.go
@@ -17,7 +17,7 @@
 	"cresspass/internal/server"
 )
 
-// failingListener has some accepts fail by the system.
+// failingListener has its first accepts fail with an error of the system.
 type failingListener struct {
 	net.Listener
 	errno syscall.Errno
@@ -31,8 +31,8 @@
 	return l.Listener.Accept()
 }
 
-// TestFrontendsSurviveFailedAccepts: an accept that fails by the machine, or by the connection that it was to
-// take, ends no front.
+// An accept that fails because of the machine, or of the connection that it was to accept, ends no
+// frontend.
 func TestFrontendsSurviveFailedAccepts(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS,
 		syscall.EPROTO, syscall.ENOMEM} {
--- a/internal/server/benchmark_test.go
+++ b/internal/server/benchmark_test.go
@@ -137,6 +137,9 @@
 	b.ReportMetric(float64(refused.Load())/float64(b.N), "refused")
 }
 
+// idleClientsEnv has the child process of BenchmarkIdleClient hold clients, by an address and a number.
+const idleClientsEnv = "CRESSPASS_IDLE"
+
 // BenchmarkIdleClient measures what an idle client holds in the dispatcher: 10,000 of them, in kB each. The
 // clients are in a process of their own, as one process may not have so many files.
 func BenchmarkIdleClient(b *testing.B) {
@@ -161,7 +164,7 @@
 		}
 		before := memory()
 		child := exec.Command(os.Args[0])
-		child.Env = append(os.Environ(), fmt.Sprintf("CRESSPASS_IDLE=%s %d", s.Addr(), n))
+		child.Env = append(os.Environ(), fmt.Sprintf("%s=%s %d", idleClientsEnv, s.Addr(), n))
 		child.Stderr = os.Stderr
 		in, _ := child.StdinPipe()
 		out, _ := child.StdoutPipe()
@@ -214,7 +217,8 @@
 	return nil
 }
 
-// BenchmarkCore measures the core alone: a query taken, sent and answered, with 40 engines and 200 gateways.
+// BenchmarkCore measures the core alone: a query taken, sent and answered, with 40 engines and 200
+// gateways.
 func BenchmarkCore(b *testing.B) {
 	cfg := cresspass.Config{Seed: 1, GatewayCount: 200, BatchInterval: 5 * time.Millisecond, MayCancel: true,
 		KindNames: []string{"std"},
@@ -236,13 +240,25 @@
 	for b.Loop() {
 		id++
 		now += 100 * time.Microsecond
-		for _, o := range core.Step(now, []cresspass.Event{{Type: cresspass.QueryArrived, Query: id, Class: "q",
-			RemainingDeadline: 5 * time.Second}}) {
+		arrived := cresspass.Event{
+			Type:              cresspass.QueryArrived,
+			Query:             id,
+			Class:             "q",
+			RemainingDeadline: 5 * time.Second,
+		}
+		for _, o := range core.Step(now, []cresspass.Event{arrived}) {
 			if o.Type == dispatch.StartAttempt {
 				now += 50 * time.Microsecond
-				core.Step(now, []cresspass.Event{{Type: cresspass.AttemptDone, Query: o.Query,
-					Attempt: o.Attempt,
-					Engine:  o.Engine, Outcome: cresspass.OutcomeOK, Elapsed: 100 * time.Millisecond, QueryFinished: true}})
+				done := cresspass.Event{
+					Type:          cresspass.AttemptDone,
+					Query:         o.Query,
+					Attempt:       o.Attempt,
+					Engine:        o.Engine,
+					Outcome:       cresspass.OutcomeOK,
+					Elapsed:       100 * time.Millisecond,
+					QueryFinished: true,
+				}
+				core.Step(now, []cresspass.Event{done})
 				break
 			}
 		}
--- a/internal/server/copy_in_test.go
+++ b/internal/server/copy_in_test.go
@@ -15,7 +15,7 @@
 	"github.com/lib/pq"
 )
 
-// COPY by the ordinary drivers, alone and in transactions.
+// COPY FROM STDIN by ordinary drivers, alone and in transactions.
 func TestCopyInThroughDrivers(t *testing.T) {
 	_, s := startDispatcher(t, 3, baseSettings)
 	ctx := context.Background()
@@ -72,6 +72,7 @@
 	}
 }
 
+// failingReader fails at the end of its text.
 type failingReader struct{ r *strings.Reader }
 
 func (b *failingReader) Read(p []byte) (int, error) {
@@ -81,8 +82,8 @@
 	return b.r.Read(p)
 }
 
-// A client pushes a copy as fast as it can to an engine that takes 64 kB in 20 ms: what is under way stays
-// bounded, others are served, and when the client goes the engine undoes the copy and is free again.
+// A client sends a copy as fast as it can to an engine that takes 64 kB in 20 ms: what is in flight stays
+// bounded, others are served, and when the client disconnects the engine rolls the copy back.
 func TestCopyInAppliesBackPressure(t *testing.T) {
 	r, s := startDispatcher(t, 1, baseSettings)
 	c := dialServer(t, s)
@@ -109,7 +110,7 @@
 		}
 	}()
 	other := dialServer(t, s)
-	odd := dialServer(t, s) // a query in the midst of a copy fails the copy, and is not run
+	odd := dialServer(t, s) // a query in the middle of a copy fails the copy, and is not run
 	odd.send(&pgproto3.Query{String: "copy t from stdin"}, &pgproto3.CopyData{Data: []byte("a\n")},
 		&pgproto3.Query{String: "insert into t values (1) /*id='odd'*/"}, &pgproto3.Query{String: "select 1"})
 	if seen := append(odd.readUntil("Z"), odd.readUntil("Z")...); countPrefix(seen, "E:57014") != 1 ||
@@ -126,13 +127,13 @@
 	took := r.Engines[0].Copied()
 	// The network of both connections buffers up to some MB each; without back-pressure it were 1 GB.
 	if ahead := written.Load() - int64(took); ahead > 32<<20 || took < 1<<20 {
-		t.Errorf("%d bytes under way, %d taken by the engine", ahead, took)
+		t.Errorf("%d bytes in flight, %d taken by the engine", ahead, took)
 	}
 	if n := s.PendingBytes(); n > 1<<20 {
 		t.Errorf("%d bytes wait for clients", n)
 	}
 	c.conn.Close()
-	eventually(t, "the engine has undone the copy", func() bool {
+	eventually(t, "the engine has rolled the copy back", func() bool {
 		for _, v := range r.Engines[0].Runs() {
 			if v.ID == "push" {
 				return v.Outcome == "failed" || v.Outcome == "died"
--- a/internal/server/describe_cache.go
+++ b/internal/server/describe_cache.go
@@ -5,13 +5,13 @@
 	"sync"
 )
 
-// describeCache keeps what engines answered to the Describe of a statement, by text and types: the last used
-// ones.
+// describeCache keeps engines' responses to the Describe of a statement, by its text and parameter types.
+// It drops the least recently used one beyond its capacity. It is safe for concurrent use.
 type describeCache struct {
 	mu       sync.Mutex
 	capacity int
-	entries  map[string]*list.Element
-	recent   *list.List
+	entries  map[string]*list.Element // of *describeEntry
+	recent   *list.List               // the most recently used first
 }
 
 type describeEntry struct {
@@ -19,39 +19,41 @@
 	response []byte
 }
 
-func newDescribeCache(most int) *describeCache {
-	return &describeCache{capacity: most, entries: map[string]*list.Element{}, recent: list.New()}
+func newDescribeCache(capacity int) *describeCache {
+	return &describeCache{capacity: capacity, entries: map[string]*list.Element{}, recent: list.New()}
 }
 
-func (s *describeCache) get(key string) []byte {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	el := s.entries[key]
-	if el == nil {
+// get returns the cached response, or nil.
+func (c *describeCache) get(key string) []byte {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	element := c.entries[key]
+	if element == nil {
 		return nil
 	}
-	s.recent.MoveToFront(el)
-	return el.Value.(*describeEntry).response
+	c.recent.MoveToFront(element)
+	return element.Value.(*describeEntry).response
 }
 
-// put keeps a shape; nil: an error came for the statement, so what is known of it may be out of date.
-func (s *describeCache) put(key string, b []byte) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	el := s.entries[key]
+// put caches a response. Nil removes the key: the statement has failed, so its description may be out of
+// date.
+func (c *describeCache) put(key string, response []byte) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	element := c.entries[key]
 	switch {
-	case b == nil && el != nil:
-		s.recent.Remove(el)
-		delete(s.entries, key)
-	case b == nil:
-	case el != nil:
-		el.Value.(*describeEntry).response = b
-		s.recent.MoveToFront(el)
+	case response == nil && element != nil:
+		c.recent.Remove(element)
+		delete(c.entries, key)
+	case response == nil:
+	case element != nil:
+		element.Value.(*describeEntry).response = response
+		c.recent.MoveToFront(element)
 	default:
-		s.entries[key] = s.recent.PushFront(&describeEntry{key, b})
-		if s.recent.Len() > s.capacity {
-			old := s.recent.Remove(s.recent.Back()).(*describeEntry)
-			delete(s.entries, old.key)
+		c.entries[key] = c.recent.PushFront(&describeEntry{key, response})
+		if c.recent.Len() > c.capacity {
+			oldest := c.recent.Remove(c.recent.Back()).(*describeEntry)
+			delete(c.entries, oldest.key)
 		}
 	}
 }
--- a/internal/server/flight_fault_test.go
+++ b/internal/server/flight_fault_test.go
@@ -22,23 +22,11 @@
 	"google.golang.org/grpc/status"
 
 	"cresspass/internal/discovery/eds"
-	"cresspass/internal/rehearsal/testbed"
 	"cresspass/internal/standin"
 )
 
-// countRuns counts the runs of a name over all engines.
-func countRuns(r *testbed.Rig, id string) (n int) {
-	for _, e := range r.Engines {
-		for _, v := range e.Runs() {
-			if v.ID == id {
-				n++
-			}
-		}
-	}
-	return n
-}
-
-// reportedRun is what an error's ErrorInfo says of a run.
+// reportedRun is the reason of an error's ErrorInfo and whether it says that the statement ran; else its
+// text.
 func reportedRun(err error) string {
 	if i := errorInfo(err); i != nil {
 		return i.Reason + " " + i.Metadata["ran"]
@@ -47,7 +35,7 @@
 }
 
 // An engine that dies after three batches: the client has those, as far as the error did not overtake them,
-// and one error, which no retry policy repeats and which promises nothing.
+// and one error, which no retry policy repeats and which leaves open whether the statement ran.
 func TestFlightEngineDiesAfterThreeBatches(t *testing.T) {
 	r, s := startDispatcher(t, 2, flightSettings)
 	for _, e := range r.Engines {
@@ -76,7 +64,8 @@
 	}
 }
 
-// Tickets: forged, another session's, old, cancelled before their fetching, fetched twice at once and again.
+// Tickets: forged, of another session, expired, cancelled before they are fetched, fetched concurrently and
+// again.
 func TestFlightTickets(t *testing.T) {
 	r, s := startDispatcher(t, 2, flightSettings)
 	a, b := dialFlight(t, s, "a"), dialFlight(t, s, "b")
@@ -164,7 +153,7 @@
 	}
 }
 
-// The time left is grpc-timeout's; a call that is taken back ends its query at the engine.
+// The deadline is that of grpc-timeout; a call that is cancelled ends its query at the engine.
 func TestFlightDeadlineAndCancel(t *testing.T) {
 	r, s := startDispatcher(t, 1, flightSettings)
 	c := dialFlight(t, s, "u")
@@ -212,8 +201,8 @@
 	}
 }
 
-// A transaction whose session expires is rolled back, and its client is told so; one whose engine drains has
-// a notice, may commit within the grace, and is ended after it.
+// A transaction whose session expires is rolled back, and its client's next call says so; one whose engine
+// drains gets a notice, may commit within the grace, and is ended after it.
 func TestFlightTransactionsExpireAndDrain(t *testing.T) {
 	r, s := startDispatcher(
 		t,
@@ -273,7 +262,8 @@
 	}
 }
 
-// A stream that is left unread stops the reading of its engine, holds bounded memory, and others go on.
+// A stream that its client does not read stops the reading from its engine, buffers bounded memory, and
+// delays no other client.
 func TestFlightUnreadStream(t *testing.T) {
 	_, s := startDispatcher(t, 1, strings.Replace(flightSettings, `deadline = "5s"`, `deadline = "120s"`, 1))
 	slow, other := dialFlight(t, s, "slow"), dialFlight(t, s, "other")
@@ -312,7 +302,7 @@
 	}
 }
 
-// Ten thousand streams over ten connections: each has one end, served or refused, and none is left.
+// Ten thousand streams over ten connections: each has one end, served or rejected, and none is left.
 func TestFlightTenThousandStreams(t *testing.T) {
 	_, s := startDispatcher(t, 3, flightSettings)
 	var mu sync.Mutex
@@ -356,7 +346,7 @@
 	eventually(t, "nothing is left", func() bool { st := s.Stats(); return st.Open == 0 && st.Running == 0 })
 }
 
-// A client that opens calls only to reset them is sent away, and others are served meanwhile.
+// A client that opens calls only to reset them is disconnected, and others are served meanwhile.
 func TestFlightRapidReset(t *testing.T) {
 	_, s := startDispatcher(t, 1, flightSettings)
 	other := dialFlight(t, s, "other")
@@ -393,7 +383,7 @@
 			}
 		}
 	}
-	t.Logf("sent away after %d resets", sent)
+	t.Logf("disconnected after %d resets", sent)
 	eventually(t, "the connection is closed", func() bool {
 		_, err := nc.Write([]byte{0})
 		return err != nil
--- a/internal/server/flight_frontend.go
+++ b/internal/server/flight_frontend.go
@@ -9,34 +9,51 @@
 	"cresspass/internal/netlisten"
 )
 
-// newFlightFrontend makes the front for Flight SQL, where the settings have one.
-func (s *Server) newFlightFrontend() error {
-	cfg := s.cfg
-	if cfg.Flight.Listen == "" {
+// openFlightFrontend opens the Flight SQL frontend, where the settings have one.
+func (s *Server) openFlightFrontend() error {
+	if s.cfg.Flight.Listen == "" {
 		return nil
 	}
-	if s.flightListener = cfg.FlightListener; s.flightListener == nil {
-		ln, err := netlisten.Open(cfg.Flight.Listen)
+	s.flightListener = s.cfg.FlightListener
+	if s.flightListener == nil {
+		ln, err := netlisten.Open(s.cfg.Flight.Listen)
 		if err != nil {
 			return err
 		}
 		s.flightListener = ln
 	}
-	f := &cfg.Flight
-	s.flightFrontend = flightsql.New(
-		flightsql.Config{Version: version, Registry: s.affinity, HoldBack: cfg.HoldBack,
-			Budget: &response.BufferBudget{MaxBytes: cfg.HoldBackTotal}, ClientBuffer: cfg.ClientBuffer,
-			MaxMessage: cfg.MaxMessage, MaxStreams: f.MaxStreams, TicketLifetime: f.TicketLife,
-			MaxTickets: f.MaxTickets, SessionLimits: bearertoken.Limits{IdleTimeout: f.SessionRest, MaxSessions: cfg.MaxClients},
-			MaxTransactions: f.MaxTransactions, MaxPrepared: f.MaxPrepared, MaxWaiting: f.MaxWaiting,
-			KeepAlive: f.KeepAlive, MaxConnectionAge: f.MaxAge,
-			AcquireConnection: func() bool { return s.admitConnection(flightsql.Name) },
-			ReleaseConnection: func() { s.releaseConnection(flightsql.Name) },
-			AdmitUser:         s.admitClient, ReleaseUser: s.releaseClient, CachedDescription: s.describeCache.get,
-			Idempotent:        func(who classify.Client, a *enginequery.Query) bool { return s.classify.Load().Idempotent(who, a) },
-			StatelessFunction: harmlessFunctions(cfg.HarmlessFunctions)},
-		s,
-		s.log,
-	)
+	s.flightFrontend = flightsql.New(s.flightFrontendConfig(), s, s.log)
 	return nil
 }
+
+// flightFrontendConfig returns the settings of the Flight SQL frontend.
+func (s *Server) flightFrontendConfig() flightsql.Config {
+	flight := &s.cfg.Flight
+	return flightsql.Config{
+		Version:          serverVersion,
+		HoldBack:         s.cfg.HoldBack,
+		Budget:           &response.BufferBudget{MaxBytes: s.cfg.HoldBackTotal},
+		ClientBuffer:     s.cfg.ClientBuffer,
+		MaxMessage:       s.cfg.MaxMessage,
+		MaxStreams:       flight.MaxStreams,
+		TicketLifetime:   flight.TicketLife,
+		MaxTickets:       flight.MaxTickets,
+		SessionLimits:    bearertoken.Limits{IdleTimeout: flight.SessionRest, MaxSessions: s.cfg.MaxClients},
+		MaxTransactions:  flight.MaxTransactions,
+		MaxPrepared:      flight.MaxPrepared,
+		MaxWaiting:       flight.MaxWaiting,
+		KeepAlive:        flight.KeepAlive,
+		MaxConnectionAge: flight.MaxAge,
+
+		Registry:          s.affinity,
+		AdmitUser:         s.admitUser,
+		ReleaseUser:       s.releaseUser,
+		AcquireConnection: func() bool { return s.acquireConnection(flightsql.Name) },
+		ReleaseConnection: func() { s.releaseConnection(flightsql.Name) },
+		CachedDescription: s.describeCache.get,
+		Idempotent: func(client classify.Client, q *enginequery.Query) bool {
+			return s.classifier.Load().Idempotent(client, q)
+		},
+		StatelessFunction: functionMatcher(s.cfg.HarmlessFunctions),
+	}
+}
--- a/internal/server/flight_test.go
+++ b/internal/server/flight_test.go
@@ -9,312 +9,21 @@
 	"testing"
 	"time"
 
-	"github.com/apache/arrow-go/v18/arrow"
 	"github.com/apache/arrow-go/v18/arrow/array"
 	"github.com/apache/arrow-go/v18/arrow/flight"
 	"github.com/apache/arrow-go/v18/arrow/flight/flightsql"
 	_ "github.com/apache/arrow-go/v18/arrow/flight/flightsql/driver"
 	"github.com/apache/arrow-go/v18/arrow/memory"
-	"github.com/jackc/pgx/v5"
-	"github.com/jackc/pgx/v5/pgconn"
 	"github.com/jackc/pgx/v5/pgtype"
 	_ "github.com/jackc/pgx/v5/stdlib"
-	"google.golang.org/genproto/googleapis/rpc/errdetails"
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/credentials/insecure"
 	healthpb "google.golang.org/grpc/health/grpc_health_v1"
 	"google.golang.org/grpc/status"
-
-	"cresspass/internal/frontend/flightsql/arrowbatch"
-	"cresspass/internal/server"
 )
 
-const flightSettings = baseSettings + "flight {\n  listen = \"127.0.0.1:0\"\n  ticket_life = \"2s\"\n}\n"
-
-// flightClient is a client of the raw protocol, with a session.
-type flightClient struct {
-	*flightsql.Client
-	ctx context.Context
-}
-
-func dialFlight(t testing.TB, s *server.Server, user string, opts ...grpc.DialOption) *flightClient {
-	t.Helper()
-	c, err := flightsql.NewClient(s.FlightAddr(), nil, nil, append(opts,
-		grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(64<<20)))...)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { c.Close() })
-	ctx := context.Background()
-	if user != "" {
-		if ctx, err = c.Client.AuthenticateBasicToken(ctx, user, "p"); err != nil {
-			t.Fatal(err)
-		}
-	}
-	return &flightClient{c, ctx}
-}
-
-// rows fetches all rows of a FlightInfo, each value as PostgreSQL's text; "\\N" is null.
-func (c *flightClient) rows(ctx context.Context, info *flight.FlightInfo) (out [][]string, err error) {
-	r, err := c.DoGet(ctx, info.Endpoint[0].Ticket)
-	if err != nil {
-		return nil, err
-	}
-	defer r.Release()
-	for r.Next() {
-		rec := r.RecordBatch()
-		for i := range int(rec.NumRows()) {
-			var row []string
-			for _, col := range rec.Columns() {
-				v, null, err := arrowbatch.PostgresText(col, i)
-				if err != nil {
-					return nil, err
-				}
-				if null {
-					v = `\N`
-				}
-				row = append(row, v)
-			}
-			out = append(out, row)
-		}
-	}
-	return out, r.Err()
-}
-
-func (c *flightClient) query(text string, opts ...grpc.CallOption) ([][]string, error) {
-	info, err := c.Execute(c.ctx, text, opts...)
-	if err != nil {
-		return nil, err
-	}
-	return c.rows(c.ctx, info)
-}
-
-// suiteClient is a front's client as the suite sees it: rows as text, errors as SQLSTATE and what they
-// promise.
-type suiteClient interface {
-	query(t *testing.T, text string, params ...string) ([][]string, string)
-	exec(t *testing.T, text string, params ...string) (int64, string)
-	begin(t *testing.T) (end func(commit bool) string)
-	set(t *testing.T, name, value string)
-}
-
-type pgSuiteClient struct{ conn *pgx.Conn }
-
-func pgSQLState(err error) string {
-	if err == nil {
-		return ""
-	}
-	var pg *pgconn.PgError
-	if !asError(err, &pg) {
-		return err.Error()
-	}
-	return pg.Code
-}
-
-func asError[T error](err error, to *T) bool {
-	for ; err != nil; err = unwrap(err) {
-		if e, ok := err.(T); ok {
-			*to = e
-			return true
-		}
-	}
-	return false
-}
-
-func unwrap(err error) error {
-	if u, ok := err.(interface{ Unwrap() error }); ok {
-		return u.Unwrap()
-	}
-	return nil
-}
-
-func (p pgSuiteClient) run(text string, params []string) ([][]string, string, int64) {
-	args := make([][]byte, len(params))
-	for i, v := range params {
-		if v != `\N` {
-			args[i] = []byte(v)
-		}
-	}
-	r := p.conn.PgConn().ExecParams(context.Background(), text, args, nil, nil, nil).Read()
-	var out [][]string
-	for _, row := range r.Rows {
-		var vals []string
-		for _, v := range row {
-			if v == nil {
-				vals = append(vals, `\N`)
-			} else {
-				vals = append(vals, string(v))
-			}
-		}
-		out = append(out, vals)
-	}
-	return out, pgSQLState(r.Err), r.CommandTag.RowsAffected()
-}
-
-func (p pgSuiteClient) query(_ *testing.T, text string, params ...string) ([][]string, string) {
-	rows, code, _ := p.run(text, params)
-	return rows, code
-}
-
-func (p pgSuiteClient) exec(_ *testing.T, text string, params ...string) (int64, string) {
-	_, code, n := p.run(text, params)
-	return n, code
-}
-
-func (p pgSuiteClient) begin(t *testing.T) func(bool) string {
-	if _, code := p.exec(t, "begin"); code != "" {
-		t.Fatal(code)
-	}
-	return func(commit bool) string {
-		text := map[bool]string{true: "commit", false: "rollback"}[commit]
-		failed := p.conn.PgConn().TxStatus() == 'E'
-		_, code := p.exec(t, text)
-		if code == "" && commit && failed {
-			code = "aborted"
-		}
-		return code
-	}
-}
-
-func (p pgSuiteClient) set(t *testing.T, name, value string) {
-	if _, code := p.exec(t, "set "+name+" = '"+value+"'"); code != "" {
-		t.Fatal(code)
-	}
-}
-
-// flightSuiteClient is the raw Flight SQL client; in a transaction its statements carry its id.
-type flightSuiteClient struct {
-	client *flightClient
-	tx     *flightsql.Txn
-}
-
-// errorInfo is the ErrorInfo of a call's error.
-func errorInfo(err error) *errdetails.ErrorInfo {
-	for _, d := range status.Convert(err).Details() {
-		if i, ok := d.(*errdetails.ErrorInfo); ok {
-			return i
-		}
-	}
-	return nil
-}
-
-func flightSQLState(err error) string {
-	if err == nil {
-		return ""
-	}
-	if i := errorInfo(err); i != nil && i.Metadata["sqlstate"] != "" {
-		return i.Metadata["sqlstate"]
-	}
-	if strings.Contains(err.Error(), "it was rolled back") {
-		return "aborted"
-	}
-	return err.Error()
-}
-
-func (f *flightSuiteClient) prepare(text string, params []string) (*flightsql.PreparedStatement, error) {
-	var p *flightsql.PreparedStatement
-	var err error
-	if f.tx != nil {
-		p, err = f.tx.Prepare(f.client.ctx, text)
-	} else {
-		p, err = f.client.Prepare(f.client.ctx, text)
-	}
-	if err != nil || len(params) == 0 {
-		return p, err
-	}
-	b := array.NewRecordBuilder(memory.DefaultAllocator, textSchema(len(params)))
-	defer b.Release()
-	for i, v := range params {
-		if v == `\N` {
-			b.Field(i).AppendNull()
-		} else {
-			b.Field(i).(*array.StringBuilder).Append(v)
-		}
-	}
-	p.SetParameters(b.NewRecordBatch())
-	return p, nil
-}
-
-func textSchema(n int) *arrow.Schema {
-	var fields []arrow.Field
-	for i := range n {
-		fields = append(fields, arrow.Field{Name: fmt.Sprint("p", i), Type: arrow.BinaryTypes.String,
-			Nullable: true})
-	}
-	return arrow.NewSchema(fields, nil)
-}
-
-func (f *flightSuiteClient) query(t *testing.T, text string, params ...string) ([][]string, string) {
-	var fi *flight.FlightInfo
-	var err error
-	switch {
-	case len(params) > 0:
-		p, e := f.prepare(text, params)
-		if e != nil {
-			return nil, flightSQLState(e)
-		}
-		defer p.Close(f.client.ctx)
-		fi, err = p.Execute(f.client.ctx)
-	case f.tx != nil:
-		fi, err = f.tx.Execute(f.client.ctx, text)
-	default:
-		fi, err = f.client.Execute(f.client.ctx, text)
-	}
-	if err != nil {
-		return nil, flightSQLState(err)
-	}
-	rows, err := f.client.rows(f.client.ctx, fi)
-	return rows, flightSQLState(err)
-}
-
-func (f *flightSuiteClient) exec(t *testing.T, text string, params ...string) (n int64, code string) {
-	var err error
-	switch {
-	case len(params) > 0:
-		p, e := f.prepare(text, params)
-		if e != nil {
-			return 0, flightSQLState(e)
-		}
-		defer p.Close(f.client.ctx)
-		n, err = p.ExecuteUpdate(f.client.ctx)
-	case f.tx != nil:
-		n, err = f.tx.ExecuteUpdate(f.client.ctx, text)
-	default:
-		n, err = f.client.ExecuteUpdate(f.client.ctx, text)
-	}
-	return n, flightSQLState(err)
-}
-
-func (f *flightSuiteClient) begin(t *testing.T) func(bool) string {
-	tx, err := f.client.BeginTransaction(f.client.ctx)
-	if err != nil {
-		t.Fatal(err)
-	}
-	f.tx = tx
-	return func(commit bool) string {
-		f.tx = nil
-		if commit {
-			return flightSQLState(tx.Commit(f.client.ctx))
-		}
-		return flightSQLState(tx.Rollback(f.client.ctx))
-	}
-}
-
-func (f *flightSuiteClient) set(t *testing.T, name, value string) {
-	o, err := flight.NewSessionOptionValue(value)
-	if err != nil {
-		t.Fatal(err)
-	}
-	res, err := f.client.SetSessionOptions(f.client.ctx, &flight.SetSessionOptionsRequest{
-		SessionOptions: map[string]*flight.SessionOptionValue{name: &o}})
-	if err != nil || len(res.Errors) > 0 {
-		t.Fatal(err, res)
-	}
-}
-
-// equalValues reports whether two texts are one value of a type.
+// equalValues reports whether two texts are the same value of a type.
 func equalValues(m *pgtype.Map, oid uint32, a, b string) bool {
 	decode := func(v string) any {
 		if v == `\N` {
@@ -345,8 +54,8 @@
 	"_text", "_int8", "_float4", "_float8", "_timestamp", "_date", "_timestamptz", "_numeric", "_uuid",
 	"point"}
 
-// The suite is written once and run over both fronts: the same statements give the same values, counts and
-// refusals.
+// The suite is written once and run over both frontends: the same statements give the same values, counts
+// and errors.
 func TestSuiteOverBothFrontends(t *testing.T) {
 	_, s := startDispatcher(t, 3, flightSettings)
 	m := pgtype.NewMap()
@@ -424,7 +133,8 @@
 	eventually(t, "all sessions are free", func() bool { return s.StickySessions() == 0 })
 }
 
-// The same over database/sql, with pgx's driver and Arrow's: both fronts give the same to the same program.
+// The same over database/sql, with pgx's driver and Arrow's: both frontends give the same to the same
+// program.
 func TestDatabaseSQLOverBothFrontends(t *testing.T) {
 	_, s := startDispatcher(t, 2, flightSettings)
 	program := func(db *sql.DB) (out []string) {
@@ -509,7 +219,7 @@
 	}
 }
 
-// What drivers ask at connect, savepoints, and the session's end.
+// The metadata calls of drivers at connect, savepoints, and the session's end.
 func TestFlightCatalogsAndSavepoints(t *testing.T) {
 	_, s := startDispatcher(t, 2, flightSettings)
 	c := dialFlight(t, s, "u")
--- a/internal/server/invariant_test.go
+++ b/internal/server/invariant_test.go
@@ -13,8 +13,8 @@
 	"cresspass/internal/standin"
 )
 
-// TestInvariantGuardBlocksUnsafeRetry: where the module would break a rule, the dispatcher's books do not
-// let it: a statement that changes data and may have run is not sent again, and the attempt is counted.
+// Where the module would break a rule, the invariant guard prevents it: a statement that changes data and
+// may have run is not sent again, and the violation is counted.
 func TestInvariantGuardBlocksUnsafeRetry(t *testing.T) {
 	const mayRepeatUnsafe = 2 // the rule that the decider has no guard for
 	r := startEngines(t, 3)
@@ -31,7 +31,7 @@
 	c := dialServer(t, s)
 	c.send(&pgproto3.Query{String: "insert into t select 1 /*id='once'*/"})
 	if seen := strings.Join(c.readUntil("Z"), " "); !strings.Contains(seen, "E") {
-		t.Errorf("the client was told %q", seen)
+		t.Errorf("the client got %q", seen)
 	}
 	ran := 0
 	for _, e := range r.Engines {
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"log/slog"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
@@ -14,8 +13,8 @@
 	"cresspass/internal/standin"
 )
 
-// Three dispatchers that may talk: the module's messages come across, and what one has seen of an engine the
-// others have heard.
+// Three dispatchers of a fleet: the module's messages arrive, and what one has observed of an engine
+// reaches the others.
 func TestDispatchersGossip(t *testing.T) {
 	r := startEngines(t, 2)
 	seeds := ""
@@ -44,7 +43,7 @@
 		all[0].Membership().Addr(), strings.Repeat("07", 32)), nil); err == nil {
 		t.Fatal("an address in use, and it started")
 	}
-	eventually(t, "they know one another", func() bool {
+	eventually(t, "all are members", func() bool {
 		for _, s := range all {
 			if s.Membership().Stats().Members != 3 {
 				return false
@@ -64,7 +63,7 @@
 		})
 		return known
 	}
-	eventually(t, "messages and news come across", func() bool {
+	eventually(t, "messages and observations arrive", func() bool {
 		for range 20 {
 			c.Exec(context.Background(), "select 1 /*work_ms='20',cost_ms='400'*/")
 		}
@@ -73,9 +72,8 @@
 	})
 }
 
-// A dispatcher that begins asks one that has learnt, and begins by that; one with a name that is taken has
-// it, and the elder falls silent and serves on; one that leaves is no longer counted, and the module goes
-// on with those left.
+// A new dispatcher starts with what a peer has learned. Where a name is taken, the later process has it,
+// and the earlier one stops gossiping and serves on.
 func TestNewMemberLearnsFromPeers(t *testing.T) {
 	r := startEngines(t, 2)
 	log := &lockedBuffer{}
@@ -104,25 +102,24 @@
 		}
 	}
 	seeds := fmt.Sprintf("%q", established.Membership().Addr())
-	eventually(t, "it has learnt", func() (known bool) {
-		established.Membership().
-			WithStore(func(now time.Duration, k *observation.Store) { known = len(k.OwnModelParameters(now)) > 0 })
+	eventually(t, "it has learned", func() (known bool) {
+		established.Membership().WithStore(func(now time.Duration, k *observation.Store) {
+			known = len(k.OwnModelParameters(now)) > 0
+		})
 		return known
 	})
 	newMember := start("young", seeds)
 	if n := newMember.Membership().ReportingPeers(); n != 1 ||
-		!strings.Contains(log.String(), "took over what was learnt") {
-		t.Errorf("%d voices:\n%s", n, log)
+		!strings.Contains(log.String(), "learned state restored") {
+		t.Errorf("%d reporting peers:\n%s", n, log)
 	}
-	eventually(t, "both count two", func() bool {
+	eventually(t, "both count two members", func() bool {
 		return strings.Count(log.String(), "count=2") == 2
 	})
 	duplicate := start("young", seeds)
-	eventually(
-		t,
-		"the elder of one name is silent",
-		func() bool { return newMember.Membership().Stats().NameYielded },
-	)
+	eventually(t, "the earlier process of the name is silent", func() bool {
+		return newMember.Membership().Stats().NameYielded
+	})
 	if _, err := connect(t, newMember, "").Exec(context.Background(), "select 1"); err != nil {
 		t.Errorf("silent, and it does not serve: %v", err)
 	}
@@ -130,20 +127,3 @@
 		t.Error("both are silent")
 	}
 }
-
-type lockedBuffer struct {
-	mu sync.Mutex
-	b  strings.Builder
-}
-
-func (l *lockedBuffer) Write(b []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.b.Write(b)
-}
-
-func (l *lockedBuffer) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.b.String()
-}
--- a/internal/server/orphan_cleanup.go
+++ b/internal/server/orphan_cleanup.go
@@ -1,78 +1,53 @@
 package server
 
 import (
-	"path"
-	"strings"
-
-	"cresspass"
 	"cresspass/internal/affinity/orphanedsession"
 	"cresspass/internal/discovery/eds"
 	"cresspass/internal/storage"
 )
 
-// What the dispatcher does for sessions that are kept on engines. The decisions are in packages pin and
-// params, and in the module.
-
-// stickySessionChanged tells the module of a session that is kept on an engine from here on, or is no more.
-func (s *Server) stickySessionChanged(engine cresspass.EngineID, kept bool) {
-	ev := cresspass.Event{Type: cresspass.SessionCountChanged, Engine: engine, Value: -1}
-	if kept {
-		ev.Value = 1
-	}
-	s.loop.Post(ev)
-}
-
-// persistSession keeps a session for a later life, or forgets it.
-func (s *Server) persistSession(k *orphanedsession.Session, kept bool) {
-	store := s.store.Load()
-	switch {
-	case store == nil:
-	case kept:
-		k.ID, k.IncarnationName = s.nextID.Add(1), s.incarnationName
-		store.Put(storage.StickySessionRecord(*k))
-	default:
-		store.Put(storage.SessionReleasedRecord(k.ID))
-	}
-}
+// Sessions that earlier incarnations left open at engines. Package orphanedsession decides which requests
+// end them.
 
-// startOrphanCleanup begins the hunt for what a former life left at engines, and enters this life's name.
-func (s *Server) startOrphanCleanup(book *storage.State) {
-	lives, kept := book.IncarnationNames(), book.StickySessions()
+// startOrphanCleanup starts the cleanup for earlier incarnations and records this one's name.
+func (s *Server) startOrphanCleanup(state *storage.State) {
+	incarnations, sessions := state.IncarnationNames(), state.StickySessions()
 	s.store.Load().Put(storage.IncarnationNameRecord(s.incarnationName))
-	if len(lives) == 0 {
+	if len(incarnations) == 0 {
 		return
 	}
-	s.log.Info("looking for sessions of a former life", "lives", len(lives), "noted", len(kept))
+	s.log.Info("orphaned session cleanup started", "incarnations", len(incarnations),
+		"recorded_sessions", len(sessions))
 	s.mu.Lock()
-	s.orphanCleanup = orphanedsession.New(s.clock(), lives, kept)
+	s.orphanCleanup = orphanedsession.New(s.clock(), incarnations, sessions)
 	s.mu.Unlock()
 }
 
-// updateOrphanCleanup tells the hunt of a list.
+// updateOrphanCleanup tells the cleanup which engines there are.
 func (s *Server) updateOrphanCleanup(l *eds.List) {
-	var engines []string
+	var addresses []string
 	for _, e := range l.Engines {
-		engines = append(engines, e.Address)
+		addresses = append(addresses, e.Address)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.orphanCleanup != nil {
-		s.orphanCleanup.EnginesListed(engines)
+		s.orphanCleanup.EnginesListed(addresses)
 	}
 }
 
-// runOrphanCleanup carries out what the hunt asks for.
+// runOrphanCleanup sends the requests that are due, each in a goroutine of its own.
 func (s *Server) runOrphanCleanup() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.orphanCleanup == nil {
 		return
 	}
-	for _, v := range s.orphanCleanup.DueRequests(s.clock()) {
+	for _, request := range s.orphanCleanup.DueRequests(s.clock()) {
 		s.background.Add(1)
 		go func() {
 			defer s.background.Done()
-			s.terminateOrphans(v)
+			s.terminateOrphans(request)
 		}()
 	}
 	if s.orphanCleanup.Finished() {
@@ -83,37 +58,22 @@
 	}
 }
 
-func (s *Server) terminateOrphans(v orphanedsession.Request) {
-	n, err := s.pool.TerminateSessions(v)
+// terminateOrphans carries out one request, and removes the records of the sessions that it has ended.
+func (s *Server) terminateOrphans(request orphanedsession.Request) {
+	terminated, err := s.pool.TerminateSessions(request)
 	if err != nil {
-		s.log.Warn("sessions of a former life not ended", "engine", v.Engine, "error", err)
-	} else if n > 0 {
-		s.log.Info("sessions of a former life ended", "engine", v.Engine, "sessions", n)
+		s.log.Warn("orphaned sessions not terminated", "engine", request.Engine, "error", err)
+	} else if terminated > 0 {
+		s.log.Info("orphaned sessions terminated", "engine", request.Engine, "sessions", terminated)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.orphanCleanup == nil {
 		return
 	}
-	for _, k := range s.orphanCleanup.RequestDone(s.clock(), v.Engine, err == nil) {
+	for _, session := range s.orphanCleanup.RequestDone(s.clock(), request.Engine, err == nil) {
 		if store := s.store.Load(); store != nil {
-			store.Put(storage.SessionReleasedRecord(k.ID))
-		}
-	}
-}
-
-// harmlessFunctions returns whether a function's name fits one of the patterns.
-func harmlessFunctions(patterns []string) func(name string) bool {
-	if len(patterns) == 0 {
-		return nil
-	}
-	return func(name string) bool {
-		name = strings.ToLower(name)
-		for _, p := range patterns {
-			if ok, _ := path.Match(p, name); ok {
-				return true
-			}
+			store.Put(storage.SessionReleasedRecord(session.ID))
 		}
-		return false
 	}
 }
--- a/internal/server/orphan_cleanup_test.go
+++ b/internal/server/orphan_cleanup_test.go
@@ -17,9 +17,9 @@
 	"cresspass/internal/standin"
 )
 
-// partitionProxy stands between a dispatcher and an engine. After Lose the dispatcher's side is closed and
-// new connections are let through, but the engine's side of the old ones stays open without a word, as when
-// the dispatcher's machine is lost.
+// partitionProxy stands between a dispatcher and an engine. After Partition the dispatcher's side is
+// closed and new connections are forwarded, but the engine's side of the old ones stays open and silent, as
+// when the dispatcher's machine is lost.
 type partitionProxy struct {
 	ln          net.Listener
 	target      string
@@ -78,7 +78,7 @@
 	return w
 }
 
-// Partition cuts the dispatcher off.
+// Partition closes the dispatcher's side of the connections.
 func (w *partitionProxy) Partition() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -88,9 +88,9 @@
 	}
 }
 
-// A dispatcher is lost with sessions open: one rests in a transaction, one holds a lock by its session, one
-// runs a long statement. The engine hears nothing of it. The next life on the same state finds them and ends
-// them, so that their locks come free; other programs' sessions stay.
+// A dispatcher is lost with sessions open: one is idle in a transaction, one has a session-level lock, one
+// runs a long statement. The engine does not notice. The next incarnation on the same state finds and
+// terminates them, so that their locks are released; other programs' sessions stay.
 func TestOrphanedSessionsAreTerminated(t *testing.T) {
 	r, err := testbed.New(
 		standin.EngineConfig{Kind: testbed.Kind(8, 4096)},
@@ -124,12 +124,12 @@
 	runs.send(&pgproto3.Query{String: "insert into t values (1) /*work_ms='60000'*/"})
 	other := dialAddress(t, r.Engines[0].Addr()) // another program's session on the same engine
 	simpleQuery(other, "begin")
-	time.Sleep(250 * time.Millisecond) // they are noted
+	time.Sleep(250 * time.Millisecond) // they are recorded
 	files, err := filepath.Glob(filepath.Join(first, "*"))
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
 	}
-	for _, f := range files { // the state as it is at the moment of the loss
+	for _, f := range files { // the state at the moment of the loss
 		b, err := os.ReadFile(f)
 		if err == nil && !strings.HasSuffix(f, "lock") {
 			err = os.WriteFile(filepath.Join(second, filepath.Base(f)), b, 0o600)
@@ -149,7 +149,7 @@
 		return n
 	}
 	if n := open(); n < 3 { // two transactions of the lost dispatcher's, one of the other program's
-		t.Fatalf("%d sessions stand at the engines: nothing to find", n)
+		t.Fatalf("%d sessions are open at the engines: nothing to clean up", n)
 	}
 	for _, w := range proxies {
 		w.mu.Lock()
@@ -162,10 +162,10 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	eventually(t, "the orphans are ended", func() bool { return open() == 1 })
-	t.Logf("ended %v after the return", time.Since(began).Round(time.Millisecond))
+	eventually(t, "the orphaned sessions are terminated", func() bool { return open() == 1 })
+	t.Logf("terminated %v after the restart", time.Since(began).Round(time.Millisecond))
 	for _, key := range []string{"1", "2", "3"} {
-		for i := range r.Engines { // asked at the engines, as a lock is one engine's
+		for i := range r.Engines { // directly at the engines, as a lock belongs to one engine
 			c := dialAddress(t, r.Engines[i].Addr())
 			if seen := simpleQuery(c, "select pg_advisory_lock("+key+")"); countPrefix(seen, "E") != 0 {
 				t.Errorf("lock %s: %v", key, seen)
--- a/internal/server/overload_test.go
+++ b/internal/server/overload_test.go
@@ -13,8 +13,8 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// Answers that clients leave untaken use up the memory for answers; newcomers are refused until it is free
-// again.
+// Responses that clients do not read use up the memory for responses; new queries are rejected until it is
+// free again.
 func TestResponseMemoryLimit(t *testing.T) {
 	_, s := startDispatcher(
 		t,
@@ -26,19 +26,20 @@
 	slow.send(&pgproto3.Query{String: "select 1 /*rows='100000',row_bytes='1000'*/"})
 	c := dialServer(t, s)
 	var seen []string
-	eventually(t, "a refusal", func() bool {
+	eventually(t, "a rejection", func() bool {
 		c.send(&pgproto3.Query{String: "select 1"})
 		seen = c.readUntil("Z")
 		return countPrefix(seen, "E:53000") == 1
 	})
 	slow.conn.Close()
-	eventually(t, "room again", func() bool {
+	eventually(t, "capacity again", func() bool {
 		c.send(&pgproto3.Query{String: "select 1"})
 		return countPrefix(c.readUntil("Z"), "C") == 1
 	})
 }
 
-// At a limit of its own the dispatcher refuses newcomers at once, with the reason, and serves on what it has.
+// At a limit of its own the dispatcher rejects new queries and clients at once, with the reason, and serves
+// those that it has.
 func TestOverloadLimits(t *testing.T) {
 	_, s := startDispatcher(
 		t,
--- a/internal/server/recording.go
+++ b/internal/server/recording.go
@@ -10,11 +10,11 @@
 	"cresspass/internal/recording"
 )
 
-// What is recorded of queries. A recording holds no text, no parameter, no key and no row.
+// Recordings of queries. A recording has no text, no parameter, no ordering key and no row.
 
-// beginRecording begins what is recorded of a query. What is asked on the way to a request is none of its
-// own.
-func (s *Server) beginRecording(q *queryRowCount, ev *cresspass.Event) {
+// beginRecording prepares the entry of a query, where queries are recorded. One that the dispatcher itself
+// needs on the way to a client's query is not recorded.
+func (s *Server) beginRecording(q *query, ev *cresspass.Event) {
 	if s.recorder == nil || ev.AddsNoRetryBudget {
 		return
 	}
@@ -39,15 +39,15 @@
 	}
 }
 
-// finishRecording has a query's first end written.
-func (s *Server) finishRecording(q *queryRowCount, how recording.Outcome) {
+// finishRecording writes a query's entry with its outcome; only the first call for a query does.
+func (s *Server) finishRecording(q *query, outcome recording.Outcome) {
 	s.mu.Lock()
-	note := q.recordEntry
+	entry := q.recordEntry
 	q.recordEntry = nil
 	s.mu.Unlock()
-	if note == nil {
+	if entry == nil {
 		return
 	}
-	note.Outcome, note.Took = how, time.Since(q.arrivedAt)
-	s.recorder.Take(q.arrivedAt, *note)
+	entry.Outcome, entry.Took = outcome, time.Since(q.arrivedAt)
+	s.recorder.Take(q.arrivedAt, *entry)
 }
--- a/internal/server/recording_test.go
+++ b/internal/server/recording_test.go
@@ -1,6 +1,7 @@
 package server_test
 
 import (
+	"bytes"
 	"context"
 	"fmt"
 	"os"
@@ -11,8 +12,8 @@
 	"cresspass/internal/standin"
 )
 
-// What a dispatcher took is in its folder once it has ended: one entry a query, by outcome, one shape for
-// texts that differ in literals, and no text.
+// The queries of a dispatcher are in its recording once it has closed: an entry for each query with its
+// outcome, one fingerprint for texts that differ in literals, and no text.
 func TestQueriesAreRecorded(t *testing.T) {
 	r := startEngines(t, 1)
 	dir := t.TempDir()
@@ -39,28 +40,22 @@
 	if err != nil || skipped > 0 || len(all) != 21 {
 		t.Fatalf("%d entries, %v", len(all), err)
 	}
-	ends, shapes := map[recording.Outcome]int{}, map[uint64]bool{}
+	outcomes, fingerprints := map[recording.Outcome]int{}, map[uint64]bool{}
 	for _, e := range all {
-		ends[e.Outcome]++
-		shapes[e.Fingerprint] = true
+		outcomes[e.Outcome]++
+		fingerprints[e.Fingerprint] = true
 		if e.Took <= 0 || e.Class == "" || e.Dispatcher == "" {
 			t.Errorf("%+v", e)
 		}
 	}
-	if ends[recording.Served] != 20 || len(shapes) != 1 {
-		t.Errorf("ends %v, %d shapes", ends, len(shapes))
+	if outcomes[recording.Served] != 20 || len(fingerprints) != 1 {
+		t.Errorf("outcomes %v, %d fingerprints", outcomes, len(fingerprints))
 	}
-	raw, _ := os.ReadFile(path)
-	if string(raw) == "" || contains(raw, "secret") || contains(raw, "select") {
-		t.Error("a text is in the recording")
+	data, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
 	}
-}
-
-func contains(b []byte, s string) bool {
-	for i := range len(b) - len(s) {
-		if string(b[i:i+len(s)]) == s {
-			return true
-		}
+	if len(data) == 0 || bytes.Contains(data, []byte("secret")) || bytes.Contains(data, []byte("select")) {
+		t.Error("the text of a statement is in the recording")
 	}
-	return false
 }
--- /dev/null
+++ b/internal/server/reload.go
@@ -0,0 +1,33 @@
+package server
+
+import (
+	"fmt"
+
+	"cresspass/internal/config"
+	"cresspass/internal/frontend/classify"
+	"cresspass/internal/frontend/pgfrontend"
+)
+
+// Reload puts other settings in force and returns the names of those that changed. Where one needs a
+// restart, or a hand-over, the error names it and nothing changes.
+func (s *Server) Reload(cfg *config.Config) ([]string, error) {
+	s.overloadLock.Lock()
+	defer s.overloadLock.Unlock()
+	changed, restart := config.Compare(s.activeConfig, cfg)
+	if len(restart) > 0 {
+		return nil, fmt.Errorf("nothing is changed: %v need a restart", restart)
+	}
+	s.activeConfig = cfg
+	s.classifier.Store(classify.New(cfg))
+	s.pgFrontend.Reload(func(f *pgfrontend.Config) {
+		f.MaxClients, f.StartupTimeout = cfg.MaxClients, cfg.StartupTimeout
+		f.HoldBack, f.ClientBuffer = cfg.HoldBack, cfg.ClientBuffer
+	})
+	s.overloadLimiter.SetLimits(overloadLimits(cfg))
+	if p := s.membership.Load(); p != nil {
+		if err := p.SetKeys(cfg.Peers.Keys); err != nil {
+			return changed, err
+		}
+	}
+	return changed, nil
+}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,5 +1,8 @@
-// Package server puts the dispatcher together: fronts, the loop that owns the module, the pools of engine
-// connections and the engine list. It is a shell; what it carries out is decided in the module.
+// Package server puts the dispatcher of `cresspass serve` together: the frontends that clients connect to,
+// the loop that owns the decision module, the pool of engine connections, session affinity, membership and
+// the state folder. It owns their start, their end and the queries in flight. It carries out what others
+// decide: which engine gets a query is the module's decision, what survives a restart that of package
+// storage, and whether the dispatcher is overloaded that of package overload.
 package server
 
 import (
@@ -9,8 +12,6 @@
 	"log/slog"
 	"math/rand/v2"
 	"net"
-	"os"
-	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -23,8 +24,6 @@
 	"cresspass/internal/discovery/eds"
 	"cresspass/internal/discovery/starttime"
 	"cresspass/internal/dispatch"
-	"cresspass/internal/dispatch/verdict"
-	front "cresspass/internal/frontend"
 	"cresspass/internal/frontend/classify"
 	"cresspass/internal/frontend/flightsql"
 	"cresspass/internal/frontend/pgfrontend"
@@ -40,71 +39,64 @@
 
 // Server is a running dispatcher.
 type Server struct {
-	cfg      *config.Config
-	log      *slog.Logger
-	classify atomic.Pointer[classify.Classifier]
-	clock    dispatch.Clock
-	loop     *dispatch.Loop
-	pool     *pgbackend.Pool
-
-	invariantGuard   *invariant.Guard // nothing is taken, sent, repeated or answered without it
+	cfg             *config.Config // of the start; activeConfig has the settings in force
+	log             *slog.Logger
+	clock           dispatch.Clock
+	address         string
+	incarnation     uint64 // greater than that of every earlier process on the same state
+	incarnationName string // application_name of the connections to engines
+
+	// The parts of the dispatcher. Each has locks of its own; the pointers do not change after the start.
+	loop             *dispatch.Loop
+	pool             *pgbackend.Pool
+	affinity         *registry.Registry
+	pgFrontend       *pgfrontend.Server
+	flightFrontend   *flightsql.Server // nil: not served
+	flightListener   net.Listener      // nil: not served
+	discovery        eds.Source
+	recorder         *recording.Recorder // nil: nothing is recorded
+	describeCache    *describeCache
+	invariantGuard   *invariant.Guard // every query, attempt, retry and response passes it
 	invariantCounter *invariant.Counter
-	startClockLock   sync.Mutex
-	startClock       *starttime.Converter // of engines; under startClockLock
+	nextID           atomic.Uint64 // of queries, write attempts and persisted sessions
+
+	// Parts that are replaced while the dispatcher runs.
+	classifier  atomic.Pointer[classify.Classifier]
+	membership  atomic.Pointer[membership.Service] // nil: not a member (yet)
+	store       atomic.Pointer[storage.Store]      // nil: no state is stored (yet)
+	engineList  atomic.Pointer[eds.List]           // the last; nil: none yet
+	loopLagging atomic.Bool
 
-	affinity        *registry.Registry // sessions kept on engines
-	pgFrontend      *pgfrontend.Server
-	flightFrontend  *flightsql.Server // nil: not served
-	flightListener  net.Listener
-	membership      atomic.Pointer[membership.Service] // nil: dispatchers do not talk
-	observations    *observation.Store                 // what was learnt; under mu, or the peers' lock where there are any
-	incarnation     uint64                             // number of this life
-	engineList      atomic.Pointer[eds.List]           // the last
-	incarnationName string                             // application_name of our connections to engines
-	recorder        *recording.Recorder                // nil: nothing is recorded
-	orphanCleanup   *orphanedsession.Cleanup           // for sessions of former lives; under mu
-	store           atomic.Pointer[storage.Store]      // nil: nothing is kept
-	recovery        *storage.RecoveryGuard             // what a dispatcher that came back must heed; under mu
-	// when it came back
-	recoveredAt       time.Time
-	sentBeforeDurable atomic.Uint64 // loads that left before their records were durable
-	overloadLock      sync.Mutex
-	overloadGuard     *overload.Limiter
-	activeConfig      *config.Config // the settings that were applied last; cfg are those of the start
-	loopLagging       atomic.Bool
-	discovery         eds.Source
-	address           string
-	cancel            context.CancelFunc
-	background        sync.WaitGroup
-	closeOnce         sync.Once
-	listReady         chan struct{}
-	listReadyOnce     sync.Once
+	startClockLock sync.Mutex
+	startClock     *starttime.Converter // guarded by startClockLock
 
-	nextID atomic.Uint64
+	overloadLock    sync.Mutex
+	overloadLimiter *overload.Limiter // guarded by overloadLock
+	activeConfig    *config.Config    // guarded by overloadLock
 
 	mu            sync.Mutex
-	queries       map[cresspass.QueryID]*queryRowCount
-	describeCache *describeCache
+	queries       map[cresspass.QueryID]*query // guarded by mu
+	observations  *observation.Store           // guarded by mu, or by membership's lock where there is one
+	orphanCleanup *orphanedsession.Cleanup     // guarded by mu; nil: finished, or nothing to clean up
+	recovery      *storage.RecoveryGuard       // guarded by mu; nil: no state
+	recoveredAt   time.Time                    // guarded by mu; when recovery was read
+
+	cancel        context.CancelFunc // of the background goroutines
+	background    sync.WaitGroup
+	closeOnce     sync.Once
+	listReady     chan struct{} // closed once an engine list is known
+	listReadyOnce sync.Once
 }
 
-// queryRowCount is a query with the attempts made for it.
-type queryRowCount struct {
-	*front.Query
-	id          cresspass.QueryID
-	attempts    map[int]*pgbackend.Attempt // that have no outcome; under the server's lock
-	finished    bool
-	admitted    bool // by the guard
-	attempted   bool // an attempt was made
-	class       string
-	key         string
-	lastError   string
-	recordEntry *recording.Entry // until it has ended; nil: nothing is recorded
-	arrivedAt   time.Time        // it was taken
-	deadline    time.Time        // its client waits no longer
-}
+// serverVersion is what clients are told as server_version: the release whose protocol documentation was
+// followed.
+const serverVersion = "16.0 (cresspass)"
 
-// version is what clients are told as server_version: the release whose protocol documentation was followed.
-const version = "16.0 (cresspass)"
+// describeCacheEntries is how many statements' descriptions are cached.
+const describeCacheEntries = 4096
+
+// firstIDRange is the range of the random first ID, so that IDs of two incarnations differ.
+const firstIDRange = 1 << 40
 
 // Start starts a dispatcher and returns once it listens.
 func Start(cfg *config.Config, log *slog.Logger) (*Server, error) {
@@ -119,34 +111,16 @@
 	return s, err
 }
 
-// StartOnListener starts a dispatcher that takes clients from a listener.
+// StartOnListener starts a dispatcher that accepts clients from a listener.
 func StartOnListener(cfg *config.Config, log *slog.Logger, ln net.Listener) (*Server, error) {
-	return StartWithDecider(cfg, log, ln, func(m cresspass.Config) (dispatch.Decider,
-		error) {
-		return cresspass.New(m)
-	})
+	newDecider := func(m cresspass.Config) (dispatch.Decider, error) { return cresspass.New(m) }
+	return StartWithDecider(cfg, log, ln, newDecider)
 }
 
-// StartWithDecider starts a dispatcher around the decider that decide makes.
+// StartWithDecider starts a dispatcher whose decisions are made by what newDecider returns.
 func StartWithDecider(cfg *config.Config, log *slog.Logger, ln net.Listener,
 	newDecider func(cresspass.Config) (dispatch.Decider, error)) (*Server, error) {
-	s := &Server{
-		cfg:           cfg,
-		log:           log,
-		activeConfig:  cfg,
-		overloadGuard: overload.New(overloadLimits(cfg)),
-		clock:         dispatch.NewMonotonicClock(),
-		address:       ln.Addr().String(),
-		queries:       map[cresspass.QueryID]*queryRowCount{},
-		describeCache: newDescribeCache(4096),
-		listReady:     make(chan struct{}),
-	}
-	s.invariantCounter = invariant.NewCounter(log)
-	s.invariantGuard = invariant.NewGuard(invariant.RulesFromConfig(&cfg.Module), s.invariantCounter, nil)
-	s.invariantGuard.SetServing(true)
-	s.startClock = starttime.New(starttime.AllStarts, time.Now(), s.clock())
-	s.classify.Store(classify.New(cfg))
-	s.incarnationName = fmt.Sprintf("cresspass-%d-%08x", cfg.Module.Ordinal, rand.Uint32())
+	s := newServer(cfg, log, ln.Addr().String())
 	decider, err := newDecider(cfg.Module)
 	if err != nil {
 		return nil, err
@@ -156,69 +130,127 @@
 	if err := s.openState(); err != nil {
 		return nil, err
 	}
-	s.nextID.Store(rand.Uint64N(1<<40) + 1)
+	s.nextID.Store(rand.Uint64N(firstIDRange) + 1)
 	s.loop = dispatch.NewLoop(core, s.clock, s.handleOutput)
-	s.pool = pgbackend.NewPool(pgbackend.Config{Application: s.incarnationName, User: cfg.EngineUser,
-		Database:       cfg.EngineDatabase,
-		MaxConnections: cfg.MaxConnections, MaxPrepared: cfg.MaxPrepared, MaxMessage: cfg.MaxMessage,
-		ConnectTimeout: cfg.ConnectTimeout, CancelTimeout: cfg.CancelTimeout, IdleTimeout: cfg.IdleTimeout,
-		LoadReportFields: len(cfg.Module.LoadReportFields), CopyBufferBytes: cfg.ClientBuffer})
-	s.affinity = registry.New(
-		registry.Config{
-			Limits:  cfg.SessionLimits,
-			Changed: s.stickySessionChanged,
-			Persist: s.persistSession,
-		},
-	)
-	// Danger: nbio does not bear its end just after its beginning, and hangs. What can fail comes first.
-	undo := func(err error) error {
-		if s.flightFrontend != nil {
-			s.flightFrontend.Close()
-			s.flightListener.Close()
-		}
-		if p := s.membership.Load(); p != nil {
-			p.Close()
-		}
-		if s.recorder != nil {
-			s.recorder.Close()
-		}
-		s.affinity.Close()
-		s.pool.Close()
-		return errors.Join(err, s.closeState())
+	s.pool = pgbackend.NewPool(s.poolConfig())
+	s.affinity = registry.New(registry.Config{
+		Limits:  cfg.SessionLimits,
+		Changed: s.stickySessionChanged,
+		Persist: s.persistSession,
+	})
+	if err := s.openFrontends(core); err != nil {
+		return nil, s.abortStart(err)
 	}
-	if err := errors.Join(s.newFlightFrontend(), s.joinMembership()); err != nil {
-		return nil, undo(err)
+	s.discovery = eds.NewClient(cfg.DiscoveryAddr, cfg.DiscoveryService,
+		fmt.Sprintf("cresspass-%d", cfg.Module.Ordinal), log)
+	s.loadCachedList()
+	s.startBackground()
+	s.pgFrontend.Serve(ln)
+	if s.flightFrontend != nil {
+		s.flightFrontend.Serve(s.flightListener)
+	}
+	log.Info("listening", "address", s.address, "discovery", cfg.DiscoveryAddr)
+	return s, nil
+}
+
+// newServer returns a server that has no parts that need an end.
+func newServer(cfg *config.Config, log *slog.Logger, address string) *Server {
+	s := &Server{
+		cfg:              cfg,
+		log:              log,
+		activeConfig:     cfg,
+		overloadLimiter:  overload.New(overloadLimits(cfg)),
+		clock:            dispatch.NewMonotonicClock(),
+		address:          address,
+		incarnationName:  fmt.Sprintf("cresspass-%d-%08x", cfg.Module.Ordinal, rand.Uint32()),
+		invariantCounter: invariant.NewCounter(log),
+		queries:          map[cresspass.QueryID]*query{},
+		describeCache:    newDescribeCache(describeCacheEntries),
+		listReady:        make(chan struct{}),
+	}
+	s.invariantGuard = invariant.NewGuard(invariant.RulesFromConfig(&cfg.Module), s.invariantCounter, nil)
+	s.invariantGuard.SetServing(true)
+	s.startClock = starttime.New(starttime.AllStarts, time.Now(), s.clock())
+	s.classifier.Store(classify.New(cfg))
+	return s
+}
+
+// poolConfig returns the settings of the engine connections.
+func (s *Server) poolConfig() pgbackend.Config {
+	return pgbackend.Config{
+		Application:      s.incarnationName,
+		User:             s.cfg.EngineUser,
+		Database:         s.cfg.EngineDatabase,
+		MaxConnections:   s.cfg.MaxConnections,
+		MaxPrepared:      s.cfg.MaxPrepared,
+		MaxMessage:       s.cfg.MaxMessage,
+		ConnectTimeout:   s.cfg.ConnectTimeout,
+		CancelTimeout:    s.cfg.CancelTimeout,
+		IdleTimeout:      s.cfg.IdleTimeout,
+		LoadReportFields: len(s.cfg.Module.LoadReportFields),
+		CopyBufferBytes:  s.cfg.ClientBuffer,
+	}
+}
+
+// openFrontends opens what can fail: the Flight SQL frontend, membership, the recorder, and then the
+// PostgreSQL frontend. That one comes last: its event loop hangs where it is closed just after its start.
+func (s *Server) openFrontends(core *dispatch.Core) (err error) {
+	if err := errors.Join(s.openFlightFrontend(), s.joinMembership()); err != nil {
+		return err
 	}
 	s.initializeEstimates(core)
-	if cfg.RecordingDir != "" {
-		if s.recorder, err = recording.NewRecorder(cfg.RecordingDir, cfg.RecordingLimits, log); err != nil {
-			return nil, undo(err)
+	if s.cfg.RecordingDir != "" {
+		s.recorder, err = recording.NewRecorder(s.cfg.RecordingDir, s.cfg.RecordingLimits, s.log)
+		if err != nil {
+			return err
 		}
 	}
-	s.pgFrontend, err = pgfrontend.New(pgfrontend.Config{MaxClients: cfg.MaxClients,
-		StartupTimeout: cfg.StartupTimeout,
-		HoldBack:       cfg.HoldBack, HoldBackTotal: cfg.HoldBackTotal, ClientBuffer: cfg.ClientBuffer,
+	s.pgFrontend, err = pgfrontend.New(s.pgFrontendConfig(), s, s.log)
+	return err
+}
+
+// pgFrontendConfig returns the settings of the PostgreSQL frontend.
+func (s *Server) pgFrontendConfig() pgfrontend.Config {
+	return pgfrontend.Config{
+		MaxClients:     s.cfg.MaxClients,
+		StartupTimeout: s.cfg.StartupTimeout,
+		HoldBack:       s.cfg.HoldBack,
+		HoldBackTotal:  s.cfg.HoldBackTotal,
+		ClientBuffer:   s.cfg.ClientBuffer,
 		Session: pgsession.Config{
-			ServerVersion:     version,
-			MaxMessage:        cfg.MaxMessage,
-			MaxPending:        cfg.MaxPending,
+			ServerVersion:     serverVersion,
+			MaxMessage:        s.cfg.MaxMessage,
+			MaxPending:        s.cfg.MaxPending,
 			CachedDescription: s.describeCache.get,
-			StatelessFunction: harmlessFunctions(cfg.HarmlessFunctions),
+			StatelessFunction: functionMatcher(s.cfg.HarmlessFunctions),
 		},
-		AdmitUser: s.admitClient, ReleaseUser: s.releaseClient, Registry: s.affinity,
-		AcquireConnection: func() bool { return s.admitConnection(pgfrontend.Name) },
-		ReleaseConnection: func() { s.releaseConnection(pgfrontend.Name) }},
-		s, log)
-	if err != nil {
-		return nil, undo(err)
+		Registry:          s.affinity,
+		AdmitUser:         s.admitUser,
+		ReleaseUser:       s.releaseUser,
+		AcquireConnection: func() bool { return s.acquireConnection(pgfrontend.Name) },
+		ReleaseConnection: func() { s.releaseConnection(pgfrontend.Name) },
 	}
-	s.discovery = eds.NewClient(
-		cfg.DiscoveryAddr,
-		cfg.DiscoveryService,
-		fmt.Sprintf("cresspass-%d", cfg.Module.Ordinal),
-		log,
-	)
-	s.loadCachedList()
+}
+
+// abortStart closes what a start that failed has opened, and returns its error.
+func (s *Server) abortStart(err error) error {
+	if s.flightFrontend != nil {
+		s.flightFrontend.Close()
+		s.flightListener.Close()
+	}
+	if p := s.membership.Load(); p != nil {
+		p.Close()
+	}
+	if s.recorder != nil {
+		s.recorder.Close()
+	}
+	s.affinity.Close()
+	s.pool.Close()
+	return errors.Join(err, s.closeState())
+}
+
+// startBackground starts the goroutines that run until Close.
+func (s *Server) startBackground() {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
 	s.background.Add(3)
@@ -234,34 +266,28 @@
 		defer s.background.Done()
 		s.discovery.Run(ctx, s.handleEngineList, s.handleListFailure)
 	}()
-	s.pgFrontend.Serve(ln)
-	if s.flightFrontend != nil {
-		s.flightFrontend.Serve(s.flightListener)
-	}
-	log.Info("listening", "address", s.address, "roster", cfg.DiscoveryAddr)
-	return s, nil
 }
 
-// Addr is where clients connect.
+// Addr is the address that PostgreSQL clients connect to.
 func (s *Server) Addr() string { return s.address }
 
-// ListReady is closed once an engine list is known, kept or told.
+// ListReady is closed once an engine list is known, received or cached.
 func (s *Server) ListReady() <-chan struct{} { return s.listReady }
 
-// EngineActive reports whether an engine takes new queries by the last list.
-func (s *Server) EngineActive(address string) bool {
-	l := s.engineList.Load()
-	if l == nil {
-		return false
-	}
-	for _, e := range l.Engines {
-		if e.Address == address {
-			return e.State == eds.StateActive
-		}
+// FlightListener is the listener of Flight SQL clients; nil: Flight SQL is not served.
+func (s *Server) FlightListener() net.Listener { return s.flightListener }
+
+// FlightAddr is the address that Flight SQL clients connect to; "": Flight SQL is not served.
+func (s *Server) FlightAddr() string {
+	if s.flightListener == nil {
+		return ""
 	}
-	return false
+	return s.flightListener.Addr().String()
 }
 
+// Membership is the dispatcher's membership in a fleet; nil: it is not a member.
+func (s *Server) Membership() *membership.Service { return s.membership.Load() }
+
 // Clients is the number of client connections.
 func (s *Server) Clients() int {
 	n := s.pgFrontend.Clients()
@@ -271,21 +297,10 @@
 	return n
 }
 
-// FlightListener is where clients of Flight SQL come in; nil: nowhere.
-func (s *Server) FlightListener() net.Listener { return s.flightListener }
-
-// FlightAddr is where clients of Flight SQL connect; "": nowhere.
-func (s *Server) FlightAddr() string {
-	if s.flightListener == nil {
-		return ""
-	}
-	return s.flightListener.Addr().String()
-}
-
-// StickySessions is the number of sessions kept on engines.
+// StickySessions is the number of sessions that are bound to an engine.
 func (s *Server) StickySessions() int { return s.affinity.Total() }
 
-// PendingBytes is the number of bytes that wait for clients to take them, held back ones included.
+// PendingBytes is the number of response bytes that are buffered for clients, held back ones included.
 func (s *Server) PendingBytes() int64 {
 	n := s.pgFrontend.Pending()
 	if s.flightFrontend != nil {
@@ -294,352 +309,14 @@
 	return n
 }
 
-// Stats returns the core's counts.
-func (s *Server) Stats() (st dispatch.Stats) {
-	s.loop.Inspect(func(c *dispatch.Core) { st = c.Stats() })
-	return st
+// Stats returns the counts of queries.
+func (s *Server) Stats() (stats dispatch.Stats) {
+	s.loop.Inspect(func(c *dispatch.Core) { stats = c.Stats() })
+	return stats
 }
 
-// Close stops taking clients, ends what runs, and waits until all is ended.
-func (s *Server) Close() {
-	s.closeOnce.Do(func() {
-		s.pgFrontend.Close()
-		if s.flightFrontend != nil {
-			s.flightFrontend.Close()
-		}
-		s.affinity.Close()
-		s.pool.Close()
-		s.saveLearned()
-		s.cancel()
-		s.loop.Close()
-		s.background.Wait()
-		if s.recorder != nil {
-			s.recorder.Close()
-		}
-		if p := s.membership.Load(); p != nil { // last: an heir may join until now
-			p.Close()
-		}
-		if err := s.closeState(); err != nil {
-			s.log.Error("state not closed", "error", err)
-		}
-	})
-}
-
-// loadCachedList has the list of the last life taken as perhaps out of date.
-func (s *Server) loadCachedList() {
-	if s.cfg.EndpointCacheFile == "" {
-		return
-	}
-	l, err := eds.LoadCache(s.cfg.EndpointCacheFile)
-	switch {
-	case errors.Is(err, os.ErrNotExist):
-	case err != nil:
-		s.log.Error("kept engine list not used", "error", err)
-	default:
-		s.log.Info("kept engine list", "version", l.Version, "engines", len(l.Engines), "age",
-			time.Since(l.ReceivedAt).Round(time.Second))
-		s.engineList.Store(l)
-		s.postEngineList(cresspass.ListCached, l)
-	}
-}
-
-func (s *Server) postEngineList(how cresspass.EngineListType, l *eds.List) {
-	s.startClockLock.Lock()
-	infos := l.EngineInfos(s.clock(), s.startClock)
-	s.startClockLock.Unlock()
-	s.loop.Post(cresspass.Event{Type: cresspass.EngineListReceived, ListType: how, Engines: infos})
-	s.listReadyOnce.Do(func() { close(s.listReady) })
-}
-
-// handleEngineList takes a list from the roster.
-func (s *Server) handleEngineList(l *eds.List) {
-	s.postEngineList(cresspass.ListComplete, l)
-	listed := map[cresspass.EngineID]bool{}
-	for _, e := range l.Engines {
-		listed[cresspass.EngineID(e.Address)] = true
-	}
-	s.pool.RetainEngines(listed)
-	s.publishEngineList(l)
-	s.updateOrphanCleanup(l)
-	for _, e := range l.Engines {
-		if e.State == eds.StateDraining { // what is kept there ends inside the rule's grace
-			s.pool.Drain(cresspass.EngineID(e.Address), s.cfg.Module.Rules.DrainGrace*8/10)
-		}
-	}
-	s.log.Info("engine list", "version", l.Version, "engines", len(l.Engines))
-	if s.cfg.EndpointCacheFile != "" {
-		if err := eds.SaveCache(s.cfg.EndpointCacheFile, l); err != nil {
-			s.log.Error("engine list not kept", "error", err)
-		}
-	}
-}
-
-func (s *Server) handleListFailure(err error) {
-	s.log.Warn("roster out of reach", "error", err)
-	s.loop.Post(cresspass.Event{Type: cresspass.EngineListReceived, ListType: cresspass.ListFailed})
-}
-
-// Submit takes a query of a front.
-func (s *Server) Submit(clientQuery *front.Query) {
-	q := &queryRowCount{
-		Query:    clientQuery,
-		id:       cresspass.QueryID(s.nextID.Add(1)),
-		attempts: map[int]*pgbackend.Attempt{},
-	}
-	clientQuery.ID.Store(uint64(q.id))
-	ev, fault := s.classify.Load().Classify(q.id, clientQuery.Client, clientQuery.EngineQuery)
-	if fault != nil {
-		s.respond(q, verdict.Invalid(fault.Code, fault.Message))
-		return
-	}
-	ev.StickyEngine, ev.OpensSession = clientQuery.Lease.Engine(), clientQuery.EngineQuery.MayBecomeSticky
-	s.beginRecording(q, &ev)
-	if why, ok := s.admitQuery(q); !ok {
-		s.finishRecording(q, recording.Refused)
-		s.respond(q, verdict.RejectOverLimit(why))
-		return
-	}
-	q.deadline = time.Now().Add(ev.RemainingDeadline)
-	s.mu.Lock()
-	s.queries[q.id] = q
-	s.mu.Unlock()
-	s.invariantGuard.Accept(
-		invariant.Request{ID: q.id, Class: ev.Class, OrderingKey: ev.Key, Deadline: q.deadline},
-		q.logName(),
-	)
-	if s.delayForRecovery(q, &ev) {
-		return
-	}
-	if !s.loop.Post(ev) {
-		s.forget(q, true)
-		s.respond(q, verdict.ShuttingDown(false))
-		return
-	}
-	select {
-	case <-clientQuery.Response.Done():
-		// Danger: a client that went before its query had an ID was not told of; the module would hold it on.
-		s.Withdraw(clientQuery, false)
-	default:
-	}
-}
-
-// Withdraw takes a query back.
-func (s *Server) Withdraw(clientQuery *front.Query, cancelled bool) {
-	ev := cresspass.Event{Type: cresspass.QueryAbandoned, Query: cresspass.QueryID(clientQuery.ID.Load())}
-	if cancelled {
-		ev.Outcome = cresspass.OutcomeCancelled
-	}
-	if q := s.lookup(ev.Query); q != nil {
-		s.finishRecording(q, recording.GivenUp)
-		s.forget(q, true)
-	}
-	s.loop.Post(ev)
-}
-
-func (s *Server) lookup(id cresspass.QueryID) *queryRowCount {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.queries[id]
-}
-
-// forget drops a query that is over and has no attempt without an outcome.
-func (s *Server) forget(q *queryRowCount, finished bool) { s.finishQuery(q, finished, false) }
-
-// finishQuery is forget; served: it is over with its result.
-func (s *Server) finishQuery(q *queryRowCount, finished, served bool) {
-	s.mu.Lock()
-	first := finished && !q.finished
-	if q.finished = q.finished || finished; q.finished && len(q.attempts) == 0 {
-		delete(s.queries, q.id)
-	}
-	s.mu.Unlock()
-	if first {
-		s.invariantGuard.Complete(q.id, served, q.logName())
-	}
-	if first && q.admitted {
-		s.overloadLock.Lock()
-		s.overloadGuard.ReleaseQuery(q.Frontend)
-		s.overloadLock.Unlock()
-	}
-}
-
-// respond answers a query with a verdict of ours.
-func (s *Server) respond(q *queryRowCount, v *verdict.Verdict) {
-	if q.Response.FinishWithVerdict(v) {
-		q.OnResponseEnded()
-	}
-}
-
-// handleOutput carries out one output of the core, in the loop's goroutine.
-func (s *Server) handleOutput(o *dispatch.Output) {
-	switch o.Type {
-	case dispatch.StartAttempt:
-		s.startAttempt(o)
-	case dispatch.StopAttempt:
-		q := s.lookup(o.Query)
-		if q == nil {
-			return
-		}
-		s.mu.Lock()
-		a := q.attempts[o.Attempt]
-		s.mu.Unlock()
-		if a != nil {
-			s.pool.Stop(a, o.Outcome)
-		}
-	case dispatch.RejectQuery:
-		if q := s.lookup(o.Query); q != nil {
-			s.finishRecording(q, recording.Refused)
-			s.forget(q, true)
-			s.respond(q, verdict.Reject(o.RetryAfter, o.MayHaveRun, s.lastError(q)))
-		}
-	case dispatch.FailQuery:
-		if q := s.lookup(o.Query); q != nil {
-			s.finishRecording(q, recording.Failed)
-			s.forget(q, true)
-			s.respond(q, verdict.Fail(s.lastError(q)))
-		}
-	case dispatch.CheckHealth:
-		s.startHealthCheck(o.Engine)
-	case dispatch.FetchEngineList, dispatch.SubscribeEngineList:
-		s.discovery.Refresh()
-	case dispatch.CloseIdleConnections:
-		s.pool.CloseIdle(o.Engine)
-	case dispatch.SendToPeer:
-		if p := s.membership.Load(); p != nil {
-			p.SendMessage(o.Peer, o.Data)
-		}
-	case dispatch.WriteLog:
-		s.log.Info("module", "text", o.Text)
-	}
-}
-
-// checkBeforeSend looks again, in the moment in which an attempt is written: at its client, its time, and
-// whether its engine still takes new work. A session's statements go where it is kept, on a draining engine
-// too.
-func (s *Server) checkBeforeSend(q *queryRowCount, attempt int, engine cresspass.EngineID,
-	latest time.Time) (cresspass.Outcome, bool) {
-	stale := func(name invariant.Name) bool {
-		return s.invariantGuard.Record(invariant.Result{Kind: invariant.Stale, Name: name}, q.logName())
-	}
-	select {
-	case <-q.Response.Done():
-		return cresspass.OutcomeNotStarted, stale(invariant.SentAfterEnd)
-	default:
-	}
-	if !time.Now().Before(latest) {
-		return cresspass.OutcomeRejected, stale(invariant.SentAfterDeadline)
-	}
-	v := s.invariantGuard.BeginAttempt(q.id, attempt, s.invariantPlace(q, engine), q.logName())
-	switch {
-	case v.OK(), s.cfg.AllowViolations:
-		return 0, true
-	case v.Name == invariant.SentAfterDeadline,
-		v.Name == invariant.SentToDraining,
-		v.Name == invariant.RetriedAfterWindow:
-		return cresspass.OutcomeRejected, false // it may go elsewhere, or be refused
-	}
-	return cresspass.OutcomeNotStarted, false // no other engine helps
-}
-
-// invariantPlace is an engine as the invariants see it. A session's statements go where it is kept.
-func (s *Server) invariantPlace(q *queryRowCount, engine cresspass.EngineID) invariant.Target {
-	at := invariant.Target{Engine: engine, Accepting: q.EngineQuery.Sticky}
-	l := s.engineList.Load()
-	if l == nil {
-		return at
-	}
-	for i := range l.Engines {
-		if e := &l.Engines[i]; e.Address == string(engine) {
-			at.Kind, at.Zone = e.Kind, e.Zone
-			at.Accepting = at.Accepting || e.State == eds.StateActive
-		}
-	}
-	return at
-}
-
-// logName is the query's in the log.
-func (q *queryRowCount) logName() string { return strconv.FormatUint(uint64(q.id), 10) }
-
-// Invariants returns how often each was violated, and how often an act was withheld that had been lawful.
+// Invariants returns how often each invariant was violated, and how often an act was withheld because it
+// was no longer allowed.
 func (s *Server) Invariants() (violated, withheld map[invariant.Name]uint64) {
 	return s.invariantCounter.Violations(), s.invariantCounter.Withheld()
 }
-
-// lastError is the last error seen for a query.
-func (s *Server) lastError(q *queryRowCount) string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return q.lastError
-}
-
-func (s *Server) startAttempt(o *dispatch.Output) {
-	q := s.lookup(o.Query)
-	ended := cresspass.Event{Type: cresspass.AttemptDone, Query: o.Query, Attempt: o.Attempt,
-		Engine: o.Engine}
-	if q == nil || !q.Response.BeginAttempt(o.Attempt) {
-		// Its end crossed the module's decision: the client is gone, or cancelled it.
-		ended.Outcome, ended.QueryFinished = cresspass.OutcomeNotStarted, true
-		s.loop.Post(ended)
-		return
-	}
-	id, attempt, engine := o.Query, o.Attempt, o.Engine
-	a := &pgbackend.Attempt{Query: q.EngineQuery, Number: attempt, Response: q.Response, Priority: o.Priority,
-		MemoryMB: o.MemoryGrantMB,
-		Throttle: q.Throttle, OnDescribed: s.describeCache.put, Lease: q.Lease, Stateful: q.EngineQuery.Stateful,
-		Settle: q.Settle, OnConnectionLost: q.OnConnectionLost, StartCopyIn: q.StartCopyIn, OnCopyCapacity: q.OnCopyCapacity}
-	a.FailureVerdict = func() *verdict.Verdict {
-		return verdict.Fail("engine " + string(engine) + " broke off its answer")
-	}
-	a.OnProgress = func(note cresspass.NoteType, v float64) {
-		s.loop.Post(
-			cresspass.Event{Type: cresspass.ProgressReported, Query: id, Attempt: attempt, Engine: engine,
-				Note: note, Value: v},
-		)
-	}
-	latest := time.Now().Add(o.StartWithin)
-	a.MayStart = func() (cresspass.Outcome, bool) { return s.checkBeforeSend(q, attempt, engine, latest) }
-	sent, durable := s.recordSent(q, engine)
-	a.OnEnded = func(r pgbackend.Result) {
-		s.recordSentOutcome(sent, r)
-		s.observeOutcome(engine, &r)
-		ev := ended
-		ev.Outcome, ev.Elapsed, ev.QueryFinished = r.Outcome, r.ServiceTime, r.ResponseFinished
-		ev.LoadReport, ev.HasLoadReport = r.LoadReport, r.LoadReport != nil
-		s.mu.Lock()
-		delete(q.attempts, attempt)
-		if r.Outcome != cresspass.OutcomeOK && r.Message != "" {
-			q.lastError = r.Message
-		}
-		s.mu.Unlock()
-		if r.ResponseFinished && r.Outcome == cresspass.OutcomeOK {
-			s.finishRecording(q, recording.Served)
-		} else if r.ResponseFinished {
-			s.finishRecording(q, recording.Failed)
-		}
-		s.finishQuery(q, r.ResponseFinished, r.ResponseFinished && r.Outcome == cresspass.OutcomeOK)
-		s.invariantGuard.EndAttempt(id, attempt, r.Outcome)
-		s.loop.Post(ev)
-		if r.ResponseFinished {
-			q.OnResponseEnded()
-		}
-	}
-	s.mu.Lock()
-	q.attempts[attempt] = a
-	q.attempted = true
-	s.mu.Unlock()
-	s.afterDurable(durable, func() { s.pool.Start(engine, a) })
-}
-
-// startHealthCheck asks an engine for a sign of life: an empty query, with whatever load report comes with
-// its end.
-func (s *Server) startHealthCheck(engine cresspass.EngineID) {
-	at := s.clock()
-	a := &pgbackend.Attempt{Priority: -1}
-	a.OnEnded = func(r pgbackend.Result) {
-		s.loop.Post(cresspass.Event{Type: cresspass.HealthCheckDone, Engine: engine, Outcome: r.Outcome,
-			Elapsed: s.clock() - at, LoadReport: r.LoadReport, HasLoadReport: r.LoadReport != nil})
-	}
-	// Danger: an engine that hangs answers no probe, and the module waits for its end before it asks again.
-	time.AfterFunc(s.cfg.ConnectTimeout, func() { s.pool.Stop(a, cresspass.OutcomeTimedOut) })
-	s.pool.Start(engine, a)
-}
--- a/internal/server/session_balance_test.go
+++ b/internal/server/session_balance_test.go
@@ -11,22 +11,23 @@
 	"cresspass/internal/dispatch"
 )
 
-// sessionBlindDecider keeps from a module what it is told of sessions.
+// sessionBlindDecider hides sticky sessions from the module.
 type sessionBlindDecider struct{ dispatch.Decider }
 
-func (u sessionBlindDecider) Handle(now time.Duration, events []cresspass.Event,
+func (d sessionBlindDecider) Handle(now time.Duration, events []cresspass.Event,
 	actions []cresspass.Action) []cresspass.Action {
-	kept := events[:0]
+	visible := events[:0]
 	for _, ev := range events {
 		if ev.OpensSession = false; ev.Type != cresspass.SessionCountChanged {
-			kept = append(kept, ev)
+			visible = append(visible, ev)
 		}
 	}
-	return u.Decider.Handle(now, kept, actions)
+	return d.Decider.Handle(now, visible, actions)
 }
 
-// A third of the engines restart; their sessions come again, and so do new ones. With what the module is told
-// of sessions at rest they come to be level; without it they would pile up where nothing runs.
+// A third of the engines restart; their clients open sessions again, and so do new ones. As the module
+// counts idle sessions, they become balanced; without the counts they would pile up on engines where
+// nothing runs.
 func TestStickySessionsAreBalanced(t *testing.T) {
 	spread := func(reportSessions bool) (maxSessions, minSessions int) {
 		r := startEngines(t, 6)
@@ -59,7 +60,7 @@
 			}
 		}
 		r.Publish()
-		time.Sleep(300 * time.Millisecond) // the lost sessions' clients come again
+		time.Sleep(300 * time.Millisecond) // the lost sessions' clients see their ends
 		lost := 0
 		for c := range open {
 			c.conn.SetReadDeadline(time.Now().Add(time.Millisecond))
@@ -78,7 +79,7 @@
 			all = append(all, e.Sessions())
 		}
 		maxSessions, minSessions = slices.Max(all), slices.Min(all)
-		t.Logf("told of sessions: %v; %d lost; sessions on engines %v", reportSessions, lost, all)
+		t.Logf("sessions reported: %v; %d lost; sessions on engines %v", reportSessions, lost, all)
 		return maxSessions, minSessions
 	}
 	maxSessions, minSessions := spread(true)
--- a/internal/server/stale_statement_test.go
+++ b/internal/server/stale_statement_test.go
@@ -12,11 +12,11 @@
 	"cresspass/internal/discovery/eds"
 )
 
-// gatedProxy is an engine's address at which connections come up only once it is opened.
+// gatedProxy stands in front of an engine and forwards connections only once it is opened.
 type gatedProxy struct {
 	net.Listener
 	arrivals chan struct{} // one for each connection
-	opened   chan struct{} // closed: they go through
+	opened   chan struct{} // closed: connections are forwarded
 }
 
 func newGatedProxy(t *testing.T, engine string) *gatedProxy {
@@ -43,18 +43,18 @@
 func (g *gatedProxy) forward(c net.Conn, engine string) {
 	defer c.Close()
 	<-g.opened
-	far, err := net.Dial("tcp", engine)
+	upstream, err := net.Dial("tcp", engine)
 	if err != nil {
 		return
 	}
-	defer far.Close()
-	go io.Copy(c, far)
-	io.Copy(far, c)
+	defer upstream.Close()
+	go func() { _, _ = io.Copy(c, upstream) }() // its end is the connection's
+	_, _ = io.Copy(upstream, c)
 }
 
-// TestStaleStatementIsNotSent: a statement that waits for its engine's connection is not sent when,
-// meanwhile, its client has gone, or its engine was told to drain and the grace is over; also where it
-// changes data, which once begun runs to its end.
+// A statement that waits for its engine's connection is not sent when meanwhile its client has gone, or its
+// engine drains and the grace is over; neither is one that changes data, which runs to its end once it is
+// sent.
 func TestStaleStatementIsNotSent(t *testing.T) {
 	for name, invalidate := range map[string]func(t *testing.T, w *pendingStatement){
 		"its client has gone": func(t *testing.T, w *pendingStatement) { w.client.conn.Close() },
@@ -64,11 +64,12 @@
 			r, s := startDispatcher(t, 1, strings.Replace(baseSettings, `drain_grace = "500ms"`,
 				`drain_grace = "100ms"`, 1))
 			g := newGatedProxy(t, r.Engines[0].Addr())
-			r.Change(0, func(e *eds.Engine) { e.Address = g.Addr().String() })
-			eventually(t, "the gate is on the list", func() bool { return s.EngineActive(g.Addr().String()) })
+			address := g.Addr().String()
+			r.Change(0, func(e *eds.Engine) { e.Address = address })
+			eventually(t, "the proxy is on the list", func() bool { return s.EngineActive(address) })
 			w := &pendingStatement{client: dialServer(t, s), drain: func() {
 				r.Change(0, func(e *eds.Engine) { e.State = eds.StateDraining })
-				eventually(t, "the drain is known", func() bool { return !s.EngineActive(g.Addr().String()) })
+				eventually(t, "the drain is known", func() bool { return !s.EngineActive(address) })
 				time.Sleep(200 * time.Millisecond) // the grace is over
 			}}
 			w.client.send(&pgproto3.Query{String: "insert into t select 1"})
@@ -78,7 +79,7 @@
 				return name != "its client has gone" || s.Clients() == 0
 			})
 			close(g.opened)
-			eventually(t, "nothing is under way", func() bool { return s.Stats().Running == 0 })
+			eventually(t, "nothing is in flight", func() bool { return s.Stats().Running == 0 })
 			if runs := r.Engines[0].Runs(); len(runs) != 0 {
 				t.Errorf("%d statements were sent: %+v", len(runs), runs[0])
 			}
@@ -86,7 +87,7 @@
 	}
 }
 
-// pendingStatement is a statement whose engine's connection has not come up.
+// pendingStatement is a statement whose engine connection is not open yet.
 type pendingStatement struct {
 	client *wireClient
 	drain  func()
--- /dev/null
+++ b/internal/server/sticky_session.go
@@ -0,0 +1,52 @@
+package server
+
+import (
+	"path"
+	"strings"
+
+	"cresspass"
+	"cresspass/internal/affinity/orphanedsession"
+	"cresspass/internal/storage"
+)
+
+// Sessions that are bound to an engine. Package affinity decides which are; the module places them.
+
+// stickySessionChanged tells the module that a session has become sticky on an engine, or no longer is.
+func (s *Server) stickySessionChanged(engine cresspass.EngineID, sticky bool) {
+	change := -1.0
+	if sticky {
+		change = 1
+	}
+	s.loop.Post(cresspass.Event{Type: cresspass.SessionCountChanged, Engine: engine, Value: change})
+}
+
+// persistSession records a sticky session for the next incarnation, or removes its record.
+func (s *Server) persistSession(session *orphanedsession.Session, sticky bool) {
+	store := s.store.Load()
+	if store == nil {
+		return
+	}
+	if !sticky {
+		store.Put(storage.SessionReleasedRecord(session.ID))
+		return
+	}
+	session.ID, session.IncarnationName = s.nextID.Add(1), s.incarnationName
+	store.Put(storage.StickySessionRecord(*session))
+}
+
+// functionMatcher returns a function that reports whether a function's name fits one of the patterns, whose
+// syntax the settings have checked; nil where there are none.
+func functionMatcher(patterns []string) func(name string) bool {
+	if len(patterns) == 0 {
+		return nil
+	}
+	return func(name string) bool {
+		name = strings.ToLower(name)
+		for _, pattern := range patterns {
+			if ok, err := path.Match(pattern, name); ok && err == nil {
+				return true
+			}
+		}
+		return false
+	}
+}
--- a/internal/server/sticky_session_benchmark_test.go
+++ b/internal/server/sticky_session_benchmark_test.go
@@ -12,8 +12,8 @@
 	"cresspass/internal/standin"
 )
 
-// BenchmarkStickyStatement measures a statement of a session in a transaction against one of a free session,
-// the same client.
+// BenchmarkStickyStatement measures a statement of a session in a transaction against one of a free
+// session, the same client.
 func BenchmarkStickyStatement(b *testing.B) {
 	r, err := testbed.New(
 		standin.EngineConfig{Kind: testbed.Kind(64, 4096)},
@@ -30,14 +30,14 @@
 	}
 	defer s.Close()
 	ctx := context.Background()
-	for _, pinned := range []bool{false, true} {
-		b.Run(fmt.Sprintf("pinned=%v", pinned), func(b *testing.B) {
+	for _, sticky := range []bool{false, true} {
+		b.Run(fmt.Sprintf("sticky=%v", sticky), func(b *testing.B) {
 			c, err := pgx.Connect(ctx, "postgres://u@"+s.Addr()+"/db?sslmode=disable")
 			if err != nil {
 				b.Fatal(err)
 			}
 			defer c.Close(ctx)
-			if pinned {
+			if sticky {
 				if _, err := c.Exec(ctx, "begin"); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/server/sticky_session_fault_test.go
+++ b/internal/server/sticky_session_fault_test.go
@@ -1,29 +1,33 @@
 package server_test
 
 import (
+	"context"
 	"fmt"
+	"math/rand/v2"
 	"net"
 	"strings"
 	"sync"
 	"testing"
 	"time"
 
+	"github.com/jackc/pgx/v5"
 	"github.com/jackc/pgx/v5/pgproto3"
 
 	"cresspass/internal/discovery/eds"
 	"cresspass/internal/rehearsal/testbed"
+	"cresspass/internal/standin"
 )
 
-// openSessionOn begins a transaction on the engine of a number, and returns the session.
+// openSessionOn begins a transaction on one of the engines and returns its session.
 func openSessionOn(t *testing.T, r *testbed.Rig, addr string, at int) *wireClient {
 	t.Helper()
-	for i := range r.Engines { // the choice is the module's: for the moment there is no other engine
+	for i := range r.Engines { // the module chooses: for the moment there is no other engine
 		if i != at && r.State(i) == eds.StateActive {
 			r.Change(i, func(e *eds.Engine) { e.State = "" })
 			defer r.Change(i, func(e *eds.Engine) { e.State = eds.StateActive })
 		}
 	}
-	for n := range 1000 { // an engine that died is passed over for a while
+	for n := range 1000 { // an engine that died is ejected for a while
 		c := dialAddress(t, addr)
 		id := fmt.Sprintf("open-%p-%d", c, n)
 		c.send(&pgproto3.Query{String: "begin /*id='" + id + "'*/"})
@@ -40,8 +44,108 @@
 	return nil
 }
 
-// The drain notice between Parse and Execute: a free session moves unseen, one in a transaction goes on where
-// it is. The grace is long, as the test is of what happens inside it.
+// Hundreds of sessions with drains, engine deaths and clients that disconnect: no session's statements run
+// on two engines, and no connection goes to another session with an open transaction or a temporary table.
+func TestSessionsUnderFaults(t *testing.T) {
+	r, s := startDispatcher(t, 4, baseSettings)
+	var engines []*standin.Engine
+	for _, e := range r.Engines {
+		engines = append(engines, e.Engine)
+	}
+	stop := make(chan struct{})
+	var faults sync.WaitGroup
+	faults.Add(1)
+	go func() {
+		defer faults.Done()
+		for i := 0; ; i++ {
+			select {
+			case <-stop:
+				return
+			case <-time.After(150 * time.Millisecond):
+			}
+			n := i % 3 // the fourth is left alone
+			if i%2 == 0 {
+				r.Change(n, func(e *eds.Engine) { e.State = eds.StateDraining })
+				time.Sleep(500 * time.Millisecond)
+			}
+			r.Engines[n].Die()
+			time.Sleep(50 * time.Millisecond)
+			if err := r.Engines[n].Restart(); err != nil {
+				t.Error(err)
+				return
+			}
+			r.Change(n, func(e *eds.Engine) { e.State, e.Started = eds.StateActive, r.Engines[n].Started() })
+		}
+	}()
+	var wg sync.WaitGroup
+	var mu sync.Mutex
+	ends := map[string]int{}
+	const sessions = 2000
+	gate := make(chan struct{}, 120)
+	for i := range sessions {
+		wg.Add(1)
+		gate <- struct{}{}
+		go func() {
+			defer wg.Done()
+			defer func() { <-gate }()
+			end := runSession(s.Addr(), fmt.Sprintf("u%d", i), i)
+			mu.Lock()
+			ends[end]++
+			mu.Unlock()
+		}()
+	}
+	wg.Wait()
+	close(stop)
+	faults.Wait()
+	for i := range sessions {
+		// A BEGIN whose engine died may get an attempt on another: no session is open yet.
+		open := runsByEngine(engines, fmt.Sprintf("u%d", i))
+		begun := runsByEngine(engines, fmt.Sprintf("u%d-0", i))
+		for at := range open {
+			if len(open) > 1 && open[at] == 1 && begun[at] == 1 {
+				delete(open, at)
+			}
+		}
+		if len(open) > 1 {
+			t.Errorf("session %d ran on engines %v", i, open)
+		}
+	}
+	if ends["leak"] > 0 || ends["done"] < sessions/2 {
+		t.Errorf("ends %v", ends)
+	}
+	t.Logf("ends %v", ends)
+	eventually(t, "all ended", func() bool { st := s.Stats(); return st.Open == 0 && st.Running == 0 })
+}
+
+// runSession is a session: it checks that it finds nothing of another's, then runs a transaction that uses a
+// temporary table. It returns how it ended.
+func runSession(addr, name string, i int) string {
+	ctx := context.Background()
+	c, err := pgx.Connect(ctx,
+		"postgres://u@"+addr+"/db?sslmode=disable&default_query_exec_mode=simple_protocol")
+	if err != nil {
+		return "connect"
+	}
+	defer c.Close(ctx)
+	if _, err := c.Exec(ctx, "select 1 from tmp_mine"); err == nil {
+		return "leak"
+	}
+	for n, text := range []string{"begin", "create temp table tmp_mine (a int)", "select 1 from tmp_mine",
+		"insert into t values (1)", "select 1 from tmp_mine", "commit"} {
+		if i%11 == 0 && n == 3 {
+			c.PgConn().Conn().Close() // disconnects in the middle
+			return "disconnected"
+		}
+		time.Sleep(time.Duration(rand.IntN(20)) * time.Millisecond)
+		if _, err := c.Exec(ctx, fmt.Sprintf("%s /*id='%s-%d'*/", text, name, n)); err != nil {
+			return sqlState(err)
+		}
+	}
+	return "done"
+}
+
+// A drain between Parse and Execute: a free session moves to another engine unnoticed, one in a transaction
+// stays. The grace is long, as the test is of what happens within it.
 func TestDrainBetweenParseAndExecute(t *testing.T) {
 	const short, long = `drain_grace = "500ms"`, `drain_grace = "10s"`
 	r, s := startDispatcher(t, 2, strings.Replace(baseSettings, short, long, 1))
@@ -75,8 +179,8 @@
 	}
 }
 
-// The drain notice in the moment a COMMIT is under way, and the engine's death there: what the client is told
-// is what the engine did, or that it is not known.
+// A drain while a COMMIT is in flight, and the engine's death: the client gets what the engine did, or that
+// it is not known.
 func TestDrainAndEngineLossAtCommit(t *testing.T) {
 	r, s := startDispatcher(t, 1, baseSettings)
 	ends := map[string]int{}
@@ -105,10 +209,11 @@
 		case reported == "C" && committed,
 			reported == "E:08007" && engineLost,
 			reported == "CE:57P02" && engineLost:
-		case reported == "E:08006" && engineLost && !committed: // the COMMIT had not gone out: rolled back, as it says
+		case reported == "E:08006" && engineLost && !committed:
+			// The COMMIT was not sent: rolled back, as the error says.
 		default:
 			t.Errorf(
-				"%d: the client was told %q, the engine committed: %v, death %v",
+				"%d: the client got %q, the engine committed: %v, engine lost: %v",
 				i,
 				seen,
 				committed,
@@ -126,33 +231,11 @@
 			e.State, e.Started = eds.StateActive, r.Engines[0].Started().Add(-time.Hour)
 		})
 	}
-	t.Logf("told %v", ends)
-}
-
-// readToEnd reads what comes until ReadyForQuery, a FATAL error or the end of the connection.
-func (r *wireClient) readToEnd() (seen []string) {
-	r.conn.SetReadDeadline(time.Now().Add(10 * time.Second))
-	defer r.conn.SetReadDeadline(time.Time{})
-	for {
-		m, err := r.frontend.Receive()
-		if err != nil {
-			return append(seen, "closed")
-		}
-		switch m := m.(type) {
-		case *pgproto3.CommandComplete:
-			seen = append(seen, "C")
-		case *pgproto3.ErrorResponse:
-			if seen = append(seen, "E:"+m.Code); m.Severity == "FATAL" {
-				return seen
-			}
-		case *pgproto3.ReadyForQuery:
-			return append(seen, "Z")
-		}
-	}
+	t.Logf("reported %v", ends)
 }
 
-// A transaction whose client stops reading amid an answer is ended with the client's time, so that it does
-// not hold its locks at the engine for as long as the client pleases.
+// A transaction whose client stops reading in the middle of a response ends with the client's deadline, so
+// that it does not hold its locks at the engine for as long as the client likes.
 func TestClientStopsReadingInATransaction(t *testing.T) {
 	r, s := startDispatcher(t, 1, strings.Replace(baseSettings, `deadline = "5s"`, `deadline = "1s"`, 1))
 	c := dialServer(t, s)
@@ -165,7 +248,7 @@
 	if n := r.Engines[0].Sessions(); n != 1 {
 		t.Fatalf("%d sessions", n)
 	}
-	eventually(t, "the engine is free of it", func() bool { return r.Engines[0].Sessions() == 0 })
+	eventually(t, "its session has ended at the engine", func() bool { return r.Engines[0].Sessions() == 0 })
 	other := dialServer(t, s)
 	other.send(&pgproto3.Query{String: "select pg_advisory_lock(7)"})
 	if seen := other.readUntil("Z"); countPrefix(seen, "E") != 0 {
@@ -173,8 +256,8 @@
 	}
 }
 
-// A cancel that arrives as the transaction ends and its connection changes hands never strikes the next
-// client's statement.
+// A cancel request that arrives as the transaction ends and its connection goes to another client never
+// cancels that client's statement.
 func TestCancelDuringConnectionHandOver(t *testing.T) {
 	r, s := startDispatcher(t, 1, baseSettings)
 	b := dialServer(t, s)
@@ -198,7 +281,7 @@
 		for range 4 {
 			b.send(&pgproto3.Query{String: "select 1 /*work_ms='1'*/"})
 			if seen := b.readUntil("Z"); countPrefix(seen, "E") != 0 {
-				t.Fatalf("%d: the next client was told %v", i, seen)
+				t.Fatalf("%d: the next client got %v", i, seen)
 			}
 		}
 		wg.Wait()
@@ -206,13 +289,13 @@
 	}
 	for _, v := range r.Engines[0].Runs() {
 		if v.Outcome == "cancelled" {
-			t.Errorf("%+v was struck by a cancel that was not for it", v)
+			t.Errorf("%+v was cancelled by a request that was not for it", v)
 		}
 	}
 }
 
-// A thousand sessions on an engine that drains: each is told at once, those in transactions may finish, and
-// all have left within the grace. No new session goes there.
+// A thousand sessions on a draining engine: those in transactions may finish, and all have ended within the
+// grace. No new session goes there.
 func TestThousandSessionsDrain(t *testing.T) {
 	r, s := startDispatcher(
 		t,
@@ -241,7 +324,7 @@
 		if i%2 == 0 {
 			text = "begin"
 		}
-		for range 50 { // a thousand at once are more than are admitted; a refused one comes again
+		for range 50 { // a thousand at once are more than are admitted; a rejected one retries
 			c.send(&pgproto3.Query{String: text})
 			if seen := c.readToEnd(); seen[0] == "C" {
 				break
@@ -250,7 +333,7 @@
 		}
 	})
 	if got := r.Engines[0].Sessions(); got != n || s.StickySessions() != n {
-		t.Fatalf("%d sessions at the engine, %d kept", got, s.StickySessions())
+		t.Fatalf("%d sessions at the engine, %d sticky", got, s.StickySessions())
 	}
 	r.Change(1, func(e *eds.Engine) { e.State = eds.StateActive })
 	r.Change(0, func(e *eds.Engine) { e.State = eds.StateDraining })
@@ -267,9 +350,9 @@
 		ends[end]++
 		mu.Unlock()
 	})
-	eventually(t, "the engine is left", func() bool { return r.Engines[0].Sessions() == 0 })
+	eventually(t, "no session is left at the engine", func() bool { return r.Engines[0].Sessions() == 0 })
 	took := time.Since(drainedAt)
-	t.Logf("%v; the engine was left by all after %v", ends, took.Round(time.Millisecond))
+	t.Logf("%v; all sessions had ended after %v", ends, took.Round(time.Millisecond))
 	if ends["[C Z]"] != n/4 || ends["[E:57P01]"] != 3*n/4 {
 		t.Errorf("ends %v", ends)
 	}
