--- a/cmd/cresspass/help_test.go
+++ b/cmd/cresspass/help_test.go
@@ -10,9 +10,9 @@
 	"github.com/alecthomas/kong"
 )
 
-// The --help of the program and of each of its sub-commands, hidden ones included, is that of testdata/help.
-// Scripts and pages rely on commands, flags and defaults: a flag must not follow the name of a field.
-// UPDATE_GOLDEN has the files written again.
+// The --help of the program and of each of its sub-commands, hidden ones included, is that of
+// testdata/help. Scripts and pages rely on commands, flags and defaults: a flag must not follow the name of
+// a field. UPDATE_GOLDEN has the files written again.
 func TestGoldenHelp(t *testing.T) {
 	t.Setenv("COLUMNS", "100")
 	dir := filepath.Join("testdata", "help")
--- a/cmd/cresspass/load.go
+++ b/cmd/cresspass/load.go
@@ -8,6 +8,7 @@
 	"cresspass/internal/rehearsal"
 )
 
+// loadCmd sends queries to dispatchers.
 type loadCmd struct {
 	Addr     []string      `arg:"" help:"Addresses of dispatchers."`
 	Class    string        `default:"lookup" help:"Class that statements name."`
@@ -20,16 +21,22 @@
 	Seed     uint64        `default:"1" help:"Seed of arrivals and work."`
 }
 
-// Run asks dispatchers at a rate and prints what became of it.
+// Run sends queries at a rate and prints their outcomes.
 func (c loadCmd) Run(ctx context.Context) error {
-	counts, faults := rehearsal.Load(ctx, c.Addr, []rehearsal.Traffic{{Class: c.Class, Rate: c.Rate,
-		Work:   c.WorkMS / 1000,
-		Spread: c.Spread, Threads: 1, Rows: c.Rows}}, c.Deadline, c.For, c.Seed)
+	traffic := rehearsal.Traffic{
+		Class:   c.Class,
+		Rate:    c.Rate,
+		Work:    c.WorkMS / 1000,
+		Spread:  c.Spread,
+		Threads: 1,
+		Rows:    c.Rows,
+	}
+	counts, failures := rehearsal.Load(ctx, c.Addr, []rehearsal.Traffic{traffic}, c.Deadline, c.For, c.Seed)
 	for i := range counts {
 		fmt.Println(counts[i].String())
 	}
-	if len(faults) > 0 {
-		fmt.Println("failures by code:", faults)
+	if len(failures) > 0 {
+		fmt.Println("failures by code:", failures)
 	}
 	return nil
 }
--- a/cmd/cresspass/node.go
+++ b/cmd/cresspass/node.go
@@ -9,6 +9,7 @@
 	"cresspass/internal/platform"
 )
 
+// nodeCmd runs a dispatcher on the platform.
 type nodeCmd struct {
 	Config   string `short:"c" env:"ROUTER_CONFIG" help:"The platform's configuration, as JSON."`
 	LogLevel string `env:"CRESSPASS_LOG_LEVEL" default:"info" help:"debug shows each event of each request."`
--- a/cmd/cresspass/record.go
+++ b/cmd/cresspass/record.go
@@ -3,13 +3,15 @@
 import (
 	"errors"
 	"fmt"
+	"maps"
 	"os"
-	"sort"
+	"slices"
 	"time"
 
 	"cresspass/internal/recording"
 )
 
+// recordCmd works on recordings of queries.
 type recordCmd struct {
 	Show  recordShowCmd  `cmd:"" help:"What recordings hold: classes, outcomes, rates, shares."`
 	Cut   recordCutCmd   `cmd:"" help:"A part of a recording."`
@@ -17,7 +19,7 @@
 	Scale recordScaleCmd `cmd:"" help:"More or less traffic over other dispatchers, its unevenness kept."`
 }
 
-// loadRecording reads a recording, and says what of it could not be read.
+// loadRecording reads a recording, and prints what of it could not be read.
 func loadRecording(path string) (recording.Header, []recording.Entry, error) {
 	h, all, skipped, err := recording.Load(path)
 	if errors.Is(err, recording.ErrCut) || errors.Is(err, recording.ErrDamaged) {
@@ -35,29 +37,30 @@
 
 // loadMerged reads recordings as one, their times by the wall clock of the earliest.
 func loadMerged(paths []string) (recording.Header, []recording.Entry, error) {
-	var heads []recording.Header
-	var lists [][]recording.Entry
+	var headers []recording.Header
+	var recordings [][]recording.Entry
 	for _, path := range paths {
-		h, all, err := loadRecording(path)
+		header, entries, err := loadRecording(path)
 		if err != nil {
-			return h, nil, err
+			return header, nil, err
 		}
-		heads, lists = append(heads, h), append(lists, all)
+		headers, recordings = append(headers, header), append(recordings, entries)
 	}
-	first := heads[0]
-	for _, h := range heads {
-		if h.Start.Before(first.Start) {
-			first = h
+	first := headers[0]
+	for _, header := range headers {
+		if header.Start.Before(first.Start) {
+			first = header
 		}
 	}
 	var shifts []time.Duration
-	for _, h := range heads {
-		shifts = append(shifts, h.Start.Sub(first.Start))
+	for _, header := range headers {
+		shifts = append(shifts, header.Start.Sub(first.Start))
 	}
-	return first, recording.Merge(lists, shifts), nil
+	return first, recording.Merge(recordings, shifts), nil
 }
 
-// saveRecording writes a recording to a file that must not exist: a recording is never lost to a slip.
+// saveRecording writes a recording to a file that must not exist, so that no recording is overwritten by
+// mistake.
 func saveRecording(path string, h recording.Header, all []recording.Entry) error {
 	if _, err := os.Stat(path); err == nil {
 		return fmt.Errorf("%s exists", path)
@@ -69,68 +72,84 @@
 	return nil
 }
 
+// recordShowCmd summarizes recordings.
 type recordShowCmd struct {
 	Files []string `arg:"" help:"Recordings."`
 }
 
+// Run prints the length and the rate of the recordings, a line for each class, and how even the
+// dispatchers' shares are.
 func (c recordShowCmd) Run() error {
-	h, all, err := loadMerged(c.Files)
+	header, entries, err := loadMerged(c.Files)
 	if err != nil {
 		return err
 	}
-	if len(all) == 0 {
+	if len(entries) == 0 {
 		fmt.Println("no entries")
 		return nil
 	}
-	length := max(all[len(all)-1].At, time.Millisecond)
-	fmt.Printf("from %s, %s, %d entries, %.1f a second\n", h.Start.UTC().Format(time.RFC3339),
-		length.Round(time.Millisecond), len(all), float64(len(all))/length.Seconds())
-	type sum struct {
-		n    int
-		ends [4]int
-		took []time.Duration
-	}
-	classes, shapes := map[string]*sum{}, map[uint64]bool{}
-	for _, e := range all {
-		s := classes[e.Class]
-		if s == nil {
-			s = &sum{}
-			classes[e.Class] = s
+	length := max(entries[len(entries)-1].At, time.Millisecond)
+	fmt.Printf("from %s, %s, %d entries, %.1f a second\n", header.Start.UTC().Format(time.RFC3339),
+		length.Round(time.Millisecond), len(entries), float64(len(entries))/length.Seconds())
+	printClasses(entries)
+	fingerprints := map[uint64]bool{}
+	for _, e := range entries {
+		fingerprints[e.Fingerprint] = true
+	}
+	shares := recording.Shares(entries)
+	busiestTenth := 0.0
+	for _, share := range shares[:max(1, len(shares)/10)] {
+		busiestTenth += share
+	}
+	fmt.Printf("%d shapes of text; %d dispatchers, the busiest tenth has %.1f%%\n", len(fingerprints),
+		len(shares), 100*busiestTenth)
+	return nil
+}
+
+// classSummary is what entries of one class have in common.
+type classSummary struct {
+	entries  int
+	outcomes [recordedOutcomes]int
+	latency  []time.Duration // of served queries
+}
+
+// recordedOutcomes is the number of values of recording.Outcome.
+const recordedOutcomes = 4
+
+// printClasses prints a line for each class: its outcomes, and how long served queries took.
+func printClasses(entries []recording.Entry) {
+	classes := map[string]*classSummary{}
+	for _, e := range entries {
+		class := classes[e.Class]
+		if class == nil {
+			class = &classSummary{}
+			classes[e.Class] = class
 		}
-		s.n++
-		s.ends[e.Outcome]++
+		class.entries++
+		class.outcomes[e.Outcome]++
 		if e.Outcome == recording.Served {
-			s.took = append(s.took, e.Took)
+			class.latency = append(class.latency, e.Took)
 		}
-		shapes[e.Fingerprint] = true
 	}
-	var names []string
-	for name := range classes {
-		names = append(names, name)
-	}
-	sort.Strings(names)
-	for _, name := range names {
-		s := classes[name]
-		sort.Slice(s.took, func(i, j int) bool { return s.took[i] < s.took[j] })
-		at := func(q float64) time.Duration {
-			if len(s.took) == 0 {
-				return 0
-			}
-			return s.took[int(q*float64(len(s.took)-1))].Round(time.Millisecond)
-		}
+	for _, name := range slices.Sorted(maps.Keys(classes)) {
+		class := classes[name]
+		slices.Sort(class.latency)
+		n := class.outcomes
 		fmt.Printf("  %-14s %7d: served %d, refused %d, failed %d, given up %d; in %s (p50), %s (p99)\n",
-			name, s.n, s.ends[0], s.ends[1], s.ends[2], s.ends[3], at(0.5), at(0.99))
+			name, class.entries, n[recording.Served], n[recording.Refused], n[recording.Failed],
+			n[recording.GivenUp], quantile(class.latency, 0.5), quantile(class.latency, 0.99))
 	}
-	shares := recording.Shares(all)
-	tenth := 0.0
-	for _, v := range shares[:max(1, len(shares)/10)] {
-		tenth += v
+}
+
+// quantile returns a quantile of sorted durations; 0 where there are none.
+func quantile(sorted []time.Duration, q float64) time.Duration {
+	if len(sorted) == 0 {
+		return 0
 	}
-	fmt.Printf("%d shapes of text; %d dispatchers, the busiest tenth has %.1f%%\n", len(shapes),
-		len(shares), 100*tenth)
-	return nil
+	return sorted[int(q*float64(len(sorted)-1))].Round(time.Millisecond)
 }
 
+// recordCutCmd writes a part of a recording.
 type recordCutCmd struct {
 	File string        `arg:"" help:"Recording."`
 	Out  string        `arg:"" help:"File to write."`
@@ -138,6 +157,7 @@
 	To   time.Duration `default:"1000000h" help:"Since its start."`
 }
 
+// Run writes the entries from one time to another.
 func (c recordCutCmd) Run() error {
 	h, all, err := loadRecording(c.File)
 	if err != nil {
@@ -150,11 +170,13 @@
 	return saveRecording(c.Out, h, recording.Cut(all, c.From, c.To))
 }
 
+// recordMergeCmd writes several recordings as one.
 type recordMergeCmd struct {
 	Out   string   `arg:"" help:"File to write."`
 	Files []string `arg:"" help:"Recordings."`
 }
 
+// Run writes the entries of all recordings.
 func (c recordMergeCmd) Run() error {
 	h, all, err := loadMerged(c.Files)
 	if err != nil {
@@ -163,6 +185,13 @@
 	return saveRecording(c.Out, h, all)
 }
 
+// Bounds of a scaled recording.
+const (
+	maxScale            = 1000
+	maxScaleDispatchers = 100000
+)
+
+// recordScaleCmd writes a recording with more or less traffic.
 type recordScaleCmd struct {
 	File        string        `arg:"" help:"Recording."`
 	Out         string        `arg:"" help:"File to write."`
@@ -172,12 +201,13 @@
 	Seed        uint64        `default:"1" help:"Of what is left to chance."`
 }
 
+// Run writes copies of a part of the entries, or a part of them.
 func (c recordScaleCmd) Run() error {
 	h, all, err := loadRecording(c.File)
 	if err != nil {
 		return err
 	}
-	if c.Times <= 0 || c.Times > 1000 || c.Dispatchers < 0 || c.Dispatchers > 100000 {
+	if c.Times <= 0 || c.Times > maxScale || c.Dispatchers < 0 || c.Dispatchers > maxScaleDispatchers {
 		return fmt.Errorf("record scale: %g times over %d dispatchers", c.Times, c.Dispatchers)
 	}
 	var names []string
--- /dev/null
+++ b/cmd/cresspass/rehearse_compare.go
@@ -0,0 +1,75 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+
+	"cresspass/internal/rehearsal"
+	"cresspass/internal/simulation"
+	"cresspass/internal/simulation/plot"
+)
+
+// rehearseNewcomersCmd compares how dispatchers return: as new members that learn from peers, or cold.
+type rehearseNewcomersCmd struct {
+	Day    string `default:"half-return" help:"The day; it has one return."`
+	Seeds  int    `default:"3" help:"Plays of each way."`
+	First  int    `default:"1" help:"The first one's seed."`
+	Jobs   int    `default:"3" help:"Days that are played at once."`
+	Report string `help:"Folder for a page with plots."`
+}
+
+// Run plays a day in each way and prints the figures of each.
+func (c rehearseNewcomersCmd) Run(ctx context.Context) error {
+	d, err := loadDay(c.Day)
+	if err != nil {
+		return err
+	}
+	self, err := os.Executable()
+	if err != nil {
+		return err
+	}
+	n, err := rehearsal.CompareReturns(ctx, d, []string{self}, c.First, c.Seeds, c.Jobs)
+	if err != nil {
+		return err
+	}
+	printNewcomers(n, 1)
+	return writePage(c.Report, "newcomers", plot.Newcomers(n, "processes on one machine, stand-in engines"))
+}
+
+// printNewcomers prints each figure, and its difference from one of the arms.
+func printNewcomers(n *simulation.Comparison, against int) {
+	for f := range simulation.Figures {
+		fmt.Println(simulation.Figures[f].Name)
+		for w, since := range n.Windows {
+			for a, arm := range n.Arms {
+				b := simulation.BarOf(n.Samples(a, w, f))
+				d := simulation.BarOf(simulation.Differences(n.Samples(a, w, f), n.Samples(against, w, f)))
+				fmt.Printf("  %4.0f s  %-24s %6.1f%% ±%4.1f   against cold %+6.1f ±%4.1f\n",
+					since.Seconds(), arm.Name, 100*b.Mean, 100*b.Half, 100*d.Mean, 100*d.Half)
+			}
+		}
+	}
+}
+
+// rehearseFairnessCmd floods each frontend in turn.
+type rehearseFairnessCmd struct {
+	Report string `help:"Folder for a page with plots."`
+	Seed   uint64 `default:"1" help:"Seed of arrivals."`
+}
+
+// Run prints what calm clients of each frontend got in each phase, with and without quotas.
+func (c rehearseFairnessCmd) Run(ctx context.Context) error {
+	with, without, err := rehearsal.Fairness(ctx, c.Report, c.Seed)
+	if err != nil {
+		return err
+	}
+	fmt.Printf("%-12s %-20s %22s %22s\n", "calm clients", "stretch", "with shares", "without")
+	for i, a := range with {
+		b := without[i]
+		fmt.Printf("%-12s %-20s %6.1f%% of %4d, %5d ms %6.1f%% of %4d, %5d ms\n", a.Front, a.Phase,
+			a.Served*100, a.Tries, a.P99.Milliseconds(),
+			b.Served*100, b.Tries, b.P99.Milliseconds())
+	}
+	return nil
+}
--- /dev/null
+++ b/cmd/cresspass/report.go
@@ -0,0 +1,37 @@
+package main
+
+import (
+	"io"
+	"os"
+	"path/filepath"
+
+	"github.com/go-echarts/go-echarts/v2/components"
+
+	"cresspass/internal/simulation/plot"
+)
+
+// writePage writes a page with plots into a folder, where one is named.
+func writePage(dir, name string, all []components.Charter) error {
+	if dir == "" {
+		return nil
+	}
+	return writeFile(filepath.Join(dir, name+".html"), func(w io.Writer) error {
+		return plot.Page(w, "Model: "+name, all...)
+	})
+}
+
+// writeFile creates a file, and its folder, with what a function writes.
+func writeFile(path string, write func(w io.Writer) error) error {
+	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		return err
+	}
+	f, err := os.Create(path)
+	if err != nil {
+		return err
+	}
+	if err := write(f); err != nil {
+		f.Close()
+		return err
+	}
+	return f.Close()
+}
--- a/cmd/cresspass/soak.go
+++ b/cmd/cresspass/soak.go
@@ -11,6 +11,7 @@
 	"cresspass/internal/soak"
 )
 
+// soakCmd plays random faults through real dispatchers.
 type soakCmd struct {
 	Seed        uint64        `default:"1" help:"Seed of the first plan."`
 	Seeds       int           `default:"1" help:"Number of plans, one after another."`
@@ -23,12 +24,20 @@
 	Plan        bool          `help:"Print the plans and play none."`
 }
 
+// A soak needs peers, and one machine bears so many processes.
+const (
+	minSoakDispatchers = 2
+	maxSoakDispatchers = 40
+)
+
+// errRulesBroken is the error of a run in which a rule was broken.
 var errRulesBroken = errors.New("soak: rules were broken")
 
-// Run plays plans of faults through real dispatchers; the error is for broken rules.
+// Run plays a plan of faults for each seed and prints its report; the error is for broken rules.
 func (c soakCmd) Run(ctx context.Context) error {
-	if c.Dispatchers < 2 || c.Dispatchers > 40 {
-		return fmt.Errorf("soak: %d dispatchers, want 2 to 40", c.Dispatchers)
+	if c.Dispatchers < minSoakDispatchers || c.Dispatchers > maxSoakDispatchers {
+		return fmt.Errorf("soak: %d dispatchers, want %d to %d", c.Dispatchers, minSoakDispatchers,
+			maxSoakDispatchers)
 	}
 	program := c.Program
 	if program == "" {
@@ -64,6 +73,7 @@
 	return nil
 }
 
+// play plays one plan, in the folder for logs or in a temporary one.
 func (c soakCmd) play(ctx context.Context, plan *soak.Plan, program string) (*soak.Report, error) {
 	dir := c.Keep
 	if dir == "" {
@@ -71,7 +81,7 @@
 		if dir, err = os.MkdirTemp("", "soak"); err != nil {
 			return nil, err
 		}
-		defer os.RemoveAll(dir)
+		defer func() { _ = os.RemoveAll(dir) }() // a temporary folder
 	} else {
 		dir = filepath.Join(dir, fmt.Sprint(plan.Seed))
 	}
--- a/cmd/cresspass/view.go
+++ b/cmd/cresspass/view.go
@@ -3,68 +3,76 @@
 import (
 	"fmt"
 	"log/slog"
+	"maps"
 	"os"
-	"sort"
+	"slices"
 	"strings"
 	"time"
 
 	tea "github.com/charmbracelet/bubbletea"
 	"github.com/charmbracelet/lipgloss"
 
+	"cresspass/internal/discovery/eds"
 	"cresspass/internal/rehearsal"
 )
 
-// isTerminal reports whether a file is one.
+// isTerminal reports whether a file is a terminal.
 func isTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// statusLogger shows a day as log lines, one every five seconds.
+// statusLogInterval is how much of a day passes between two log lines.
+const statusLogInterval = 5 * time.Second
+
+// statusLogger shows a day as log lines.
 func statusLogger(log *slog.Logger) func(rehearsal.Status) {
 	var last time.Duration
 	return func(s rehearsal.Status) {
-		if s.At-last < 5*time.Second {
+		if s.At-last < statusLogInterval {
 			return
 		}
 		last = s.At
-		up, threads := 0, 0.0
+		enginesUp, threads := 0, 0.0
 		for _, e := range s.Engines {
 			if e.Up {
-				up++
+				enginesUp++
 			}
 			threads += e.Threads
 		}
-		var kinds []string
+		var faults []string
 		for _, t := range s.Troubles {
-			kinds = append(kinds, t.Kind)
+			faults = append(faults, t.Kind)
 		}
-		log.Info("day", "name", s.Day.Name, "at", s.At.Round(time.Second), "engines up", up, "threads",
-			threads,
-			"troubles", strings.Join(kinds, " "))
+		log.Info("rehearsal progress", "day", s.Day.Name, "at", s.At.Round(time.Second),
+			"engines_up", enginesUp, "threads", threads, "faults", strings.Join(faults, " "))
 	}
 }
 
-// watchInTerminal shows a day in the terminal. stop ends it.
+// watchInTerminal shows a day in the terminal, by each status that look gets, until stop.
 func watchInTerminal(d *rehearsal.Day) (look func(rehearsal.Status), stop func()) {
-	p := tea.NewProgram(&dayView{status: rehearsal.Status{Day: d}}, tea.WithInput(nil),
+	program := tea.NewProgram(&dayView{status: rehearsal.Status{Day: d}}, tea.WithInput(nil),
 		tea.WithoutSignalHandler())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		p.Run()
+		_, _ = program.Run() // without its picture the day is played all the same
 	}()
-	return func(s rehearsal.Status) { p.Send(s) }, func() {
-		p.Quit()
+	look = func(s rehearsal.Status) { program.Send(s) }
+	stop = func() {
+		program.Quit()
 		<-done
 	}
+	return look, stop
 }
 
-// dayView is the terminal's picture of a day.
+// dayView is the terminal's view of a day.
 type dayView struct{ status rehearsal.Status }
 
+// Init is tea.Model's.
 func (v *dayView) Init() tea.Cmd { return nil }
 
+// Update takes the next status.
 func (v *dayView) Update(m tea.Msg) (tea.Model, tea.Cmd) {
 	if s, ok := m.(rehearsal.Status); ok {
 		v.status = s
@@ -72,6 +80,7 @@
 	return v, nil
 }
 
+// Styles of the view.
 var (
 	headingStyle = lipgloss.NewStyle().Bold(true)
 	upStyle      = lipgloss.NewStyle().Foreground(lipgloss.Color("2"))
@@ -79,31 +88,20 @@
 	downStyle    = lipgloss.NewStyle().Foreground(lipgloss.Color("1"))
 )
 
+// loadBarWidth is the length of an engine's bar in characters, at fullLoad threads a core.
+const (
+	loadBarWidth = 30
+	fullLoad     = 2
+)
+
+// View is the picture of the last status.
 func (v *dayView) View() string {
 	s := &v.status
 	var b strings.Builder
-	fmt.Fprintf(
-		&b,
-		"%s  %v of %v\n\n",
-		headingStyle.Render(s.Day.Name),
-		s.At.Round(time.Second),
-		s.Day.Length,
-	)
+	fmt.Fprintf(&b, "%s  %v of %v\n\n", headingStyle.Render(s.Day.Name), s.At.Round(time.Second),
+		s.Day.Length)
 	for i, e := range s.Engines {
-		style, state := upStyle, e.State
-		switch {
-		case e.Fallen:
-			style, state = downStyle, "fell over"
-		case !e.Up:
-			style, state = downStyle, "down"
-		case e.State != "on":
-			style = warningStyle
-		}
-		width := 30
-		full := min(int(e.Threads/e.Cores/2*float64(width)), width)
-		fmt.Fprintf(&b, "engine %d %s %s%s %.0f threads on %.0f cores\n", i, style.Render(fmt.Sprintf("%-9s",
-			state)),
-			strings.Repeat("#", full), strings.Repeat(".", width-full), e.Threads, e.Cores)
+		viewEngine(&b, i, e)
 	}
 	for i, up := range s.Up {
 		state := upStyle.Render("up")
@@ -113,20 +111,32 @@
 		fmt.Fprintf(&b, "dispatcher %d %s  ", i, state)
 	}
 	b.WriteString("\n\n")
-	var names []string
-	for name := range s.Counts {
-		names = append(names, name)
-	}
-	sort.Strings(names)
-	for _, name := range names {
-		c := s.Counts[name]
-		fmt.Fprintf(&b, "%-12s served %6d  refused %5d  failed %5d  gave up %5d\n", name, c[rehearsal.Served],
-			c[rehearsal.Refused], c[rehearsal.Failed], c[rehearsal.GaveUp])
+	for _, class := range slices.Sorted(maps.Keys(s.Counts)) {
+		n := s.Counts[class]
+		fmt.Fprintf(&b, "%-12s served %6d  refused %5d  failed %5d  gave up %5d\n", class,
+			n[rehearsal.Served], n[rehearsal.Refused], n[rehearsal.Failed], n[rehearsal.GaveUp])
 	}
 	for _, t := range s.Troubles {
-		fmt.Fprintf(&b, "%s engines %v until %v\n", warningStyle.Render(t.Kind), t.Engines, (t.At +
-			t.For).Round(time.Second))
+		until := (t.At + t.For).Round(time.Second)
+		fmt.Fprintf(&b, "%s engines %v until %v\n", warningStyle.Render(t.Kind), t.Engines, until)
 	}
 	b.WriteString("rules are judged at the end, from the sockets\n")
 	return b.String()
 }
+
+// viewEngine writes the line of an engine: its state, and a bar of its load.
+func viewEngine(b *strings.Builder, number int, e rehearsal.EngineStatus) {
+	style, state := upStyle, e.State
+	switch {
+	case e.Fallen:
+		style, state = downStyle, "fell over"
+	case !e.Up:
+		style, state = downStyle, "down"
+	case e.State != string(eds.StateActive):
+		style = warningStyle
+	}
+	full := min(int(e.Threads/e.Cores/fullLoad*float64(loadBarWidth)), loadBarWidth)
+	fmt.Fprintf(b, "engine %d %s %s%s %.0f threads on %.0f cores\n", number,
+		style.Render(fmt.Sprintf("%-9s", state)), strings.Repeat("#", full),
+		strings.Repeat(".", loadBarWidth-full), e.Threads, e.Cores)
+}
