--- a/cmd/cresspass/model.go
+++ b/cmd/cresspass/model.go
@@ -32,9 +32,9 @@
 
 // Run simulates a start of each fleet and prints its times and traffic.
 func (c modelMembersCmd) Run() error {
-	network := simulation.Calm()
+	network := simulation.CalmNetwork()
 	if c.Storm {
-		network = simulation.Storm()
+		network = simulation.StormyNetwork()
 	}
 	for _, n := range c.Sizes {
 		if n < 1 || n > maxModelMembers || c.Engines < 1 {
@@ -50,7 +50,7 @@
 	fmt.Println("members   agreed    known   return   kB/s each (mean, most)")
 	for _, v := range all {
 		fmt.Printf("%7d %7.1f s %6.1f s %6.1f s %6.1f %6.1f\n", v.Members, v.Agreed.Seconds(),
-			v.Known.Seconds(), v.Return.Seconds(), v.BytesSecond/1000, v.BytesMost/1000)
+			v.Propagated.Seconds(), v.Reconverged.Seconds(), v.BytesSecond/1000, v.MaxBytesSecond/1000)
 	}
 	return writePage(c.Report, "members", plot.Convergence(all))
 }
@@ -74,11 +74,11 @@
 		return fmt.Errorf("model newcomers: %d seeds, costs told as %g of the truth", c.Seeds, c.Told)
 	}
 	arms := []simulation.Arm{
-		{Name: "no talk", Talk: simulation.Silent},
-		{Name: "cold", Talk: simulation.Talking},
-		{Name: "newcomers", Talk: simulation.Newcomers},
-		{Name: "cold, 1 in 5 lies", Talk: simulation.Talking, Liars: 4},
-		{Name: "newcomers, 1 in 5 lies", Talk: simulation.Newcomers, Liars: 4},
+		{Name: "no talk", Gossip: simulation.NoGossip},
+		{Name: "cold", Gossip: simulation.GossipOnly},
+		{Name: "newcomers", Gossip: simulation.GossipAndBootstrap},
+		{Name: "cold, 1 in 5 lies", Gossip: simulation.GossipOnly, Byzantine: 4},
+		{Name: "newcomers, 1 in 5 lies", Gossip: simulation.GossipAndBootstrap, Byzantine: 4},
 	}
 	comparison, err := simulation.CompareNewcomers(arms, c.Seeds, c.Told)
 	if err != nil {
--- a/cmd/cresspass/model_run.go
+++ b/cmd/cresspass/model_run.go
@@ -88,7 +88,7 @@
 	if c.Seeds > 1 {
 		e.Seeds = c.Seeds
 	}
-	for _, kind := range experiment.LeftOut(e.Day) {
+	for _, kind := range experiment.OmittedFigures(e.Day) {
 		fmt.Fprintf(os.Stderr,
 			"%s: trouble %s is left out: it is of bytes, or of clients that give up\n", name, kind)
 	}
--- a/cmd/cresspass/record.go
+++ b/cmd/cresspass/record.go
@@ -22,7 +22,7 @@
 // loadRecording reads a recording, and prints what of it could not be read.
 func loadRecording(path string) (recording.Header, []recording.Entry, error) {
 	h, all, skipped, err := recording.Load(path)
-	if errors.Is(err, recording.ErrCut) || errors.Is(err, recording.ErrDamaged) {
+	if errors.Is(err, recording.ErrTruncated) || errors.Is(err, recording.ErrDamaged) {
 		fmt.Fprintf(os.Stderr, "%s: %v; %d entries before that are used\n", path, err, len(all))
 		err = nil
 	}
@@ -88,7 +88,7 @@
 		fmt.Println("no entries")
 		return nil
 	}
-	length := max(entries[len(entries)-1].At, time.Millisecond)
+	length := max(entries[len(entries)-1].ArrivedAt, time.Millisecond)
 	fmt.Printf("from %s, %s, %d entries, %.1f a second\n", header.Start.UTC().Format(time.RFC3339),
 		length.Round(time.Millisecond), len(entries), float64(len(entries))/length.Seconds())
 	printClasses(entries)
@@ -128,7 +128,7 @@
 		class.entries++
 		class.outcomes[e.Outcome]++
 		if e.Outcome == recording.Served {
-			class.latency = append(class.latency, e.Took)
+			class.latency = append(class.latency, e.Elapsed)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(classes)) {
@@ -136,8 +136,8 @@
 		slices.Sort(class.latency)
 		n := class.outcomes
 		fmt.Printf("  %-14s %7d: served %d, refused %d, failed %d, given up %d; in %s (p50), %s (p99)\n",
-			name, class.entries, n[recording.Served], n[recording.Refused], n[recording.Failed],
-			n[recording.GivenUp], quantile(class.latency, 0.5), quantile(class.latency, 0.99))
+			name, class.entries, n[recording.Served], n[recording.Rejected], n[recording.Failed],
+			n[recording.Abandoned], quantile(class.latency, 0.5), quantile(class.latency, 0.99))
 	}
 }
 
--- a/cmd/cresspass/rehearse.go
+++ b/cmd/cresspass/rehearse.go
@@ -113,7 +113,7 @@
 	d = d.Drawn(c.Seed)
 	fmt.Printf("%s: %s\n%d engines, %d dispatchers, %v\n", d.Name, d.Title, d.Engines, d.Dispatchers,
 		d.Length)
-	for _, t := range d.Troubles {
+	for _, t := range d.Faults {
 		from := int(int64(t.At) * timelineWidth / int64(d.Length))
 		length := min(max(1, int(int64(t.For)*timelineWidth/int64(d.Length))), timelineWidth-from)
 		fmt.Printf("%-12s |%s%s%s| at %v for %v, engines %v, dispatcher %d, size %g\n", t.Kind,
@@ -142,7 +142,7 @@
 	for _, v := range verdicts {
 		fmt.Println(v)
 	}
-	if !rulecheck.Kept(verdicts) {
+	if !rulecheck.AllKept(verdicts) {
 		return errRuleBroken
 	}
 	return nil
@@ -165,7 +165,7 @@
 	options.StartServer = func(cfg *config.Config, log *slog.Logger,
 		ln net.Listener) (*server.Server, error) {
 		module := cfg.Module
-		baseline.Loosen(c.Mutate, &cfg.Module)
+		baseline.LoosenRule(c.Mutate, &cfg.Module)
 		cfg.AllowViolations = c.Mutate != 0
 		return server.StartWithDecider(cfg, log, ln, func(cresspass.Config) (dispatch.Decider, error) {
 			return baseline.New(c.Policy, c.Mutate, module)
--- a/cmd/cresspass/rehearse_compare.go
+++ b/cmd/cresspass/rehearse_compare.go
@@ -43,10 +43,10 @@
 		fmt.Println(simulation.Figures[f].Name)
 		for w, since := range n.Windows {
 			for a, arm := range n.Arms {
-				b := simulation.BarOf(n.Samples(a, w, f))
-				d := simulation.BarOf(simulation.Differences(n.Samples(a, w, f), n.Samples(against, w, f)))
+				b := simulation.EstimateMean(n.Samples(a, w, f))
+				d := simulation.EstimateMean(simulation.Differences(n.Samples(a, w, f), n.Samples(against, w, f)))
 				fmt.Printf("  %4.0f s  %-24s %6.1f%% ±%4.1f   against cold %+6.1f ±%4.1f\n",
-					since.Seconds(), arm.Name, 100*b.Mean, 100*b.Half, 100*d.Mean, 100*d.Half)
+					since.Seconds(), arm.Name, 100*b.Mean, 100*b.HalfWidth, 100*d.Mean, 100*d.HalfWidth)
 			}
 		}
 	}
--- a/cmd/cresspass/rehearse_run.go
+++ b/cmd/cresspass/rehearse_run.go
@@ -66,7 +66,7 @@
 			return played.err
 		}
 		played.result.Print(os.Stdout)
-		if !played.result.Kept() || len(played.result.Short) > 0 {
+		if !played.result.Kept() || len(played.result.Missed) > 0 {
 			broken++
 		}
 	}
@@ -114,13 +114,13 @@
 		Policy:  c.Policy,
 		Mutate:  c.Mutate,
 		NoState: c.NoState,
-		Talk:    c.Talk,
+		Gossip:  c.Talk,
 	}
 	stopView := func() {}
 	if c.View == viewTerminal || c.View == viewAuto && c.Jobs <= 1 && isTerminal(os.Stdout) {
-		options.Look, stopView = watchInTerminal(day)
+		options.Observe, stopView = watchInTerminal(day)
 	} else {
-		options.Look = statusLogger(log)
+		options.Observe = statusLogger(log)
 	}
 	result, err := rehearsal.Play(ctx, day, options)
 	stopView()
@@ -158,7 +158,7 @@
 func (c rehearseRunCmd) keepTraffic(day *rehearsal.Day, result *rehearsal.Result) error {
 	folder := filepath.Join(c.Broken,
 		fmt.Sprintf("%s-%d-%s", day.Name, c.Seed, time.Now().Format("150405")))
-	if err := result.Keep(folder); err != nil {
+	if err := result.StoreEvidence(folder); err != nil {
 		return err
 	}
 	fmt.Fprintln(os.Stderr, "the traffic is kept in", folder)
--- a/cmd/cresspass/view.go
+++ b/cmd/cresspass/view.go
@@ -41,7 +41,7 @@
 			threads += e.Threads
 		}
 		var faults []string
-		for _, t := range s.Troubles {
+		for _, t := range s.Faults {
 			faults = append(faults, t.Kind)
 		}
 		log.Info("rehearsal progress", "day", s.Day.Name, "at", s.At.Round(time.Second),
@@ -114,9 +114,9 @@
 	for _, class := range slices.Sorted(maps.Keys(s.Counts)) {
 		n := s.Counts[class]
 		fmt.Fprintf(&b, "%-12s served %6d  refused %5d  failed %5d  gave up %5d\n", class,
-			n[rehearsal.Served], n[rehearsal.Refused], n[rehearsal.Failed], n[rehearsal.GaveUp])
+			n[rehearsal.Served], n[rehearsal.Rejected], n[rehearsal.Failed], n[rehearsal.Abandoned])
 	}
-	for _, t := range s.Troubles {
+	for _, t := range s.Faults {
 		until := (t.At + t.For).Round(time.Second)
 		fmt.Fprintf(&b, "%s engines %v until %v\n", warningStyle.Render(t.Kind), t.Engines, until)
 	}
--- a/internal/server/attempt.go
+++ b/internal/server/attempt.go
@@ -21,7 +21,7 @@
 		s.stopAttempt(o)
 	case dispatch.RejectQuery:
 		if q := s.lookup(o.Query); q != nil {
-			s.finishRecording(q, recording.Refused)
+			s.finishRecording(q, recording.Rejected)
 			s.forget(q)
 			s.respond(q, verdict.Reject(o.RetryAfter, o.MayHaveRun, s.lastError(q)))
 		}
--- a/internal/server/query.go
+++ b/internal/server/query.go
@@ -49,7 +49,7 @@
 	ev.StickyEngine, ev.OpensSession = clientQuery.Lease.Engine(), clientQuery.EngineQuery.MayBecomeSticky
 	s.beginRecording(q, &ev)
 	if reason, ok := s.admitQuery(q); !ok {
-		s.finishRecording(q, recording.Refused)
+		s.finishRecording(q, recording.Rejected)
 		s.respond(q, verdict.RejectOverLimit(reason))
 		return
 	}
@@ -86,7 +86,7 @@
 		ev.Outcome = cresspass.OutcomeCancelled
 	}
 	if q := s.lookup(ev.Query); q != nil {
-		s.finishRecording(q, recording.GivenUp)
+		s.finishRecording(q, recording.Abandoned)
 		s.forget(q)
 	}
 	s.loop.Post(ev)
--- a/internal/server/write_recovery.go
+++ b/internal/server/write_recovery.go
@@ -125,7 +125,7 @@
 		s.postDelayed(q, *ev, delay)
 		return true
 	case storage.Reject:
-		s.finishRecording(q, recording.Refused)
+		s.finishRecording(q, recording.Rejected)
 		s.forget(q)
 		s.respond(q, verdict.RejectAfterRestart(delay))
 		return true
--- /dev/null
+++ b/outlier_test.go
@@ -0,0 +1,92 @@
+package cresspass
+
+import (
+	"testing"
+	"time"
+)
+
+// TestSilentEngineIsEjected: an engine that takes work and answers nothing gets no more, and its queries
+// move.
+func TestSilentEngineIsEjected(t *testing.T) {
+	b := newHarness(t, singleClassConfig(), standardEngine("e1"), standardEngine("e2"))
+	for id := range QueryID(4) {
+		b.submit(id+1, "short", "")
+	}
+	cancels := 0
+	for range 60 {
+		for _, a := range b.advance(50*ms, Event{Type: TimerFired}) {
+			if a.Type == Cancel {
+				cancels++
+			}
+		}
+		if e := b.g.engines["e1"]; e.outlier.ejected {
+			break
+		}
+	}
+	if !b.g.engines["e1"].outlier.ejected || cancels < 2 {
+		t.Errorf("ejected %v, %d attempts cancelled", b.g.engines["e1"].outlier.ejected, cancels)
+	}
+}
+
+// An engine that others report as dead gets no query before a health check; one that was heard here does.
+func TestEngineReportedDown(t *testing.T) {
+	cfg := singleClassConfig()
+	cfg.MayCheckHealth, cfg.MayGossip = true, true
+	b := newHarness(t, cfg, standardEngines(2)...)
+	b.advance(
+		ms,
+		Event{Type: EngineReportedDown, Engine: "e00"},
+		Event{Type: EngineReportedDown, Engine: "nobody"},
+	)
+	if !b.g.engines["e00"].outlier.ejected || b.g.engines["e01"].outlier.ejected {
+		t.Error("others' report was not taken")
+	}
+	probed := false
+	for range 30 {
+		for _, a := range b.advance(50*ms, Event{Type: TimerFired}) {
+			probed = probed || a.Type == CheckHealth && a.Engine == "e00"
+		}
+	}
+	if !probed {
+		t.Error("its health was never checked")
+	}
+	b.g.engines["e01"].lastSeenAt = b.now
+	if b.advance(ms, Event{Type: EngineReportedDown, Engine: "e01"}); b.g.engines["e01"].outlier.ejected {
+		t.Error("others' report stands against what was seen here")
+	}
+}
+
+// TestOutlierState: an engine is ejected by failures in a row, longer each time it fails its probation, and
+// is back after two answers of it.
+func TestOutlierState(t *testing.T) {
+	var o outlierState
+	now := time.Hour
+	for i := range ejectConsecutiveFailures {
+		if o.ejected {
+			t.Fatalf("ejected after %d failures", i)
+		}
+		o.recordFailure(now)
+	}
+	if !o.ejected || o.ejectedUntil != now+baseEjectionTime {
+		t.Fatalf("after %d failures: %+v", ejectConsecutiveFailures, o)
+	}
+	o.onProbation = true
+	if o.recordFailure(now); o.ejectionTime != 2*baseEjectionTime || o.onProbation {
+		t.Errorf("after a failed probation: %+v", o)
+	}
+	for range 9 {
+		o.onProbation = true
+		o.recordFailure(now)
+	}
+	if o.ejectionTime != maxEjectionTime {
+		t.Errorf("ejected for %v after many failed probations, want %v", o.ejectionTime, maxEjectionTime)
+	}
+	o.onProbation = true
+	o.recordSuccess()
+	if !o.ejected {
+		t.Error("back after one answer")
+	}
+	if o.recordSuccess(); o.ejected || o.failureRate != 0 || o.ejectionTime != 0 {
+		t.Errorf("after %d answers on probation: %+v", probationSuccessesNeeded, o)
+	}
+}
