--- a/cmd/cresspass/demo.go
+++ b/cmd/cresspass/demo.go
@@ -43,12 +43,12 @@
 	if err != nil {
 		return err
 	}
-	list, err := standin.NewRoster("127.0.0.1:0", cfg.DiscoveryService)
+	list, err := standin.NewDiscoveryServer("127.0.0.1:0", cfg.DiscoveryService)
 	if err != nil {
 		return err
 	}
 	defer list.Close()
-	group := standin.NewGroup()
+	group := standin.NewDeduplicationGroup()
 	var engines []eds.Engine
 	for i := range demoEngines {
 		e, err := newDemoEngine(uint64(i), group)
@@ -103,10 +103,10 @@
 }
 
 // newDemoEngine starts a stand-in engine.
-func newDemoEngine(seed uint64, group *standin.Group) (*standin.Engine, error) {
+func newDemoEngine(seed uint64, group *standin.DeduplicationGroup) (*standin.Engine, error) {
 	return standin.NewEngine(standin.EngineConfig{
 		Listen:        "127.0.0.1:0",
-		Kind:          testbed.Kind(8, 4096),
+		Kind:          testbed.EngineKind(8, 4096),
 		Seed:          seed,
 		ProgressEvery: 2 * time.Second,
 		ReportEvery:   engineReportInterval,
--- a/cmd/cresspass/engine.go
+++ b/cmd/cresspass/engine.go
@@ -43,7 +43,7 @@
 	}
 	e, err := standin.NewEngine(standin.EngineConfig{
 		Listen:        c.Listen,
-		Kind:          testbed.Kind(c.Cores, c.MemoryMB),
+		Kind:          testbed.EngineKind(c.Cores, c.MemoryMB),
 		Cold:          c.Cold,
 		ProgressEvery: c.Progress,
 		ReportEvery:   engineReportInterval,
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	e.Set(standin.Faults{
+	e.SetFaults(standin.Faults{
 		Slow:         c.Slow,
 		Hang:         c.Hang,
 		LoseShare:    c.Lose,
@@ -91,7 +91,7 @@
 	if err := l.Validate(); err != nil {
 		return err
 	}
-	r, err := standin.NewRoster(c.Listen, c.Service)
+	r, err := standin.NewDiscoveryServer(c.Listen, c.Service)
 	if err != nil {
 		return err
 	}
--- a/internal/server/client_fault_test.go
+++ b/internal/server/client_fault_test.go
@@ -25,7 +25,7 @@
   max_connections = 2`, 1),
 	)
 	// Cancelled late, so that on a connection reused too early the next query would be cancelled.
-	r.Engines[0].Set(standin.Faults{SlowCancel: 100 * time.Millisecond})
+	r.Engines[0].SetFaults(standin.Faults{SlowCancel: 100 * time.Millisecond})
 	runs := func() (running, cancelled int) {
 		for _, v := range r.Engines[0].Runs() {
 			switch v.Outcome {
--- a/internal/server/fault_test.go
+++ b/internal/server/fault_test.go
@@ -17,20 +17,20 @@
 func TestEngineDiesMidResponse(t *testing.T) {
 	r, s := startDispatcher(t, 2, baseSettings)
 	for _, e := range r.Engines {
-		e.Set(standin.Faults{DieAfterRows: 5})
+		e.SetFaults(standin.Faults{DieAfterRows: 5})
 	}
 	c := dialServer(t, s)
 	// 5 rows of 20 bytes are held back, so the second engine gets an attempt, and dies too: then none is
 	// left.
-	r.Engines[0].Set(standin.Faults{})
+	r.Engines[0].SetFaults(standin.Faults{})
 	c.send(&pgproto3.Query{String: "select 1 /*rows='20'*/"})
 	if seen := c.readUntil("Z"); countPrefix(seen, "D") != 20 || countPrefix(seen, "E") != 0 {
 		t.Fatalf("response in spite of a death: %v", seen)
 	}
 	// Rows beyond what is held back have gone out when the engine dies.
-	r.Engines[0].Set(standin.Faults{DieAfterRows: 50})
+	r.Engines[0].SetFaults(standin.Faults{DieAfterRows: 50})
 	if up, _ := r.Engines[1].Up(); up {
-		r.Engines[1].Set(standin.Faults{DieAfterRows: 50})
+		r.Engines[1].SetFaults(standin.Faults{DieAfterRows: 50})
 	}
 	before := s.Stats()
 	c.send(&pgproto3.Query{String: "select 1 /*rows='100',row_bytes='500'*/"})
@@ -53,7 +53,7 @@
 	r, s := startDispatcher(t, 2, baseSettings)
 	c := connect(t, s, "")
 	for _, e := range r.Engines {
-		e.Set(standin.Faults{Hang: true})
+		e.SetFaults(standin.Faults{Hang: true})
 	}
 	done := make(chan error, 1)
 	go func() {
@@ -75,7 +75,7 @@
 	}
 	eventually(t, "a second attempt", func() bool { return attempts() == 2 })
 	for _, e := range r.Engines { // both respond now
-		e.Set(standin.Faults{})
+		e.SetFaults(standin.Faults{})
 	}
 	if err := <-done; err != nil {
 		t.Fatal(err)
@@ -93,16 +93,16 @@
 	}()
 	eventually(t, "it runs", func() bool { return s.Stats().Running == 1 })
 	for i := range r.Engines {
-		r.Change(i, func(e *eds.Engine) { e.State = "" }) // off the list, still running
+		r.UpdateEngine(i, func(e *eds.Engine) { e.State = "" }) // off the list, still running
 	}
 	if err := <-done; err != nil {
 		t.Fatalf("response of an engine that left the list: %v", err)
 	}
-	r.Engines[0].Die()
+	r.Engines[0].Crash()
 	if err := r.Engines[0].Restart(); err != nil {
 		t.Fatal(err)
 	}
-	r.Change(0, func(e *eds.Engine) { e.State, e.Started = eds.StateActive, r.Engines[0].Started() })
+	r.UpdateEngine(0, func(e *eds.Engine) { e.State, e.Started = eds.StateActive, r.Engines[0].Started() })
 	eventually(t, "the new process serves", func() bool {
 		n, err := queryRowCount(t, c, "select 1 /*rows='2'*/")
 		return n == 2 && err == nil
@@ -113,9 +113,9 @@
 // response, that of the good engine.
 func TestFaultyEngines(t *testing.T) {
 	r, s := startDispatcher(t, 4, baseSettings)
-	r.Engines[0].Set(standin.Faults{Garbage: true})
-	r.Engines[1].Set(standin.Faults{Cut: 1})
-	r.Engines[2].Set(standin.Faults{Full: true})
+	r.Engines[0].SetFaults(standin.Faults{Garbage: true})
+	r.Engines[1].SetFaults(standin.Faults{Cut: 1})
+	r.Engines[2].SetFaults(standin.Faults{Full: true})
 	c := connect(t, s, "")
 	served := 0
 	for i := range 60 {
--- a/internal/server/flight_fault_test.go
+++ b/internal/server/flight_fault_test.go
@@ -39,7 +39,7 @@
 func TestFlightEngineDiesAfterThreeBatches(t *testing.T) {
 	r, s := startDispatcher(t, 2, flightSettings)
 	for _, e := range r.Engines {
-		e.Set(standin.Faults{DieAfterRows: 15})
+		e.SetFaults(standin.Faults{DieAfterRows: 15})
 	}
 	c := dialFlight(t, s, "u")
 	fi, err := c.Execute(c.ctx, "select 1 /*rows='100',row_bytes='110000',id='dies'*/")
@@ -142,7 +142,7 @@
 	refusal := issue("insert into t values (1) /*id='refused'*/") // one that was refused may be fetched again
 	for _, full := range []bool{true, false} {
 		for _, e := range r.Engines {
-			e.Set(standin.Faults{Full: full})
+			e.SetFaults(standin.Faults{Full: full})
 		}
 		switch err := get(a, refusal); {
 		case full && (status.Code(err) != codes.ResourceExhausted || reportedRun(err) != "REFUSED false"):
@@ -234,7 +234,7 @@
 	for _, wait := range []bool{false, true} {
 		tx = begin()
 		for i := range r.Engines {
-			r.Change(i, func(e *eds.Engine) { e.State = eds.StateDraining })
+			r.UpdateEngine(i, func(e *eds.Engine) { e.State = eds.StateDraining })
 		}
 		var header metadata.MD
 		eventually(t, "a notice", func() bool {
@@ -256,7 +256,7 @@
 			t.Errorf("a commit within the grace: %v", err)
 		}
 		for i := range r.Engines {
-			r.Change(i, func(e *eds.Engine) { e.State = eds.StateActive })
+			r.UpdateEngine(i, func(e *eds.Engine) { e.State = eds.StateActive })
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -75,11 +75,11 @@
 `
 
 // startEngines starts stand-in engines and a discovery service that lists them.
-func startEngines(t *testing.T, n int) *testbed.Rig {
+func startEngines(t *testing.T, n int) *testbed.Testbed {
 	t.Helper()
 	cfg := make([]standin.EngineConfig, n)
 	for i := range cfg {
-		cfg[i] = standin.EngineConfig{Kind: testbed.Kind(8, 4096), Window: 15 * time.Second}
+		cfg[i] = standin.EngineConfig{Kind: testbed.EngineKind(8, 4096), Window: 15 * time.Second}
 	}
 	r, err := testbed.New(cfg...)
 	if err != nil {
@@ -90,10 +90,10 @@
 }
 
 // startDispatcher starts a dispatcher in front of n stand-in engines.
-func startDispatcher(t *testing.T, n int, settings string) (*testbed.Rig, *server.Server) {
+func startDispatcher(t *testing.T, n int, settings string) (*testbed.Testbed, *server.Server) {
 	t.Helper()
 	r := startEngines(t, n)
-	s, err := r.Dispatch(settings, nil)
+	s, err := r.StartDispatcher(settings, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -165,7 +165,7 @@
 }
 
 // countRuns counts the runs of a statement's id over all engines.
-func countRuns(r *testbed.Rig, id string) (n int) {
+func countRuns(r *testbed.Testbed, id string) (n int) {
 	for _, e := range r.Engines {
 		for _, run := range e.Runs() {
 			if run.ID == id {
--- a/internal/server/mixed_load_test.go
+++ b/internal/server/mixed_load_test.go
@@ -27,7 +27,7 @@
 	}
 	cfg := make([]standin.EngineConfig, 4)
 	for i := range cfg {
-		cfg[i] = standin.EngineConfig{Kind: testbed.Kind(16, 8192), Window: 15 * time.Second, Seed: 5}
+		cfg[i] = standin.EngineConfig{Kind: testbed.EngineKind(16, 8192), Window: 15 * time.Second, Seed: 5}
 	}
 	r, err := testbed.New(cfg...)
 	if err != nil {
@@ -47,7 +47,7 @@
 		places[relay.Addr()] = rulecheck.Endpoint{Zone: "a", Kind: "std", Cores: 16}
 	}
 	r.Publish()
-	s, err := r.Dispatch(strings.Replace(baseSettings, "engines {", "engines {\n  user = \"d0\"", 1), nil)
+	s, err := r.StartDispatcher(strings.Replace(baseSettings, "engines {", "engines {\n  user = \"d0\"", 1), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,8 +56,8 @@
 		t.Fatal(err)
 	}
 	listedAt := time.Now()
-	r.Engines[1].Set(standin.Faults{Cut: 0.05, ErrorShare: 0.05})
-	r.Engines[2].Set(standin.Faults{LoseShare: 0.02, SlowCancel: 30 * time.Millisecond})
+	r.Engines[1].SetFaults(standin.Faults{Cut: 0.05, ErrorShare: 0.05})
+	r.Engines[2].SetFaults(standin.Faults{LoseShare: 0.02, SlowCancel: 30 * time.Millisecond})
 	var wg sync.WaitGroup
 	next := make(chan int)
 	outcomes := map[string]int{}
@@ -90,7 +90,7 @@
 	}
 	for i := range total {
 		if i == total/2 {
-			r.Engines[3].Die()
+			r.Engines[3].Crash()
 		}
 		next <- i
 	}
--- a/internal/server/stale_statement_test.go
+++ b/internal/server/stale_statement_test.go
@@ -65,10 +65,10 @@
 				`drain_grace = "100ms"`, 1))
 			g := newGatedProxy(t, r.Engines[0].Addr())
 			address := g.Addr().String()
-			r.Change(0, func(e *eds.Engine) { e.Address = address })
+			r.UpdateEngine(0, func(e *eds.Engine) { e.Address = address })
 			eventually(t, "the proxy is on the list", func() bool { return s.EngineActive(address) })
 			w := &pendingStatement{client: dialServer(t, s), drain: func() {
-				r.Change(0, func(e *eds.Engine) { e.State = eds.StateDraining })
+				r.UpdateEngine(0, func(e *eds.Engine) { e.State = eds.StateDraining })
 				eventually(t, "the drain is known", func() bool { return !s.EngineActive(address) })
 				time.Sleep(200 * time.Millisecond) // the grace is over
 			}}
--- a/internal/server/sticky_session_test.go
+++ b/internal/server/sticky_session_test.go
@@ -137,7 +137,7 @@
 	})
 	sticky.send(&pgproto3.Query{String: "create temp table tmp_x (a int); commit"})
 	sticky.readUntil("Z")
-	r.Change(at, func(e *eds.Engine) { e.State = eds.StateDraining })
+	r.UpdateEngine(at, func(e *eds.Engine) { e.State = eds.StateDraining })
 	if seen := sticky.readUntil("NoticeResponse"); len(seen) != 1 {
 		t.Errorf("a sticky session got %v", seen)
 	}
@@ -161,7 +161,7 @@
 	other := 1 - at
 	c := dialServer(t, s)
 	on(c, "last")
-	r.Engines[other].Set(standin.Faults{Cut: 1})
+	r.Engines[other].SetFaults(standin.Faults{Cut: 1})
 	c.send(&pgproto3.Query{String: "insert into t values (1); commit"})
 	if seen := c.readUntil("E:08007"); len(seen) == 0 {
 		t.Errorf("lost after commit: %v", seen)
--- a/internal/server/transparency_test.go
+++ b/internal/server/transparency_test.go
@@ -23,7 +23,7 @@
 // dispatcher with three, but for what names the server or the moment.
 func TestScriptMatchesDirectConnection(t *testing.T) {
 	_, s := startDispatcher(t, 3, baseSettings)
-	direct, err := standin.NewEngine(standin.EngineConfig{Kind: testbed.Kind(8, 4096)})
+	direct, err := standin.NewEngine(standin.EngineConfig{Kind: testbed.EngineKind(8, 4096)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +78,7 @@
 // gets the bytes that one engine sends.
 func TestRandomSessionsMatchDirectConnection(t *testing.T) {
 	_, s := startDispatcher(t, 3, baseSettings)
-	direct, err := standin.NewEngine(standin.EngineConfig{Kind: testbed.Kind(8, 4096)})
+	direct, err := standin.NewEngine(standin.EngineConfig{Kind: testbed.EngineKind(8, 4096)})
 	if err != nil {
 		t.Fatal(err)
 	}
