--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -217,8 +217,11 @@
 				}
 				defer c.Close()
 				line, err := bufio.NewReader(c).ReadString('\n')
-				if err != nil || line != said["request"] {
-					return fmt.Errorf("asked %q, %v", line, err)
+				if err != nil {
+					return err
+				}
+				if line != said["request"] {
+					return fmt.Errorf("asked %q, want %q", line, said["request"])
 				}
 				if rejected {
 					_, err = c.Write([]byte(said["rejected"]))
--- a/internal/daemon/handover_client.go
+++ b/internal/daemon/handover_client.go
@@ -64,12 +64,18 @@
 // receiveListeners returns the listening sockets of a control message.
 func receiveListeners(control []byte) ([]*net.TCPListener, error) {
 	messages, err := syscall.ParseSocketControlMessage(control)
-	if err != nil || len(messages) != 1 {
-		return nil, fmt.Errorf("no socket came with the answer: %d control messages, %v", len(messages), err)
+	if err != nil {
+		return nil, fmt.Errorf("parse the control messages of the answer: %w", err)
+	}
+	if len(messages) != 1 {
+		return nil, fmt.Errorf("no socket came with the answer: %d control messages", len(messages))
 	}
 	fds, err := syscall.ParseUnixRights(&messages[0])
-	if err != nil || len(fds) < 1 || len(fds) > maxListeners {
-		return nil, fmt.Errorf("no socket came with the answer: %d descriptors, %v", len(fds), err)
+	if err != nil {
+		return nil, fmt.Errorf("parse the descriptors of the answer: %w", err)
+	}
+	if len(fds) < 1 || len(fds) > maxListeners {
+		return nil, fmt.Errorf("no socket came with the answer: %d descriptors", len(fds))
 	}
 	var listeners []*net.TCPListener
 	for _, fd := range fds {
--- a/internal/daemon/handover_server.go
+++ b/internal/daemon/handover_server.go
@@ -139,7 +139,7 @@
 		if f, err = ln.File(); err != nil {
 			break
 		}
-		defer f.Close() // a duplicate, which must stay open until it is sent
+		defer func() { _ = f.Close() }() // a duplicate, which must stay open until it is sent
 		fds = append(fds, int(f.Fd()))
 	}
 	if err == nil {
--- a/internal/daemon/handover_test.go
+++ b/internal/daemon/handover_test.go
@@ -82,7 +82,10 @@
 		t.Errorf("free, and the predecessor drains: %v", err)
 	}
 	select {
-	case <-a.done:
+	case err := <-a.done:
+		if err != nil {
+			t.Error(err)
+		}
 	case <-time.After(10 * time.Second):
 		t.Fatalf("the predecessor does not end:\n%s", a.log)
 	}
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -120,8 +120,7 @@
 	l := &Log{path: filepath.Join(dir, logName), lockFile: lockFile, createFile: newFile}
 	records, err := l.readFile(logger)
 	if err != nil {
-		lockFile.Close()
-		return nil, nil, err
+		return nil, nil, errors.Join(err, lockFile.Close())
 	}
 	// The log is always rewritten, so that nothing is appended behind bytes that were not believed. Where
 	// the disk does not take it yet, the old file stays as it is, and nothing is appended until a rewrite
@@ -138,8 +137,7 @@
 		return nil, err
 	}
 	if err := syscall.Flock(int(lockFile.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		lockFile.Close()
-		return nil, fmt.Errorf("%w: %s: %w", ErrLocked, dir, err)
+		return nil, errors.Join(fmt.Errorf("%w: %s: %w", ErrLocked, dir, err), lockFile.Close())
 	}
 	return lockFile, nil
 }
