--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -35,7 +35,7 @@
 	close(s.stop)
 	s.waitForLog(t, "to=draining")
 	if _, err := idle.Exec(context.Background(), "select 1"); sqlState(err) != "57P01" && !idle.IsClosed() {
-		t.Errorf("an idle client was told %v", err)
+		t.Errorf("an idle client received %v", err)
 	}
 	if got := <-ends; got != "<nil>" {
 		t.Errorf("what would end in time was answered by %s", got)
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -169,7 +169,7 @@
 	b, oob := make([]byte, 256), make([]byte, 256)
 	n, oobn, _, _, err := c.ReadMsgUnix(b, oob)
 	if err != nil || string(b[:n]) != said["listeners"] {
-		t.Fatalf("told %q, %v, want %q", b[:n], err, said["listeners"])
+		t.Fatalf("received %q, %v, want %q", b[:n], err, said["listeners"])
 	}
 	messages, err := syscall.ParseSocketControlMessage(oob[:oobn])
 	if err != nil || len(messages) != 1 {
@@ -191,11 +191,11 @@
 	lines := bufio.NewReader(c)
 	h.announceDrain()
 	if line, err := lines.ReadString('\n'); err != nil || line != said["draining"] {
-		t.Errorf("told %q, %v, want %q", line, err, said["draining"])
+		t.Errorf("received %q, %v, want %q", line, err, said["draining"])
 	}
 	h.reject(asked.SuccessorID)
 	if line, err := lines.ReadString('\n'); err != nil || line != said["rejected"] {
-		t.Errorf("told %q, %v, want %q", line, err, said["rejected"])
+		t.Errorf("received %q, %v, want %q", line, err, said["rejected"])
 	}
 	if ev := <-events; ev.Type != lifecycle.SuccessorLost || ev.SuccessorID != asked.SuccessorID {
 		t.Errorf("event %+v", ev)
--- a/internal/daemon/lifecycle/machine.go
+++ b/internal/daemon/lifecycle/machine.go
@@ -78,7 +78,7 @@
 	deadline       time.Duration // of the handover or the drain
 	successorID    uint64        // of the handover
 	forceClosed    bool
-	actions        []Action // of the present step; kept to spare allocations
+	actions        []Action // of the present step; reused, to spare allocations
 }
 
 // New returns the machine of a daemon that starts.
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -124,11 +124,12 @@
 			t.Errorf("read %+v, want %+v", got, want)
 		}
 	}
-	if kept := state.StickySessions(); len(kept) != 1 || !reflect.DeepEqual(kept[0], goldenSessions[1]) {
-		t.Errorf("sessions: %+v", kept)
+	sessions := state.StickySessions()
+	if len(sessions) != 1 || !reflect.DeepEqual(sessions[0], goldenSessions[1]) {
+		t.Errorf("sessions: %+v", sessions)
 	}
-	if lives := state.IncarnationNames(); !reflect.DeepEqual(lives, []string{"cresspass-0-2badcafe"}) {
-		t.Errorf("names: %q", lives)
+	if names := state.IncarnationNames(); !reflect.DeepEqual(names, []string{"cresspass-0-2badcafe"}) {
+		t.Errorf("names: %q", names)
 	}
 	data, age := state.ModelState(goldenTime.Add(time.Minute))
 	if string(data) != "\x00model state\xff" || age.Truncate(time.Millisecond) != time.Minute {
@@ -157,8 +158,7 @@
 		t.Errorf("%d records were not read", unreadable)
 	}
 	if len(again.PendingWrites(Instant{Wall: goldenTime})) != 2 || len(again.StickySessions()) != 1 ||
-		len(again.IncarnationNames()) != 1 ||
-		again.LastIncarnation() != 1767600000123456790 {
+		len(again.IncarnationNames()) != 1 || again.LastIncarnation() != 1767600000123456790 {
 		t.Errorf("read %+v", again)
 	}
 }
@@ -242,10 +242,10 @@
 	if !reflect.DeepEqual(open, want) {
 		t.Errorf("read %+v, want %+v", open, want)
 	}
-	kept := []orphanedsession.Session{{ID: 7, Engine: "e", PID: 3, Secret: []byte{0, 1, 2, 255},
+	sessions := []orphanedsession.Session{{ID: 7, Engine: "e", PID: 3, Secret: []byte{0, 1, 2, 255},
 		IncarnationName: "cresspass-0-1"}}
-	if !reflect.DeepEqual(state.StickySessions(), kept) {
-		t.Errorf("read %+v, want %+v", state.StickySessions(), kept)
+	if !reflect.DeepEqual(state.StickySessions(), sessions) {
+		t.Errorf("read %+v, want %+v", state.StickySessions(), sessions)
 	}
 }
 
