--- a/internal/discovery/sse/backoff.go
+++ b/internal/discovery/sse/backoff.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Backoff is the time before the notice board is asked again after a call that brought nothing: doubled each
-// time up to Most, and of that a half for certain and the other half by chance. Danger: without chance, all
-// dispatchers that lost the board in the same moment would come back to it in the same moments.
+// Backoff is the delay before the discovery is polled again after a call that brought nothing: doubled each
+// time up to Max, half of it fixed and half of it random. Without the random half, all dispatchers that
+// lost the discovery at the same moment would come back to it at the same moments.
 type Backoff struct {
 	Min, Max time.Duration
 	Random   *rand.Rand
@@ -15,11 +15,12 @@
 	delay time.Duration
 }
 
-// Reset starts anew: the last call brought something.
+// Reset begins again at Min: the last call brought something.
 func (b *Backoff) Reset() { b.delay = 0 }
 
-// Next returns the time to wait now.
+// Next returns the delay to wait now.
 func (b *Backoff) Next() time.Duration {
 	b.delay = min(max(2*b.delay, b.Min), b.Max)
-	return b.delay/2 + time.Duration(b.Random.Int64N(int64(b.delay/2)+1))
+	half := b.delay / 2
+	return half + time.Duration(b.Random.Int64N(int64(half)+1))
 }
--- a/internal/discovery/sse/golden_test.go
+++ b/internal/discovery/sse/golden_test.go
@@ -12,15 +12,15 @@
 	"cresspass"
 )
 
-// TestGoldenNotice: the recorded notice, as a configuration holds the known ones and the service sends them,
-// is read with its values, and written as the same bytes.
-func TestGoldenNotice(t *testing.T) {
+// TestGoldenWatchEvent: the recorded watch event, as a configuration holds the known ones and the discovery
+// sends them, is read with its values, and written as the same bytes.
+func TestGoldenWatchEvent(t *testing.T) {
 	want := WatchEvent{Revision: 12, List: &EndpointList{Version: 3, Full: true, Endpoints: []Endpoint{
 		{ID: "n1", Addr: "10.0.0.1:8080", Zone: "z1", Kind: "large", Cell: 2, State: "up", Weight: 4.5,
 			StartedMs: 40},
 		{ID: "n2", Addr: "10.0.0.2:8080", Zone: "z2", Kind: "small", State: "draining", Weight: 1},
 		{ID: "n3", State: "removed"}}}}
-	path := filepath.Join("testdata", "golden", "notice.json")
+	path := filepath.Join("testdata", "golden", "watchevent.json")
 	written, err := json.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
@@ -52,14 +52,14 @@
 	var p Parser
 	var lists []cresspass.Event
 	follower := newFollower()
-	take := func(ev Event) {
-		list, v, err := follower.Apply(ev)
-		if err != nil || v != Applied {
-			t.Errorf("event %d: %v, %v", ev.ID, v, err)
+	apply := func(ev Event) {
+		list, result, err := follower.Apply(ev)
+		if err != nil || result != Applied {
+			t.Errorf("event %d: %v, %v", ev.ID, result, err)
 		}
 		lists = append(lists, list)
 	}
-	if err := p.Feed(stream, take); err != nil {
+	if err := p.Feed(stream, apply); err != nil {
 		t.Fatal(err)
 	}
 	want := []cresspass.Event{
--- a/internal/discovery/starttime/converter_test.go
+++ b/internal/discovery/starttime/converter_test.go
@@ -16,19 +16,19 @@
 func TestNeverOlder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		truth := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-		error := time.Duration(rapid.SampledFrom([]int64{0, rapid.Int64Range(-4e12, 0).Draw(t, "behind"),
+		clockError := time.Duration(rapid.SampledFrom([]int64{0, rapid.Int64Range(-4e12, 0).Draw(t, "behind"),
 			rapid.Int64Range(int64(maxRecentAge)+1, 4e12).
 				Draw(t, "ahead"),
 		}).Draw(t, "error of the wall clock"))
-		c := New(RecentStarts, truth.Add(error), time.Hour)
-		prompt := error == 0
+		c := New(RecentStarts, truth.Add(clockError), time.Hour)
+		prompt := clockError == 0
 		for i := range 20 {
 			now := time.Hour + time.Duration(i)*time.Second
 			delay := time.Duration(rapid.Int64Range(0, 3).Draw(t, "delay")) * 5 * time.Second
 			id := cresspass.EngineID(fmt.Sprint(rapid.IntRange(0, 12).Draw(t, "node")))
-			told := truth.Add(now - time.Hour - delay)
+			started := truth.Add(now - time.Hour - delay)
 			_, known := c.starts[id]
-			got := c.Convert(now, id, told)
+			got := c.Convert(now, id, started)
 			want := now - delay
 			prompt = prompt || delay == 0
 			if got < want || got > now {
@@ -37,7 +37,7 @@
 			if prompt && !known && got != want {
 				t.Fatalf("after a report without delay: started %v ago, taken for %v", delay, now-got)
 			}
-			if again := c.Convert(now+time.Minute, id, told); again != got {
+			if again := c.Convert(now+time.Minute, id, started); again != got {
 				t.Fatalf("reported again: %v, then %v", got, again)
 			}
 		}
@@ -55,9 +55,9 @@
 		for i := range 10 {
 			now := time.Hour + time.Duration(i)*time.Second
 			delay := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "delay"))
-			id, told := cresspass.EngineID(fmt.Sprint(i)), truth.Add(now-time.Hour-delay)
-			c.ObserveFresh(now, id, told)
-			if got := c.Convert(now, id, told); got < now-delay || got > now {
+			id, started := cresspass.EngineID(fmt.Sprint(i)), truth.Add(now-time.Hour-delay)
+			c.ObserveFresh(now, id, started)
+			if got := c.Convert(now, id, started); got < now-delay || got > now {
 				t.Fatalf("started %v ago, taken for %v", delay, now-got)
 			}
 		}
