--- a/internal/backend/duplicateresponse/detector.go
+++ b/internal/backend/duplicateresponse/detector.go
@@ -1,7 +1,8 @@
-// Package duplicateresponse finds second copies of answers on connections to compute nodes. Nothing in an
-// answer names its call, so a copy that a compute node sends again, and that comes later than a connection
-// is left to rest, would be taken for the answer to the next query's call. A Detector does no I/O and reads
-// no clock.
+// Package duplicateresponse detects duplicates of responses on connections to compute nodes. A response
+// does not name the request that it belongs to, so one that a compute node sends a second time, and that
+// comes after the connection was idle and is used again, would be taken for the response to the next
+// query's call. The package owns what is remembered of responses; it does no I/O and reads no clock, and
+// repeats no call itself.
 package duplicateresponse
 
 import (
@@ -14,36 +15,36 @@
 )
 
 const (
-	// minLongPoll is the least time after which a compute node answers a call without news (250 ms by the
-	// protocol), with slack for its clock and ours.
+	// minLongPoll is the least time after which a compute node answers a poll without news: 250 ms by the
+	// protocol, less what its clock and ours may differ.
 	minLongPoll = 200 * time.Millisecond
-	// suspicionPeriod is how long answers that often repeat are suspected after copies were seen.
+	// suspicionPeriod is how long after a duplicate responses that often repeat are suspected as well.
 	suspicionPeriod = 30 * time.Second
-	// historySize is how many answers of a connection are kept.
+	// historySize is how many responses of a connection are remembered.
 	historySize = 4
-	// maxKnownRepeats bounds the answers that are known to repeat by themselves.
+	// maxKnownRepeats bounds the responses that are known to repeat without being duplicates.
 	maxKnownRepeats = 64
 )
 
-// Fingerprint stands for an answer's status, headers and body. Two answers with the same one are the same to
-// the byte, but for chance.
+// Fingerprint stands for a response's status, headers and body: two responses with the same one are equal,
+// but for chance. The zero value is no response.
 type Fingerprint uint64
 
-// History is the last answers of a connection that could be taken for another call's. The zero value is that
-// of a new connection.
+// History is the last responses on a connection that could be taken for another call's. The zero value is
+// that of a new connection.
 type History struct {
 	fingerprints [historySize]Fingerprint
 	next         int
 }
 
-func (m *History) contains(f Fingerprint) bool { return slices.Contains(m.fingerprints[:], f) }
+func (h *History) contains(f Fingerprint) bool { return slices.Contains(h.fingerprints[:], f) }
 
-func (m *History) add(f Fingerprint) {
-	m.fingerprints[m.next] = f
-	m.next = (m.next + 1) % historySize
+func (h *History) add(f Fingerprint) {
+	h.fingerprints[h.next] = f
+	h.next = (h.next + 1) % historySize
 }
 
-// Detector judges the answers of all connections of a dispatcher. It is for one goroutine at a time.
+// Detector judges the responses on all connections of a dispatcher. It is for one goroutine at a time.
 type Detector struct {
 	seed            maphash.Seed
 	knownRepeats    []Fingerprint // the oldest first
@@ -51,51 +52,52 @@
 	lastDuplicateAt time.Duration
 }
 
-// NewDetector returns a Detector that has seen no copy.
+// NewDetector returns a Detector that has seen no duplicate.
 func NewDetector() *Detector { return &Detector{seed: maphash.MakeSeed()} }
 
-// fingerprint returns the fingerprint of an answer.
-func (d *Detector) fingerprint(a *nodehttp.Response) Fingerprint {
-	sum := uint64(a.Status) ^ maphash.Bytes(d.seed, a.Body)
-	for name, value := range a.Header { // in any order
+// fingerprint returns the fingerprint of a response.
+func (d *Detector) fingerprint(resp *nodehttp.Response) Fingerprint {
+	sum := uint64(resp.Status) ^ maphash.Bytes(d.seed, resp.Body)
+	for name, value := range resp.Header { // XOR makes their order irrelevant
 		sum ^= maphash.String(d.seed, name+":"+value)
 	}
-	return Fingerprint(max(sum, 1)) // 0 is no answer, in a Memory
+	return Fingerprint(max(sum, 1))
 }
 
-// Suspect takes in an answer that came so long after its call, and reports whether it may be a copy of an
-// earlier one on the same connection. The call is then to be made again on a new connection, and Again to be
-// told of the answer there.
-func (d *Detector) Suspect(now, took time.Duration, m *History, a *nodehttp.Response) (Fingerprint, bool) {
-	if a.Header["page-no"] != "" {
+// Suspect takes in a response that came so long after its call, and reports whether it may be a duplicate
+// of an earlier one on the same connection. The call is then to be made again on a new connection, and
+// Recheck to be given the response there.
+func (d *Detector) Suspect(now, took time.Duration, history *History,
+	resp *nodehttp.Response) (Fingerprint, bool) {
+	if resp.Header[nodehttp.HeaderPageNumber] != "" {
 		return 0, false // it names its page, and is taken for no other
 	}
-	f := d.fingerprint(a)
-	repeated := m.contains(f)
-	m.add(f)
+	f := d.fingerprint(resp)
+	repeated := history.contains(f)
+	history.add(f)
 	if !repeated || slices.Contains(d.knownRepeats, f) {
 		return f, false
 	}
-	switch a.Status {
+	switch resp.Status {
 	case http.StatusOK:
 		return f, true
 	case http.StatusAccepted:
-		return f, took < minLongPoll && a.Header["x-remark"] == ""
+		return f, took < minLongPoll && resp.Header[nodehttp.HeaderProgressKind] == ""
 	case http.StatusNoContent:
-		return f, false // what it tells of another call is true of this one within moments
+		return f, false // what it says of another call is true of this one within moments
 	}
-	// Danger: refusals and errors are mostly alike, and suspected each time they would cost a query that
-	// could go elsewhere.
+	// Rejections and errors are mostly alike. If they were suspected each time, a query that could go to
+	// another compute node would pay for a second call.
 	return f, d.duplicateSeen && now-d.lastDuplicateAt < suspicionPeriod
 }
 
-// Recheck takes in the answer that a new connection gave to a call whose first answer was suspected.
-func (d *Detector) Recheck(now time.Duration, suspected Fingerprint, a *nodehttp.Response) {
-	if d.fingerprint(a) != suspected {
+// Recheck takes in the response that a new connection gave to a call whose first response was suspected.
+func (d *Detector) Recheck(now time.Duration, suspected Fingerprint, resp *nodehttp.Response) {
+	if d.fingerprint(resp) != suspected {
 		d.RecordDuplicate(now)
 		return
 	}
-	// The compute node says the same by itself.
+	// The compute node repeats itself: the response was no duplicate.
 	if len(d.knownRepeats) == maxKnownRepeats {
 		d.knownRepeats = slices.Delete(d.knownRepeats, 0, 1)
 	}
--- a/internal/backend/duplicateresponse/detector_test.go
+++ b/internal/backend/duplicateresponse/detector_test.go
@@ -22,26 +22,26 @@
 	result := response(200, "a\tb\tc\n", "page-count", "1", "x-meter", "inflight:7")
 	loaded := response(200, "a\tb\tc\n", "page-count", "1", "x-meter", "inflight:8")
 	other := response(200, "a\tb\td\n", "page-count", "1", "x-meter", "inflight:7")
-	numbered, silent := response(200, "a", "page-no", "1"), response(202, "")
-	note, full := response(202, "", "x-remark", "frac"), response(503, "", "x-shed", "1")
-	gone, failed := response(204, ""), response(500, "")
+	numbered, running := response(200, "a", "page-no", "1"), response(202, "")
+	progress, rejected := response(202, "", "x-remark", "frac"), response(503, "", "x-shed", "1")
+	deleted, failed := response(204, ""), response(500, "")
 	for name, c := range map[string]struct {
 		first, second *nodehttp.Response
 		took          time.Duration
 		duplicateSeen bool
 		want          bool
 	}{
-		"result":                 {result, result, quick, false, true},
-		"another load":           {result, loaded, quick, false, false},
-		"another result":         {result, other, quick, false, false},
-		"numbered page":          {numbered, numbered, quick, true, false},
-		"running, in time":       {silent, silent, slow, false, false},
-		"running, too soon":      {silent, silent, quick, false, true},
-		"progress, at once":      {note, note, quick, true, false},
-		"full":                   {full, full, quick, false, false},
-		"full, after duplicate":  {full, full, quick, true, true},
-		"deleted":                {gone, gone, quick, true, false},
-		"error, after duplicate": {failed, failed, quick, true, true},
+		"result":                    {result, result, quick, false, true},
+		"another load":              {result, loaded, quick, false, false},
+		"another result":            {result, other, quick, false, false},
+		"numbered page":             {numbered, numbered, quick, true, false},
+		"running, in time":          {running, running, slow, false, false},
+		"running, too soon":         {running, running, quick, false, true},
+		"progress, at once":         {progress, progress, quick, true, false},
+		"rejected":                  {rejected, rejected, quick, false, false},
+		"rejected, after duplicate": {rejected, rejected, quick, true, true},
+		"deleted":                   {deleted, deleted, quick, true, false},
+		"error, after duplicate":    {failed, failed, quick, true, true},
 	} {
 		d, m := NewDetector(), &History{}
 		if c.duplicateSeen {
@@ -63,7 +63,7 @@
 // a duplicate has rejections suspected for a while.
 func TestConstantResult(t *testing.T) {
 	d, m := NewDetector(), &History{}
-	done, full := response(200, "", "page-count", "0"), response(503, "", "x-shed", "1")
+	done, rejected := response(200, "", "page-count", "0"), response(503, "", "x-shed", "1")
 	suspected := 0
 	for range 20 {
 		f, suspect := d.Suspect(0, 0, m, done)
@@ -75,15 +75,15 @@
 	if suspected != 1 {
 		t.Errorf("a constant result was suspected %d times, want once", suspected)
 	}
-	d.Suspect(0, 0, m, full)
-	if _, suspect := d.Suspect(0, 0, m, full); suspect {
+	d.Suspect(0, 0, m, rejected)
+	if _, suspect := d.Suspect(0, 0, m, rejected); suspect {
 		t.Error("a rejection is suspected, and no duplicate was seen")
 	}
-	d.Recheck(time.Second, 1, full)
-	if _, suspect := d.Suspect(2*time.Second, 0, m, full); !suspect {
+	d.Recheck(time.Second, 1, rejected)
+	if _, suspect := d.Suspect(2*time.Second, 0, m, rejected); !suspect {
 		t.Error("a rejection is not suspected after a duplicate")
 	}
-	if _, suspect := d.Suspect(2*time.Second+suspicionPeriod, 0, m, full); suspect {
+	if _, suspect := d.Suspect(2*time.Second+suspicionPeriod, 0, m, rejected); suspect {
 		t.Error("a rejection is suspected long after a duplicate")
 	}
 }
