--- a/internal/overload/stall/stall.go
+++ b/internal/overload/stall/stall.go
@@ -1,51 +1,51 @@
-// Package stall tells how long something that is read now may have lain unread because the process did not
-// run: its core was full, or it was stopped. A Meter is fed by a heartbeat. It does no I/O and reads no
-// clock.
+// Package stall detects scheduling stalls of the process: times in which it did not run, because its core was
+// busy or it was stopped. What is read after a stall may have lain unread since the stall began, and its time
+// counts from then. A Detector is fed by a heartbeat. It does no I/O and reads no clock.
 package stall
 
 import "time"
 
-// HeartbeatInterval is the pace of the heartbeat.
+// HeartbeatInterval is the time between heartbeats.
 const HeartbeatInterval = 50 * time.Millisecond
 
 const (
 	// lateThreshold is how far behind its time a heartbeat is when the process counts as stalled.
 	lateThreshold = 50 * time.Millisecond
-	// catchUpPeriod is how long after a stall there may be something that came during it and was not read
-	// yet.
+	// catchUpPeriod is how long after a stall something that came during it may still be unread.
 	catchUpPeriod = 2 * HeartbeatInterval
 )
 
-// Detector is what a heartbeat showed. It is for one goroutine at a time.
+// Detector is what the heartbeats showed. It is for one goroutine at a time.
 type Detector struct {
-	lastBeat             time.Duration // the last beat
-	stallBegin, stallEnd time.Duration // the last stall
+	lastBeat             time.Duration
+	stallBegin, stallEnd time.Duration // of the last stall
 }
 
-// NewDetector returns a Meter of a process that runs at now.
+// NewDetector returns a Detector of a process that runs at now.
 func NewDetector(now time.Duration) *Detector { return &Detector{lastBeat: now} }
 
-// Beat takes in a beat of the heart.
-func (m *Detector) Beat(now time.Duration) {
-	if m.isLate(now) {
-		m.stallBegin, m.stallEnd = m.lastBeat, now
+// Beat takes in a heartbeat.
+func (d *Detector) Beat(now time.Duration) {
+	if d.isLate(now) {
+		d.stallBegin, d.stallEnd = d.lastBeat, now
 	}
-	m.lastBeat = now
+	d.lastBeat = now
 }
 
-// isLate reports whether a beat that comes only now is late.
-func (m *Detector) isLate(now time.Duration) bool {
-	return now-m.lastBeat > HeartbeatInterval+lateThreshold
+// isLate reports whether a heartbeat that comes only now is late.
+func (d *Detector) isLate(now time.Duration) bool {
+	return now-d.lastBeat > HeartbeatInterval+lateThreshold
 }
 
-// ReadDelay returns how long something that is read now may have lain there, if there was nothing at since.
-func (m *Detector) ReadDelay(now, since time.Duration) time.Duration {
-	from := m.lastBeat // it may go on
-	if !m.isLate(now) {
-		if m.stallEnd == 0 || since >= m.stallEnd || now-m.stallEnd > catchUpPeriod {
+// ReadDelay returns how long something that is read now may have lain unread, if there was nothing at
+// emptyAt.
+func (d *Detector) ReadDelay(now, emptyAt time.Duration) time.Duration {
+	begin := d.lastBeat // of a stall that may go on
+	if !d.isLate(now) {
+		if d.stallEnd == 0 || emptyAt >= d.stallEnd || now-d.stallEnd > catchUpPeriod {
 			return 0
 		}
-		from = m.stallBegin
+		begin = d.stallBegin
 	}
-	return max(now-max(from, since), 0)
+	return max(now-max(begin, emptyAt), 0)
 }
