--- /dev/null
+++ b/internal/platform/accept.go
@@ -0,0 +1,122 @@
+package platform
+
+import (
+	"bufio"
+	"errors"
+	"net"
+	"os"
+	"syscall"
+	"time"
+
+	"cresspass/internal/oserr"
+)
+
+const (
+	acceptBackoff        = 10 * time.Millisecond // after an accept that failed by our own machine...
+	maxAcceptErrors      = 16                    // ...or after more than so many in a row, whatever they are
+	acceptBlockedAfter   = time.Millisecond      // an accept that took longer waited for its connection
+	backlogPollTimeout   = 2 * time.Millisecond  // of an accept while the backlog is drained...
+	maxEmptyBacklogPolls = 3                     // ...which ends after more than so many in vain
+)
+
+// run accepts connections until the backlog is drained, and closes the listener.
+func (f *frontend) run() {
+	defer close(f.done)
+	defer f.listener.Close()
+	var queue acceptQueue
+	emptyPolls, acceptErrors := 0, 0 // each in a row
+	for {
+		begun := time.Now()
+		conn, err := f.service.system.accept(f.listener)
+		queue.observe(begun, time.Now(), err != nil)
+		switch {
+		case errors.Is(err, net.ErrClosed):
+			return
+		case errors.Is(err, os.ErrDeadlineExceeded): // the deadline of drainBacklog
+			// One empty poll proves nothing. A busy core may bring the deadline before the look, and an
+			// accept past its deadline doesn't look; a listener closed then would reset connections with
+			// requests.
+			if emptyPolls++; emptyPolls > maxEmptyBacklogPolls || mutantEnabled(mutantNoBacklogDrain) {
+				return
+			}
+			f.setAcceptTimeout(backlogPollTimeout)
+		case err != nil:
+			emptyPolls = 0
+			acceptErrors++
+			f.handleAcceptError(err, acceptErrors)
+		default:
+			emptyPolls, acceptErrors = 0, 0
+			f.accepted(conn, &queue)
+		}
+	}
+}
+
+// handleAcceptError evicts a connection where no descriptor is left, and pauses where the machine fails for a
+// moment. inRow counts the errors since the last connection.
+func (f *frontend) handleAcceptError(err error, inRow int) {
+	if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
+		f.evict(silentClientGrace)
+	}
+	if !oserr.IsPerConnection(err) || inRow > maxAcceptErrors {
+		time.Sleep(acceptBackoff)
+	}
+}
+
+// accepted serves a new connection, or closes it where there is no capacity for it.
+func (f *frontend) accepted(conn *net.TCPConn, queue *acceptQueue) {
+	client := &clientConn{frontend: f, conn: conn}
+	client.reader = bufio.NewReaderSize(&deadlineReader{conn: conn, hasUnread: client.hasUnread,
+		setTimeout: client.setReadTimeout}, requestBufferBytes)
+	var err error
+	if client.raw, err = conn.SyscallConn(); err != nil {
+		conn.Close()
+		return
+	}
+	if !f.makeRoom() {
+		f.service.evictedClients.Add(1)
+		f.mu.Lock()
+		f.recordClose(closedNoCapacity)
+		f.mu.Unlock()
+		conn.Close()
+		return
+	}
+	client.emptyAt = f.service.clock()
+	if client.hasUnread() {
+		client.readDelay = max(queue.maxWait(time.Now()), f.service.stalls.maxWait(0))
+	}
+	f.register(client)
+	go client.serve()
+}
+
+// drainBacklog has run take what waits in the backlog, and no more after that.
+func (f *frontend) drainBacklog() { f.setAcceptTimeout(0) }
+
+func (f *frontend) setAcceptTimeout(timeout time.Duration) {
+	// It fails only on a closed listener, where run has ended.
+	_ = f.listener.SetDeadline(time.Now().Add(timeout))
+}
+
+// acceptQueue estimates how long connections may have waited in the backlog. The deadline of a request
+// counts from its last byte: one that waited behind accepts that fail has less time left than it says. It
+// belongs to the goroutine that accepts.
+type acceptQueue struct {
+	failingSince time.Time // of the first error since the backlog was last empty; zero: there was none
+}
+
+// observe takes in how an accept went.
+func (q *acceptQueue) observe(begun, ended time.Time, failed bool) {
+	switch {
+	case failed && q.failingSince.IsZero():
+		q.failingSince = begun
+	case !failed && ended.Sub(begun) > acceptBlockedAfter: // it waited: the backlog was empty
+		q.failingSince = time.Time{}
+	}
+}
+
+// maxWait is how long a connection that was just accepted may have been in the backlog.
+func (q *acceptQueue) maxWait(now time.Time) time.Duration {
+	if q.failingSince.IsZero() {
+		return 0
+	}
+	return now.Sub(q.failingSince)
+}
--- a/internal/platform/apachethrift_test.go
+++ b/internal/platform/apachethrift_test.go
@@ -145,7 +145,8 @@
 	client.Send(ctx, protocol, 100, "dispatch", dispatchArgs(stringMap{"txn": ticket(4), "verb": "quick",
 		"limit": "20000"}, "SELECT 1"))
 	eventually(t, "the query is sent", func() bool { return r.node.callCount("POST "+ticket(4)) == 1 })
-	if _, err := client.Call(ctx, "cancelRequest", callArgs(func(ctx context.Context, p peer.TProtocol) error {
+	if _, err := client.Call(ctx, "cancelRequest", callArgs(func(
+		ctx context.Context, p peer.TProtocol) error {
 		return errors.Join(p.WriteFieldBegin(ctx, "seqid", peer.I32, 1), p.WriteI32(ctx, 100))
 	}), nil); err != nil {
 		t.Fatal(err)
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -164,7 +164,8 @@
 		if got := r.node.callCount("GET 0 " + ticket(2)); got != asks {
 			t.Errorf("cut after %d bytes: asked about %d times, want %d", after, got, asks)
 		}
-		if n := r.endedWith(cresspass.OutcomeConnectFailed) + r.endedWith(cresspass.OutcomeConnectionReset); n != 0 {
+		if n := r.endedWith(cresspass.OutcomeConnectFailed) +
+			r.endedWith(cresspass.OutcomeConnectionReset); n != 0 {
 			t.Errorf("cut after %d bytes: %d attempts count against the compute node", after, n)
 		}
 	}
--- /dev/null
+++ b/internal/platform/attemptcall.go
@@ -0,0 +1,124 @@
+package platform
+
+import (
+	"context"
+	"errors"
+	"strconv"
+	"syscall"
+	"time"
+
+	"cresspass/internal/backend/computenode"
+	"cresspass/internal/eventlog"
+	"cresspass/internal/protocol/nodehttp"
+)
+
+// execute carries out a step on a connection, or on another one where there is none, and returns the
+// connection that can be used again.
+func (a *attempt) execute(step computenode.Step, conn *nodeConn) (computenode.Event, *nodeConn) {
+	ctx, cancel := a.stepContext(step)
+	defer cancel()
+	sleepContext(ctx, step.Delay)
+	wanted := connRequest{engine: a.engine, addr: a.addr, fresh: step.FreshConn,
+		urgent: step.Type == computenode.Delete, dueAt: a.decidedAt.Add(step.Due)}
+	for {
+		if conn == nil {
+			var err error
+			if conn, err = a.service.pool.getWithRetry(ctx, wanted); err != nil {
+				return computenode.Event{Type: a.classifyDialError(err)}, nil
+			}
+		}
+		if step.Type != computenode.Delete && !a.attach(conn) {
+			return computenode.Event{Type: computenode.Unreachable}, conn
+		}
+		if step.Type == computenode.Start {
+			if why, ok := a.mayStart(); !ok {
+				return computenode.Event{Type: why}, conn
+			}
+		}
+		reused, sentAt := !conn.idleSince.IsZero(), time.Now()
+		response, err := a.call(step, conn)
+		if err == nil && a.acceptResponse(conn, time.Since(sentAt), response) {
+			return computenode.Event{Type: computenode.ResponseReceived, Response: response}, conn
+		}
+		a.attach(nil)
+		a.service.pool.put(conn, false)
+		conn = nil
+		if !errors.Is(err, errNotWritten) {
+			return a.callBroken(step, err), nil
+		}
+		if !reused || ctx.Err() != nil {
+			return computenode.Event{Type: computenode.Unreachable}, nil
+		}
+		wanted.fresh = true // its compute node closed the idle connection at this moment
+	}
+}
+
+// stepContext returns the context of a step: nothing interrupts a Delete.
+func (a *attempt) stepContext(step computenode.Step) (context.Context, context.CancelFunc) {
+	if step.Type == computenode.Delete {
+		return context.WithDeadline(context.Background(), a.decidedAt.Add(step.Deadline))
+	}
+	return a.ctx, func() {}
+}
+
+// call makes a step's call.
+func (a *attempt) call(step computenode.Step, conn *nodeConn) (*nodehttp.Response, error) {
+	path := "/x/" + a.request.Ticket
+	switch step.Type {
+	case computenode.Start:
+		remaining := max(time.Until(a.clientDeadline).Milliseconds(), 1)
+		if mutantEnabled(mutantFullDeadline) {
+			remaining += a.request.Deadline.Sub(a.decidedAt).Milliseconds()
+		}
+		return conn.roundTrip(step.Timeout, "POST", "/x", a.request.Body, "X-Ticket", a.request.Ticket,
+			"X-Queue", a.request.Class, "X-Max-Ms", strconv.FormatInt(remaining, 10),
+			"X-Nonce", a.request.Nonce, "Grant-Mb", a.memoryGrant, "Rank", a.priority)
+	case computenode.Delete:
+		return conn.roundTrip(step.Timeout, "DELETE", path, nil)
+	}
+	return conn.roundTrip(step.Timeout, "GET", path+"/"+strconv.Itoa(step.Page), nil)
+}
+
+// acceptResponse reports whether a response is that of the last call. One that may be a duplicate of an
+// earlier response is not accepted: the call is made again on a new connection, and what it brings there
+// tells whether the suspicion was right.
+func (a *attempt) acceptResponse(conn *nodeConn, took time.Duration, response *nodehttp.Response) bool {
+	if a.suspected != 0 {
+		a.service.pool.recordRetry(a.suspected, response)
+		a.suspected = 0
+	}
+	fingerprint, suspect := a.service.pool.checkDuplicate(conn, took, response)
+	if suspect {
+		a.suspected = fingerprint
+	}
+	return !suspect || mutantEnabled(mutantAcceptDuplicates)
+}
+
+// callBroken records a call that was written and has no response to be relied on. err is nil for a response
+// that may be a duplicate.
+func (a *attempt) callBroken(step computenode.Step, err error) computenode.Event {
+	if err == nil {
+		err = errDuplicateResponse
+	}
+	a.service.events.Add(a.event(eventlog.ResponseUnreadable, err.Error()))
+	if step.Type != computenode.Delete {
+		a.service.brokenCalls.Add(1)
+		if errors.Is(err, nodehttp.ErrMalformed) {
+			a.service.malformedResponses.Add(1)
+		}
+	}
+	return computenode.Event{Type: computenode.ResponseLost,
+		Reset: errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)}
+}
+
+// classifyDialError says what it means that there is no connection. A compute node that drains closes its
+// listener and runs on, so a connection that it refuses does not prove that its process has died.
+func (a *attempt) classifyDialError(err error) computenode.EventType {
+	switch {
+	case errors.Is(err, errNoDescriptor):
+		return computenode.NoDescriptor
+	case errors.Is(err, syscall.ECONNREFUSED) && !a.service.watcher.draining(a.engine):
+		return computenode.ConnRefused
+	}
+	return computenode.Unreachable
+}
--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -2,9 +2,7 @@
 
 import (
 	"bufio"
-	"encoding/binary"
 	"errors"
-	"io"
 	"net"
 	"os"
 	"sync"
@@ -14,79 +12,92 @@
 	"cresspass"
 	"cresspass/internal/eventlog"
 	"cresspass/internal/frontend/thriftserver"
-	"cresspass/internal/oserr"
 	"cresspass/internal/protocol/thrift"
 )
 
-// Of a client's connection.
+// Limits of a client's connection.
 const (
-	maxFrameBytes       = 128 << 10              // bytes of a message
-	firstMessageTimeout = 2 * time.Second        // from connecting to the first whole message
+	maxFrameBytes       = 128 << 10              // of a message
+	requestBufferBytes  = 1 << 10                // read at once: mostly a whole message
+	firstMessageTimeout = 2 * time.Second        // from connecting to the end of the first message
 	frameTimeout        = 2 * time.Second        // from a message's first byte to its last
 	clientIdleTimeout   = 15 * time.Second       // between messages; clients close after 4 s
-	clientWriteTimeout  = 2 * time.Second        // until a client takes some more of what is written
-	writeChunkBytes     = 16 << 10               // bytes that are some more
-	maxPendingBytes     = 4 << 20                // bytes that wait for a client that doesn't read
-	readChunkBytes      = 8 << 10                // a message grows by this, so that a told length alone costs nothing
-	requestBufferBytes  = 1 << 10                // bytes read at once: mostly a whole message
-	lingerTimeout       = 200 * time.Millisecond // for a client to close a connection that was shut for writing
-	peekRetryInterval   = time.Millisecond       // after a look at a socket that failed and tells nothing
-	readerGrace         = 20 * time.Millisecond  // for a reader to come to what lies in its socket
+	clientWriteTimeout  = 2 * time.Second        // until a client takes another chunk of what is written
+	maxPendingBytes     = 4 << 20                // that wait for a client that doesn't read
+	lingerTimeout       = 200 * time.Millisecond // for a client to close a connection that is half-closed
 )
 
-// closeReason says why we close a client's connection.
+// closeReason says why a client's connection ended, in the log.
 type closeReason string
 
 // The reasons.
 const (
-	closedForCapacity      closeReason = "room for another"
-	closedNoCapacity       closeReason = "no room"
-	closedUnusedAtShutdown closeReason = "shutdown, unused"
-	closedAtExit           closeReason = "shutdown, last answers given"
-	closedIdle             closeReason = "silent for too long"
-	closedPartialMessage   closeReason = "half a message for too long"
-	closedMalformed        closeReason = "can't be read"
-	closedNotReading       closeReason = "takes no answers"
-	closedByClient         closeReason = "closed by the client"
+	closedForCapacity      closeReason = "evicted"
+	closedNoCapacity       closeReason = "no_capacity"
+	closedUnusedAtShutdown closeReason = "shutdown_unused"
+	closedAtExit           closeReason = "shutdown_exit"
+	closedIdle             closeReason = "idle_timeout"
+	closedPartialMessage   closeReason = "partial_message"
+	closedMalformed        closeReason = "malformed"
+	closedNotReading       closeReason = "not_reading"
+	closedByClient         closeReason = "client"
 )
 
-// reasonNotServing is the reason of a request that came before the start or after the end.
+// reasonNotServing is the reason of a request that came before the start or after the end of serving.
 const reasonNotServing cresspass.Reason = "the dispatcher does not serve"
 
-// clientConn is a connection of a client: the shell of what thriftfront.State knows of it.
+// What clients are told of requests that are open as their connection ends. It is part of the protocol.
+const (
+	faultUnreadable = "the connection can't be read"
+	faultIncomplete = "the request did not come whole in time"
+	faultExiting    = "the dispatcher ends"
+)
+
+// Reasons of requests without an answer, in the event log.
+const (
+	goneCancelled    = "cancelled"
+	goneDisconnected = "connection closed"
+)
+
+// clientConn is a client's connection: the shell of what thriftserver.Registry knows of it. One
+// goroutine, in serve, reads it, and alone closes it, but for evictions and writes that fail. Any
+// goroutine may send; where the socket does not take all at once, flush writes the rest in a goroutine of
+// its own.
 type clientConn struct {
 	frontend     *frontend
 	id           thriftserver.ConnID
-	idleTimeout  time.Duration // between messages
-	writeTimeout time.Duration // until some more of what is written is taken
-	readDelay    time.Duration // what is read now may have come so long ago; the reader's alone
-	emptyAt      time.Duration // nothing was there to be read then; the reader's alone
+	idleTimeout  time.Duration
+	writeTimeout time.Duration
 	conn         *net.TCPConn
 	raw          syscall.RawConn
 	reader       *bufio.Reader
 
-	mu              sync.Mutex
-	pending         []byte
-	pendingMessages int // in out, or being written
-	flushing        bool
-	closing         bool // shut for writing once out is written; what comes is thrown away
+	// For serve's goroutine only.
+	readDelay time.Duration // what is read now may have been in the socket for so long
+	emptyAt   time.Duration // the socket was last seen empty then
+
+	mu              sync.Mutex // guards the fields below, and the read deadline against closing
+	pending         []byte     // output that nobody writes yet
+	pendingMessages int        // in pending, or being written
+	flushing        bool       // flush runs
+	closing         bool       // to be half-closed once the output is written; input is discarded
 }
 
-// serve takes the client's messages until its connection ends. It alone closes the connection, but for one
-// that makes room.
+// serve takes the client's messages until its connection ends.
 func (c *clientConn) serve() {
 	defer c.cleanUp()
 	var frame []byte
 	c.setReadTimeout(firstMessageTimeout)
 	for first := true; ; first = false {
 		if err := c.waitReadable(); err != nil {
-			if errors.Is(err, os.ErrDeadlineExceeded) {
-				if !c.handleReadTimeout() {
-					c.setReadTimeout(c.idleTimeout)
-					continue
-				}
-				c.lingerClose()
+			if !errors.Is(err, os.ErrDeadlineExceeded) {
+				return
 			}
+			if !c.handleReadTimeout() {
+				c.setReadTimeout(c.idleTimeout)
+				continue
+			}
+			c.lingerClose()
 			return
 		}
 		if !c.beginMessage() {
@@ -106,7 +117,7 @@
 			continue
 		case errors.Is(err, errMalformedFrame):
 			c.frontend.service.malformedMessages.Add(1)
-			c.abort("the connection can't be read", closedMalformed)
+			c.abort(faultUnreadable, closedMalformed)
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			c.handleReadTimeout()
 		default: // its client has gone
@@ -117,92 +128,6 @@
 	}
 }
 
-var errMalformedFrame = errors.New("no message")
-
-// readFrame reads a message into a buffer, or into another one.
-func (c *clientConn) readFrame(frame []byte) ([]byte, error) {
-	var head [thrift.FrameHeaderBytes]byte
-	if _, err := io.ReadFull(c.reader, head[:]); err != nil {
-		return frame, err
-	}
-	n := binary.BigEndian.Uint32(head[:])
-	if n == 0 || n > maxFrameBytes {
-		return frame, errMalformedFrame
-	}
-	if cap(frame) > 2*readChunkBytes && n <= readChunkBytes {
-		frame = nil
-	}
-	frame = frame[:0]
-	for left := int(n); left > 0; {
-		step := min(left, readChunkBytes)
-		at := len(frame)
-		frame = append(frame, make([]byte, step)...)
-		if _, err := io.ReadFull(c.reader, frame[at:]); err != nil {
-			return frame, err
-		}
-		left -= step
-	}
-	return frame, nil
-}
-
-// waitReadable waits until something is there to be read, and leaves it there. Danger: bytes that were read
-// out of the socket before the state knows of them would be lost with a connection that is closed as unused.
-func (c *clientConn) waitReadable() error {
-	if c.reader.Buffered() > 0 {
-		return nil
-	}
-	for {
-		var n int
-		var got error
-		err := c.raw.Read(func(fd uintptr) bool {
-			n, got = c.frontend.service.system.peek(fd)
-			if got == syscall.EAGAIN {
-				c.readDelay, c.emptyAt = 0, c.frontend.service.clock()
-			}
-			return got != syscall.EAGAIN
-		})
-		switch {
-		case err != nil:
-			return err
-		case oserr.IsTransient(got) && !mutated(brittleLook):
-			// Danger: it tells nothing. Waiting for the poller instead, which tells only of what is new,
-			// would leave what is there unread for good.
-			time.Sleep(peekRetryInterval)
-		case got == nil && n == 0:
-			return io.EOF
-		default:
-			return got
-		}
-	}
-}
-
-// peekResult is what a look at a socket shows.
-type peekResult int
-
-// The results.
-const (
-	peekEmpty  peekResult = iota // nothing is there to be read
-	peekData                     // something is; where the look fails it may be so
-	peekClosed                   // by the other side, or broken
-)
-
-// peek looks at what is there to be read, without waiting.
-func (c *clientConn) peek() peekResult {
-	result := peekClosed
-	c.raw.Control(func(fd uintptr) {
-		switch n, err := c.frontend.service.system.peek(fd); {
-		case err == nil && n > 0, oserr.IsTransient(err):
-			result = peekData
-		case errors.Is(err, syscall.EAGAIN):
-			result = peekEmpty
-		}
-	})
-	return result
-}
-
-// hasUnread reports whether something may be there to be read.
-func (c *clientConn) hasUnread() bool { return !mutated(noUnreadLook) && c.peek() == peekData }
-
 // beginMessage tells the state that a message has begun to come.
 func (c *clientConn) beginMessage() bool {
 	c.frontend.mu.Lock()
@@ -210,215 +135,86 @@
 	return c.frontend.state.BeginMessage(time.Now(), c.id)
 }
 
-// setReadTimeout is how long the client may take. It returns false where the connection was retired.
-func (c *clientConn) setReadTimeout(d time.Duration) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !c.closing {
-		c.conn.SetReadDeadline(time.Now().Add(d))
-	}
-	return !c.closing
-}
-
-// handleReadTimeout has the state judge a connection on which nothing more came in time. It reports whether
-// it ends.
-func (c *clientConn) handleReadTimeout() bool {
-	c.frontend.mu.Lock()
-	if !c.frontend.state.MidMessage(c.id) && c.hasUnread() {
-		c.frontend.mu.Unlock() // its reader only had not come to it
-		return false
-	}
-	why := closedIdle
-	if c.frontend.state.MidMessage(c.id) {
-		why = closedPartialMessage
-	}
-	open, end := c.frontend.state.ReadTimedOut(c.id)
-	if end {
-		c.frontend.recordClose(why)
-	}
-	c.frontend.mu.Unlock()
-	c.failRequests(open, "the request did not come whole in time")
-	return end
-}
-
-// abort ends a connection on which nothing further is read.
-func (c *clientConn) abort(reason string, why closeReason) {
-	c.frontend.mu.Lock()
-	open := c.frontend.state.EndMalformed(c.id)
-	c.frontend.recordClose(why)
-	c.frontend.mu.Unlock()
-	c.failRequests(open, reason)
-}
-
-// failRequests answers and gives up what was open on a connection that ends.
-func (c *clientConn) failRequests(open []*thriftserver.Request, reason string) {
-	var b []byte
-	for _, q := range open {
-		b = append(b, thriftserver.FaultReply(q.Seq, reason)...)
-		c.frontend.service.clientLeft(q, reason)
-	}
-	if len(open) > 0 {
-		c.send(b, len(open))
-	}
-}
-
-// retire has a connection end on which the state takes nothing more: it is shut for writing once all answers
-// are written, and what still comes is thrown away until the client closes. Danger: a close over unread bytes
-// resets the connection, and the last answers are lost with it.
-func (c *clientConn) retire() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.closing {
-		return
-	}
-	c.closing = true
-	if !c.flushing {
-		c.halfClose()
-	} else {
-		c.conn.SetReadDeadline(time.Now().Add(clientIdleTimeout)) // flush shuts it before that
-	}
-}
-
-// halfClose ends the writing side, and the reading side some time later. c.mu is held.
-func (c *clientConn) halfClose() {
-	if mutated(noLinger) {
-		c.conn.Close()
-		return
-	}
-	c.conn.CloseWrite()
-	c.conn.SetReadDeadline(time.Now().Add(lingerTimeout))
-}
-
-// lingerClose retires the connection and reads until its client closes it, for some time at most.
-func (c *clientConn) lingerClose() {
-	c.retire()
-	b := make([]byte, requestBufferBytes)
-	for {
-		if _, err := c.conn.Read(b); err != nil {
-			return
-		}
-	}
-}
-
 // handleMessage handles a message. It returns false where the connection can't be read any further.
 func (c *clientConn) handleMessage(frame []byte) bool {
-	service, message := c.frontend.service, c.frontend.state.Decode(frame)
+	service := c.frontend.service
+	message := c.frontend.state.Decode(frame)
 	c.frontend.mu.Lock()
-	// Danger: asked earlier, a stall since then would not count.
+	// Under the lock: a stall while this goroutine waited for it counts as well.
 	c.readDelay = max(c.readDelay, service.stalls.maxWait(c.emptyAt))
 	verdict := c.frontend.state.HandleMessage(time.Now().Add(-c.readDelay), c.id, message)
 	verdict.Event.RemainingDeadline -= c.readDelay
-	if mutated(noOrder) {
+	if mutantEnabled(mutantNoOrderingKey) {
 		verdict.Event.Key = ""
 	}
-	refused := false
+	rejected := false
 	if verdict.Accepted != nil {
-		if refused = !service.guard.admit(verdict.Accepted, verdict.Event.Key); !refused {
-			service.loop.Post(
-				verdict.Event,
-			) // under the lock: what its client takes back at once must come after it
+		if rejected = !service.guard.admit(verdict.Accepted, verdict.Event.Key); !rejected {
+			// Under the lock: a cancel that follows at once must come after it.
+			service.loop.Post(verdict.Event)
 		}
 	}
 	c.frontend.mu.Unlock()
-	if refused {
+	if rejected {
 		c.frontend.respondError(verdict.Accepted.ID, thrift.ShedException, 0, reasonNotServing)
 	}
 	if verdict.Invalid {
 		service.malformedMessages.Add(1)
-		service.events.Add(
-			eventlog.Event{
-				Kind:      eventlog.RequestMalformed,
-				RequestID: verdict.Ticket,
-				Attempt:   -1,
-				Reason:    verdict.Reason,
-			},
-		)
+		service.events.Add(requestEvent(eventlog.RequestMalformed, verdict.Ticket, verdict.Reason))
 	}
 	if verdict.Reply != nil {
 		c.send(verdict.Reply, 1)
 	}
-	if verdict.Cancelled != nil && !mutated(lostCancel) {
-		service.clientLeft(verdict.Cancelled, "cancelled")
+	if verdict.Cancelled != nil && !mutantEnabled(mutantIgnoreCancel) {
+		service.clientLeft(verdict.Cancelled, goneCancelled)
 	}
 	return !verdict.EndOfInput
 }
 
-// send writes so many messages without waiting for the client.
-func (c *clientConn) send(b []byte, messages int) {
-	c.mu.Lock()
-	c.pendingMessages += messages
-	if len(c.pending)+len(b) > maxPendingBytes {
-		c.closing = true
-		c.conn.Close()
-		c.mu.Unlock()
-		c.frontend.recordNotReading()
-		return
+// handleReadTimeout has the state judge a connection on which nothing more came in time. It reports
+// whether the connection ends.
+func (c *clientConn) handleReadTimeout() bool {
+	c.frontend.mu.Lock()
+	partial := c.frontend.state.MidMessage(c.id)
+	if !partial && c.hasUnread() { // bytes are there, only serve has not come to them
+		c.frontend.mu.Unlock()
+		return false
 	}
-	if !c.flushing && len(c.pending) == 0 && c.raw != nil {
-		// Danger: a writer's goroutine waits for the core behind all others, and answers come too late when
-		// it is full. What the socket takes at once is written here.
-		c.raw.Write(func(fd uintptr) bool {
-			if n, err := syscall.Write(int(fd), b); err == nil && n > 0 {
-				b = b[n:]
-			}
-			return true
-		})
+	why := closedIdle
+	if partial {
+		why = closedPartialMessage
 	}
-	c.pending = append(c.pending, b...)
-	written := 0
-	switch {
-	case c.flushing:
-	case len(c.pending) > 0:
-		c.flushing = true
-		go c.flush()
-	default:
-		written, c.pendingMessages = c.pendingMessages, 0
+	open, end := c.frontend.state.ReadTimedOut(c.id)
+	if end {
+		c.frontend.recordClose(why)
 	}
-	c.mu.Unlock()
-	c.recordWritten(written)
+	c.frontend.mu.Unlock()
+	c.failRequests(open, faultIncomplete)
+	return end
 }
 
-// recordWritten tells the state of messages that have left.
-func (c *clientConn) recordWritten(n int) {
-	if n > 0 {
-		c.frontend.mu.Lock()
-		c.frontend.state.RepliesWritten(time.Now(), c.id, n)
-		c.frontend.mu.Unlock()
-	}
+// abort ends a connection on which nothing further is read.
+func (c *clientConn) abort(fault string, why closeReason) {
+	c.frontend.mu.Lock()
+	open := c.frontend.state.EndMalformed(c.id)
+	c.frontend.recordClose(why)
+	c.frontend.mu.Unlock()
+	c.failRequests(open, fault)
 }
 
-func (c *clientConn) flush() {
-	for {
-		c.mu.Lock()
-		b := c.pending
-		c.pending = nil
-		if len(b) == 0 {
-			n := c.pendingMessages
-			c.flushing, c.pendingMessages = false, 0
-			c.conn.SetWriteDeadline(time.Time{})
-			if c.closing {
-				c.halfClose()
-			}
-			c.mu.Unlock()
-			c.recordWritten(n)
-			return
-		}
-		c.mu.Unlock()
-		// Danger: a client that reads slowly, and has asked for much, would be cut off in the middle of its
-		// answers if all of them had one deadline.
-		for err := error(nil); len(b) > 0 && err == nil; {
-			step := b[:min(len(b), writeChunkBytes)]
-			b = b[len(step):]
-			c.conn.SetWriteDeadline(time.Now().Add(c.writeTimeout))
-			if _, err = c.conn.Write(step); err != nil {
-				c.conn.Close()
-				c.frontend.recordNotReading()
-			}
-		}
+// failRequests answers what was open on a connection that ends, and has the core give it up.
+func (c *clientConn) failRequests(open []*thriftserver.Request, fault string) {
+	var b []byte
+	for _, request := range open {
+		b = append(b, thriftserver.FaultReply(request.Seq, fault)...)
+		c.frontend.service.clientLeft(request, fault)
+	}
+	if len(open) > 0 {
+		c.send(b, len(open))
 	}
 }
 
-// cleanUp ends what is open on a connection that ended, and closes it.
+// cleanUp gives up what is open on a connection that ended, and closes it.
 func (c *clientConn) cleanUp() {
 	c.frontend.mu.Lock()
 	if c.frontend.state.PhaseOf(c.id) == thriftserver.Serving {
@@ -427,7 +223,7 @@
 	open := c.frontend.forget(c.id)
 	c.frontend.mu.Unlock()
 	c.conn.Close()
-	for _, q := range open {
-		c.frontend.service.clientLeft(q, "its connection ended")
+	for _, request := range open {
+		c.frontend.service.clientLeft(request, goneDisconnected)
 	}
 }
--- /dev/null
+++ b/internal/platform/clientwrite.go
@@ -0,0 +1,131 @@
+package platform
+
+import (
+	"syscall"
+	"time"
+)
+
+// writeChunkBytes is how much a client has to take within its write timeout.
+const writeChunkBytes = 16 << 10
+
+// send writes so many messages without waiting for the client. What the socket takes at once is written
+// here: the goroutine of flush waits for a core behind all others, and answers would come too late where
+// the cores are busy.
+func (c *clientConn) send(b []byte, messages int) {
+	c.mu.Lock()
+	c.pendingMessages += messages
+	if len(c.pending)+len(b) > maxPendingBytes {
+		c.closing = true
+		c.conn.Close()
+		c.mu.Unlock()
+		c.frontend.recordNotReading()
+		return
+	}
+	if !c.flushing && len(c.pending) == 0 {
+		b = c.writeNow(b)
+	}
+	c.pending = append(c.pending, b...)
+	written := 0
+	switch {
+	case c.flushing:
+	case len(c.pending) > 0:
+		c.flushing = true
+		go c.flush()
+	default:
+		written, c.pendingMessages = c.pendingMessages, 0
+	}
+	c.mu.Unlock()
+	c.recordWritten(written)
+}
+
+// writeNow writes what the socket takes at once, and returns the rest. Errors are left to flush, which
+// meets them again.
+func (c *clientConn) writeNow(b []byte) []byte {
+	_ = c.raw.Write(func(fd uintptr) bool {
+		if n, err := syscall.Write(int(fd), b); err == nil && n > 0 {
+			b = b[n:]
+		}
+		return true
+	})
+	return b
+}
+
+// flush writes the pending output until there is none. Each chunk has a deadline of its own: with one for
+// all, a client that reads slowly and has asked for much would be cut off in the middle of its answers.
+func (c *clientConn) flush() {
+	for {
+		c.mu.Lock()
+		b := c.pending
+		c.pending = nil
+		if len(b) == 0 {
+			messages := c.pendingMessages
+			c.flushing, c.pendingMessages = false, 0
+			_ = c.conn.SetWriteDeadline(time.Time{}) // fails only on a closed connection
+			if c.closing {
+				c.halfClose()
+			}
+			c.mu.Unlock()
+			c.recordWritten(messages)
+			return
+		}
+		c.mu.Unlock()
+		for err := error(nil); len(b) > 0 && err == nil; {
+			chunk := b[:min(len(b), writeChunkBytes)]
+			b = b[len(chunk):]
+			_ = c.conn.SetWriteDeadline(time.Now().Add(c.writeTimeout)) // fails only on a closed connection
+			if _, err = c.conn.Write(chunk); err != nil {
+				c.conn.Close()
+				c.frontend.recordNotReading()
+			}
+		}
+	}
+}
+
+// recordWritten tells the state of messages that have left.
+func (c *clientConn) recordWritten(messages int) {
+	if messages > 0 {
+		c.frontend.mu.Lock()
+		c.frontend.state.RepliesWritten(time.Now(), c.id, messages)
+		c.frontend.mu.Unlock()
+	}
+}
+
+// retire has a connection end on which the state takes nothing more: it is half-closed once all answers
+// are written, and what still comes is discarded until the client closes. A close over unread bytes would
+// reset the connection, and the last answers would be lost with it.
+func (c *clientConn) retire() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closing {
+		return
+	}
+	c.closing = true
+	if !c.flushing {
+		c.halfClose()
+	} else {
+		// flush half-closes it before that.
+		_ = c.conn.SetReadDeadline(time.Now().Add(clientIdleTimeout)) // fails only on a closed connection
+	}
+}
+
+// halfClose ends the writing side, and the reading side some time later. c.mu is held.
+func (c *clientConn) halfClose() {
+	if mutantEnabled(mutantNoLinger) {
+		c.conn.Close()
+		return
+	}
+	// Both fail only where the connection has ended already.
+	_ = c.conn.CloseWrite()
+	_ = c.conn.SetReadDeadline(time.Now().Add(lingerTimeout))
+}
+
+// lingerClose retires the connection and reads until its client closes it, for some time at most.
+func (c *clientConn) lingerClose() {
+	c.retire()
+	b := make([]byte, requestBufferBytes)
+	for {
+		if _, err := c.conn.Read(b); err != nil {
+			return
+		}
+	}
+}
--- a/internal/platform/deadlinereader.go
+++ b/internal/platform/deadlinereader.go
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// maxReadPastDeadline is how long what came before a deadline may be read after it.
+// maxReadPastDeadline is how long after a deadline bytes that arrived before it may still be read.
 const maxReadPastDeadline = 20 * time.Millisecond
 
-// deadlineReader reads from a connection with deadlines. Danger: on a full core a deadline may pass over
-// bytes that came before it, and a read after a deadline does not look for them. What is there by then is
-// read all the same, for a moment.
+// deadlineReader reads from a connection with deadlines, and after a deadline still reads what is there by
+// then. Without that, on a saturated core, a deadline expires over bytes that arrived before it, and a read
+// after a deadline does not look for them. It belongs to the goroutine that reads the connection.
 type deadlineReader struct {
 	conn       net.Conn
-	hasUnread  func() bool                 // something is there
-	setTimeout func(by time.Duration) bool // sets the read deadline anew; false: the connection was given up
-	expiredAt  time.Time                   // the first read after its deadline, of those in a row
+	hasUnread  func() bool                      // bytes are in the socket
+	setTimeout func(timeout time.Duration) bool // of a read; false: the connection was given up
+	expiredAt  time.Time                        // of the first of the reads in a row that met their deadline
 }
 
+// Read implements io.Reader.
 func (r *deadlineReader) Read(b []byte) (int, error) {
 	n, err := r.conn.Read(b)
 	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/platform/descriptorbudget.go
+++ b/internal/platform/descriptorbudget.go
@@ -1,33 +1,30 @@
 package platform
 
-import (
-	"sync/atomic"
-	"time"
+import "sync/atomic"
+
+// Shares of the descriptors.
+const (
+	evictAboveShare     = 0.42 // of all: above so many client connections, new ones evict old ones
+	reservedDescriptors = 24   // for all else: discovery, the listener, the log, the poller, a file read
+	headroomDivisor     = 16   // one descriptor in so many is kept free of calls to compute nodes
+	minNodeConns        = 8    // connections to compute nodes, whatever clients do
 )
 
-// descriptorBudget shares the descriptors between clients and compute nodes. Either may use what the other
-// leaves, so that neither a crowd of clients nor a jam of queries leaves the other without.
+// descriptorBudget shares the descriptors between client connections and connections to compute nodes.
+// Either may use what the other leaves, so that neither a flood of clients nor a backlog of queries
+// starves the other. It is for any number of goroutines: only clientConns changes, and the frontend alone
+// stores it.
 type descriptorBudget struct {
-	total       int // for both
-	evictAbove  int // connections of clients, from which old ones make room for new ones
-	headroom    int // kept free of calls to compute nodes, for clients that come
+	total       int // for client connections and connections to compute nodes together
+	evictAbove  int // client connections, above which new ones evict old ones
+	headroom    int // kept free of calls to compute nodes, for clients that connect
 	clientConns atomic.Int32
 }
 
-// Of all descriptors.
-const (
-	clientShare         = 0.42 // for clients: their front holds a third at most, and strangers come on top
-	reservedDescriptors = 24   // for all else: discovery's connection, the listener, the log, the poller, a file read
-	headroomDivisor     = 16   // one in so many is headroom
-	minNodeConns        = 8    // connections to compute nodes, whatever clients do
-)
-
+// newDescriptorBudget returns the budget of a process that may hold so many descriptors.
 func newDescriptorBudget(sockets int) *descriptorBudget {
-	return &descriptorBudget{
-		total:      sockets - reservedDescriptors,
-		evictAbove: int(clientShare * float64(sockets)),
-		headroom:   sockets / headroomDivisor,
-	}
+	return &descriptorBudget{total: sockets - reservedDescriptors,
+		evictAbove: int(evictAboveShare * float64(sockets)), headroom: sockets / headroomDivisor}
 }
 
 // maxNodeConns is how many connections to compute nodes there may be now.
@@ -35,19 +32,13 @@
 	return max(b.total-int(b.clientConns.Load())-b.headroom, minNodeConns)
 }
 
-// urgentNodeConns is how many connections to compute nodes there may be beyond nodes: of probes, and of
-// calls that give a query up.
+// urgentNodeConns is how many connections to compute nodes there may be beyond maxNodeConns: for health
+// checks, and for calls that cancel a query.
 func (b *descriptorBudget) urgentNodeConns() int { return b.headroom / 2 }
 
-// clientsExhausted reports whether clients hold all that is left beside so many connections to compute
-// nodes. Danger: a crowd of idle clients would take the descriptors of the urgent calls, and then the one of
+// clientsExhausted reports whether clients hold all that is left beside so many connections to compute nodes.
+// Without this limit a flood of idle clients takes the descriptors of the urgent calls, and then the one of
 // discovery.
-func (b *descriptorBudget) clientsExhausted(nodes int) bool {
-	return int(b.clientConns.Load()) >= b.total-max(nodes, minNodeConns+b.urgentNodeConns())
+func (b *descriptorBudget) clientsExhausted(nodeConns int) bool {
+	return int(b.clientConns.Load()) >= b.total-max(nodeConns, minNodeConns+b.urgentNodeConns())
 }
-
-// silentClientGrace is how long a connection may say nothing before it counts as one that never will.
-const silentClientGrace = 500 * time.Millisecond
-
-// noGrace is the same where no descriptor is left.
-const noGrace = 0
--- /dev/null
+++ b/internal/platform/eviction.go
@@ -0,0 +1,97 @@
+package platform
+
+import "time"
+
+const (
+	// silentClientGrace is how long a connection may send nothing before it counts as one that never will.
+	silentClientGrace = 500 * time.Millisecond
+	// noGrace is the same where no descriptor is left.
+	noGrace = 0
+	// maxEvictionTries is how many connections are looked at to make room for one.
+	maxEvictionTries = 4
+)
+
+// makeRoom reports whether one more connection may stay, and evicts another one for it where there are many.
+func (f *frontend) makeRoom() bool {
+	if f.connCount() < f.descriptors.evictAbove || f.evict(silentClientGrace) {
+		return true
+	}
+	return !f.descriptors.clientsExhausted(f.service.pool.connCount()) || f.evict(noGrace)
+}
+
+// evict closes a connection to make room. It reports whether there was one that could go.
+func (f *frontend) evict(grace time.Duration) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.evictLocked(grace)
+}
+
+// evictLocked is evict; f.mu is held.
+func (f *frontend) evictLocked(grace time.Duration) bool {
+	for range maxEvictionTries {
+		id, ok := f.state.EvictionCandidate(time.Now(), grace)
+		if !ok {
+			return false
+		}
+		conn := f.conns[id]
+		if conn.hasUnread() { // a message is there, only the reader has not come to it
+			f.state.BeginMessage(time.Now(), id)
+			continue
+		}
+		if !f.service.guard.mayClose(f.state.OpenRequestsOn(id), closedForCapacity) {
+			return false
+		}
+		f.forget(id)
+		f.service.evictedClients.Add(1)
+		f.recordClose(closedForCapacity)
+		conn.conn.Close()
+		return true
+	}
+	return false
+}
+
+// retireUnused retires the connections on which nothing is open. It looks for unread bytes under the lock
+// that Begin needs: a request that its reader has not come to yet is either seen here, or comes too late
+// to be taken.
+func (f *frontend) retireUnused() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.retireUnusedLocked()
+}
+
+// retireUnusedLocked is retireUnused; f.mu is held.
+func (f *frontend) retireUnusedLocked() {
+	for _, id := range f.state.UnusedConns() {
+		conn := f.conns[id]
+		if conn.hasUnread() || !f.state.Retire(id) {
+			continue
+		}
+		if f.service.guard.mayClose(f.state.OpenRequestsOn(id), closedUnusedAtShutdown) {
+			f.recordClose(closedUnusedAtShutdown)
+			conn.retire()
+		}
+	}
+}
+
+// abortAll ends all connections: what is still open is failed first.
+func (f *frontend) abortAll() {
+	f.mu.Lock()
+	conns := make([]*clientConn, 0, len(f.conns))
+	for _, conn := range f.conns {
+		conns = append(conns, conn)
+	}
+	f.mu.Unlock()
+	for _, conn := range conns {
+		conn.abort(faultExiting, closedAtExit)
+		conn.retire()
+	}
+}
+
+// closeAll closes all connections.
+func (f *frontend) closeAll() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, conn := range f.conns {
+		conn.conn.Close()
+	}
+}
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -57,7 +57,7 @@
 		cfg.Limits.MemoryMB,
 		cfg.Limits.Sockets,
 		cfg.DiscoveryAddr,
-		cfg.Known.Rev,
+		cfg.Known.Revision,
 		cfg.ConnectTimeout,
 		cfg.ConnIdleTimeout,
 		cfg.Module.Seed,
@@ -68,7 +68,7 @@
 	if got != want {
 		t.Errorf("got  %swant %s", got, want)
 	}
-	if n := cfg.Known.Notices; len(n) != 1 || n[0].Revision != 1 || n[0].List == nil || !n[0].List.Full ||
+	if n := cfg.Known.Events; len(n) != 1 || n[0].Revision != 1 || n[0].List == nil || !n[0].List.Full ||
 		len(n[0].List.Endpoints) != 1 || n[0].List.Endpoints[0].ID != "s-1" ||
 		n[0].List.Endpoints[0].Addr != "127.0.0.1:1" || n[0].List.Endpoints[0].State != "up" {
 		t.Errorf("known: %+v", n)
--- a/internal/platform/guard.go
+++ b/internal/platform/guard.go
@@ -8,8 +8,8 @@
 	"cresspass/internal/invariant"
 )
 
-// requestGuard is the one way to take, send, repeat, answer and close: an invariant.Guard in the words of
-// this front.
+// requestGuard is the only way to admit, send, retry, answer and close: it adapts an invariant.Guard to this
+// package's requests and attempts. It is for any number of goroutines; the guard's lock is taken last.
 type requestGuard struct {
 	counter *invariant.Counter
 	events  *eventlog.Log
@@ -21,39 +21,31 @@
 		guard: invariant.NewGuard(invariant.RulesFromConfig(cfg), counter, events.Trace)}
 }
 
-// setServing opens the books, or closes them.
-func (g *requestGuard) setServing(on bool) { g.guard.SetServing(on) }
+// setServing says whether requests may be admitted.
+func (g *requestGuard) setServing(serving bool) { g.guard.SetServing(serving) }
 
-// admit enters a request that came. Where it returns false, the request is to be refused.
-func (g *requestGuard) admit(q *thriftserver.Request, key string) bool {
-	g.events.Add(
-		eventlog.Event{Kind: eventlog.RequestReceived, RequestID: q.Ticket, Attempt: -1, Reason: q.Class},
-	)
-	return g.guard.Accept(
-		invariant.Request{ID: q.ID, Class: q.Class, OrderingKey: key, Deadline: q.Deadline},
-		q.Ticket,
-	)
+// admit enters a request that was read. Where it returns false, the request must be rejected.
+func (g *requestGuard) admit(request *thriftserver.Request, key string) bool {
+	g.events.Add(requestEvent(eventlog.RequestReceived, request.Ticket, request.Class))
+	return g.guard.Accept(invariant.Request{ID: request.ID, Class: request.Class, OrderingKey: key,
+		Deadline: request.Deadline}, request.Ticket)
 }
 
-// complete enters a request's one end. Where it returns false, nothing may be answered.
-func (g *requestGuard) complete(q *thriftserver.Request, served bool) bool {
-	return g.guard.Complete(q.ID, served, q.Ticket)
+// complete enters a request's only end. Where it returns false, nothing may be answered.
+func (g *requestGuard) complete(request *thriftserver.Request, served bool) bool {
+	return g.guard.Complete(request.ID, served, request.Ticket)
 }
 
-// beginAttempt asks whether an attempt may be written now, and says how it ends if not.
+// beginAttempt asks whether an attempt may be sent now, and says how it ends if not.
 func (g *requestGuard) beginAttempt(a *attempt) (why computenode.EventType, verdict invariant.Result) {
-	v := g.guard.BeginAttempt(
-		a.request.ID,
-		a.number,
-		a.service.watcher.place(a.engine, a.addr),
-		a.request.Ticket,
-	)
-	if v.OK() || v.Name == invariant.RetriedOverBudget && mutated(noBudgetAtBegin) {
+	v := g.guard.BeginAttempt(a.request.ID, a.number, a.service.watcher.placement(a.engine, a.addr),
+		a.request.Ticket)
+	if v.OK() || v.Name == invariant.RetriedOverBudget && mutantEnabled(mutantNoBudgetRecheck) {
 		return 0, invariant.Result{}
 	}
 	switch v.Name {
 	case invariant.SentAfterDeadline, invariant.SentToDraining, invariant.RetriedAfterWindow:
-		return computenode.Withheld, v // it may go elsewhere, or be refused
+		return computenode.Withheld, v // another compute node may take it, or it is rejected
 	}
 	return computenode.NotNeeded, v // no other compute node helps
 }
@@ -63,7 +55,7 @@
 	g.guard.EndAttempt(a.request.ID, a.number, outcome)
 }
 
-// mayClose asks whether we may close a connection, by the requests that are open on it.
+// mayClose asks whether a client's connection may be closed, by the requests that are open on it.
 func (g *requestGuard) mayClose(open []*thriftserver.Request, why closeReason) bool {
 	if len(open) == 0 {
 		return true
--- /dev/null
+++ b/internal/platform/healthcheck.go
@@ -0,0 +1,62 @@
+package platform
+
+import (
+	"errors"
+	"net"
+	"time"
+
+	"cresspass"
+)
+
+// healthCheckTimeout is how long a compute node has to answer a health check.
+const healthCheckTimeout = 350 * time.Millisecond
+
+// checkHealth asks a compute node for its load report, or whether it is there, and posts the result. It
+// runs in a goroutine of its own.
+func (s *service) checkHealth(engine cresspass.EngineID, addr string) {
+	result := cresspass.Event{Type: cresspass.HealthCheckDone, Engine: engine,
+		Outcome: cresspass.OutcomeConnectFailed}
+	conn, begun, err := s.healthCheckConn(engine, addr)
+	if err == nil {
+		s.callHealthCheck(conn, &result)
+	}
+	result.Elapsed = time.Since(begun)
+	s.loop.Post(result)
+}
+
+// healthCheckConn returns a connection for a health check, and when it was asked for. It waits for a
+// descriptor for as long as the service runs: that there is none says nothing of the compute node, which
+// would be ejected for it.
+func (s *service) healthCheckConn(engine cresspass.EngineID, addr string) (*nodeConn, time.Time, error) {
+	for {
+		begun := time.Now()
+		conn, err := s.pool.getWithRetry(s.watcher.ctx,
+			connRequest{engine: engine, addr: addr, urgent: true, dueAt: begun})
+		if !errors.Is(err, errNoDescriptor) || s.watcher.ctx.Err() != nil {
+			return conn, begun, err
+		}
+	}
+}
+
+// callHealthCheck makes the call of a health check and takes in its response.
+func (s *service) callHealthCheck(conn *nodeConn, result *cresspass.Event) {
+	path := "/ping"
+	if len(s.reportFields) > 0 {
+		path = "/load"
+	}
+	response, err := conn.roundTrip(healthCheckTimeout, "GET", path, nil)
+	var netErr net.Error
+	switch {
+	case errors.As(err, &netErr) && netErr.Timeout():
+		result.Outcome = cresspass.OutcomeTimedOut
+	case err != nil:
+		result.Outcome = cresspass.OutcomeConnectionReset
+	case response.Status == 200:
+		result.Outcome = cresspass.OutcomeOK
+		result.LoadReport, result.HasLoadReport = parseLoadReport(response.Header[loadReportHeader],
+			s.reportFields)
+	default:
+		result.Outcome = cresspass.OutcomeFailed
+	}
+	s.pool.put(conn, err == nil && !response.Close)
+}
--- a/internal/platform/loadreport.go
+++ b/internal/platform/loadreport.go
@@ -6,12 +6,15 @@
 	"strings"
 )
 
-// loadReportAliases are the names of a load report's values on the sockets, with those that the settings
-// have.
+// loadReportHeader is the header of a compute node's answers that carries its load report.
+const loadReportHeader = "x-meter"
+
+// loadReportAliases maps the names of values in load reports to the names that the settings have for them.
 var loadReportAliases = map[string]string{"inflight": "concurrent", "queue": "depth", "util": "load_share",
 	"latency_ms": "mean_ms", "qps": "tps", "eps": "err_ps"}
 
-// parseLoadReport reads a load report (name:value, set apart by semicolons) into the settings' order.
+// parseLoadReport reads a load report (name:value, separated by semicolons) into the order of the settings'
+// fields. It returns false where a field is missing or a value is no finite number.
 func parseLoadReport(text string, fields []string) ([]float64, bool) {
 	if text == "" || len(fields) == 0 {
 		return nil, false
@@ -19,15 +22,15 @@
 	values := make([]float64, len(fields))
 	found := 0
 	for part := range strings.SplitSeq(text, ";") {
-		name, value, _ := strings.Cut(part, ":")
+		name, number, _ := strings.Cut(part, ":")
 		name = strings.TrimSpace(name)
-		v, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
-		if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
+		value, err := strconv.ParseFloat(strings.TrimSpace(number), 64)
+		if err != nil || math.IsNaN(value) || math.IsInf(value, 0) {
 			return nil, false
 		}
-		for i, f := range fields {
-			if f == name || f == loadReportAliases[name] {
-				values[i] = v
+		for i, field := range fields {
+			if field == name || field == loadReportAliases[name] {
+				values[i] = value
 				found++
 			}
 		}
--- a/internal/platform/mutant_off.go
+++ b/internal/platform/mutant_off.go
@@ -2,5 +2,5 @@
 
 package platform
 
-// mutated reports whether a mutant is in force.
-func mutated(mutant) bool { return false }
+// mutantEnabled reports whether a mutant is in force.
+func mutantEnabled(mutant) bool { return false }
--- a/internal/platform/nodepool.go
+++ b/internal/platform/nodepool.go
@@ -1,7 +1,6 @@
 package platform
 
 import (
-	"bufio"
 	"context"
 	"errors"
 	"net"
@@ -16,168 +15,92 @@
 	"cresspass/internal/protocol/nodehttp"
 )
 
-// reuseDelay is how long a connection is left alone after an answer. Danger: a compute node may send a second
-// copy of an answer, which would be taken for the answer to the next query's call.
-const reuseDelay = 20 * time.Millisecond
-
-// responseBufferBytes is the size of a connection's buffer for answers, in bytes. A head has to fit.
-const responseBufferBytes = 4 << 10
-
-// idleCloseFraction is the part of ConnIdleTimeout after which an idle connection is closed by us, before
-// the compute node does.
-const idleCloseFraction = 0.6
-
-var (
-	errNoDescriptor = errors.New("platform: no descriptor left for a compute node")
-	errNotWritten   = errors.New("platform: connection in doubt, nothing was written")
+const (
+	// reuseDelay is how long a connection is left alone after a response. Without it a duplicate of the
+	// response, which a compute node may send, is taken for the response to the next query's call.
+	reuseDelay = 20 * time.Millisecond
+	// idleCloseFraction is the part of the compute nodes' idle timeout after which an idle connection is
+	// closed by us, before they do it.
+	idleCloseFraction = 0.6
 )
 
-// nodeConn is a connection to a compute node, for one call at a time.
-type nodeConn struct {
-	id               uint64 // in the pool's state
-	engine           cresspass.EngineID
-	addr             string
-	conn             net.Conn
-	raw              syscall.RawConn
-	system           *system
-	reader           *bufio.Reader
-	idleSince        time.Time // when its last answer was whole; zero: it is new
-	writeBuffer      []byte
-	awaitingResponse bool // a call was written and has no whole answer
-	recentResponses  duplicateresponse.History
-
-	mu          sync.Mutex
-	interrupted bool
-}
-
-// interrupt ends the call that is under way, or keeps the next one from being made.
-func (c *nodeConn) interrupt() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.interrupted = true
-	c.conn.SetDeadline(time.Unix(1, 0))
-}
-
-// setTimeout sets a call's time, unless the connection was interrupted.
-func (c *nodeConn) setTimeout(wait time.Duration) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !c.interrupted {
-		c.conn.SetDeadline(time.Now().Add(wait))
-	}
-	return !c.interrupted
-}
-
-// usable reports whether an idle connection is open and silent, without waiting.
-func (c *nodeConn) usable() bool {
-	silent, _ := c.inspect()
-	return silent
-}
-
-// inspect looks at an idle connection without waiting: it is open and silent, or its compute node said more
-// than it was asked, or it is closed (neither).
-func (c *nodeConn) inspect() (silent, unsolicited bool) {
-	if c.reader.Buffered() > 0 {
-		return false, true
-	}
-	return c.inspectSocket()
-}
-
-// hasUnread reports whether something is there to be read.
-func (c *nodeConn) hasUnread() bool {
-	_, said := c.inspectSocket()
-	return said
-}
-
-// inspectSocket is look for what is in the socket.
-func (c *nodeConn) inspectSocket() (silent, unsolicited bool) {
-	// Danger: raw.Read would fail where the last call's deadline is over, and every connection that was
-	// idle for long would look dead.
-	err := c.raw.Control(func(fd uintptr) {
-		n, err := c.system.peek(fd)
-		silent, unsolicited = err == syscall.EAGAIN, err == nil && n > 0
-	})
-	return silent && err == nil, unsolicited && err == nil
-}
+// Retries where our own machine has no connection for a moment.
+const (
+	localRetryDelay = 10 * time.Millisecond // before the first one, doubled each time...
+	localRetryLimit = time.Second           // ...until so much time has passed
+)
 
-// roundTrip sends a request and reads its answer.
-func (c *nodeConn) roundTrip(wait time.Duration, method, path string, body []byte,
-	headers ...string) (*nodehttp.Response, error) {
-	if !c.idleSince.IsZero() && !c.usable() || !c.setTimeout(wait) {
-		return nil, errNotWritten
-	}
-	c.writeBuffer = nodehttp.AppendRequest(c.writeBuffer[:0], method, path, c.addr, body, headers...)
-	c.awaitingResponse = true
-	if n, err := c.conn.Write(c.writeBuffer); err != nil {
-		// Danger: what was written in part may be run, and of that nothing is known; where the system took
-		// not one byte, as on a connection that was closed in this moment, nothing ran.
-		if n == 0 {
-			return nil, errNotWritten
-		}
-		return nil, err
-	}
-	response, err := nodehttp.ReadResponse(c.reader)
-	c.awaitingResponse = err != nil
-	c.idleSince = time.Now()
-	return response, err
-}
+// errNoDescriptor is the error of a call that got no connection because our own machine has none for it.
+// It says nothing of the compute node.
+var errNoDescriptor = errors.New("platform: no descriptor left for a compute node")
 
-// nodePool holds the connections to all compute nodes: the shell of a connpool.Pool.
+// nodePool holds the connections to all compute nodes: the shell of a connpool.Pool, which decides who
+// gets one. It is for any number of goroutines.
 type nodePool struct {
 	system         *system
 	descriptors    *descriptorBudget
-	connectTimeout time.Duration // time-out
-	epoch          time.Time     // of the state's clock
+	connectTimeout time.Duration
+	epoch          time.Time // zero of the state's clock
+
+	mu          sync.Mutex // guards the fields below
+	state       *connpool.Pool
+	idle        map[uint64]*nodeConn
+	waiters     map[uint64]chan connpool.Grant
+	lastID      uint64      // of a connection or a request for one
+	settleTimer *time.Timer // runs sweep at the state's next time
+	closed      bool
+	duplicates  *duplicateresponse.Detector
+	counters    poolCounters
+}
 
-	mu            sync.Mutex
-	state         *connpool.Pool
-	idle          map[uint64]*nodeConn
-	waiters       map[uint64]chan connpool.Grant
-	lastID        uint64      // number of a connection or a want
-	settleTimer   *time.Timer // of the state's next look
-	closed        bool
-	dials, reused uint64
-	queued        uint64
-	longestWait   time.Duration // that anyone waited in line
-	duplicates    *duplicateresponse.Detector
-	suspected     uint64 // answers
+// poolCounters counts what a nodePool has done since its start.
+type poolCounters struct {
+	dials, reused, queued uint64
+	suspected             uint64        // responses that may be duplicates
+	longestWait           time.Duration // for a connection, since the last statistics
 }
 
-func newNodePool(sys *system, b *descriptorBudget, connect, idle time.Duration) *nodePool {
-	p := &nodePool{
-		system:         sys,
-		descriptors:    b,
-		connectTimeout: connect,
-		epoch:          time.Now(),
-		idle:           map[uint64]*nodeConn{},
-		state:          connpool.New(reuseDelay, time.Duration(idleCloseFraction*float64(idle))),
-		waiters:        map[uint64]chan connpool.Grant{},
-		duplicates:     duplicateresponse.NewDetector(),
-	}
+// connRequest is a call's request for a connection.
+type connRequest struct {
+	engine cresspass.EngineID
+	addr   string
+	fresh  bool      // a new connection only
+	urgent bool      // short, and must not wait: it may use the headroom
+	dueAt  time.Time // it is needed at the latest then
+}
+
+func newNodePool(sys *system, descriptors *descriptorBudget, connectTimeout,
+	idleTimeout time.Duration) *nodePool {
+	p := &nodePool{system: sys, descriptors: descriptors, connectTimeout: connectTimeout, epoch: time.Now(),
+		idle:    map[uint64]*nodeConn{},
+		state:   connpool.New(reuseDelay, time.Duration(idleCloseFraction*float64(idleTimeout))),
+		waiters: map[uint64]chan connpool.Grant{}, duplicates: duplicateresponse.NewDetector()}
 	p.settleTimer = time.AfterFunc(time.Hour, p.sweep)
 	return p
 }
 
+// now is the time on the state's clock.
 func (p *nodePool) now() time.Duration { return time.Since(p.epoch) }
 
 func (p *nodePool) limits() connpool.Limits {
-	return connpool.Limits{
-		Capacity:      p.descriptors.maxNodeConns(),
-		UrgentReserve: p.descriptors.urgentNodeConns(),
-	}
+	return connpool.Limits{Capacity: p.descriptors.maxNodeConns(),
+		UrgentReserve: p.descriptors.urgentNodeConns()}
 }
 
-// connRequest is a call that needs a connection.
-type connRequest struct {
-	engine cresspass.EngineID
-	addr   string
-	fresh  bool      // on a new connection
-	urgent bool      // short and pressing
-	dueAt  time.Time // when it is needed at the latest
+// getWithRetry is get; where our own machine has no connection for a moment, it asks again.
+func (p *nodePool) getWithRetry(ctx context.Context, wanted connRequest) (*nodeConn, error) {
+	for delay, waited := localRetryDelay, time.Duration(0); ; delay *= 2 {
+		conn, err := p.get(ctx, wanted)
+		if !errors.Is(err, errNoDescriptor) || ctx.Err() != nil || waited >= localRetryLimit {
+			return conn, err
+		}
+		sleepContext(ctx, delay)
+		waited += delay
+	}
 }
 
-// get returns a connection to a compute node: one that rests since long enough, else a new one, for which
-// it waits where there are too many.
+// get returns a connection to a compute node: one that has been idle for long enough, else a new one, for
+// which it waits where there are too many.
 func (p *nodePool) get(ctx context.Context, wanted connRequest) (*nodeConn, error) {
 	for {
 		grant, err := p.acquire(ctx, wanted)
@@ -187,13 +110,9 @@
 		if grant.Type == connpool.Dial {
 			return p.dial(ctx, wanted)
 		}
-		p.mu.Lock()
-		conn := p.idle[grant.Conn]
-		delete(p.idle, grant.Conn)
-		p.reused++
-		p.mu.Unlock()
+		conn := p.takeIdle(grant.Conn)
 		silent, unsolicited := conn.inspect()
-		if silent && conn.addr == wanted.addr { // else it has moved
+		if silent && conn.addr == wanted.addr { // else the compute node has moved
 			return conn, nil
 		}
 		if unsolicited {
@@ -205,106 +124,80 @@
 	}
 }
 
-// checkDuplicate reports whether an answer that came so long after its call may be a second copy of an
-// earlier one.
-func (p *nodePool) checkDuplicate(
-	conn *nodeConn,
-	took time.Duration,
-	a *nodehttp.Response,
-) (duplicateresponse.Fingerprint, bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	f, suspect := p.duplicates.Suspect(p.now(), took, &conn.recentResponses, a)
-	if suspect {
-		p.suspected++
-	}
-	return f, suspect
-}
-
-// recordRetry tells what a new connection gave in place of a suspected answer.
-func (p *nodePool) recordRetry(suspected duplicateresponse.Fingerprint, a *nodehttp.Response) {
+// takeIdle takes a connection that was granted out of the idle ones.
+func (p *nodePool) takeIdle(id uint64) *nodeConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.duplicates.Recheck(p.now(), suspected, a)
-}
-
-// How often a connection is asked for again where our own machine has none for a moment.
-const (
-	localRetryDelay = 10 * time.Millisecond // before the first time, doubled each time...
-	localRetryLimit = time.Second           // ...until that has passed
-)
-
-// getWithRetry is get; where our own machine has no connection for a moment, it is asked for again.
-func (p *nodePool) getWithRetry(ctx context.Context, wanted connRequest) (*nodeConn, error) {
-	for pause, waited := localRetryDelay, time.Duration(0); ; pause *= 2 {
-		conn, err := p.get(ctx, wanted)
-		if !errors.Is(err, errNoDescriptor) || ctx.Err() != nil || waited >= localRetryLimit {
-			return conn, err
-		}
-		sleep(ctx, pause)
-		waited += pause
-	}
+	conn := p.idle[id]
+	delete(p.idle, id)
+	p.counters.reused++
+	return conn
 }
 
 // acquire waits for a grant.
 func (p *nodePool) acquire(ctx context.Context, wanted connRequest) (connpool.Grant, error) {
 	granted := make(chan connpool.Grant, 1)
-	p.mu.Lock()
-	p.lastID++
-	id := p.lastID
-	p.waiters[id] = granted
-	begun := p.now()
-	p.apply(
-		p.state.Acquire(
-			begun,
-			connpool.Request{ID: id, Engine: wanted.engine, Fresh: wanted.fresh, Urgent: wanted.urgent,
-				Due: wanted.dueAt.Sub(p.epoch)},
-			p.limits(),
-		),
-	)
-	if p.waiters[id] != nil {
-		p.queued++
-	}
-	p.mu.Unlock()
+	id, begun := p.enqueue(wanted, granted)
 	select {
-	case g := <-granted:
-		return g, nil
+	case grant := <-granted:
+		return grant, nil
 	default:
 	}
 	select {
-	case g := <-granted:
+	case grant := <-granted:
 		p.mu.Lock()
-		p.longestWait = max(p.longestWait, p.now()-begun)
+		p.counters.longestWait = max(p.counters.longestWait, p.now()-begun)
 		p.mu.Unlock()
-		return g, nil
+		return grant, nil
 	case <-ctx.Done():
 	}
+	p.withdraw(id, granted)
+	return connpool.Grant{}, errNoDescriptor
+}
+
+// enqueue enters a request for a connection, and returns its id and when it was entered.
+func (p *nodePool) enqueue(wanted connRequest, granted chan connpool.Grant) (id uint64, begun time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.lastID++
+	id, begun = p.lastID, p.now()
+	p.waiters[id] = granted
+	p.apply(p.state.Acquire(begun, connpool.Request{ID: id, Engine: wanted.engine, Fresh: wanted.fresh,
+		Urgent: wanted.urgent, Due: wanted.dueAt.Sub(p.epoch)}, p.limits()))
+	if p.waiters[id] != nil {
+		p.counters.queued++
+	}
+	return id, begun
+}
+
+// withdraw takes a request for a connection back, and what may have been granted to it meanwhile.
+func (p *nodePool) withdraw(id uint64, granted chan connpool.Grant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.waiters, id)
-	if !p.state.Cancel(id) { // the grant crossed
-		switch g := <-granted; g.Type {
-		case connpool.Reuse:
-			c := p.idle[g.Conn]
-			delete(p.idle, g.Conn)
-			p.makeIdle(c)
-		case connpool.Dial:
-			p.apply(p.state.Closed(p.limits()))
-		}
+	if p.state.Cancel(id) {
+		return
+	}
+	switch grant := <-granted; grant.Type {
+	case connpool.Reuse:
+		conn := p.idle[grant.Conn]
+		delete(p.idle, grant.Conn)
+		p.makeIdle(conn)
+	case connpool.Dial:
+		p.apply(p.state.Closed(p.limits()))
 	}
-	return connpool.Grant{}, errNoDescriptor
 }
 
 // apply carries out grants. p.mu is held.
 func (p *nodePool) apply(grants []connpool.Grant) {
-	for _, g := range grants {
-		if g.Type == connpool.Close {
-			p.idle[g.Conn].conn.Close()
-			delete(p.idle, g.Conn)
+	for _, grant := range grants {
+		if grant.Type == connpool.Close {
+			p.idle[grant.Conn].conn.Close()
+			delete(p.idle, grant.Conn)
 			continue
 		}
-		p.waiters[g.RequestID] <- g
-		delete(p.waiters, g.RequestID)
+		p.waiters[grant.RequestID] <- grant
+		delete(p.waiters, grant.RequestID)
 	}
 	if at, ok := p.state.NextSweep(); ok && !p.closed {
 		p.settleTimer.Reset(max(at-p.now(), 0))
@@ -313,38 +206,28 @@
 
 // dial makes a connection that was granted.
 func (p *nodePool) dial(ctx context.Context, wanted connRequest) (*nodeConn, error) {
-	c, err := p.system.dial(ctx, p.connectTimeout, wanted.addr)
+	conn, err := p.system.dial(ctx, p.connectTimeout, wanted.addr)
 	var raw syscall.RawConn
 	if err == nil {
-		raw, err = c.(*net.TCPConn).SyscallConn()
+		raw, err = conn.(*net.TCPConn).SyscallConn()
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dials++
+	p.counters.dials++
 	if err != nil {
 		p.apply(p.state.Closed(p.limits()))
 		if oserr.IsLocal(err) {
-			return nil, errNoDescriptor // danger: it tells nothing of the compute node
+			return nil, errNoDescriptor // the compute node must not be blamed for it
 		}
 		return nil, err
 	}
 	p.lastID++
-	conn := &nodeConn{
-		id:     p.lastID,
-		engine: wanted.engine,
-		addr:   wanted.addr,
-		conn:   c,
-		raw:    raw,
-		system: p.system,
-	}
-	late := &deadlineReader{conn: c, hasUnread: conn.hasUnread, setTimeout: conn.setTimeout}
-	conn.reader = bufio.NewReaderSize(late, responseBufferBytes)
-	return conn, nil
+	return newNodeConn(p.lastID, wanted.engine, wanted.addr, conn, raw, p.system), nil
 }
 
-// put gives a connection back; good: its last answer was whole and leaves it open.
+// put gives a connection back; reusable: its last response was complete and leaves it open.
 func (p *nodePool) put(conn *nodeConn, reusable bool) {
-	reusable = reusable && conn.usable() // looked at without the lock
+	reusable = reusable && conn.usable() // before the lock: it is a system call
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if reusable && !p.closed {
@@ -355,29 +238,40 @@
 	p.apply(p.state.Closed(p.limits()))
 }
 
-// discard closes a connection. Danger: after a plain close the system goes on sending what was not taken
-// yet, so that a start which was cut off could come to its compute node after it was given up.
-func (c *nodeConn) discard() {
-	if tcp, ok := c.conn.(*net.TCPConn); ok && c.awaitingResponse {
-		tcp.SetLinger(0)
-	}
-	c.conn.Close()
-}
-
-// makeIdle makes a connection idle. p.mu is held.
+// makeIdle enters a connection that others may use. p.mu is held.
 func (p *nodePool) makeIdle(conn *nodeConn) {
 	p.idle[conn.id] = conn
 	p.state.Release(p.now(), conn.engine, conn.id)
 	p.apply(nil)
 }
 
-// hasWaiters reports whether somebody waits for a connection.
+// hasWaiters reports whether a call waits for a connection.
 func (p *nodePool) hasWaiters() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.state.Waiting() > 0
 }
 
+// checkDuplicate reports whether a response that came so long after its call may be a duplicate of an earlier
+// one.
+func (p *nodePool) checkDuplicate(conn *nodeConn, took time.Duration,
+	response *nodehttp.Response) (duplicateresponse.Fingerprint, bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	fingerprint, suspect := p.duplicates.Suspect(p.now(), took, &conn.recentResponses, response)
+	if suspect {
+		p.counters.suspected++
+	}
+	return fingerprint, suspect
+}
+
+// recordRetry tells the detector what a new connection brought in place of a suspected response.
+func (p *nodePool) recordRetry(suspected duplicateresponse.Fingerprint, response *nodehttp.Response) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.duplicates.Recheck(p.now(), suspected, response)
+}
+
 // closeIdleTo closes the idle connections to a compute node.
 func (p *nodePool) closeIdleTo(engine cresspass.EngineID) {
 	p.mu.Lock()
@@ -385,24 +279,25 @@
 	p.apply(p.state.CloseIdle(engine, p.limits()))
 }
 
-// closeAll closes all idle connections; the pool keeps none any more.
+// closeAll closes all idle connections; the pool keeps none from then on.
 func (p *nodePool) closeAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
 	p.settleTimer.Stop()
-	for _, c := range p.idle {
-		p.apply(p.state.CloseIdle(c.engine, p.limits()))
+	for _, conn := range p.idle {
+		p.apply(p.state.CloseIdle(conn.engine, p.limits()))
 	}
 }
 
+// connCount is how many connections to compute nodes there are, idle and in use.
 func (p *nodePool) connCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.state.OpenConns()
 }
 
-// sweep closes what has been idle for too long and looks at who waits.
+// sweep closes connections that have been idle for too long, and serves calls that wait.
 func (p *nodePool) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -410,3 +305,13 @@
 		p.apply(p.state.Sweep(p.now(), p.limits()))
 	}
 }
+
+// statistics returns the pool's counters, and how many connections there are and calls wait. The longest wait
+// starts anew.
+func (p *nodePool) statistics() (counters poolCounters, open, waiting int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	counters = p.counters
+	p.counters.longestWait = 0
+	return counters, p.state.OpenConns(), p.state.Waiting()
+}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -98,7 +98,9 @@
 		"three GB": func(w http.ResponseWriter, ticket string) {
 			writeRaw(w, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
 		},
-		"1xx before it": func(w http.ResponseWriter, t string) { writeRaw(w, "HTTP/1.1 102 P\r\n\r\n"+page(t)) },
+		"1xx before it": func(w http.ResponseWriter, t string) {
+			writeRaw(w, "HTTP/1.1 102 P\r\n\r\n"+page(t))
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t, 256)
@@ -139,7 +141,8 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, o := range []cresspass.Outcome{cresspass.OutcomeConnectionReset, cresspass.OutcomeFailed, cresspass.OutcomeConnectFailed} {
+	for _, o := range []cresspass.Outcome{cresspass.OutcomeConnectionReset, cresspass.OutcomeFailed,
+		cresspass.OutcomeConnectFailed} {
 		if r.outcomes[o] > 0 {
 			t.Errorf("an attempt ended with %d", o)
 		}
@@ -295,8 +298,8 @@
 	r.pool.mu.Lock()
 	defer r.pool.mu.Unlock()
 	most := r.pool.descriptors.maxNodeConns()
-	if b := r.pool.state; b.OpenConns() > most || b.Waiting() != 0 || r.pool.dials > asks*2/3 {
-		t.Errorf("%d open of %d, %d wait, %d dials", b.OpenConns(), most, b.Waiting(), r.pool.dials)
+	if b := r.pool.state; b.OpenConns() > most || b.Waiting() != 0 || r.pool.counters.dials > asks*2/3 {
+		t.Errorf("%d open of %d, %d wait, %d dials", b.OpenConns(), most, b.Waiting(), r.pool.counters.dials)
 	}
 }
 
@@ -309,8 +312,8 @@
 	a.mustServe(2, 1)
 	r.pool.mu.Lock()
 	defer r.pool.mu.Unlock()
-	if r.pool.dials != 1 || r.pool.reused != 1 {
-		t.Errorf("%d dials, %d used again", r.pool.dials, r.pool.reused)
+	if r.pool.counters.dials != 1 || r.pool.counters.reused != 1 {
+		t.Errorf("%d dials, %d used again", r.pool.counters.dials, r.pool.counters.reused)
 	}
 }
 
--- a/internal/platform/stallmonitor.go
+++ b/internal/platform/stallmonitor.go
@@ -9,15 +9,17 @@
 	"cresspass/internal/overload/stall"
 )
 
-// stallMonitor is the shell of a stall.Meter: its heartbeat.
+// stallMonitor detects intervals in which the process was not scheduled: it beats a stall.Detector from a
+// goroutine of its own. Its lock guards the detector, which any goroutine may ask.
 type stallMonitor struct {
 	clock dispatch.Clock
-	mu    sync.Mutex
-	meter *stall.Detector
+
+	mu       sync.Mutex
+	detector *stall.Detector
 }
 
 func newStallMonitor(clock dispatch.Clock) *stallMonitor {
-	return &stallMonitor{clock: clock, meter: stall.NewDetector(clock())}
+	return &stallMonitor{clock: clock, detector: stall.NewDetector(clock())}
 }
 
 // run beats until the context ends.
@@ -28,7 +30,7 @@
 		select {
 		case <-beat.C:
 			s.mu.Lock()
-			s.meter.Beat(s.clock())
+			s.detector.Beat(s.clock())
 			s.mu.Unlock()
 		case <-ctx.Done():
 			return
@@ -36,12 +38,12 @@
 	}
 }
 
-// maxWait returns how long something that is read now may have lain there, if there was nothing at since.
-func (s *stallMonitor) maxWait(since time.Duration) time.Duration {
-	if mutated(noStalls) {
+// maxWait returns how long something that is read now may have been in its socket, which was empty at a time.
+func (s *stallMonitor) maxWait(emptyAt time.Duration) time.Duration {
+	if mutantEnabled(mutantNoStallDetection) {
 		return 0
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.meter.ReadDelay(s.clock(), since)
+	return s.detector.ReadDelay(s.clock(), emptyAt)
 }
--- a/internal/platform/watcher.go
+++ b/internal/platform/watcher.go
@@ -1,15 +1,10 @@
 package platform
 
 import (
-	"bufio"
 	"context"
 	"errors"
-	"fmt"
-	"io"
 	"math/rand/v2"
 	"net"
-	"net/http"
-	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -21,45 +16,56 @@
 )
 
 const (
-	streamSilenceTimeout = 1700 * time.Millisecond // a comment comes each second: more silence than this is a stop
-	connectOverdueAfter  = 500 * time.Millisecond  // until another call is begun beside one that has not connected
-	callTimeout          = 5 * time.Second         // for the answer to a call, while others are made beside it
-	minReconnectDelay    = 50 * time.Millisecond   // before the notice board is asked again, see discovery.Backoff
-	maxReconnectDelay    = 400 * time.Millisecond
-	replayWindow         = 500 * time.Millisecond // events that come so soon in a stream may have been told long ago
+	// streamSilenceTimeout is the silence that counts as the end of a stream: a comment comes each second.
+	streamSilenceTimeout = 1700 * time.Millisecond
+	// replayWindow is how long after a stream's begin its events may be old ones, told again.
+	replayWindow = 500 * time.Millisecond
+	// minReconnectDelay and maxReconnectDelay are the bounds of the pause between calls.
+	minReconnectDelay = 50 * time.Millisecond
+	maxReconnectDelay = 400 * time.Millisecond
+	// streamBufferBytes is how much of a stream is read at once.
+	streamBufferBytes = 8 << 10
 )
 
-// watcher keeps asking the notice board and hands what it tells to the module.
+var (
+	errStreamSilent = errors.New("nothing came for too long")
+	errEventGap     = errors.New("events are missing")
+)
+
+// watcher polls the discovery service and hands its events to the core. One goroutine, in run, makes the
+// calls; redirect and applyKnown come from the lifecycle's goroutine, and any goroutine may ask for a
+// compute node.
 type watcher struct {
 	service *service
-	calls   atomic.Uint64
+	calls   atomic.Uint64 // made since the start
 	ctx     context.Context
 	stop    context.CancelFunc // ends run
-	backoff sse.Backoff
+	backoff sse.Backoff        // for run's goroutine only
 
-	mu            sync.Mutex
+	mu            sync.Mutex // guards the fields below, and the order of lists posted to the core
 	follower      *sse.Follower
-	sawEvent      bool // the notice board itself told something
+	sawEvent      bool // the discovery service itself told something
 	discoveryAddr string
 	cancel        context.CancelFunc // of all that goes on at this address
 }
 
 func newWatcher(s *service, addr string) *watcher {
 	w := &watcher{service: s, discoveryAddr: addr}
-	w.follower = sse.NewFollower(s.clock, starttime.New(starttime.RecentStarts, s.system.wall(), s.clock()))
+	w.follower = sse.NewFollower(s.clock, starttime.New(starttime.RecentStarts, s.system.now(), s.clock()))
 	w.backoff = sse.Backoff{Min: minReconnectDelay, Max: maxReconnectDelay,
 		Random: rand.New(rand.NewPCG(s.cfg.Module.Seed, 0))}
 	w.ctx, w.stop = context.WithCancel(context.Background())
 	return w
 }
 
+// engineAddr is the address of a compute node; empty: it is not in the list.
 func (w *watcher) engineAddr(engine cresspass.EngineID) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.follower.Addr(engine)
 }
 
-// engineCount returns how many compute nodes have an address.
+// engineCount is how many compute nodes have an address.
 func (w *watcher) engineCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -73,8 +79,8 @@
 	return w.follower.AcceptsQueries(engine, addr)
 }
 
-// place returns a compute node at an address as the invariants see it.
-func (w *watcher) place(engine cresspass.EngineID, addr string) invariant.Target {
+// placement is a compute node at an address as the invariants see it.
+func (w *watcher) placement(engine cresspass.EngineID, addr string) invariant.Target {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	at := w.follower.Location(engine)
@@ -89,8 +95,15 @@
 	return w.follower.Draining(engine)
 }
 
-// redirect has the notice board asked at another address, at once. Danger: the old address tells nothing
-// more, so neither a call under way nor a pause between calls may go on.
+// lastEvent is the number of the last event.
+func (w *watcher) lastEvent() uint64 {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.follower.LastRevision()
+}
+
+// redirect has the discovery service polled at another address, at once. The old address tells nothing
+// more, so neither a call under way nor a pause between calls goes on.
 func (w *watcher) redirect(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -100,20 +113,19 @@
 	}
 }
 
-// applyKnown takes what a configuration knows of the notice board's events. What was told already is passed
-// over.
+// applyKnown takes in the events that a configuration knows. What was told already is passed over.
 func (w *watcher) applyKnown(known []sse.WatchEvent) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, n := range known {
-		w.follower.ObserveStarts(n)
+	for _, event := range known {
+		w.follower.ObserveStarts(event)
 	}
-	for _, n := range known {
-		list, v, err := w.follower.ApplyWatchEvent(n)
+	for _, event := range known {
+		list, verdict, err := w.follower.ApplyWatchEvent(event)
 		if err != nil {
 			return err
 		}
-		if v != sse.Applied {
+		if verdict != sse.Applied {
 			continue
 		}
 		if list.ListType == cresspass.ListComplete && !w.sawEvent {
@@ -124,84 +136,16 @@
 	return nil
 }
 
-// ageByWallClock is what the mutant makes of starts: their age by the wall clock of the moment.
-func (w *watcher) ageByWallClock(engines []cresspass.EngineInfo) {
-	ahead := time.Until(w.service.system.wall())
-	for i := range engines {
-		if engines[i].StartedAt > 0 {
-			engines[i].StartedAt = max(engines[i].StartedAt-ahead, 1)
-		}
-	}
-}
-
-// lastEvent is the number of the last event.
-func (w *watcher) lastEvent() uint64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.follower.LastRevision()
-}
-
-// pendingCall is a call of discovery that is not answered yet.
-type pendingCall struct {
-	addr      string
-	lastEvent uint64
-	startedAt time.Time
-	cancel    context.CancelFunc
-	connected atomic.Bool
-	result    chan callResult
-}
-
-// callResult is what became of an opening.
-type callResult struct {
-	stream *eventStream
-	err    error
-}
-
-// eventStream is an answered call.
-type eventStream struct {
-	ctx    context.Context
-	cancel context.CancelFunc
-	conn   net.Conn
-	body   io.ReadCloser
-}
-
-func (s *eventStream) close() {
-	s.cancel()
-	s.body.Close()
-	s.conn.Close()
-}
-
-// untilOverdue is how long an opening has until another is begun beside it.
-func (o *pendingCall) untilOverdue() time.Duration {
-	if o.connected.Load() {
-		return time.Until(o.startedAt.Add(connectOverdueAfter + streamSilenceTimeout))
-	}
-	return time.Until(o.startedAt.Add(connectOverdueAfter))
-}
-
-// abandon gives an opening up.
-func (o *pendingCall) abandon() {
-	if o == nil {
-		return
-	}
-	o.cancel()
-	go func() {
-		if got := <-o.result; got.stream != nil {
-			got.stream.close()
-		}
-	}()
-}
-
-// run asks until stop.
+// run polls until stop.
 func (w *watcher) run() {
 	for w.ctx.Err() == nil {
-		ctx, at := w.target()
-		w.watchAddr(ctx, at)
+		ctx, addr := w.target()
+		w.watchAddr(ctx, addr)
 		w.backoff.Reset()
 	}
 }
 
-// target returns where to ask, and a context that ends when that changes.
+// target returns where to poll, and a context that ends when that changes.
 func (w *watcher) target() (context.Context, string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -210,9 +154,9 @@
 	return ctx, w.discoveryAddr
 }
 
-// watchAddr asks at one address until the context ends. Danger: a discovery that is slow answers late, one
-// that is cut off never, and the two look alike. So a call that is overdue is kept as the elder, and
-// others are made beside it, one at a time.
+// watchAddr polls at one address until the context ends. A discovery service that is slow answers late,
+// one that is cut off never, and the two look alike: so an overdue call goes on, and others are made
+// beside it, one at a time.
 func (w *watcher) watchAddr(ctx context.Context, addr string) {
 	var older *pendingCall
 	defer func() { older.abandon() }()
@@ -220,130 +164,30 @@
 		w.calls.Add(1)
 		lastEvent := w.lastEvent()
 		result, remaining := w.awaitCall(ctx, w.startCall(ctx, addr, lastEvent), older)
-		heard, err := false, result.err
+		received, err := false, result.err
 		if older = remaining; result.stream != nil {
 			older.abandon()
 			older = nil
-			heard, err = w.readStream(result.stream)
+			received, err = w.readStream(result.stream)
 		}
-		if heard {
+		if received {
 			w.backoff.Reset()
 		}
 		if err != nil && ctx.Err() == nil {
-			w.service.log.Warn("notice board", "address", addr, "from", lastEvent, "error", err)
-		}
-		sleep(ctx, w.backoff.Next())
-	}
-}
-
-// awaitCall waits until one of two openings is answered, or the younger has failed or is overdue. It returns
-// what came, and the opening that goes on; the other one is dropped. elder may be nil.
-func (w *watcher) awaitCall(ctx context.Context, newer, older *pendingCall) (callResult, *pendingCall) {
-	late := time.NewTimer(newer.untilOverdue())
-	defer late.Stop()
-	for {
-		var old chan callResult
-		if older != nil {
-			old = older.result
-		}
-		select {
-		case result := <-newer.result:
-			return result, older
-		case result := <-old:
-			if result.stream != nil {
-				newer.abandon()
-				return result, nil
-			}
-			older = nil
-		case <-late.C:
-			if left := newer.untilOverdue(); left > 0 { // it has connected meanwhile
-				late.Reset(left)
-				continue
-			}
-			if older == nil {
-				return callResult{err: errStreamSilent}, newer
-			}
-			newer.abandon()
-			return callResult{err: errStreamSilent}, older
-		case <-ctx.Done():
-			newer.abandon()
-			older.abandon()
-			return callResult{err: ctx.Err()}, nil
+			w.service.log.Warn("discovery call failed", "address", addr, "last_event", lastEvent,
+				"error", err)
 		}
+		sleepContext(ctx, w.backoff.Next())
 	}
 }
 
-var errStreamSilent = errors.New("nothing came for too long")
-
-// startCall begins a call of discovery from the last event on. It has callTimeout to be answered.
-func (w *watcher) startCall(ctx context.Context, addr string, lastEvent uint64) *pendingCall {
-	o := &pendingCall{
-		addr:      addr,
-		lastEvent: lastEvent,
-		startedAt: time.Now(),
-		result:    make(chan callResult, 1),
-	}
-	ctx, o.cancel = context.WithCancel(ctx)
-	go func() {
-		s, err := w.openStream(ctx, o)
-		if err != nil {
-			o.cancel()
-		}
-		o.result <- callResult{s, err}
-	}()
-	return o
-}
-
-// openStream connects, asks, and reads the head of the answer.
-func (w *watcher) openStream(ctx context.Context, o *pendingCall) (*eventStream, error) {
-	c, err := w.service.system.dial(ctx, callTimeout, o.addr)
-	if err != nil {
-		return nil, err
-	}
-	o.connected.Store(true)
-	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
-	defer stop()
-	fail := func(err error) (*eventStream, error) {
-		c.Close()
-		return nil, err
-	}
-	if !extendDeadline(ctx, c, time.Until(o.startedAt.Add(callTimeout))) {
-		return fail(ctx.Err())
-	}
-	r, err := http.NewRequest("GET", "http://"+o.addr+"/board/poll", nil)
-	if err != nil {
-		return fail(err)
-	}
-	r.Header.Set("Accept", "text/event-stream")
-	r.Header.Set("Last-Event-ID", strconv.FormatUint(o.lastEvent, 10))
-	if err := r.Write(c); err != nil {
-		return fail(err)
-	}
-	resp, err := http.ReadResponse(bufio.NewReader(c), r)
-	if err != nil {
-		return fail(err)
-	}
-	if resp.StatusCode != http.StatusOK {
-		resp.Body.Close()
-		return fail(fmt.Errorf("answered %s", resp.Status))
-	}
-	return &eventStream{ctx, o.cancel, c, resp.Body}, nil
-}
-
-// extendDeadline gives a connection so long from now, unless its context has ended. Danger: the context's
-// end sets a deadline that is over, and must not be lifted again by one that was on its way.
-func extendDeadline(ctx context.Context, c net.Conn, d time.Duration) bool {
-	c.SetDeadline(time.Now().Add(d))
-	return ctx.Err() == nil
-}
-
-// readStream takes events from a stream until it ends. heard: something came.
-func (w *watcher) readStream(s *eventStream) (heard bool, err error) {
+// readStream takes events from a stream until it ends. received: something came.
+func (w *watcher) readStream(s *eventStream) (received bool, err error) {
 	defer s.close()
-	stop := context.AfterFunc(s.ctx, func() { s.conn.SetDeadline(time.Unix(1, 0)) })
+	stop := context.AfterFunc(s.ctx, func() { expire(s.conn) })
 	defer stop()
-	var p sse.Parser
-	b := make([]byte, 8<<10)
+	var parser sse.Parser
+	b := make([]byte, streamBufferBytes)
 	begun := time.Now()
 	for {
 		if !extendDeadline(s.ctx, s.conn, streamSilenceTimeout) {
@@ -353,20 +197,12 @@
 		if s.ctx.Err() != nil {
 			return true, s.ctx.Err()
 		}
-		var bad error
-		if e := p.Feed(b[:n], func(ev sse.Event) {
-			if bad == nil {
-				bad = w.handleEvent(ev, time.Since(begun) < replayWindow)
-			}
-		}); bad == nil {
-			bad = e
-		}
-		if bad != nil {
-			return true, bad
+		if err := w.feed(&parser, b[:n], begun); err != nil {
+			return true, err
 		}
 		if err != nil {
-			var timeout net.Error
-			if errors.As(err, &timeout) && timeout.Timeout() {
+			var netErr net.Error
+			if errors.As(err, &netErr) && netErr.Timeout() {
 				err = errStreamSilent
 			}
 			return true, err
@@ -374,29 +210,60 @@
 	}
 }
 
-// handleEvent hands an event on; missed: it may have been told long ago.
-func (w *watcher) handleEvent(ev sse.Event, missed bool) error {
+// feed hands the events in a part of a stream on, up to the first that can't be taken in.
+func (w *watcher) feed(parser *sse.Parser, b []byte, begun time.Time) error {
+	var eventErr error
+	parseErr := parser.Feed(b, func(event sse.Event) {
+		if eventErr == nil {
+			eventErr = w.handleEvent(event, time.Since(begun) < replayWindow)
+		}
+	})
+	if eventErr != nil {
+		return eventErr
+	}
+	return parseErr
+}
+
+// handleEvent takes an event in and hands its list on; replayed: it may be an old one, told again.
+func (w *watcher) handleEvent(event sse.Event, replayed bool) error {
+	verdict, removed, err := w.follow(event, replayed)
+	for _, engine := range removed {
+		w.service.pool.closeIdleTo(engine)
+	}
+	if err == nil && verdict == sse.Gap {
+		return errEventGap
+	}
+	return err
+}
+
+// follow has the follower take an event in, and posts its list to the core under the lock: without it,
+// the lists of two calls could cross. It returns the compute nodes that have gone.
+func (w *watcher) follow(event sse.Event, replayed bool) (verdict sse.ApplyResult,
+	removed []cresspass.EngineID, err error) {
 	w.mu.Lock()
-	take := w.follower.Apply
-	if missed {
-		take = w.follower.ApplyDelayed
+	defer w.mu.Unlock()
+	apply := w.follower.Apply
+	if replayed {
+		apply = w.follower.ApplyDelayed
 	}
-	list, v, err := take(ev)
-	if mutated(wallClock) {
+	list, verdict, err := apply(event)
+	if mutantEnabled(mutantWallClock) {
 		w.ageByWallClock(list.Engines)
 	}
-	gone := w.follower.TakeRemoved()
-	// Danger: posted under the lock, or lists of two calls could cross.
-	if err == nil && v == sse.Applied {
+	removed = w.follower.TakeRemoved()
+	if err == nil && verdict == sse.Applied {
 		w.sawEvent = true
 		w.service.loop.Post(list)
 	}
-	w.mu.Unlock()
-	for _, id := range gone {
-		w.service.pool.closeIdleTo(id)
-	}
-	if err == nil && v == sse.Gap {
-		err = errors.New("events are missing")
+	return verdict, removed, err
+}
+
+// ageByWallClock is what the mutant makes of start times: their age by the wall clock of the moment.
+func (w *watcher) ageByWallClock(engines []cresspass.EngineInfo) {
+	ahead := time.Until(w.service.system.now())
+	for i := range engines {
+		if engines[i].StartedAt > 0 {
+			engines[i].StartedAt = max(engines[i].StartedAt-ahead, 1)
+		}
 	}
-	return err
 }
