--- a/internal/platform/apachethrift_test.go
+++ b/internal/platform/apachethrift_test.go
@@ -96,8 +96,8 @@
 	})
 }
 
-// TestApacheThriftClient: served over pages, refused with a time to come back, failed with a reason, an
-// application exception, a request taken back: each is what the library makes of the definitions.
+// TestApacheThriftClient: served over pages, rejected with a time to retry after, failed with a reason, an
+// application exception, a cancelled request: each is what the library makes of the definitions.
 func TestApacheThriftClient(t *testing.T) {
 	r := newHarness(t, 256)
 	r.node.pages = 3
@@ -135,7 +135,7 @@
 		t.Errorf("served: %+v, %s", got, got.body)
 	}
 	if got := ask(2, "1"); got.which != 1 || got.fields["later"] != "2000" {
-		t.Errorf("refused: %+v", got)
+		t.Errorf("rejected: %+v", got)
 	}
 	if got := ask(3, "2000", "verb", "none"); got.which != 2 ||
 		!strings.HasPrefix(got.fields["reason"], "verb") {
@@ -151,7 +151,7 @@
 	}), nil); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "it is given up", func() bool { return r.node.callCount("DELETE "+ticket(4)) == 1 })
+	eventually(t, "it is cancelled", func() bool { return r.node.callCount("DELETE "+ticket(4)) == 1 })
 	var exception peer.TApplicationException
 	if _, err := client.Call(ctx, "none", unused, &callOutcome{}); !errors.As(err, &exception) ||
 		exception.TypeId() != peer.UNKNOWN_METHOD {
--- a/internal/platform/clientconn_test.go
+++ b/internal/platform/clientconn_test.go
@@ -3,11 +3,7 @@
 import (
 	"bytes"
 	"encoding/binary"
-	"io"
-	"net"
-	"net/http"
-	"os"
-	"strings"
+	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
@@ -15,93 +11,166 @@
 	"cresspass/internal/protocol/thrift"
 )
 
-// setTimeouts has connections to come be given up after so much silence, or where nothing was taken for so
-// long.
-func (r *harness) setTimeouts(idle, stall time.Duration) {
-	r.frontend.mu.Lock()
-	defer r.frontend.mu.Unlock()
-	r.frontend.idleTimeout, r.frontend.writeTimeout = idle, stall
+// TestMalformedClients: what can't be read gets an error or a close, is never forwarded, and leaves others
+// alone.
+func TestMalformedClients(t *testing.T) {
+	h := newHarness(t, 256)
+	h.node.keepRunning(0, ticket(0xaa))
+	usual := h.dial()
+	held := usual.send(requestFields(ticket(0xaa), "quick", "60000"))
+	eventually(t, "the usual query runs", func() bool { return h.node.callCount("POST "+ticket(0xaa)) == 1 })
+	for name, f := range map[string][][2]string{
+		"no id":         {{"verb", "quick"}, {"limit", "100"}},
+		"header in id":  requestFields("x\r\nA: b", "quick", "100"),
+		"unknown class": requestFields(ticket(9), "nothing", "100"),
+		"no number":     requestFields(ticket(9), "quick", "NaN"),
+		"negative":      requestFields(ticket(9), "quick", "-5"),
+		"endless":       requestFields(ticket(9), "quick", "1e300"),
+		"infinite work": requestFields(ticket(9), "quick", "100", "cpu", "Inf"),
+		"no key":        requestFields(ticket(9), "load", "100"),
+		"open already":  requestFields(ticket(0xaa), "quick", "100"),
+	} {
+		client := h.dial()
+		client.send(f)
+		if got := client.receive(); got.kind != "fault" {
+			t.Errorf("%s: %+v", name, got)
+		}
+	}
+	for name, b := range map[string][]byte{
+		"noise":      []byte("GET / HTTP/1.1\r\n\r\n"),
+		"negative":   {0xff, 0xff, 0xff, 0xf0, 1},
+		"empty":      {0, 0, 0, 0},
+		"sixty MB":   {3, 0x93, 0x87, 0, 0x80, 1, 0, 1},
+		"wrong form": {0, 0, 0, 4, 1, 2, 3, 4},
+	} {
+		client := h.dial()
+		client.conn.Write(b)
+		if got := client.receive(); got.kind != "closed" {
+			t.Errorf("%s: %+v", name, got)
+		}
+	}
+	twice := h.dial()
+	twice.send(requestFields(ticket(0xab), "quick", "2000"))
+	twice.lastSeq--
+	twice.send(requestFields(ticket(0xac), "quick", "2000"))
+	kinds := twice.receive().kind + " " + twice.receive().kind
+	if kinds != "fault answer" && kinds != "answer fault" && kinds != "answer answer" {
+		t.Errorf("two requests under one number: %s", kinds)
+	}
+	half := h.dial()
+	half.conn.Write([]byte{0, 0, 1, 0, 0x80})
+	mute := h.dial()
+	if got := half.receive(); got.kind != "closed" {
+		t.Errorf("half a message: %+v", got)
+	}
+	if got := mute.receive(); got.kind != "closed" {
+		t.Errorf("silence: %+v", got)
+	}
+	h.dial().mustServe(5, 1)
+	if n, m := h.node.callCount("POST "+ticket(9)), h.node.callCount("POST "+ticket(0xaa)); n != 0 || m != 1 {
+		t.Errorf("%d queries of bad clients were sent, and the usual one %d times", n, m)
+	}
+	if n := h.node.callCount("GET 0 " + ticket(0xaa)); n > 400 {
+		t.Errorf("one query was polled %d times in some 2 s", n)
+	}
+	usual.conn.Write(thrift.AppendCancel(nil, usual.lastSeq+1, held))
 }
 
-// sendHeld asks for a query that runs until the rig ends, and waits until its compute node has it.
-func (r *harness) sendHeld(a *testClient, n int) int32 {
-	r.t.Helper()
-	r.node.keepRunning(0, ticket(n))
-	seq := a.send(requestFields(ticket(n), "quick", "60000"))
-	eventually(r.t, "the query is sent", func() bool { return r.node.callCount("POST "+ticket(n)) == 1 })
-	return seq
+// TestPipelinedRequests: requests that come in one segment, and in single bytes, are all read.
+func TestPipelinedRequests(t *testing.T) {
+	h := newHarness(t, 256)
+	client := h.dial()
+	var b []byte
+	const requests = 20
+	for i := range requests {
+		b = thrift.AppendDispatch(
+			b,
+			int32(i+1),
+			requestFields(ticket(i+1), "quick", "5000"),
+			[]byte("SELECT 1"),
+		)
+	}
+	client.conn.Write(b[:len(b)-7])
+	for _, c := range b[len(b)-7:] {
+		client.conn.Write([]byte{c})
+	}
+	seen := map[int32]bool{}
+	for range requests {
+		got := client.receive()
+		if got.kind != "answer" || seen[got.seq] {
+			t.Fatalf("%+v, received before: %v", got, seen)
+		}
+		seen[got.seq] = true
+	}
 }
 
 // TestOpenRequestOutlivesIdleTimeout: a client that waits for an answer says nothing, for longer than a
 // silent connection is kept; one with nothing open is closed.
 func TestOpenRequestOutlivesIdleTimeout(t *testing.T) {
-	r := newHarness(t, 256)
-	r.setTimeouts(50*time.Millisecond, clientWriteTimeout)
-	silent, a := r.dial(), r.dial()
+	h := newHarness(t, 256)
+	h.setTimeouts(50*time.Millisecond, clientWriteTimeout)
+	silent, client := h.dial(), h.dial()
 	silent.mustServe(1, 1)
-	seq := r.sendHeld(a, 2)
-	if h := silent.receive(); h.kind != "closed" {
-		t.Fatalf("a silent connection: %+v", h)
+	seq := h.sendHeld(client, 2)
+	if got := silent.receive(); got.kind != "closed" {
+		t.Fatalf("a silent connection: %+v", got)
 	}
 	time.Sleep(300 * time.Millisecond) // many times what a silent one has
-	r.node.setHandler(nil)
-	if h := a.receive(); h.kind != "answer" || h.seq != seq {
-		t.Errorf("the request that was open: %+v", h)
+	h.node.setHandler(nil)
+	if got := client.receive(); got.kind != "answer" || got.seq != seq {
+		t.Errorf("the request that was open: %+v", got)
+	}
+}
+
+// TestRequestRacesIdleTimeout: a request that is there, unread, when its connection has been silent for
+// too long is taken and answered.
+func TestRequestRacesIdleTimeout(t *testing.T) {
+	blind, done := blindPeek(t)
+	h := newHarness(t, 256)
+	h.setTimeouts(200*time.Millisecond, clientWriteTimeout)
+	client := h.dial()
+	client.mustServe(1, 1)
+	blind()
+	seq := client.send(requestFields(ticket(2), "quick", "2000"))
+	eventually(t, "the peek that sees nothing", done)
+	if got := client.receive(); got.kind != "answer" || got.seq != seq {
+		t.Errorf("%+v", got)
 	}
 }
 
 // TestRequestRacesClose: a request that is there, unread, when unused connections are
-// closed is taken and answered; one that comes after is not sent on, and its client sees an orderly end.
+// closed is answered; one that comes after is not forwarded, and its client sees an orderly end.
 func TestRequestRacesClose(t *testing.T) {
-	r := newHarness(t, 256)
-	a := r.dial()
-	a.mustServe(1, 1)
-	eventually(t, "the connection is unused", func() bool { return len(r.unusedConns()) == 1 })
-	r.frontend.mu.Lock() // its reader can't tell the state of what comes
-	seq := a.send(requestFields(ticket(2), "quick", "2000"))
-	for c := r.onlyConn(); !c.hasUnread(); {
+	h := newHarness(t, 256)
+	client := h.dial()
+	client.mustServe(1, 1)
+	eventually(t, "the connection is unused", func() bool { return len(h.unusedConns()) == 1 })
+	h.frontend.mu.Lock() // its reader can't tell the state of what comes
+	seq := client.send(requestFields(ticket(2), "quick", "2000"))
+	for c := h.onlyConn(); !c.hasUnread(); {
 		time.Sleep(time.Millisecond)
 	}
-	r.frontend.retireUnusedLocked()
-	victim := r.frontend.evictLocked(0)
-	r.frontend.mu.Unlock()
+	h.frontend.retireUnusedLocked()
+	victim := h.frontend.evictLocked(0)
+	h.frontend.mu.Unlock()
 	if victim {
-		t.Error("it made room for another")
+		t.Error("it was evicted")
 	}
-	if h := a.receive(); h.kind != "answer" || h.seq != seq {
-		t.Fatalf("the request that was there: %+v", h)
+	if got := client.receive(); got.kind != "answer" || got.seq != seq {
+		t.Fatalf("the request that was there: %+v", got)
 	}
-	eventually(t, "the connection is unused", func() bool { return len(r.unusedConns()) == 1 })
-	r.frontend.retireUnused()
-	a.send(requestFields(ticket(3), "quick", "2000"))
-	if h := a.receive(); h.kind != "closed" {
-		t.Errorf("a request after the end: %+v", h)
+	eventually(t, "the connection is unused", func() bool { return len(h.unusedConns()) == 1 })
+	h.frontend.retireUnused()
+	client.send(requestFields(ticket(3), "quick", "2000"))
+	if got := client.receive(); got.kind != "closed" {
+		t.Errorf("a request after the end: %+v", got)
 	}
-	eventually(t, "the connection is closed", func() bool { return r.frontend.connCount() == 0 })
-	if n := r.node.callCount("POST"); n != 2 {
-		t.Errorf("%d queries were sent on, want 2", n)
+	eventually(t, "the connection is closed", func() bool { return h.frontend.connCount() == 0 })
+	if n := h.node.callCount("POST"); n != 2 {
+		t.Errorf("%d queries were forwarded, want 2", n)
 	}
 }
 
-func (r *harness) unusedConns() []*clientConn {
-	r.frontend.mu.Lock()
-	defer r.frontend.mu.Unlock()
-	var list []*clientConn
-	for _, id := range r.frontend.state.UnusedConns() {
-		list = append(list, r.frontend.conns[id])
-	}
-	return list
-}
-
-// onlyConn returns the one connection; front.mu is held.
-func (r *harness) onlyConn() *clientConn {
-	for _, c := range r.frontend.conns {
-		return c
-	}
-	r.t.Fatal("no connection")
-	return nil
-}
-
 // TestFinalAnswersSurviveClose: where a connection can't be read any further, what was open on it is
 // answered, and the answers are not lost by a reset over bytes that nobody read; the same where a message
 // stops half-way.
@@ -113,107 +182,42 @@
 		"half a message": {[]byte{0, 0, 1, 0, 0x80}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 256)
-			a := r.dial()
-			seq := r.sendHeld(a, 1)
-			a.conn.Write(c.first)
-			go a.conn.Write(c.then)
-			if h := a.receive(); h.kind != "fault" || h.seq != seq {
-				t.Errorf("what was open: %+v", h)
+			h := newHarness(t, 256)
+			client := h.dial()
+			seq := h.sendHeld(client, 1)
+			client.conn.Write(c.first)
+			go client.conn.Write(c.then)
+			if got := client.receive(); got.kind != "fault" || got.seq != seq {
+				t.Errorf("what was open: %+v", got)
 			}
-			if h := a.receive(); h.kind != "closed" {
-				t.Errorf("after it: %+v", h)
+			if got := client.receive(); got.kind != "closed" {
+				t.Errorf("after it: %+v", got)
 			}
 			eventually(
 				t,
-				"the query is given up",
-				func() bool { return r.node.callCount("DELETE "+ticket(1)) > 0 },
+				"the query is cancelled",
+				func() bool { return h.node.callCount("DELETE "+ticket(1)) > 0 },
 			)
 		})
 	}
 }
 
-// TestBacklogServedAtShutdown: connections that the machine accepted, and the dispatcher not yet, are served
-// after the last call.
-func TestBacklogServedAtShutdown(t *testing.T) {
-	r := newHarness(t, 256)
-	r.frontend.mu.Lock() // the front takes one connection, and stops there
-	var list []*testClient
-	for i := range 5 {
-		a := r.dial()
-		a.send(requestFields(ticket(i+1), "quick", "2000"))
-		list = append(list, a)
-	}
-	r.frontend.drainBacklog()
-	r.frontend.mu.Unlock()
-	for i, a := range list {
-		if h := a.receive(); h.kind != "answer" {
-			t.Errorf("connection %d: %+v", i, h)
-		}
-	}
-	eventually(t, "the listener is closed", r.listenerClosed(t))
-}
-
-// listenerClosed tells whether the listener is closed.
-func (r *harness) listenerClosed(t *testing.T) func() bool {
-	raw, err := r.frontend.listener.SyscallConn()
-	if err != nil {
-		t.Fatal(err)
-	}
-	return func() bool { return raw.Control(func(uintptr) {}) != nil }
-}
-
-// serveLargeResults has all queries answered with eight pages, and connections that come hold little of that
-// in the sockets. It returns how many bytes of rows a result has.
-func (r *harness) serveLargeResults() int {
-	rows := strings.Repeat(row(ticket(1), 0), 5900/len(row(ticket(1), 0)))
-	r.node.setHandler(func(w http.ResponseWriter, _ *http.Request, call, _ string) bool {
-		page, found := strings.CutPrefix(call, "GET ")
-		switch {
-		case call == "DELETE":
-			return false
-		case found && page != "0":
-			w.Header().Set("Page-No", page)
-		default:
-			w.Header().Set("Page-Count", "8")
-		}
-		io.WriteString(w, rows)
-		return true
-	})
-	return 8 * len(rows)
-}
-
-// dialSmallBuffers has a client's connection hold little at either end; it is the only one that waits for
-// that.
-func (r *harness) dialSmallBuffers() *testClient {
-	was := r.frontend.connCount()
-	a := r.dial()
-	a.conn.(*net.TCPConn).SetReadBuffer(32 << 10)
-	eventually(r.t, "it is there", func() bool { return r.frontend.connCount() == was+1 })
-	r.frontend.mu.Lock()
-	defer r.frontend.mu.Unlock()
-	for _, c := range r.frontend.conns {
-		c.conn.SetWriteBuffer(32 << 10)
-	}
-	return a
-}
-
 // TestSlowReader: a client that takes its answers slowly gets all of them, however long that is, and one that
 // takes nothing is cut off.
 func TestSlowReader(t *testing.T) {
-	r := newHarness(t, 256)
-	const stall, asks = 250 * time.Millisecond, 20
-	r.setTimeouts(clientIdleTimeout, stall)
-	size := asks * r.serveLargeResults()
-	a, mute := r.dialSmallBuffers(), r.dialSmallBuffers()
-	for i := range asks {
-		a.send(requestFields(ticket(i+1), "quick", "60000"))
+	h := newHarness(t, 256)
+	const stall, requests = 250 * time.Millisecond, 20
+	h.setTimeouts(clientIdleTimeout, stall)
+	size := requests * h.serveLargeResults()
+	client, mute := h.dialSmallBuffers(), h.dialSmallBuffers()
+	for i := range requests {
+		client.send(requestFields(ticket(i+1), "quick", "60000"))
 		mute.send(requestFields(ticket(i+1001), "quick", "60000"))
 	}
 	slow := make([]byte, 24<<10)
 	begun := time.Now()
 	for got := 0; got < size; {
-		n, err := a.conn.Read(slow)
+		n, err := client.conn.Read(slow)
 		if err != nil {
 			t.Fatalf("after %d bytes: %v", got, err)
 		}
@@ -223,61 +227,32 @@
 	if took := time.Since(begun); took < 2*stall*9/10 {
 		t.Errorf("all were read in %v: too fast to show anything", took)
 	}
-	eventually(t, "who takes nothing is cut off", func() bool { return r.frontend.connCount() == 1 })
-}
-
-// TestPendingAnswersWrittenAtShutdown: answers that wait for their client when SIGTERM comes are written
-// before the dispatcher ends.
-func TestPendingAnswersWrittenAtShutdown(t *testing.T) {
-	r := newHarness(t, 256)
-	const asks = 20
-	size := r.serveLargeResults()
-	a := r.dialSmallBuffers()
-	for i := range asks {
-		a.send(requestFields(ticket(i+1), "quick", "60000"))
-	}
-	eventually(t, "all are answered", func() bool { return r.stats().Served == asks })
-	signals, ended := make(chan os.Signal, 1), make(chan error, 1)
-	go func() { ended <- r.run(signals) }()
-	signals <- syscall.SIGTERM
-	eventually(t, "the listener is closed", r.listenerClosed(t))
-	for i := range asks {
-		if h := a.receive(); h.kind != "answer" || len(h.text) < size {
-			t.Fatalf("answer %d: %s of %d bytes", i, h.kind, len(h.text))
-		}
-	}
-	if h := a.receive(); h.kind != "closed" {
-		t.Errorf("after the last: %+v", h)
-	}
-	if err := <-ended; err != nil {
-		t.Error(err)
-	}
+	eventually(t, "the client that reads nothing is cut off", func() bool {
+		return h.frontend.connCount() == 1
+	})
 }
 
-// TestPipelinedRequests: requests that come in one segment, and in single bytes, are all read.
-func TestPipelinedRequests(t *testing.T) {
-	r := newHarness(t, 256)
-	a := r.dial()
-	var b []byte
-	const asks = 20
-	for i := range asks {
-		b = thrift.AppendDispatch(
-			b,
-			int32(i+1),
-			requestFields(ticket(i+1), "quick", "5000"),
-			[]byte("SELECT 1"),
-		)
-	}
-	a.conn.Write(b[:len(b)-7])
-	for _, c := range b[len(b)-7:] {
-		a.conn.Write([]byte{c})
-	}
-	seen := map[int32]bool{}
-	for range asks {
-		h := a.receive()
-		if h.kind != "answer" || seen[h.seq] {
-			t.Fatalf("%+v, heard before: %v", h, seen)
-		}
-		seen[h.seq] = true
+// TestPeekErrors: a peek that is interrupted, or fails for want of memory, proves nothing: a
+// request that is there is read, and no connection is closed over it.
+func TestPeekErrors(t *testing.T) {
+	for _, errno := range []syscall.Errno{syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM} {
+		t.Run(errno.Error(), func(t *testing.T) {
+			var fails atomic.Int32
+			withSystem(t, func(s *system) {
+				look := s.peek
+				s.peek = func(fd uintptr) (int, error) {
+					if n, err := look(fd); n == 0 || err != nil || fails.Add(-1) < 0 {
+						return n, err
+					}
+					return 0, errno
+				}
+			})
+			h := newHarness(t, 256)
+			client := h.dial()
+			client.mustServe(1, 1)
+			fails.Store(2)
+			client.conn.SetDeadline(time.Now().Add(3 * time.Second))
+			client.mustServe(2, 1)
+		})
 	}
 }
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -166,62 +166,60 @@
 	return slices.Compact(list)
 }
 
-// TestGoldenRequests: what compute nodes and the notice board are sent keeps its bytes.
+// TestGoldenRequests: what compute nodes and the discovery service are sent keeps its bytes.
 func TestGoldenRequests(t *testing.T) {
 	r := &harness{t: t, node: newFakeNode(t), discovery: newFakeDiscovery(t), sockets: 256,
 		path: filepath.Join(t.TempDir(), "config.json")}
 	r.node.pages = 2
 	toNode, nodeAddr := newRecorder(t, serverAddr(r.node.Server))
-	toBoard, boardAddr := newRecorder(t, serverAddr(r.discovery.Server))
+	toDiscovery, discoveryAddr := newRecorder(t, serverAddr(r.discovery.Server))
 	r.discovery.add(true, "s-1", nodeAddr, "up")
-	if err := os.WriteFile(r.path, r.config(boardAddr), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	r.startService()
-	a := r.dial()
-	a.mustServe(1, 2)
-	a.send(requestFields(ticket(2), "load", "8000", "unique", strings.Repeat("ab", 16)))
-	if h := a.receive(); h.kind != "answer" {
+	r.writeConfig(r.config(discoveryAddr))
+	r.startService(io.Discard)
+	client := r.dial()
+	client.mustServe(1, 2)
+	client.send(requestFields(ticket(2), "load", "8000", "unique", strings.Repeat("ab", 16)))
+	if h := client.receive(); h.kind != "answer" {
 		t.Fatalf("keyed: %+v", h)
 	}
 	r.node.keepRunning(0, ticket(3))
-	seq := a.send(requestFields(ticket(3), "quick", "60000"))
-	eventually(t, "it is asked about", func() bool { return r.node.callCount("GET 0 "+ticket(3)) > 0 })
-	a.conn.Write(thrift.AppendCancel(nil, 99, seq))
-	eventually(t, "it is given up", func() bool { return r.node.callCount("DELETE "+ticket(3)) == 1 })
+	seq := client.send(requestFields(ticket(3), "quick", "60000"))
+	eventually(t, "the query is polled", func() bool { return r.node.callCount("GET 0 "+ticket(3)) > 0 })
+	client.conn.Write(thrift.AppendCancel(nil, 99, seq))
+	eventually(t, "the query is cancelled", func() bool { return r.node.callCount("DELETE "+ticket(3)) == 1 })
 	r.checkHealth("s-1", nodeAddr)
 	compareGolden(t, "node_requests.txt", []byte(strings.Join(toNode.requests(), "\n----\n")))
-	eventually(t, "the board is asked", func() bool { return len(toBoard.requests()) > 0 })
-	compareGolden(t, "discovery_request.txt", []byte(strings.Join(toBoard.requests(), "\n----\n")))
+	eventually(t, "discovery is polled", func() bool { return len(toDiscovery.requests()) > 0 })
+	compareGolden(t, "discovery_request.txt", []byte(strings.Join(toDiscovery.requests(), "\n----\n")))
 }
 
 // TestGoldenReplies: what clients are answered keeps its bytes.
 func TestGoldenReplies(t *testing.T) {
 	r := newHarness(t, 256)
 	r.node.pages = 2
-	a := r.dial()
+	client := r.dial()
 	var got bytes.Buffer
 	reply := func(name string) {
 		t.Helper()
 		var head [4]byte
-		if _, err := io.ReadFull(a.reader, head[:]); err != nil {
+		if _, err := io.ReadFull(client.reader, head[:]); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 		frame := make([]byte, int(head[2])<<8|int(head[3]))
-		if _, err := io.ReadFull(a.reader, frame); err != nil {
+		if _, err := io.ReadFull(client.reader, frame); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 		fmt.Fprintf(&got, "%s\n%s", name, hex.Dump(append(head[:], frame...)))
 	}
-	a.conn.Write(thrift.AppendAlive(nil, 100))
+	client.conn.Write(thrift.AppendAlive(nil, 100))
 	reply("alive")
-	a.send(requestFields(ticket(1), "quick", "2000"))
+	client.send(requestFields(ticket(1), "quick", "2000"))
 	reply("answer of two pages")
-	a.send(requestFields(ticket(2), "quick", "1"))
+	client.send(requestFields(ticket(2), "quick", "1"))
 	reply("shed, with a time to come back")
-	a.send(requestFields(ticket(3), "quack", "2000"))
+	client.send(requestFields(ticket(3), "quack", "2000"))
 	reply("fault of the request")
-	a.conn.Write([]byte{0, 0, 0, 17, 0x80, 1, 0, 1, 0, 0, 0, 4, 'n', 'o', 'n', 'e', 0, 0, 0, 9, 0})
+	client.conn.Write([]byte{0, 0, 0, 17, 0x80, 1, 0, 1, 0, 0, 0, 4, 'n', 'o', 'n', 'e', 0, 0, 0, 9, 0})
 	reply("no such method")
 	compareGolden(t, "client_replies.txt", got.Bytes())
 }
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -1,8 +1,7 @@
 package platform
 
 import (
-	"bufio"
-	"encoding/binary"
+	"bytes"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -12,188 +11,18 @@
 	"net/http/httptest"
 	"os"
 	"path/filepath"
-	"slices"
 	"strings"
 	"sync"
+	"sync/atomic"
+	"syscall"
 	"testing"
 	"time"
 
-	"cresspass/internal/protocol/thrift"
+	"cresspass"
+	"cresspass/internal/dispatch"
 )
 
-// fakeNode stands in for a compute node.
-type fakeNode struct {
-	*httptest.Server
-	mu      sync.Mutex
-	calls   []string // "POST", "GET 0", ..., "DELETE", with the ticket behind
-	headers http.Header
-	handler func(w http.ResponseWriter, r *http.Request, call, ticket string) bool // false: the usual answer
-	pages   int
-
-	known map[string]bool // tickets of queries that came
-}
-
-func newFakeNode(t *testing.T) *fakeNode {
-	n := &fakeNode{pages: 1, known: map[string]bool{}}
-	n.Server = httptest.NewServer(n)
-	t.Cleanup(n.Close)
-	return n
-}
-
-func row(ticket string, page int) string { return fmt.Sprintf("%s\t%d\t;'\"\n", ticket, page) }
-
-func (n *fakeNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	io.ReadAll(r.Body)
-	parts := strings.Split(strings.Trim(r.URL.Path, "/"), "/")
-	call, ticket, page := r.Method, r.Header.Get("X-Ticket"), 0
-	if len(parts) > 1 {
-		ticket = parts[1]
-	}
-	if len(parts) > 2 {
-		fmt.Sscan(parts[2], &page)
-		call += " " + parts[2]
-	}
-	n.mu.Lock()
-	n.calls = append(n.calls, call+" "+ticket)
-	if r.Method == "POST" {
-		n.headers, n.known[ticket] = r.Header, true
-	}
-	answer, pages, known := n.handler, n.pages, n.known[ticket]
-	n.mu.Unlock()
-	if r.Method == "GET" && len(parts) > 1 && !known { // nothing is made up for a query that never came
-		w.WriteHeader(500)
-		return
-	}
-	if answer != nil && answer(w, r, call, ticket) {
-		return
-	}
-	switch {
-	case r.Method == "DELETE":
-		w.WriteHeader(204)
-		return
-	case page == 0:
-		w.Header().Set("Page-Count", fmt.Sprint(pages))
-	default:
-		w.Header().Set("Page-No", fmt.Sprint(page))
-	}
-	io.WriteString(w, row(ticket, page))
-}
-
-func (n *fakeNode) setHandler(f func(w http.ResponseWriter, r *http.Request, call, ticket string) bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.handler = f
-}
-
-// forget has a query not have come.
-func (n *fakeNode) forget(ticket string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	delete(n.known, ticket)
-}
-
-// keepRunning has queries of some tickets run on for ever: each question is answered without news, after a
-// pause.
-func (n *fakeNode) keepRunning(pause time.Duration, tickets ...string) {
-	n.setHandler(func(w http.ResponseWriter, _ *http.Request, call, ticket string) bool {
-		if call == "DELETE" || !slices.Contains(tickets, ticket) {
-			return false
-		}
-		time.Sleep(pause)
-		w.WriteHeader(202)
-		return true
-	})
-}
-
-// callCount tells how many calls began with some words.
-func (n *fakeNode) callCount(words string) (sum int) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for _, c := range n.calls {
-		if strings.HasPrefix(c, words) {
-			sum++
-		}
-	}
-	return sum
-}
-
-func resetConn(w http.ResponseWriter) {
-	c, _, _ := w.(http.Hijacker).Hijack()
-	c.(*net.TCPConn).SetLinger(0)
-	c.Close()
-}
-
-func writeRaw(w http.ResponseWriter, text string) {
-	c, b, _ := w.(http.Hijacker).Hijack()
-	b.WriteString(text)
-	b.Flush()
-	time.AfterFunc(100*time.Millisecond, func() { c.Close() })
-}
-
-// fakeDiscovery stands in for a notice board: it tells what was added, from the number asked for.
-type fakeDiscovery struct {
-	*httptest.Server
-	mu           sync.Mutex
-	events       []string
-	lastEventIDs []string
-	truncate     int  // breaks off in the middle of the next event, so many times
-	silent       bool // keeps open and says nothing
-}
-
-func newFakeDiscovery(t *testing.T) *fakeDiscovery {
-	b := &fakeDiscovery{}
-	b.Server = httptest.NewServer(b)
-	t.Cleanup(func() { b.CloseClientConnections(); b.Close() })
-	return b
-}
-
-func (b *fakeDiscovery) add(full bool, id, addr, state string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.events = append(b.events, fmt.Sprintf(`{"rev":%d,"pool":{"version":1,"full":%v,"servers":[{"id":%q,`+
-		`"addr":%q,"zone":"z","kind":"k","cell":0,"state":%q,"weight":1,"started_ms":0}]}}`,
-		len(b.events)+1, full, id, addr, state))
-}
-
-func (b *fakeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	from := 0
-	fmt.Sscan(r.Header.Get("Last-Event-ID"), &from)
-	b.mu.Lock()
-	b.lastEventIDs = append(b.lastEventIDs, r.Header.Get("Last-Event-ID"))
-	b.mu.Unlock()
-	w.Header().Set("Content-Type", "text/event-stream")
-	w.WriteHeader(200)
-	w.(http.Flusher).Flush()
-	for i := 0; r.Context().Err() == nil; i++ {
-		b.mu.Lock()
-		list, mute, cut := b.events, b.silent, b.truncate
-		if from < len(list) && cut > 0 {
-			b.truncate--
-		}
-		b.mu.Unlock()
-		for ; from < len(list) && !mute; from++ {
-			text := fmt.Sprintf("id: %d\ndata: %s\n\n", from+1, list[from])
-			if cut > 0 {
-				io.WriteString(w, text[:len(text)/2])
-				return
-			}
-			io.WriteString(w, text+text) // twice, as it may
-		}
-		if i%20 == 0 && !mute {
-			io.WriteString(w, ": here\n\n")
-		}
-		w.(http.Flusher).Flush()
-		time.Sleep(10 * time.Millisecond)
-	}
-}
-
-func (b *fakeDiscovery) polledFrom() []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return append([]string(nil), b.lastEventIDs...)
-}
-
-// harness is a dispatcher with its stand-ins.
+// harness is a dispatcher with a fake compute node and a fake discovery service.
 type harness struct {
 	*service
 	t         *testing.T
@@ -203,9 +32,11 @@
 	sockets   int
 }
 
+// serverAddr is where a server listens.
 func serverAddr(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
 
-func (r *harness) config(board string) []byte {
+// config is a configuration as the platform writes it.
+func (h *harness) config(board string) []byte {
 	settings := `{"classes":[{"name":"quick","aim-us":400000,"deadline-us":2000000,"importance":1.0,` +
 		`"semantics":"safe","window-us":0},{"name":"load","aim-us":400000,"deadline-us":8000000,` +
 		`"importance":5.0,"semantics":"keyed","key-scope":"all","window-us":9000000},{"name":"turn",` +
@@ -220,127 +51,209 @@
 		`"max-retry-after-us":2000000,"connect-timeout-us":250000,"conn-idle-us":15000000},` +
 		`"rules":{"grace-to-answer-us":5000,"stop-sending-within-us":2000000},"peers-total":1,"ordinal":0,` +
 		`"tick-us":1000,"tenants":[],"zone":"z","membership-mode":"push"}`
-	known := fmt.Sprintf(`{"rev":1,"notices":[%s]}`, r.discovery.events[0])
+	known := fmt.Sprintf(`{"rev":1,"notices":[%s]}`, h.discovery.events[0])
 	data, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0",
 		"seed":   "8c1f30d27a5be964",
-		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": r.sockets},
+		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": h.sockets},
 		"board":  board,
 		"known":  json.RawMessage(known), "settings": json.RawMessage(settings)})
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return data
 }
 
+// newHarness starts a dispatcher with so many descriptors.
 func newHarness(t *testing.T, sockets int) *harness {
-	r := &harness{t: t, node: newFakeNode(t), discovery: newFakeDiscovery(t), sockets: sockets}
-	r.discovery.add(true, "s-1", serverAddr(r.node.Server), "up")
-	r.path = filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(r.path, r.config(serverAddr(r.discovery.Server)), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	r.startService()
-	return r
+	t.Helper()
+	return newHarnessWith(t, sockets, "", "")
 }
 
-// startService starts the dispatcher by the rig's configuration.
-func (r *harness) startService() {
-	r.t.Helper()
-	cfg, err := Load(r.path)
-	if err != nil {
-		r.t.Fatal(err)
+// newHarnessWith is newHarness with some text of its settings replaced.
+func newHarnessWith(t *testing.T, sockets int, from, to string) *harness {
+	t.Helper()
+	h := prepareHarness(t, sockets)
+	data := h.config(serverAddr(h.discovery.Server))
+	if !bytes.Contains(data, []byte(from)) {
+		t.Fatalf("the settings have no %s", from)
 	}
-	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	if r.service, err = start(cfg, r.path, log); err != nil {
-		r.t.Fatal(err)
+	h.writeConfig(bytes.Replace(data, []byte(from), []byte(to), 1))
+	h.startService(io.Discard)
+	return h
+}
+
+// prepareHarness returns a harness with one compute node, without a configuration file and not started.
+func prepareHarness(t *testing.T, sockets int) *harness {
+	t.Helper()
+	h := &harness{t: t, node: newFakeNode(t), discovery: newFakeDiscovery(t), sockets: sockets,
+		path: filepath.Join(t.TempDir(), "config.json")}
+	h.discovery.add(true, "s-1", serverAddr(h.node.Server), "up")
+	return h
+}
+
+// writeConfig writes the configuration file.
+func (h *harness) writeConfig(data []byte) {
+	h.t.Helper()
+	if err := os.WriteFile(h.path, data, 0o600); err != nil {
+		h.t.Fatal(err)
 	}
-	r.t.Cleanup(r.close)
 }
 
-// testClient is a client's connection.
-type testClient struct {
-	t       *testing.T
-	conn    net.Conn
-	reader  *bufio.Reader
-	lastSeq int32
+// startService starts the dispatcher by the configuration file. Its log goes to a writer.
+func (h *harness) startService(logTo io.Writer) {
+	h.t.Helper()
+	cfg, err := Load(h.path)
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	log := slog.New(slog.NewJSONHandler(logTo, nil))
+	if h.service, err = start(cfg, h.path, log); err != nil {
+		h.t.Fatal(err)
+	}
+	h.t.Cleanup(h.close)
 }
 
-func (r *harness) dial() *testClient {
-	c, err := net.Dial("tcp", r.frontend.listener.Addr().String())
+// dial connects a client.
+func (h *harness) dial() *testClient {
+	c, err := net.Dial("tcp", h.frontend.listener.Addr().String())
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { c.Close() })
+	h.t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(20 * time.Second))
-	return newTestClient(r.t, c)
+	return newTestClient(h.t, c)
 }
 
-func newTestClient(t *testing.T, c net.Conn) *testClient {
-	return &testClient{t: t, conn: c, reader: bufio.NewReader(c)}
+// setTimeouts sets the idle and the write timeout of connections to come.
+func (h *harness) setTimeouts(idle, write time.Duration) {
+	h.frontend.mu.Lock()
+	defer h.frontend.mu.Unlock()
+	h.frontend.idleTimeout, h.frontend.writeTimeout = idle, write
 }
 
-func requestFields(ticket, class, limit string, more ...string) [][2]string {
-	f := [][2]string{{"txn", ticket}, {"verb", class}, {"limit", limit}, {"cpu", "300.0"}, {"heap_mb", "64"}}
-	for i := 0; i+1 < len(more); i += 2 {
-		f = append(f, [2]string{more[i], more[i+1]})
-	}
-	return f
+// sendHeld sends a query that runs until the harness ends, and waits until its compute node has it.
+func (h *harness) sendHeld(client *testClient, n int) int32 {
+	h.t.Helper()
+	h.node.keepRunning(0, ticket(n))
+	seq := client.send(requestFields(ticket(n), "quick", "60000"))
+	eventually(h.t, "the query is sent", func() bool { return h.node.callCount("POST "+ticket(n)) == 1 })
+	return seq
 }
 
-func ticket(n int) string { return fmt.Sprintf("%016x", n) }
+// pauseLoop has the core do nothing until the function it returns is called.
+func (h *harness) pauseLoop() (resume func()) {
+	at, on := make(chan struct{}), make(chan struct{})
+	go h.loop.Inspect(func(*dispatch.Core) { close(at); <-on })
+	<-at
+	resume = sync.OnceFunc(func() { close(on) })
+	h.t.Cleanup(resume) // before the harness closes
+	return resume
+}
 
-// send sends a request and returns its number.
-func (a *testClient) send(f [][2]string) int32 {
-	a.lastSeq++
-	b := thrift.AppendDispatch(nil, a.lastSeq, f, []byte("SELECT 1 FROM sales_3.t"))
-	if _, err := a.conn.Write(b); err != nil {
-		a.t.Fatal(err)
-	}
-	return a.lastSeq
+// attemptCount returns how many attempts have not ended.
+func (h *harness) attemptCount() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return len(h.attempts)
 }
 
-// reply is an answer as a client reads it: "answer", "shed", "fault", "exception", or an error.
-type reply struct {
-	kind string
-	seq  int32
-	text string
+// endedWith returns how many attempts ended with an outcome.
+func (h *harness) endedWith(o cresspass.Outcome) uint64 {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.outcomes[o]
 }
 
-func (a *testClient) receive() reply {
-	var head [4]byte
-	if _, err := io.ReadFull(a.reader, head[:]); err != nil {
-		return reply{kind: "closed"}
+// unusedConns returns the connections on which nothing is open.
+func (h *harness) unusedConns() []*clientConn {
+	h.frontend.mu.Lock()
+	defer h.frontend.mu.Unlock()
+	var list []*clientConn
+	for _, id := range h.frontend.state.UnusedConns() {
+		list = append(list, h.frontend.conns[id])
 	}
-	b := make([]byte, binary.BigEndian.Uint32(head[:]))
-	if _, err := io.ReadFull(a.reader, b); err != nil {
-		return reply{kind: "cut"}
+	return list
+}
+
+// onlyConn returns the one connection; frontend.mu is held.
+func (h *harness) onlyConn() *clientConn {
+	for _, c := range h.frontend.conns {
+		return c
 	}
-	h, err := thrift.ParseRequest(b)
+	h.t.Fatal("no connection")
+	return nil
+}
+
+// listenerClosed tells whether the listener is closed.
+func (h *harness) listenerClosed(t *testing.T) func() bool {
+	raw, err := h.frontend.listener.SyscallConn()
 	if err != nil {
-		a.t.Fatal(err)
+		t.Fatal(err)
 	}
-	at := 4 + 4 + len(h.Name) + 4
-	out := reply{kind: "exception", seq: h.Seq, text: string(b[at:])}
-	if h.Type == thrift.Reply {
-		out.kind = map[byte]string{0: "answer", 1: "shed", 2: "fault"}[b[at+2]]
+	return func() bool { return raw.Control(func(uintptr) {}) != nil }
+}
+
+// serveLargeResults has all queries answered with eight pages, and connections that come hold little of that
+// in the sockets. It returns how many bytes of rows a result has.
+func (h *harness) serveLargeResults() int {
+	rows := strings.Repeat(row(ticket(1), 0), 5900/len(row(ticket(1), 0)))
+	h.node.setHandler(func(w http.ResponseWriter, _ *http.Request, call, _ string) bool {
+		page, found := strings.CutPrefix(call, "GET ")
+		switch {
+		case call == "DELETE":
+			return false
+		case found && page != "0":
+			w.Header().Set("Page-No", page)
+		default:
+			w.Header().Set("Page-Count", "8")
+		}
+		io.WriteString(w, rows)
+		return true
+	})
+	return 8 * len(rows)
+}
+
+// dialSmallBuffers has a client's connection hold little at either end; it is the only one that waits for
+// that.
+func (h *harness) dialSmallBuffers() *testClient {
+	was := h.frontend.connCount()
+	client := h.dial()
+	client.conn.(*net.TCPConn).SetReadBuffer(32 << 10)
+	eventually(h.t, "it is there", func() bool { return h.frontend.connCount() == was+1 })
+	h.frontend.mu.Lock()
+	defer h.frontend.mu.Unlock()
+	for _, c := range h.frontend.conns {
+		c.conn.SetWriteBuffer(32 << 10)
 	}
-	return out
+	return client
 }
 
-// mustServe asks once and wants its own result of some pages.
-func (a *testClient) mustServe(n, pages int) {
-	a.t.Helper()
-	id := ticket(n)
-	seq := a.send(requestFields(id, "quick", "2000"))
-	h := a.receive()
-	if h.kind != "answer" || h.seq != seq {
-		a.t.Fatalf("request %d: %s for %d: %q", n, h.kind, h.seq, h.text)
+// withSystem has the dispatchers that a test starts make some system calls otherwise.
+func withSystem(t *testing.T, change func(s *system)) {
+	t.Helper()
+	was := newSystem
+	t.Cleanup(func() { newSystem = was })
+	newSystem = func() *system {
+		s := realSystem()
+		change(s)
+		return s
 	}
-	for p := range pages {
-		if !strings.Contains(h.text, row(id, p)) {
-			a.t.Fatalf("request %d has not its page %d: %q", n, p, h.text)
+}
+
+// blindPeek has the next look at a socket on which there is something find nothing, as where the core is full
+// and the reader has not come to it yet. The function it returns reports whether that has happened.
+func blindPeek(t *testing.T) (blind func(), done func() bool) {
+	var looks atomic.Int32
+	withSystem(t, func(s *system) {
+		look := s.peek
+		s.peek = func(fd uintptr) (int, error) {
+			if n, err := look(fd); err == syscall.EAGAIN || looks.Add(-1) < 0 {
+				return n, err
+			}
+			return -1, syscall.EAGAIN
 		}
-	}
+	})
+	return func() { looks.Store(1) }, func() bool { return looks.Load() <= 0 }
 }
 
 // eventually waits for something to become true.
--- a/internal/platform/process_test.go
+++ b/internal/platform/process_test.go
@@ -28,7 +28,7 @@
 	return program
 }
 
-// testProcess is the real program among a rig's stand-ins, started as the platform does.
+// testProcess is the real program with a harness's fakes, started as the platform does.
 type testProcess struct {
 	harness *harness
 	addr    string // where it listens
@@ -37,24 +37,22 @@
 	ended   chan error
 }
 
-// startProgram starts the program once the rig was prepared, and waits until it listens.
-func startProgram(t *testing.T, prepare func(r *harness)) *testProcess {
+// startProgram starts the program once the harness was prepared, and waits until it listens.
+func startProgram(t *testing.T, prepare func(h *harness)) *testProcess {
 	t.Helper()
 	program := buildProgram(t)
-	r := &harness{t: t, node: newFakeNode(t), discovery: newFakeDiscovery(t), sockets: 256,
-		path: filepath.Join(t.TempDir(), "c.json")}
-	r.discovery.add(true, "s-1", serverAddr(r.node.Server), "up")
+	h := prepareHarness(t, 256)
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &testProcess{harness: r, addr: free.Addr().String(), ended: make(chan error, 1)}
+	p := &testProcess{harness: h, addr: free.Addr().String(), ended: make(chan error, 1)}
 	free.Close()
-	p.writeConfig(r.discovery)
-	prepare(r)
+	p.writeConfig(h.discovery)
+	prepare(h)
 	p.cmd = exec.Command(program, "node")
 	p.cmd.Stdout, p.cmd.Stderr = &p.log, &p.log
-	p.cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+r.path)
+	p.cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+h.path)
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -70,12 +68,10 @@
 	return p
 }
 
-// writeConfig writes the configuration, with a notice board.
+// writeConfig writes the configuration, with a discovery service.
 func (p *testProcess) writeConfig(b *fakeDiscovery) {
-	data := bytes.Replace(p.harness.config(serverAddr(b.Server)), []byte("127.0.0.1:0"), []byte(p.addr), 1)
-	if err := os.WriteFile(p.harness.path, data, 0o600); err != nil {
-		p.harness.t.Fatal(err)
-	}
+	data := p.harness.config(serverAddr(b.Server))
+	p.harness.writeConfig(bytes.Replace(data, []byte("127.0.0.1:0"), []byte(p.addr), 1))
 }
 
 // dial connects to it as a client does.
@@ -90,8 +86,8 @@
 }
 
 // TestProcess starts the real program as the platform does, and counts final answers: served over several
-// pages, refused with a time to come back, failed, cancelled, by a new notice board after SIGHUP, and open
-// at SIGTERM.
+// pages, rejected with a time to retry after, failed, cancelled, by a new discovery service after SIGHUP, and
+// open at SIGTERM.
 func TestProcess(t *testing.T) {
 	program := buildProgram(t)
 	for name, env := range map[string]string{"ROUTER_CONFIG is not set": "", "no/such/file": "no/such/file"} {
@@ -102,56 +98,56 @@
 			t.Errorf("a bad start: %v, %q", err, out)
 		}
 	}
-	p := startProgram(t, func(r *harness) {
-		r.node.pages = 3
-		r.node.keepRunning(50*time.Millisecond, ticket(3))
+	p := startProgram(t, func(h *harness) {
+		h.node.pages = 3
+		h.node.keepRunning(50*time.Millisecond, ticket(3))
 	})
-	r, c, log, ended, dial, config := p.harness, p.cmd, &p.log, p.ended, p.dial, p.writeConfig
-	a := dial()
-	a.conn.Write(thrift.AppendAlive(nil, 99))
-	if h := a.receive(); h.kind != "answer" {
-		t.Fatalf("alive: %+v\n%s", h, log.String())
+	h, c, log, ended, dial, config := p.harness, p.cmd, &p.log, p.ended, p.dial, p.writeConfig
+	client := dial()
+	client.conn.Write(thrift.AppendAlive(nil, 99))
+	if got := client.receive(); got.kind != "answer" {
+		t.Fatalf("alive: %+v\n%s", got, log.String())
 	}
-	a.mustServe(1, 3)
-	a.send(requestFields(ticket(2), "quick", "1")) // no time is left for it
-	if h := a.receive(); h.kind != "shed" || !strings.Contains(h.text, "later") {
-		t.Errorf("no time left: %+v", h)
+	client.mustServe(1, 3)
+	client.send(requestFields(ticket(2), "quick", "1")) // no time is left for it
+	if got := client.receive(); got.kind != "shed" || !strings.Contains(got.text, "later") {
+		t.Errorf("no time left: %+v", got)
 	}
-	a.send(requestFields(ticket(4), "quack", "1000"))
-	if h := a.receive(); h.kind != "fault" {
-		t.Errorf("unknown class: %+v", h)
+	client.send(requestFields(ticket(4), "quack", "1000"))
+	if got := client.receive(); got.kind != "fault" {
+		t.Errorf("unknown class: %+v", got)
 	}
-	seq := a.send(requestFields(ticket(3), "quick", "60000"))
-	eventually(t, "the query is sent", func() bool { return r.node.callCount("POST "+ticket(3)) == 1 })
-	a.conn.Write(thrift.AppendCancel(nil, 98, seq))
-	eventually(t, "it is given up", func() bool { return r.node.callCount("DELETE "+ticket(3)) > 0 })
-	a.mustServe(5, 3) // the next thing heard is no answer to what was cancelled
+	seq := client.send(requestFields(ticket(3), "quick", "60000"))
+	eventually(t, "the query is sent", func() bool { return h.node.callCount("POST "+ticket(3)) == 1 })
+	client.conn.Write(thrift.AppendCancel(nil, 98, seq))
+	eventually(t, "it is cancelled", func() bool { return h.node.callCount("DELETE "+ticket(3)) > 0 })
+	client.mustServe(5, 3) // the next thing received is no answer to what was cancelled
 
 	moved, second := newFakeDiscovery(t), newFakeNode(t)
-	moved.events = append([]string(nil), r.discovery.events...)
-	moved.add(false, "s-1", serverAddr(r.node.Server), "draining")
+	moved.events = append([]string(nil), h.discovery.events...)
+	moved.add(false, "s-1", serverAddr(h.node.Server), "draining")
 	moved.add(false, "s-2", serverAddr(second.Server), "up")
 	config(moved)
 	c.Process.Signal(syscall.SIGHUP)
-	eventually(t, "queries go by the new board", func() bool {
+	eventually(t, "queries follow the new discovery service", func() bool {
 		n := second.callCount("POST")
-		a.mustServe(1000+int(time.Now().UnixNano()%1e9), 1)
+		client.mustServe(1000+int(time.Now().UnixNano()%1e9), 1)
 		return second.callCount("POST") > n
 	})
 	second.keepRunning(50*time.Millisecond, ticket(7))
-	a.send(requestFields(ticket(7), "quick", "60000"))
+	client.send(requestFields(ticket(7), "quick", "60000"))
 	eventually(t, "a query is open", func() bool { return second.callCount("POST "+ticket(7)) == 1 })
 	begun := time.Now()
 	c.Process.Signal(syscall.SIGTERM)
 	dial().mustServe(8, 1)
-	if h := a.receive(); h.kind != "shed" {
-		t.Errorf("open at the end: %+v", h)
+	if got := client.receive(); got.kind != "shed" {
+		t.Errorf("open at the end: %+v", got)
 	}
 	if err := <-ended; err != nil || time.Since(begun) > maxShutdownWait+exitMargin+time.Second {
 		t.Errorf("ended %v after %v\n%s", err, time.Since(begun), log.String())
 	}
-	if h := a.receive(); h.kind != "closed" {
-		t.Errorf("one answer too many: %s", fmt.Sprint(h))
+	if got := client.receive(); got.kind != "closed" {
+		t.Errorf("one answer too many: %s", fmt.Sprint(got))
 	}
 }
 
@@ -160,10 +156,8 @@
 func TestSigtermDuringStartup(t *testing.T) {
 	const tries, step, at, endsBy = 3, time.Millisecond, 40, 5 * time.Second
 	program := buildProgram(t)
-	r := &harness{t: t, node: newFakeNode(t), discovery: newFakeDiscovery(t), sockets: 256,
-		path: filepath.Join(t.TempDir(), "c.json")}
-	r.discovery.add(true, "s-1", serverAddr(r.node.Server), "up")
-	if err := os.WriteFile(r.path, r.config(serverAddr(r.discovery.Server)), 0o600); err != nil {
+	h := prepareHarness(t, 256)
+	if err := os.WriteFile(h.path, h.config(serverAddr(h.discovery.Server)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var lost atomic.Int32
@@ -171,7 +165,7 @@
 	for n := range at * tries {
 		after := time.Duration(n/tries) * step
 		c := exec.Command(program, "node")
-		c.Env = append(os.Environ(), "ROUTER_CONFIG="+r.path)
+		c.Env = append(os.Environ(), "ROUTER_CONFIG="+h.path)
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/platform/stats_test.go
+++ b/internal/platform/stats_test.go
@@ -3,30 +3,63 @@
 import (
 	"bytes"
 	"encoding/json"
-	"log/slog"
 	"maps"
 	"slices"
+	"sync"
 	"testing"
 )
 
+// lineBuffer keeps the lines of a log. It is for any number of goroutines.
+type lineBuffer struct {
+	mu    sync.Mutex
+	lines [][]byte
+}
+
+// Write implements io.Writer; a handler of slog writes a line at once.
+func (b *lineBuffer) Write(line []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.lines = append(b.lines, bytes.Clone(line))
+	return len(line), nil
+}
+
+// line returns the only line with a message.
+func (b *lineBuffer) line(t *testing.T, message string) (found map[string]any) {
+	t.Helper()
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, text := range b.lines {
+		var line map[string]any
+		if err := json.Unmarshal(text, &line); err != nil {
+			t.Fatal(err)
+		}
+		if line["msg"] != message {
+			continue
+		}
+		if found != nil {
+			t.Fatalf("two lines with the message %q", message)
+		}
+		found = line
+	}
+	if found == nil {
+		t.Fatalf("no line with the message %q", message)
+	}
+	return found
+}
+
 // TestStatisticsLine: the line of statistics keeps its message and its keys, which operators search for.
 func TestStatisticsLine(t *testing.T) {
-	h := newHarness(t, 256)
+	h := prepareHarness(t, 256)
+	h.writeConfig(h.config(serverAddr(h.discovery.Server)))
+	out := &lineBuffer{}
+	h.startService(out)
 	h.dial().mustServe(1, 1)
 	h.frontend.mu.Lock()
 	h.frontend.recordClose(closedIdle)
 	h.frontend.mu.Unlock()
 	eventually(t, "the attempt has ended", func() bool { return h.attemptCount() == 0 })
-	var out bytes.Buffer
-	h.log = slog.New(slog.NewJSONHandler(&out, nil))
 	h.logStats()
-	var line map[string]any
-	if err := json.Unmarshal(out.Bytes(), &line); err != nil {
-		t.Fatal(err)
-	}
-	if line["msg"] != "statistics" {
-		t.Errorf("message %q", line["msg"])
-	}
+	line := out.line(t, "statistics")
 	want := map[string][]string{
 		"": {"clients", "discovery_calls", "goroutines", "heap_bytes", "level", "longest_step", "msg",
 			"nodes", "outcomes", "queries", "time", "violations", "withheld"},
--- /dev/null
+++ b/internal/platform/testclient_test.go
@@ -0,0 +1,93 @@
+package platform
+
+import (
+	"bufio"
+	"encoding/binary"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+
+	"cresspass/internal/protocol/thrift"
+)
+
+// testClient is a client's connection.
+type testClient struct {
+	t       *testing.T
+	conn    net.Conn
+	reader  *bufio.Reader
+	lastSeq int32
+}
+
+func newTestClient(t *testing.T, conn net.Conn) *testClient {
+	return &testClient{t: t, conn: conn, reader: bufio.NewReader(conn)}
+}
+
+// requestFields are the fields of a request, with more in pairs.
+func requestFields(ticket, class, limit string, more ...string) [][2]string {
+	f := [][2]string{{"txn", ticket}, {"verb", class}, {"limit", limit}, {"cpu", "300.0"}, {"heap_mb", "64"}}
+	for i := 0; i+1 < len(more); i += 2 {
+		f = append(f, [2]string{more[i], more[i+1]})
+	}
+	return f
+}
+
+// ticket is the id of the n-th request.
+func ticket(n int) string { return fmt.Sprintf("%016x", n) }
+
+// send sends a request and returns its number.
+func (c *testClient) send(f [][2]string) int32 {
+	c.lastSeq++
+	b := thrift.AppendDispatch(nil, c.lastSeq, f, []byte("SELECT 1 FROM sales_3.t"))
+	if _, err := c.conn.Write(b); err != nil {
+		c.t.Fatal(err)
+	}
+	return c.lastSeq
+}
+
+// reply is what a client reads: an "answer", "shed", "fault" or "exception", or "closed" or "cut" where the
+// connection ends before it or in it.
+type reply struct {
+	kind string
+	seq  int32
+	text string
+}
+
+// receive reads a reply.
+func (c *testClient) receive() reply {
+	var head [4]byte
+	if _, err := io.ReadFull(c.reader, head[:]); err != nil {
+		return reply{kind: "closed"}
+	}
+	b := make([]byte, binary.BigEndian.Uint32(head[:]))
+	if _, err := io.ReadFull(c.reader, b); err != nil {
+		return reply{kind: "cut"}
+	}
+	h, err := thrift.ParseRequest(b)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	at := 4 + 4 + len(h.Name) + 4
+	out := reply{kind: "exception", seq: h.Seq, text: string(b[at:])}
+	if h.Type == thrift.Reply {
+		out.kind = map[byte]string{0: "answer", 1: "shed", 2: "fault"}[b[at+2]]
+	}
+	return out
+}
+
+// mustServe sends one request and wants its own result of some pages.
+func (c *testClient) mustServe(n, pages int) {
+	c.t.Helper()
+	id := ticket(n)
+	seq := c.send(requestFields(id, "quick", "2000"))
+	got := c.receive()
+	if got.kind != "answer" || got.seq != seq {
+		c.t.Fatalf("request %d: %s for %d: %q", n, got.kind, got.seq, got.text)
+	}
+	for p := range pages {
+		if !strings.Contains(got.text, row(id, p)) {
+			c.t.Fatalf("request %d has not its page %d: %q", n, p, got.text)
+		}
+	}
+}
--- /dev/null
+++ b/internal/platform/watcher_test.go
@@ -0,0 +1,201 @@
+package platform
+
+import (
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"os"
+	"slices"
+	"testing"
+	"time"
+
+	"cresspass/internal/discovery/sse"
+)
+
+// TestDiscoveryReconnects: a discovery service that breaks off, falls silent or moves is polled again
+// from the last complete event, and its lists reach the core.
+func TestDiscoveryReconnects(t *testing.T) {
+	h := newHarness(t, 256)
+	second, third := newFakeNode(t), newFakeNode(t)
+	h.discovery.mu.Lock()
+	h.discovery.truncate = 2
+	h.discovery.mu.Unlock()
+	h.discovery.add(false, "s-2", serverAddr(second.Server), "up")
+	eventually(
+		t,
+		"the second compute node is known",
+		func() bool { return h.watcher.engineAddr("s-2") != "" },
+	)
+	if asked := h.discovery.polledFrom(); len(asked) < 3 || asked[0] != "1" || asked[1] != "1" {
+		t.Errorf("polled from %v", asked)
+	}
+	h.discovery.add(false, "s-1", serverAddr(h.node.Server), "removed")
+	eventually(t, "the first has left", func() bool { return h.watcher.engineAddr("s-1") == "" })
+	client := h.dial()
+	client.mustServe(1, 1)
+	if h.node.callCount("POST") != 0 || second.callCount("POST") != 1 {
+		t.Errorf("first %d, second %d", h.node.callCount("POST"), second.callCount("POST"))
+	}
+	moved := newFakeDiscovery(t)
+	h.discovery.mu.Lock()
+	moved.events = append([]string(nil), h.discovery.events...)
+	h.discovery.silent = true
+	h.discovery.mu.Unlock()
+	moved.add(false, "s-3", serverAddr(third.Server), "up")
+	if err := os.WriteFile(h.path, []byte("{half"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	h.reload() // it can't be read: all stays
+	if err := os.WriteFile(h.path, h.config(serverAddr(moved.Server)), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	h.reload()
+	eventually(t, "the third is known", func() bool { return h.watcher.engineAddr("s-3") != "" })
+	if asked := moved.polledFrom(); asked[0] != "3" {
+		t.Errorf("the new address was polled from %v", asked)
+	}
+	moved.mu.Lock()
+	moved.silent = true
+	moved.mu.Unlock()
+	n := len(moved.polledFrom())
+	eventually(t, "a silent discovery service is polled again", func() bool {
+		return len(moved.polledFrom()) > n
+	})
+}
+
+// TestSlowDiscovery: a discovery service that takes longer for its answer than a healthy one, each time, is
+// followed all the same.
+func TestSlowDiscovery(t *testing.T) {
+	h := newHarness(t, 256)
+	slow := newFakeDiscovery(t)
+	slow.add(true, "s-1", serverAddr(h.node.Server), "up")
+	slow.add(false, "s-2", serverAddr(h.node.Server), "up")
+	at := slow.Config.Handler
+	slow.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+		select {
+		case <-time.After(streamSilenceTimeout + 500*time.Millisecond):
+			at.ServeHTTP(w, q)
+		case <-q.Context().Done():
+		}
+	})
+	h.watcher.redirect(serverAddr(slow.Server))
+	eventually(t, "the slow discovery service is followed", func() bool {
+		return h.watcher.engineAddr("s-2") != ""
+	})
+}
+
+// TestRedirectDuringEvent: the new address is polled from the last complete event, whether the old one
+// stopped before its answer or in the middle of an event; the partial event is dropped.
+func TestRedirectDuringEvent(t *testing.T) {
+	for name, text := range map[string]string{
+		"no answer":     "",
+		"half an event": "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\nid: 2\ndata: {\"rev\":2,",
+	} {
+		h := newHarness(t, 256)
+		old, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer old.Close()
+		h.watcher.redirect(old.Addr().String())
+		c, err := old.Accept()
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer c.Close()
+		if _, err := c.Read(make([]byte, 16)); err != nil {
+			t.Fatal(err)
+		}
+		io.WriteString(c, text)
+		moved := newFakeDiscovery(t)
+		moved.add(true, "s-1", serverAddr(h.node.Server), "up")
+		moved.add(false, "s-2", serverAddr(h.node.Server), "up")
+		h.watcher.redirect(serverAddr(moved.Server))
+		eventually(t, "the new list is known", func() bool { return h.watcher.engineAddr("s-2") != "" })
+		if asked := moved.polledFrom(); asked[0] != "1" {
+			t.Errorf("%s: the new address was polled from %v", name, asked)
+		}
+	}
+}
+
+// TestRedirectInterruptsBackoff: a new address of the discovery service is polled at once, whatever the
+// backoff.
+func TestRedirectInterruptsBackoff(t *testing.T) {
+	h := newHarness(t, 256)
+	dead, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	dead.Close()
+	w := newWatcher(h.service, dead.Addr().String())
+	defer w.stop()
+	w.backoff.Min, w.backoff.Max = time.Hour, time.Hour
+	go w.run()
+	eventually(t, "it polls in vain", func() bool { return w.calls.Load() == 1 })
+	asked := len(h.discovery.polledFrom())
+	w.redirect(serverAddr(h.discovery.Server))
+	eventually(t, "the new address is polled", func() bool { return len(h.discovery.polledFrom()) > asked })
+}
+
+// TestReconnectsAreSpread: dispatchers that lost the discovery service in the same moment do not come back to
+// it in the same moments, and each waits no longer than the maximum.
+func TestReconnectsAreSpread(t *testing.T) {
+	const fleet, tries = 300, 6
+	var at []time.Duration
+	for i := range fleet {
+		b := sse.Backoff{Min: minReconnectDelay, Max: maxReconnectDelay,
+			Random: rand.New(rand.NewPCG(uint64(i), 0))}
+		var sum time.Duration
+		for range tries {
+			d := b.Next()
+			if d < minReconnectDelay/2 || d > maxReconnectDelay {
+				t.Fatalf("a pause of %v", d)
+			}
+			sum += d
+		}
+		at = append(at, sum)
+		if b.Reset(); b.Next() > minReconnectDelay {
+			t.Error("it does not start anew")
+		}
+	}
+	slices.Sort(at)
+	most := 0
+	for i, from := range at { // in any 20 ms
+		n := 0
+		for _, d := range at[i:] {
+			if d-from < 20*time.Millisecond {
+				n++
+			}
+		}
+		most = max(most, n)
+	}
+	if most > fleet/5 {
+		t.Errorf("%d of %d come in the same 20 ms", most, fleet)
+	}
+}
+
+// TestStartTimeStableAcrossLists: a compute node whose start is in another list again has the same
+// start time; as a later one it would be taken for a new process, of which nothing is known.
+func TestStartTimeStableAcrossLists(t *testing.T) {
+	h := newHarness(t, 256)
+	w := newWatcher(h.service, "")
+	started := time.Now().Add(-5 * time.Second).UnixMilli()
+	var starts []time.Duration
+	for rev := range uint64(50) {
+		var n sse.WatchEvent
+		n.Revision = rev + 1
+		n.List = &sse.EndpointList{Full: rev%2 == 0, Endpoints: []sse.Endpoint{{ID: "s-1", Addr: "a:1",
+			State: "up", StartedMs: started}}}
+		ev, _, err := w.follower.ApplyWatchEvent(n)
+		if err != nil {
+			t.Fatal(err)
+		}
+		starts = append(starts, ev.Engines[0].StartedAt)
+	}
+	for i, at := range starts {
+		if at != starts[0] {
+			t.Fatalf("the start time was %v in the first list and %v in list %d", starts[0], at, i+1)
+		}
+	}
+}
