--- a/internal/platform/accept.go
+++ b/internal/platform/accept.go
@@ -93,7 +93,7 @@
 
 func (f *frontend) setAcceptTimeout(timeout time.Duration) {
 	// It fails only on a closed listener, where run has ended.
-	_ = f.listener.SetDeadline(time.Now().Add(timeout))
+	f.listener.SetDeadline(time.Now().Add(timeout))
 }
 
 // acceptQueue estimates how long connections may have waited in the backlog. The deadline of a request
--- a/internal/platform/clientread.go
+++ b/internal/platform/clientread.go
@@ -115,7 +115,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.closing {
-		_ = c.conn.SetReadDeadline(time.Now().Add(timeout)) // fails only on a closed connection
+		c.conn.SetReadDeadline(time.Now().Add(timeout))
 	}
 	return !c.closing
 }
--- a/internal/platform/clientwrite.go
+++ b/internal/platform/clientwrite.go
@@ -60,7 +60,7 @@
 		if len(b) == 0 {
 			messages := c.pendingMessages
 			c.flushing, c.pendingMessages = false, 0
-			_ = c.conn.SetWriteDeadline(time.Time{}) // fails only on a closed connection
+			c.conn.SetWriteDeadline(time.Time{})
 			if c.closing {
 				c.halfClose()
 			}
@@ -72,7 +72,7 @@
 		for err := error(nil); len(b) > 0 && err == nil; {
 			chunk := b[:min(len(b), writeChunkBytes)]
 			b = b[len(chunk):]
-			_ = c.conn.SetWriteDeadline(time.Now().Add(c.writeTimeout)) // fails only on a closed connection
+			c.conn.SetWriteDeadline(time.Now().Add(c.writeTimeout))
 			if _, err = c.conn.Write(chunk); err != nil {
 				c.conn.Close()
 				c.frontend.recordNotReading()
@@ -104,7 +104,7 @@
 		c.halfClose()
 	} else {
 		// flush half-closes it before that.
-		_ = c.conn.SetReadDeadline(time.Now().Add(clientIdleTimeout)) // fails only on a closed connection
+		c.conn.SetReadDeadline(time.Now().Add(clientIdleTimeout))
 	}
 }
 
@@ -116,7 +116,7 @@
 	}
 	// Both fail only where the connection has ended already.
 	_ = c.conn.CloseWrite()
-	_ = c.conn.SetReadDeadline(time.Now().Add(lingerTimeout))
+	c.conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 }
 
 // lingerClose retires the connection and reads until its client closes it, for some time at most.
--- a/internal/platform/discoverycall.go
+++ b/internal/platform/discoverycall.go
@@ -172,11 +172,11 @@
 // context last: the context's end sets a deadline that is over, which one that was on its way may have
 // lifted.
 func extendDeadline(ctx context.Context, conn net.Conn, timeout time.Duration) bool {
-	_ = conn.SetDeadline(time.Now().Add(timeout)) // fails only on a closed connection
+	conn.SetDeadline(time.Now().Add(timeout))
 	return ctx.Err() == nil
 }
 
 // expire ends the calls on a connection.
 func expire(conn net.Conn) {
-	_ = conn.SetDeadline(expired) // fails only on a closed connection, whose calls fail too
+	conn.SetDeadline(expired)
 }
--- a/internal/platform/nodeconn.go
+++ b/internal/platform/nodeconn.go
@@ -51,7 +51,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.interrupted = true
-	_ = c.conn.SetDeadline(expired) // fails only on a closed connection, whose calls fail too
+	c.conn.SetDeadline(expired)
 }
 
 // setTimeout sets the time that a call has, unless the connection was interrupted.
@@ -59,7 +59,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.interrupted {
-		_ = c.conn.SetDeadline(time.Now().Add(timeout)) // fails only on a closed connection
+		c.conn.SetDeadline(time.Now().Add(timeout))
 	}
 	return !c.interrupted
 }
--- /dev/null
+++ b/snapshot.go
@@ -0,0 +1,131 @@
+package cresspass
+
+import (
+	"encoding/json"
+	"fmt"
+	"math"
+	"slices"
+	"time"
+)
+
+const (
+	snapshotVersion  = 1
+	snapshotHalfLife = 10 * time.Minute // of what an earlier gateway had learnt
+)
+
+// snapshot is the stored form of what a gateway has learnt of classes and kinds.
+type snapshot struct {
+	Version int                    `json:"version"`
+	Classes []snapshotClass        `json:"classes"`
+	Kinds   map[string][][]float64 `json:"kinds"`
+}
+
+type snapshotClass struct {
+	Name         string  `json:"name"`
+	BaseScale    float64 `json:"scale"`
+	OutcomesSeen float64 `json:"seen"`
+	MeanWork     float64 `json:"work"`
+	GrantFactor  float64 `json:"grant"`
+}
+
+// Snapshot returns what the gateway has learnt, for Restore of a later one.
+func (g *Gateway) Snapshot() []byte {
+	s := snapshot{Version: snapshotVersion, Kinds: map[string][][]float64{}}
+	for _, c := range g.classList {
+		s.Classes = append(s.Classes,
+			snapshotClass{c.Name, c.baseScale, c.outcomesSeen, c.meanWork, c.grantFactor})
+	}
+	for name, k := range g.kinds {
+		s.Kinds[name] = k.weights
+	}
+	data, _ := json.Marshal(s) // finite numbers and names cannot fail
+	return data
+}
+
+// Restore takes over what an earlier gateway had learnt, as Snapshot gave it, the less the older it is:
+// bases and weights decay towards their starting values. What does not fit is left out; an error takes
+// nothing.
+func (g *Gateway) Restore(data []byte, age time.Duration) error {
+	s, err := decodeSnapshot(data)
+	if err != nil {
+		return err
+	}
+	keep := math.Exp2(-max(0, age).Seconds() / snapshotHalfLife.Seconds())
+	toward := func(start, was float64) float64 { return start + keep*(was-start) }
+	for _, was := range s.Classes {
+		if c := g.classes[was.Name]; c != nil {
+			c.baseScale = math.Exp(keep * math.Log(was.BaseScale))
+			c.outcomesSeen = keep * was.OutcomesSeen
+			c.meanWork = toward(c.meanWork, was.MeanWork)
+			c.grantFactor = toward(c.grantFactor, was.GrantFactor)
+		}
+	}
+	if !s.matchesClasses(g.classList) {
+		return nil
+	}
+	for name, was := range s.Kinds {
+		k := g.kinds[name]
+		for i := range was {
+			for j := range was[i] {
+				if k != nil && j < len(k.weights[i]) {
+					k.weights[i][j] = toward(k.weights[i][j], was[i][j])
+				}
+			}
+		}
+	}
+	return nil
+}
+
+// decodeSnapshot reads a snapshot, or says why it is none.
+func decodeSnapshot(data []byte) (*snapshot, error) {
+	var s snapshot
+	if err := json.Unmarshal(data, &s); err != nil {
+		return nil, fmt.Errorf("cresspass: snapshot: %w", err)
+	}
+	if s.Version != snapshotVersion {
+		return nil, fmt.Errorf("cresspass: snapshot: version %d, want %d", s.Version, snapshotVersion)
+	}
+	for _, c := range s.Classes {
+		if err := c.validate(); err != nil {
+			return nil, err
+		}
+	}
+	for name, rows := range s.Kinds {
+		if !s.areWeights(rows) {
+			return nil, fmt.Errorf("cresspass: snapshot: kind %q: weights", name)
+		}
+	}
+	return &s, nil
+}
+
+func (c *snapshotClass) validate() error {
+	for _, v := range []float64{c.BaseScale, c.MeanWork, c.GrantFactor} {
+		if !(v > 0 && v < math.MaxFloat32) {
+			return fmt.Errorf("cresspass: snapshot: class %q: value %v", c.Name, v)
+		}
+	}
+	if !(c.OutcomesSeen >= 0 && c.OutcomesSeen < math.MaxFloat32) {
+		return fmt.Errorf("cresspass: snapshot: class %q: seen %v", c.Name, c.OutcomesSeen)
+	}
+	return nil
+}
+
+// areWeights reports whether rows are weights of all classes of the snapshot, or none.
+func (s *snapshot) areWeights(rows [][]float64) bool {
+	for _, row := range rows {
+		for _, v := range row {
+			inRange := v >= 0 && v < math.MaxFloat32
+			if !inRange || len(rows) != len(s.Classes) || len(row) != len(rows)+1 {
+				return false
+			}
+		}
+	}
+	return true
+}
+
+// matchesClasses reports whether a snapshot's classes are the gateway's, in their order: weights are by
+// number.
+func (s *snapshot) matchesClasses(classes []*class) bool {
+	sameName := func(a snapshotClass, c *class) bool { return a.Name == c.Name }
+	return slices.EqualFunc(s.Classes, classes, sameName)
+}
