--- a/internal/platform/accept.go
+++ b/internal/platform/accept.go
@@ -92,7 +92,6 @@
 func (f *frontend) drainBacklog() { f.setAcceptTimeout(0) }
 
 func (f *frontend) setAcceptTimeout(timeout time.Duration) {
-	// It fails only on a closed listener, where run has ended.
 	f.listener.SetDeadline(time.Now().Add(timeout))
 }
 
--- a/internal/platform/apachethrift_test.go
+++ b/internal/platform/apachethrift_test.go
@@ -142,8 +142,10 @@
 		t.Errorf("at fault: %+v", got)
 	}
 	r.node.keepRunning(0, ticket(4))
-	client.Send(ctx, protocol, 100, "dispatch", dispatchArgs(stringMap{"txn": ticket(4), "verb": "quick",
-		"limit": "20000"}, "SELECT 1"))
+	if err := client.Send(ctx, protocol, 100, "dispatch", dispatchArgs(stringMap{"txn": ticket(4),
+		"verb": "quick", "limit": "20000"}, "SELECT 1")); err != nil {
+		t.Fatal(err)
+	}
 	eventually(t, "the query is sent", func() bool { return r.node.callCount("POST "+ticket(4)) == 1 })
 	if _, err := client.Call(ctx, "cancelRequest", callArgs(func(
 		ctx context.Context, p peer.TProtocol) error {
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -153,14 +153,12 @@
 		if call != "POST" || id != ticket(1) {
 			return false
 		}
-		c, b, _ := w.(http.Hijacker).Hijack()
+		c, b := hijack(w)
 		text := fmt.Sprintf("HTTP/1.1 200 OK\r\nPage-Count: 1\r\nContent-Length: %d\r\n\r\n%s",
 			len(row(id, 0)), row(id, 0))
-		b.WriteString(text)
-		b.Flush()
+		writeNow(b, text)
 		time.Sleep(3 * reuseDelay)
-		b.WriteString(text)
-		b.Flush()
+		writeNow(b, text)
 		time.AfterFunc(time.Second, func() { c.Close() })
 		return true
 	})
--- a/internal/platform/clientwrite.go
+++ b/internal/platform/clientwrite.go
@@ -114,8 +114,7 @@
 		c.conn.Close()
 		return
 	}
-	// Both fail only where the connection has ended already.
-	_ = c.conn.CloseWrite()
+	_ = c.conn.CloseWrite() // fails only where the connection has ended already
 	c.conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 }
 
--- a/internal/platform/fakediscovery_test.go
+++ b/internal/platform/fakediscovery_test.go
@@ -5,6 +5,7 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
+	"strconv"
 	"sync"
 	"testing"
 	"time"
@@ -22,36 +23,37 @@
 }
 
 func newFakeDiscovery(t *testing.T) *fakeDiscovery {
-	b := &fakeDiscovery{}
-	b.Server = httptest.NewServer(b)
-	t.Cleanup(func() { b.CloseClientConnections(); b.Close() })
-	return b
+	d := &fakeDiscovery{}
+	d.Server = httptest.NewServer(d)
+	t.Cleanup(func() { d.CloseClientConnections(); d.Close() })
+	return d
 }
 
-func (b *fakeDiscovery) add(full bool, id, addr, state string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.events = append(b.events, fmt.Sprintf(`{"rev":%d,"pool":{"version":1,"full":%v,"servers":[{"id":%q,`+
+// add adds an event: a list of one compute node, complete or a change.
+func (d *fakeDiscovery) add(full bool, id, addr, state string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.events = append(d.events, fmt.Sprintf(`{"rev":%d,"pool":{"version":1,"full":%v,"servers":[{"id":%q,`+
 		`"addr":%q,"zone":"z","kind":"k","cell":0,"state":%q,"weight":1,"started_ms":0}]}}`,
-		len(b.events)+1, full, id, addr, state))
+		len(d.events)+1, full, id, addr, state))
 }
 
-func (b *fakeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	from := 0
-	fmt.Sscan(r.Header.Get("Last-Event-ID"), &from)
-	b.mu.Lock()
-	b.lastEventIDs = append(b.lastEventIDs, r.Header.Get("Last-Event-ID"))
-	b.mu.Unlock()
+// ServeHTTP implements http.Handler.
+func (d *fakeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	from, _ := strconv.Atoi(r.Header.Get("Last-Event-ID")) // without one: from the start
+	d.mu.Lock()
+	d.lastEventIDs = append(d.lastEventIDs, r.Header.Get("Last-Event-ID"))
+	d.mu.Unlock()
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(200)
 	w.(http.Flusher).Flush()
 	for i := 0; r.Context().Err() == nil; i++ {
-		b.mu.Lock()
-		list, mute, cut := b.events, b.silent, b.truncate
+		d.mu.Lock()
+		list, mute, cut := d.events, d.silent, d.truncate
 		if from < len(list) && cut > 0 {
-			b.truncate--
+			d.truncate--
 		}
-		b.mu.Unlock()
+		d.mu.Unlock()
 		for ; from < len(list) && !mute; from++ {
 			text := fmt.Sprintf("id: %d\ndata: %s\n\n", from+1, list[from])
 			if cut > 0 {
@@ -68,8 +70,9 @@
 	}
 }
 
-func (b *fakeDiscovery) polledFrom() []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return append([]string(nil), b.lastEventIDs...)
+// polledFrom returns the numbers that were asked for, a poll each.
+func (d *fakeDiscovery) polledFrom() []string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return append([]string(nil), d.lastEventIDs...)
 }
--- a/internal/platform/fakenode_test.go
+++ b/internal/platform/fakenode_test.go
@@ -1,12 +1,14 @@
 package platform
 
 import (
+	"bufio"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"net/http/httptest"
 	"slices"
+	"strconv"
 	"strings"
 	"sync"
 	"testing"
@@ -32,17 +34,19 @@
 	return n
 }
 
+// row is a row of a result's page.
 func row(ticket string, page int) string { return fmt.Sprintf("%s\t%d\t;'\"\n", ticket, page) }
 
+// ServeHTTP implements http.Handler.
 func (n *fakeNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	io.ReadAll(r.Body)
+	_, _ = io.Copy(io.Discard, r.Body) // a call that is cut off counts all the same
 	parts := strings.Split(strings.Trim(r.URL.Path, "/"), "/")
 	call, ticket, page := r.Method, r.Header.Get("X-Ticket"), 0
 	if len(parts) > 1 {
 		ticket = parts[1]
 	}
 	if len(parts) > 2 {
-		fmt.Sscan(parts[2], &page)
+		page, _ = strconv.Atoi(parts[2]) // a path that has no number is for page 0
 		call += " " + parts[2]
 	}
 	n.mu.Lock()
@@ -71,20 +75,21 @@
 	io.WriteString(w, row(ticket, page))
 }
 
+// setHandler has calls answered otherwise; where f returns false, as usual.
 func (n *fakeNode) setHandler(f func(w http.ResponseWriter, r *http.Request, call, ticket string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.handler = f
 }
 
-// forget has a query not have come.
+// forget takes a query back, as if it had never come.
 func (n *fakeNode) forget(ticket string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.known, ticket)
 }
 
-// keepRunning has queries of some tickets run on for ever: each question is answered without news, after a
+// keepRunning has queries of some tickets run for ever: each poll is answered without a result, after a
 // pause.
 func (n *fakeNode) keepRunning(pause time.Duration, tickets ...string) {
 	n.setHandler(func(w http.ResponseWriter, _ *http.Request, call, ticket string) bool {
@@ -97,7 +102,7 @@
 	})
 }
 
-// callCount tells how many calls began with some words.
+// callCount is how many calls began with some words.
 func (n *fakeNode) callCount(words string) (sum int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -109,24 +114,39 @@
 	return sum
 }
 
+// hijack takes a connection over from the server.
+func hijack(w http.ResponseWriter) (net.Conn, *bufio.Writer) {
+	conn, buffered, err := w.(http.Hijacker).Hijack()
+	if err != nil {
+		panic(err)
+	}
+	return conn, buffered.Writer
+}
+
+// writeNow writes text. Where the dispatcher has closed the connection meanwhile, the error says no more.
+func writeNow(b *bufio.Writer, text string) {
+	b.WriteString(text)
+	_ = b.Flush() // see above
+}
+
+// resetConn resets the connection of a call.
 func resetConn(w http.ResponseWriter) {
-	c, _, _ := w.(http.Hijacker).Hijack()
+	c, _ := hijack(w)
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
+// writeRaw answers a call with bytes, and closes the connection a little later.
 func writeRaw(w http.ResponseWriter, text string) {
-	c, b, _ := w.(http.Hijacker).Hijack()
-	b.WriteString(text)
-	b.Flush()
+	c, b := hijack(w)
+	writeNow(b, text)
 	time.AfterFunc(100*time.Millisecond, func() { c.Close() })
 }
 
 // duplicateLater answers, and again a little later.
 func duplicateLater(w http.ResponseWriter, text string) {
-	c, b, _ := w.(http.Hijacker).Hijack()
-	b.WriteString(text)
-	b.Flush()
-	time.AfterFunc(5*time.Millisecond, func() { b.WriteString(text); b.Flush() })
+	c, b := hijack(w)
+	writeNow(b, text)
+	time.AfterFunc(5*time.Millisecond, func() { writeNow(b, text) })
 	time.AfterFunc(200*time.Millisecond, func() { c.Close() })
 }
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -223,7 +224,9 @@
 	h.frontend.mu.Lock()
 	defer h.frontend.mu.Unlock()
 	for _, c := range h.frontend.conns {
-		c.conn.SetWriteBuffer(32 << 10)
+		if err := c.conn.SetWriteBuffer(32 << 10); err != nil {
+			h.t.Fatal(err)
+		}
 	}
 	return client
 }
@@ -247,7 +250,7 @@
 	withSystem(t, func(s *system) {
 		look := s.peek
 		s.peek = func(fd uintptr) (int, error) {
-			if n, err := look(fd); err == syscall.EAGAIN || looks.Add(-1) < 0 {
+			if n, err := look(fd); errors.Is(err, syscall.EAGAIN) || looks.Add(-1) < 0 {
 				return n, err
 			}
 			return -1, syscall.EAGAIN
--- a/internal/platform/nodepool_test.go
+++ b/internal/platform/nodepool_test.go
@@ -72,7 +72,7 @@
 func (c *truncatingConn) Write(b []byte) (int, error) {
 	n, _ := c.Conn.Write(b[:c.after])
 	c.Conn.(*net.TCPConn).SetLinger(0)
-	c.Conn.Close()
+	c.Close()
 	return n, syscall.EPIPE
 }
 
--- a/internal/platform/reload_test.go
+++ b/internal/platform/reload_test.go
@@ -66,7 +66,9 @@
 	}
 	eventually(t, "the new address is polled", func() bool { return len(moved.polledFrom()) > 0 })
 	signals <- syscall.SIGTERM
-	<-ended
+	if err := <-ended; err != nil {
+		t.Error(err)
+	}
 }
 
 // TestReloadAppliesKnownEvents: the discovery events that a new configuration knows count at once, also
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -64,7 +64,9 @@
 	client.send(requestFields(ticket(1), "quick", "2000"))
 	answers := make(chan reply, 1)
 	go func() { answers <- client.receive() }()
-	<-ended
+	if err := <-ended; err != nil {
+		t.Error(err)
+	}
 	select {
 	case got := <-answers:
 		if got.kind != "answer" {
@@ -99,9 +101,11 @@
 	client.conn.Close()
 	select {
 	case <-given:
-		<-ended
-	case <-ended:
-		t.Error("it ended before the query was cancelled")
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+	case err := <-ended:
+		t.Errorf("it ended before the query was cancelled: %v", err)
 	case <-time.After(maxShutdownWait + exitMargin + time.Second):
 		t.Error("it does not end")
 	}
