--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -96,7 +96,7 @@
 	}
 	// The settings' form has 63 bits for the seed.
 	settings = append(settings, wire.Setting{Path: "rng-seed", Value: strconv.FormatUint(seed>>1, 10)})
-	if c.Module, err = wire.ConfigOf(settings); err != nil {
+	if c.Module, err = wire.ConfigFromSettings(settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	c.ConnectTimeout = microseconds(settings, "limits.connect-timeout-us", defaultConnectTimeout)
--- a/outlier.go
+++ b/outlier.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	failureRateGain          = 0.2 // gain of an engine's share of failed attempts
-	ejectFailureRate         = 0.4 // share of failures from which an engine is ejected
-	ejectConsecutiveFailures = 3   // failures in a row from which it is ejected
-	silenceEstimateRatio     = 3.0 // an attempt so far over its estimate, nothing heard since, shows silence
-	minSilence               = 700 * time.Millisecond
-	silentAttemptsToEject    = 2 // attempts that must show silence
-	probationSuccessesNeeded = 2 // answered attempts after which an ejected engine is back
-	baseEjectionTime         = time.Second
-	maxEjectionTime          = 5 * time.Second
+	failureRateGain          = 0.2                    // gain of an engine's share of failed attempts
+	ejectFailureRate         = 0.4                    // share of failures from which an engine is ejected
+	ejectConsecutiveFailures = 3                      // failures in a row from which it is ejected
+	silenceEstimateRatio     = 3.0                    // an unheard attempt so far over its estimate
+	minSilence               = 700 * time.Millisecond // a shorter pause is no silence
+	silentAttemptsToEject    = 2                      // attempts that must show silence
+	probationSuccessesNeeded = 2                      // answers after which an ejected engine is back
+	baseEjectionTime         = time.Second            // doubled with each ejection in a row...
+	maxEjectionTime          = 5 * time.Second        // ...up to this
 )
 
 // outlierState detects an engine that fails, ejects it for a while, and lets it back by way of a probation,
@@ -109,7 +109,7 @@
 // handleReportedDown takes other gateways' report that an engine is dead, where nothing was seen of it
 // here. The report may be old or a lie, so it costs the engine one health check, no more.
 func (g *Gateway) handleReportedDown(e *engine) {
-	if e != nil && e.lastHeardAt == e.knownSince && !e.outlier.ejected && len(e.running) == 0 {
+	if e != nil && e.lastSeenAt == e.knownSince && !e.outlier.ejected && len(e.running) == 0 {
 		e.outlier.eject(g.now)
 	}
 }
