--- /dev/null
+++ b/internal/platform/fakenode_test.go
@@ -0,0 +1,152 @@
+package platform
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+// fakeNode stands in for a compute node.
+type fakeNode struct {
+	*httptest.Server
+	mu      sync.Mutex
+	calls   []string // "POST", "GET 0", ..., "DELETE", with the ticket behind
+	headers http.Header
+	handler func(w http.ResponseWriter, r *http.Request, call, ticket string) bool // false: the usual answer
+	pages   int
+
+	known map[string]bool // tickets of queries that came
+}
+
+func newFakeNode(t *testing.T) *fakeNode {
+	n := &fakeNode{pages: 1, known: map[string]bool{}}
+	n.Server = httptest.NewServer(n)
+	t.Cleanup(n.Close)
+	return n
+}
+
+// row is a row of a result's page.
+func row(ticket string, page int) string { return fmt.Sprintf("%s\t%d\t;'\"\n", ticket, page) }
+
+// ServeHTTP implements http.Handler.
+func (n *fakeNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	_, _ = io.Copy(io.Discard, r.Body) // a call that is cut off counts all the same
+	parts := strings.Split(strings.Trim(r.URL.Path, "/"), "/")
+	call, ticket, page := r.Method, r.Header.Get("X-Ticket"), 0
+	if len(parts) > 1 {
+		ticket = parts[1]
+	}
+	if len(parts) > 2 {
+		page, _ = strconv.Atoi(parts[2]) // a path that has no number is for page 0
+		call += " " + parts[2]
+	}
+	n.mu.Lock()
+	n.calls = append(n.calls, call+" "+ticket)
+	if r.Method == "POST" {
+		n.headers, n.known[ticket] = r.Header, true
+	}
+	answer, pages, known := n.handler, n.pages, n.known[ticket]
+	n.mu.Unlock()
+	if r.Method == "GET" && len(parts) > 1 && !known { // nothing is made up for a query that never came
+		w.WriteHeader(500)
+		return
+	}
+	if answer != nil && answer(w, r, call, ticket) {
+		return
+	}
+	switch {
+	case r.Method == "DELETE":
+		w.WriteHeader(204)
+		return
+	case page == 0:
+		w.Header().Set("Page-Count", fmt.Sprint(pages))
+	default:
+		w.Header().Set("Page-No", fmt.Sprint(page))
+	}
+	io.WriteString(w, row(ticket, page))
+}
+
+// setHandler has calls answered otherwise; where f returns false, as usual.
+func (n *fakeNode) setHandler(f func(w http.ResponseWriter, r *http.Request, call, ticket string) bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.handler = f
+}
+
+// forget takes a query back, as if it had never come.
+func (n *fakeNode) forget(ticket string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	delete(n.known, ticket)
+}
+
+// keepRunning has queries of some tickets run for ever: each poll is answered without a result, after a
+// pause.
+func (n *fakeNode) keepRunning(pause time.Duration, tickets ...string) {
+	n.setHandler(func(w http.ResponseWriter, _ *http.Request, call, ticket string) bool {
+		if call == "DELETE" || !slices.Contains(tickets, ticket) {
+			return false
+		}
+		time.Sleep(pause)
+		w.WriteHeader(202)
+		return true
+	})
+}
+
+// callCount is how many calls began with some words.
+func (n *fakeNode) callCount(words string) (sum int) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, c := range n.calls {
+		if strings.HasPrefix(c, words) {
+			sum++
+		}
+	}
+	return sum
+}
+
+// hijack takes a connection over from the server.
+func hijack(w http.ResponseWriter) (net.Conn, *bufio.Writer) {
+	conn, buffered, err := w.(http.Hijacker).Hijack()
+	if err != nil {
+		panic(err)
+	}
+	return conn, buffered.Writer
+}
+
+// writeNow writes text. Where the dispatcher has closed the connection meanwhile, the error says no more.
+func writeNow(b *bufio.Writer, text string) {
+	b.WriteString(text)
+	_ = b.Flush() // see above
+}
+
+// resetConn resets the connection of a call.
+func resetConn(w http.ResponseWriter) {
+	c, _ := hijack(w)
+	c.(*net.TCPConn).SetLinger(0)
+	c.Close()
+}
+
+// writeRaw answers a call with bytes, and closes the connection a little later.
+func writeRaw(w http.ResponseWriter, text string) {
+	c, b := hijack(w)
+	writeNow(b, text)
+	time.AfterFunc(100*time.Millisecond, func() { c.Close() })
+}
+
+// duplicateLater answers, and again a little later.
+func duplicateLater(w http.ResponseWriter, text string) {
+	c, b := hijack(w)
+	writeNow(b, text)
+	time.AfterFunc(5*time.Millisecond, func() { writeNow(b, text) })
+	time.AfterFunc(200*time.Millisecond, func() { c.Close() })
+}
