--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -13,40 +13,40 @@
 
 // Of the clients.
 const (
-	connsMost    = 6                     // of a dispatcher's clients
-	openMost     = 8                     // requests on a connection
-	crossing     = 50 * time.Millisecond // a request that crosses a close is sent again, once
-	cancelShare  = 0.05
-	leaveShare   = 0.02
-	shortShare   = 0.05 // requests with very little time
-	longShare    = 0.1  // requests with more time than a shutdown takes
-	longMost     = 8 * time.Second
-	freshShare   = 0.2                    // requests on a new connection
-	slowShare    = 0.03                   // requests whose second half comes later...
-	slowMost     = 250 * time.Millisecond // ...by so much at most
-	restsFor     = 15 * time.Second       // a dispatcher ends a connection that rests so long...
-	restsAround  = 60 * time.Millisecond  // ...and a request comes so long before or after that at most
-	keysOfClient = 3
-	frameMost    = 1 << 20
+	maxConns          = 6                     // of a dispatcher's clients
+	maxOpenRequests   = 8                     // requests on a connection
+	crossingTime      = 50 * time.Millisecond // a request that crosses a close is sent again, once
+	cancelShare       = 0.05
+	leaveShare        = 0.02
+	shortShare        = 0.05 // requests with very little time
+	longShare         = 0.1  // requests with more time than a shutdown takes
+	maxLongLimit      = 8 * time.Second
+	freshShare        = 0.2                    // requests on a new connection
+	slowShare         = 0.03                   // requests whose second half comes later...
+	maxHalvesDelay    = 250 * time.Millisecond // ...by so much at most
+	idleTimeout       = 15 * time.Second       // a dispatcher ends a connection that rests so long...
+	idleTimeoutJitter = 60 * time.Millisecond  // ...and a request comes so long before or after that at most
+	keysPerDispatcher = 3
+	maxFrameBytes     = 1 << 20
 )
 
 // clientConn is a client's connection.
 type clientConn struct {
 	dispatcher *dispatcher
-	net        net.Conn
+	conn       net.Conn
 	mu         sync.Mutex
 	next       int32
 	open       map[int32]string // tickets
-	done       map[int32]string // tickets that have their answer
-	sent       map[string]time.Time
+	answered   map[int32]string // tickets that have their answer
+	sentAt     map[string]time.Time
 	closed     bool
 }
 
 // sender gives a dispatcher its requests while it takes any.
 type sender struct {
-	d      *dispatcher
-	random *rand.Rand
-	conns  []*clientConn
+	dispatcher *dispatcher
+	random     *rand.Rand
+	conns      []*clientConn
 }
 
 // run sends requests at a rate until stop is closed.
@@ -57,13 +57,13 @@
 			return
 		case <-time.After(time.Duration(s.random.ExpFloat64() / rate * float64(time.Second))):
 		}
-		s.ask()
+		s.sendOne()
 	}
 }
 
-// ask sends a request of a class drawn by its share.
-func (s *sender) ask() {
-	c := s.conn()
+// sendOne sends a request of a class drawn by its share.
+func (s *sender) sendOne() {
+	c := s.pickConn()
 	if c == nil {
 		return
 	}
@@ -75,17 +75,17 @@
 	}
 	limit := 1200*time.Millisecond + time.Duration(s.random.IntN(2000))*time.Millisecond
 	switch x := s.random.Float64(); {
-	case x < longShare && s.d.fleet.remaining() > longMost:
-		limit = longMost - time.Duration(s.random.IntN(2000))*time.Millisecond
+	case x < longShare && s.dispatcher.fleet.sendingFor() > maxLongLimit:
+		limit = maxLongLimit - time.Duration(s.random.IntN(2000))*time.Millisecond
 	case x < longShare+shortShare:
 		limit = time.Duration(10+s.random.IntN(80)) * time.Millisecond
 	}
 	r := request{ticket: fmt.Sprintf("%016x", s.random.Uint64()), class: class, limit: limit}
 	if s.random.Float64() < slowShare {
-		r.halves = time.Duration(s.random.Int64N(int64(slowMost)))
+		r.halvesDelay = time.Duration(s.random.Int64N(int64(maxHalvesDelay)))
 	}
 	if class.inOrder {
-		r.key = fmt.Sprintf("d%d-k%d", s.d.index, s.random.IntN(keysOfClient))
+		r.key = fmt.Sprintf("d%d-k%d", s.dispatcher.index, s.random.IntN(keysPerDispatcher))
 	}
 	if class.effect == keyed {
 		r.nonce = fmt.Sprintf("%016x%016x", s.random.Uint64(), s.random.Uint64())
@@ -104,9 +104,9 @@
 	}
 }
 
-// conn returns a connection with room for a request: one that stands or a new one.
-func (s *sender) conn() *clientConn {
-	if !s.d.accepting() {
+// pickConn returns a connection with room for a request: one that stands or a new one.
+func (s *sender) pickConn() *clientConn {
+	if !s.dispatcher.acceptsRequests() {
 		return nil
 	}
 	var standing []*clientConn
@@ -116,15 +116,15 @@
 		}
 	}
 	s.conns = standing
-	if len(standing) > 0 && (len(standing) >= connsMost || s.random.Float64() > freshShare) {
+	if len(standing) > 0 && (len(standing) >= maxConns || s.random.Float64() > freshShare) {
 		if c := standing[s.random.IntN(len(standing))]; c.hasCapacity() {
 			return c
 		}
 	}
-	if !s.d.takesNew() {
+	if !s.dispatcher.acceptsConnections() {
 		return nil
 	}
-	c := s.d.connect()
+	c := s.dispatcher.connect()
 	if c != nil {
 		s.conns = append(s.conns, c)
 	}
@@ -136,9 +136,9 @@
 	ticket, key, nonce string
 	class              class
 	limit              time.Duration
-	again              bool          // it crossed a close before
-	halves             time.Duration // between its first half and its second; 0: it is written at once
-	stranger           bool
+	crossedClose       bool          // it crossed a close before
+	halvesDelay        time.Duration // between its first half and its second; 0: it is written at once
+	malformed          bool
 }
 
 // connect opens a connection to the dispatcher; nil: it takes none.
@@ -147,8 +147,8 @@
 	if err != nil {
 		return nil
 	}
-	c := &clientConn{dispatcher: d, net: n, open: map[int32]string{}, done: map[int32]string{},
-		sent: map[string]time.Time{}}
+	c := &clientConn{dispatcher: d, conn: n, open: map[int32]string{}, answered: map[int32]string{},
+		sentAt: map[string]time.Time{}}
 	d.track(c, true)
 	go c.read()
 	return c
@@ -163,7 +163,7 @@
 func (c *clientConn) hasCapacity() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.closed && len(c.open) < openMost
+	return !c.closed && len(c.open) < maxOpenRequests
 }
 
 // send writes a request. It returns false where it could not be written whole.
@@ -186,17 +186,17 @@
 	seq := c.next
 	c.open[seq] = r.ticket
 	// What is seen of it may come before Write returns.
-	life := c.dispatcher.currentLife()
-	c.dispatcher.fleet.oracle.change(r.ticket, func(a *observedRequest) {
+	life := c.dispatcher.currentIncarnation()
+	c.dispatcher.fleet.oracle.updateRequest(r.ticket, func(a *observedRequest) {
 		a.class, a.key, a.dispatcher, a.incarnation, a.limit = r.class.name, r.key, c.dispatcher.index, life,
 			r.limit
-		a.stranger = r.stranger
+		a.malformed = r.malformed
 		a.sent = time.Now()
 	})
-	c.dispatcher.recordNotification(r)
-	err := c.write(dispatchMessage(seq, fields, "SELECT 1 FROM sales_3.orders"), r.halves)
-	c.sent[r.ticket] = time.Now()
-	c.dispatcher.fleet.oracle.change(r.ticket, func(a *observedRequest) {
+	c.dispatcher.rememberRequest(r)
+	err := c.write(dispatchMessage(seq, fields, "SELECT 1 FROM sales_3.orders"), r.halvesDelay)
+	c.sentAt[r.ticket] = time.Now()
+	c.dispatcher.fleet.oracle.updateRequest(r.ticket, func(a *observedRequest) {
 		if a.sent = time.Now(); err != nil {
 			a.excused = "it could not be written"
 		}
@@ -208,28 +208,29 @@
 func (c *clientConn) write(message []byte, between time.Duration) error {
 	if between > 0 {
 		half := len(message) / 2
-		if _, err := c.net.Write(message[:half]); err != nil {
+		if _, err := c.conn.Write(message[:half]); err != nil {
 			return err
 		}
 		time.Sleep(between)
 		message = message[half:]
 	}
-	_, err := c.net.Write(message)
+	_, err := c.conn.Write(message)
 	return err
 }
 
-// rest asks, rests until the dispatcher is about to end the connection, and asks again, until stop is closed.
-func (s *sender) rest(stop <-chan struct{}) {
+// runResting asks, rests until the dispatcher is about to end the connection, and asks again, until stop is
+// closed.
+func (s *sender) runResting(stop <-chan struct{}) {
 	for {
-		if c := s.d.connect(); c != nil && s.d.takesNew() {
+		if c := s.dispatcher.connect(); c != nil && s.dispatcher.acceptsConnections() {
 			for range 2 {
 				c.send(request{ticket: fmt.Sprintf("%016x", s.random.Uint64()), class: classes[0],
 					limit: time.Second})
-				around := time.Duration(s.random.Int64N(int64(2*restsAround))) - restsAround
+				around := time.Duration(s.random.Int64N(int64(2*idleTimeoutJitter))) - idleTimeoutJitter
 				select {
 				case <-stop:
 					return
-				case <-time.After(restsFor + around):
+				case <-time.After(idleTimeout + around):
 				}
 			}
 			c.leave(false)
@@ -251,7 +252,7 @@
 			continue
 		}
 		c.next++
-		c.net.Write(cancelMessage(c.next, seq))
+		c.conn.Write(cancelMessage(c.next, seq))
 		c.markGone(ticket)
 		delete(c.open, seq)
 	}
@@ -271,15 +272,15 @@
 	clear(c.open)
 	c.mu.Unlock()
 	if hard {
-		reset(c.net)
+		reset(c.conn)
 	}
-	c.net.Close()
+	c.conn.Close()
 }
 
 // markGone enters that the client waits no longer; the link may hold that back.
 func (c *clientConn) markGone(ticket string) {
 	at := time.Now().Add(c.dispatcher.linkDelay())
-	c.dispatcher.fleet.oracle.change(ticket, func(a *observedRequest) {
+	c.dispatcher.fleet.oracle.updateRequest(ticket, func(a *observedRequest) {
 		if a.clientGone.IsZero() {
 			a.clientGone = at
 		}
@@ -289,7 +290,7 @@
 // read takes answers until the connection ends.
 func (c *clientConn) read() {
 	defer c.dispatcher.track(c, false)
-	in := bufio.NewReader(c.net)
+	in := bufio.NewReader(c.conn)
 	for {
 		var head [4]byte
 		if _, err := io.ReadFull(in, head[:]); err != nil {
@@ -297,39 +298,39 @@
 			return
 		}
 		n := binary.BigEndian.Uint32(head[:])
-		frame := make([]byte, min(n, frameMost))
+		frame := make([]byte, min(n, maxFrameBytes))
 		if _, err := io.ReadFull(in, frame); err != nil {
 			c.connectionEnded()
 			return
 		}
 		a, err := parseAnswer(frame)
 		if err != nil {
-			c.dispatcher.fleet.oracle.findingCount("unreadable_answer", "", "%x", frame)
+			c.dispatcher.fleet.oracle.addFinding("unreadable_answer", "", "%x", frame)
 			c.leave(true)
 			return
 		}
-		c.answer(a)
+		c.handleAnswer(a)
 	}
 }
 
-func (c *clientConn) answer(a answer) {
+func (c *clientConn) handleAnswer(a answer) {
 	if a.method == "alive" {
-		c.dispatcher.answeredAlive(a.good)
+		c.dispatcher.recordAlive(a.good)
 		return
 	}
 	c.mu.Lock()
 	ticket, ok := c.open[a.seq]
 	delete(c.open, a.seq)
 	if ok {
-		c.done[a.seq] = ticket
+		c.answered[a.seq] = ticket
 	} else {
-		ticket, ok = c.done[a.seq] // a second answer
+		ticket, ok = c.answered[a.seq] // a second answer
 	}
 	c.mu.Unlock()
 	if !ok {
 		return // taken back
 	}
-	c.dispatcher.fleet.oracle.change(ticket, func(r *observedRequest) {
+	c.dispatcher.fleet.oracle.updateRequest(ticket, func(r *observedRequest) {
 		r.answers = append(r.answers, response{a.kind, a.body, time.Now()})
 	})
 }
@@ -343,29 +344,29 @@
 	c.closed = true
 	resting := true // nothing but what crossed was open
 	for _, ticket := range c.open {
-		resting = resting && now.Sub(c.sent[ticket]) <= crossing+c.dispatcher.linkDelay()
+		resting = resting && now.Sub(c.sentAt[ticket]) <= crossingTime+c.dispatcher.linkDelay()
 	}
 	open := make([]string, 0, len(c.open))
 	for _, ticket := range c.open {
 		open = append(open, ticket)
 	}
 	c.mu.Unlock()
-	c.net.Close()
+	c.conn.Close()
 	if left {
 		return
 	}
 	for _, ticket := range open {
-		r, ok := c.dispatcher.notifications(ticket)
-		if resting && ok && !r.again && c.dispatcher.takesNew() {
+		r, ok := c.dispatcher.rememberedRequest(ticket)
+		if resting && ok && !r.crossedClose && c.dispatcher.acceptsConnections() {
 			if other := c.dispatcher.connect(); other != nil {
-				r.again = true
+				r.crossedClose = true
 				if other.send(r) {
 					continue
 				}
 			}
 		}
-		crossed := resting && (c.dispatcher.ending() || c.dispatcher.isCrowded())
-		c.dispatcher.fleet.oracle.change(ticket, func(a *observedRequest) {
+		crossed := resting && (c.dispatcher.terminating() || c.dispatcher.isCrowded())
+		c.dispatcher.fleet.oracle.updateRequest(ticket, func(a *observedRequest) {
 			a.ended = now
 			if crossed && a.excused == "" {
 				a.excused = crossedClose
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// server is a compute node on the list.
-type server struct {
+// endpoint is a compute node on the list.
+type endpoint struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
 	Zone    string  `json:"zone"`
@@ -23,15 +23,15 @@
 	Started int64   `json:"started_ms"`
 }
 
-type pool struct {
-	Version int      `json:"version"`
-	Full    bool     `json:"full"`
-	Servers []server `json:"servers"`
+type endpointList struct {
+	Version int        `json:"version"`
+	Full    bool       `json:"full"`
+	Servers []endpoint `json:"servers"`
 }
 
 type watchEvent struct {
-	Rev  int   `json:"rev"`
-	Pool *pool `json:"pool"`
+	Rev  int           `json:"rev"`
+	Pool *endpointList `json:"pool"`
 }
 
 // discoveryServer stands in for discovery, as one dispatcher sees it: events numbered from its start, told
@@ -83,21 +83,22 @@
 }
 
 // restart numbers events anew, with a whole list first.
-func (b *discoveryServer) restart(all []server) []watchEvent {
+func (b *discoveryServer) restart(all []endpoint) []watchEvent {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.events = []watchEvent{{1, &pool{1, true, all}}}
+	b.events = []watchEvent{{1, &endpointList{1, true, all}}}
 	return b.events
 }
 
 // publish adds an event.
-func (b *discoveryServer) publish(changed ...server) {
+func (b *discoveryServer) publish(changed ...endpoint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.events) == 0 {
 		return
 	}
-	b.events = append(b.events, watchEvent{len(b.events) + 1, &pool{len(b.events) + 1, false, changed}})
+	b.events = append(b.events, watchEvent{len(b.events) + 1, &endpointList{len(b.events) + 1, false,
+		changed}})
 	close(b.added)
 	b.added = make(chan struct{})
 }
--- a/internal/soak/dispatcher.go
+++ b/internal/soak/dispatcher.go
@@ -16,54 +16,55 @@
 
 // Of a dispatcher's process.
 const (
-	readyWithin = 10 * time.Second
-	newConnsFor = 300 * time.Millisecond  // after SIGTERM
-	requestsFor = 800 * time.Millisecond  // on connections that rest, into the close
-	endsWithin  = 3700 * time.Millisecond // then it is killed
-	downFor     = 250 * time.Millisecond  // between two lives
-	firstPort   = 15000                   // that dispatchers listen at
+	readyTimeout      = 10 * time.Second
+	acceptAfterTerm   = 300 * time.Millisecond  // after SIGTERM
+	requestsAfterTerm = 800 * time.Millisecond  // on connections that rest, into the close
+	exitTimeout       = 3700 * time.Millisecond // then it is killed
+	restartDelay      = 250 * time.Millisecond  // between two lives
+	firstPort         = 15000                   // that dispatchers listen at
 )
 
 // dispatcher is a real dispatcher, life after life at one address, with its links and its discovery.
 type dispatcher struct {
-	index   int
-	fleet   *fleet
-	listen  string
-	board   *discoveryServer
-	clients *proxy
-	nodes   []*proxy // to each compute node
-	dir     string
-	parsers sync.Map // of taps: a parser for each connection
-
-	mu          sync.Mutex
-	incarnation int
-	process     *exec.Cmd
-	ended       chan struct{} // closed when the process has ended
-	ready       bool
-	leaving     time.Time     // SIGTERM was sent; zero: not
-	busy        bool          // a change of life goes on
-	paused      time.Duration // in all its lives
-	crowded     time.Time     // until then idle clients may fill its descriptors
-	delay       time.Duration
-	conns       map[*clientConn]bool
-	requests    map[string]request
-	alive       chan bool
+	index     int
+	fleet     *fleet
+	listen    string
+	discovery *discoveryServer
+	clients   *proxy
+	nodes     []*proxy // to each compute node
+	dir       string
+	parsers   sync.Map // of taps: a parser for each connection
+
+	mu           sync.Mutex
+	incarnation  int
+	process      *exec.Cmd
+	ended        chan struct{} // closed when the process has ended
+	ready        bool
+	terminatedAt time.Time     // SIGTERM was sent; zero: not
+	changing     bool          // a change of life goes on
+	pausedFor    time.Duration // in all its lives
+	crowdedUntil time.Time     // until then idle clients may fill its descriptors
+	delay        time.Duration
+	clientConns  map[*clientConn]bool
+	requests     map[string]request
+	aliveReply   chan bool
 }
 
 // exchangeKey names a connection on a link to a compute node.
 type exchangeKey struct{ node, connection int }
 
 func newDispatcher(index int, f *fleet) (*dispatcher, error) {
-	d := &dispatcher{index: index, fleet: f, conns: map[*clientConn]bool{}, requests: map[string]request{},
-		dir: filepath.Join(f.dir, fmt.Sprintf("d%d", index))}
+	d := &dispatcher{index: index, fleet: f, clientConns: map[*clientConn]bool{},
+		requests: map[string]request{},
+		dir:      filepath.Join(f.dir, fmt.Sprintf("d%d", index))}
 	if err := os.MkdirAll(d.dir, 0o755); err != nil {
 		return nil, err
 	}
 	// Below the ports that the system gives to connections, on addresses that no other run has at the time.
 	d.listen = fmt.Sprintf("127.%d.%d.%d:%d", 10+os.Getpid()%200, 1+os.Getpid()/200%200, 1+index,
-		firstPort+f.run)
+		firstPort+f.number)
 	var err error
-	if d.board, err = newDiscoveryServer(); err != nil {
+	if d.discovery, err = newDiscoveryServer(); err != nil {
 		return nil, err
 	}
 	if d.clients, err = newProxy(d.listen, nil); err != nil {
@@ -71,7 +72,7 @@
 	}
 	for i, n := range f.nodes {
 		p, err := newProxy(n.addr, func(connection int, now time.Time, b []byte) {
-			d.tap(i, connection,
+			d.observe(i, connection,
 				now, b)
 		})
 		if err != nil {
@@ -82,33 +83,33 @@
 	return d, nil
 }
 
-// tap sees what the dispatcher writes to a compute node.
-func (d *dispatcher) tap(node, connection int, now time.Time, b []byte) {
+// observe sees what the dispatcher writes to a compute node.
+func (d *dispatcher) observe(node, connection int, now time.Time, b []byte) {
 	v, _ := d.parsers.LoadOrStore(exchangeKey{node, connection}, &callParser{})
 	for _, c := range v.(*callParser).feed(now, b) {
 		if c.method == "POST" {
-			p := postedQuery{c, node, d.fleet.nodes[node].id(), d.index, d.currentLife()}
-			d.fleet.oracle.change(c.ticket, func(a *observedRequest) { a.posts = append(a.posts, p) })
+			p := postedQuery{c, node, d.fleet.nodes[node].id(), d.index, d.currentIncarnation()}
+			d.fleet.oracle.updateRequest(c.ticket, func(a *observedRequest) { a.posts = append(a.posts, p) })
 		}
 	}
 }
 
-// list is the compute nodes at the addresses of this dispatcher's links.
-func (d *dispatcher) list() []server {
-	out := append([]server(nil), d.fleet.list()...)
+// endpointList is the compute nodes at the addresses of this dispatcher's links.
+func (d *dispatcher) endpointList() []endpoint {
+	out := append([]endpoint(nil), d.fleet.endpointList()...)
 	for i := range out {
 		out[i].Addr = d.nodes[i].addr()
 	}
 	return out
 }
 
-// configuration writes the file that the process reads.
-func (d *dispatcher) configuration(known []watchEvent) error {
+// writeConfiguration writes the file that the process reads.
+func (d *dispatcher) writeConfiguration(known []watchEvent) error {
 	settings := d.fleet.settings()
 	data, err := json.Marshal(map[string]any{"name": fmt.Sprintf("d%d", d.index), "listen": d.listen,
-		"seed":   fmt.Sprintf("%016x", d.fleet.plan.Seed*1000+uint64(d.index*100+d.currentLife())),
+		"seed":   fmt.Sprintf("%016x", d.fleet.plan.Seed*1000+uint64(d.index*100+d.currentIncarnation())),
 		"limits": map[string]any{"cores": 1, "memory_mb": 96, "sockets": d.fleet.plan.Sockets},
-		"board":  d.board.addr(),
+		"board":  d.discovery.addr(),
 		"known":  map[string]any{"rev": len(known), "notices": known}, "settings": settings})
 	if err != nil {
 		return err
@@ -125,20 +126,20 @@
 	d.mu.Lock()
 	d.incarnation++
 	life := d.incarnation
-	d.ready, d.leaving = false, time.Time{}
+	d.ready, d.terminatedAt = false, time.Time{}
 	d.mu.Unlock()
-	if err := d.configuration(d.board.restart(d.list())); err != nil {
-		d.fleet.oracle.findingCount("harness", "", "%v", err)
+	if err := d.writeConfiguration(d.discovery.restart(d.endpointList())); err != nil {
+		d.fleet.oracle.addFinding("harness", "", "%v", err)
 		return
 	}
-	for _, s := range d.fleet.list() {
+	for _, s := range d.fleet.endpointList() {
 		if s.State == "draining" {
-			d.fleet.oracle.drained(d.index, life, s.ID, time.Now())
+			d.fleet.oracle.recordDrain(d.index, life, s.ID, time.Now())
 		}
 	}
 	log, err := os.OpenFile(filepath.Join(d.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		d.fleet.oracle.findingCount("harness", "", "%v", err)
+		d.fleet.oracle.addFinding("harness", "", "%v", err)
 		return
 	}
 	c := exec.Command(d.fleet.program, "node")
@@ -147,7 +148,7 @@
 		"CRESSPASS_MUTANT="+d.fleet.mutant)
 	c.Stdout, c.Stderr = log, log
 	if err := c.Start(); err != nil {
-		d.fleet.oracle.findingCount("harness", "", "%v", err)
+		d.fleet.oracle.addFinding("harness", "", "%v", err)
 		return
 	}
 	ended := make(chan struct{})
@@ -158,12 +159,12 @@
 		err := c.Wait()
 		log.Close()
 		d.mu.Lock()
-		expected := d.busy && d.process == c
+		expected := d.changing && d.process == c
 		d.ready = false
 		d.mu.Unlock()
 		close(ended)
 		if !expected && !d.fleet.closing() {
-			d.fleet.oracle.findingCount(
+			d.fleet.oracle.addFinding(
 				"crash",
 				"",
 				"dispatcher %d life %d ended: %v; %s",
@@ -180,7 +181,7 @@
 // awaitReady asks until the dispatcher says that it is ready.
 func (d *dispatcher) awaitReady(ended <-chan struct{}) {
 	begun := time.Now()
-	for time.Since(begun) < readyWithin {
+	for time.Since(begun) < readyTimeout {
 		select {
 		case <-ended:
 			return
@@ -188,13 +189,13 @@
 		}
 		got := make(chan bool, 1)
 		d.mu.Lock()
-		d.alive = got
+		d.aliveReply = got
 		d.mu.Unlock()
 		c := d.connect()
 		if c == nil {
 			continue
 		}
-		c.net.Write(aliveMessage(1))
+		c.conn.Write(aliveMessage(1))
 		good := false
 		select {
 		case good = <-got:
@@ -208,72 +209,72 @@
 			return
 		}
 	}
-	d.fleet.oracle.findingCount("not_ready", "", "dispatcher %d after %v", d.index, readyWithin)
+	d.fleet.oracle.addFinding("not_ready", "", "dispatcher %d after %v", d.index, readyTimeout)
 }
 
-func (d *dispatcher) answeredAlive(good bool) {
+func (d *dispatcher) recordAlive(good bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	select {
-	case d.alive <- good:
+	case d.aliveReply <- good:
 	default:
 	}
 }
 
-// claim begins a change of life, unless one goes on.
-func (d *dispatcher) claim() bool {
+// beginChange begins a change of life, unless one goes on.
+func (d *dispatcher) beginChange() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.busy || !d.ready {
+	if d.changing || !d.ready {
 		return false
 	}
-	d.busy = true
+	d.changing = true
 	return true
 }
 
-func (d *dispatcher) release() {
+func (d *dispatcher) endChange() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.busy = false
+	d.changing = false
 }
 
 // terminate ends the life in good order, and begins another unless it is the last.
 func (d *dispatcher) terminate(last bool) {
-	if !d.claim() {
+	if !d.beginChange() {
 		return
 	}
-	defer d.release()
+	defer d.endChange()
 	d.mu.Lock()
-	c, ended, life, paused := d.process, d.ended, d.incarnation, d.paused
-	d.leaving = time.Now()
+	c, ended, life, paused := d.process, d.ended, d.incarnation, d.pausedFor
+	d.terminatedAt = time.Now()
 	d.mu.Unlock()
 	c.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-ended:
 		if code := c.ProcessState.ExitCode(); code != 0 {
-			d.fleet.oracle.findingCount("crash", "", "dispatcher %d life %d: exit %d after SIGTERM", d.index,
+			d.fleet.oracle.addFinding("crash", "", "dispatcher %d life %d: exit %d after SIGTERM", d.index,
 				life, code)
 		}
-	case <-d.after(endsWithin, paused):
-		d.fleet.oracle.findingCount("not_ended", "", "dispatcher %d life %d, %v after SIGTERM", d.index, life,
-			endsWithin)
+	case <-d.afterRunning(exitTimeout, paused):
+		d.fleet.oracle.addFinding("not_ended", "", "dispatcher %d life %d, %v after SIGTERM", d.index, life,
+			exitTimeout)
 		c.Process.Kill()
 		<-ended
 	}
 	if !last {
-		time.Sleep(downFor)
+		time.Sleep(restartDelay)
 		d.start()
 	}
 }
 
-// after tells when so much time has passed in which the process ran, from when it had been paused for so
-// long.
-func (d *dispatcher) after(wait, paused time.Duration) <-chan time.Time {
+// afterRunning tells when so much time has passed in which the process ran, from when it had been paused for
+// so long.
+func (d *dispatcher) afterRunning(wait, paused time.Duration) <-chan time.Time {
 	over := make(chan time.Time, 1)
 	go func() {
 		time.Sleep(wait)
 		d.mu.Lock()
-		more := d.paused - paused
+		more := d.pausedFor - paused
 		d.mu.Unlock()
 		time.Sleep(more)
 		over <- time.Now()
@@ -283,19 +284,19 @@
 
 // kill ends the life at once, and begins another.
 func (d *dispatcher) kill() {
-	if !d.claim() {
+	if !d.beginChange() {
 		return
 	}
-	defer d.release()
+	defer d.endChange()
 	d.mu.Lock()
 	c, ended, life := d.process, d.ended, d.incarnation
 	d.ready = false
 	d.mu.Unlock()
 	c.Process.Kill()
 	<-ended
-	d.fleet.oracle.killed(d.index, life)
-	time.Sleep(downFor)
-	d.fleet.oracle.killed(d.index, life) // also what was on its way
+	d.fleet.oracle.excuseKilled(d.index, life)
+	time.Sleep(restartDelay)
+	d.fleet.oracle.excuseKilled(d.index, life) // also what was on its way
 	d.start()
 }
 
@@ -307,12 +308,12 @@
 	if !ready {
 		return
 	}
-	d.board.redirect()
-	d.board.mu.Lock()
-	known := d.board.events
-	d.board.mu.Unlock()
-	if err := d.configuration(known); err != nil {
-		d.fleet.oracle.findingCount("harness", "", "%v", err)
+	d.discovery.redirect()
+	d.discovery.mu.Lock()
+	known := d.discovery.events
+	d.discovery.mu.Unlock()
+	if err := d.writeConfiguration(known); err != nil {
+		d.fleet.oracle.addFinding("harness", "", "%v", err)
 	}
 	c.Process.Signal(syscall.SIGHUP)
 }
@@ -330,24 +331,24 @@
 	c.Process.Signal(syscall.SIGCONT)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.paused += by
+	d.pausedFor += by
 }
 
-// accepting reports whether it is sent requests, takesNew whether new connections too.
-func (d *dispatcher) accepting() bool { return d.takesFor(requestsFor) }
+// acceptsRequests reports whether it is sent requests, acceptsConnections whether new connections too.
+func (d *dispatcher) acceptsRequests() bool { return d.acceptsFor(requestsAfterTerm) }
 
-func (d *dispatcher) takesNew() bool { return d.takesFor(newConnsFor) }
+func (d *dispatcher) acceptsConnections() bool { return d.acceptsFor(acceptAfterTerm) }
 
-// ending reports whether SIGTERM was sent to it, or it is not there.
-func (d *dispatcher) ending() bool { return !d.takesFor(0) }
+// terminating reports whether SIGTERM was sent to it, or it is not there.
+func (d *dispatcher) terminating() bool { return !d.acceptsFor(0) }
 
-func (d *dispatcher) takesFor(after time.Duration) bool {
+func (d *dispatcher) acceptsFor(after time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.ready && (d.leaving.IsZero() || time.Since(d.leaving) < after)
+	return d.ready && (d.terminatedAt.IsZero() || time.Since(d.terminatedAt) < after)
 }
 
-func (d *dispatcher) currentLife() int {
+func (d *dispatcher) currentIncarnation() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.incarnation
@@ -369,41 +370,41 @@
 func (d *dispatcher) setCrowded(by time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.crowded = time.Now().Add(by)
+	d.crowdedUntil = time.Now().Add(by)
 }
 
 func (d *dispatcher) isCrowded() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return time.Now().Before(d.crowded)
+	return time.Now().Before(d.crowdedUntil)
 }
 
 func (d *dispatcher) track(c *clientConn, on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if on {
-		d.conns[c] = true
+		d.clientConns[c] = true
 	} else {
-		delete(d.conns, c)
+		delete(d.clientConns, c)
 	}
 }
 
 func (d *dispatcher) connections() (all []*clientConn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for c := range d.conns {
+	for c := range d.clientConns {
 		all = append(all, c)
 	}
 	return all
 }
 
-func (d *dispatcher) recordNotification(r request) {
+func (d *dispatcher) rememberRequest(r request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.requests[r.ticket] = r
 }
 
-func (d *dispatcher) notifications(ticket string) (request, bool) {
+func (d *dispatcher) rememberedRequest(ticket string) (request, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	r, ok := d.requests[ticket]
@@ -442,5 +443,5 @@
 	for _, p := range d.nodes {
 		p.close()
 	}
-	d.board.close()
+	d.discovery.close()
 }
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -62,7 +62,7 @@
 
 // fleet is the dispatchers and all that they talk to.
 type fleet struct {
-	run         int // of this process
+	number      int // of this process
 	plan        *Plan
 	program     string
 	mutant      string
@@ -71,31 +71,31 @@
 	nodes       []*computeNode
 	dispatchers []*dispatcher
 
-	mu      sync.Mutex
-	servers []server // the list, by node; addresses are each dispatcher's own
-	ending  bool
-	until   time.Time // the last request
-	work    sync.WaitGroup
+	mu           sync.Mutex
+	endpoints    []endpoint // the list, by node; addresses are each dispatcher's own
+	ending       bool
+	sendingUntil time.Time // the last request
+	background   sync.WaitGroup
 }
 
-// resters is how many clients of a dispatcher rest until it ends their connections.
-const resters = 3
+// restingClients is how many clients of a dispatcher rest until it ends their connections.
+const restingClients = 3
 
 // Of troubles.
 const (
-	idleReset = 150 * time.Millisecond  // between resets of resting connections
-	dialMost  = 1500 * time.Millisecond // that a connection comes up late
+	idleResetInterval = 150 * time.Millisecond  // between resets of resting connections
+	maxDialDelay      = 1500 * time.Millisecond // that a connection comes up late
 )
 
-// settleFor is how long after the last request the run goes on, so that each has its answer.
-const settleFor = 4 * time.Second
+// settleTime is how long after the last request the run goes on, so that each has its answer.
+const settleTime = 4 * time.Second
 
 // runs counts the runs of this process.
 var runs atomic.Int32
 
 // Run plays a plan.
 func Run(ctx context.Context, c Config) (*Report, error) {
-	f := &fleet{run: int(runs.Add(1)), plan: c.Plan, program: c.Program, mutant: c.Mutant, dir: c.Dir,
+	f := &fleet{number: int(runs.Add(1)), plan: c.Plan, program: c.Program, mutant: c.Mutant, dir: c.Dir,
 		oracle: newOracle(c.Plan.Budget)}
 	stop := make(chan struct{})
 	for i := range c.Plan.Nodes {
@@ -104,8 +104,8 @@
 			return nil, err
 		}
 		f.nodes = append(f.nodes, n)
-		f.servers = append(f.servers, server{ID: n.id(), Zone: "z", Kind: "k", State: "up", Weight: 1})
-		f.work.Go(func() { n.sweep(stop) })
+		f.endpoints = append(f.endpoints, endpoint{ID: n.id(), Zone: "z", Kind: "k", State: "up", Weight: 1})
+		f.background.Go(func() { n.abandonUnpolled(stop) })
 	}
 	for i := range c.Plan.Dispatchers {
 		d, err := newDispatcher(i, f)
@@ -120,21 +120,21 @@
 	}
 	ready.Wait()
 	f.oracle.mu.Lock()
-	f.oracle.zero = time.Now()
+	f.oracle.startedAt = time.Now()
 	f.oracle.mu.Unlock()
 	sending := make(chan struct{})
 	for _, d := range f.dispatchers {
-		s := &sender{d: d, random: rand.New(rand.NewPCG(c.Plan.Seed, uint64(d.index)+1))}
-		f.work.Go(func() { s.run(c.Plan.Rate, sending) })
-		for i := range resters {
-			number := uint64(d.index*resters+i) << 32
-			resting := &sender{d: d, random: rand.New(rand.NewPCG(c.Plan.Seed, number))}
-			f.work.Go(func() { resting.rest(sending) })
+		s := &sender{dispatcher: d, random: rand.New(rand.NewPCG(c.Plan.Seed, uint64(d.index)+1))}
+		f.background.Go(func() { s.run(c.Plan.Rate, sending) })
+		for i := range restingClients {
+			number := uint64(d.index*restingClients+i) << 32
+			resting := &sender{dispatcher: d, random: rand.New(rand.NewPCG(c.Plan.Seed, number))}
+			f.background.Go(func() { resting.runResting(sending) })
 		}
 	}
 	f.play(ctx)
 	close(sending)
-	time.Sleep(settleFor)
+	time.Sleep(settleTime)
 	f.mu.Lock()
 	f.ending = true
 	f.mu.Unlock()
@@ -143,7 +143,7 @@
 	}
 	ready.Wait()
 	close(stop)
-	f.work.Wait()
+	f.background.Wait()
 	report := f.report()
 	f.close()
 	return report, nil
@@ -187,11 +187,11 @@
 	return r
 }
 
-// remaining is how long requests are sent yet.
-func (f *fleet) remaining() time.Duration {
+// sendingFor is how long requests are sent yet.
+func (f *fleet) sendingFor() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return time.Until(f.until)
+	return time.Until(f.sendingUntil)
 }
 
 func (f *fleet) closing() bool {
@@ -200,18 +200,18 @@
 	return f.ending
 }
 
-func (f *fleet) list() []server {
+func (f *fleet) endpointList() []endpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]server(nil), f.servers...)
+	return append([]endpoint(nil), f.endpoints...)
 }
 
-// tell changes a compute node's entry and tells all dispatchers.
-func (f *fleet) tell(node int, change func(s *server)) {
+// updateEndpoint changes a compute node's entry and tells all dispatchers.
+func (f *fleet) updateEndpoint(node int, change func(s *endpoint)) {
 	f.mu.Lock()
-	was := f.servers[node]
-	change(&f.servers[node])
-	now := f.servers[node]
+	was := f.endpoints[node]
+	change(&f.endpoints[node])
+	now := f.endpoints[node]
 	f.mu.Unlock()
 	for _, d := range f.dispatchers {
 		mine := now
@@ -219,29 +219,29 @@
 		if was.ID != now.ID {
 			gone := was
 			gone.State, gone.Addr = "removed", mine.Addr
-			d.board.publish(gone, mine)
+			d.discovery.publish(gone, mine)
 		} else {
-			d.board.publish(mine)
+			d.discovery.publish(mine)
 		}
 		if now.State == "draining" {
-			f.drained(d, now.ID)
+			f.recordDrain(d, now.ID)
 		}
 	}
 }
 
-// drained enters when a dispatcher counts as told of a drain: at once, or some time after the trouble that
-// its discovery is in.
-func (f *fleet) drained(d *dispatcher, generation string) {
-	told, life := time.Now(), d.currentLife()
-	if !d.board.faulty(told.Add(-troubleTold)) {
-		f.oracle.drained(d.index, life, generation, told)
+// recordDrain enters when a dispatcher counts as told of a drain: at once, or some time after the trouble
+// that its discovery is in.
+func (f *fleet) recordDrain(d *dispatcher, generation string) {
+	told, life := time.Now(), d.currentIncarnation()
+	if !d.discovery.faulty(told.Add(-faultNoticeDelay)) {
+		f.oracle.recordDrain(d.index, life, generation, told)
 		return
 	}
-	f.work.Go(func() {
-		for d.board.faulty(time.Now().Add(-troubleTold)) && !f.closing() {
+	f.background.Go(func() {
+		for d.discovery.faulty(time.Now().Add(-faultNoticeDelay)) && !f.closing() {
 			time.Sleep(20 * time.Millisecond)
 		}
-		f.oracle.drained(d.index, life, generation, time.Now())
+		f.oracle.recordDrain(d.index, life, generation, time.Now())
 	})
 }
 
@@ -262,11 +262,13 @@
 		list, threads, loads = append(list, k), append(threads, 1), append(loads, false)
 	}
 	rules := map[string]any{"grace-to-answer-us": 5000, "stop-sending-within-us": drainGrace.Microseconds(),
-		"cold-from": coldFrom, "ramp-time-us": coldFor.Microseconds(), "overload-factor": coldMultiple,
-		"overload-for-us": coldWindow.Microseconds(), "settle-after-doubt-us": orderRest.Microseconds()}
+		"cold-from": slowStartFrom, "ramp-time-us": slowStartDuration.Microseconds(),
+		"overload-factor":       slowStartFactor,
+		"overload-for-us":       slowStartWindow.Microseconds(),
+		"settle-after-doubt-us": orderSettleDelay.Microseconds()}
 	if f.plan.Budget {
-		rules["free-resends"], rules["further-ratio"] = budgetFree, budgetShare
-		rules["look-back-us"] = budgetOver.Microseconds()
+		rules["free-resends"], rules["further-ratio"] = retryBudgetFree, retryBudgetRatio
+		rules["look-back-us"] = retryBudgetWindow.Microseconds()
 	}
 	return map[string]any{"classes": list, "shapes": []string{"k"}, "specifics": map[string]any{
 		"class-threads": threads, "cpu-of-kind": []float64{nodeCores}, "kind-memory-mb": []float64{65536},
@@ -281,7 +283,7 @@
 func (f *fleet) play(ctx context.Context) {
 	begun := time.Now()
 	f.mu.Lock()
-	f.until = begun.Add(f.plan.For)
+	f.sendingUntil = begun.Add(f.plan.For)
 	f.mu.Unlock()
 	for _, t := range f.plan.Faults {
 		select {
@@ -289,7 +291,7 @@
 		case <-ctx.Done():
 			return
 		}
-		f.work.Go(func() { f.inject(t) })
+		f.background.Go(func() { f.inject(t) })
 	}
 	select {
 	case <-time.After(time.Until(begun.Add(f.plan.For))):
@@ -310,13 +312,13 @@
 		}
 		time.Sleep(t.For)
 		for _, p := range d.nodes {
-			p.set(linkWell, 0)
+			p.set(linkHealthy, 0)
 		}
 	}
 	discovery := func(set func(b *discoveryServer, on bool)) {
-		d.board.set(func(b *discoveryServer) { set(b, true) })
+		d.discovery.set(func(b *discoveryServer) { set(b, true) })
 		time.Sleep(t.For)
-		d.board.set(func(b *discoveryServer) { set(b, false) })
+		d.discovery.set(func(b *discoveryServer) { set(b, false) })
 	}
 	switch t.Kind {
 	case Terminate:
@@ -354,7 +356,7 @@
 			p.forget()
 		}
 	case LinkIdle:
-		for until := time.Now().Add(t.For); time.Now().Before(until); time.Sleep(idleReset) {
+		for until := time.Now().Add(t.For); time.Now().Before(until); time.Sleep(idleResetInterval) {
 			for _, p := range d.nodes {
 				p.resetIdle()
 			}
@@ -373,7 +375,7 @@
 		}
 	case ClientsIdle:
 		f.idleClients(t, d)
-	case Strangers:
+	case MalformedClients:
 		f.sendMalformed(t, d)
 	case ClockStep: // of all machines alike
 		var all sync.WaitGroup
@@ -396,7 +398,7 @@
 		d.clients.set(linkBytes, 0)
 	}
 	time.Sleep(t.For)
-	d.clients.set(linkWell, 0)
+	d.clients.set(linkHealthy, 0)
 	time.Sleep(2 * delay)
 	d.setLinkDelay(0)
 }
@@ -420,15 +422,15 @@
 func (f *fleet) sendMalformed(t Fault, d *dispatcher) {
 	random := rand.New(rand.NewPCG(f.plan.Seed, uint64(t.At)))
 	for until := time.Now().Add(t.For); time.Now().Before(until) &&
-		d.takesNew(); time.Sleep(5 * time.Millisecond) {
+		d.acceptsConnections(); time.Sleep(5 * time.Millisecond) {
 		c := d.connect()
 		if c == nil {
 			return
 		}
-		for range openMost {
+		for range maxOpenRequests {
 			c.send(request{ticket: fmt.Sprintf("%016x", random.Uint64()), class: classes[0],
-				limit:    time.Second,
-				stranger: true})
+				limit:     time.Second,
+				malformed: true})
 		}
 		c.cancelAll()
 		c.leave(false)
@@ -449,7 +451,7 @@
 		write(map[string]any{"wall_step_ms": t.Step.Milliseconds()})
 		return
 	case DialsLate:
-		write(map[string]any{"dial_most_ms": dialMost.Milliseconds()})
+		write(map[string]any{"dial_most_ms": maxDialDelay.Milliseconds()})
 	default:
 		write(map[string]any{"share": 0.4})
 	}
@@ -460,16 +462,16 @@
 // injectNodeFault has a trouble of a compute node happen.
 func (f *fleet) injectNodeFault(t Fault, n *computeNode) {
 	during := func(set func(n *computeNode, on bool)) {
-		n.set(func(n *computeNode) { set(n, true) })
+		n.update(func(n *computeNode) { set(n, true) })
 		time.Sleep(t.For)
-		n.set(func(n *computeNode) { set(n, false) })
+		n.update(func(n *computeNode) { set(n, false) })
 	}
 	switch t.Kind {
 	case NodeDrain, NodeCrash:
-		if !n.claim() {
+		if !n.beginChange() {
 			return
 		}
-		defer n.release()
+		defer n.endChange()
 		if t.Kind == NodeDrain {
 			f.drain(t, n)
 			return
@@ -487,13 +489,13 @@
 		all.Wait()
 	case NodeHang:
 		hung := make(chan struct{})
-		n.set(func(n *computeNode) {
+		n.update(func(n *computeNode) {
 			if n.hanging == nil {
 				n.hanging = hung
 			}
 		})
 		time.Sleep(t.For)
-		n.set(func(n *computeNode) {
+		n.update(func(n *computeNode) {
 			if n.hanging == hung {
 				n.hanging = nil
 			}
@@ -511,8 +513,8 @@
 // drain has a compute node drain, leave, and another come at its address.
 func (f *fleet) drain(t Fault, n *computeNode) {
 	f.mu.Lock()
-	up, others := f.servers[n.index].State == "up", 0
-	for _, s := range f.servers {
+	up, others := f.endpoints[n.index].State == "up", 0
+	for _, s := range f.endpoints {
 		if s.State == "up" {
 			others++
 		}
@@ -521,7 +523,7 @@
 	if !up || others < len(f.nodes)/2+1 {
 		return
 	}
-	f.tell(n.index, func(s *server) { s.State = "draining" })
+	f.updateEndpoint(n.index, func(s *endpoint) { s.State = "draining" })
 	time.Sleep(drainGrace + time.Second + t.For)
 	n.crash()
 	time.Sleep(100 * time.Millisecond)
@@ -537,8 +539,11 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	id := n.id()
-	f.oracle.started(id)
-	f.tell(n.index, func(s *server) { s.ID, s.State, s.Started = id, "up", time.Now().UnixMilli() })
+	f.oracle.recordStart(id)
+	f.updateEndpoint(n.index, func(s *endpoint) {
+		s.ID, s.State, s.Started = id, "up",
+			time.Now().UnixMilli()
+	})
 }
 
 // cancelAll takes back all that is open on a connection.
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -14,23 +14,23 @@
 
 // Of the platform's protocol, as this stand-in keeps it.
 const (
-	newsAfter       = 250 * time.Millisecond // a question is answered without news
-	unpolledTimeout = 2 * time.Second        // a query that nobody asks for is given up
-	copyLeast       = 2 * time.Millisecond   // after which an answer comes a second time
-	copyMost        = 120 * time.Millisecond
+	longPollTimeout   = 250 * time.Millisecond // a question is answered without news
+	unpolledTimeout   = 2 * time.Second        // a query that nobody asks for is given up
+	minDuplicateDelay = 2 * time.Millisecond   // after which an answer comes a second time
+	maxDuplicateDelay = 120 * time.Millisecond
 
 	silentDropBelowMS = 40 // milliseconds: a query that has less is dropped without a word
 )
 
-// run is a query on a compute node.
-type run struct {
-	class    string
-	asked    time.Time
-	ends     time.Time
-	pages    []string
-	over     bool // ended or given up
-	good     bool
-	notified chan struct{} // closed when it is over
+// queryRun is a query on a compute node.
+type queryRun struct {
+	class     string
+	polledAt  time.Time
+	endsAt    time.Time
+	pages     []string
+	finished  bool // ended or given up
+	succeeded bool
+	done      chan struct{} // closed when it is over
 }
 
 // computeNode stands in for a compute node. Its life goes on when its process dies and another comes at its
@@ -40,11 +40,11 @@
 	oracle *oracle
 
 	mu           sync.Mutex
-	busy         bool // it is about to end or to come back
+	changing     bool // it is about to end or to come back
 	generation   int
-	runs         map[string]*run
+	runs         map[string]*queryRun
 	server       *http.Server
-	ln           net.Listener
+	listener     net.Listener
 	addr         string
 	hanging      chan struct{} // closed at the end of a hang; nil: none
 	full         bool
@@ -56,7 +56,7 @@
 }
 
 func newComputeNode(index int, o *oracle, seed uint64) (*computeNode, error) {
-	n := &computeNode{index: index, oracle: o, runs: map[string]*run{},
+	n := &computeNode{index: index, oracle: o, runs: map[string]*queryRun{},
 		work:   map[string]time.Duration{},
 		random: rand.New(rand.NewPCG(seed, uint64(index)+1))}
 	for _, c := range classes {
@@ -80,7 +80,7 @@
 	}
 	server := &http.Server{Handler: n}
 	n.mu.Lock()
-	n.ln, n.addr, n.server = ln, ln.Addr().String(), server
+	n.listener, n.addr, n.server = ln, ln.Addr().String(), server
 	n.mu.Unlock()
 	n.ended.Go(func() { server.Serve(ln) })
 	return nil
@@ -90,49 +90,49 @@
 func (n *computeNode) crash() {
 	n.mu.Lock()
 	server, runs := n.server, n.runs
-	n.runs = map[string]*run{}
+	n.runs = map[string]*queryRun{}
 	n.generation++
 	n.mu.Unlock()
 	server.Close()
 	for ticket, r := range runs {
-		n.end(ticket, r, false)
+		n.endRun(ticket, r, false)
 	}
 }
 
-// end ends a query.
-func (n *computeNode) end(ticket string, r *run, good bool) {
+// endRun ends a query.
+func (n *computeNode) endRun(ticket string, r *queryRun, good bool) {
 	n.mu.Lock()
-	was := r.over
+	was := r.finished
 	if !was {
-		r.over, r.good = true, good
-		close(r.notified)
+		r.finished, r.succeeded = true, good
+		close(r.done)
 	}
 	n.mu.Unlock()
 	if !was {
-		n.oracle.attemptOut(ticket, n.index, false)
+		n.oracle.recordInterval(ticket, n.index, false)
 	}
 }
 
-// claim begins an end of its process, unless one goes on.
-func (n *computeNode) claim() bool {
+// beginChange begins an end of its process, unless one goes on.
+func (n *computeNode) beginChange() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	was := n.busy
-	n.busy = true
+	was := n.changing
+	n.changing = true
 	return !was
 }
 
-func (n *computeNode) release() { n.set(func(n *computeNode) { n.busy = false }) }
+func (n *computeNode) endChange() { n.update(func(n *computeNode) { n.changing = false }) }
 
-// set changes how the node answers.
-func (n *computeNode) set(change func(n *computeNode)) {
+// update changes how the node answers.
+func (n *computeNode) update(change func(n *computeNode)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	change(n)
 }
 
-// sweep gives up queries that nobody asks for, until stop is closed.
-func (n *computeNode) sweep(stop <-chan struct{}) {
+// abandonUnpolled gives up queries that nobody asks for, until stop is closed.
+func (n *computeNode) abandonUnpolled(stop <-chan struct{}) {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -142,15 +142,15 @@
 		case <-tick.C:
 		}
 		n.mu.Lock()
-		late := map[string]*run{}
+		late := map[string]*queryRun{}
 		for ticket, r := range n.runs {
-			if !r.over && time.Since(r.asked) > unpolledTimeout {
+			if !r.finished && time.Since(r.polledAt) > unpolledTimeout {
 				late[ticket] = r
 			}
 		}
 		n.mu.Unlock()
 		for ticket, r := range late {
-			n.end(ticket, r, false)
+			n.endRun(ticket, r, false)
 		}
 	}
 }
@@ -166,7 +166,7 @@
 		<-q.Context().Done() // dropped without a word
 		return
 	}
-	var r *run
+	var r *queryRun
 	if q.Method == "POST" && !full { // it is out from here on, also while the node hangs
 		r = n.register(ticket, q.Header.Get("X-Queue"))
 	}
@@ -182,37 +182,38 @@
 		w.Header().Set("X-Shed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case q.Method == "POST" && failing:
-		n.end(ticket, r, false)
+		n.endRun(ticket, r, false)
 		w.WriteHeader(http.StatusInternalServerError)
 	case q.Method == "POST":
-		n.wait(w, q, ticket, r)
+		n.writeResult(w, q, ticket, r)
 	case q.Method == "DELETE" && len(parts) == 2:
 		if r := n.find(parts[1]); r != nil {
-			n.end(parts[1], r, false)
+			n.endRun(parts[1], r, false)
 		}
 		w.WriteHeader(http.StatusNoContent)
 	case q.Method == "GET" && len(parts) == 3:
-		n.report(w, q, parts[1], parts[2])
+		n.answerPoll(w, q, parts[1], parts[2])
 	default:
 		w.WriteHeader(http.StatusOK)
 	}
 }
 
-func (n *computeNode) find(ticket string) *run {
+func (n *computeNode) find(ticket string) *queryRun {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.runs[ticket]
 }
 
 // register takes a query that came.
-func (n *computeNode) register(ticket, class string) *run {
+func (n *computeNode) register(ticket, class string) *queryRun {
 	n.mu.Lock()
 	r := n.runs[ticket]
-	fresh := r == nil || r.over
+	fresh := r == nil || r.finished
 	if fresh {
 		mean := n.work[class]
 		took := mean/2 + time.Duration(n.random.ExpFloat64()*float64(mean)/2)
-		r = &run{class: class, asked: time.Now(), ends: time.Now().Add(took), notified: make(chan struct{})}
+		r = &queryRun{class: class, polledAt: time.Now(), endsAt: time.Now().Add(took),
+			done: make(chan struct{})}
 		for page := range 1 + n.random.IntN(3) {
 			r.pages = append(r.pages, fmt.Sprintf("%s\t%d\t%016x\n", ticket, page, n.random.Uint64()))
 		}
@@ -220,35 +221,35 @@
 	}
 	n.mu.Unlock()
 	if fresh {
-		n.oracle.attemptOut(ticket, n.index, true)
-		n.oracle.attemptMade(ticket, strings.Join(r.pages, ""))
+		n.oracle.recordInterval(ticket, n.index, true)
+		n.oracle.recordResult(ticket, strings.Join(r.pages, ""))
 	}
 	return r
 }
 
-// wait answers with a query's end, or without news.
-func (n *computeNode) wait(w http.ResponseWriter, q *http.Request, ticket string, r *run) {
-	news := time.NewTimer(newsAfter)
+// writeResult answers with a query's end, or without news.
+func (n *computeNode) writeResult(w http.ResponseWriter, q *http.Request, ticket string, r *queryRun) {
+	news := time.NewTimer(longPollTimeout)
 	defer news.Stop()
-	done := time.NewTimer(time.Until(r.ends))
+	done := time.NewTimer(time.Until(r.endsAt))
 	defer done.Stop()
 	select {
 	case <-done.C:
-		n.end(ticket, r, true)
-	case <-r.notified:
+		n.endRun(ticket, r, true)
+	case <-r.done:
 	case <-news.C:
 		w.WriteHeader(http.StatusAccepted)
 		return
 	case <-q.Context().Done():
 		return
 	}
-	n.page(w, r, 0)
+	n.writePage(w, r, 0)
 }
 
-// page writes a page of a result, or that there is none.
-func (n *computeNode) page(w http.ResponseWriter, r *run, page int) {
+// writePage writes a page of a result, or that there is none.
+func (n *computeNode) writePage(w http.ResponseWriter, r *queryRun, page int) {
 	n.mu.Lock()
-	twice, good := n.answersTwice, r.good
+	twice, good := n.answersTwice, r.succeeded
 	n.mu.Unlock()
 	if !good {
 		w.WriteHeader(http.StatusInternalServerError)
@@ -275,7 +276,7 @@
 	text := fmt.Sprintf("HTTP/1.1 200 OK\r\nPage-Count: %d\r\n%sContent-Length: %d\r\n\r\n%s",
 		len(r.pages), number, len(r.pages[page]), r.pages[page])
 	n.mu.Lock()
-	late := copyLeast + time.Duration(n.random.Int64N(int64(copyMost-copyLeast)))
+	late := minDuplicateDelay + time.Duration(n.random.Int64N(int64(maxDuplicateDelay-minDuplicateDelay)))
 	n.mu.Unlock()
 	io.WriteString(c, text)
 	time.Sleep(late)
@@ -283,12 +284,12 @@
 	time.Sleep(100 * time.Millisecond)
 }
 
-// report answers a question for a page, or for news.
-func (n *computeNode) report(w http.ResponseWriter, q *http.Request, ticket, number string) {
+// answerPoll answers a question for a page, or for news.
+func (n *computeNode) answerPoll(w http.ResponseWriter, q *http.Request, ticket, number string) {
 	n.mu.Lock()
 	r := n.runs[ticket]
 	if r != nil {
-		r.asked = time.Now()
+		r.polledAt = time.Now()
 	}
 	n.mu.Unlock()
 	page := 0
@@ -297,8 +298,8 @@
 	case r == nil || page < 0 || page >= len(r.pages):
 		w.WriteHeader(http.StatusInternalServerError)
 	case page == 0:
-		n.wait(w, q, ticket, r)
+		n.writeResult(w, q, ticket, r)
 	default:
-		n.page(w, r, page)
+		n.writePage(w, r, page)
 	}
 }
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -48,21 +48,21 @@
 // Of the settings that the fleet is given, and the slack with which the platform's page judges. measured
 // is what this machine may take between an act and its entry here.
 const (
-	drainGrace   = 2 * time.Second
-	orderRest    = 100 * time.Millisecond
-	lateAnswer   = 500 * time.Millisecond
-	afterClient  = 100 * time.Millisecond
-	deadlineMore = 150 * time.Millisecond
-	measured     = 60 * time.Millisecond
-	budgetFree   = 1.0
-	budgetShare  = 0.04
-	budgetOver   = 4 * time.Second
-	coldFrom     = 0.3
-	coldFor      = 6 * time.Second
-	coldMultiple = 0.6
-	coldWindow   = time.Second
-	nodeCores    = 4.0
-	troubleTold  = 4 * time.Second // after discovery's trouble, what it would have told counts as told
+	drainGrace        = 2 * time.Second
+	orderSettleDelay  = 100 * time.Millisecond
+	answerSlack       = 500 * time.Millisecond
+	clientGoneSlack   = 100 * time.Millisecond
+	deadlineSlack     = 150 * time.Millisecond
+	measurementSlack  = 60 * time.Millisecond
+	retryBudgetFree   = 1.0
+	retryBudgetRatio  = 0.04
+	retryBudgetWindow = 4 * time.Second
+	slowStartFrom     = 0.3
+	slowStartDuration = 6 * time.Second
+	slowStartFactor   = 0.6
+	slowStartWindow   = time.Second
+	nodeCores         = 4.0
+	faultNoticeDelay  = 4 * time.Second // after discovery's trouble, what it would have told counts as told
 )
 
 // crossedClose excuses a request that came as a dispatcher which ends, or whose descriptors idle clients
@@ -113,10 +113,10 @@
 	clientGone              time.Time // its client cancelled or closed; zero: it waits
 	ended                   time.Time // its connection ended without an answer
 	excused                 string    // why no answer is owed
-	stranger                bool      // it raises no budget
+	malformed               bool      // it raises no budget
 	posts                   []postedQuery
-	attemptsOut             []interval
-	attempts                []string
+	intervals               []interval
+	results                 []string
 }
 
 // notificationKey names what a dispatcher was told of a compute node.
@@ -127,38 +127,39 @@
 
 // oracle takes in what is seen, and judges it in the end. It is for any number of goroutines.
 type oracle struct {
-	mu       sync.Mutex
-	zero     time.Time
-	requests map[string]*observedRequest
-	drains   map[notificationKey]time.Time
-	cold     map[string]time.Time // starts, by generation
-	findings []Finding
-	budget   bool
+	mu             sync.Mutex
+	startedAt      time.Time
+	requests       map[string]*observedRequest
+	drainNotices   map[notificationKey]time.Time
+	slowStarts     map[string]time.Time // starts, by generation
+	findings       []Finding
+	hasRetryBudget bool
 }
 
 func newOracle(budget bool) *oracle {
 	return &oracle{
-		zero:     time.Now(),
-		requests: map[string]*observedRequest{},
-		drains:   map[notificationKey]time.Time{},
-		cold:     map[string]time.Time{},
-		budget:   budget,
+		startedAt:      time.Now(),
+		requests:       map[string]*observedRequest{},
+		drainNotices:   map[notificationKey]time.Time{},
+		slowStarts:     map[string]time.Time{},
+		hasRetryBudget: budget,
 	}
 }
 
-// findingCount enters a broken rule.
-func (o *oracle) findingCount(invariant, ticket, format string, args ...any) {
+// addFinding enters a broken rule.
+func (o *oracle) addFinding(invariant, ticket, format string, args ...any) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.report(invariant, ticket, time.Now(), format, args...)
+	o.addFindingLocked(invariant, ticket, time.Now(), format, args...)
 }
 
-func (o *oracle) report(invariant, ticket string, at time.Time, format string, args ...any) {
-	o.findings = append(o.findings, Finding{invariant, ticket, at.Sub(o.zero), fmt.Sprintf(format, args...)})
+func (o *oracle) addFindingLocked(invariant, ticket string, at time.Time, format string, args ...any) {
+	o.findings = append(o.findings, Finding{invariant, ticket, at.Sub(o.startedAt), fmt.Sprintf(format,
+		args...)})
 }
 
-// change has a request's entry changed.
-func (o *oracle) change(ticket string, f func(a *observedRequest)) {
+// updateRequest has a request's entry changed.
+func (o *oracle) updateRequest(ticket string, f func(a *observedRequest)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	a := o.requests[ticket]
@@ -169,29 +170,29 @@
 	f(a)
 }
 
-// attemptOut enters that an attempt came whole to a compute node, or that it is over there.
-func (o *oracle) attemptOut(ticket string, node int, begun bool) {
+// recordInterval enters that an attempt came whole to a compute node, or that it is over there.
+func (o *oracle) recordInterval(ticket string, node int, begun bool) {
 	now := time.Now()
-	o.change(ticket, func(a *observedRequest) {
+	o.updateRequest(ticket, func(a *observedRequest) {
 		if begun {
-			a.attemptsOut = append(a.attemptsOut, interval{node: node, from: now})
+			a.intervals = append(a.intervals, interval{node: node, from: now})
 			return
 		}
-		for i := range a.attemptsOut {
-			if a.attemptsOut[i].node == node && a.attemptsOut[i].to.IsZero() {
-				a.attemptsOut[i].to = now
+		for i := range a.intervals {
+			if a.intervals[i].node == node && a.intervals[i].to.IsZero() {
+				a.intervals[i].to = now
 			}
 		}
 	})
 }
 
-// attemptMade enters a result.
-func (o *oracle) attemptMade(ticket, body string) {
-	o.change(ticket, func(a *observedRequest) { a.attempts = append(a.attempts, body) })
+// recordResult enters a result.
+func (o *oracle) recordResult(ticket, body string) {
+	o.updateRequest(ticket, func(a *observedRequest) { a.results = append(a.results, body) })
 }
 
-// killed excuses all requests of a dispatcher's life that have no answer.
-func (o *oracle) killed(dispatcher, life int) {
+// excuseKilled excuses all requests of a dispatcher's life that have no answer.
+func (o *oracle) excuseKilled(dispatcher, life int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, a := range o.requests {
@@ -202,20 +203,20 @@
 	}
 }
 
-// drained enters that a drain was told.
-func (o *oracle) drained(dispatcher, life int, generation string, at time.Time) {
+// recordDrain enters that a drain was told.
+func (o *oracle) recordDrain(dispatcher, life int, generation string, at time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if _, ok := o.drains[notificationKey{dispatcher, life, generation}]; !ok {
-		o.drains[notificationKey{dispatcher, life, generation}] = at
+	if _, ok := o.drainNotices[notificationKey{dispatcher, life, generation}]; !ok {
+		o.drainNotices[notificationKey{dispatcher, life, generation}] = at
 	}
 }
 
-// started enters a cold start.
-func (o *oracle) started(generation string) {
+// recordStart enters a cold start.
+func (o *oracle) recordStart(generation string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.cold[generation] = time.Now()
+	o.slowStarts[generation] = time.Now()
 }
 
 // judge judges all that was seen, at the end.
@@ -226,14 +227,14 @@
 		if a.class != "?" {
 			o.judgeAnswer(a)
 			o.judgePosts(a)
-			o.judgeRepeats(a)
+			o.judgeRetries(a)
 		}
 	}
 	o.judgeOrder()
-	if o.budget {
+	if o.hasRetryBudget {
 		o.judgeBudget()
 	}
-	o.judgeCold()
+	o.judgeSlowStart()
 	sort.SliceStable(o.findings, func(i, j int) bool { return o.findings[i].At < o.findings[j].At })
 	return o.findings
 }
@@ -241,10 +242,10 @@
 func (o *oracle) judgeAnswer(a *observedRequest) {
 	switch {
 	case len(a.answers) > 1:
-		o.report("second_answer", a.ticket, a.answers[1].at, "%d answers", len(a.answers))
+		o.addFindingLocked("second_answer", a.ticket, a.answers[1].at, "%d answers", len(a.answers))
 	case len(a.answers) == 0 && a.clientGone.IsZero() && (a.excused == "" || a.excused == crossedClose &&
 		len(a.posts) > 0):
-		o.report("lost", a.ticket, a.sent,
+		o.addFindingLocked("lost", a.ticket, a.sent,
 			"class %s at dispatcher %d: no answer in %v; connection ended %v", a.class,
 			a.dispatcher, a.limit, !a.ended.IsZero())
 	}
@@ -252,56 +253,60 @@
 		return
 	}
 	first := a.answers[0]
-	if late := first.at.Sub(a.sent) - a.limit; late > lateAnswer+measured && a.clientGone.IsZero() {
-		o.report("late", a.ticket, first.at, "%s %v after its time", first.kind, late)
+	if late := first.at.Sub(a.sent) - a.limit; late > answerSlack+measurementSlack && a.clientGone.IsZero() {
+		o.addFindingLocked("late", a.ticket, first.at, "%s %v after its time", first.kind, late)
 	}
-	if first.kind == answerServed && !slices.Contains(a.attempts, first.body) {
-		o.report("served_other", a.ticket, first.at, "%q, of %d results made", first.body, len(a.attempts))
+	if first.kind == answerServed && !slices.Contains(a.results, first.body) {
+		o.addFindingLocked("served_other", a.ticket, first.at, "%q, of %d results made", first.body,
+			len(a.results))
 	}
 }
 
 func (o *oracle) judgePosts(a *observedRequest) {
 	for _, p := range a.posts {
 		if !a.clientGone.IsZero() {
-			if late := p.first.Sub(a.clientGone); late > afterClient+measured {
-				o.report("sent_after_gone", a.ticket, p.first, "%v after its client had gone", late)
+			if late := p.first.Sub(a.clientGone); late > clientGoneSlack+measurementSlack {
+				o.addFindingLocked("sent_after_gone", a.ticket, p.first, "%v after its client had gone", late)
 			}
 		}
 		if len(a.answers) > 0 {
 			if late := p.first.Sub(a.answers[0].at); late > 0 {
-				o.report("sent_after_answer", a.ticket, p.first, "%v after its answer", late)
+				o.addFindingLocked("sent_after_answer", a.ticket, p.first, "%v after its answer", late)
 			}
 		}
-		if more := p.limit - (a.limit - p.first.Sub(a.sent)); more > deadlineMore+measured {
-			o.report("told_deadline", a.ticket, p.first, "%v told, %v more than is left", p.limit, more)
+		if more := p.limit - (a.limit - p.first.Sub(a.sent)); more > deadlineSlack+measurementSlack {
+			o.addFindingLocked("told_deadline", a.ticket, p.first, "%v told, %v more than is left", p.limit,
+				more)
 		}
-		if told, ok := o.drains[notificationKey{p.dispatcher, p.incarnation, p.generation}]; ok {
-			if late := p.first.Sub(told); late > drainGrace+measured {
-				o.report("sent_to_drained", a.ticket, p.first, "%s %v after its drain was told",
+		if told, ok := o.drainNotices[notificationKey{p.dispatcher, p.incarnation, p.generation}]; ok {
+			if late := p.first.Sub(told); late > drainGrace+measurementSlack {
+				o.addFindingLocked("sent_to_drained", a.ticket, p.first, "%s %v after its drain was told",
 					p.generation, late)
 			}
 		}
 	}
 }
 
-func (o *oracle) judgeRepeats(a *observedRequest) {
+func (o *oracle) judgeRetries(a *observedRequest) {
 	c := classOf(a.class)
 	sort.Slice(
-		a.attemptsOut,
-		func(i, j int) bool { return a.attemptsOut[i].from.Before(a.attemptsOut[j].from) },
+		a.intervals,
+		func(i, j int) bool { return a.intervals[i].from.Before(a.intervals[j].from) },
 	)
-	for i := 1; i < len(a.attemptsOut); i++ {
-		before, now := a.attemptsOut[i-1], a.attemptsOut[i]
+	for i := 1; i < len(a.intervals); i++ {
+		before, now := a.intervals[i-1], a.intervals[i]
 		if c.effect == unsafe {
-			o.report("repeated_unsafe", a.ticket, now.from, "at node %d after node %d", now.node, before.node)
+			o.addFindingLocked("repeated_unsafe", a.ticket, now.from, "at node %d after node %d", now.node,
+				before.node)
 		}
 		alone := c.effect != safe || c.inOrder // of others the page forbids no second attempt
 		if alone && (before.to.IsZero() || now.from.Before(before.to)) {
-			o.report("repeated_beside", a.ticket, now.from, "at node %d while at node %d", now.node,
+			o.addFindingLocked("repeated_beside", a.ticket, now.from, "at node %d while at node %d", now.node,
 				before.node)
 		}
-		if late := now.from.Sub(a.attemptsOut[0].from) - c.window; c.effect == keyed && late > measured {
-			o.report("repeated_late", a.ticket, now.from, "%v after its window", late)
+		if late := now.from.Sub(a.intervals[0].from) - c.window; c.effect == keyed &&
+			late > measurementSlack {
+			o.addFindingLocked("repeated_late", a.ticket, now.from, "%v after its window", late)
 		}
 	}
 }
@@ -318,7 +323,7 @@
 		for i, a := range all {
 			for _, b := range all[i+1:] {
 				if both, at := overlapping(a, b); both {
-					o.report("out_of_order", a.ticket, at, "key %s, beside %s", a.key, b.ticket)
+					o.addFindingLocked("out_of_order", a.ticket, at, "key %s, beside %s", a.key, b.ticket)
 				}
 			}
 		}
@@ -329,8 +334,8 @@
 	if a.dispatcher != b.dispatcher || a.incarnation != b.incarnation {
 		return false, time.Time{}
 	}
-	for _, x := range a.attemptsOut {
-		for _, y := range b.attemptsOut {
+	for _, x := range a.intervals {
+		for _, y := range b.intervals {
 			if (y.to.IsZero() || x.from.Before(y.to)) && (x.to.IsZero() || y.from.Before(x.to)) {
 				if x.from.Before(y.from) {
 					return true, y.from
@@ -349,7 +354,7 @@
 	taken, further := map[life][]time.Time{}, map[life][]postedQuery{}
 	for _, a := range o.requests {
 		at := life{a.dispatcher, a.incarnation}
-		if !a.sent.IsZero() && !a.stranger {
+		if !a.sent.IsZero() && !a.malformed {
 			taken[at] = append(taken[at], a.sent)
 		}
 		sort.Slice(a.posts, func(i, j int) bool { return a.posts[i].first.Before(a.posts[j].first) })
@@ -363,30 +368,30 @@
 	for at, posts := range further {
 		for _, p := range posts {
 			broken := true
-			for _, edge := range []time.Duration{-measured, 0, measured} {
-				from := p.first.Add(edge - budgetOver)
-				used, allowed := 0.0, budgetFree
+			for _, edge := range []time.Duration{-measurementSlack, 0, measurementSlack} {
+				from := p.first.Add(edge - retryBudgetWindow)
+				used, allowed := 0.0, retryBudgetFree
 				for _, other := range posts {
 					if other.first.After(from) && !other.first.After(p.first) {
 						used++
 					}
 				}
 				for _, t := range taken[at] {
-					if t.After(from) && !t.After(p.first.Add(measured)) {
-						allowed += budgetShare
+					if t.After(from) && !t.After(p.first.Add(measurementSlack)) {
+						allowed += retryBudgetRatio
 					}
 				}
 				broken = broken && used > allowed+1e-9
 			}
 			if broken {
-				o.report("over_budget", p.ticket, p.first, "dispatcher %d", at.dispatcher)
+				o.addFindingLocked("over_budget", p.ticket, p.first, "dispatcher %d", at.dispatcher)
 			}
 		}
 	}
 }
 
-// judgeCold finds cold compute nodes that were given more than they bear.
-func (o *oracle) judgeCold() {
+// judgeSlowStart finds cold compute nodes that were given more than they bear.
+func (o *oracle) judgeSlowStart() {
 	arrivals := map[string][]postedQuery{}
 	mean, shares := 0.0, 0.0
 	for _, c := range classes {
@@ -395,30 +400,32 @@
 	mean /= shares
 	for _, a := range o.requests {
 		for _, p := range a.posts {
-			if start, ok := o.cold[p.generation]; ok && p.first.Sub(start) < coldFor {
+			if start, ok := o.slowStarts[p.generation]; ok && p.first.Sub(start) < slowStartDuration {
 				arrivals[p.generation] = append(arrivals[p.generation], p)
 			}
 		}
 	}
 	for generation, posts := range arrivals {
-		start := o.cold[generation]
+		start := o.slowStarts[generation]
 		for _, p := range posts {
 			work := 0.0
 			for _, other := range posts {
-				if since := p.first.Sub(other.first); since >= 0 && since < coldWindow {
+				if since := p.first.Sub(other.first); since >= 0 && since < slowStartWindow {
 					work += classOf(other.class).work.Seconds() / mean
 				}
 			}
-			warmth := coldFrom + (1-coldFrom)*p.first.Sub(start).Seconds()/coldFor.Seconds()
-			n := coldMultiple * nodeCores * warmth * coldWindow.Seconds() / mean
+			warmth := slowStartFrom +
+				(1-slowStartFrom)*p.first.Sub(start).Seconds()/slowStartDuration.Seconds()
+			n := slowStartFactor * nodeCores * warmth * slowStartWindow.Seconds() / mean
 			allowed := n + 2*math.Sqrt(n) + 2
 			if n < 30 {
 				allowed = n + 3*math.Sqrt(n) + 3
 			}
 			if work > allowed {
-				o.report("cold_overload", p.ticket, p.first, "%s: %.0f requests in %v, %.0f allowed",
+				o.addFindingLocked("cold_overload", p.ticket, p.first,
+					"%s: %.0f requests in %v, %.0f allowed",
 					generation, work,
-					coldWindow, allowed)
+					slowStartWindow, allowed)
 				break
 			}
 		}
@@ -460,7 +467,7 @@
 		if t.IsZero() {
 			return "never"
 		}
-		return fmt.Sprintf("%.3fs", t.Sub(o.zero).Seconds())
+		return fmt.Sprintf("%.3fs", t.Sub(o.startedAt).Seconds())
 	}
 	lines = append(lines,
 		fmt.Sprintf("request %s of class %s, key %q, at dispatcher %d life %d: sent %s, limit %v, "+
@@ -471,7 +478,7 @@
 		lines = append(lines, fmt.Sprintf("  started at node %d (%s) %s to %s, told %v", p.node, p.generation,
 			at(p.first), at(p.whole), p.limit))
 	}
-	for _, x := range a.attemptsOut {
+	for _, x := range a.intervals {
 		lines = append(lines, fmt.Sprintf("  out at node %d %s to %s", x.node, at(x.from), at(x.to)))
 	}
 	for _, h := range a.answers {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -16,44 +16,45 @@
 
 // The kinds of trouble. Those of a dispatcher concern one dispatcher, those of a node one compute node.
 const (
-	Terminate    Kind = "terminate"      // SIGTERM, and a new process after its end
-	Kill         Kind = "kill"           // SIGKILL, and a new process
-	Reload       Kind = "reload"         // discovery moves, SIGHUP
-	ReloadBurst  Kind = "reload-burst"   // several in quick succession
-	DiscDown     Kind = "discovery-down" // refuses connections and ends those that are open
-	DiscMute     Kind = "discovery-mute" // open watches fall silent
-	DiscSlow     Kind = "discovery-slow" // takes 2.2 s for each answer
-	DiscTorn     Kind = "discovery-torn" // breaks off in the middle of events
-	LinkDelay    Kind = "link-delay"     // to all compute nodes
-	LinkCut      Kind = "link-cut"       // nothing comes through, nothing is closed
-	LinkBytes    Kind = "link-bytes"     // one byte at a time
-	LinkReset    Kind = "link-reset"     // connections are reset, with bytes on the way
-	LinkForget   Kind = "link-forget"    // resting connections are forgotten: silence for what comes on them
-	LinkIdle     Kind = "link-idle"      // resting connections are reset, again and again
-	ClientDelay  Kind = "client-delay"   // the clients' links of a dispatcher
-	ClientBytes  Kind = "client-bytes"
-	ClientsLeave Kind = "clients-leave"  // all its clients close, with requests open
-	ClientsTake  Kind = "clients-cancel" // all open requests are taken back
-	ClientsIdle  Kind = "clients-idle"   // many connections that say nothing
-	Pause        Kind = "pause"          // the process does not run for a moment, as on a full core
-	Strangers    Kind = "strangers"      // ask much and take it back, and count for nothing
-	NodeDrain    Kind = "node-drain"     // drains, leaves, and another comes at its address
-	NodeCrash    Kind = "node-crash"     // and comes back cold
-	NodeHang     Kind = "node-hang"
-	NodesHang    Kind = "nodes-hang" // all of them, for longer than a shutdown takes
-	NodeFull     Kind = "node-full"
-	NodeErrors   Kind = "node-errors"
-	NodeTwice    Kind = "node-twice" // answers come twice, the second copy up to 120 ms later
-	ClockStep    Kind = "clock-step" // the dispatcher's wall clock, by seconds or an hour
-	CallsFail    Kind = "calls-fail" // accept, connect and looks at sockets fail now and then
-	DialsLate    Kind = "dials-late" // connections come up late
+	Terminate   Kind = "terminate"      // SIGTERM, and a new process after its end
+	Kill        Kind = "kill"           // SIGKILL, and a new process
+	Reload      Kind = "reload"         // discovery moves, SIGHUP
+	ReloadBurst Kind = "reload-burst"   // several in quick succession
+	DiscDown    Kind = "discovery-down" // refuses connections and ends those that are open
+	DiscMute    Kind = "discovery-mute" // open watches fall silent
+	DiscSlow    Kind = "discovery-slow" // takes 2.2 s for each answer
+	DiscTorn    Kind = "discovery-torn" // breaks off in the middle of events
+	LinkDelay   Kind = "link-delay"     // to all compute nodes
+	LinkCut     Kind = "link-cut"       // nothing comes through, nothing is closed
+	LinkBytes   Kind = "link-bytes"     // one byte at a time
+	LinkReset   Kind = "link-reset"     // connections are reset, with bytes on the way
+	// resting connections are forgotten: silence for what comes on them
+	LinkForget       Kind = "link-forget"
+	LinkIdle         Kind = "link-idle"    // resting connections are reset, again and again
+	ClientDelay      Kind = "client-delay" // the clients' links of a dispatcher
+	ClientBytes      Kind = "client-bytes"
+	ClientsLeave     Kind = "clients-leave"  // all its clients close, with requests open
+	ClientsTake      Kind = "clients-cancel" // all open requests are taken back
+	ClientsIdle      Kind = "clients-idle"   // many connections that say nothing
+	Pause            Kind = "pause"          // the process does not run for a moment, as on a full core
+	MalformedClients Kind = "strangers"      // ask much and take it back, and count for nothing
+	NodeDrain        Kind = "node-drain"     // drains, leaves, and another comes at its address
+	NodeCrash        Kind = "node-crash"     // and comes back cold
+	NodeHang         Kind = "node-hang"
+	NodesHang        Kind = "nodes-hang" // all of them, for longer than a shutdown takes
+	NodeFull         Kind = "node-full"
+	NodeErrors       Kind = "node-errors"
+	NodeTwice        Kind = "node-twice" // answers come twice, the second copy up to 120 ms later
+	ClockStep        Kind = "clock-step" // the dispatcher's wall clock, by seconds or an hour
+	CallsFail        Kind = "calls-fail" // accept, connect and looks at sockets fail now and then
+	DialsLate        Kind = "dials-late" // connections come up late
 )
 
 var (
 	ofDispatcher = []Kind{Terminate, Terminate, Terminate, Kill, Reload, ReloadBurst, DiscDown, DiscMute,
 		DiscSlow, DiscTorn, LinkDelay,
 		LinkCut, LinkBytes, LinkReset, LinkForget, LinkIdle, ClientDelay, ClientBytes, ClientsLeave,
-		ClientsTake, ClientsIdle, Pause, Pause, Strangers}
+		ClientsTake, ClientsIdle, Pause, Pause, MalformedClients}
 	ofNode  = []Kind{NodeDrain, NodeCrash, NodeHang, NodesHang, NodeFull, NodeErrors, NodeTwice}
 	ofFault = []Kind{ClockStep, CallsFail, DialsLate} // these need the build for the soak
 )
@@ -167,7 +168,7 @@
 	switch t.Kind {
 	case NodesHang:
 		t.For = 4*time.Second + t.For/4
-	case Strangers, NodeErrors:
+	case MalformedClients, NodeErrors:
 		t.For += 2 * time.Second
 	case Pause:
 		t.For = min(t.For, pauseMost)
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -14,26 +14,26 @@
 
 // The modes of a link.
 const (
-	linkWell  linkMode = iota
-	linkDelay          // each piece comes later
-	linkBytes          // one byte at a time
-	linkCut            // nothing comes through, nothing is closed, new connections stay silent
-	linkReset          // connections are reset when something comes on them
+	linkHealthy linkMode = iota
+	linkDelay            // each piece comes later
+	linkBytes            // one byte at a time
+	linkCut              // nothing comes through, nothing is closed, new connections stay silent
+	linkReset            // connections are reset when something comes on them
 )
 
 // proxy is a link: it takes connections on a port of its own and passes bytes on as its mode says. tap
 // sees what the near side writes, at once, whatever the mode does with it then.
 type proxy struct {
-	ln     net.Listener
-	target string
-	tap    func(connection int, now time.Time, b []byte)
-
-	mu    sync.Mutex
-	mode  linkMode
-	delay time.Duration
-	conns map[int]*proxiedConn
-	last  int
-	done  sync.WaitGroup
+	listener net.Listener
+	target   string
+	tap      func(connection int, now time.Time, b []byte)
+
+	mu         sync.Mutex
+	mode       linkMode
+	delay      time.Duration
+	conns      map[int]*proxiedConn
+	lastID     int
+	background sync.WaitGroup
 }
 
 // proxiedConn is a connection through a link.
@@ -48,20 +48,20 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{ln: ln, target: target, tap: tap, conns: map[int]*proxiedConn{}}
-	p.done.Go(p.run)
+	p := &proxy{listener: ln, target: target, tap: tap, conns: map[int]*proxiedConn{}}
+	p.background.Go(p.run)
 	return p, nil
 }
 
-func (p *proxy) addr() string { return p.ln.Addr().String() }
+func (p *proxy) addr() string { return p.listener.Addr().String() }
 
 func (p *proxy) run() {
 	for {
-		near, err := p.ln.Accept()
+		near, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		p.done.Go(func() { p.serve(near) })
+		p.background.Go(func() { p.serve(near) })
 	}
 }
 
@@ -69,8 +69,8 @@
 func (p *proxy) serve(near net.Conn) {
 	c := &proxiedConn{client: near, lastUsed: time.Now()}
 	p.mu.Lock()
-	p.last++
-	id := p.last
+	p.lastID++
+	id := p.lastID
 	p.conns[id] = c
 	p.mu.Unlock()
 	defer func() {
@@ -195,9 +195,9 @@
 }
 
 func (p *proxy) close() {
-	p.ln.Close()
+	p.listener.Close()
 	p.cutAll()
-	p.done.Wait()
+	p.background.Wait()
 }
 
 // reset closes a connection so that the other side sees a reset.
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -42,29 +42,29 @@
 	started := func(w *world, ticket string, ms int) {
 		p := postedQuery{call: call{first: w.at(ms), whole: w.at(ms), limit: 100 * time.Millisecond},
 			generation: "n0-0", incarnation: 1}
-		w.change(ticket, func(a *observedRequest) {
+		w.updateRequest(ticket, func(a *observedRequest) {
 			p.class = a.class
 			a.posts = append(a.posts, p)
 		})
 	}
 	out := func(w *world, ticket string, node, from, to int) {
-		w.change(
+		w.updateRequest(
 			ticket,
 			func(a *observedRequest) {
-				a.attemptsOut = append(a.attemptsOut, interval{node, w.at(from),
+				a.intervals = append(a.intervals, interval{node, w.at(from),
 					w.at(to)})
 			},
 		)
 	}
 	served := func(w *world, ticket string, ms int) {
-		w.change(
+		w.updateRequest(
 			ticket,
 			func(a *observedRequest) { a.answers = append(a.answers, response{answerServed, "r", w.at(ms)}) },
 		)
-		w.attemptMade(ticket, "r")
+		w.recordResult(ticket, "r")
 	}
 	gone := func(w *world, ticket string, ms int) {
-		w.change(ticket, func(a *observedRequest) { a.clientGone = w.at(ms) })
+		w.updateRequest(ticket, func(a *observedRequest) { a.clientGone = w.at(ms) })
 	}
 	for name, c := range map[string]struct {
 		class string
@@ -81,7 +81,7 @@
 		}, "second_answer"},
 		"another result": {"quick", func(w *world) {
 			served(w, "a", 10)
-			w.change("a", func(a *observedRequest) { a.attempts = []string{"s"} })
+			w.updateRequest("a", func(a *observedRequest) { a.results = []string{"s"} })
 		}, "served_other"},
 		"after its client": {"quick", func(w *world) { gone(w, "a", 100); started(w, "a", 400) },
 			"sent_after_gone"},
@@ -89,11 +89,11 @@
 			"sent_after_answer"},
 		"deadline": {"quick", func(w *world) {
 			started(w, "a", 10)
-			w.change("a", func(a *observedRequest) { a.posts[0].limit = 5 * time.Second })
+			w.updateRequest("a", func(a *observedRequest) { a.posts[0].limit = 5 * time.Second })
 			served(w, "a", 100)
 		}, "told_deadline"},
 		"drained": {"quick", func(w *world) {
-			w.drained(0, 1, "n0-0", w.at(-5000))
+			w.recordDrain(0, 1, "n0-0", w.at(-5000))
 			started(w, "a", 10)
 			served(w, "a", 100)
 		}, "sent_to_drained"},
@@ -115,7 +115,7 @@
 		"out of order": {"turn", func(w *world) {
 			out(w, "a", 0, 1, 50)
 			served(w, "a", 60)
-			w.change("b", func(b *observedRequest) {
+			w.updateRequest("b", func(b *observedRequest) {
 				b.class, b.key, b.incarnation, b.limit, b.sent, b.clientGone = "turn", "k", 1, time.Second,
 					w.at(0),
 					w.at(90)
@@ -129,10 +129,10 @@
 			served(w, "a", 100)
 		}, "over_budget"},
 		"cold": {"quick", func(w *world) {
-			w.cold["n0-0"] = w.at(0)
+			w.slowStarts["n0-0"] = w.at(0)
 			for i := range 400 {
 				ticket := string(rune('b' + i))
-				w.change(ticket, func(b *observedRequest) {
+				w.updateRequest(ticket, func(b *observedRequest) {
 					b.class, b.incarnation, b.limit, b.sent, b.clientGone = "load", 1,
 						time.Second, w.at(0), w.at(900)
 				})
@@ -142,9 +142,10 @@
 		}, "cold_overload"},
 	} {
 		o := newOracle(true)
-		w := &world{o, func(ms int) time.Time { return o.zero.Add(time.Duration(ms) * time.Millisecond) }}
-		o.change("a", func(a *observedRequest) {
-			a.class, a.key, a.incarnation, a.sent, a.limit = c.class, "k", 1, o.zero, time.Second
+		w := &world{o,
+			func(ms int) time.Time { return o.startedAt.Add(time.Duration(ms) * time.Millisecond) }}
+		o.updateRequest("a", func(a *observedRequest) {
+			a.class, a.key, a.incarnation, a.sent, a.limit = c.class, "k", 1, o.startedAt, time.Second
 		})
 		c.play(w)
 		var found []string
