--- a/internal/backend/copyin/pipe.go
+++ b/internal/backend/copyin/pipe.go
@@ -84,7 +84,7 @@
 // Ready is signalled when Take may return something new.
 func (p *Pipe) Ready() <-chan struct{} { return p.ready }
 
-// Take exchanges the queued bytes for a spare buffer, and says how the data ended behind them.
+// Take exchanges the queued bytes for a spare buffer, and says how the data ended after them.
 func (p *Pipe) Take(spare []byte) ([]byte, End) {
 	p.mu.Lock()
 	b, end := p.data, p.end
--- a/internal/backend/copyin/pipe_test.go
+++ b/internal/backend/copyin/pipe_test.go
@@ -55,7 +55,7 @@
 			t.Fatalf("stopped %d times, resumed %d times, full %v", stopped, resumed, p.Full())
 		}
 		p.Put([]byte("x"), Done)
-		p.Put([]byte("late"), Open) // behind the end nothing counts
+		p.Put([]byte("late"), Open) // after the end nothing counts
 		if b, end := p.Take(nil); string(b) != "x" || end != Done {
 			t.Fatalf("%q, %v", b, end)
 		}
--- a/internal/backend/enginequery/query.go
+++ b/internal/backend/enginequery/query.go
@@ -25,7 +25,7 @@
 	Text           string
 	Parsed         []sqlscan.Statement
 	ParameterTypes string // OIDs of the parameters, 4 bytes each
-	BindBody       []byte // body of the Bind message behind its two names
+	BindBody       []byte // body of the Bind message after its two names
 
 	// For Kind Execute.
 
@@ -49,7 +49,7 @@
 // PrepareKey identifies what an engine prepares for the query: its text and parameter types.
 func (q *Query) PrepareKey() string { return q.ParameterTypes + "\x00" + q.Text }
 
-// MayCopyIn reports whether the query may open copy-in mode by the extended protocol. No Sync is sent behind
+// MayCopyIn reports whether the query may open copy-in mode by the extended protocol. No Sync is sent after
 // such a query until the copy has ended: an engine in copy-in mode skips a Sync, but it answers one if the
 // copy fails before that is read, so that the number of ReadyForQuery messages could not be foreseen.
 func (q *Query) MayCopyIn() bool {
--- a/internal/backend/pgbackend/attempt.go
+++ b/internal/backend/pgbackend/attempt.go
@@ -27,8 +27,8 @@
 	OnEnded func(Result)
 	// OnProgress is called for each progress notice of the engine.
 	OnProgress func(cresspass.NoteType, float64)
-	// OnDescribed is called with the engine's response to the Describe of a statement; nil: a cached one is
-	// to be forgotten.
+	// OnDescribed is called with the engine's response to the Describe of a statement; nil: a cached one must
+	// be dropped.
 	OnDescribed func(key string, description []byte)
 	// FailureVerdict is the verdict for a client whose response broke off.
 	FailureVerdict func() *verdict.Verdict
@@ -75,7 +75,7 @@
 	Settings          *sessionparams.Set // of the connection before the query
 }
 
-// Disposition is what becomes of an engine connection behind a query. The zero value closes it.
+// Disposition is what becomes of an engine connection after a query. The zero value closes it.
 type Disposition struct {
 	Known    bool               // the state left on the connection is known
 	Keep     bool               // the session stays on the connection
--- a/internal/backend/pgbackend/conn.go
+++ b/internal/backend/pgbackend/conn.go
@@ -49,7 +49,7 @@
 	gatedRequest    []byte // request that waits until the engine has taken the session's settings
 	settingReported bool   // a ParameterStatus came while the query ran
 	tainted         bool   // the state on the connection is unknown: it is closed at the attempt's end
-	syncPending     bool   // no Sync was sent behind the request
+	syncPending     bool   // no Sync was sent after the request
 	hadCopyIn       bool   // the query had a copy-in
 	copyInFailed    bool   // its client made the copy fail
 	preparingKey    string // key of the statement that the request parses; "": none, or ParseComplete came
@@ -88,8 +88,8 @@
 		c.releaseUnused(a)
 		return true
 	}
-	// The attempt may have waited for this connection since the module decided. Without this check a query
-	// would be sent whose client, engine or time is gone.
+	// The attempt may have waited for this connection since the module decided. Without this check, a query
+	// could be sent whose client has disconnected, whose engine drains or whose deadline has passed.
 	if outcome, ok := a.mayStart(); !ok {
 		c.mu.Unlock()
 		c.releaseUnused(a)
@@ -103,7 +103,7 @@
 	a.conn.Store(c)
 	c.write(request)
 	// If the attempt was withdrawn between the first check and here, its withdrawal found no connection, and
-	// nobody has cancelled it.
+	// so that the engine was not asked to cancel it.
 	if a.done.Load() {
 		c.cancelAttempt(a)
 	}
--- a/internal/backend/pgbackend/copyin.go
+++ b/internal/backend/pgbackend/copyin.go
@@ -11,7 +11,7 @@
 const maxIdleCopyBuffer = 1 << 20
 
 // copyWriter writes the data of a copy-in to the engine. It has a goroutine of its own, as an engine that is
-// slow to take the data must delay neither its own messages nor anybody else.
+// slow to take the data must delay neither its own messages nor other connections.
 type copyWriter struct {
 	pipe          *copyin.Pipe
 	statementDone chan struct{} // the engine has ended the statement
@@ -19,7 +19,7 @@
 
 	// The writer's; of others only once stopped is closed.
 
-	syncPending bool // a Sync is to be sent behind the end of the data
+	syncPending bool // a Sync is to be sent after the end of the data
 	failed      bool // a CopyFail was sent
 }
 
@@ -97,7 +97,7 @@
 }
 
 // finishCopyIn stops the writer at the engine's end of the statement, so that nothing of the copy follows on
-// the connection. failed says that the copy's failure was asked for, by its client or for want of one.
+// the connection. failed says that a CopyFail was sent, by the client or because the client is gone.
 func (c *conn) finishCopyIn() (failed bool) {
 	w := c.activeCopy
 	if w == nil {
--- a/internal/backend/pgbackend/pool.go
+++ b/internal/backend/pgbackend/pool.go
@@ -23,7 +23,7 @@
 	CopyBufferBytes  int    // of a COPY's data that may wait for the engine before its client is not read
 
 	ConnectTimeout time.Duration
-	IdleTimeout    time.Duration // an idle connection is closed behind it; 0: never
+	IdleTimeout    time.Duration // an idle connection is closed after it; 0: never
 	// CancelTimeout bounds how long an engine may take to take a cancel request, and to end the query by it.
 	// Behind it the connection is closed.
 	CancelTimeout time.Duration
--- a/internal/backend/pgbackend/ready.go
+++ b/internal/backend/pgbackend/ready.go
@@ -55,7 +55,7 @@
 }
 
 // settleSession finds out what a query left on the connection, and whether its session stays on it. tainted
-// says that nobody knows: no other session may have the connection.
+// says that the state is unknown: no other session may use the connection.
 func (c *conn) settleSession(a *Attempt, status byte, retryable bool) (keep, tainted bool) {
 	if a.Response == nil || !a.Stateful && !c.settingReported {
 		return false, c.tainted
@@ -84,7 +84,7 @@
 }
 
 // detach ends the attempt's use of the connection and gives the connection back, if another may have it. An
-// error says that nobody may.
+// error says that none may.
 func (c *conn) detach(status byte, keep, tainted bool) error {
 	var err error
 	c.mu.Lock()
@@ -117,7 +117,7 @@
 	case o.queryError:
 		c.cacheDescription(a, o)
 		if r.ResponseFinished = a.Response.Finish(a.Number, o.batch, o.failed); !r.ResponseFinished {
-			r.Outcome = cresspass.OutcomeCancelled // the attempt was revoked, and reported by whoever did so
+			r.Outcome = cresspass.OutcomeCancelled // the attempt was revoked, and its end was reported then
 		}
 		a.end(r)
 	case a.Stateful && !o.retryable:
@@ -130,7 +130,7 @@
 	}
 }
 
-// cacheDescription passes on a statement's description, or has it forgotten behind an error.
+// cacheDescription passes on a statement's description, or has it forgotten after an error.
 func (c *conn) cacheDescription(a *Attempt, o queryOutcome) {
 	switch {
 	case a.OnDescribed == nil:
--- a/internal/backend/pgbackend/request.go
+++ b/internal/backend/pgbackend/request.go
@@ -9,16 +9,16 @@
 	"cresspass/internal/protocol/pgwire"
 )
 
-// unknownSetting is the value of a setting of ours that the connection may have lost. It differs from every
-// value that is asked for, so that the setting is sent again.
+// unknownSetting is the value of work_mem or priority where the connection may have lost it. It differs from
+// every value that is asked for, so that the setting is sent again.
 const unknownSetting = -1
 
-// preparedStatement is a statement that the engine has parsed, under a name of ours.
+// preparedStatement is a statement that the engine has parsed, under a name that the connection chose.
 type preparedStatement struct{ key, name string }
 
 // buildRequest returns what goes to the engine: the settings that differ, then the query. Where settings of
-// the session itself differ, the query waits until the engine has taken them: without them it would give
-// other results, and nobody would be told.
+// the session itself differ, the query waits until the engine has accepted them: without them it would
+// silently give other results.
 func (c *conn) buildRequest(a *Attempt) []byte {
 	if a.Response == nil { // a health check
 		return pgwire.AppendText(nil, 'Q', "")
--- a/internal/backend/sessionparams/settings.go
+++ b/internal/backend/sessionparams/settings.go
@@ -4,7 +4,7 @@
 // connection to a session's settings. It does no I/O.
 //
 // A SET counts once the engine says so: outside a transaction at its CommandComplete and the ReadyForQuery
-// behind it, in one at COMMIT ("SET": "the effects ... disappear when the transaction is rolled back").
+// after it, in one at COMMIT ("SET": "the effects ... disappear when the transaction is rolled back").
 package sessionparams
 
 // replayedSettings are the settings that mean the same on every engine and describe no state of one engine.
--- a/internal/backend/sessionparams/tracker.go
+++ b/internal/backend/sessionparams/tracker.go
@@ -69,7 +69,7 @@
 		t.apply(t.pendingInQuery)
 		t.pendingInTx, t.pendingInQuery = nil, nil
 	case tag == "ROLLBACK" && rollsBackToSavepoint(st):
-		// What was set behind the savepoint is undone and what was set before it is not. Which is which is
+		// What was set after the savepoint is undone and what was set before it is not. Which is which is
 		// not tracked.
 		t.uncertain = t.uncertain || len(t.pendingInTx)+len(t.pendingInQuery) > 0
 	case tag == "ROLLBACK":
--- a/internal/frontend/flightsql/arrowbatch/bind.go
+++ b/internal/frontend/flightsql/arrowbatch/bind.go
@@ -16,7 +16,7 @@
 // nullLength is the length of a null in PostgreSQL's messages.
 const nullLength = math.MaxUint32
 
-// AppendBind appends the body of a Bind message behind its two names: one row of a batch as parameters in
+// AppendBind appends the body of a Bind message after its two names: one row of a batch as parameters in
 // text format, and the formats of the result. A nil batch has no parameters.
 func AppendBind(out []byte, r arrow.RecordBatch, row int, result *Schema) ([]byte, error) {
 	out = binary.BigEndian.AppendUint16(out, 0) // no format: all parameters are text
--- a/internal/frontend/flightsql/arrowbatch/numeric.go
+++ b/internal/frontend/flightsql/arrowbatch/numeric.go
@@ -30,7 +30,7 @@
 	weight   int    // of the first digit: its power of numericBase
 	negative bool
 	special  string // NaN, Infinity, -Infinity; "": a number
-	scale    int    // decimal digits behind the point
+	scale    int    // decimal digits after the point
 }
 
 func parseNumeric(v []byte) (numeric, error) {
@@ -108,8 +108,8 @@
 	return append(out, byte('0'+d/1000), byte('0'+d/100%10), byte('0'+d/10%10), byte('0'+d%10))
 }
 
-// decimal returns the number as Arrow's, exactly. A number that does not fit is an error: rounded, or as a
-// null, it would be another result, and nobody would be told.
+// decimal returns the number as Arrow's, exactly. A number that does not fit is an error: to round it or
+// to return null would silently change the result.
 func (n *numeric) decimal(precision, scale int32) (decimal128.Num, error) {
 	if n.special != "" {
 		return decimal128.Num{}, fmt.Errorf("%s does not fit decimal(%d, %d)", n.special, precision, scale)
@@ -137,12 +137,12 @@
 	return fmt.Errorf("does not fit decimal(%d, %d)", precision, scale)
 }
 
-// smallFraction is the number of decimal digits behind the point that smallDecimal looks at: two digits to
+// smallFraction is the number of decimal digits after the point that smallDecimal looks at: two digits to
 // numericBase.
 const smallFraction = 2 * baseDigits
 
 // smallDecimal is decimal without arbitrary precision, for numbers of up to 16 digits before the point and 8
-// behind it. ok is false for any other.
+// after it. ok is false for any other.
 func (n *numeric) smallDecimal(precision, scale int32) (d decimal128.Num, ok bool, err error) {
 	count := len(n.digits) / 2
 	if n.weight >= 4 || n.weight < -1 || scale > smallFraction || count > n.weight+3 {
--- a/internal/frontend/flightsql/arrowbatch/schema.go
+++ b/internal/frontend/flightsql/arrowbatch/schema.go
@@ -116,7 +116,7 @@
 	return s, nil
 }
 
-// columnTail is the size of a column's description behind its name and the zero byte that ends it.
+// columnTail is the size of a column's description after its name and the zero byte that ends it.
 const columnTail = 18
 
 // parseColumn reads one column of a RowDescription and returns what follows it.
@@ -130,7 +130,7 @@
 	}
 	c.Name = string(b[:end])
 	b = b[end+1:]
-	c.OID = binary.BigEndian.Uint32(b[6:]) // behind the table's OID and the column's number
+	c.OID = binary.BigEndian.Uint32(b[6:]) // after the table's OID and the column's number
 	c.TypeModifier = int32(binary.BigEndian.Uint32(b[12:]))
 	c.Binary = binary.BigEndian.Uint16(b[16:]) == formatBinary
 	return c, b[columnTail:], nil
--- a/internal/frontend/flightsql/call.go
+++ b/internal/frontend/flightsql/call.go
@@ -37,7 +37,7 @@
 
 func verdictError(v *verdict.Verdict) error { return &callError{grpcstatus.FromVerdict(v)} }
 
-// invalidCall is the error of a call that asks for what is not to be had. Nothing ran.
+// invalidCall is the error of a call that cannot be served as it is. Nothing ran.
 func invalidCall(code codes.Code, format string, args ...any) error {
 	return &callError{grpcstatus.InvalidCall(code, fmt.Sprintf(format, args...))}
 }
@@ -89,10 +89,10 @@
 
 // client returns the client of a call. The remaining deadline is what grpc-timeout says; a call that gRPC or
 // its client retries says so by grpc-previous-rpc-attempts ("gRPC Retry Design").
-func (v *session) client(ctx context.Context) classify.Client {
-	v.mu.Lock()
-	client := classify.Client{User: v.user, Database: v.database, Application: v.application}
-	v.mu.Unlock()
+func (sess *session) client(ctx context.Context) classify.Client {
+	sess.mu.Lock()
+	client := classify.Client{User: sess.user, Database: sess.database, Application: sess.application}
+	sess.mu.Unlock()
 	if deadline, ok := ctx.Deadline(); ok {
 		client.Timeout = max(time.Until(deadline), time.Nanosecond)
 	}
@@ -172,7 +172,8 @@
 	signal(c.dataReady)
 }
 
-// WriteVerdict takes a verdict. What came before it and was not taken is dropped: the client is told at once.
+// WriteVerdict takes a verdict. What came before it and was not taken is dropped: the client receives the
+// verdict at once.
 func (c *call) WriteVerdict(v *verdict.Verdict) {
 	c.scope.onResponseEnded(c)
 	c.mu.Lock()
@@ -251,8 +252,8 @@
 	return b, !done, true, nil
 }
 
-// abandon ends the call of a client that is gone. Nothing more goes out. A statement that runs exclusively
-// takes its sticky scope with it: nobody would know what it left there.
+// abandon ends the call of a client that is gone. Nothing more is sent. A statement that runs exclusively
+// ends its sticky scope: the state that it left there is unknown.
 func (c *call) abandon() {
 	ours := c.query.Response.Abandon()
 	c.mu.Lock()
--- a/internal/frontend/flightsql/catalog.go
+++ b/internal/frontend/flightsql/catalog.go
@@ -15,7 +15,7 @@
 )
 
 // What drivers ask when they connect. Databases, schemas, tables and keys are known to an engine only: each
-// call runs a query on the way of any query, with a comment by which rules can give it a class. GetFlightInfo
+// call runs an ordinary query, with a comment by which rules can give it a class. GetFlightInfo
 // gives the command itself as the ticket for DoGet.
 
 // Queries for catalogs. A parameter that is null does not filter.
--- a/internal/frontend/flightsql/grpcstatus/status.go
+++ b/internal/frontend/flightsql/grpcstatus/status.go
@@ -123,7 +123,7 @@
 		errorInfo(ReasonEngine, metadata(f.Code, ranUnknown)))
 }
 
-// InvalidCall returns the status of a call that asks for what is not to be had. Nothing ran.
+// InvalidCall returns the status of a call that cannot be served as it is. Nothing ran.
 func InvalidCall(code codes.Code, message string) *Status {
 	return build(code, message, noRetry, false,
 		errorInfo(ReasonInvalid, map[string]string{metadataRan: ranNo}))
--- a/internal/frontend/flightsql/handshake.go
+++ b/internal/frontend/flightsql/handshake.go
@@ -36,16 +36,16 @@
 	if s.draining.Load() {
 		return verdictError(verdict.ShuttingDown(false))
 	}
-	v, err := s.openSession(randomName(), user, false)
+	sess, err := s.openSession(randomName(), user, false)
 	if err != nil {
 		return err
 	}
 	if database := md.Get(headerDatabase); len(database) > 0 {
-		v.database = database[0]
+		sess.database = database[0]
 	}
 	// Where the header cannot be sent the call has ended, and Send says so.
-	_ = stream.SendHeader(metadata.Pairs(headerAuth, "Bearer "+v.token))
-	return stream.Send(&flight.HandshakeResponse{Payload: []byte(v.token)})
+	_ = stream.SendHeader(metadata.Pairs(headerAuth, "Bearer "+sess.token))
+	return stream.Send(&flight.HandshakeResponse{Payload: []byte(sess.token)})
 }
 
 // handshakeUser returns the user that a handshake names.
--- a/internal/frontend/flightsql/interceptor.go
+++ b/internal/frontend/flightsql/interceptor.go
@@ -36,18 +36,18 @@
 	if !strings.HasPrefix(info.FullMethod, flightMethods) || info.FullMethod == handshakeMethod {
 		return s.setTrailers(handler(srv, stream), stream.SetTrailer, nil)
 	}
-	v, err := s.beginCall(stream.Context())
+	sess, err := s.beginCall(stream.Context())
 	if err != nil {
 		return s.setTrailers(err, stream.SetTrailer, nil)
 	}
-	defer s.endCall(v)
-	if notice := v.pendingNotices(); notice != "" {
+	defer s.endCall(sess)
+	if notice := sess.pendingNotices(); notice != "" {
 		// Clients that read one result only never see the trailers. Where the header cannot be set the call
 		// has ended.
 		_ = stream.SetHeader(metadata.Pairs(headerNotice, notice))
 	}
-	ctx := context.WithValue(stream.Context(), sessionContextKey{}, v)
-	return s.setTrailers(handler(srv, &sessionStream{stream, ctx}), stream.SetTrailer, v)
+	ctx := context.WithValue(stream.Context(), sessionContextKey{}, sess)
+	return s.setTrailers(handler(srv, &sessionStream{stream, ctx}), stream.SetTrailer, sess)
 }
 
 // unaryInterceptor is called around each other call.
@@ -59,16 +59,16 @@
 	}
 	// A header or trailer that cannot be set belongs to a call that has ended.
 	setTrailer := func(md metadata.MD) { _ = grpc.SetTrailer(ctx, md) }
-	v, err := s.beginCall(ctx)
+	sess, err := s.beginCall(ctx)
 	if err != nil {
 		return nil, s.setTrailers(err, setTrailer, nil)
 	}
-	defer s.endCall(v)
-	if notice := v.pendingNotices(); notice != "" {
+	defer s.endCall(sess)
+	if notice := sess.pendingNotices(); notice != "" {
 		_ = grpc.SetHeader(ctx, metadata.Pairs(headerNotice, notice))
 	}
-	resp, err = handler(context.WithValue(ctx, sessionContextKey{}, v), req)
-	return resp, s.setTrailers(err, setTrailer, v)
+	resp, err = handler(context.WithValue(ctx, sessionContextKey{}, sess), req)
+	return resp, s.setTrailers(err, setTrailer, sess)
 }
 
 // recoverCall ends a call that panicked. Without it, a message that the library does not expect, as a DoPut
@@ -82,7 +82,7 @@
 }
 
 // setTrailers sets the trailers of a call's end and returns the call's error as a status.
-func (s *Server) setTrailers(err error, set func(metadata.MD), v *session) error {
+func (s *Server) setTrailers(err error, set func(metadata.MD), sess *session) error {
 	var e *callError
 	if errors.As(err, &e) {
 		if e.Pushback != 0 {
@@ -92,8 +92,8 @@
 	} else if _, ok := status.FromError(err); !ok && err != nil {
 		err = &callError{grpcstatus.InvalidCall(codes.Unknown, err.Error())}
 	}
-	if v != nil {
-		if notice := v.pendingNotices(); notice != "" {
+	if sess != nil {
+		if notice := sess.pendingNotices(); notice != "" {
 			set(metadata.Pairs(headerNotice, notice))
 		}
 	}
--- a/internal/frontend/flightsql/options.go
+++ b/internal/frontend/flightsql/options.go
@@ -24,7 +24,7 @@
 // SetSessionOptions sets what is replayed on whatever engine connection runs the session's statements.
 func (s *Server) SetSessionOptions(ctx context.Context,
 	req *flight.SetSessionOptionsRequest) (*flight.SetSessionOptionsResult, error) {
-	v := sessionOf(ctx)
+	sess := sessionOf(ctx)
 	res := &flight.SetSessionOptionsResult{Errors: map[string]*flight.SetSessionOptionsResultError{}}
 	for key, value := range req.GetSessionOptions() {
 		text, ok := optionText(value)
@@ -33,7 +33,7 @@
 				Value: flight.SetSessionOptionsResultErrorInvalidValue}
 			continue
 		}
-		if !v.setOption(key, text) {
+		if !sess.setOption(key, text) {
 			res.Errors[key] = &flight.SetSessionOptionsResultError{
 				Value: flight.SetSessionOptionsResultErrorInvalidName}
 		}
@@ -43,7 +43,7 @@
 
 // setOption sets an option; an empty text sets it back to the default. It returns false where there is no
 // option of the name.
-func (v *session) setOption(key, text string) bool {
+func (sess *session) setOption(key, text string) bool {
 	setting := strings.ToLower(key)
 	if setting == optionSchema {
 		setting = settingSearchPath
@@ -52,24 +52,24 @@
 	if !replayed && setting != optionCatalog && setting != optionApplication {
 		return false
 	}
-	v.storeOption(key, setting, text)
+	sess.storeOption(key, setting, text)
 	if replayed {
-		v.defaultScope.replaySetting(setting, text)
+		sess.defaultScope.replaySetting(setting, text)
 	}
 	return true
 }
 
-func (v *session) storeOption(key, setting, text string) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
+func (sess *session) storeOption(key, setting, text string) {
+	sess.mu.Lock()
+	defer sess.mu.Unlock()
 	switch setting {
 	case optionCatalog:
-		v.database = text
+		sess.database = text
 	case optionApplication:
-		v.application = text
+		sess.application = text
 	}
-	if v.options[key] = text; text == "" {
-		delete(v.options, key)
+	if sess.options[key] = text; text == "" {
+		delete(sess.options, key)
 	}
 }
 
@@ -109,11 +109,11 @@
 // GetSessionOptions returns what was set.
 func (s *Server) GetSessionOptions(ctx context.Context,
 	_ *flight.GetSessionOptionsRequest) (*flight.GetSessionOptionsResult, error) {
-	v := sessionOf(ctx)
-	v.mu.Lock()
-	defer v.mu.Unlock()
+	sess := sessionOf(ctx)
+	sess.mu.Lock()
+	defer sess.mu.Unlock()
 	options := map[string]*flight.SessionOptionValue{}
-	for key, text := range v.options {
+	for key, text := range sess.options {
 		option, err := flight.NewSessionOptionValue(text)
 		if err != nil {
 			return nil, err
--- a/internal/frontend/flightsql/prepared.go
+++ b/internal/frontend/flightsql/prepared.go
@@ -26,8 +26,8 @@
 func (s *Server) CreatePreparedStatement(ctx context.Context,
 	req flightsql.ActionCreatePreparedStatementRequest) (res flightsql.ActionCreatePreparedStatementResult,
 	err error) {
-	v := sessionOf(ctx)
-	sc, err := v.scopeFor(req.GetTransactionId())
+	sess := sessionOf(ctx)
+	sc, err := sess.scopeFor(req.GetTransactionId())
 	if err != nil {
 		return res, err
 	}
@@ -36,12 +36,12 @@
 		return res, err
 	}
 	handle := statementPrefix + randomName()
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if limit := s.cfg.MaxPrepared; limit > 0 && len(v.prepared) >= limit {
+	sess.mu.Lock()
+	defer sess.mu.Unlock()
+	if limit := s.cfg.MaxPrepared; limit > 0 && len(sess.prepared) >= limit {
 		return res, verdictError(verdict.RejectOverLimit("the session has too many prepared statements"))
 	}
-	v.prepared[handle] = &preparedStatement{scope: sc, text: req.GetQuery(), description: d}
+	sess.prepared[handle] = &preparedStatement{scope: sc, text: req.GetQuery(), description: d}
 	isUpdate := d.rows == nil
 	return flightsql.ActionCreatePreparedStatementResult{Handle: []byte(handle),
 		DatasetSchema: d.arrowSchema(), ParameterSchema: d.params, IsUpdate: &isUpdate}, nil
@@ -50,18 +50,18 @@
 // ClosePreparedStatement forgets a handle.
 func (s *Server) ClosePreparedStatement(ctx context.Context,
 	req flightsql.ActionClosePreparedStatementRequest) error {
-	v := sessionOf(ctx)
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	delete(v.prepared, string(req.GetPreparedStatementHandle()))
+	sess := sessionOf(ctx)
+	sess.mu.Lock()
+	defer sess.mu.Unlock()
+	delete(sess.prepared, string(req.GetPreparedStatementHandle()))
 	return nil
 }
 
 // preparedByHandle returns a copy of a prepared statement.
-func (v *session) preparedByHandle(handle []byte) (preparedStatement, error) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if p := v.prepared[string(handle)]; p != nil {
+func (sess *session) preparedByHandle(handle []byte) (preparedStatement, error) {
+	sess.mu.Lock()
+	defer sess.mu.Unlock()
+	if p := sess.prepared[string(handle)]; p != nil {
 		return *p, nil
 	}
 	return preparedStatement{}, invalidCall(codes.NotFound,
@@ -117,7 +117,7 @@
 }
 
 // DoGetPreparedStatement rejects a ticket that is the handle itself. Such a ticket has no nonce, so that a
-// second fetch of one run could not be told from a second run.
+// second fetch of one run could not be distinguished from a second run.
 func (s *Server) DoGetPreparedStatement(context.Context,
 	flightsql.PreparedStatementQuery) (*arrow.Schema, <-chan flight.StreamChunk, error) {
 	return nil, nil, invalidCall(codes.InvalidArgument,
@@ -127,9 +127,9 @@
 // DoPutPreparedStatementQuery binds parameters to a prepared statement.
 func (s *Server) DoPutPreparedStatementQuery(ctx context.Context, q flightsql.PreparedStatementQuery,
 	r flight.MessageReader, _ flight.MetadataWriter) ([]byte, error) {
-	v := sessionOf(ctx)
+	sess := sessionOf(ctx)
 	handle := q.GetPreparedStatementHandle()
-	p, err := v.preparedByHandle(handle)
+	p, err := sess.preparedByHandle(handle)
 	if err != nil {
 		return nil, err
 	}
@@ -149,9 +149,9 @@
 	if err := r.Err(); err != nil {
 		return nil, invalidCall(codes.InvalidArgument, "parameters: %v", err)
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if original := v.prepared[string(handle)]; original != nil {
+	sess.mu.Lock()
+	defer sess.mu.Unlock()
+	if original := sess.prepared[string(handle)]; original != nil {
 		original.boundBody = bound
 	}
 	return handle, nil
@@ -199,7 +199,7 @@
 		bindBody: bindBody}
 }
 
-// afterEarlierRows is the error of a run behind others of the same call. Reported as a rejection, it would
+// afterEarlierRows is the error of a run after others of the same call. Reported as a rejection, it would
 // say that a retry of the whole call is harmless.
 func afterEarlierRows(err error, runs int) error {
 	if runs == 0 {
--- a/internal/frontend/flightsql/query.go
+++ b/internal/frontend/flightsql/query.go
@@ -77,7 +77,7 @@
 		case 't': // ParameterDescription
 			d.params, err = arrowbatch.ParameterSchema(body)
 			if err == nil {
-				d.parameterTypes = string(body[2:]) // behind their number
+				d.parameterTypes = string(body[2:]) // after their number
 			}
 		case 'T': // RowDescription
 			d.rows, err = arrowbatch.NewSchema(body, true)
@@ -98,10 +98,11 @@
 // issueTicket makes a FlightInfo with a ticket for a statement.
 func (s *Server) issueTicket(ctx context.Context, sc *scope, text string, d *description, bindBody []byte,
 	fd *flight.FlightDescriptor) (*flight.FlightInfo, error) {
-	v := sessionOf(ctx)
-	t := &ticket.Ticket{Nonce: s.nextID.Add(1), Session: v.token, Transaction: sc.transactionID, Text: text,
-		ParameterTypes: d.parameterTypes, BindBody: bindBody, ExpiresAt: s.now() + s.cfg.TicketLifetime}
-	t.SingleUse = s.cfg.Idempotent == nil || !s.cfg.Idempotent(v.client(ctx),
+	sess := sessionOf(ctx)
+	t := &ticket.Ticket{Nonce: s.nextID.Add(1), Session: sess.token, Transaction: sc.transactionID,
+		Text: text, ParameterTypes: d.parameterTypes, BindBody: bindBody,
+		ExpiresAt: s.now() + s.cfg.TicketLifetime}
+	t.SingleUse = s.cfg.Idempotent == nil || !s.cfg.Idempotent(sess.client(ctx),
 		&enginequery.Query{Kind: enginequery.Execute, Text: text, Parsed: s.scan(text)})
 	handle, err := flightsql.CreateStatementQueryTicket(ticket.Seal(s.ticketKey, t))
 	if err != nil {
@@ -162,11 +163,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	v := sessionOf(ctx)
-	if err := s.beginFetch(t, v); err != nil {
+	sess := sessionOf(ctx)
+	if err := s.beginFetch(t, sess); err != nil {
 		return nil, nil, err
 	}
-	sc, err := v.scopeFor([]byte(t.Transaction))
+	sc, err := sess.scopeFor([]byte(t.Transaction))
 	if err != nil {
 		s.endFetch(t, false)
 		return nil, nil, err
@@ -201,9 +202,9 @@
 }
 
 // beginFetch decides whether a session may fetch a ticket now. endFetch must follow where the error is nil.
-func (s *Server) beginFetch(t *ticket.Ticket, v *session) error {
+func (s *Server) beginFetch(t *ticket.Ticket, sess *session) error {
 	s.mu.Lock()
-	retryAfter, err := s.tickets.BeginFetch(s.now(), t, v.token)
+	retryAfter, err := s.tickets.BeginFetch(s.now(), t, sess.token)
 	s.mu.Unlock()
 	switch {
 	case err == nil:
@@ -293,7 +294,7 @@
 func (s *Server) CancelFlightInfo(ctx context.Context,
 	req *flight.CancelFlightInfoRequest) (flight.CancelFlightInfoResult, error) {
 	result := flight.CancelStatusNotCancellable
-	v := sessionOf(ctx)
+	sess := sessionOf(ctx)
 	for _, endpoint := range req.GetInfo().GetEndpoint() {
 		q, err := flightsql.GetStatementQueryTicket(endpoint.GetTicket())
 		if err != nil {
@@ -304,11 +305,11 @@
 		if err != nil {
 			return flight.CancelFlightInfoResult{}, err
 		}
-		if t.Session != v.token {
+		if t.Session != sess.token {
 			return flight.CancelFlightInfoResult{}, invalidCall(codes.PermissionDenied, "%v",
 				ticket.ErrOtherSession)
 		}
-		if s.cancelTicket(t, v) {
+		if s.cancelTicket(t, sess) {
 			result = flight.CancelStatusCancelled
 		}
 	}
@@ -317,14 +318,14 @@
 
 // cancelTicket cancels the calls that run for a ticket. A ticket for a single use that was not fetched yet
 // counts as fetched from then on. It returns whether anything was cancelled.
-func (s *Server) cancelTicket(t *ticket.Ticket, v *session) (cancelled bool) {
+func (s *Server) cancelTicket(t *ticket.Ticket, sess *session) (cancelled bool) {
 	s.mu.Lock()
 	var calls []*call
 	for c := range s.runningFetches[t.Nonce] {
 		calls = append(calls, c)
 	}
 	if len(calls) == 0 && t.SingleUse {
-		if _, err := s.tickets.BeginFetch(s.now(), t, v.token); err == nil {
+		if _, err := s.tickets.BeginFetch(s.now(), t, sess.token); err == nil {
 			s.tickets.EndFetch(t, true)
 			cancelled = true
 		}
--- a/internal/frontend/flightsql/scope.go
+++ b/internal/frontend/flightsql/scope.go
@@ -37,12 +37,12 @@
 	notice           string           // for the client, with its next calls
 }
 
-func newScope(v *session, transactionID string, settings *sessionparams.Set) *scope {
-	sc := &scope{session: v, transactionID: transactionID,
+func newScope(sess *session, transactionID string, settings *sessionparams.Set) *scope {
+	sc := &scope{session: sess, transactionID: transactionID,
 		waiters: map[statementqueue.StatementID]chan struct{}{}, affinity: affinity.NewSession()}
 	sc.affinity.Params.Inherit(settings)
 	sc.lease.OnLost, sc.lease.OnDrain = sc.onIdleConnectionLost, sc.onEngineDraining
-	sc.registration.User, sc.registration.Expire = v.user, sc.terminateIfDue
+	sc.registration.User, sc.registration.Expire = sess.user, sc.terminateIfDue
 	return sc
 }
 
@@ -174,7 +174,7 @@
 	sc.transactionBegan = sc.transactionBegan || keep
 	d := pgbackend.Disposition{Known: true, Keep: keep, Settings: a.Params.OnConnection()}
 	if sc.transactionID != "" && sc.transactionBegan && end.TransactionStatus == 'I' {
-		// What a transaction leaves behind itself belongs to nobody: its connection is closed.
+		// State that outlives the transaction belongs to no session: the connection is closed.
 		sc.endVerdict = verdict.Invalid(sqlstate.InvalidTransactionState, "it was committed or rolled back")
 		d.Keep, d.Known = false, !keep
 		changed, keep = true, false
--- a/internal/frontend/flightsql/server.go
+++ b/internal/frontend/flightsql/server.go
@@ -50,7 +50,7 @@
 	drainInterval = 10 * time.Millisecond
 )
 
-// Why sessions end, as their clients are told.
+// Why sessions end, in errors that clients receive.
 const (
 	idleTooLong      = "it rested for too long"
 	connectionIsGone = "its connection is gone"
@@ -77,7 +77,7 @@
 	MaxWaiting      int // statements that wait for their turn in a session
 
 	KeepAlive        time.Duration // an idle connection is asked for a sign of life; 0: never
-	MaxConnectionAge time.Duration // an older connection is told to reconnect; 0: never
+	MaxConnectionAge time.Duration // an older connection is asked to reconnect (GOAWAY)
 
 	// AcquireConnection reports whether there is capacity for one more connection; ReleaseConnection gives it
 	// back.
@@ -170,8 +170,8 @@
 	server *Server
 }
 
-func (v *handshakeService) Handshake(stream flight.FlightService_HandshakeServer) error {
-	return v.server.handshake(stream)
+func (h *handshakeService) Handshake(stream flight.FlightService_HandshakeServer) error {
+	return h.server.handshake(stream)
 }
 
 // Serve accepts connections on a listener until Close.
@@ -189,7 +189,7 @@
 	}()
 }
 
-// randomName returns a name that nobody guesses.
+// randomName returns a name that cannot be guessed.
 func randomName() string {
 	b := make([]byte, randomNameSize)
 	rand.Read(b)
@@ -278,8 +278,8 @@
 
 // notifyDraining gives the calls of sticky sessions and transactions a notice of the drain.
 func (s *Server) notifyDraining() {
-	for _, v := range s.allSessions() {
-		for _, sc := range v.scopes() {
+	for _, sess := range s.allSessions() {
+		for _, sc := range sess.scopes() {
 			sc.mu.Lock()
 			if sc.affinity.Bound() {
 				sc.notice = "the dispatcher is shutting down; what is kept on an engine will be ended"
@@ -293,16 +293,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sessions := make([]*session, 0, len(s.sessions))
-	for _, v := range s.sessions {
-		sessions = append(sessions, v)
+	for _, sess := range s.sessions {
+		sessions = append(sessions, sess)
 	}
 	return sessions
 }
 
 // hasStickySessions reports whether a session or transaction is on an engine connection.
 func (s *Server) hasStickySessions() bool {
-	for _, v := range s.allSessions() {
-		if v.isSticky() {
+	for _, sess := range s.allSessions() {
+		if sess.isSticky() {
 			return true
 		}
 	}
@@ -311,8 +311,8 @@
 
 // TerminateAll ends all sessions and connections that are left.
 func (s *Server) TerminateAll() {
-	for _, v := range s.allSessions() {
-		s.endSession(v.token, shuttingDown)
+	for _, sess := range s.allSessions() {
+		s.endSession(sess.token, shuttingDown)
 	}
 	s.grpc.Stop()
 }
--- a/internal/frontend/flightsql/session.go
+++ b/internal/frontend/flightsql/session.go
@@ -49,7 +49,7 @@
 
 // openSession opens a session.
 func (s *Server) openSession(token, user string, connectionScoped bool) (*session, error) {
-	v := &session{server: s, token: token, user: user, options: map[string]string{},
+	sess := &session{server: s, token: token, user: user, options: map[string]string{},
 		transactions: map[string]*scope{}, savepoints: map[string]savepoint{},
 		prepared: map[string]*preparedStatement{}}
 	if s.cfg.AdmitUser != nil {
@@ -57,29 +57,29 @@
 		if !ok {
 			return nil, verdictError(verdict.RejectOverLimit("too many clients: " + reason))
 		}
-		v.admitted = true
+		sess.admitted = true
 	}
-	v.defaultScope = newScope(v, "", nil)
+	sess.defaultScope = newScope(sess, "", nil)
 	s.mu.Lock()
 	reason, ok := s.sessionStore.Open(s.now(), token, user, connectionScoped)
 	if ok {
-		s.sessions[token] = v
+		s.sessions[token] = sess
 	}
 	s.mu.Unlock()
 	if !ok {
-		if v.admitted {
+		if sess.admitted {
 			s.cfg.ReleaseUser(user)
 		}
 		return nil, verdictError(verdict.RejectOverLimit(reason))
 	}
-	return v, nil
+	return sess, nil
 }
 
 // endSession ends a session with its scopes.
 func (s *Server) endSession(token, reason string) {
 	s.mu.Lock()
-	v := s.sessions[token]
-	if v == nil {
+	sess := s.sessions[token]
+	if sess == nil {
 		s.mu.Unlock()
 		return
 	}
@@ -87,12 +87,12 @@
 	s.sessionStore.Close(token)
 	s.rememberEnd(token, reason)
 	s.mu.Unlock()
-	for _, sc := range v.scopes() {
+	for _, sc := range sess.scopes() {
 		sc.terminate(&verdict.Verdict{Kind: verdict.Cancelled, Code: sqlstate.AdminShutdown, Message: reason,
 			Detail: "What was not committed was rolled back."})
 	}
-	if v.admitted {
-		s.cfg.ReleaseUser(v.user)
+	if sess.admitted {
+		s.cfg.ReleaseUser(sess.user)
 	}
 }
 
@@ -113,19 +113,19 @@
 }
 
 // scopes returns the scopes of the session: its own and its transactions'.
-func (v *session) scopes() []*scope {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	scopes := []*scope{v.defaultScope}
-	for _, sc := range v.transactions {
+func (sess *session) scopes() []*scope {
+	sess.mu.Lock()
+	defer sess.mu.Unlock()
+	scopes := []*scope{sess.defaultScope}
+	for _, sc := range sess.transactions {
 		scopes = append(scopes, sc)
 	}
 	return scopes
 }
 
-// isSticky reports whether the session or a transaction of its is on an engine connection.
-func (v *session) isSticky() bool {
-	for _, sc := range v.scopes() {
+// isSticky reports whether the session or one of its transactions is on an engine connection.
+func (sess *session) isSticky() bool {
+	for _, sc := range sess.scopes() {
 		if sc.isSticky() {
 			return true
 		}
@@ -134,22 +134,22 @@
 }
 
 // scopeFor returns the scope that a transaction id names; without an id the session's own.
-func (v *session) scopeFor(transactionID []byte) (*scope, error) {
+func (sess *session) scopeFor(transactionID []byte) (*scope, error) {
 	if len(transactionID) == 0 {
-		return v.defaultScope, nil
+		return sess.defaultScope, nil
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if sc := v.transactions[string(transactionID)]; sc != nil {
+	sess.mu.Lock()
+	defer sess.mu.Unlock()
+	if sc := sess.transactions[string(transactionID)]; sc != nil {
 		return sc, nil
 	}
 	return nil, invalidCall(codes.NotFound, "the session has no transaction of this id")
 }
 
-// pendingNotices returns what is to be told to the session's client.
-func (v *session) pendingNotices() string {
+// pendingNotices returns the notices for the session's client.
+func (sess *session) pendingNotices() string {
 	var notices []string
-	for _, sc := range v.scopes() {
+	for _, sc := range sess.scopes() {
 		sc.mu.Lock()
 		if sc.notice != "" && sc.endVerdict == nil {
 			notices = append(notices, sc.notice)
@@ -221,10 +221,10 @@
 }
 
 // endCall ends a call of a session.
-func (s *Server) endCall(v *session) {
+func (s *Server) endCall(sess *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sessionStore.EndCall(s.now(), v.token)
+	s.sessionStore.EndCall(s.now(), sess.token)
 }
 
 // CloseSession ends the session. Its open transactions are rolled back.
--- a/internal/frontend/flightsql/statementqueue/queue.go
+++ b/internal/frontend/flightsql/statementqueue/queue.go
@@ -27,7 +27,7 @@
 // exclusively.
 func (q *Queue) SetSticky(sticky bool) { q.sticky = sticky }
 
-// Close lets no further statement start. It returns those that wait; each is to be notified.
+// Close lets no further statement start. It returns those that wait, which are to be answered.
 func (q *Queue) Close() (waiting []StatementID) {
 	for _, e := range q.waiting {
 		waiting = append(waiting, e.id)
--- a/internal/frontend/flightsql/ticket/ledger.go
+++ b/internal/frontend/flightsql/ticket/ledger.go
@@ -71,7 +71,7 @@
 }
 
 // evictExpired forgets fetches whose tickets have expired and can be fetched no more, even while a statement
-// runs on behind that. All tickets have the same lifetime, so the oldest is the first.
+// runs on after that. All tickets have the same lifetime, so the oldest is the first.
 func (l *FetchLedger) evictExpired(now time.Duration) {
 	n := 0
 	for n < len(l.byExpiry) && now >= l.byExpiry[n].expiresAt {
--- a/internal/frontend/flightsql/ticket/ticket.go
+++ b/internal/frontend/flightsql/ticket/ticket.go
@@ -20,7 +20,7 @@
 	Transaction    string        // "": none
 	Text           string        // of the statement
 	ParameterTypes string        // OIDs, 4 bytes each
-	BindBody       []byte        // body of PostgreSQL's Bind message behind its two names
+	BindBody       []byte        // body of PostgreSQL's Bind message after its two names
 	ExpiresAt      time.Duration // on the dispatcher's clock
 	SingleUse      bool          // the statement may change data: one fetch runs it
 }
@@ -39,7 +39,7 @@
 )
 
 // The sealed form: a version, flags, the nonce and the expiry as big-endian numbers of 8 bytes, then five
-// parts (session, transaction, text, parameter types, Bind body), each behind its length as a varint, and
+// parts (session, transaction, text, parameter types, Bind body), each after its length as a varint, and
 // the signature of all that.
 const (
 	formatVersion = 1
--- a/internal/frontend/flightsql/ticket/ticket_test.go
+++ b/internal/frontend/flightsql/ticket/ticket_test.go
@@ -43,7 +43,7 @@
 }
 
 // TestFetchLedger compares the ledger with a model: a statement that may change data runs once, unless a run
-// of it did not happen; never for another session, and never behind its ticket's expiry; memory is bounded,
+// of it did not happen; never for another session, and never after its ticket's expiry; memory is bounded,
 // and given back.
 func TestFetchLedger(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/frontend/flightsql/transaction.go
+++ b/internal/frontend/flightsql/transaction.go
@@ -18,8 +18,8 @@
 	maxSavepoints        = 10000 // of a session
 )
 
-// runStatement runs a statement of ours in a scope, as BEGIN. It takes the way of any statement: it is
-// admitted, placed and may be rejected.
+// runStatement runs a statement of the front itself in a scope, as BEGIN. Like any statement it is admitted
+// and placed, and may be rejected.
 func (sc *scope) runStatement(ctx context.Context, text string) error {
 	bindBody, err := arrowbatch.AppendBind(nil, nil, 0, nil)
 	if err != nil {
@@ -36,20 +36,20 @@
 	if s.draining.Load() {
 		return nil, verdictError(verdict.ShuttingDown(false))
 	}
-	v := sessionOf(ctx)
-	sc, err := v.addTransaction()
+	sess := sessionOf(ctx)
+	sc, err := sess.addTransaction()
 	if err != nil {
 		return nil, err
 	}
 	if err := sc.runStatement(ctx, "BEGIN"); err != nil {
-		v.mu.Lock()
-		delete(v.transactions, sc.transactionID)
-		v.mu.Unlock()
+		sess.mu.Lock()
+		delete(sess.transactions, sc.transactionID)
+		sess.mu.Unlock()
 		sc.terminate(verdict.Invalid(sqlstate.InvalidTransactionState, "it did not begin"))
 		return nil, err
 	}
 	s.mu.Lock()
-	sessionEnded := s.sessions[v.token] != v
+	sessionEnded := s.sessions[sess.token] != sess
 	s.mu.Unlock()
 	if sessionEnded { // it ended as its transaction began, and did not see the transaction
 		sc.terminate(&verdict.Verdict{Kind: verdict.Cancelled, Code: sqlstate.AdminShutdown,
@@ -66,38 +66,38 @@
 }
 
 // addTransaction adds a scope for a transaction to the session, with the session's settings.
-func (v *session) addTransaction() (*scope, error) {
-	v.defaultScope.mu.Lock()
-	settings := v.defaultScope.affinity.Params.Desired()
-	v.defaultScope.mu.Unlock()
-	sc := newScope(v, transactionPrefix+randomName(), settings)
-	v.mu.Lock()
-	defer v.mu.Unlock()
+func (sess *session) addTransaction() (*scope, error) {
+	sess.defaultScope.mu.Lock()
+	settings := sess.defaultScope.affinity.Params.Desired()
+	sess.defaultScope.mu.Unlock()
+	sc := newScope(sess, transactionPrefix+randomName(), settings)
+	sess.mu.Lock()
+	defer sess.mu.Unlock()
 	open := 0
-	for _, other := range v.transactions {
+	for _, other := range sess.transactions {
 		if other.isSticky() {
 			open++
 		}
 	}
-	if limit := v.server.cfg.MaxTransactions; limit > 0 && open >= limit {
+	if limit := sess.server.cfg.MaxTransactions; limit > 0 && open >= limit {
 		return nil, verdictError(verdict.RejectOverLimit("the session has too many open transactions"))
 	}
-	v.transactions[sc.transactionID] = sc
-	v.transactionOrder = append(v.transactionOrder, sc.transactionID)
-	v.forgetEndedTransactions()
+	sess.transactions[sc.transactionID] = sc
+	sess.transactionOrder = append(sess.transactionOrder, sc.transactionID)
+	sess.forgetEndedTransactions()
 	return sc, nil
 }
 
 // forgetEndedTransactions drops the oldest transactions that have ended. The caller holds the session's lock.
-func (v *session) forgetEndedTransactions() {
-	for i := 0; i < len(v.transactionOrder) && len(v.transactionOrder) > maxEndedTransactions; {
-		id := v.transactionOrder[i]
-		if sc := v.transactions[id]; sc != nil && sc.isSticky() {
+func (sess *session) forgetEndedTransactions() {
+	for i := 0; i < len(sess.transactionOrder) && len(sess.transactionOrder) > maxEndedTransactions; {
+		id := sess.transactionOrder[i]
+		if sc := sess.transactions[id]; sc != nil && sc.isSticky() {
 			i++
 			continue
 		}
-		delete(v.transactions, id)
-		v.transactionOrder = append(v.transactionOrder[:i], v.transactionOrder[i+1:]...)
+		delete(sess.transactions, id)
+		sess.transactionOrder = append(sess.transactionOrder[:i], sess.transactionOrder[i+1:]...)
 	}
 }
 
@@ -120,7 +120,7 @@
 }
 
 // commit commits a transaction. PostgreSQL answers the COMMIT of a failed transaction by ROLLBACK and without
-// an error; a client that is not told would take it for committed.
+// an error; without an error of its own, the client would take the transaction for committed.
 func (sc *scope) commit(ctx context.Context) error {
 	sc.mu.Lock()
 	failed := sc.affinity.Status() == 'E'
@@ -137,11 +137,11 @@
 // BeginSavepoint opens a savepoint in a transaction.
 func (s *Server) BeginSavepoint(ctx context.Context, req flightsql.ActionBeginSavepointRequest) ([]byte,
 	error) {
-	v := sessionOf(ctx)
+	sess := sessionOf(ctx)
 	if len(req.GetTransactionId()) == 0 || req.GetName() == "" {
 		return nil, invalidCall(codes.InvalidArgument, "a savepoint needs a transaction and a name")
 	}
-	sc, err := v.scopeFor(req.GetTransactionId())
+	sc, err := sess.scopeFor(req.GetTransactionId())
 	if err != nil {
 		return nil, err
 	}
@@ -149,12 +149,12 @@
 		return nil, err
 	}
 	id := savepointPrefix + randomName()
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if len(v.savepoints) >= maxSavepoints {
-		clear(v.savepoints)
+	sess.mu.Lock()
+	defer sess.mu.Unlock()
+	if len(sess.savepoints) >= maxSavepoints {
+		clear(sess.savepoints)
 	}
-	v.savepoints[id] = savepoint{sc.transactionID, req.GetName()}
+	sess.savepoints[id] = savepoint{sc.transactionID, req.GetName()}
 	return []byte(id), nil
 }
 
@@ -162,15 +162,15 @@
 
 // EndSavepoint releases a savepoint or rolls back to it.
 func (s *Server) EndSavepoint(ctx context.Context, req flightsql.ActionEndSavepointRequest) error {
-	v := sessionOf(ctx)
+	sess := sessionOf(ctx)
 	id := string(req.GetSavepointId())
-	v.mu.Lock()
-	p, ok := v.savepoints[id]
-	v.mu.Unlock()
+	sess.mu.Lock()
+	p, ok := sess.savepoints[id]
+	sess.mu.Unlock()
 	if !ok {
 		return invalidCall(codes.NotFound, "the session has no savepoint of this id")
 	}
-	sc, err := v.scopeFor([]byte(p.transaction))
+	sc, err := sess.scopeFor([]byte(p.transaction))
 	if err != nil {
 		return err
 	}
@@ -179,9 +179,9 @@
 		if err := sc.runStatement(ctx, "RELEASE SAVEPOINT "+quoteIdentifier(p.name)); err != nil {
 			return err
 		}
-		v.mu.Lock()
-		delete(v.savepoints, id)
-		v.mu.Unlock()
+		sess.mu.Lock()
+		delete(sess.savepoints, id)
+		sess.mu.Unlock()
 		return nil
 	case flightsql.EndSavepointRollback:
 		return sc.runStatement(ctx, "ROLLBACK TO SAVEPOINT "+quoteIdentifier(p.name))
--- a/internal/frontend/pgfrontend/client.go
+++ b/internal/frontend/pgfrontend/client.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// drain has the client go: at once if it is idle, otherwise behind its response.
+// drain ends the client: at once if it is idle, otherwise after its response.
 func (c *client) drain() {
 	c.mu.Lock()
 	c.closeWhenIdle = true
@@ -104,7 +104,7 @@
 	}
 }
 
-// terminateAfterGrace ends a client that connects as the server drains, unless it goes by itself.
+// terminateAfterGrace ends a client that connects as the server drains, unless it disconnects before.
 func (c *client) terminateAfterGrace() {
 	c.drainTimer = time.AfterFunc(newClientGrace, func() {
 		c.terminate(sqlstate.AdminShutdown, shutdownMessage)
--- a/internal/frontend/pgfrontend/pgsession/local.go
+++ b/internal/frontend/pgfrontend/pgsession/local.go
@@ -11,11 +11,11 @@
 	"cresspass/internal/protocol/sqlstate"
 )
 
-// Statements that the dispatcher answers by itself: those that ask for what is so anyway, or that are about
-// state that is held here.
+// Statements that the dispatcher answers itself: those that ask for what is in force anyway, or that are
+// about state that is stored here.
 
 // allLocal reports whether the dispatcher answers a text. While the session is on an engine connection all
-// statements go there, as the engine's own settings count; but prepared statements are held here.
+// statements go there, as the engine's own settings count; but prepared statements are stored here.
 func (s *Session) allLocal(parsed []sqlscan.Statement) bool {
 	if len(parsed) == 1 && parsed[0].Words[0] == "DEALLOCATE" &&
 		s.statements[deallocateName(&parsed[0])] != nil {
--- a/internal/frontend/pgfrontend/pgsession/localsettings.go
+++ b/internal/frontend/pgfrontend/pgsession/localsettings.go
@@ -13,7 +13,7 @@
 // dispatcherSettings are the settings that no engine is sent.
 var dispatcherSettings = map[string]bool{"statement_timeout": true, "application_name": true}
 
-// localSettingNames are the settings that are held here: those with one value that changes no result, and
+// localSettingNames are the settings that are stored here: those with one value that changes no result, and
 // those of the dispatcher itself.
 var localSettingNames = map[string]bool{
 	"statement_timeout": true, "application_name": true, "client_encoding": true,
@@ -23,7 +23,7 @@
 	"server_encoding": true, "time zone": true, "integer_datetimes": true,
 }
 
-// defaultValues are the values of settings that nobody has set.
+// defaultValues are the values of settings that the client has not set.
 var defaultValues = map[string]string{
 	"client_encoding": "UTF8", "server_encoding": "UTF8", "datestyle": "ISO, MDY", "timezone": "UTC",
 	"time zone": "UTC", "standard_conforming_strings": "on", "extra_float_digits": "1",
@@ -38,8 +38,8 @@
 
 func unquoted(value string) string { return strings.Trim(strings.TrimSpace(value), "'\"") }
 
-// isFixedValue reports whether a setting asks for what holds anyway, on engines and here. Any other value is
-// not taken here: a setting that was taken and not obeyed would change results, and nobody would be told.
+// isFixedValue reports whether a setting asks for what is in force anyway, on engines and here. No other
+// value is accepted here: to accept a setting and then ignore it would silently change results.
 func isFixedValue(name, value string) bool {
 	value = normalizedValue(value)
 	switch name {
@@ -60,7 +60,7 @@
 	return false
 }
 
-// setLocal takes a setting that is held here, or that asks for what holds anyway.
+// setLocal accepts a setting that is stored here, or that asks for what is in force anyway.
 func (s *Session) setLocal(name, value string) *settingError {
 	switch name {
 	case "statement_timeout":
--- a/internal/frontend/pgfrontend/pgsession/session.go
+++ b/internal/frontend/pgfrontend/pgsession/session.go
@@ -1,7 +1,7 @@
 // Package pgsession is one client's side of the PostgreSQL protocol, without sockets: bytes of the client and
 // ends of queries go in, bytes for the client and queries for engines come out. It decides what the
-// dispatcher answers by itself (startup, Parse, Bind, Sync, a few settings), what is a query for an engine,
-// and what is skipped behind an error. It decides nothing about engines, and does no I/O. Sections named are
+// dispatcher answers itself (startup, Parse, Bind, Sync, a few settings), what is a query for an engine,
+// and what is skipped after an error. It decides nothing about engines, and does no I/O. Sections named are
 // of PostgreSQL's chapter "Frontend/Backend Protocol".
 package pgsession
 
@@ -214,7 +214,7 @@
 // handleMessage handles one message outside of startup and copy-in mode.
 func (s *Session) handleMessage(m pgwire.Message) {
 	if s.skipToSync && m.Type != 'S' && m.Type != 'X' {
-		return // "Extended Query": behind an error all messages are discarded until Sync
+		return // "Extended Query": after an error all messages are discarded until Sync
 	}
 	var err error
 	switch m.Type {
--- a/internal/frontend/pgfrontend/pgsession/startup.go
+++ b/internal/frontend/pgfrontend/pgsession/startup.go
@@ -60,7 +60,7 @@
 	s.phase = phaseIdle
 }
 
-// negotiate tells a client of a later version, or with options of the protocol, what is served instead.
+// negotiate tells a client that asks for a later version or for protocol options what is supported instead.
 func (s *Session) negotiate(p *pgwire.Startup) {
 	var unknown []string
 	for name := range p.Parameters {
--- a/internal/frontend/pgfrontend/query.go
+++ b/internal/frontend/pgfrontend/query.go
@@ -38,7 +38,7 @@
 	return q
 }
 
-// submitNext submits the client's next query, where one came behind the query that ended.
+// submitNext submits the client's next query, where one came after the query that ended.
 func (c *client) submitNext() {
 	c.mu.Lock()
 	pending := c.nextQuery
@@ -97,7 +97,7 @@
 	return pgbackend.Disposition{Known: true, Keep: keep, Settings: a.Params.OnConnection()}
 }
 
-// onConnectionLost ends the session, whose engine connection was lost while a query of its ran.
+// onConnectionLost ends the session, whose engine connection was lost while its query ran.
 func (c *client) onConnectionLost(q *frontend.Query, sent bool) {
 	if !q.Response.Abandon() {
 		return
@@ -166,12 +166,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.flushOutput()
-	if !c.closed && !c.session.Closing() { // nothing goes out behind a FATAL error
+	if !c.closed && !c.session.Closing() { // nothing goes out after a FATAL error
 		c.write(b)
 	}
 }
 
-// WriteVerdict ends the response by an ErrorResponse of ours.
+// WriteVerdict ends the response by an ErrorResponse of the dispatcher.
 func (k *sink) WriteVerdict(v *verdict.Verdict) {
 	f := &pgwire.Fields{Severity: "ERROR", Code: v.Code, Message: v.Message, Detail: v.Detail}
 	if v.RetryAfter > 0 {
--- a/internal/frontend/pgfrontend/server.go
+++ b/internal/frontend/pgfrontend/server.go
@@ -30,8 +30,8 @@
 const Name = "postgresql"
 
 const (
-	// maxRejectedConnections is how many connections beyond the limit are told so; further ones are closed at
-	// once.
+	// maxRejectedConnections is how many connections beyond the limit receive an error; further ones are
+	// closed at once.
 	maxRejectedConnections = 256
 	// newClientGrace is how long a client that had just connected when a drain began may take to send a
 	// query.
@@ -151,7 +151,7 @@
 	s.cfg.Store(&cfg)
 }
 
-// Drain stops listening and terminates idle clients with 57P01; each other client is terminated behind its
+// Drain stops listening and terminates idle clients with 57P01; each other client is terminated after its
 // response. A sticky session stays until it is free, or until TerminateAll; one that is sticky by more than a
 // transaction is sent a notice.
 func (s *Server) Drain() {
@@ -227,7 +227,7 @@
 	c.mu.Unlock()
 }
 
-// register gives a client its PID and counts it. rejected: it is to be closed without a word.
+// register gives a client its PID and counts it. rejected: it must be closed without a message.
 func (s *Server) register(c *client, cfg *Config) (rejected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
