--- a/internal/membership/clocksync/clock.go
+++ b/internal/membership/clocksync/clock.go
@@ -51,7 +51,9 @@
 // A clock that agrees with most samples is left alone: one that followed the median at each step would fall
 // behind by the samples' time on the network, again and again, and the fleet's clock would run slow.
 func (c *Clock) Sync(now time.Duration) (moved bool) {
-	offsets, agreeing := append(c.scratch[:0], c.offset), 1
+	offsets := c.scratch[:0]
+	offsets = append(offsets, c.offset)
+	agreeing := 1 // our own
 	for name, s := range c.samples {
 		if now-s.receivedAt > sampleTTL {
 			delete(c.samples, name)
--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -161,10 +161,10 @@
 	}
 }
 
-// sendPacket emits one packet, if the rate allows, and reports whether it did.
-func (n *Node) sendPacket(now time.Duration, to string, kind packetKind, data []byte) bool {
+// sendPacket emits one packet, if the rate allows.
+func (n *Node) sendPacket(now time.Duration, to string, kind packetKind, data []byte) {
 	if n.stats.NameYielded {
-		return false
+		return
 	}
 	n.seq++
 	packet := header{
@@ -176,12 +176,11 @@
 	}.append(data)
 	if !n.sendLimiter.AllowN(limiterTime(now), len(packet)) {
 		n.stats.PacketsRateLimited++
-		return false
+		return
 	}
 	n.stats.PacketsSent++
 	n.stats.BytesSent += uint64(len(packet))
 	n.emit(Action{Type: SendPacket, To: to, Data: packet})
-	return true
 }
 
 // limiterTime converts the caller's clock for the rate limiters.
