--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -19,8 +19,8 @@
 	"cresspass/internal/membership/validation"
 )
 
-// countingTransport counts what a transport sends in packets; streams are of joins and exchanges of state
-// now and then.
+// countingTransport counts the bytes of packets. Streams, for joins and exchanges of state now and then, are
+// not counted.
 type countingTransport struct {
 	*memberlist.NetTransport
 	bytes *atomic.Int64
@@ -36,79 +36,84 @@
 	return c.NetTransport.WriteToAddress(b, addr)
 }
 
-// BenchmarkFleet has members of a fleet begin at once on memberlist as it is, encrypted, over a network
-// within the process, and tells when all agree on ordinals and count, and what each then says a second,
+// BenchmarkFleet starts the members of a fleet at once on memberlist as it is, encrypted, over a network
+// within the process. It reports when all agree on ordinals and count, and what each then sends a second,
 // membership and digests together.
 func BenchmarkFleet(b *testing.B) {
 	for _, n := range []int{10, 50, 200, 500} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
-				var bytes atomic.Int64
-				engines := map[cresspass.EngineID]float64{}
-				for i := range 63 {
-					engines[cresspass.EngineID(fmt.Sprint("10.0.0.", i, ":5432"))] = 16
-				}
-				var all []*Service
-				begin := time.Now()
-				for i := range n {
-					name := fmt.Sprintf("d%03d", i)
-					transport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
-						BindAddrs: []string{"127.0.0.1"}, Logger: log.New(io.Discard, "", 0)})
-					if err != nil {
-						b.Fatal(err)
-					}
-					p, err := New(
-						Config{
-							Config: gossip.Config{
-								Name:           name,
-								Incarnation:    1,
-								OrdinalClaim:   -1,
-								BytesPerSecond: 50000,
-								Validation:     validation.DefaultLimits(2),
-								RandomSeed:     uint64(i),
-								Ordinals: ordinal.Limits{
-									SettleTime: 2 * time.Second,
-									LossGrace:  30 * time.Second,
-									MinCount:   1,
-								},
-							},
-							Listen:    fmt.Sprint("127.0.0.1:", transport.GetAutoBindPort()),
-							Keys:      [][]byte{key(1)},
-							Seeds:     seeds(all),
-							Transport: countingTransport{transport, &bytes},
-						},
-						observation.New(name, observation.DefaultLimits()),
-						slog.New(slog.NewTextHandler(io.Discard, nil)),
-					)
-					if err != nil {
-						b.Fatal(err)
-					}
-					p.SetEngines(engines)
-					all = append(all, p)
-				}
-				b.ReportMetric(time.Since(begin).Seconds(), "s-to-start")
-				for !converged(all) && time.Since(begin) < 3*time.Minute {
-					time.Sleep(100 * time.Millisecond)
-				}
-				b.ReportMetric(time.Since(begin).Seconds(), "s-to-agree")
-				bytes.Store(0)
-				time.Sleep(5 * time.Second)
-				b.ReportMetric(float64(bytes.Load())/5/float64(n), "bytes/s/member")
-				var wg sync.WaitGroup
-				for _, p := range all {
-					wg.Add(1)
-					go func() {
-						defer wg.Done()
-						p.Abort()
-					}()
-				}
-				wg.Wait()
+				benchmarkFleet(b, n)
 			}
 		})
 	}
 }
 
-func seeds(all []*Service) []string {
+func benchmarkFleet(b *testing.B, n int) {
+	var bytesSent atomic.Int64
+	engines := map[cresspass.EngineID]float64{}
+	for i := range 63 {
+		engines[cresspass.EngineID(fmt.Sprint("10.0.0.", i, ":5432"))] = 16
+	}
+	var all []*Service
+	begin := time.Now()
+	for i := range n {
+		s := startCounted(b, i, seedsOf(all), &bytesSent)
+		s.SetEngines(engines)
+		all = append(all, s)
+	}
+	b.ReportMetric(time.Since(begin).Seconds(), "s-to-start")
+	for !converged(all) && time.Since(begin) < 3*time.Minute {
+		time.Sleep(100 * time.Millisecond)
+	}
+	b.ReportMetric(time.Since(begin).Seconds(), "s-to-agree")
+	bytesSent.Store(0)
+	time.Sleep(5 * time.Second)
+	b.ReportMetric(float64(bytesSent.Load())/5/float64(n), "bytes/s/member")
+	var wg sync.WaitGroup
+	for _, s := range all {
+		wg.Add(1)
+		go func() {
+			defer wg.Done()
+			s.Abort()
+		}()
+	}
+	wg.Wait()
+}
+
+// startCounted starts one member whose packets are counted.
+func startCounted(b *testing.B, number int, seeds []string, bytesSent *atomic.Int64) *Service {
+	b.Helper()
+	name := fmt.Sprintf("d%03d", number)
+	transport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
+		BindAddrs: []string{"127.0.0.1"}, Logger: log.New(io.Discard, "", 0)})
+	if err != nil {
+		b.Fatal(err)
+	}
+	s, err := New(Config{
+		Config: gossip.Config{
+			Name:           name,
+			Incarnation:    1,
+			OrdinalClaim:   ordinal.Unassigned,
+			BytesPerSecond: 50000,
+			Validation:     validation.DefaultLimits(2),
+			RandomSeed:     uint64(number),
+			Ordinals: ordinal.Limits{SettleTime: 2 * time.Second, LossGrace: 30 * time.Second,
+				MinCount: 1},
+		},
+		Listen:    fmt.Sprint("127.0.0.1:", transport.GetAutoBindPort()),
+		Keys:      [][]byte{testKey(1)},
+		Seeds:     seeds,
+		Transport: countingTransport{transport, bytesSent},
+	}, observation.New(name, observation.DefaultLimits()), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	if err != nil {
+		b.Fatal(err)
+	}
+	return s
+}
+
+// seedsOf returns the address of the first member, if there is one.
+func seedsOf(all []*Service) []string {
 	if len(all) == 0 {
 		return nil
 	}
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -11,8 +11,7 @@
 	"cresspass/internal/membership/ordinal"
 )
 
-// What a member says of itself with its name, as sent on 2026-12-02: a fleet that is rolled has both versions
-// at once.
+// A member's metadata as sent on 2026-12-02: a fleet that is being upgraded has both versions at once.
 func TestGoldenMetadata(t *testing.T) {
 	for file, m := range map[string]ordinal.Member{
 		"metadata-claim.bin":    {Name: "hall-a-1", Incarnation: 1764633600000000001, Claim: 258},
@@ -38,9 +37,9 @@
 			t.Errorf("%s: read as %+v, %v", file, got, ok)
 		}
 	}
-	for _, cut := range [][]byte{nil, make([]byte, 9), make([]byte, 11)} {
-		if _, ok := decodeMember(&memberlist.Node{Name: "x", Meta: cut}); ok {
-			t.Errorf("%d bytes were read", len(cut))
+	for _, malformed := range [][]byte{nil, make([]byte, 9), make([]byte, 11)} {
+		if _, ok := decodeMember(&memberlist.Node{Name: "x", Meta: malformed}); ok {
+			t.Errorf("%d bytes were read", len(malformed))
 		}
 	}
 }
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -1,10 +1,9 @@
-// Package membership lets dispatchers talk over a network: membership by SWIM on hashicorp/memberlist, and
-// packets that may be lost. It is a shell; what is said, believed and told to the module is decided in
-// package talk.
+// Package membership runs a gossip node over a network: membership by SWIM on hashicorp/memberlist, and
+// packets that may be lost. It owns the sockets, the keys and the goroutines; what is sent, believed and told
+// to the decision module is decided in package gossip.
 package membership
 
 import (
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"io"
@@ -22,340 +21,273 @@
 	"cresspass/internal/dispatch"
 	"cresspass/internal/membership/gossip"
 	"cresspass/internal/membership/observation"
-	"cresspass/internal/membership/ordinal"
 )
 
-// Config holds the settings.
+// Config holds the settings of a Service.
 type Config struct {
 	gossip.Config
-	Listen string // UDP and TCP
-	Seeds  []string
-	// Keys authenticate and encrypt all that is said: 16, 24 or 32 bytes each. All are accepted, the first is
+	Listen string   // address, for UDP and TCP
+	Seeds  []string // addresses of members to join
+	// Keys authenticate and encrypt all traffic: 16, 24 or 32 bytes each. All are accepted, the first is
 	// used.
 	Keys          [][]byte
 	ProbeInterval time.Duration // between probes of members; 0: one second
-	// Transport carries what is said, in place of sockets at Listen; nil: sockets.
+	// Transport carries the traffic in place of sockets at Listen; nil: sockets.
 	Transport memberlist.Transport
-
 	// Clock is the dispatcher's; nil: one that began a day ago.
 	Clock dispatch.Clock
-
-	// HandleAction carries out what concerns the dispatcher: Message, View, Down. It must not block.
-	HandleAction func(o gossip.Action)
+	// HandleAction carries out the actions that concern the decision module: DeliverMessage, UpdateView and
+	// ReportEngineDown. It must not block.
+	HandleAction func(a gossip.Action)
 }
 
 const (
 	tickInterval = 50 * time.Millisecond
-	// a newcomer says again that it is there, for a while
+	// A starting dispatcher announces itself again at announceInterval for announcePeriod.
 	announceInterval = 2 * time.Second
 	announcePeriod   = time.Minute
+	leaveTimeout     = 500 * time.Millisecond
+	updateTimeout    = time.Second
+	joinTimeout      = 2 * time.Second
+	// sealingOverhead is room in UDP packets for memberlist's headers and encryption.
+	sealingOverhead = 200
 )
 
-// Service is a dispatcher's place among the others. Make one with New.
+// ErrNoKeys tells that a configuration has no key. Traffic that anybody could forge is not accepted.
+var ErrNoKeys = errors.New("membership: no keys")
+
+// Service is a dispatcher's membership in its fleet. Make one with New; end it with Close or Abort. It is
+// safe for concurrent use.
 type Service struct {
-	config     Config
-	log        *slog.Logger
-	members    *memberlist.Memberlist
-	keyring    *memberlist.Keyring
-	now        dispatch.Clock
+	config  Config
+	log     *slog.Logger
+	members *memberlist.Memberlist
+	keyring *memberlist.Keyring
+	clock   dispatch.Clock
+
 	stop       chan struct{}
 	closeOnce  sync.Once
 	background sync.WaitGroup
+	announcing atomic.Bool
 
-	announcing     atomic.Bool
-	bootstrapped   chan struct{} // closed once what others have learnt has come, or is not waited for any more
+	bootstrapped   chan struct{} // closed once the wait for the peers' model state is over
 	reportingPeers atomic.Int64
 
 	mu   sync.Mutex
 	node *gossip.Node
-	// Danger: memberlist changes its nodes; what is needed of one is taken while it tells of it.
+	// addresses are the members'. They are copied in memberlist's notifications, as memberlist changes its
+	// nodes at any other time.
 	addresses map[string]memberlist.Address
 }
 
-// New joins the others, as far as seeds answer; one that none of them answers is alone until others find it.
-func New(cfg Config, store *observation.Store, l *slog.Logger) (*Service, error) {
-	host, port, err := net.SplitHostPort(cfg.Listen)
+// New joins the fleet through the seeds. A dispatcher that reaches no seed is alone until others find it.
+func New(config Config, store *observation.Store, logger *slog.Logger) (*Service, error) {
+	host, port, err := parseListenAddress(config.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("peers: %w", err)
+		return nil, err
 	}
-	number, err := strconv.Atoi(port)
-	if err != nil {
-		return nil, fmt.Errorf("peers: port of %s: %w", cfg.Listen, err)
-	}
-	if len(cfg.Keys) == 0 {
-		return nil, errors.New("peers: a key is wanted: what anybody may say is not heard")
+	if len(config.Keys) == 0 {
+		return nil, ErrNoKeys
 	}
-	ring, err := memberlist.NewKeyring(cfg.Keys, cfg.Keys[0])
+	keyring, err := memberlist.NewKeyring(config.Keys, config.Keys[0])
 	if err != nil {
-		return nil, fmt.Errorf("peers: %w", err)
+		return nil, fmt.Errorf("membership: create keyring: %w", err)
 	}
-	p := &Service{config: cfg, log: l, keyring: ring, now: cfg.Clock, stop: make(chan struct{}),
-		bootstrapped: make(chan struct{}), addresses: map[string]memberlist.Address{}}
-	if p.now == nil {
-		p.now = dispatch.NewMonotonicClock()
+	s := &Service{
+		config:       config,
+		log:          logger,
+		keyring:      keyring,
+		clock:        config.Clock,
+		stop:         make(chan struct{}),
+		bootstrapped: make(chan struct{}),
+		addresses:    map[string]memberlist.Address{},
 	}
-	// Danger: ages are taken off our clock; by one that began now all that others saw before would be too
-	// old.
-	p.node = gossip.New(cfg.Config, store, p.now())
-	if cfg.BootstrapTimeout <= 0 { // nothing is asked, and nothing waited for
-		close(p.bootstrapped)
+	if s.clock == nil {
+		// A clock that begins now would not do: ages are subtracted from it, and all that peers observed
+		// before it began would be rejected as too old.
+		s.clock = dispatch.NewMonotonicClock()
 	}
-	m := memberlist.DefaultLANConfig()
-	m.Name, m.BindAddr, m.BindPort, m.AdvertisePort, m.AdvertiseAddr = cfg.Name, host, number, number, host
-	m.Keyring, m.Delegate, m.Events, m.Conflict = ring, p, p, p
-	m.Transport = cfg.Transport
-	m.UDPBufferSize = gossip.MaxPacketSize + 200
-	m.TCPTimeout = 2 * time.Second
-	m.DeadNodeReclaimTime = time.Millisecond // one that returns has its name, and another port may be
-	if cfg.ProbeInterval > 0 {
-		m.ProbeInterval, m.ProbeTimeout = cfg.ProbeInterval, cfg.ProbeInterval/2
-		m.GossipInterval = cfg.ProbeInterval / 2
+	s.node = gossip.New(config.Config, store, s.clock())
+	if config.BootstrapTimeout <= 0 { // nothing is requested, so that the node never completes it
+		close(s.bootstrapped)
 	}
-	m.Logger = log.New(io.Discard, "", 0)
-	if p.members, err = memberlist.Create(m); err != nil {
-		return nil, fmt.Errorf("peers: %w", err)
+	if s.members, err = memberlist.Create(s.memberlistConfig(host, port)); err != nil {
+		return nil, fmt.Errorf("membership: listen on %s: %w", config.Listen, err)
 	}
-	if len(cfg.Seeds) > 0 {
-		if n, err := p.members.Join(cfg.Seeds); n == 0 {
-			l.Warn("no seed answers; alone until others find this dispatcher", "error", err)
+	if len(config.Seeds) > 0 {
+		if joined, err := s.members.Join(config.Seeds); joined == 0 {
+			logger.Warn("no seed reachable; alone until peers join", "seeds", config.Seeds, "error", err)
 		}
 	}
-	p.background.Add(1)
-	go p.run()
-	return p, nil
+	s.background.Add(1)
+	go s.run()
+	return s, nil
 }
 
-// Addr is where others reach it.
-func (p *Service) Addr() string { return p.members.LocalNode().Address() }
-
-// Bootstrapped is closed once others have told what they have learnt, or that is not waited for any more.
-func (p *Service) Bootstrapped() <-chan struct{} { return p.bootstrapped }
-
-// ReportingPeers is how many have told.
-func (p *Service) ReportingPeers() int { return int(p.reportingPeers.Load()) }
-
-// Close leaves, so that the others need not find out, and ends.
-func (p *Service) Close() { p.shutdown(true) }
-
-// Abort ends without a word, as a crash does.
-func (p *Service) Abort() { p.shutdown(false) }
-
-func (p *Service) shutdown(leave bool) {
-	p.closeOnce.Do(func() {
-		close(p.stop)
-		p.background.Wait()
-		if leave {
-			p.members.Leave(500 * time.Millisecond)
-		}
-		p.members.Shutdown()
-	})
-}
-
-// SetKeys changes the keys in service: all are accepted, the first is used. Others follow one by one: first
-// each is given the new key behind the old, then before it, then the old is taken away.
-func (p *Service) SetKeys(keys [][]byte) error {
-	if len(keys) == 0 {
-		return errors.New("peers: no key")
-	}
-	for _, k := range keys {
-		if err := p.keyring.AddKey(k); err != nil {
-			return err
-		}
-	}
-	if err := p.keyring.UseKey(keys[0]); err != nil {
-		return err
+// parseListenAddress splits an address with a numeric port.
+func parseListenAddress(address string) (host string, port int, err error) {
+	host, portText, err := net.SplitHostPort(address)
+	if err != nil {
+		return "", 0, fmt.Errorf("membership: parse listen address: %w", err)
 	}
-	for _, old := range p.keyring.GetKeys() {
-		keep := false
-		for _, k := range keys {
-			keep = keep || string(k) == string(old)
-		}
-		if !keep {
-			if err := p.keyring.RemoveKey(old); err != nil {
-				return err
-			}
-		}
+	if port, err = strconv.Atoi(portText); err != nil {
+		return "", 0, fmt.Errorf("membership: parse port of %s: %w", address, err)
 	}
-	return nil
+	return host, port, nil
 }
 
-// Stats returns the counts so far.
-func (p *Service) Stats() gossip.Stats {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.node.Stats()
-}
-
-// withNode has f take part, and carries out what comes of it. It must not be called from within memberlist's
-// events.
-func (p *Service) withNode(f func(now time.Duration, t *gossip.Node)) {
-	p.mu.Lock()
-	f(p.now(), p.node)
-	out := p.node.Ready()
-	nodes := make([]memberlist.Address, len(out))
-	for i := range out {
-		if out[i].Type == gossip.SendPacket {
-			nodes[i] = p.addresses[out[i].To]
-		}
-	}
-	p.mu.Unlock()
-	for i := range out {
-		switch o := &out[i]; o.Type {
-		case gossip.SendPacket:
-			if nodes[i].Addr != "" {
-				p.members.SendToAddress(nodes[i], o.Data) // lost is as good as not sent
-			}
-		case gossip.BroadcastMetadata:
-			p.broadcastMetadata()
-		case gossip.CompleteBootstrap:
-			p.reportingPeers.Store(int64(o.ReportingPeers))
-			close(p.bootstrapped)
-		case gossip.YieldName:
-			p.log.Error("another dispatcher, started later, has this name; this one is silent from now on",
-				"name", p.config.Name)
-			go p.shutdown(false)
-		default:
-			if p.config.HandleAction != nil {
-				p.config.HandleAction(*o)
-			}
-		}
+// memberlistConfig returns memberlist's settings.
+func (s *Service) memberlistConfig(host string, port int) *memberlist.Config {
+	c := memberlist.DefaultLANConfig()
+	c.Name = s.config.Name
+	c.BindAddr, c.AdvertiseAddr = host, host
+	c.BindPort, c.AdvertisePort = port, port
+	c.Keyring = s.keyring
+	c.Delegate, c.Events, c.Conflict = s, s, s
+	c.Transport = s.config.Transport
+	c.UDPBufferSize = gossip.MaxPacketSize + sealingOverhead
+	c.TCPTimeout = joinTimeout
+	// A restarted dispatcher has its name at once, and may have another port.
+	c.DeadNodeReclaimTime = time.Millisecond
+	if probe := s.config.ProbeInterval; probe > 0 {
+		c.ProbeInterval, c.ProbeTimeout = probe, probe/2
+		c.GossipInterval = probe / 2
 	}
+	c.Logger = log.New(io.Discard, "", 0)
+	return c
 }
 
-// SendMessage says a message of the module's to the dispatcher of an ordinal; -1: to all. It may be lost,
-// and is not sent beyond the rate.
-func (p *Service) SendMessage(to int, data []byte) {
-	p.withNode(func(now time.Duration, t *gossip.Node) { t.SendMessage(now, to, data) })
-}
+// Addr returns the address at which others reach this dispatcher.
+func (s *Service) Addr() string { return s.members.LocalNode().Address() }
 
-// SetEngines tells which engines there are, with their cores.
-func (p *Service) SetEngines(engines map[cresspass.EngineID]float64) {
-	p.withNode(func(_ time.Duration, t *gossip.Node) { t.SetEngines(engines) })
-}
+// Bootstrapped is closed once the peers have sent their model state, or it is not waited for any more.
+func (s *Service) Bootstrapped() <-chan struct{} { return s.bootstrapped }
 
-// RecordAttempt tells how an attempt at an engine ended; see talk.Talker.
-func (p *Service) RecordAttempt(id cresspass.EngineID, answered bool, threads float64) {
-	p.withNode(func(now time.Duration, t *gossip.Node) { t.RecordAttempt(now, id, answered, threads) })
-}
+// ReportingPeers is how many peers have sent their model state.
+func (s *Service) ReportingPeers() int { return int(s.reportingPeers.Load()) }
 
-// Learnt tells what the module has learnt, by name.
-func (p *Service) Learnt(figures map[string]float64) {
-	p.withNode(func(now time.Duration, t *gossip.Node) { t.RecordModelState(now, figures) })
+// Stats returns the node's counts so far.
+func (s *Service) Stats() gossip.Stats {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.node.Stats()
 }
 
-// WithStore has f look at what is known, or add to it.
-func (p *Service) WithStore(f func(now time.Duration, s *observation.Store)) {
-	p.withNode(func(now time.Duration, t *gossip.Node) { f(now, t.Store()) })
-}
+// Close announces the leave, so that the others need not detect a failure, and stops.
+func (s *Service) Close() { s.shutdown(true) }
 
-// NotifyMsg takes a packet.
-func (p *Service) NotifyMsg(b []byte) {
-	p.withNode(func(now time.Duration, t *gossip.Node) { t.HandlePacket(now, b) })
+// Abort stops without an announcement, as a crash does.
+func (s *Service) Abort() { s.shutdown(false) }
+
+func (s *Service) shutdown(leave bool) {
+	s.closeOnce.Do(func() {
+		close(s.stop)
+		s.background.Wait()
+		if leave {
+			_ = s.members.Leave(leaveTimeout) // where it is not delivered in time, the others detect the loss
+		}
+		_ = s.members.Shutdown() // it never fails: memberlist logs what its transport returns
+	})
 }
 
-// run lets time pass.
-func (p *Service) run() {
-	defer p.background.Done()
-	tick := time.NewTicker(tickInterval)
-	defer tick.Stop()
-	announced, begun := time.Now(), time.Now()
+// run ticks the node until the service stops.
+func (s *Service) run() {
+	defer s.background.Done()
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	lastAnnounced, started := time.Now(), time.Now()
 	for {
 		select {
-		case <-p.stop:
+		case <-s.stop:
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		p.withNode(func(now time.Duration, t *gossip.Node) { t.Tick(now) })
-		if time.Since(announced) >= announceInterval && time.Since(begun) < announcePeriod {
-			// Danger: one that returns before its former life is known to be dead has a name in use; its word
-			// is not taken, and memberlist does not say it again.
-			announced = time.Now()
-			p.announce()
+		s.withNode(func(now time.Duration, n *gossip.Node) { n.Tick(now) })
+		if time.Since(lastAnnounced) >= announceInterval && time.Since(started) < announcePeriod {
+			lastAnnounced = time.Now()
+			s.announce()
 		}
 	}
 }
 
-// announce says again that this dispatcher is there. Seeds out of reach hold it up, and nothing else.
-func (p *Service) announce() {
-	if !p.announcing.CompareAndSwap(false, true) {
+// announce joins the seeds and broadcasts the metadata once more. While the others do not yet know that this
+// name's previous process has ended, they ignore the metadata of this one, and memberlist does not repeat it.
+// Seeds that do not answer delay the announcement only, as it runs beside the ticks.
+func (s *Service) announce() {
+	if !s.announcing.CompareAndSwap(false, true) {
 		return
 	}
-	p.background.Add(1)
+	s.background.Add(1)
 	go func() {
-		defer p.background.Done()
-		defer p.announcing.Store(false)
-		p.members.Join(p.config.Seeds)
-		p.broadcastMetadata()
+		defer s.background.Done()
+		defer s.announcing.Store(false)
+		_, _ = s.members.Join(s.config.Seeds) // the next announcement tries again
+		s.broadcastMetadata()
 	}()
 }
 
-// broadcastMetadata has the others told of what this one says of itself.
-func (p *Service) broadcastMetadata() { p.members.UpdateNode(time.Second) }
-
-// encodeMetadata is a member's life and claim, as the others get it with its name.
-func encodeMetadata(m ordinal.Member) []byte {
-	b := binary.BigEndian.AppendUint64(nil, m.Incarnation)
-	return binary.BigEndian.AppendUint16(b, uint16(int16(m.Claim)))
+// broadcastMetadata has memberlist fetch this dispatcher's metadata and broadcast it.
+func (s *Service) broadcastMetadata() {
+	_ = s.members.UpdateNode(updateTimeout) // it fails if the broadcast is late; memberlist goes on with it
 }
 
-func decodeMember(n *memberlist.Node) (m ordinal.Member, ok bool) {
-	if len(n.Meta) != 10 {
-		return m, false
+// withNode calls f with the node and carries out the actions that follow. It must not be called from
+// memberlist's notifications, which hold memberlist's locks.
+func (s *Service) withNode(f func(now time.Duration, n *gossip.Node)) {
+	s.mu.Lock()
+	f(s.clock(), s.node)
+	actions := s.node.Ready()
+	receivers := make([]memberlist.Address, len(actions))
+	for i := range actions {
+		if actions[i].Type == gossip.SendPacket {
+			receivers[i] = s.addresses[actions[i].To]
+		}
+	}
+	s.mu.Unlock()
+	for i := range actions {
+		s.carryOut(&actions[i], receivers[i])
 	}
-	return ordinal.Member{Name: n.Name, Incarnation: binary.BigEndian.Uint64(n.Meta),
-		Claim: int(int16(binary.BigEndian.Uint16(n.Meta[8:])))}, true
 }
 
-// NodeMeta, GetBroadcasts, LocalState and MergeRemoteState are memberlist's.
-func (p *Service) NodeMeta(int) []byte {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return encodeMetadata(p.node.Self())
+// carryOut carries out one action.
+func (s *Service) carryOut(a *gossip.Action, receiver memberlist.Address) {
+	switch a.Type {
+	case gossip.SendPacket:
+		if receiver.Addr != "" {
+			_ = s.members.SendToAddress(receiver, a.Data) // as good as lost on the network, which may happen
+		}
+	case gossip.BroadcastMetadata:
+		s.broadcastMetadata()
+	case gossip.CompleteBootstrap:
+		s.reportingPeers.Store(int64(a.ReportingPeers))
+		close(s.bootstrapped)
+	case gossip.YieldName:
+		s.log.Error("name taken over by a later process; gossip stopped", "name", s.config.Name)
+		go s.shutdown(false)
+	default:
+		if s.config.HandleAction != nil {
+			s.config.HandleAction(*a)
+		}
+	}
 }
 
-// GetBroadcasts returns none: what is told goes to members.
-func (p *Service) GetBroadcasts(int, int) [][]byte { return nil }
-
-// LocalState returns none: digests find what differs at less cost.
-func (p *Service) LocalState(bool) []byte { return nil }
-
-// MergeRemoteState has nothing to take.
-func (p *Service) MergeRemoteState([]byte, bool) {}
-
-// NotifyJoin takes a member that is there.
-func (p *Service) NotifyJoin(n *memberlist.Node) { p.memberAlive(n) }
-
-// NotifyUpdate takes what a member says anew.
-func (p *Service) NotifyUpdate(n *memberlist.Node) { p.memberAlive(n) }
+// SendMessage sends a message of the decision module to the dispatcher with an ordinal; gossip.AllPeers: to
+// all. It may be lost, and is not sent beyond the rate.
+func (s *Service) SendMessage(to int, data []byte) {
+	s.withNode(func(now time.Duration, n *gossip.Node) { n.SendMessage(now, to, data) })
+}
 
-// memberAlive takes a member's word. What comes of it is carried out at the next step: memberlist holds its
-// locks here.
-func (p *Service) memberAlive(n *memberlist.Node) {
-	m, ok := decodeMember(n)
-	if !ok {
-		return
-	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.addresses[n.Name] = memberlist.Address{Addr: n.Address(), Name: n.Name}
-	p.node.MemberAlive(p.now(), m)
+// SetEngines sets which engines exist, with their cores.
+func (s *Service) SetEngines(engines map[cresspass.EngineID]float64) {
+	s.withNode(func(_ time.Duration, n *gossip.Node) { n.SetEngines(engines) })
 }
 
-// NotifyLeave takes a member's loss, or its leave.
-func (p *Service) NotifyLeave(n *memberlist.Node) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	delete(p.addresses, n.Name)
-	p.node.MemberLost(p.now(), n.Name, n.State == memberlist.StateLeft)
+// RecordAttempt records how an attempt at an engine ended, see gossip.Node.RecordAttempt.
+func (s *Service) RecordAttempt(id cresspass.EngineID, answered bool, threads float64) {
+	s.withNode(func(now time.Duration, n *gossip.Node) { n.RecordAttempt(now, id, answered, threads) })
 }
 
-// NotifyConflict tells of two with one name.
-func (p *Service) NotifyConflict(existing, other *memberlist.Node) {
-	p.log.Warn("two dispatchers have one name", "name", existing.Name, "one", existing.Address(),
-		"other", other.Address())
-	if m, ok := decodeMember(other); ok {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		p.node.NameConflict(p.now(), m)
-	}
+// WithStore calls f with the observations, to be read or added to.
+func (s *Service) WithStore(f func(now time.Duration, store *observation.Store)) {
+	s.withNode(func(now time.Duration, n *gossip.Node) { f(now, n.Store()) })
 }
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -1,6 +1,8 @@
 package membership
 
 import (
+	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -16,18 +18,14 @@
 	"cresspass/internal/membership/validation"
 )
 
-func key(b byte) []byte {
-	k := make([]byte, 32)
-	for i := range k {
-		k[i] = b
-	}
-	return k
-}
+// testKey returns a key of 32 equal bytes.
+func testKey(b byte) []byte { return bytes.Repeat([]byte{b}, 32) }
 
+// testFleet starts dispatchers over real sockets and collects the messages that they receive.
 type testFleet struct {
 	t           *testing.T
 	mu          sync.Mutex
-	received    map[string][]string
+	received    map[string][]string // "sender's ordinal, threads" by the receiver's name
 	incarnation uint64
 }
 
@@ -36,39 +34,32 @@
 	f.incarnation++
 	store := observation.New(fmt.Sprint(name, "-", f.incarnation), observation.DefaultLimits())
 	store.SetEngines([]string{"e1", "e2"})
-	p, err := New(
-		Config{
-			Config: gossip.Config{
-				Name:           name,
-				Incarnation:    f.incarnation,
-				OrdinalClaim:   -1,
-				BytesPerSecond: 20000,
-				Validation:     validation.DefaultLimits(1),
-				Ordinals: ordinal.Limits{
-					SettleTime: 200 * time.Millisecond,
-					LossGrace:  500 * time.Millisecond,
-					MinCount:   1,
-				},
-			},
-			Listen:        "127.0.0.1:0",
-			Seeds:         seeds,
-			Keys:          keys,
-			ProbeInterval: 100 * time.Millisecond,
-			HandleAction: func(o gossip.Action) {
-				if o.Type == gossip.DeliverMessage {
-					f.mu.Lock()
-					defer f.mu.Unlock()
-					f.received[name] = append(f.received[name], fmt.Sprint(o.From, " ", o.Data[3]))
-				}
-			},
+	s, err := New(Config{
+		Config: gossip.Config{
+			Name:           name,
+			Incarnation:    f.incarnation,
+			OrdinalClaim:   ordinal.Unassigned,
+			BytesPerSecond: 20000,
+			Validation:     validation.DefaultLimits(1),
+			Ordinals: ordinal.Limits{SettleTime: 200 * time.Millisecond, LossGrace: 500 * time.Millisecond,
+				MinCount: 1},
 		},
-		store,
-		slog.New(slog.NewTextHandler(io.Discard, nil)),
-	)
+		Listen:        "127.0.0.1:0",
+		Seeds:         seeds,
+		Keys:          keys,
+		ProbeInterval: 100 * time.Millisecond,
+		HandleAction: func(a gossip.Action) {
+			if a.Type == gossip.DeliverMessage {
+				f.mu.Lock()
+				defer f.mu.Unlock()
+				f.received[name] = append(f.received[name], fmt.Sprint(a.From, " ", a.Data[3]))
+			}
+		},
+	}, store, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	return p
+	return s
 }
 
 func (f *testFleet) eventually(what string, ok func() bool) {
@@ -81,11 +72,11 @@
 }
 
 // converged reports whether all have the same count and ordinals of their own.
-func converged(all []*Service) bool {
+func converged(services []*Service) bool {
 	seen := map[int]bool{}
-	for _, p := range all {
-		st := p.Stats()
-		if st.Members != len(all) || st.Ordinal < 0 || st.Ordinal >= len(all) || seen[st.Ordinal] {
+	for _, s := range services {
+		st := s.Stats()
+		if st.Members != len(services) || st.Ordinal < 0 || st.Ordinal >= len(services) || seen[st.Ordinal] {
 			return false
 		}
 		seen[st.Ordinal] = true
@@ -96,20 +87,20 @@
 // sentMessage is a message of a query just sent.
 func sentMessage(threads byte) []byte { return []byte{3, 0, 0, threads} }
 
-// Five dispatchers over real sockets: ordinals, messages, what one saw is known to all; one that dies and one
-// that leaves; a wrong key; keys changed in service with one left behind; a message sent again; the rate.
+// Five dispatchers over real sockets: ordinals, messages, an observation that all learn of; one that crashes
+// and one that leaves; a wrong key; keys changed in service with one left behind; the rate.
 func TestMembershipOverSockets(t *testing.T) {
 	f := &testFleet{t: t, received: map[string][]string{}}
-	keys := [][]byte{key(1)}
+	keys := [][]byte{testKey(1)}
 	first := f.start("a", keys)
 	all := []*Service{first}
 	for _, name := range []string{"b", "c", "d", "e"} {
 		all = append(all, f.start(name, keys, first.Addr()))
 	}
-	f.eventually("agreed", func() bool { return converged(all) })
-	stranger := f.start("x", [][]byte{key(9)}, first.Addr())
+	f.eventually("converged", func() bool { return converged(all) })
+	wrongKey := f.start("x", [][]byte{testKey(9)}, first.Addr())
 	f.eventually("messages", func() bool { // they may be lost, and claims are heard of a moment late
-		first.SendMessage(-1, sentMessage(0))
+		first.SendMessage(gossip.AllPeers, sentMessage(0))
 		first.SendMessage(all[2].Stats().Ordinal, sentMessage(1))
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -124,57 +115,89 @@
 	for _, name := range []string{"b", "d", "e"} {
 		for _, m := range f.received[name] {
 			if strings.HasSuffix(m, " 1") {
-				t.Errorf("%s got what was for c", name)
+				t.Errorf("%s received what was for c", name)
 			}
 		}
 	}
 	f.mu.Unlock()
-	k := observation.Key{Engine: "e1", Property: observation.Uptime}
-	first.WithStore(func(now time.Duration, s *observation.Store) { s.Observe(now, k, 77) })
-	for _, p := range all[1:] {
-		f.eventually("known to all", func() (known bool) {
-			p.WithStore(
-				func(now time.Duration, s *observation.Store) { known = s.Assess(now, k).Value == 77 },
-			)
-			return known
-		})
+	f.observationReachesAll(first, all[1:])
+	if !converged(all) || wrongKey.Stats().Members != 1 {
+		t.Errorf("one with a wrong key is in: %+v", wrongKey.Stats())
 	}
-	if !converged(all) || stranger.Stats().Members != 1 {
-		t.Errorf("one with a wrong key is in: %+v", stranger.Stats())
-	}
-	stranger.Close()
+	wrongKey.Close()
 
 	for range 200 {
-		first.SendMessage(-1, make([]byte, 255))
+		first.SendMessage(gossip.AllPeers, make([]byte, 255))
 	}
 	if st := first.Stats(); st.PacketsRateLimited == 0 || st.BytesSent > 80000 {
 		t.Errorf("the rate does not hold: %+v", st)
 	}
 
-	for _, p := range all[:4] { // the last is left behind
-		if err := p.SetKeys([][]byte{key(1), key(2)}); err != nil {
-			t.Fatal(err)
-		}
-	}
-	for _, p := range all[:4] {
-		p.SetKeys([][]byte{key(2), key(1)})
-	}
-	for _, p := range all[:4] {
-		p.SetKeys([][]byte{key(2)})
-	}
+	changeKey(t, all[:4]) // the last is left behind
 	f.eventually("the one left behind is lost, the others go on", func() bool { return converged(all[:4]) })
 	all[4].Abort()
-	ordinals := all[0].Stats().Ordinal
+	before := all[0].Stats().Ordinal
 	all[3].Close() // leaves
 	f.eventually("one left", func() bool { return converged(all[:3]) })
 	all[2].Abort()
-	f.eventually("one died", func() bool { return converged(all[:2]) })
-	back := f.start("c", [][]byte{key(2)}, all[0].Addr())
-	f.eventually("it returns", func() bool { return converged([]*Service{all[0], all[1], back}) })
-	if n := all[0].Stats().Ordinal; n != ordinals {
-		t.Errorf("one that never left had ordinal %d and has %d", ordinals, n)
-	}
-	for _, p := range []*Service{all[0], all[1], back} {
-		p.Close()
+	f.eventually("one crashed", func() bool { return converged(all[:2]) })
+	returned := f.start("c", [][]byte{testKey(2)}, all[0].Addr())
+	f.eventually("it returns", func() bool { return converged([]*Service{all[0], all[1], returned}) })
+	if after := all[0].Stats().Ordinal; after != before {
+		t.Errorf("one that never left had ordinal %d and has %d", before, after)
+	}
+	for _, s := range []*Service{all[0], all[1], returned} {
+		s.Close()
+	}
+}
+
+// observationReachesAll has one dispatcher observe an engine, and waits until its peers know of it.
+func (f *testFleet) observationReachesAll(observer *Service, peers []*Service) {
+	f.t.Helper()
+	key := observation.Key{Engine: "e1", Property: observation.Uptime}
+	observer.WithStore(func(now time.Duration, store *observation.Store) { store.Observe(now, key, 77) })
+	for _, peer := range peers {
+		f.eventually("known to all", func() (known bool) {
+			peer.WithStore(func(now time.Duration, store *observation.Store) {
+				known = store.Assess(now, key).Value == 77
+			})
+			return known
+		})
+	}
+}
+
+// changeKey changes the key of services from 1 to 2 in the three steps.
+func changeKey(t *testing.T, services []*Service) {
+	t.Helper()
+	for _, keys := range [][][]byte{{testKey(1), testKey(2)}, {testKey(2), testKey(1)}, {testKey(2)}} {
+		for _, s := range services {
+			if err := s.SetKeys(keys); err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+}
+
+// A service without a key, or with an address that cannot be, is not started.
+func TestInvalidConfig(t *testing.T) {
+	start := func(listen string, keys ...[]byte) error {
+		config := Config{Config: gossip.Config{Name: "a"}, Listen: listen, Keys: keys}
+		store := observation.New("a", observation.DefaultLimits())
+		s, err := New(config, store, slog.New(slog.DiscardHandler))
+		if err == nil {
+			s.Abort()
+		}
+		return err
+	}
+	if err := start("127.0.0.1:0"); !errors.Is(err, ErrNoKeys) {
+		t.Errorf("no key: %v", err)
+	}
+	for _, listen := range []string{"127.0.0.1", "127.0.0.1:http"} {
+		if err := start(listen, testKey(1)); err == nil {
+			t.Errorf("listens on %s", listen)
+		}
+	}
+	if err := start("127.0.0.1:0", []byte("short")); err == nil {
+		t.Error("a key of five bytes is accepted")
 	}
 }
