--- a/retry_test.go
+++ b/retry_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestBadPlanIsCancelledAndRetried: a note shows an attempt far behind, and a fresh one draws its plan anew.
+// TestBadPlanIsCancelledAndRetried: a note shows an attempt far behind, and a fresh one draws its plan
+// anew.
 func TestBadPlanIsCancelledAndRetried(t *testing.T) {
 	b := newHarness(t, singleClassConfig(), standardEngine("e1"), standardEngine("e2"))
 	b.submit(1, "short", "")
@@ -24,7 +25,7 @@
 	first := b.lastActions[0]
 	var got []Action
 	for range 20 {
-		b.g.engines[first.Engine].lastHeardAt = b.now // others' answers arrive
+		b.g.engines[first.Engine].lastSeenAt = b.now // others' answers arrive
 		if got = b.advance(50*ms, Event{Type: TimerFired}); len(got) > 0 {
 			break
 		}
@@ -36,13 +37,14 @@
 	}
 }
 
-// TestLongQueryOfUnknownCostIsNoBadPlan: calling off what is only long did its work thrice (Tallinn, big-1).
+// TestLongQueryOfUnknownCostIsNoBadPlan: calling off what is only long did its work thrice (Tallinn,
+// big-1).
 func TestLongQueryOfUnknownCostIsNoBadPlan(t *testing.T) {
-	for _, told := range []bool{true, false} {
+	for _, known := range []bool{true, false} {
 		b := newHarness(t, singleClassConfig(), standardEngine("e1"), standardEngine("e2"))
 		b.g.classList[0].baseScale = 0.1
 		ev := Event{Type: QueryArrived, Query: 1, Class: "short", RemainingDeadline: 10 * time.Second}
-		if ev.HasCostEstimate = told; told {
+		if ev.HasCostEstimate = known; known {
 			ev.CostEstimate = 2 * time.Second
 		}
 		wantActions(t, b.advance(0, ev), Send)
@@ -53,7 +55,7 @@
 			Note:   NoteFractionDone,
 			Value:  0.25,
 		}
-		if got := b.advance(200*ms, note); told {
+		if got := b.advance(200*ms, note); known {
 			wantActions(t, got, Cancel) // 0.8 s for an estimate of 0.2 s
 		} else {
 			wantActions(t, got)
@@ -69,10 +71,35 @@
 		t.Fatalf("%v threads running after a send", e.ownThreads)
 	}
 	for range 180 { // nine seconds, with others' answers arriving
-		e.lastHeardAt = b.now
+		e.lastSeenAt = b.now
 		b.advance(50*ms, Event{Type: TimerFired})
 	}
 	if e.ownThreads != 0 || b.g.ownThreads != 0 {
 		t.Errorf("an attempt long overdue still holds %v threads", e.ownThreads)
 	}
 }
+
+// TestRetryBudgetWindow: arrivals count a little shorter and retries a little longer than the window.
+func TestRetryBudgetWindow(t *testing.T) {
+	rules := &Rules{
+		HasRetryBudget: true, RetryBudgetFree: 1, RetryBudgetRatio: 0.5, RetryBudgetWindow: time.Second,
+	}
+	var b retryBudget
+	if !b.allowsOneMore(rules, time.Hour, 10*ms) {
+		t.Error("the free retry is not allowed")
+	}
+	b.retried(time.Hour)
+	if b.allowsOneMore(rules, time.Hour, 10*ms) {
+		t.Error("a second retry without queries is allowed")
+	}
+	b.arrived(time.Hour)
+	b.arrived(time.Hour)
+	for _, c := range []struct {
+		after time.Duration
+		want  bool
+	}{{0, true}, {980 * ms, true}, {995 * ms, false}, {1005 * ms, false}, {1015 * ms, true}} {
+		if got := b.allowsOneMore(rules, time.Hour+c.after, 10*ms); got != c.want {
+			t.Errorf("%v later: allowed %v, want %v", c.after, got, c.want)
+		}
+	}
+}
