--- a/internal/daemon/handover_test.go
+++ b/internal/daemon/handover_test.go
@@ -43,7 +43,7 @@
 		case <-time.After(10 * time.Second):
 			t.Fatalf("the predecessor does not end:\n%s", a.log)
 		}
-		b.waitForLog(t, "msg=dispatchers ordinal=0")
+		b.waitForLog(t, `msg="membership changed" ordinal=0`)
 		time.Sleep(300 * time.Millisecond)
 		a = b
 	}
@@ -82,7 +82,10 @@
 		t.Errorf("free, and the predecessor drains: %v", err)
 	}
 	select {
-	case <-a.done:
+	case err := <-a.done:
+		if err != nil {
+			t.Error(err)
+		}
 	case <-time.After(10 * time.Second):
 		t.Fatalf("the predecessor does not end:\n%s", a.log)
 	}
@@ -173,7 +176,7 @@
 	}
 	predecessor.close()
 	a.waitForLog(t, "from=\"handing over\" to=ready")
-	env.rig.Roster.Away(true) // a successor that gets no list gives up by itself
+	env.rig.Discovery.SetUnavailable(true) // a successor that gets no list gives up by itself
 	if err := os.Rename(env.waitForCachedList(t), filepath.Join(env.dir, "list")); err != nil {
 		t.Fatal(err)
 	}
@@ -182,7 +185,7 @@
 	if err := Run(context.Background(), o); err == nil || !strings.Contains(err.Error(), "no engine list") {
 		t.Errorf("a successor without a list: %v", err)
 	}
-	env.rig.Roster.Away(false)
+	env.rig.Discovery.SetUnavailable(false)
 	time.Sleep(100 * time.Millisecond)
 	load.end(t)
 	if _, _, err := takeOverListeners(filepath.Join(env.dir, "nobody")); err == nil {
