--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -30,153 +30,190 @@
 	return string(stored)
 }
 
-// dump writes what a file was read as, under the names of its keys.
-func dump(c *Config) string {
-	var b strings.Builder
-	line := func(key string, values ...any) {
-		fmt.Fprintf(&b, "%s =", key)
-		for _, v := range values {
-			if s, ok := v.(string); ok {
-				v = fmt.Sprintf("%q", s)
-			}
-			fmt.Fprintf(&b, " %v", v)
+// dumper writes what a file was read as, under the names of its keys.
+type dumper struct{ strings.Builder }
+
+func (d *dumper) line(key string, values ...any) {
+	fmt.Fprintf(d, "%s =", key)
+	for _, v := range values {
+		if s, ok := v.(string); ok {
+			v = fmt.Sprintf("%q", s)
 		}
-		fmt.Fprintln(&b)
+		fmt.Fprintf(d, " %v", v)
 	}
-	line("path", c.Path)
-	line("listen", c.Listen)
-	line("max_clients", c.MaxClients)
-	line("startup_timeout", c.StartupTimeout)
-	line("hold_back", c.HoldBack)
-	line("hold_back_total", c.HoldBackTotal)
-	line("max_message", c.MaxMessage)
-	line("max_pending", c.MaxPending)
-	line("client_buffer", c.ClientBuffer)
+	fmt.Fprintln(d)
+}
+
+func dump(c *Config) string {
+	var d dumper
+	d.file(c)
+	d.logDiscoveryEngines(c)
+	d.rulesLimitsSessions(c)
+	d.flightPeersRecord(c)
+	d.classes(c)
+	d.kindsTenants(c)
+	d.matches(c)
+	m := &c.Module
+	d.line("what the module may", m.MayCancel, m.MaySendRetryAfter, m.MayGossip, m.MayHedge, m.PollEngineList,
+		m.ReportsCost)
+	return d.String()
+}
+
+// file writes the settings outside of blocks.
+func (d *dumper) file(c *Config) {
+	d.line("path", c.Path)
+	d.line("listen", c.Listen)
+	d.line("max_clients", c.MaxClients)
+	d.line("startup_timeout", c.StartupTimeout)
+	d.line("hold_back", c.HoldBack)
+	d.line("hold_back_total", c.HoldBackTotal)
+	d.line("max_message", c.MaxMessage)
+	d.line("max_pending", c.MaxPending)
+	d.line("client_buffer", c.ClientBuffer)
+	m := &c.Module
+	d.line("seed", m.Seed)
+	d.line("ordinal", m.Ordinal)
+	d.line("gateways", m.GatewayCount)
+	d.line("zone", m.Zone)
+	d.line("tick", m.BatchInterval)
+	d.line("state", c.StateDir)
+	d.line("state_every", c.SnapshotInterval)
+	d.line("pid_file", c.PIDFile)
+	d.line("health", c.HealthAddr)
+	d.line("takeover", c.TakeoverSocket)
+	d.line("drain_for", c.DrainTimeout)
+	d.line("max_held", c.MaxOpenQueries)
+	d.line("max_answer_memory", c.MaxBufferedBytes)
+	d.line("max_per_user", c.MaxConnectionsPerUser)
+	d.line("lag_limit", c.LagLimit)
+	d.line("default_class", c.DefaultClass)
+	d.line("write_class", c.WriteClass)
+	d.line("describe_class", c.DescribeClass)
+}
+
+func (d *dumper) logDiscoveryEngines(c *Config) {
+	m := &c.Module
+	d.line("log.level", c.LogLevel)
+	d.line("log.format", c.LogFormat)
+	d.line("roster.eds", c.DiscoveryAddr)
+	d.line("roster.service", c.DiscoveryService)
+	d.line("roster.cache", c.EndpointCacheFile)
+	d.line("engines.user", c.EngineUser)
+	d.line("engines.database", c.EngineDatabase)
+	d.line("engines.max_connections", c.MaxConnections)
+	d.line("engines.connect_timeout", c.ConnectTimeout)
+	d.line("engines.cancel_timeout", c.CancelTimeout)
+	d.line("engines.idle_timeout", c.IdleTimeout)
+	d.line("engines.max_prepared", c.MaxPrepared)
+	d.line("engines.takes_grants", m.AcceptsMemoryGrants)
+	d.line("engines.takes_priority", m.AcceptsPriority)
+	d.line("engines.max_grant_share", m.MaxGrantShare)
+	d.line("engines.when_short", int(m.OnMemoryShortage))
+	d.line("engines.progress_every", m.ProgressInterval)
+	d.line("engines.report_fields", m.LoadReportFields)
+	d.line("engines.may_probe", m.MayCheckHealth)
+}
+
+func (d *dumper) rulesLimitsSessions(c *Config) {
 	m := &c.Module
-	line("seed", m.Seed)
-	line("ordinal", m.Ordinal)
-	line("gateways", m.GatewayCount)
-	line("zone", m.Zone)
-	line("tick", m.BatchInterval)
-	line("state", c.StateDir)
-	line("state_every", c.SnapshotInterval)
-	line("pid_file", c.PIDFile)
-	line("health", c.HealthAddr)
-	line("takeover", c.TakeoverSocket)
-	line("drain_for", c.DrainTimeout)
-	line("max_held", c.MaxOpenQueries)
-	line("max_answer_memory", c.MaxBufferedBytes)
-	line("max_per_user", c.MaxConnectionsPerUser)
-	line("lag_limit", c.LagLimit)
-	line("default_class", c.DefaultClass)
-	line("write_class", c.WriteClass)
-	line("describe_class", c.DescribeClass)
-	line("log.level", c.LogLevel)
-	line("log.format", c.LogFormat)
-	line("roster.eds", c.DiscoveryAddr)
-	line("roster.service", c.DiscoveryService)
-	line("roster.cache", c.EndpointCacheFile)
-	line("engines.user", c.EngineUser)
-	line("engines.database", c.EngineDatabase)
-	line("engines.max_connections", c.MaxConnections)
-	line("engines.connect_timeout", c.ConnectTimeout)
-	line("engines.cancel_timeout", c.CancelTimeout)
-	line("engines.idle_timeout", c.IdleTimeout)
-	line("engines.max_prepared", c.MaxPrepared)
-	line("engines.takes_grants", m.AcceptsMemoryGrants)
-	line("engines.takes_priority", m.AcceptsPriority)
-	line("engines.max_grant_share", m.MaxGrantShare)
-	line("engines.when_short", int(m.OnMemoryShortage))
-	line("engines.progress_every", m.ProgressInterval)
-	line("engines.report_fields", m.LoadReportFields)
-	line("engines.may_probe", m.MayCheckHealth)
 	r := &m.Rules
-	line("rules.answer_grace", r.AnswerGrace)
-	line("rules.drain_grace", r.DrainGrace)
-	line("rules.cold_from", r.SlowStartFrom)
-	line("rules.cold_for", r.SlowStartDuration)
-	line("rules.cold_multiple", r.SlowStartOverloadFactor)
-	line("rules.cold_window", r.SlowStartWindow)
-	line("rules.order_rest", r.OrderSettleDelay)
-	line("rules.budget_free", r.HasRetryBudget, r.RetryBudgetFree)
-	line("rules.budget_share", r.RetryBudgetRatio)
-	line("rules.budget_look_back", r.RetryBudgetWindow)
-	line("limits.max_attempts", m.MaxAttempts)
-	line("limits.max_come_back", m.MaxRetryAfter)
-	line("sessions.idle_in_transaction", c.SessionLimits.IdleInTransaction)
-	line("sessions.max_age", c.SessionLimits.MaxAge)
-	line("sessions.max", c.SessionLimits.MaxTotal)
-	line("sessions.max_per_user", c.SessionLimits.MaxPerUser)
-	line("sessions.max_per_engine", m.MaxSessionsPerEngine)
-	line("sessions.harmless", c.HarmlessFunctions)
-	line("flight.listen", c.Flight.Listen)
-	line("flight.ticket_life", c.Flight.TicketLife)
-	line("flight.session_rest", c.Flight.SessionRest)
-	line("flight.keep_alive", c.Flight.KeepAlive)
-	line("flight.max_connection_age", c.Flight.MaxAge)
-	line("flight.max_tickets", c.Flight.MaxTickets)
-	line("flight.max_streams", c.Flight.MaxStreams)
-	line("flight.max_transactions", c.Flight.MaxTransactions)
-	line("flight.max_prepared", c.Flight.MaxPrepared)
-	line("flight.max_waiting", c.Flight.MaxWaiting)
-	line("shares.postgresql", c.FrontQuotas.PostgreSQL)
-	line("shares.flight", c.FrontQuotas.Flight)
-	line("peers.listen", c.Peers.Listen)
-	line("peers.name", c.Peers.Name)
-	line("peers.seeds", c.Peers.Seeds)
+	d.line("rules.answer_grace", r.AnswerGrace)
+	d.line("rules.drain_grace", r.DrainGrace)
+	d.line("rules.cold_from", r.SlowStartFrom)
+	d.line("rules.cold_for", r.SlowStartDuration)
+	d.line("rules.cold_multiple", r.SlowStartOverloadFactor)
+	d.line("rules.cold_window", r.SlowStartWindow)
+	d.line("rules.order_rest", r.OrderSettleDelay)
+	d.line("rules.budget_free", r.HasRetryBudget, r.RetryBudgetFree)
+	d.line("rules.budget_share", r.RetryBudgetRatio)
+	d.line("rules.budget_look_back", r.RetryBudgetWindow)
+	d.line("limits.max_attempts", m.MaxAttempts)
+	d.line("limits.max_come_back", m.MaxRetryAfter)
+	d.line("sessions.idle_in_transaction", c.SessionLimits.IdleInTransaction)
+	d.line("sessions.max_age", c.SessionLimits.MaxAge)
+	d.line("sessions.max", c.SessionLimits.MaxTotal)
+	d.line("sessions.max_per_user", c.SessionLimits.MaxPerUser)
+	d.line("sessions.max_per_engine", m.MaxSessionsPerEngine)
+	d.line("sessions.harmless", c.HarmlessFunctions)
+}
+
+func (d *dumper) flightPeersRecord(c *Config) {
+	d.line("flight.listen", c.Flight.Listen)
+	d.line("flight.ticket_life", c.Flight.TicketLife)
+	d.line("flight.session_rest", c.Flight.SessionRest)
+	d.line("flight.keep_alive", c.Flight.KeepAlive)
+	d.line("flight.max_connection_age", c.Flight.MaxAge)
+	d.line("flight.max_tickets", c.Flight.MaxTickets)
+	d.line("flight.max_streams", c.Flight.MaxStreams)
+	d.line("flight.max_transactions", c.Flight.MaxTransactions)
+	d.line("flight.max_prepared", c.Flight.MaxPrepared)
+	d.line("flight.max_waiting", c.Flight.MaxWaiting)
+	d.line("shares.postgresql", c.FrontQuotas.PostgreSQL)
+	d.line("shares.flight", c.FrontQuotas.Flight)
+	d.line("peers.listen", c.Peers.Listen)
+	d.line("peers.name", c.Peers.Name)
+	d.line("peers.seeds", c.Peers.Seeds)
 	for _, k := range c.Peers.Keys {
-		line("peers.keys", fmt.Sprintf("%x", k))
+		d.line("peers.keys", fmt.Sprintf("%x", k))
 	}
-	line("peers.rate", c.Peers.Rate)
-	line("peers.wait", c.Peers.Wait)
-	line("record.dir", c.RecordingDir)
-	line("record.file_mb", c.RecordingLimits.FileBytes)
-	line("record.total_mb", c.RecordingLimits.TotalBytes)
+	d.line("peers.rate", c.Peers.Rate)
+	d.line("peers.wait", c.Peers.Wait)
+	d.line("record.dir", c.RecordingDir)
+	d.line("record.file_mb", c.RecordingLimits.FileBytes)
+	d.line("record.total_mb", c.RecordingLimits.TotalBytes)
+}
+
+func (d *dumper) classes(c *Config) {
+	m := &c.Module
 	for i := range m.Classes {
 		k := &m.Classes[i]
-		line("class", k.Name)
-		line("class.aim", k.LatencyObjective)
-		line("class.aim_stretch", k.ObjectiveStretch)
-		line("class.deadline", k.Deadline)
-		line("class.worth", k.PriorityWeight)
-		line("class.late_value", k.LateAnswerValue)
-		line("class.effect", k.Effect == cresspass.Idempotent, k.Effect == cresspass.IdempotentWithKey,
+		d.line("class", k.Name)
+		d.line("class.aim", k.LatencyObjective)
+		d.line("class.aim_stretch", k.ObjectiveStretch)
+		d.line("class.deadline", k.Deadline)
+		d.line("class.worth", k.PriorityWeight)
+		d.line("class.late_value", k.LateAnswerValue)
+		d.line("class.effect", k.Effect == cresspass.Idempotent, k.Effect == cresspass.IdempotentWithKey,
 			k.Effect == cresspass.NotIdempotent)
-		line("class.scope", k.DeduplicationScope == cresspass.ScopeAll,
+		d.line("class.scope", k.DeduplicationScope == cresspass.ScopeAll,
 			k.DeduplicationScope == cresspass.ScopeZone, k.DeduplicationScope == cresspass.ScopeCell)
-		line("class.window", k.DeduplicationWindow)
-		line("class.in_order", k.OrderedByKey)
-		line("class.on_kinds", k.AllowedKinds)
-		line("class.in_zones", k.AllowedZones)
-		line("class.threads", m.ClassThreads[i])
-		line("class.loads", m.ClassIsBulkLoad[i])
-		line("class.waits", m.ClassWaitsForBulkLoad[i])
+		d.line("class.window", k.DeduplicationWindow)
+		d.line("class.in_order", k.OrderedByKey)
+		d.line("class.on_kinds", k.AllowedKinds)
+		d.line("class.in_zones", k.AllowedZones)
+		d.line("class.threads", m.ClassThreads[i])
+		d.line("class.loads", m.ClassIsBulkLoad[i])
+		d.line("class.waits", m.ClassWaitsForBulkLoad[i])
 	}
+}
+
+func (d *dumper) kindsTenants(c *Config) {
+	m := &c.Module
 	for i, name := range m.KindNames {
-		line("kind", name)
-		line("kind.cores", m.KindCores[i])
-		line("kind.memory_mb", m.KindMemoryMB[i])
+		d.line("kind", name)
+		d.line("kind.cores", m.KindCores[i])
+		d.line("kind.memory_mb", m.KindMemoryMB[i])
 	}
 	for _, t := range m.Tenants {
-		line("tenant", t.Name)
-		line("tenant.quota", t.QuotaPerSecond)
-		line("tenant.share", t.Share)
+		d.line("tenant", t.Name)
+		d.line("tenant.quota", t.QuotaPerSecond)
+		d.line("tenant.share", t.Share)
 	}
+}
+
+func (d *dumper) matches(c *Config) {
 	for _, v := range c.Matches {
-		line("match.class", v.Class)
-		line("match.user", v.User)
-		line("match.database", v.Database)
-		line("match.application_name", v.Application)
-		line("match.tenant", v.Tenant)
+		d.line("match.class", v.Class)
+		d.line("match.user", v.User)
+		d.line("match.database", v.Database)
+		d.line("match.application_name", v.Application)
+		d.line("match.tenant", v.Tenant)
 		if v.Pattern == nil {
-			line("match.pattern")
+			d.line("match.pattern")
 		} else {
-			line("match.pattern", v.Pattern.String())
+			d.line("match.pattern", v.Pattern.String())
 		}
 	}
-	line("what the module may", m.MayCancel, m.MaySendRetryAfter, m.MayGossip, m.MayHedge, m.PollEngineList,
-		m.ReportsCost)
-	return b.String()
 }
 
 // Files that name every key, and as few as may be, are read to the values that earlier builds read.
