--- a/internal/platform/apachethrift_test.go
+++ b/internal/platform/apachethrift_test.go
@@ -96,8 +96,8 @@
 	})
 }
 
-// TestApacheThriftClient: served over pages, refused with a time to come back, failed with a reason, an
-// application exception, a request taken back: each is what the library makes of the definitions.
+// TestApacheThriftClient: served over pages, rejected with a time to retry after, failed with a reason, an
+// application exception, a cancelled request: each is what the library makes of the definitions.
 func TestApacheThriftClient(t *testing.T) {
 	r := newHarness(t, 256)
 	r.node.pages = 3
@@ -135,22 +135,25 @@
 		t.Errorf("served: %+v, %s", got, got.body)
 	}
 	if got := ask(2, "1"); got.which != 1 || got.fields["later"] != "2000" {
-		t.Errorf("refused: %+v", got)
+		t.Errorf("rejected: %+v", got)
 	}
 	if got := ask(3, "2000", "verb", "none"); got.which != 2 ||
 		!strings.HasPrefix(got.fields["reason"], "verb") {
 		t.Errorf("at fault: %+v", got)
 	}
 	r.node.keepRunning(0, ticket(4))
-	client.Send(ctx, protocol, 100, "dispatch", dispatchArgs(stringMap{"txn": ticket(4), "verb": "quick",
-		"limit": "20000"}, "SELECT 1"))
+	if err := client.Send(ctx, protocol, 100, "dispatch", dispatchArgs(stringMap{"txn": ticket(4),
+		"verb": "quick", "limit": "20000"}, "SELECT 1")); err != nil {
+		t.Fatal(err)
+	}
 	eventually(t, "the query is sent", func() bool { return r.node.callCount("POST "+ticket(4)) == 1 })
-	if _, err := client.Call(ctx, "cancelRequest", callArgs(func(ctx context.Context, p peer.TProtocol) error {
+	if _, err := client.Call(ctx, "cancelRequest", callArgs(func(
+		ctx context.Context, p peer.TProtocol) error {
 		return errors.Join(p.WriteFieldBegin(ctx, "seqid", peer.I32, 1), p.WriteI32(ctx, 100))
 	}), nil); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "it is given up", func() bool { return r.node.callCount("DELETE "+ticket(4)) == 1 })
+	eventually(t, "it is cancelled", func() bool { return r.node.callCount("DELETE "+ticket(4)) == 1 })
 	var exception peer.TApplicationException
 	if _, err := client.Call(ctx, "none", unused, &callOutcome{}); !errors.As(err, &exception) ||
 		exception.TypeId() != peer.UNKNOWN_METHOD {
