--- a/internal/backend/connpool/pool_test.go
+++ b/internal/backend/connpool/pool_test.go
@@ -209,12 +209,11 @@
 		next := func(q int) {
 			id++
 			query[id] = q
-			engine := "quick"
 			if q < 0 {
 				h.acquire(Request{ID: id, Engine: "quick", Due: h.now + time.Second})
 				return
 			}
-			engine = fmt.Sprint(q % nodes)
+			engine := fmt.Sprint(q % nodes)
 			h.acquire(Request{ID: id, Engine: cresspass.EngineID(engine),
 				Due: min(h.now+time.Second, polledAt[q]+abandonAfter-350*ms)})
 		}
--- a/internal/frontend/thriftserver/registry_test.go
+++ b/internal/frontend/thriftserver/registry_test.go
@@ -141,7 +141,7 @@
 				}
 			case 8:
 				malformed := rapid.Bool().Draw(t, "malformed")
-				orphaned := []*Request{}
+				var orphaned []*Request
 				if malformed {
 					orphaned = r.EndMalformed(id)
 					unwritten[id] += len(orphaned)
--- a/internal/platform/apachethrift_test.go
+++ b/internal/platform/apachethrift_test.go
@@ -120,7 +120,7 @@
 		t.Helper()
 		m := stringMap{}
 		for _, f := range requestFields(ticket(n), "quick", limit, more...) {
-			m[f[0]] = f[1]
+			m[f.Name] = f.Value
 		}
 		return call("dispatch", dispatchArgs(m, "SELECT 1 FROM sales_3.t"))
 	}
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -166,7 +166,8 @@
 
 // readLoadReport adds the load report of a response, if it has one, to the attempt's end.
 func (a *attempt) readLoadReport(response *nodehttp.Response, done *cresspass.Event) {
-	if report, ok := parseLoadReport(response.Header[loadReportHeader], a.service.reportFields); ok {
+	header := response.Header[nodehttp.HeaderLoadReport]
+	if report, ok := parseLoadReport(header, a.service.reportFields); ok {
 		done.LoadReport, done.HasLoadReport = report, true
 	}
 }
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -19,7 +19,7 @@
 	h := newHarness(t, 256)
 	h.node.pages = 4
 	client := h.dial()
-	client.conn.Write(thrift.AppendAlive(nil, 100))
+	client.conn.Write(thrift.Alive{}.Append(nil, 100))
 	if got := client.receive(); got.kind != "answer" || got.seq != 100 {
 		t.Fatalf("alive: %+v", got)
 	}
@@ -183,7 +183,7 @@
 	client := h.dial()
 	seq := client.send(requestFields(ticket(1), "quick", "2000"))
 	eventually(t, "the query is sent", func() bool { return h.node.callCount("POST") == 1 })
-	client.conn.Write(thrift.AppendCancel(nil, client.lastSeq+1, seq))
+	client.conn.Write(thrift.CancelRequest{TargetSeq: seq}.Append(nil, client.lastSeq+1))
 	eventually(t, "the compute node is sent a DELETE", func() bool { return h.node.callCount("DELETE") == 1 })
 	running := func() (n int) {
 		h.mu.Lock()
@@ -206,7 +206,7 @@
 	for name, leave := range map[string]func(client *testClient, seq int32){
 		"closes": func(client *testClient, _ int32) { client.conn.Close() },
 		"cancels": func(client *testClient, seq int32) {
-			client.conn.Write(thrift.AppendCancel(nil, 99, seq))
+			client.conn.Write(thrift.CancelRequest{TargetSeq: seq}.Append(nil, 99))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -234,7 +234,7 @@
 	for name, leave := range map[string]func(client *testClient, seq int32){
 		"closes": func(client *testClient, _ int32) { client.conn.Close() },
 		"cancels": func(client *testClient, seq int32) {
-			client.conn.Write(thrift.AppendCancel(nil, 99, seq))
+			client.conn.Write(thrift.CancelRequest{TargetSeq: seq}.Append(nil, 99))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -249,7 +249,7 @@
 			eventually(t, "the peek that sees nothing", done)
 			h.pool.mu.Unlock()
 			if name == "cancels" { // its reader comes to it now
-				client.conn.Write(thrift.AppendAlive(nil, 100))
+				client.conn.Write(thrift.Alive{}.Append(nil, 100))
 			}
 			eventually(t, "the attempt ends", func() bool { return h.attemptCount() == 0 })
 			if n := h.node.callCount("POST"); n != 0 {
@@ -316,7 +316,7 @@
 	if n, full := h.node.callCount("POST"), h.endedWith(cresspass.OutcomeRejected); n != was || full != 1 {
 		t.Errorf("%d queries were sent, %d attempts rejected", n-was, full)
 	}
-	client.conn.Write(thrift.AppendCancel(nil, 99, seq))
+	client.conn.Write(thrift.CancelRequest{TargetSeq: seq}.Append(nil, 99))
 }
 
 // TestCancelInSameSegment: cancelled in the segment that brings it, a request gets no answer; a number that
@@ -324,13 +324,14 @@
 func TestCancelInSameSegment(t *testing.T) {
 	h := newHarness(t, 256)
 	client := h.dial()
-	b := thrift.AppendCancel(nil, 1, 7)
-	b = thrift.AppendDispatch(b, 7, requestFields(ticket(1), "quick", "2000"), []byte("SELECT 1"))
-	b = thrift.AppendCancel(b, 8, 7)
-	client.conn.Write(thrift.AppendCancel(b, 9, 7))
+	b := thrift.CancelRequest{TargetSeq: 7}.Append(nil, 1)
+	call := thrift.Dispatch{Fields: requestFields(ticket(1), "quick", "2000"), Body: []byte("SELECT 1")}
+	b = call.Append(b, 7)
+	b = thrift.CancelRequest{TargetSeq: 7}.Append(b, 8)
+	client.conn.Write(thrift.CancelRequest{TargetSeq: 7}.Append(b, 9))
 	client.lastSeq = 20
 	client.mustServe(2, 1) // the first thing received
-	client.conn.Write(thrift.AppendCancel(nil, 30, client.lastSeq))
+	client.conn.Write(thrift.CancelRequest{TargetSeq: client.lastSeq}.Append(nil, 30))
 	client.mustServe(3, 1)
 	eventually(t, "all has ended", func() bool { return h.attemptCount() == 0 && h.stats().Open == 0 })
 	if st := h.stats(); st.Abandoned != 1 || st.Served != 2 {
@@ -346,7 +347,7 @@
 	seq := h.sendHeld(client, 1)
 	h.node.Listener.Close()
 	begun := time.Now()
-	client.conn.Write(thrift.AppendCancel(nil, 99, seq))
+	client.conn.Write(thrift.CancelRequest{TargetSeq: seq}.Append(nil, 99))
 	eventually(t, "the attempt ends", func() bool { return h.attemptCount() == 0 })
 	if took := time.Since(begun); took < 1900*time.Millisecond {
 		t.Errorf("ended after %v without an answer of its compute node", took)
--- a/internal/platform/clientconn_test.go
+++ b/internal/platform/clientconn_test.go
@@ -19,8 +19,8 @@
 	usual := h.dial()
 	held := usual.send(requestFields(ticket(0xaa), "quick", "60000"))
 	eventually(t, "the usual query runs", func() bool { return h.node.callCount("POST "+ticket(0xaa)) == 1 })
-	for name, f := range map[string][][2]string{
-		"no id":         {{"verb", "quick"}, {"limit", "100"}},
+	for name, f := range map[string]thrift.Fields{
+		"no id":         {{Name: "verb", Value: "quick"}, {Name: "limit", Value: "100"}},
 		"header in id":  requestFields("x\r\nA: b", "quick", "100"),
 		"unknown class": requestFields(ticket(9), "nothing", "100"),
 		"no number":     requestFields(ticket(9), "quick", "NaN"),
@@ -73,7 +73,7 @@
 	if n := h.node.callCount("GET 0 " + ticket(0xaa)); n > 400 {
 		t.Errorf("one query was polled %d times in some 2 s", n)
 	}
-	usual.conn.Write(thrift.AppendCancel(nil, usual.lastSeq+1, held))
+	usual.conn.Write(thrift.CancelRequest{TargetSeq: held}.Append(nil, usual.lastSeq+1))
 }
 
 // TestPipelinedRequests: requests that come in one segment, and in single bytes, are all read.
@@ -83,12 +83,9 @@
 	var b []byte
 	const requests = 20
 	for i := range requests {
-		b = thrift.AppendDispatch(
-			b,
-			int32(i+1),
-			requestFields(ticket(i+1), "quick", "5000"),
-			[]byte("SELECT 1"),
-		)
+		call := thrift.Dispatch{Fields: requestFields(ticket(i+1), "quick", "5000"),
+			Body: []byte("SELECT 1")}
+		b = call.Append(b, int32(i+1))
 	}
 	client.conn.Write(b[:len(b)-7])
 	for _, c := range b[len(b)-7:] {
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -19,11 +19,8 @@
 // that client is sent all the same.
 const readerGrace = 20 * time.Millisecond
 
-// Names in the replies to clients.
-const (
-	dispatchMethod  = "dispatch"
-	retryAfterField = "later" // of a rejection: milliseconds
-)
+// retryAfterField is the field of a rejection that tells when to come back, in milliseconds.
+const retryAfterField = "later"
 
 // frontend holds the clients' connections and their open requests. Its lock guards thriftserver.Registry,
 // and all that must not cross with a message: whoever closes a connection holds it while it looks for
@@ -177,23 +174,23 @@
 // respondResult answers a request with its result.
 func (f *frontend) respondResult(id cresspass.QueryID, pages [][]byte) bool {
 	return f.respond(id, eventlog.RequestAnswered, "", func(seq int32) []byte {
-		return thrift.AppendAnswer(nil, dispatchMethod, seq, true, pages...)
+		return thrift.Answer{Method: thrift.MethodDispatch, Good: true, Body: pages}.Append(nil, seq)
 	})
 }
 
 // respondError ends a request without a result; retryAfter 0: a rejection tells no time to come back.
-func (f *frontend) respondError(id cresspass.QueryID, exception uint16, retryAfter time.Duration,
-	why cresspass.Reason) {
+func (f *frontend) respondError(id cresspass.QueryID, exception thrift.DispatchExceptionType,
+	retryAfter time.Duration, why cresspass.Reason) {
 	what := eventlog.RequestFailed
 	if exception == thrift.ShedException {
 		what = eventlog.RequestRejected
 	}
 	f.respond(id, what, string(why), func(seq int32) []byte {
-		var fields [][2]string
+		var fields thrift.Fields
 		if retryAfter > 0 {
-			fields = append(fields,
-				[2]string{retryAfterField, strconv.FormatInt(retryAfter.Milliseconds(), 10)})
+			fields = append(fields, thrift.Field{Name: retryAfterField,
+				Value: strconv.FormatInt(retryAfter.Milliseconds(), 10)})
 		}
-		return thrift.AppendDeclaredException(nil, dispatchMethod, seq, exception, fields...)
+		return thrift.DispatchException{Which: exception, Fields: fields}.Append(nil, seq)
 	})
 }
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -185,7 +185,7 @@
 	r.node.keepRunning(0, ticket(3))
 	seq := client.send(requestFields(ticket(3), "quick", "60000"))
 	eventually(t, "the query is polled", func() bool { return r.node.callCount("GET 0 "+ticket(3)) > 0 })
-	client.conn.Write(thrift.AppendCancel(nil, 99, seq))
+	client.conn.Write(thrift.CancelRequest{TargetSeq: seq}.Append(nil, 99))
 	eventually(t, "the query is cancelled", func() bool { return r.node.callCount("DELETE "+ticket(3)) == 1 })
 	r.checkHealth("s-1", nodeAddr)
 	compareGolden(t, "node_requests.txt", []byte(strings.Join(toNode.requests(), "\n----\n")))
@@ -211,7 +211,7 @@
 		}
 		fmt.Fprintf(&got, "%s\n%s", name, hex.Dump(append(head[:], frame...)))
 	}
-	client.conn.Write(thrift.AppendAlive(nil, 100))
+	client.conn.Write(thrift.Alive{}.Append(nil, 100))
 	reply("alive")
 	client.send(requestFields(ticket(1), "quick", "2000"))
 	reply("answer of two pages")
--- a/internal/platform/guard_test.go
+++ b/internal/platform/guard_test.go
@@ -103,7 +103,7 @@
 	if h.frontend.respondResult(q.ID, [][]byte{[]byte("a\tb\tc\n")}) {
 		t.Error("a second answer went out")
 	}
-	client.conn.Write(thrift.AppendCancel(nil, 99, seq))
+	client.conn.Write(thrift.CancelRequest{TargetSeq: seq}.Append(nil, 99))
 	if n := h.node.callCount("POST " + ticket(2)); n != 0 {
 		t.Errorf("%d queries sent outside life", n)
 	}
--- a/internal/platform/healthcheck.go
+++ b/internal/platform/healthcheck.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"cresspass"
+	"cresspass/internal/protocol/nodehttp"
 )
 
 // healthCheckTimeout is how long a compute node has to answer a health check.
@@ -53,8 +54,8 @@
 		result.Outcome = cresspass.OutcomeConnectionReset
 	case response.Status == 200:
 		result.Outcome = cresspass.OutcomeOK
-		result.LoadReport, result.HasLoadReport = parseLoadReport(response.Header[loadReportHeader],
-			s.reportFields)
+		report := response.Header[nodehttp.HeaderLoadReport]
+		result.LoadReport, result.HasLoadReport = parseLoadReport(report, s.reportFields)
 	default:
 		result.Outcome = cresspass.OutcomeFailed
 	}
--- a/internal/platform/loadreport.go
+++ b/internal/platform/loadreport.go
@@ -6,9 +6,6 @@
 	"strings"
 )
 
-// loadReportHeader is the header of a compute node's answers that carries its load report.
-const loadReportHeader = "x-meter"
-
 // loadReportAliases maps the names of values in load reports to the names that the settings have for them.
 var loadReportAliases = map[string]string{"inflight": "concurrent", "queue": "depth", "util": "load_share",
 	"latency_ms": "mean_ms", "qps": "tps", "eps": "err_ps"}
--- a/internal/platform/process_test.go
+++ b/internal/platform/process_test.go
@@ -104,7 +104,7 @@
 	})
 	h, c, log, ended, dial, config := p.harness, p.cmd, &p.log, p.ended, p.dial, p.writeConfig
 	client := dial()
-	client.conn.Write(thrift.AppendAlive(nil, 99))
+	client.conn.Write(thrift.Alive{}.Append(nil, 99))
 	if got := client.receive(); got.kind != "answer" {
 		t.Fatalf("alive: %+v\n%s", got, log.String())
 	}
@@ -119,7 +119,7 @@
 	}
 	seq := client.send(requestFields(ticket(3), "quick", "60000"))
 	eventually(t, "the query is sent", func() bool { return h.node.callCount("POST "+ticket(3)) == 1 })
-	client.conn.Write(thrift.AppendCancel(nil, 98, seq))
+	client.conn.Write(thrift.CancelRequest{TargetSeq: seq}.Append(nil, 98))
 	eventually(t, "it is cancelled", func() bool { return h.node.callCount("DELETE "+ticket(3)) > 0 })
 	client.mustServe(5, 3) // the next thing received is no answer to what was cancelled
 
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -97,7 +97,7 @@
 	signals, ended := make(chan os.Signal, 1), make(chan error, 1)
 	go func() { ended <- h.run(signals) }()
 	signals <- syscall.SIGTERM
-	client.conn.Write(thrift.AppendCancel(nil, 99, seq))
+	client.conn.Write(thrift.CancelRequest{TargetSeq: seq}.Append(nil, 99))
 	client.conn.Close()
 	select {
 	case <-given:
--- a/internal/platform/testclient_test.go
+++ b/internal/platform/testclient_test.go
@@ -25,21 +25,23 @@
 }
 
 // requestFields are the fields of a request, with more in pairs.
-func requestFields(ticket, class, limit string, more ...string) [][2]string {
-	f := [][2]string{{"txn", ticket}, {"verb", class}, {"limit", limit}, {"cpu", "300.0"}, {"heap_mb", "64"}}
-	for i := 0; i+1 < len(more); i += 2 {
-		f = append(f, [2]string{more[i], more[i+1]})
+func requestFields(ticket, class, limit string, more ...string) thrift.Fields {
+	pairs := append([]string{"txn", ticket, "verb", class, "limit", limit, "cpu", "300.0", "heap_mb", "64"},
+		more...)
+	var fields thrift.Fields
+	for i := 0; i+1 < len(pairs); i += 2 {
+		fields = append(fields, thrift.Field{Name: pairs[i], Value: pairs[i+1]})
 	}
-	return f
+	return fields
 }
 
 // ticket is the id of the n-th request.
 func ticket(n int) string { return fmt.Sprintf("%016x", n) }
 
 // send sends a request and returns its number.
-func (c *testClient) send(f [][2]string) int32 {
+func (c *testClient) send(fields thrift.Fields) int32 {
 	c.lastSeq++
-	b := thrift.AppendDispatch(nil, c.lastSeq, f, []byte("SELECT 1 FROM sales_3.t"))
+	b := thrift.Dispatch{Fields: fields, Body: []byte("SELECT 1 FROM sales_3.t")}.Append(nil, c.lastSeq)
 	if _, err := c.conn.Write(b); err != nil {
 		c.t.Fatal(err)
 	}
--- a/internal/protocol/nodehttp/response.go
+++ b/internal/protocol/nodehttp/response.go
@@ -145,13 +145,17 @@
 // isToken reports whether b can be a header's name: letters, digits, '-' and '_'.
 func isToken(b []byte) bool {
 	for _, c := range b {
-		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_') {
+		if !isTokenByte(c) {
 			return false
 		}
 	}
 	return len(b) > 0
 }
 
+func isTokenByte(c byte) bool {
+	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_'
+}
+
 // isFieldValue reports whether b can be a header's value: printable ASCII and tabs.
 func isFieldValue(b []byte) bool {
 	for _, c := range b {
--- a/internal/protocol/thrift/reply.go
+++ b/internal/protocol/thrift/reply.go
@@ -28,7 +28,7 @@
 }
 
 // DispatchExceptionType says which of its exceptions MethodDispatch raises, by the field in its result.
-type DispatchExceptionType = uint16
+type DispatchExceptionType uint16
 
 // The exceptions of MethodDispatch.
 const (
