--- a/internal/affinity/termination.go
+++ b/internal/affinity/termination.go
@@ -1,19 +1,15 @@
 package affinity
 
-import "time"
+import (
+	"time"
 
-// Termination is why a session ended, in the terms of an error for its client.
-type Termination struct{ Code, Message, Detail string }
-
-// SQLSTATE codes of the errors that end a session.
-const (
-	sqlStateIdleInTransaction  = "25P03" // idle_in_transaction_session_timeout
-	sqlStateAdminShutdown      = "57P01" // admin_shutdown
-	sqlStateCrashShutdown      = "57P02" // crash_shutdown
-	sqlStateConnectionFailure  = "08006" // connection_failure
-	sqlStateTransactionUnknown = "08007" // transaction_resolution_unknown
+	"cresspass/internal/protocol/sqlstate"
 )
 
+// Termination is why a session ended, in the terms of an error for its client; Code is a SQLSTATE.
+type Termination struct{ Code, Message, Detail string }
+
+// Details of terminations.
 const (
 	detailRolledBack = "The transaction was rolled back."
 	detailStateLost  = "What was kept there is gone."
@@ -31,14 +27,14 @@
 		now-s.idleSince >= l.IdleInTransaction:
 		s.ended = true
 		return Termination{
-			Code:    sqlStateIdleInTransaction,
+			Code:    sqlstate.IdleInTransactionTimeout,
 			Message: "terminating connection due to idle-in-transaction timeout",
 			Detail:  detailRolledBack,
 		}, true
 	case !busy && s.txStatus == statusIdle && l.MaxAge > 0 && now-s.boundSince >= l.MaxAge:
 		s.ended = true
 		return Termination{
-			Code:    sqlStateAdminShutdown,
+			Code:    sqlstate.AdminShutdown,
 			Message: "this session was kept on one engine for too long",
 			Detail:  detailStateLost,
 		}, true
@@ -53,25 +49,25 @@
 	switch {
 	case busy && s.commitSent:
 		return Termination{
-			Code:    sqlStateTransactionUnknown,
+			Code:    sqlstate.TransactionResolutionUnknown,
 			Message: "the engine was lost after COMMIT was sent",
 			Detail:  "It is not known whether the transaction is in force.",
 		}
 	case s.txStatus != statusIdle:
 		return Termination{
-			Code:    sqlStateConnectionFailure,
+			Code:    sqlstate.ConnectionFailure,
 			Message: "the engine was lost in a transaction",
 			Detail:  detailRolledBack,
 		}
 	case busy:
 		return Termination{
-			Code:    sqlStateConnectionFailure,
+			Code:    sqlstate.ConnectionFailure,
 			Message: "the engine of this session was lost",
 			Detail:  "The last statement may have run.",
 		}
 	}
 	return Termination{
-		Code:    sqlStateCrashShutdown,
+		Code:    sqlstate.CrashShutdown,
 		Message: "the engine of this session was lost",
 		Detail:  detailStateLost,
 	}
@@ -85,7 +81,7 @@
 	}
 	s.ended = true
 	return Termination{
-		Code:    sqlStateAdminShutdown,
+		Code:    sqlstate.AdminShutdown,
 		Message: "the engine that this session was kept on drains",
 		Detail:  detail,
 	}
