--- a/cmd/cresspass/rehearse_compare.go
+++ b/cmd/cresspass/rehearse_compare.go
@@ -69,8 +69,8 @@
 	for i, a := range with {
 		b := without[i]
 		fmt.Printf("%-12s %-20s %6.1f%% of %4d, %5d ms %6.1f%% of %4d, %5d ms\n", a.Front, a.Phase,
-			a.Served*100, a.Tries, a.P99.Milliseconds(),
-			b.Served*100, b.Tries, b.P99.Milliseconds())
+			a.Served*100, a.Requests, a.P99.Milliseconds(),
+			b.Served*100, b.Requests, b.P99.Milliseconds())
 	}
 	return nil
 }
--- a/cmd/cresspass/rehearse_run.go
+++ b/cmd/cresspass/rehearse_run.go
@@ -65,7 +65,9 @@
 		if played.err != nil {
 			return played.err
 		}
-		played.result.Print(os.Stdout)
+		if err := played.result.Print(os.Stdout); err != nil {
+			return err
+		}
 		if !played.result.Kept() || len(played.result.Missed) > 0 {
 			broken++
 		}
--- /dev/null
+++ b/internal/rehearsal/client.go
@@ -0,0 +1,180 @@
+package rehearsal
+
+import (
+	"context"
+	"database/sql"
+	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/jackc/pgx/v5"
+	"github.com/lib/pq"
+)
+
+// connectTimeout limits the time in which a client connects.
+const connectTimeout = 3 * time.Second
+
+// driver is the library by which a client connects.
+type driver int
+
+const (
+	driverPgx       driver = iota
+	driverPq               // lib/pq
+	driverFlight           // Flight SQL's own client
+	driverFlightSQL        // Flight SQL's driver for database/sql
+)
+
+// client is a connection of some library.
+type client interface {
+	// do runs a statement; the context's end cancels it.
+	do(ctx context.Context, simple bool, text, parameter string) error
+	// close ends the connection. By force it does so at once, in the middle of a query too.
+	close(force bool)
+	broken() bool
+	driver() driver
+}
+
+// pool keeps a dispatcher's idle clients.
+type pool struct {
+	mu   sync.Mutex
+	free []client
+}
+
+// client takes an idle connection to the arrival's dispatcher, or makes one.
+func (l *workload) client(ctx context.Context, a arrival) (client, error) {
+	if c := l.idle[a.dispatcher].take(a.driver); c != nil {
+		return c, nil
+	}
+	connectCtx, cancel := context.WithTimeout(ctx, connectTimeout)
+	defer cancel()
+	switch a.driver {
+	case driverFlight:
+		return newFlight(connectCtx, l.flight[a.dispatcher])
+	case driverFlightSQL:
+		return newSQL(connectCtx, l.flight[a.dispatcher])
+	}
+	url := "postgres://client@" + l.addrs[a.dispatcher] + "/search?sslmode=disable"
+	if a.driver == driverPq {
+		return newPq(connectCtx, url)
+	}
+	c, err := pgx.Connect(connectCtx, url)
+	if err != nil {
+		return nil, err
+	}
+	return &pgxClient{c}, nil
+}
+
+// take returns the client of a driver that was returned last; nil: there is none.
+func (p *pool) take(d driver) client {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for i := len(p.free) - 1; i >= 0; i-- {
+		if c := p.free[i]; c.driver() == d {
+			p.free = append(p.free[:i], p.free[i+1:]...)
+			return c
+		}
+	}
+	return nil
+}
+
+func (l *workload) returnClient(a arrival, c client) {
+	p := l.idle[a.dispatcher]
+	p.mu.Lock()
+	p.free = append(p.free, c)
+	p.mu.Unlock()
+}
+
+type pgxClient struct{ conn *pgx.Conn }
+
+func (p *pgxClient) do(ctx context.Context, simple bool, text, parameter string) error {
+	var args []any
+	if simple {
+		args = append(args, pgx.QueryExecModeSimpleProtocol)
+	} else {
+		args = append(args, parameter)
+	}
+	_, err := p.conn.Exec(ctx, text, args...)
+	return err
+}
+
+func (p *pgxClient) close(force bool) {
+	if force {
+		p.conn.PgConn().Conn().Close()
+		return
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+	defer cancel()
+	_ = p.conn.Close(ctx) // the connection is given up in any case
+}
+
+func (p *pgxClient) broken() bool { return p.conn.IsClosed() }
+
+func (p *pgxClient) driver() driver { return driverPgx }
+
+// pqClient is one connection of lib/pq, through database/sql as its users have it.
+type pqClient struct {
+	db      *sql.DB
+	conn    *sql.Conn
+	netConn net.Conn
+	closed  atomic.Bool
+}
+
+// DialContext keeps the network's connection, so that a client can disconnect in the middle of a query.
+func (p *pqClient) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
+	nc, err := (&net.Dialer{}).DialContext(ctx, network, address)
+	p.netConn = nc
+	return nc, err
+}
+
+// Dial and DialTimeout make it a pq.Dialer.
+func (p *pqClient) Dial(network, address string) (net.Conn, error) {
+	return p.DialContext(context.Background(), network, address)
+}
+
+// DialTimeout dials within a time.
+func (p *pqClient) DialTimeout(network, address string, limit time.Duration) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	defer cancel()
+	return p.DialContext(ctx, network, address)
+}
+
+func newPq(ctx context.Context, url string) (*pqClient, error) {
+	connector, err := pq.NewConnector(url)
+	if err != nil {
+		return nil, err
+	}
+	p := &pqClient{}
+	connector.Dialer(p)
+	p.db = sql.OpenDB(connector)
+	if p.conn, err = p.db.Conn(ctx); err != nil {
+		_ = p.db.Close() // it holds no connection
+		return nil, err
+	}
+	return p, nil
+}
+
+func (p *pqClient) do(ctx context.Context, simple bool, text, parameter string) error {
+	var args []any
+	if !simple {
+		args = append(args, parameter)
+	}
+	_, err := p.conn.ExecContext(ctx, text, args...)
+	if err != nil && sqlState(err) == stateConnection {
+		p.closed.Store(true)
+	}
+	return err
+}
+
+func (p *pqClient) close(force bool) {
+	p.closed.Store(true)
+	if force {
+		p.netConn.Close()
+	}
+	_ = p.conn.Close() // the connection is given up in any case
+	_ = p.db.Close()
+}
+
+func (p *pqClient) broken() bool { return p.closed.Load() }
+
+func (p *pqClient) driver() driver { return driverPq }
--- a/internal/rehearsal/fairness.go
+++ b/internal/rehearsal/fairness.go
@@ -1,13 +1,13 @@
 package rehearsal
 
 import (
+	"bufio"
 	"context"
 	"fmt"
-	"io"
 	"math"
 	"os"
 	"path/filepath"
-	"sort"
+	"slices"
 	"sync"
 	"time"
 
@@ -17,14 +17,15 @@
 
 	"cresspass"
 	"cresspass/internal/rehearsal/testbed"
+	"cresspass/internal/server"
 	"cresspass/internal/standin"
 )
 
-// Fairness of the fronts: both are asked at a calm pace by clients of their own; for a while one of them is
-// flooded, then the other. What the calm clients of the front beside the flood get is the measure.
+// Fairness of the protocols: clients of PostgreSQL and of Flight SQL both send at a steady pace; for a
+// while one of the two is flooded, then the other. What the steady clients of the other one get is the
+// measure.
 
-// fairnessSettings has few places for queries that wait, so that a flood takes them all where nobody hinders
-// it.
+// fairnessSettings has a small queue, so that a flood fills it where nothing prevents that.
 const fairnessSettings = `
 default_class = "lookup"
 max_held      = 40
@@ -38,29 +39,36 @@
 }
 `
 
-// FairnessSample is what the calm clients of one front got in one stretch.
+const (
+	steadyRate    = 25   // queries a second of the steady clients of each protocol
+	floodRate     = 1500 // queries a second of a flood
+	sharePerFront = 0.25
+	noFlood       = -1
+)
+
+// FairnessSample is what the steady clients of one protocol got in one phase.
 type FairnessSample struct {
-	Front  string
-	Phase  string
-	Tries  int
-	Served float64       // share of the tries
-	P99    time.Duration // of the served ones
+	Front    string
+	Phase    string
+	Requests int
+	Served   float64       // share of the requests
+	P99      time.Duration // of the served ones
 }
 
 // Fairness plays the floods with and without shares, and writes a page with plots into a folder, if one is
-// named. It returns what calm clients got, with shares first.
+// named. It returns what the steady clients got, with shares first.
 func Fairness(ctx context.Context, dir string, seed uint64) (with, without []FairnessSample, err error) {
 	page := components.NewPage()
 	page.SetPageTitle("Fairness of the fronts")
-	for _, shares := range []float64{0.25, 0} {
-		calm, chart, err := playFairness(ctx, shares, seed)
+	for _, share := range []float64{sharePerFront, 0} {
+		samples, chart, err := playFairness(ctx, share, seed)
 		if err != nil {
 			return nil, nil, err
 		}
-		if page.AddCharts(chart); shares > 0 {
-			with = calm
+		if page.AddCharts(chart); share > 0 {
+			with = samples
 		} else {
-			without = calm
+			without = samples
 		}
 	}
 	if dir == "" {
@@ -69,75 +77,98 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, nil, err
 	}
-	f, err := os.Create(filepath.Join(dir, "fairness.html"))
+	err = writeFile(filepath.Join(dir, "fairness.html"), func(w *bufio.Writer) error {
+		if err := page.Render(w); err != nil {
+			return err
+		}
+		_, err := w.WriteString("<p>Share of the calm clients' tries that were served, by second.</p>\n")
+		return err
+	})
 	if err != nil {
 		return nil, nil, err
 	}
-	defer f.Close()
-	if err := page.Render(f); err != nil {
-		return nil, nil, err
-	}
-	_, err = io.WriteString(f, "<p>Share of the calm clients' tries that were served, by second.</p>\n")
-	return with, without, err
+	return with, without, nil
 }
 
-// The stretches: calm, PostgreSQL flooded, calm, Flight SQL flooded, calm.
 const (
 	fairnessCalmPhase  = 4 * time.Second
 	fairnessFloodPhase = 8 * time.Second
 )
 
-var fairnessPhases = []struct {
-	name  string
-	flood int // front that is flooded: 0 PostgreSQL, 1 Flight SQL, -1 none
-	for_  time.Duration
-}{{"calm", -1, fairnessCalmPhase}, {"PostgreSQL flooded", 0, fairnessFloodPhase}, {"calm again", -1,
-	fairnessCalmPhase},
-	{"Flight SQL flooded", 1, fairnessFloodPhase}, {"calm at last", -1, fairnessCalmPhase}}
+// fairnessPhase is one phase of the play.
+type fairnessPhase struct {
+	name     string
+	flood    int // the protocol that is flooded, as an index into frontNames; noFlood: none
+	duration time.Duration
+}
+
+var fairnessPhases = []fairnessPhase{
+	{"calm", noFlood, fairnessCalmPhase},
+	{"PostgreSQL flooded", 0, fairnessFloodPhase},
+	{"calm again", noFlood, fairnessCalmPhase},
+	{"Flight SQL flooded", 1, fairnessFloodPhase},
+	{"calm at last", noFlood, fairnessCalmPhase},
+}
 
 var frontNames = [2]string{"PostgreSQL", "Flight SQL"}
 
-func playFairness(ctx context.Context, shares float64, seed uint64) ([]FairnessSample, *charts.Line, error) {
+// playFairness plays all phases with a share of the limits for each protocol; 0: no shares.
+func playFairness(ctx context.Context, share float64, seed uint64) ([]FairnessSample, *charts.Line, error) {
 	cfg := make([]standin.EngineConfig, 3)
 	for i := range cfg {
 		cfg[i] = standin.EngineConfig{Kind: testbed.EngineKind(8, 4096), Seed: seed}
 	}
-	r, err := testbed.New(cfg...)
+	bed, err := testbed.New(cfg...)
 	if err != nil {
 		return nil, nil, err
 	}
-	defer r.Close()
-	s, err := r.StartDispatcher(fairnessSettings+fmt.Sprintf(
-		"flight { listen = \"127.0.0.1:0\" }\nshares {\n  postgresql = %g\n  flight = %g\n}\n", shares,
-		shares), nil)
+	defer bed.Close()
+	s, err := bed.StartDispatcher(fairnessSettings+fmt.Sprintf(
+		"flight { listen = \"127.0.0.1:0\" }\nshares {\n  postgresql = %g\n  flight = %g\n}\n", share,
+		share), nil)
 	if err != nil {
 		return nil, nil, err
 	}
 	defer s.Close()
 	length := time.Duration(0)
 	for _, p := range fairnessPhases {
-		length += p.for_
-	}
-	loadOf := func(front int, rate float64, length time.Duration, seed uint64) *workload {
-		d := &Day{Traffic: []Traffic{{Class: "lookup", Rate: rate, Work: 0.03, Spread: 0.5, Threads: 1,
-			Rows: 3}},
-			Length: length, Flight: float64(front)}
-		d.Module.Classes = []cresspass.Class{{Name: "lookup", Deadline: 2 * time.Second}}
-		l := newLoad(d, seed, []string{s.Addr()})
-		l.flight, l.start = []string{s.FlightAddr()}, time.Now()
-		return l
+		length += p.duration
 	}
 	var work sync.WaitGroup
-	calm := [2]*workload{loadOf(0, 25, length, seed), loadOf(1, 25, length, seed+1)}
+	steady := [2]*workload{
+		fairnessLoad(s, 0, steadyRate, length, seed),
+		fairnessLoad(s, 1, steadyRate, length, seed+1),
+	}
 	start := time.Now()
-	for _, l := range calm {
+	for _, l := range steady {
 		work.Go(func() { l.run(ctx, start) })
 	}
-	at := time.Duration(0)
+	startFloods(ctx, s, &work, start, seed)
+	work.Wait()
+	title := fmt.Sprintf("shares of %g%% set apart for each front", share*100)
+	if share == 0 {
+		title = "no shares"
+	}
+	return fairnessSamples(steady), fairnessChart(title, steady, int(length/time.Second)), ctx.Err()
+}
+
+// fairnessLoad is the load of a protocol's clients.
+func fairnessLoad(s *server.Server, front int, rate float64, length time.Duration, seed uint64) *workload {
+	d := &Day{Length: length, Flight: float64(front),
+		Traffic: []Traffic{{Class: "lookup", Rate: rate, Work: 0.03, Spread: 0.5, Threads: 1, Rows: 3}}}
+	d.Module.Classes = []cresspass.Class{{Name: "lookup", Deadline: 2 * time.Second}}
+	l := newLoad(d, seed, []string{s.Addr()})
+	l.flight, l.start = []string{s.FlightAddr()}, time.Now()
+	return l
+}
+
+// startFloods starts the flood of each phase at its time.
+func startFloods(ctx context.Context, s *server.Server, work *sync.WaitGroup, start time.Time, seed uint64) {
+	begin := start
 	for i, p := range fairnessPhases {
-		if p.flood >= 0 {
-			l := loadOf(p.flood, 1500, p.for_, seed+10+uint64(i))
-			from := start.Add(at)
+		if p.flood != noFlood {
+			l := fairnessLoad(s, p.flood, floodRate, p.duration, seed+10+uint64(i))
+			from := begin
 			work.Go(func() {
 				select {
 				case <-time.After(time.Until(from)):
@@ -146,59 +177,64 @@
 				}
 			})
 		}
-		at += p.for_
+		begin = begin.Add(p.duration)
 	}
-	work.Wait()
-	title := fmt.Sprintf("shares of %g%% set apart for each front", shares*100)
-	if shares == 0 {
-		title = "no shares"
+}
+
+// fairnessSamples are what the steady clients got, by protocol and phase.
+func fairnessSamples(steady [2]*workload) (out []FairnessSample) {
+	for front, l := range steady {
+		begin := time.Duration(0)
+		for _, p := range fairnessPhases {
+			sample := l.between(begin, begin+p.duration)
+			sample.Front, sample.Phase = frontNames[front], p.name
+			out = append(out, sample)
+			begin += p.duration
+		}
 	}
+	return out
+}
+
+// fairnessChart plots the share of the steady clients' requests that were served, by second.
+func fairnessChart(title string, steady [2]*workload, seconds int) *charts.Line {
 	chart := charts.NewLine()
 	chart.SetGlobalOptions(charts.WithTitleOpts(opts.Title{Title: title}),
 		charts.WithXAxisOpts(opts.XAxis{Name: "s"}), charts.WithYAxisOpts(opts.YAxis{Name: "served", Max: 1}))
-	seconds := int(length / time.Second)
 	var axis []int
 	for i := range seconds {
 		axis = append(axis, i)
 	}
 	chart.SetXAxis(axis)
-	var out []FairnessSample
-	for front, l := range calm {
+	for front, l := range steady {
 		var points []opts.LineData
 		for i := range seconds {
-			points = append(points, opts.LineData{Value: math.Round(l.between(time.Duration(i)*time.Second,
-				time.Duration(i+1)*time.Second).Served*1000) / 1000})
+			from := time.Duration(i) * time.Second
+			served := l.between(from, from+time.Second).Served
+			points = append(points, opts.LineData{Value: math.Round(served*1000) / 1000})
 		}
 		chart.AddSeries(frontNames[front], points)
-		at := time.Duration(0)
-		for _, p := range fairnessPhases {
-			c := l.between(at, at+p.for_)
-			c.Front, c.Phase = frontNames[front], p.name
-			out = append(out, c)
-			at += p.for_
-		}
 	}
-	return out, chart, ctx.Err()
+	return chart
 }
 
-// between is what the tries that began in a stretch got.
-func (l *workload) between(from, to time.Duration) (c FairnessSample) {
+// between is what the requests that began between two times got.
+func (l *workload) between(from, to time.Duration) (out FairnessSample) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var took []time.Duration
-	for _, v := range l.samples {
-		if began := v.At - v.Took; began >= from && began < to {
-			if c.Tries++; v.End == Served {
-				took = append(took, v.Took)
+	for _, s := range l.samples {
+		if began := s.At - s.Took; began >= from && began < to {
+			if out.Requests++; s.Outcome == Served {
+				took = append(took, s.Took)
 			}
 		}
 	}
-	if c.Tries == 0 {
-		return c
+	if out.Requests == 0 {
+		return out
 	}
-	c.Served = float64(len(took)) / float64(c.Tries)
-	if sort.Slice(took, func(i, j int) bool { return took[i] < took[j] }); len(took) > 0 {
-		c.P99 = took[len(took)*99/100]
+	out.Served = float64(len(took)) / float64(out.Requests)
+	if slices.Sort(took); len(took) > 0 {
+		out.P99 = took[len(took)*99/100]
 	}
-	return c
+	return out
 }
--- a/internal/rehearsal/flight.go
+++ b/internal/rehearsal/flight.go
@@ -7,6 +7,7 @@
 	"strings"
 	"sync"
 	"sync/atomic"
+	"time"
 
 	"github.com/apache/arrow-go/v18/arrow/flight"
 	"github.com/apache/arrow-go/v18/arrow/flight/flightsql"
@@ -18,17 +19,15 @@
 	"google.golang.org/grpc/status"
 )
 
-// Clients of Flight SQL: the raw one, and the driver for database/sql.
-
-// flightClient is a connection of the raw client, with a session of its own.
+// flightClient is a connection of Flight SQL's own client, with a session of its own.
 type flightClient struct {
-	c          *flightsql.Client
-	ctx        context.Context // with the session's token
+	client     *flightsql.Client
+	ctx        context.Context // has the session's token
 	tx         *flightsql.Txn
 	statements int
-	gone       atomic.Bool
-	busy       sync.Mutex // the library does not bear its close while a call is under way
-	nc         atomic.Pointer[net.Conn]
+	closed     atomic.Bool
+	busy       sync.Mutex // held during a call: the library must not be closed meanwhile
+	netConn    atomic.Pointer[net.Conn]
 }
 
 func newFlight(ctx context.Context, addr string) (*flightClient, error) {
@@ -36,7 +35,7 @@
 	dial := func(ctx context.Context, addr string) (net.Conn, error) {
 		nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 		if err == nil {
-			f.nc.Store(&nc)
+			f.netConn.Store(&nc)
 		}
 		return nc, err
 	}
@@ -47,10 +46,10 @@
 	}
 	with, err := c.Client.AuthenticateBasicToken(ctx, "client", "")
 	if err != nil {
-		c.Close()
+		_ = c.Close() // the error before it is the result
 		return nil, err
 	}
-	f.c, f.ctx = c, context.WithoutCancel(with)
+	f.client, f.ctx = c, context.WithoutCancel(with)
 	return f, nil
 }
 
@@ -66,7 +65,7 @@
 	defer context.AfterFunc(ctx, cancel)()
 	err := f.run(in, text)
 	if c := status.Code(err); c == codes.Unauthenticated || c == codes.Unavailable {
-		f.gone.Store(true)
+		f.closed.Store(true)
 	}
 	return err
 }
@@ -75,7 +74,7 @@
 	f.statements++
 	switch {
 	case strings.HasPrefix(text, "begin"):
-		f.tx, err = f.c.BeginTransaction(ctx)
+		f.tx, err = f.client.BeginTransaction(ctx)
 		return err
 	case strings.HasPrefix(text, "commit"):
 		tx := f.tx
@@ -91,7 +90,7 @@
 		_, err = f.tx.ExecuteUpdate(ctx, text)
 		return err
 	case strings.HasPrefix(text, "insert"):
-		_, err = f.c.ExecuteUpdate(ctx, text)
+		_, err = f.client.ExecuteUpdate(ctx, text)
 		return err
 	}
 	var info *flight.FlightInfo
@@ -99,19 +98,19 @@
 	case f.tx != nil:
 		info, err = f.tx.Execute(ctx, text)
 	case f.statements%2 == 0:
-		p, e := f.c.Prepare(ctx, text)
+		p, e := f.client.Prepare(ctx, text)
 		if e != nil {
 			return e
 		}
-		defer p.Close(ctx)
+		defer func() { _ = p.Close(ctx) }() // a statement ends with its session in any case
 		info, err = p.Execute(ctx)
 	default:
-		info, err = f.c.Execute(ctx, text)
+		info, err = f.client.Execute(ctx, text)
 	}
 	if err != nil {
 		return err
 	}
-	r, err := f.c.DoGet(ctx, info.Endpoint[0].Ticket)
+	r, err := f.client.DoGet(ctx, info.Endpoint[0].Ticket)
 	if err != nil {
 		return err
 	}
@@ -121,25 +120,27 @@
 	return r.Err()
 }
 
-func (f *flightClient) close(hard bool) {
-	f.gone.Store(true)
-	if nc := f.nc.Load(); hard && nc != nil {
+func (f *flightClient) close(force bool) {
+	f.closed.Store(true)
+	if nc := f.netConn.Load(); force && nc != nil {
 		(*nc).Close()
 	}
 	go func() {
 		f.busy.Lock()
 		defer f.busy.Unlock()
-		f.c.Close()
+		_ = f.client.Close() // the connection is given up in any case
 	}()
 }
 
-func (f *flightClient) broken() bool { return f.gone.Load() }
+func (f *flightClient) broken() bool { return f.closed.Load() }
+
+func (f *flightClient) driver() driver { return driverFlight }
 
 // sqlClient is one connection of the driver for database/sql.
 type sqlClient struct {
-	db   *sql.DB
-	c    *sql.Conn
-	gone atomic.Bool
+	db     *sql.DB
+	conn   *sql.Conn
+	closed atomic.Bool
 }
 
 func newSQL(ctx context.Context, addr string) (*sqlClient, error) {
@@ -149,45 +150,47 @@
 	}
 	c, err := db.Conn(ctx)
 	if err != nil {
-		db.Close()
+		_ = db.Close() // it holds no connection
 		return nil, err
 	}
-	return &sqlClient{db: db, c: c}, nil
+	return &sqlClient{db: db, conn: c}, nil
 }
 
 func (p *sqlClient) do(ctx context.Context, _ bool, text, _ string) error {
 	err := p.run(ctx, text)
 	if c := status.Code(err); c == codes.Unauthenticated || c == codes.Unavailable {
-		p.gone.Store(true)
+		p.closed.Store(true)
 	}
 	return err
 }
 
 func (p *sqlClient) run(ctx context.Context, text string) error {
 	if strings.HasPrefix(text, "insert") {
-		_, err := p.c.ExecContext(ctx, text)
+		_, err := p.conn.ExecContext(ctx, text)
 		return err
 	}
-	rows, err := p.c.QueryContext(ctx, text)
+	rows, err := p.conn.QueryContext(ctx, text)
 	if err != nil {
 		return err
 	}
-	defer rows.Close()
+	defer func() { _ = rows.Close() }() // rows.Err has its error
 	for rows.Next() {
 	}
 	return rows.Err()
 }
 
 func (p *sqlClient) close(bool) {
-	p.gone.Store(true)
-	p.c.Close()
-	p.db.Close()
+	p.closed.Store(true)
+	_ = p.conn.Close() // the connection is given up in any case
+	_ = p.db.Close()
 }
 
-func (p *sqlClient) broken() bool { return p.gone.Load() }
+func (p *sqlClient) broken() bool { return p.closed.Load() }
+
+func (p *sqlClient) driver() driver { return driverFlightSQL }
 
-// flightCode is what a status says in PostgreSQL's terms; "": err is no status of the dispatcher's.
-func flightCode(err error) string {
+// flightSQLState is the SQLSTATE in the details of a status, else its code; "": err is no status.
+func flightSQLState(err error) string {
 	s, ok := status.FromError(err)
 	if !ok {
 		return ""
@@ -200,11 +203,11 @@
 	return "gRPC " + s.Code().String()
 }
 
-// flightWait is the come-back time of a status, in milliseconds; 0: it has none.
-func flightWait(err error) int64 {
+// flightRetryDelay is the time after which a status says to retry; 0: it says none.
+func flightRetryDelay(err error) time.Duration {
 	for _, d := range status.Convert(err).Details() {
 		if r, ok := d.(*errdetails.RetryInfo); ok {
-			return r.RetryDelay.AsDuration().Milliseconds()
+			return r.RetryDelay.AsDuration().Truncate(time.Millisecond)
 		}
 	}
 	return 0
--- a/internal/rehearsal/newcomers.go
+++ b/internal/rehearsal/newcomers.go
@@ -11,19 +11,17 @@
 	"cresspass/internal/simulation"
 )
 
-// returnArms are the ways in which the dispatchers of a day with a return talk.
-var returnArms = []struct{ name, talk string }{{"no talk", "no"}, {"cold", "cold"}, {"newcomers", "ask"}}
+// returnArm is a way in which the dispatchers gossip.
+type returnArm struct{ name, gossip string }
 
-// CompareReturns plays a day with a return of dispatchers for each way in which they talk, and sums up what
-// clients of those that returned got in the times since. Each rule must hold on each day.
-func CompareReturns(
-	ctx context.Context,
-	d *Day,
-	program []string,
-	first, seeds, jobs int,
-) (*simulation.Comparison,
-	error) {
-	i := slices.IndexFunc(d.Faults, func(t Fault) bool { return t.Kind == "return" })
+// returnArms are the ways of gossip that are compared.
+var returnArms = []returnArm{{"no talk", gossipOff}, {"cold", gossipCold}, {"newcomers", gossipAsk}}
+
+// CompareReturns plays a day on which dispatchers return, for each way of gossip, and sums up what the
+// clients of those dispatchers got in the times since. Each rule must hold on each day.
+func CompareReturns(ctx context.Context, d *Day, program []string, first, seeds, jobs int) (
+	*simulation.Comparison, error) {
+	i := slices.IndexFunc(d.Faults, func(f Fault) bool { return f.Kind == faultReturn })
 	if i < 0 || seeds < 1 {
 		return nil, fmt.Errorf("%s: a day with a return, and seeds, are wanted", d.Name)
 	}
@@ -38,29 +36,18 @@
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, max(jobs, 1))
 	errs := make(chan error, len(returnArms)*seeds)
-	for seed := range seeds { // the arms of one seed side by side: a busy machine then is so for all
+	for seed := range seeds { // the arms of one seed side by side: a busy machine then affects all of them
 		for a, arm := range returnArms {
 			slots <- struct{}{}
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
 				defer func() { <-slots }()
-				dir, err := os.MkdirTemp("", "cresspass-rehearse-*")
+				r, err := playReturn(ctx, d, program, uint64(first+seed), arm)
 				if err != nil {
 					errs <- err
 					return
 				}
-				defer os.RemoveAll(dir)
-				r, err := Play(ctx, d, Options{Seed: uint64(first + seed), Program: program, Dir: dir,
-					Gossip: arm.talk})
-				if err != nil {
-					errs <- err
-					return
-				}
-				if !r.Kept() {
-					errs <- fmt.Errorf("%s, %s, seed %d: a rule broke", d.Name, arm.name, first+seed)
-					return
-				}
 				for _, w := range out.Windows {
 					out.Summaries[a][seed] = append(out.Summaries[a][seed], r.requestsBetween(back, back+w))
 				}
@@ -75,7 +62,24 @@
 	return out, nil
 }
 
-// simulationEnds are the model's, of the kit's.
+// playReturn plays a day with one way of gossip. A rule that broke is an error.
+func playReturn(ctx context.Context, d *Day, program []string, seed uint64, arm returnArm) (*Result, error) {
+	dir, err := os.MkdirTemp("", "cresspass-rehearse-*")
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder that stays harms no result
+	r, err := Play(ctx, d, Options{Seed: seed, Program: program, Dir: dir, Gossip: arm.gossip})
+	if err != nil {
+		return nil, err
+	}
+	if !r.Kept() {
+		return nil, fmt.Errorf("%s, %s, seed %d: a rule broke", d.Name, arm.name, seed)
+	}
+	return r, nil
+}
+
+// simulationEnds are the simulation's terms for outcomes.
 var simulationEnds = map[Outcome]simulation.End{
 	Served:    simulation.Served,
 	Rejected:  simulation.Rejected,
@@ -83,20 +87,27 @@
 	Abandoned: simulation.Abandoned,
 }
 
-// AllRequests returns a day's tries in the model's terms, their classes numbered in the settings'
+// AllRequests returns a day's requests in the simulation's terms, their classes numbered in the settings'
 // order; -1: sessions, which are of none.
 func (r *Result) AllRequests() (out []simulation.Request) {
-	numbers, aims := map[string]int{}, map[string]time.Duration{}
+	numbers, objectives := map[string]int{}, map[string]time.Duration{}
 	for i, c := range r.Day.Module.Classes {
-		numbers[c.Name], aims[c.Name] = i, c.LatencyObjective
+		numbers[c.Name], objectives[c.Name] = i, c.LatencyObjective
 	}
 	for _, v := range r.Samples {
 		number, known := numbers[v.Class]
 		if !known {
 			number = -1
 		}
-		out = append(out, simulation.Request{Class: number, Dispatcher: v.Dispatcher, At: v.At - v.Took,
-			Elapsed: v.Took, End: simulationEnds[v.End], Late: aims[v.Class] > 0 && v.Took > aims[v.Class]})
+		objective := objectives[v.Class]
+		out = append(out, simulation.Request{
+			Class:      number,
+			Dispatcher: v.Dispatcher,
+			At:         v.At - v.Took,
+			Elapsed:    v.Took,
+			End:        simulationEnds[v.Outcome],
+			Late:       objective > 0 && v.Took > objective,
+		})
 	}
 	return out
 }
--- a/internal/rehearsal/report.go
+++ b/internal/rehearsal/report.go
@@ -1,8 +1,9 @@
 package rehearsal
 
 import (
-	"compress/gzip"
+	"bufio"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -16,26 +17,26 @@
 	"cresspass/internal/rehearsal/rulecheck"
 )
 
-// Sample is how one try ended.
+// Sample is how one request ended.
 type Sample struct {
-	At    time.Duration `json:"at"` // since the day's start
-	Class string        `json:"class"`
-	End   Outcome       `json:"end"`
-	Took  time.Duration `json:"took"` // from the intended start
+	At      time.Duration `json:"at"` // since the day's start
+	Class   string        `json:"class"`
+	Outcome Outcome       `json:"end"`
+	Took    time.Duration `json:"took"` // from the intended start
 
 	Dispatcher int `json:"dispatcher"`
 }
 
-// EngineSample is a look at the engines.
+// EngineSample is the load of the engines at one time.
 type EngineSample struct {
 	At      time.Duration `json:"at"`
 	Threads []float64     `json:"threads"` // of each engine
 }
 
-// names of ends, in the order of Answer.
+// outcomeNames are the names of outcomes in the plots.
 var outcomeNames = [outcomeCount]string{"served", "refused", "failed", "gave up"}
 
-// plotInterval is the plots' grain.
+// plotInterval is the resolution of the plots.
 const plotInterval = time.Second
 
 // Report writes one HTML page with plots, and the same as JSON, into a folder.
@@ -58,25 +59,38 @@
 	if err := os.WriteFile(filepath.Join(dir, r.Day.Name+".json"), body, 0o644); err != nil {
 		return err
 	}
-	f, err := os.Create(filepath.Join(dir, r.Day.Name+".html"))
+	page := components.NewPage()
+	page.SetPageTitle("Rehearsal: " + r.Day.Name)
+	page.AddCharts(r.plotOutcomes(), r.plotQuantiles(), r.plotThreads())
+	return writeFile(filepath.Join(dir, r.Day.Name+".html"), func(w *bufio.Writer) error {
+		if err := page.Render(w); err != nil {
+			return err
+		}
+		fmt.Fprintln(w, "<pre>")
+		if err := r.Print(w); err != nil {
+			return err
+		}
+		_, err := w.WriteString("</pre>\n")
+		return err
+	})
+}
+
+// writeFile creates a file that write fills.
+func writeFile(path string, write func(w *bufio.Writer) error) (err error) {
+	f, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	page := components.NewPage()
-	page.SetPageTitle("Rehearsal: " + r.Day.Name)
-	page.AddCharts(r.ends(), r.quantiles(), r.threads())
-	if err := page.Render(f); err != nil {
+	defer func() { err = errors.Join(err, f.Close()) }()
+	w := bufio.NewWriter(f)
+	if err := write(w); err != nil {
 		return err
 	}
-	fmt.Fprintf(f, "<pre>\n")
-	r.Print(f)
-	_, err = fmt.Fprintf(f, "</pre>\n")
-	return err
+	return w.Flush()
 }
 
-// line starts a plot over the day's seconds, with troubles as bands.
-func (r *Result) line(title, unit string) (*charts.Line, int) {
+// newPlot starts a plot over the day's seconds, and returns their number.
+func (r *Result) newPlot(title, unit string) (*charts.Line, int) {
 	n := int(r.Day.Length/plotInterval) + 1
 	for _, s := range r.Samples {
 		n = max(n, int(s.At/plotInterval)+1)
@@ -94,20 +108,20 @@
 	return l, n
 }
 
-// bands marks the troubles.
-func (r *Result) bands(n int) []charts.SeriesOpts {
+// faultBands marks the faults.
+func (r *Result) faultBands(n int) []charts.SeriesOpts {
 	var out []charts.SeriesOpts
 	for _, t := range r.Day.Faults {
 		from, to := int(t.At/plotInterval), min(int((t.At+t.For)/plotInterval)+1, n-1)
 		out = append(out, charts.WithMarkAreaNameCoordItemOpts(opts.MarkAreaNameCoordItem{Name: t.Kind,
-			Coordinate0: []interface{}{fmt.Sprint(from), "min"}, Coordinate1: []interface{}{fmt.Sprint(to),
+			Coordinate0: []any{fmt.Sprint(from), "min"}, Coordinate1: []any{fmt.Sprint(to),
 				"max"},
 			ItemStyle: &opts.ItemStyle{Opacity: opts.Float(0.12)}}))
 	}
 	return out
 }
 
-func values(v []float64) []opts.LineData {
+func lineData(v []float64) []opts.LineData {
 	out := make([]opts.LineData, len(v))
 	for i := range v {
 		out[i] = opts.LineData{Value: v[i]}
@@ -115,31 +129,31 @@
 	return out
 }
 
-// ends plots how tries ended, by the second in which they did.
-func (r *Result) ends() *charts.Line {
-	l, n := r.line("Answers by kind", "tries a second")
+// plotOutcomes plots how requests ended, by the second in which they did.
+func (r *Result) plotOutcomes() *charts.Line {
+	l, n := r.newPlot("Answers by kind", "tries a second")
 	for end, name := range outcomeNames {
 		v := make([]float64, n)
 		for _, s := range r.Samples {
-			if s.End == Outcome(end) {
+			if s.Outcome == Outcome(end) {
 				v[s.At/plotInterval]++
 			}
 		}
 		var o []charts.SeriesOpts
 		if end == 0 {
-			o = r.bands(n)
+			o = r.faultBands(n)
 		}
-		l.AddSeries(name, values(v), o...)
+		l.AddSeries(name, lineData(v), o...)
 	}
 	return l
 }
 
-// quantiles plots the time to answer of what was served.
-func (r *Result) quantiles() *charts.Line {
-	l, n := r.line("Time to answer, served", "ms")
+// plotQuantiles plots the time to answer of what was served.
+func (r *Result) plotQuantiles() *charts.Line {
+	l, n := r.newPlot("Time to answer, served", "ms")
 	times := make([][]float64, n)
 	for _, s := range r.Samples {
-		if s.End == Served {
+		if s.Outcome == Served {
 			times[s.At/plotInterval] = append(times[s.At/plotInterval], float64(s.Took.Microseconds())/1000)
 		}
 	}
@@ -153,16 +167,16 @@
 		}
 		var o []charts.SeriesOpts
 		if i == 0 {
-			o = r.bands(n)
+			o = r.faultBands(n)
 		}
-		l.AddSeries(fmt.Sprintf("p%g", q*100), values(v), o...)
+		l.AddSeries(fmt.Sprintf("p%g", q*100), lineData(v), o...)
 	}
 	return l
 }
 
-// threads plots what runs in each engine.
-func (r *Result) threads() *charts.Line {
-	l, n := r.line("Threads of each engine", "threads")
+// plotThreads plots what runs in each engine.
+func (r *Result) plotThreads() *charts.Line {
+	l, n := r.newPlot("Threads of each engine", "threads")
 	for e := range r.Day.Engines {
 		v, seen := make([]float64, n), make([]float64, n)
 		for _, w := range r.EngineSamples {
@@ -176,55 +190,9 @@
 		}
 		var o []charts.SeriesOpts
 		if e == 0 {
-			o = r.bands(n)
+			o = r.faultBands(n)
 		}
-		l.AddSeries(fmt.Sprintf("engine %d (%s)", e, r.Day.kind(e)), values(v), o...)
+		l.AddSeries(fmt.Sprintf("engine %d (%s)", e, r.Day.kind(e)), lineData(v), o...)
 	}
 	return l
 }
-
-// evidence is what is kept of a day whose rules broke, to be judged again without playing it.
-type evidence struct {
-	Day        string
-	Seed       uint64
-	Parameters rulecheck.Parameters `json:"Figures"`
-	Log        *rulecheck.Log
-}
-
-// StoreEvidence writes what the relays saw, with seed and day, into a folder.
-func (r *Result) StoreEvidence(dir string) error {
-	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return err
-	}
-	f, err := os.Create(filepath.Join(dir, "traffic.json.gz"))
-	if err != nil {
-		return err
-	}
-	defer f.Close()
-	z := gzip.NewWriter(f)
-	if err := json.NewEncoder(z).Encode(evidence{r.Day.Name, r.Seed, r.Day.Parameters(), r.Log}); err != nil {
-		return err
-	}
-	return z.Close()
-}
-
-// JudgeAgain judges a folder that Keep wrote.
-func JudgeAgain(dir string) (day string, seed uint64, all []rulecheck.Verdict, err error) {
-	f, err := os.Open(filepath.Join(dir, "traffic.json.gz"))
-	if err != nil {
-		return "", 0, nil, err
-	}
-	defer f.Close()
-	z, err := gzip.NewReader(f)
-	if err != nil {
-		return "", 0, nil, err
-	}
-	var e evidence
-	if err := json.NewDecoder(z).Decode(&e); err != nil {
-		return "", 0, nil, fmt.Errorf("%s: %w", dir, err)
-	}
-	if e.Log == nil {
-		return "", 0, nil, fmt.Errorf("%s holds no traffic", dir)
-	}
-	return e.Day, e.Seed, rulecheck.Judge(e.Parameters, e.Log), nil
-}
--- a/internal/simulation/experiment/experiment.go
+++ b/internal/simulation/experiment/experiment.go
@@ -278,8 +278,8 @@
 		}
 		c.Traffic = append(c.Traffic, simulation.Traffic{Class: t.Class, Rate: t.Rate, Work: t.Work,
 			Spread:  t.Spread,
-			Threads: t.Threads, Repeats: t.Repeats, Keys: t.Keys, Tables: t.Tables, Loads: t.Loads,
-			Told: t.Told})
+			Threads: t.Threads, Repeats: t.Retries, Keys: t.Keys, Tables: t.Tables, Loads: t.Loads,
+			Told: t.CostFactor})
 	}
 	for _, t := range d.Faults {
 		if slices.Contains(simulation.FaultKinds(), t.Kind) {
