--- a/internal/backend/computenode/machine.go
+++ b/internal/backend/computenode/machine.go
@@ -15,7 +15,7 @@
 
 // Times of the protocol, and of this side of it.
 const (
-	longPollTimeout = 250 * time.Millisecond // after which a compute node answers a poll without news
+	longPollTimeout = 250 * time.Millisecond // after which a compute node answers: still running
 	abandonAfter    = 2 * time.Second        // after which a compute node drops a query that nobody polls
 	abandonSlack    = 100 * time.Millisecond // on top of it, for a clock that is not ours
 
--- a/internal/backend/connpool/pool_test.go
+++ b/internal/backend/connpool/pool_test.go
@@ -184,7 +184,7 @@
 }
 
 // TestNoQueryAbandoned: queries on many compute nodes, more than there are connections, each polled again
-// and again by calls that last as long as a poll without news; beside them queries are started all the
+// and again by calls that last as long as a poll of a running query; beside them queries are started all the
 // time. A compute node drops a query that was not polled for 2 s: none may be. The quick queries of one
 // compute node have its connections always in use, and the others must not wait for these.
 func TestNoQueryAbandoned(t *testing.T) {
--- a/internal/backend/duplicateresponse/detector.go
+++ b/internal/backend/duplicateresponse/detector.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// minLongPoll is the least time after which a compute node answers a poll without news: 250 ms by the
+	// minLongPoll is the least time after which a compute node answers that a query still runs: 250 ms by the
 	// protocol, less what its clock and ours may differ.
 	minLongPoll = 200 * time.Millisecond
 	// suspicionPeriod is how long after a duplicate responses that often repeat are suspected as well.
--- a/internal/discovery/sse/watchevent.go
+++ b/internal/discovery/sse/watchevent.go
@@ -59,7 +59,7 @@
 	return we, nil
 }
 
-// check reports what can't be taken of an endpoint.
+// check reports what is wrong with an endpoint.
 func (e *Endpoint) check(revision uint64) error {
 	state, known := engineStates[e.State]
 	if e.ID == "" || !known || state == cresspass.EngineActive && e.Addr == "" || e.Weight < 0 {
@@ -71,5 +71,5 @@
 
 func (e *Endpoint) engineID() cresspass.EngineID { return cresspass.EngineID(e.ID) }
 
-// startedAt returns the wall-clock time of the start, if it was told.
+// startedAt returns the wall-clock time of the start, if it was reported.
 func (e *Endpoint) startedAt() (time.Time, bool) { return time.UnixMilli(e.StartedMs), e.StartedMs > 0 }
--- a/internal/frontend/thriftserver/message.go
+++ b/internal/frontend/thriftserver/message.go
@@ -42,7 +42,7 @@
 	return m
 }
 
-// HandleMessage takes a message. Where a request is at fault its client is told why; where the message
+// HandleMessage takes a message. Where a request is at fault the reply says why; where the message
 // can't be read, or after EndMalformed, the connection is at its end. Nothing of the frame is kept.
 func (r *Registry) HandleMessage(now time.Time, id ConnID, m Message) (result MessageResult) {
 	c := r.conns[id]
@@ -64,8 +64,8 @@
 	return result
 }
 
-// undecodable is the result of a message that can't be read. Its client is told so where the header names a
-// method.
+// undecodable is the result of a message that can't be read. Its client gets a reply where the header names
+// a method.
 func undecodable(m *Message) MessageResult {
 	result := MessageResult{EndOfInput: true}
 	if m.request.Name != "" {
--- a/internal/frontend/thriftserver/registry_test.go
+++ b/internal/frontend/thriftserver/registry_test.go
@@ -33,223 +33,247 @@
 
 func aliveFrame(seq int32) []byte { return thrift.Alive{}.Append(nil, seq)[thrift.FrameHeaderBytes:] }
 
-// TestRequestEndsOnce: whatever clients send, cancel and break off, each request that was accepted has one
-// end: it is replied to where it came, is cancelled, or ends with its connection. No two that are open
-// share a number on a connection or an id, and no connection is evicted that is in use.
-func TestRequestEndsOnce(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		r, now := New(&cfg), startOfTest
-		open := map[cresspass.QueryID]ReplyTarget{}
-		tickets := map[string]cresspass.QueryID{}
-		unwritten := map[ConnID]int{}
-		alive := map[ConnID]bool{}
-		closing, midMessage := map[ConnID]bool{}, map[ConnID]bool{}
-		end := func(q *Request, how string) {
-			if at, ok := open[q.ID]; !ok || at != (ReplyTarget{q.Conn, q.Seq}) {
-				t.Fatalf("request %d of %+v %s, it is open: %v, at %+v", q.ID, q.Conn, how, ok, at)
-			}
-			delete(open, q.ID)
-			delete(tickets, q.Ticket)
+// registryModel plays clients on a few connections of a registry, and says what the registry must report.
+type registryModel struct {
+	t        *rapid.T
+	registry *Registry
+	now      time.Time
+	open     map[cresspass.QueryID]ReplyTarget
+	tickets  map[string]cresspass.QueryID // of the open requests
+	conns    map[ConnID]*modelConn
+}
+
+// modelConn is what the model knows of a connection.
+type modelConn struct {
+	alive, closing, midMessage bool
+	unwritten                  int
+}
+
+func newRegistryModel(t *rapid.T) *registryModel {
+	m := &registryModel{t: t, registry: New(&cfg), now: startOfTest, conns: map[ConnID]*modelConn{},
+		open: map[cresspass.QueryID]ReplyTarget{}, tickets: map[string]cresspass.QueryID{}}
+	for id := ConnID(1); id <= 3; id++ {
+		m.conns[id] = &modelConn{}
+	}
+	return m
+}
+
+// step draws one thing that a client, the front or the shutdown does.
+func (m *registryModel) step() {
+	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 300).Draw(m.t, "ms")) * time.Millisecond)
+	id := ConnID(rapid.IntRange(1, 3).Draw(m.t, "conn"))
+	switch rapid.IntRange(0, 12).Draw(m.t, "step") {
+	case 0:
+		if c := m.conns[id]; !c.alive {
+			m.registry.AddConn(m.now, id)
+			*c = modelConn{alive: true}
 		}
-		used := func(id ConnID) bool {
-			for _, at := range open {
-				if at.Conn == id {
-					return true
-				}
-			}
-			return false
+	case 1, 2, 3, 4:
+		m.message(id)
+	case 5, 6:
+		m.reply()
+	case 7:
+		if c := m.conns[id]; c.unwritten > 0 && c.alive {
+			m.registry.RepliesWritten(m.now, id, c.unwritten)
+			c.unwritten = 0
 		}
-		conn := func() ConnID { return ConnID(rapid.IntRange(1, 3).Draw(t, "conn")) }
-		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
-			id := conn()
-			switch rapid.IntRange(0, 12).Draw(t, "step") {
-			case 0:
-				if !alive[id] {
-					r.AddConn(now, id)
-					alive[id], unwritten[id], closing[id], midMessage[id] = true, 0, false, false
-				}
-			case 1, 2, 3, 4:
-				frame := rapid.SampledFrom([][]byte{
-					dispatchFrame(
-						int32(rapid.IntRange(1, 50).Draw(t, "seq")),
-						"verb",
-						"quick",
-						"limit",
-						"100",
-						"txn",
-						ticket(rapid.IntRange(1, 60).Draw(t, "txn")),
-					),
-					dispatchFrame(1, "verb", "load", "limit", "100", "txn", ticket(1)),
-					dispatchFrame(2, "verb", "quick", "limit", "-1", "txn", ticket(2)),
-					dispatchFrame(2, "verb", "quick", "limit", "NaN", "txn", ticket(2)),
-					dispatchFrame(3, "verb", "none", "limit", "100", "txn", ticket(3)),
-					dispatchFrame(4, "verb", "quick", "limit", "100", "txn", "x"),
-					aliveFrame(9),
-					cancelFrame(1, int32(rapid.IntRange(1, 50).Draw(t, "target"))),
-					{0x80, 1, 0, 1, 0xff}, {},
-				}).Draw(t, "frame")
-				v := r.HandleMessage(now, id, r.Decode(frame))
-				switch midMessage[id] = false; {
-				case (!alive[id] || closing[id]) && !v.EndOfInput:
-					t.Fatal("a message on no connection, or on one that is closing, was accepted")
-				case v.Accepted != nil:
-					q := v.Accepted
-					of := 0
-					for other, at := range open {
-						if at.Conn == q.Conn {
-							of++
-						}
-						if other == q.ID || at == (ReplyTarget{q.Conn, q.Seq}) {
-							t.Fatalf("%+v accepted beside %d at %+v", q, other, at)
-						}
-					}
-					if _, twice := tickets[q.Ticket]; twice || of >= MaxOpenRequests ||
-						v.Event.Query != q.ID || !q.Deadline.After(now) ||
-						v.Event.RemainingDeadline <= 0 || v.Reply != nil {
-						t.Fatalf("%+v accepted, its id is open: %v, of %d open, %+v", q, twice, of, v.Event)
-					}
-					open[q.ID], tickets[q.Ticket] = ReplyTarget{q.Conn, q.Seq}, q.ID
-				case v.Cancelled != nil:
-					end(v.Cancelled, "cancelled")
-				case v.Invalid && v.Reply == nil:
-					t.Fatal("an invalid request has no reply")
-				}
-				if v.Reply != nil {
-					unwritten[id]++
-				}
-			case 5, 6:
-				q := cresspass.QueryID(rapid.IntRange(1, 40).Draw(t, "reply"))
-				at, is := open[q]
-				to, ok := r.ClaimReply(now, q)
-				if ok != is || ok && to != at {
-					t.Fatalf("reply to %d: %v at %+v, open: %v at %+v", q, ok, to, is, at)
-				}
-				if ok {
-					unwritten[to.Conn]++
-					for ticket, other := range tickets {
-						if other == q {
-							delete(tickets, ticket)
-						}
-					}
-					delete(open, q)
-				}
-			case 7:
-				if n := unwritten[id]; n > 0 && alive[id] {
-					r.RepliesWritten(now, id, n)
-					unwritten[id] = 0
-				}
-			case 8:
-				malformed := rapid.Bool().Draw(t, "malformed")
-				var orphaned []*Request
-				if malformed {
-					orphaned = r.EndMalformed(id)
-					unwritten[id] += len(orphaned)
-					closing[id] = alive[id]
-				} else {
-					orphaned = r.RemoveConn(id)
-					alive[id] = false
-				}
-				for _, q := range orphaned {
-					end(q, "orphaned")
-				}
-				late := r.Decode(dispatchFrame(70, "verb", "quick", "limit", "9", "txn", ticket(99)))
-				if v := r.HandleMessage(now, id, late); !v.EndOfInput {
-					t.Fatalf("a message after the end: %+v", v)
-				}
-			case 9:
-				which, ok := r.EvictionCandidate(now, 500*time.Millisecond)
-				if !ok {
-					break
-				}
-				for _, at := range open {
-					if at.Conn == which {
-						t.Fatalf("connection %d is evicted, %+v is open there", which, at)
-					}
-				}
-				if !alive[which] || unwritten[which] > 0 {
-					t.Fatalf("connection %d is evicted, %d messages are not written", which, unwritten[which])
-				}
-			case 10:
-				if ok := r.BeginMessage(now, id); ok != (alive[id] && !closing[id]) {
-					t.Fatalf("a message begins: %v; alive %v, closing %v", ok, alive[id], closing[id])
-				} else if ok {
-					midMessage[id] = true
-				}
-			case 11:
-				wasUsed := used(id)
-				orphaned, last := r.ReadTimedOut(id)
-				for _, q := range orphaned {
-					end(q, "overdue")
-				}
-				unwritten[id] += len(orphaned)
-				over := !alive[id] || closing[id] || midMessage[id] || unwritten[id] == 0 && !wasUsed
-				if over != last {
-					t.Fatalf("overdue: ends %v, want %v", last, over)
-				}
-				closing[id] = alive[id] && last
-			case 12:
-				was := closing[id]
-				ok := r.Retire(id)
-				if want := alive[id] && !was && unwritten[id] == 0 && !used(id); ok != want {
-					t.Fatalf("retired: %v, want %v", ok, want)
-				}
-				closing[id] = was || ok
-				for _, other := range r.UnusedConns() {
-					if closing[other] || midMessage[other] || unwritten[other] > 0 || used(other) {
-						t.Fatalf("connection %d is listed as unused", other)
-					}
-				}
-			}
-			if r.OpenRequests() != len(open) {
-				t.Fatalf("%d open, want %d", r.OpenRequests(), len(open))
-			}
+	case 8:
+		m.endConn(id)
+	case 9:
+		m.evict()
+	case 10:
+		m.beginMessage(id)
+	case 11:
+		m.readTimedOut(id)
+	case 12:
+		m.retire(id)
+	}
+	if m.registry.OpenRequests() != len(m.open) {
+		m.t.Fatalf("%d open, want %d", m.registry.OpenRequests(), len(m.open))
+	}
+}
+
+// frame draws a message: a good request, one that is at fault, another method, or none at all.
+func (m *registryModel) frame() []byte {
+	seq := int32(rapid.IntRange(1, 50).Draw(m.t, "seq"))
+	txn := ticket(rapid.IntRange(1, 60).Draw(m.t, "txn"))
+	target := int32(rapid.IntRange(1, 50).Draw(m.t, "target"))
+	return rapid.SampledFrom([][]byte{
+		dispatchFrame(seq, "verb", "quick", "limit", "100", "txn", txn),
+		dispatchFrame(1, "verb", "load", "limit", "100", "txn", ticket(1)),
+		dispatchFrame(2, "verb", "quick", "limit", "-1", "txn", ticket(2)),
+		dispatchFrame(2, "verb", "quick", "limit", "NaN", "txn", ticket(2)),
+		dispatchFrame(3, "verb", "none", "limit", "100", "txn", ticket(3)),
+		dispatchFrame(4, "verb", "quick", "limit", "100", "txn", "x"),
+		aliveFrame(9),
+		cancelFrame(1, target),
+		{0x80, 1, 0, 1, 0xff}, {},
+	}).Draw(m.t, "frame")
+}
+
+// message has a message come on a connection.
+func (m *registryModel) message(id ConnID) {
+	c := m.conns[id]
+	result := m.registry.HandleMessage(m.now, id, m.registry.Decode(m.frame()))
+	c.midMessage = false
+	switch {
+	case (!c.alive || c.closing) && !result.EndOfInput:
+		m.t.Fatal("a message on no connection, or on one that is closing, was accepted")
+	case result.Accepted != nil:
+		m.accepted(&result)
+	case result.Cancelled != nil:
+		m.ended(result.Cancelled, "cancelled")
+	case result.Invalid && result.Reply == nil:
+		m.t.Fatal("an invalid request has no reply")
+	}
+	if result.Reply != nil {
+		c.unwritten++
+	}
+}
+
+// accepted checks a request that was accepted, and enters it.
+func (m *registryModel) accepted(result *MessageResult) {
+	req := result.Accepted
+	target := ReplyTarget{req.Conn, req.Seq}
+	onConn := 0
+	for other, at := range m.open {
+		if at.Conn == req.Conn {
+			onConn++
 		}
-	})
+		if other == req.ID || at == target {
+			m.t.Fatalf("%+v accepted beside %d at %+v", req, other, at)
+		}
+	}
+	if _, twice := m.tickets[req.Ticket]; twice || onConn >= MaxOpenRequests ||
+		result.Event.Query != req.ID || !req.Deadline.After(m.now) ||
+		result.Event.RemainingDeadline <= 0 || result.Reply != nil {
+		m.t.Fatalf("%+v accepted, its id is open: %v, of %d open, %+v", req, twice, onConn, result.Event)
+	}
+	m.open[req.ID], m.tickets[req.Ticket] = target, req.ID
+}
+
+// ended checks that a request which ends was open, and forgets it.
+func (m *registryModel) ended(req *Request, how string) {
+	if at, ok := m.open[req.ID]; !ok || at != (ReplyTarget{req.Conn, req.Seq}) {
+		m.t.Fatalf("request %d of %+v %s, it is open: %v, at %+v", req.ID, req.Conn, how, ok, at)
+	}
+	delete(m.open, req.ID)
+	delete(m.tickets, req.Ticket)
+}
+
+// reply claims the reply to a request, which may be open.
+func (m *registryModel) reply() {
+	id := cresspass.QueryID(rapid.IntRange(1, 40).Draw(m.t, "reply"))
+	at, isOpen := m.open[id]
+	target, ok := m.registry.ClaimReply(m.now, id)
+	if ok != isOpen || ok && target != at {
+		m.t.Fatalf("reply to %d: %v at %+v, open: %v at %+v", id, ok, target, isOpen, at)
+	}
+	if !ok {
+		return
+	}
+	m.conns[target.Conn].unwritten++
+	for ticket, other := range m.tickets {
+		if other == id {
+			delete(m.tickets, ticket)
+		}
+	}
+	delete(m.open, id)
+}
+
+// endConn ends a connection as malformed or closed; nothing is accepted on it after that.
+func (m *registryModel) endConn(id ConnID) {
+	c := m.conns[id]
+	var orphaned []*Request
+	if rapid.Bool().Draw(m.t, "malformed") {
+		orphaned = m.registry.EndMalformed(id)
+		c.unwritten += len(orphaned)
+		c.closing = c.alive
+	} else {
+		orphaned = m.registry.RemoveConn(id)
+		c.alive = false
+	}
+	for _, req := range orphaned {
+		m.ended(req, "orphaned")
+	}
+	late := m.registry.Decode(dispatchFrame(70, "verb", "quick", "limit", "9", "txn", ticket(99)))
+	if result := m.registry.HandleMessage(m.now, id, late); !result.EndOfInput {
+		m.t.Fatalf("a message after the end: %+v", result)
+	}
+}
+
+// evict checks that the candidate for eviction is not in use.
+func (m *registryModel) evict() {
+	id, ok := m.registry.EvictionCandidate(m.now, 500*time.Millisecond)
+	if !ok {
+		return
+	}
+	for _, at := range m.open {
+		if at.Conn == id {
+			m.t.Fatalf("connection %d is evicted, %+v is open there", id, at)
+		}
+	}
+	if c := m.conns[id]; !c.alive || c.unwritten > 0 {
+		m.t.Fatalf("connection %d is evicted, %d messages are not written", id, c.unwritten)
+	}
+}
+
+func (m *registryModel) beginMessage(id ConnID) {
+	c := m.conns[id]
+	if ok := m.registry.BeginMessage(m.now, id); ok != (c.alive && !c.closing) {
+		m.t.Fatalf("a message begins: %v; alive %v, closing %v", ok, c.alive, c.closing)
+	} else if ok {
+		c.midMessage = true
+	}
+}
+
+func (m *registryModel) readTimedOut(id ConnID) {
+	c := m.conns[id]
+	wasUsed := m.used(id)
+	orphaned, last := m.registry.ReadTimedOut(id)
+	for _, req := range orphaned {
+		m.ended(req, "overdue")
+	}
+	c.unwritten += len(orphaned)
+	over := !c.alive || c.closing || c.midMessage || c.unwritten == 0 && !wasUsed
+	if over != last {
+		m.t.Fatalf("overdue: ends %v, want %v", last, over)
+	}
+	c.closing = c.alive && last
 }
 
-// TestEvictionCandidate: many connections that send nothing evict neither a client that just connected nor
-// one with a request open.
-func TestEvictionCandidate(t *testing.T) {
-	ms := time.Millisecond
-	type seen struct {
-		busy, sent bool
-		silent     time.Duration
-		midMessage bool // a message began then
-	}
-	for name, c := range map[string]struct {
-		conns []seen
-		want  ConnID
-	}{
-		"silent":      {[]seen{{sent: true, silent: 3e3 * ms}, {silent: 600 * ms}, {silent: 900 * ms}}, 3},
-		"just made":   {[]seen{{silent: ms}, {sent: true, silent: ms}, {sent: true, silent: 9 * ms}}, 3},
-		"open":        {[]seen{{busy: true, sent: true, silent: 9e3 * ms}, {sent: true, silent: ms}}, 2},
-		"none can go": {[]seen{{busy: true, sent: true, silent: ms}, {silent: 499 * ms}}, 0},
-		"half a message": {[]seen{{sent: true, silent: 499 * ms, midMessage: true}, {sent: true, silent: ms},
-			{silent: 499 * ms, midMessage: true}}, 2},
-		"half for long": {[]seen{{sent: true, silent: 600 * ms, midMessage: true},
-			{sent: true, silent: ms}}, 1},
-	} {
-		r, now := New(&cfg), startOfTest.Add(time.Hour)
-		for i, s := range c.conns {
-			id, at := ConnID(i+1), now.Add(-s.silent)
-			r.AddConn(at, id)
-			if s.sent {
-				r.HandleMessage(at, id, r.Decode(aliveFrame(1)))
-				r.RepliesWritten(at, id, 1)
-			}
-			if s.midMessage {
-				r.BeginMessage(at, id)
-			}
-			if s.busy {
-				ask := r.Decode(dispatchFrame(1, "verb", "quick", "limit", "9", "txn", ticket(i)))
-				if v := r.HandleMessage(at, id, ask); v.Invalid {
-					t.Fatalf("%s", v.Reply)
-				}
-			}
+func (m *registryModel) retire(id ConnID) {
+	c := m.conns[id]
+	ok := m.registry.Retire(id)
+	if want := c.alive && !c.closing && c.unwritten == 0 && !m.used(id); ok != want {
+		m.t.Fatalf("retired: %v, want %v", ok, want)
+	}
+	c.closing = c.closing || ok
+	for _, other := range m.registry.UnusedConns() {
+		if c := m.conns[other]; c.closing || c.midMessage || c.unwritten > 0 || m.used(other) {
+			m.t.Fatalf("connection %d is listed as unused", other)
 		}
-		if got, ok := r.EvictionCandidate(now, 500*ms); got != c.want || ok != (c.want > 0) {
-			t.Errorf("%s: %d %v, want %d", name, got, ok, c.want)
+	}
+}
+
+// used reports whether a request is open on a connection.
+func (m *registryModel) used(id ConnID) bool {
+	for _, at := range m.open {
+		if at.Conn == id {
+			return true
 		}
 	}
+	return false
+}
+
+// TestRequestEndsOnce: whatever clients send, cancel and break off, each request that was accepted has one
+// end: it is replied to where it came, is cancelled, or ends with its connection. No two that are open
+// share a number on a connection or an id, and no connection is evicted that is in use.
+func TestRequestEndsOnce(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := newRegistryModel(t)
+		for range rapid.IntRange(1, 200).Draw(t, "steps") {
+			m.step()
+		}
+	})
 }
--- a/internal/overload/stall/stall_test.go
+++ b/internal/overload/stall/stall_test.go
@@ -20,11 +20,11 @@
 		}
 	}
 	want("no stall", 1520, 0, 0)
-	want("in a stall, before its beat", 2200, 0, 690)
-	want("in a stall, nothing there in its midst", 2200, 2000, 200)
+	want("in a stall, before its heartbeat", 2200, 0, 690)
+	want("in a stall, nothing there in the middle", 2200, 2000, 200)
 	m.Beat(2200 * ms)
 	want("right after a stall", 2210, 1000, 700)
-	want("right after, and nothing was there in its midst", 2210, 2100, 110)
+	want("right after, and nothing was there in the middle", 2210, 2100, 110)
 	want("nothing was there after it", 2210, 2205, 0)
 	m.Beat(2250 * ms)
 	m.Beat(2300 * ms)
