--- a/internal/simulation/enginemodel/model.go
+++ b/internal/simulation/enginemodel/model.go
@@ -1,6 +1,3 @@
-// Package enginemodel models an analytic engine: queries that share its cores by their priorities, memory
-// grants with spills and paging, data sets kept warm, loads that hold their tables, a cold start that can be
-// pushed over. It is driven by a clock that is handed in, does no I/O and draws no random numbers.
 package enginemodel
 
 import (
@@ -9,51 +6,30 @@
 	"time"
 )
 
-// Kind describes a machine. Zero figures switch their effect off.
+// Kind describes a machine. A zero value switches the effect off.
 type Kind struct {
-	Cores    float64
-	MemoryMB float64
-	Knee     float64 // threads a core from which total work falls; 0: 1.7
-	// a query without any of its memory does so many times its work more
-	SpillCost               float64
-	WarmSets                int           // data sets kept warm
-	WarmSaves               float64       // part of the work that a warm set saves
-	SlowStartFrom           float64       // share of its capacity at a start
-	SlowStartDuration       time.Duration // until it is warm
+	Cores                   float64
+	MemoryMB                float64
+	Knee                    float64       // threads a core above which throughput falls; 0: defaultKnee
+	SpillCost               float64       // extra work, as a multiple, of a query that gets no memory at all
+	WarmSets                int           // data sets that the cache holds
+	WarmSaves               float64       // share of the work that a cached data set saves
+	SlowStartFrom           float64       // share of its capacity right after a start
+	SlowStartDuration       time.Duration // until it has its full capacity
 	SlowStartOverloadFactor float64       // sent more than this multiple of its present capacity...
-	SlowStartWindow         time.Duration // ...over this long, it falls over
-	MaxJobs                 int           // more are turned away
+	SlowStartWindow         time.Duration // ...over this long, it collapses
+	MaxJobs                 int           // jobs beyond these are rejected
 }
 
-// Job is a query as the engine sees it.
-type Job struct {
-	Work     float64 // thread seconds
-	Threads  float64
-	NeedMB   float64
-	GrantMB  float64 // 0: the engine gives what it needs
-	Priority int     // 0 to 3
-	Tables   string  // data set it reads; "": none
-	Loads    bool    // holds its data set: others of the set stand still
-}
-
-// Running is a job in the engine.
-type Running struct {
-	Job
-	Begun         time.Duration
-	totalWork     float64 // work with spills, in thread seconds
-	remainingWork float64
-	spillMB       float64
-	waiting       bool
-}
-
-// Done is the share of the work that is done.
-func (r *Running) Done() float64 { return 1 - r.remainingWork/r.totalWork }
-
-// SpillMB is the memory it lacks, in MB.
-func (r *Running) SpillMB() float64 { return r.spillMB }
+// Lower bounds that keep speeds and durations finite.
+const (
+	minWork     = 1e-6 // thread seconds
+	minThreads  = 0.01
+	minSlowdown = 1e-3
+)
 
-// Waits reports whether it stands still for a load.
-func (r *Running) Waits() bool { return r.waiting }
+// minMemoryShare is the share of its need that a query gets even where no memory is free.
+const minMemoryShare = 0.1
 
 // Model is one engine. It is for one goroutine at a time.
 type Model struct {
@@ -64,15 +40,10 @@
 	halted         bool
 	fallen         bool
 	jobs           []*Running
-	finished       []*Running // ended, and not yet told of
-	cachedSets     []string   // the last used in front
+	finished       []*Running // not yet returned by Advance
+	cachedSets     []string   // most recently used first
 	recentArrivals []arrival
-	workDone       float64 // thread seconds of work done, all jobs
-}
-
-type arrival struct {
-	at   time.Duration
-	work float64
+	workDone       float64 // thread seconds, of all jobs
 }
 
 // New returns an engine that starts now. cold false: it started long ago.
@@ -84,16 +55,16 @@
 	return m
 }
 
-// Jobs are those that run, in the order of their beginning.
+// Jobs are the jobs in the engine, in the order of their start.
 func (m *Model) Jobs() []*Running { return m.jobs }
 
 // WorkDone is the work done so far, in thread seconds.
 func (m *Model) WorkDone() float64 { return m.workDone }
 
-// Fallen reports whether the engine was pushed over. It stays down.
+// Fallen reports whether the engine collapsed under load while it was warming up. It stays down.
 func (m *Model) Fallen() bool { return m.fallen }
 
-// Threads is the number of threads that run or want to.
+// Threads is the number of threads that run or are ready to.
 func (m *Model) Threads() (sum float64) {
 	for _, r := range m.jobs {
 		if !r.waiting {
@@ -103,7 +74,7 @@
 	return sum
 }
 
-// Granted is the memory granted over what there is, 0 where that is not known.
+// Granted is the granted memory as a share of the machine's; 0 where that is not known.
 func (m *Model) Granted() float64 {
 	if m.kind.MemoryMB <= 0 {
 		return 0
@@ -118,55 +89,34 @@
 	return sum
 }
 
-// RampFraction is the share of its capacity that it has now.
-func (m *Model) RampFraction() float64 {
-	k := &m.kind
-	age := m.now - m.started
-	if k.SlowStartDuration <= 0 || age >= k.SlowStartDuration || k.SlowStartFrom <= 0 {
-		return 1
-	}
-	return k.SlowStartFrom + (1-k.SlowStartFrom)*age.Seconds()/k.SlowStartDuration.Seconds()
-}
-
-// Slow sets how many times slower than itself it is.
+// Slow makes the engine slower by a factor.
 func (m *Model) Slow(now time.Duration, factor float64) {
 	m.advance(now)
-	m.slowdown = math.Max(factor, 1e-3)
+	m.slowdown = math.Max(factor, minSlowdown)
 }
 
-// Halt stops all work, or lets it go on.
+// Halt stops all work, or resumes it.
 func (m *Model) Halt(now time.Duration, halted bool) {
 	m.advance(now)
 	m.halted = halted
 }
 
-// Flush makes the engine forget what it kept warm.
+// Flush empties the cache of data sets.
 func (m *Model) Flush() { m.cachedSets = nil }
 
-// Start takes a job; nil: it is turned away unseen. The engine may fall over by it.
+// Start adds a job. It returns nil where the engine rejects the job or is down. A cold engine may collapse
+// under the job; Fallen tells.
 func (m *Model) Start(now time.Duration, j Job) *Running {
 	m.advance(now)
 	m.recordArrivedWork(j.Work)
 	if m.fallen || m.kind.MaxJobs > 0 && len(m.jobs) >= m.kind.MaxJobs {
 		return nil
 	}
-	r := &Running{Job: j, Begun: m.now, totalWork: math.Max(j.Work, 1e-6)}
-	r.Threads = math.Max(r.Threads, 0.01)
-	if r.NeedMB > 0 {
-		got := r.NeedMB
-		if r.GrantMB > 0 {
-			got = math.Min(got, r.GrantMB)
-		}
-		if m.kind.MemoryMB > 0 {
-			got = math.Min(got, math.Max(0.1*r.NeedMB, m.kind.MemoryMB-m.grantedMB()))
-		}
-		r.spillMB = r.NeedMB - got
-		r.totalWork *= 1 + m.kind.SpillCost*r.spillMB/r.NeedMB
-	}
-	if j.Tables != "" {
-		if m.accessDataSet(j.Tables) {
-			r.totalWork *= 1 - m.kind.WarmSaves
-		}
+	r := &Running{Job: j, Begun: m.now, totalWork: math.Max(j.Work, minWork)}
+	r.Threads = math.Max(r.Threads, minThreads)
+	m.grantMemory(r)
+	if j.Tables != "" && m.accessDataSet(j.Tables) {
+		r.totalWork *= 1 - m.kind.WarmSaves
 	}
 	r.remainingWork = r.totalWork
 	m.jobs = append(m.jobs, r)
@@ -174,7 +124,23 @@
 	return r
 }
 
-// accessDataSet makes a data set the last used and reports whether it was warm.
+// grantMemory gives a new job its memory and adds the work of spills for what it lacks.
+func (m *Model) grantMemory(r *Running) {
+	if r.NeedMB <= 0 {
+		return
+	}
+	granted := r.NeedMB
+	if r.GrantMB > 0 {
+		granted = math.Min(granted, r.GrantMB)
+	}
+	if m.kind.MemoryMB > 0 {
+		granted = math.Min(granted, math.Max(minMemoryShare*r.NeedMB, m.kind.MemoryMB-m.grantedMB()))
+	}
+	r.spillMB = r.NeedMB - granted
+	r.totalWork *= 1 + m.kind.SpillCost*r.spillMB/r.NeedMB
+}
+
+// accessDataSet makes a data set the most recently used and reports whether it was cached.
 func (m *Model) accessDataSet(set string) bool {
 	for i, v := range m.cachedSets {
 		if v == set {
@@ -188,29 +154,7 @@
 	return false
 }
 
-// recordArrivedWork counts work that was sent, also what is turned away. A cold engine falls over under too
-// much of it.
-func (m *Model) recordArrivedWork(work float64) {
-	k := &m.kind
-	if k.SlowStartOverloadFactor <= 0 || k.SlowStartWindow <= 0 || m.RampFraction() >= 1 {
-		m.recentArrivals = m.recentArrivals[:0]
-		return
-	}
-	m.recentArrivals = append(m.recentArrivals, arrival{m.now, work})
-	sum := 0.0
-	for i := len(m.recentArrivals) - 1; i >= 0; i-- {
-		if m.now-m.recentArrivals[i].at > k.SlowStartWindow {
-			m.recentArrivals = m.recentArrivals[i+1:]
-			break
-		}
-		sum += m.recentArrivals[i].work
-	}
-	if sum > k.SlowStartOverloadFactor*k.Cores*m.RampFraction()*k.SlowStartWindow.Seconds() {
-		m.fallen, m.jobs = true, nil
-	}
-}
-
-// End takes a job out, done or not.
+// End removes a job, done or not.
 func (m *Model) End(now time.Duration, r *Running) {
 	m.advance(now)
 	m.remove(r)
@@ -227,140 +171,16 @@
 	m.blockWaitingJobs()
 }
 
-// blockWaitingJobs marks who stands still: of a data set that a load holds, all but the first load.
+// blockWaitingJobs marks the jobs that wait: all of a data set that is being loaded, except the first load.
 func (m *Model) blockWaitingJobs() {
-	holders := map[string]*Running{}
+	loads := map[string]*Running{}
 	for _, r := range m.jobs {
-		if r.Loads && r.Tables != "" && holders[r.Tables] == nil {
-			holders[r.Tables] = r
+		if r.Loads && r.Tables != "" && loads[r.Tables] == nil {
+			loads[r.Tables] = r
 		}
 	}
 	for _, r := range m.jobs {
-		h := holders[r.Tables]
-		r.waiting = h != nil && h != r
-	}
-}
-
-// priorityWeights of shares by priority.
-var priorityWeights = [4]float64{1, 4, 8, 16}
-
-// speeds returns each job's speed in thread seconds a second, in the order of jobs.
-func (m *Model) speeds() []float64 {
-	out := make([]float64, len(m.jobs))
-	threads := m.Threads()
-	if m.halted || threads == 0 {
-		return out
-	}
-	knee := m.kind.Knee
-	if knee <= 0 {
-		knee = 1.7
-	}
-	capacity := m.kind.Cores * m.RampFraction() / m.slowdown
-	if load := threads / m.kind.Cores; load > knee { // crowding: total work falls
-		capacity *= math.Pow(knee/load, 0.3)
-	}
-	if g := m.Granted(); g > 1 {
-		capacity *= math.Pow(g, -2.5)
-	}
-	single := math.Min(1, m.RampFraction()) / m.slowdown // what one thread can do at most
-	// Water-filling: who cannot use its share leaves it to the others.
-	open := make([]int, 0, len(m.jobs))
-	for i, r := range m.jobs {
-		if !r.waiting {
-			open = append(open, i)
-		}
-	}
-	for len(open) > 0 {
-		total := 0.0
-		for _, i := range open {
-			total += m.weight(i)
-		}
-		rest, kept := open[:0], capacity
-		full := false
-		for _, i := range open {
-			if most := m.jobs[i].Threads * single; kept*m.weight(i)/total >= most {
-				out[i] = most
-				capacity -= most
-				full = true
-			} else {
-				rest = append(rest, i)
-			}
-		}
-		if !full {
-			for _, i := range rest {
-				out[i] = math.Max(0, kept) * m.weight(i) / total
-			}
-			break
-		}
-		open = rest
-	}
-	return out
-}
-
-func (m *Model) weight(i int) float64 {
-	r := m.jobs[i]
-	return r.Threads * priorityWeights[min(max(r.Priority, 0), 3)]
-}
-
-// warmupStep is how long speeds may be taken as they are while an engine warms up.
-const warmupStep = 100 * time.Millisecond
-
-// Advance lets time pass and returns the jobs that ended, in order.
-func (m *Model) Advance(now time.Duration) (ended []*Running) {
-	m.advance(now)
-	ended, m.finished = m.finished, nil
-	return ended
-}
-
-// advance keeps the jobs that end for the next Advance. Danger: time passes by every call, and a job that
-// ended by one that returns no ends would be waited for without end.
-func (m *Model) advance(now time.Duration) {
-	for m.now < now {
-		until := now
-		if m.RampFraction() < 1 {
-			until = min(until, m.now+warmupStep)
-		}
-		speeds := m.speeds()
-		for i, r := range m.jobs {
-			if speeds[i] > 0 {
-				until = min(until, m.now+toDuration(r.remainingWork/speeds[i]))
-			}
-		}
-		passed := (until - m.now).Seconds()
-		m.now = until
-		var over []*Running
-		for i, r := range m.jobs {
-			did := math.Min(speeds[i]*passed, r.remainingWork)
-			m.workDone += did
-			if r.remainingWork -= did; r.remainingWork <= 1e-9 {
-				over = append(over, r)
-			}
-		}
-		for _, r := range over {
-			m.remove(r)
-		}
-		m.finished = append(m.finished, over...)
-	}
-}
-
-func toDuration(seconds float64) time.Duration {
-	return max(time.Duration(math.Ceil(math.Min(seconds, 1e6)*1e9)), 1)
-}
-
-// Next is when Advance should be called next, and whether anything is to be expected.
-func (m *Model) Next() (time.Duration, bool) {
-	if len(m.finished) > 0 {
-		return m.now, true
-	}
-	next, ok := time.Duration(math.MaxInt64), false
-	speeds := m.speeds()
-	for i, r := range m.jobs {
-		if speeds[i] > 0 {
-			next, ok = min(next, m.now+toDuration(r.remainingWork/speeds[i])), true
-		}
-	}
-	if ok && m.RampFraction() < 1 {
-		next = min(next, m.now+warmupStep)
+		load := loads[r.Tables]
+		r.waiting = load != nil && load != r
 	}
-	return next, ok
 }
--- a/internal/simulation/enginemodel/model_test.go
+++ b/internal/simulation/enginemodel/model_test.go
@@ -10,8 +10,8 @@
 
 const ms = time.Millisecond
 
-// However time is cut into steps, the same jobs end at the same times, and no more work is done than cores
-// can.
+// However time is cut into steps, the same jobs finish at the same times, and the work done never exceeds
+// what the cores can do.
 func TestResultIndependentOfStepSize(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kind := Kind{Cores: 4, MemoryMB: 100, SpillCost: 2, WarmSets: 2, WarmSaves: 0.3}
@@ -21,12 +21,14 @@
 		at := time.Duration(0)
 		for i := range rapid.IntRange(1, 12).Draw(t, "jobs") {
 			at += time.Duration(rapid.IntRange(0, 400).Draw(t, "gap")) * ms
-			j := Job{Work: float64(rapid.IntRange(1, 900).Draw(t, "work")) / 1000,
-				Threads: float64(rapid.IntRange(1, 3).Draw(t, "threads")), Priority: rapid.IntRange(0,
-					3).Draw(t, "priority"),
-				NeedMB: float64(rapid.IntRange(0, 60).Draw(t, "need")), Tables: rapid.SampledFrom([]string{"",
-					"x", "y", "z"}).Draw(t, "set"),
-				Loads: rapid.Bool().Draw(t, "loads")}
+			j := Job{
+				Work:     float64(rapid.IntRange(1, 900).Draw(t, "work")) / 1000,
+				Threads:  float64(rapid.IntRange(1, 3).Draw(t, "threads")),
+				Priority: rapid.IntRange(0, 3).Draw(t, "priority"),
+				NeedMB:   float64(rapid.IntRange(0, 60).Draw(t, "need")),
+				Tables:   rapid.SampledFrom([]string{"", "x", "y", "z"}).Draw(t, "set"),
+				Loads:    rapid.Bool().Draw(t, "loads"),
+			}
 			for _, r := range a.Advance(at) {
 				endA[ids[r]] = at
 			}
@@ -107,25 +109,25 @@
 	}
 	m := New(kind, 0, true)
 	if r := m.Start(0, Job{Work: 1.9, Threads: 1}); r == nil || m.Fallen() {
-		t.Fatal("fell over within its budget of 2")
+		t.Fatal("collapsed within its budget of 2")
 	}
 	if r := m.Start(900*ms, Job{Work: 0.5, Threads: 1}); r != nil || !m.Fallen() {
 		t.Fatal("took 2.4 in a window with a budget of 2")
 	}
 	if m = New(kind, 0, false); m.Start(0, Job{Work: 50, Threads: 1}) == nil {
-		t.Fatal("a warm engine fell over")
+		t.Fatal("a warm engine collapsed")
 	}
 }
 
-// A job whose end falls into another call than Advance is told of at the next Advance.
+// A job that finishes during another call than Advance is returned by the next Advance.
 func TestJobFinishedBetweenAdvancesIsReported(t *testing.T) {
 	m := New(Kind{Cores: 4}, 0, false)
 	r := m.Start(0, Job{Work: 0.01, Threads: 1})
 	m.Start(20*ms, Job{Work: 1, Threads: 1})
 	if next, ok := m.Next(); !ok || next > 20*ms {
-		t.Errorf("an end that nobody was told of is due at %v, %v", next, ok)
+		t.Errorf("an unreported end is due at %v, %v", next, ok)
 	}
-	if over := m.Advance(21 * ms); len(over) != 1 || over[0] != r {
-		t.Errorf("%d ends told", len(over))
+	if finished := m.Advance(21 * ms); len(finished) != 1 || finished[0] != r {
+		t.Errorf("%d finished jobs returned", len(finished))
 	}
 }
--- /dev/null
+++ b/internal/simulation/enginemodel/scheduling.go
@@ -0,0 +1,77 @@
+package enginemodel
+
+import "math"
+
+// priorityWeights are the weights of a job's share of the cores, by its priority.
+var priorityWeights = [4]float64{1, 4, 8, 16}
+
+// How throughput falls under contention for cores and under paging.
+const (
+	defaultKnee        = 1.7  // threads a core above which throughput falls
+	contentionExponent = 0.3  // of how far threads exceed the knee
+	pagingExponent     = -2.5 // of how far granted memory exceeds the machine's
+)
+
+// speeds returns each job's speed in thread seconds a second, in the order of jobs. Cores are shared by
+// water-filling: what a job cannot use of its weighted share is left to the others.
+func (m *Model) speeds() []float64 {
+	speeds := make([]float64, len(m.jobs))
+	threads := m.Threads()
+	if m.halted || threads == 0 {
+		return speeds
+	}
+	capacity := m.capacity(threads)
+	threadSpeed := math.Min(1, m.RampFraction()) / m.slowdown // what one thread can do at most
+	open := make([]int, 0, len(m.jobs))
+	for i, r := range m.jobs {
+		if !r.waiting {
+			open = append(open, i)
+		}
+	}
+	for len(open) > 0 {
+		totalWeight := 0.0
+		for _, i := range open {
+			totalWeight += m.weight(i)
+		}
+		rest, available := open[:0], capacity
+		saturated := false
+		for _, i := range open {
+			if limit := m.jobs[i].Threads * threadSpeed; available*m.weight(i)/totalWeight >= limit {
+				speeds[i] = limit
+				capacity -= limit
+				saturated = true
+			} else {
+				rest = append(rest, i)
+			}
+		}
+		if !saturated {
+			for _, i := range rest {
+				speeds[i] = math.Max(0, available) * m.weight(i) / totalWeight
+			}
+			break
+		}
+		open = rest
+	}
+	return speeds
+}
+
+// capacity is the speed of all jobs together, in thread seconds a second, with so many threads.
+func (m *Model) capacity(threads float64) float64 {
+	knee := m.kind.Knee
+	if knee <= 0 {
+		knee = defaultKnee
+	}
+	capacity := m.kind.Cores * m.RampFraction() / m.slowdown
+	if load := threads / m.kind.Cores; load > knee {
+		capacity *= math.Pow(knee/load, contentionExponent)
+	}
+	if granted := m.Granted(); granted > 1 {
+		capacity *= math.Pow(granted, pagingExponent)
+	}
+	return capacity
+}
+
+func (m *Model) weight(i int) float64 {
+	r := m.jobs[i]
+	return r.Threads * priorityWeights[min(max(r.Priority, 0), len(priorityWeights)-1)]
+}
