--- a/internal/backend/pgbackend/ready.go
+++ b/internal/backend/pgbackend/ready.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"cresspass"
+	"cresspass/internal/backend/enginequery"
 	"cresspass/internal/protocol/pgwire"
 )
 
@@ -93,7 +94,7 @@
 	case tainted:
 		err = errUnknownState
 	case keep:
-	case status != 'I':
+	case status != enginequery.StatusIdle:
 		// The query left a transaction open, in which the next query on this connection would run.
 		err = fmt.Errorf("the query left transaction state %q", status)
 	case c.pendingCancels > 0:
--- a/internal/frontend/flightsql/query.go
+++ b/internal/frontend/flightsql/query.go
@@ -55,8 +55,6 @@
 	return parseDescription(b)
 }
 
-func errCopy() error { return invalidCall(codes.Unimplemented, "COPY is not served over Flight SQL") }
-
 // cachedDescription returns the messages that describe a statement, from the cache; nil: they are not cached.
 // A sticky scope may have a table of its own, so for its statements the cache does not count.
 func (s *Server) cachedDescription(sc *scope, text string) []byte {
--- a/internal/frontend/flightsql/scope.go
+++ b/internal/frontend/flightsql/scope.go
@@ -134,7 +134,7 @@
 func (sc *scope) prepareQuery(c *call, q *enginequery.Query) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	q.OutsideTransaction = sc.affinity.Status() == 'I'
+	q.OutsideTransaction = sc.affinity.Status() == enginequery.StatusIdle
 	q.Settings = sc.affinity.Params.Desired()
 	sticky := sc.affinity.Bound()
 	if !c.exclusive && !sticky {
@@ -173,7 +173,8 @@
 	sc.queue.SetSticky(keep)
 	sc.transactionBegan = sc.transactionBegan || keep
 	d := pgbackend.Disposition{Known: true, Keep: keep, Settings: a.Params.OnConnection()}
-	if sc.transactionID != "" && sc.transactionBegan && end.TransactionStatus == 'I' {
+	transactionEnded := sc.transactionBegan && end.TransactionStatus == enginequery.StatusIdle
+	if sc.transactionID != "" && transactionEnded {
 		// State that outlives the transaction belongs to no session: the connection is closed.
 		sc.endVerdict = verdict.Invalid(sqlstate.InvalidTransactionState, "it was committed or rolled back")
 		d.Keep, d.Known = false, !keep
--- a/internal/frontend/flightsql/transaction.go
+++ b/internal/frontend/flightsql/transaction.go
@@ -7,6 +7,7 @@
 	"github.com/apache/arrow-go/v18/arrow/flight/flightsql"
 	"google.golang.org/grpc/codes"
 
+	"cresspass/internal/backend/enginequery"
 	"cresspass/internal/dispatch/verdict"
 	"cresspass/internal/frontend/flightsql/arrowbatch"
 	"cresspass/internal/protocol/sqlstate"
@@ -123,7 +124,7 @@
 // an error; without an error of its own, the client would take the transaction for committed.
 func (sc *scope) commit(ctx context.Context) error {
 	sc.mu.Lock()
-	failed := sc.affinity.Status() == 'E'
+	failed := sc.affinity.Status() == enginequery.StatusFailedTransaction
 	sc.mu.Unlock()
 	if err := sc.runStatement(ctx, "COMMIT"); err != nil {
 		return err
--- a/internal/frontend/pgfrontend/pgsession/extended.go
+++ b/internal/frontend/pgfrontend/pgsession/extended.go
@@ -164,7 +164,7 @@
 		s.out = pgwire.Append(s.out, 'I', nil) // EmptyQueryResponse
 	case p.statement.local:
 		s.executeLocal(&p.statement.parsed[0], false)
-	case p.executed && p.atEngine && s.Affinity.Status() == 'T':
+	case p.executed && p.atEngine && s.Affinity.Status() == enginequery.StatusInTransaction:
 		s.submit(&enginequery.Query{Kind: enginequery.Execute, Text: p.statement.text,
 			Parsed: p.statement.parsed, Portal: string(name), ContinuePortal: true, MaxRows: maxRows})
 	case p.executed:
@@ -181,7 +181,7 @@
 	q := &enginequery.Query{Kind: enginequery.Execute, Text: p.statement.text, Parsed: p.statement.parsed,
 		ParameterTypes: p.statement.parameterTypes, BindBody: p.bindBody, WithDescribe: withDescribe,
 		MaxRows: maxRows}
-	p.executed, p.atEngine = true, s.Affinity.Status() == 'T'
+	p.executed, p.atEngine = true, s.Affinity.Status() == enginequery.StatusInTransaction
 	if p.atEngine {
 		q.Portal = string(name)
 	}
@@ -204,7 +204,7 @@
 
 func (s *Session) handleSync() {
 	s.skipToSync, s.describePending = false, false
-	if s.Affinity.Status() == 'I' {
+	if s.Affinity.Status() == enginequery.StatusIdle {
 		clear(s.portals) // the implicit transaction ends here
 	}
 	s.out = pgwire.AppendReady(s.out, s.Affinity.Status())
--- a/internal/frontend/pgfrontend/pgsession/query.go
+++ b/internal/frontend/pgfrontend/pgsession/query.go
@@ -45,7 +45,7 @@
 func (s *Session) submit(q *enginequery.Query) {
 	s.pendingQuery, s.phase = q, phaseBusy
 	q.Sticky = s.Affinity.Bound()
-	q.OutsideTransaction = s.Affinity.Status() == 'I'
+	q.OutsideTransaction = s.Affinity.Status() == enginequery.StatusIdle
 	q.Settings = s.Affinity.Params.Desired()
 	if q.Kind == enginequery.Simple || q.Kind == enginequery.Execute {
 		s.Affinity.StatementsSent(q.Parsed)
--- a/internal/frontend/pgfrontend/pgsession/startup.go
+++ b/internal/frontend/pgfrontend/pgsession/startup.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"strings"
 
+	"cresspass/internal/backend/enginequery"
 	"cresspass/internal/backend/sessionparams"
 	"cresspass/internal/protocol/pgwire"
 	"cresspass/internal/protocol/sqlstate"
@@ -56,7 +57,7 @@
 		s.Secret = s.Secret[:legacySecretSize]
 	}
 	s.out = pgwire.AppendKey(s.out, s.PID, []byte(s.Secret))
-	s.out = pgwire.AppendReady(s.out, 'I')
+	s.out = pgwire.AppendReady(s.out, enginequery.StatusIdle)
 	s.phase = phaseIdle
 }
 
