--- a/internal/platform/accept.go
+++ b/internal/platform/accept.go
@@ -88,7 +88,7 @@
 	go client.serve()
 }
 
-// drainBacklog has run take what waits in the backlog, and no more after that.
+// drainBacklog makes run accept the connections in the backlog, and none after that.
 func (f *frontend) drainBacklog() { f.setAcceptTimeout(0) }
 
 func (f *frontend) setAcceptTimeout(timeout time.Duration) {
@@ -102,7 +102,7 @@
 	failingSince time.Time // of the first error since the backlog was last empty; zero: there was none
 }
 
-// observe takes in how an accept went.
+// observe records how an accept ended.
 func (q *acceptQueue) observe(begun, ended time.Time, failed bool) {
 	switch {
 	case failed && q.failingSince.IsZero():
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -171,7 +171,7 @@
 	}
 }
 
-// postProgress passes word of a running query on to the core.
+// postProgress posts the progress of a running query to the core.
 func (a *attempt) postProgress(note computenode.Progress) {
 	if note.Type != 0 {
 		a.service.loop.Post(cresspass.Event{Type: cresspass.ProgressReported, Query: a.request.ID,
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -297,7 +297,7 @@
 	client := h.dial()
 	seq := h.sendHeld(client, 1)
 	h.frontend.mu.Lock()
-	q := *h.frontend.state.Lookup(1)
+	q := *h.frontend.registry.Lookup(1)
 	h.frontend.mu.Unlock()
 	q.Ticket = ticket(2)
 	was := h.node.callCount("POST")
--- a/internal/platform/attemptcall.go
+++ b/internal/platform/attemptcall.go
@@ -81,7 +81,7 @@
 
 // acceptResponse reports whether a response is that of the last call. One that may be a duplicate of an
 // earlier response is not accepted: the call is made again on a new connection, and what it brings there
-// tells whether the suspicion was right.
+// shows whether the suspicion was right.
 func (a *attempt) acceptResponse(conn *nodeConn, took time.Duration, response *nodehttp.Response) bool {
 	if a.suspected != 0 {
 		a.service.pool.recordRetry(a.suspected, response)
--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -43,7 +43,7 @@
 	closedByClient         closeReason = "client"
 )
 
-// reasonNotServing is the reason of a request that came before the start or after the end of serving.
+// reasonNotServing is the reason of a request that was read before the start or after the end of serving.
 const reasonNotServing cresspass.Reason = "the dispatcher does not serve"
 
 // What clients are told of requests that are open as their connection ends. It is part of the protocol.
@@ -59,7 +59,7 @@
 	goneDisconnected = "connection closed"
 )
 
-// clientConn is a client's connection: the shell of what thriftserver.Registry knows of it. One
+// clientConn is a client's connection: the socket behind a connection of thriftserver.Registry. One
 // goroutine, in serve, reads it, and alone closes it, but for evictions and writes that fail. Any
 // goroutine may send; where the socket does not take all at once, flush writes the rest in a goroutine of
 // its own.
@@ -120,7 +120,7 @@
 			c.abort(faultUnreadable, closedMalformed)
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			c.handleReadTimeout()
-		default: // its client has gone
+		default: // the client has disconnected
 			return
 		}
 		c.lingerClose()
@@ -128,21 +128,21 @@
 	}
 }
 
-// beginMessage tells the state that a message has begun to come.
+// beginMessage records that a message has begun to arrive. It returns false where no more is accepted.
 func (c *clientConn) beginMessage() bool {
 	c.frontend.mu.Lock()
 	defer c.frontend.mu.Unlock()
-	return c.frontend.state.BeginMessage(time.Now(), c.id)
+	return c.frontend.registry.BeginMessage(time.Now(), c.id)
 }
 
 // handleMessage handles a message. It returns false where the connection can't be read any further.
 func (c *clientConn) handleMessage(frame []byte) bool {
 	service := c.frontend.service
-	message := c.frontend.state.Decode(frame)
+	message := c.frontend.registry.Decode(frame)
 	c.frontend.mu.Lock()
 	// Under the lock: a stall while this goroutine waited for it counts as well.
 	c.readDelay = max(c.readDelay, service.stalls.maxWait(c.emptyAt))
-	verdict := c.frontend.state.HandleMessage(time.Now().Add(-c.readDelay), c.id, message)
+	verdict := c.frontend.registry.HandleMessage(time.Now().Add(-c.readDelay), c.id, message)
 	verdict.Event.RemainingDeadline -= c.readDelay
 	if mutantEnabled(mutantNoOrderingKey) {
 		verdict.Event.Key = ""
@@ -150,7 +150,7 @@
 	rejected := false
 	if verdict.Accepted != nil {
 		if rejected = !service.guard.admit(verdict.Accepted, verdict.Event.Key); !rejected {
-			// Under the lock: a cancel that follows at once must come after it.
+			// Under the lock: a cancel that follows at once must be posted after it.
 			service.loop.Post(verdict.Event)
 		}
 	}
@@ -171,12 +171,12 @@
 	return !verdict.EndOfInput
 }
 
-// handleReadTimeout has the state judge a connection on which nothing more came in time. It reports
+// handleReadTimeout handles a connection on which nothing more arrived in time. It reports
 // whether the connection ends.
 func (c *clientConn) handleReadTimeout() bool {
 	c.frontend.mu.Lock()
-	partial := c.frontend.state.MidMessage(c.id)
-	if !partial && c.hasUnread() { // bytes are there, only serve has not come to them
+	partial := c.frontend.registry.MidMessage(c.id)
+	if !partial && c.hasUnread() { // bytes are there that serve has not read yet
 		c.frontend.mu.Unlock()
 		return false
 	}
@@ -184,7 +184,7 @@
 	if partial {
 		why = closedPartialMessage
 	}
-	open, end := c.frontend.state.ReadTimedOut(c.id)
+	open, end := c.frontend.registry.ReadTimedOut(c.id)
 	if end {
 		c.frontend.recordClose(why)
 	}
@@ -196,13 +196,13 @@
 // abort ends a connection on which nothing further is read.
 func (c *clientConn) abort(fault string, why closeReason) {
 	c.frontend.mu.Lock()
-	open := c.frontend.state.EndMalformed(c.id)
+	open := c.frontend.registry.EndMalformed(c.id)
 	c.frontend.recordClose(why)
 	c.frontend.mu.Unlock()
 	c.failRequests(open, fault)
 }
 
-// failRequests answers what was open on a connection that ends, and has the core give it up.
+// failRequests fails the requests that were open on a connection that ends, and has the core cancel them.
 func (c *clientConn) failRequests(open []*thriftserver.Request, fault string) {
 	var b []byte
 	for _, request := range open {
@@ -214,10 +214,10 @@
 	}
 }
 
-// cleanUp gives up what is open on a connection that ended, and closes it.
+// cleanUp cancels the requests that are open on a connection that ended, and closes it.
 func (c *clientConn) cleanUp() {
 	c.frontend.mu.Lock()
-	if c.frontend.state.PhaseOf(c.id) == thriftserver.Serving {
+	if c.frontend.registry.PhaseOf(c.id) == thriftserver.Serving {
 		c.frontend.recordClose(closedByClient)
 	}
 	open := c.frontend.forget(c.id)
--- a/internal/platform/clientread.go
+++ b/internal/platform/clientread.go
@@ -50,7 +50,7 @@
 // waitReadable waits until something is there to be read, and leaves it there. Bytes that were read out
 // of the socket before the state knows of them would be lost with a connection that is closed as unused.
 //
-// After a peek that fails for a moment it peeks again: the runtime's poller tells only of new bytes, so
+// After a peek that fails for a moment it peeks again: the runtime's poller reports only new bytes, so
 // waiting for it would leave what is there unread for good.
 func (c *clientConn) waitReadable() error {
 	if c.reader.Buffered() > 0 {
@@ -110,7 +110,7 @@
 	return !mutantEnabled(mutantNoUnreadCheck) && c.peek() == peekData
 }
 
-// setReadTimeout sets how long the client may take. It returns false where the connection is closing.
+// setReadTimeout sets how long the next read may last. It returns false where the connection is closing.
 func (c *clientConn) setReadTimeout(timeout time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/platform/clientwrite.go
+++ b/internal/platform/clientwrite.go
@@ -9,7 +9,7 @@
 const writeChunkBytes = 16 << 10
 
 // send writes so many messages without waiting for the client. What the socket takes at once is written
-// here: the goroutine of flush waits for a core behind all others, and answers would come too late where
+// here: the goroutine of flush waits for a core behind all others, and answers would be too late where
 // the cores are busy.
 func (c *clientConn) send(b []byte, messages int) {
 	c.mu.Lock()
@@ -51,7 +51,7 @@
 }
 
 // flush writes the pending output until there is none. Each chunk has a deadline of its own: with one for
-// all, a client that reads slowly and has asked for much would be cut off in the middle of its answers.
+// all, a client that reads large results slowly would be cut off in the middle of its answers.
 func (c *clientConn) flush() {
 	for {
 		c.mu.Lock()
@@ -81,17 +81,17 @@
 	}
 }
 
-// recordWritten tells the state of messages that have left.
+// recordWritten records that messages have left.
 func (c *clientConn) recordWritten(messages int) {
 	if messages > 0 {
 		c.frontend.mu.Lock()
-		c.frontend.state.RepliesWritten(time.Now(), c.id, messages)
+		c.frontend.registry.RepliesWritten(time.Now(), c.id, messages)
 		c.frontend.mu.Unlock()
 	}
 }
 
-// retire has a connection end on which the state takes nothing more: it is half-closed once all answers
-// are written, and what still comes is discarded until the client closes. A close over unread bytes would
+// retire ends a connection on which the registry accepts nothing more: it is half-closed once all answers
+// are written, and what still arrives is discarded until the client closes. A close over unread bytes would
 // reset the connection, and the last answers would be lost with it.
 func (c *clientConn) retire() {
 	c.mu.Lock()
--- a/internal/platform/eviction.go
+++ b/internal/platform/eviction.go
@@ -19,7 +19,7 @@
 	return !f.descriptors.clientsExhausted(f.service.pool.connCount()) || f.evict(noGrace)
 }
 
-// evict closes a connection to make room. It reports whether there was one that could go.
+// evict closes a connection to make room. It reports whether there was one that could be closed.
 func (f *frontend) evict(grace time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -29,30 +29,30 @@
 // evictLocked is evict; f.mu is held.
 func (f *frontend) evictLocked(grace time.Duration) bool {
 	for range maxEvictionTries {
-		id, ok := f.state.EvictionCandidate(time.Now(), grace)
+		id, ok := f.registry.EvictionCandidate(time.Now(), grace)
 		if !ok {
 			return false
 		}
-		conn := f.conns[id]
-		if conn.hasUnread() { // a message is there, only the reader has not come to it
-			f.state.BeginMessage(time.Now(), id)
+		client := f.conns[id]
+		if client.hasUnread() { // a message is there that the reader has not read yet
+			f.registry.BeginMessage(time.Now(), id)
 			continue
 		}
-		if !f.service.guard.mayClose(f.state.OpenRequestsOn(id), closedForCapacity) {
+		if !f.service.guard.mayClose(f.registry.OpenRequestsOn(id), closedForCapacity) {
 			return false
 		}
 		f.forget(id)
 		f.service.evictedClients.Add(1)
 		f.recordClose(closedForCapacity)
-		conn.conn.Close()
+		client.conn.Close()
 		return true
 	}
 	return false
 }
 
 // retireUnused retires the connections on which nothing is open. It looks for unread bytes under the lock
-// that Begin needs: a request that its reader has not come to yet is either seen here, or comes too late
-// to be taken.
+// that BeginMessage needs: a request that is not read yet is either seen here, or is too late to be
+// accepted.
 func (f *frontend) retireUnused() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -61,14 +61,14 @@
 
 // retireUnusedLocked is retireUnused; f.mu is held.
 func (f *frontend) retireUnusedLocked() {
-	for _, id := range f.state.UnusedConns() {
-		conn := f.conns[id]
-		if conn.hasUnread() || !f.state.Retire(id) {
+	for _, id := range f.registry.UnusedConns() {
+		client := f.conns[id]
+		if client.hasUnread() || !f.registry.Retire(id) {
 			continue
 		}
-		if f.service.guard.mayClose(f.state.OpenRequestsOn(id), closedUnusedAtShutdown) {
+		if f.service.guard.mayClose(f.registry.OpenRequestsOn(id), closedUnusedAtShutdown) {
 			f.recordClose(closedUnusedAtShutdown)
-			conn.retire()
+			client.retire()
 		}
 	}
 }
@@ -77,13 +77,13 @@
 func (f *frontend) abortAll() {
 	f.mu.Lock()
 	conns := make([]*clientConn, 0, len(f.conns))
-	for _, conn := range f.conns {
-		conns = append(conns, conn)
+	for _, client := range f.conns {
+		conns = append(conns, client)
 	}
 	f.mu.Unlock()
-	for _, conn := range conns {
-		conn.abort(faultExiting, closedAtExit)
-		conn.retire()
+	for _, client := range conns {
+		client.abort(faultExiting, closedAtExit)
+		client.retire()
 	}
 }
 
@@ -91,7 +91,7 @@
 func (f *frontend) closeAll() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, conn := range f.conns {
-		conn.conn.Close()
+	for _, client := range f.conns {
+		client.conn.Close()
 	}
 }
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -15,7 +15,7 @@
 	"cresspass/internal/protocol/thrift"
 )
 
-// readerGrace is how long a client's reader has to come to what is in its socket, before a request of
+// readerGrace is how long a client's reader has to read what is in its socket, before a request of
 // that client is sent all the same.
 const readerGrace = 20 * time.Millisecond
 
@@ -35,40 +35,41 @@
 	done        chan struct{} // closed by run once no further connection comes
 
 	mu             sync.Mutex // guards the fields below
-	state          *thriftserver.Registry
+	registry       *thriftserver.Registry
 	conns          map[thriftserver.ConnID]*clientConn
 	lastID         thriftserver.ConnID
 	closedByReason map[closeReason]uint64 // connections
-	idleTimeout    time.Duration          // of the connections to come
-	writeTimeout   time.Duration          // of the connections to come
+	idleTimeout    time.Duration          // of new connections
+	writeTimeout   time.Duration          // of new connections
 }
 
 func newFrontend(s *service, listener *net.TCPListener, descriptors *descriptorBudget) *frontend {
 	return &frontend{service: s, listener: listener, descriptors: descriptors, idleTimeout: clientIdleTimeout,
-		writeTimeout: clientWriteTimeout, state: thriftserver.New(&s.cfg.Module), done: make(chan struct{}),
-		conns: map[thriftserver.ConnID]*clientConn{}, closedByReason: map[closeReason]uint64{}}
+		writeTimeout: clientWriteTimeout, registry: thriftserver.New(&s.cfg.Module),
+		done: make(chan struct{}), conns: map[thriftserver.ConnID]*clientConn{},
+		closedByReason: map[closeReason]uint64{}}
 }
 
-// register enters a connection that was accepted.
+// register adds a connection that was accepted.
 func (f *frontend) register(client *clientConn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lastID++
 	client.id, client.idleTimeout, client.writeTimeout = f.lastID, f.idleTimeout, f.writeTimeout
 	f.conns[client.id] = client
-	f.state.AddConn(time.Now(), client.id)
-	f.descriptors.clientConns.Store(int32(f.state.ConnCount()))
+	f.registry.AddConn(time.Now(), client.id)
+	f.descriptors.clientConns.Store(int32(f.registry.ConnCount()))
 }
 
-// forget takes a connection out of the books and returns what was open on it. f.mu is held.
+// forget removes a connection and returns the requests that were open on it. f.mu is held.
 func (f *frontend) forget(id thriftserver.ConnID) []*thriftserver.Request {
 	delete(f.conns, id)
-	open := f.state.RemoveConn(id)
-	f.descriptors.clientConns.Store(int32(f.state.ConnCount()))
+	open := f.registry.RemoveConn(id)
+	f.descriptors.clientConns.Store(int32(f.registry.ConnCount()))
 	return open
 }
 
-// recordClose enters why a connection ends. f.mu is held.
+// recordClose records why a connection ends. f.mu is held.
 func (f *frontend) recordClose(why closeReason) {
 	f.closedByReason[why]++
 	what := eventlog.ConnectionClosed
@@ -78,7 +79,7 @@
 	f.service.events.Add(requestEvent(what, "", string(why)))
 }
 
-// recordNotReading enters a connection that ends because nothing more can be written to it.
+// recordNotReading records a connection that ends because nothing more can be written to it.
 func (f *frontend) recordNotReading() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -100,20 +101,20 @@
 func (f *frontend) connCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.state.ConnCount()
+	return f.registry.ConnCount()
 }
 
 // openRequests is how many requests have no answer yet.
 func (f *frontend) openRequests() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.state.OpenRequests()
+	return f.registry.OpenRequests()
 }
 
 // finished reports whether no connection is left, and none is to come.
 func (f *frontend) finished() bool {
 	select {
-	case <-f.done: // asked first: what was accepted before is in the books by then
+	case <-f.done: // checked first: what was accepted before is registered by then
 		return f.openRequests() == 0 && f.connCount() == 0
 	default:
 		return false
@@ -124,26 +125,26 @@
 func (f *frontend) request(id cresspass.QueryID) *thriftserver.Request {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.state.Lookup(id)
+	return f.registry.Lookup(id)
 }
 
 // clientWaiting reports whether a request's client still waits for it, also by what is in its socket: on a
-// saturated core the reader of a close or a cancel may come after the attempt that it forbids.
+// saturated core a close or a cancel may be read after the attempt that it forbids.
 func (f *frontend) clientWaiting(request *thriftserver.Request) bool {
 	f.mu.Lock()
-	conn := f.conns[request.Conn]
+	client := f.conns[request.Conn]
 	f.mu.Unlock()
 	if mutantEnabled(mutantNoClientCheck) {
-		conn = nil
+		client = nil
 	}
-	for begun := time.Now(); conn != nil; time.Sleep(peekRetryInterval) {
-		switch conn.peek() {
+	for begun := time.Now(); client != nil; time.Sleep(peekRetryInterval) {
+		switch client.peek() {
 		case peekClosed:
 			return false
 		case peekEmpty:
 			return f.request(request.ID) != nil
 		}
-		// The unread bytes may cancel the request: the reader has a moment to come to them.
+		// The unread bytes may cancel the request: the reader has a moment to read them.
 		if f.request(request.ID) == nil || time.Since(begun) > readerGrace {
 			break
 		}
@@ -155,22 +156,22 @@
 func (f *frontend) respond(id cresspass.QueryID, what eventlog.Kind, why string,
 	message func(seq int32) []byte) bool {
 	f.mu.Lock()
-	request := f.state.Lookup(id)
-	destination, ok := f.state.ClaimReply(time.Now(), id)
-	conn := f.conns[destination.Conn]
+	request := f.registry.Lookup(id)
+	destination, ok := f.registry.ClaimReply(time.Now(), id)
+	client := f.conns[destination.Conn]
 	f.mu.Unlock()
 	if !ok {
 		return false
 	}
 	if !f.service.guard.complete(request, what == eventlog.RequestAnswered) {
-		conn.recordWritten(1) // nothing is written, but its turn is over
+		client.recordWritten(1) // nothing is written, but its turn is over
 		return false
 	}
 	if mutantEnabled(mutantDuplicateAnswer) && what == eventlog.RequestAnswered {
-		conn.send(message(destination.Seq), 0)
+		client.send(message(destination.Seq), 0)
 	}
 	f.service.events.Add(requestEvent(what, request.Ticket, why))
-	conn.send(message(destination.Seq), 1)
+	client.send(message(destination.Seq), 1)
 	return true
 }
 
@@ -181,7 +182,7 @@
 	})
 }
 
-// respondError ends a request without a result; retryAfter 0: a rejection tells no time to come back.
+// respondError ends a request without a result; retryAfter 0: a rejection has no Retry-After.
 func (f *frontend) respondError(id cresspass.QueryID, exception uint16, retryAfter time.Duration,
 	why cresspass.Reason) {
 	what := eventlog.RequestFailed
--- a/internal/platform/guard.go
+++ b/internal/platform/guard.go
@@ -24,14 +24,14 @@
 // setServing says whether requests may be admitted.
 func (g *requestGuard) setServing(serving bool) { g.guard.SetServing(serving) }
 
-// admit enters a request that was read. Where it returns false, the request must be rejected.
+// admit records a request that was read. Where it returns false, the request must be rejected.
 func (g *requestGuard) admit(request *thriftserver.Request, key string) bool {
 	g.events.Add(requestEvent(eventlog.RequestReceived, request.Ticket, request.Class))
 	return g.guard.Accept(invariant.Request{ID: request.ID, Class: request.Class, OrderingKey: key,
 		Deadline: request.Deadline}, request.Ticket)
 }
 
-// complete enters a request's only end. Where it returns false, nothing may be answered.
+// complete records a request's only end. Where it returns false, nothing may be answered.
 func (g *requestGuard) complete(request *thriftserver.Request, served bool) bool {
 	return g.guard.Complete(request.ID, served, request.Ticket)
 }
@@ -50,7 +50,7 @@
 	return computenode.NotNeeded, v // no other compute node helps
 }
 
-// endAttempt enters an attempt's end.
+// endAttempt records an attempt's end.
 func (g *requestGuard) endAttempt(a *attempt, outcome cresspass.Outcome) {
 	g.guard.EndAttempt(a.request.ID, a.number, outcome)
 }
--- a/internal/platform/guard_test.go
+++ b/internal/platform/guard_test.go
@@ -97,7 +97,7 @@
 	h.guard.setServing(true)
 	seq := h.sendHeld(client, 3)
 	h.frontend.mu.Lock()
-	q := h.frontend.state.OpenRequestsOn(h.onlyConn().id)[0]
+	q := h.frontend.registry.OpenRequestsOn(h.onlyConn().id)[0]
 	h.frontend.mu.Unlock()
 	h.guard.complete(q, true) // as by another hand
 	if h.frontend.respondResult(q.ID, [][]byte{[]byte("a\tb\tc\n")}) {
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -170,7 +170,7 @@
 	h.frontend.mu.Lock()
 	defer h.frontend.mu.Unlock()
 	var list []*clientConn
-	for _, id := range h.frontend.state.UnusedConns() {
+	for _, id := range h.frontend.registry.UnusedConns() {
 		list = append(list, h.frontend.conns[id])
 	}
 	return list
--- a/internal/platform/healthcheck.go
+++ b/internal/platform/healthcheck.go
@@ -11,7 +11,8 @@
 // healthCheckTimeout is how long a compute node has to answer a health check.
 const healthCheckTimeout = 350 * time.Millisecond
 
-// checkHealth asks a compute node for its load report, or whether it is there, and posts the result. It
+// checkHealth makes a health check of a compute node, with its load report where the settings have one,
+// and posts the result. It
 // runs in a goroutine of its own.
 func (s *service) checkHealth(engine cresspass.EngineID, addr string) {
 	result := cresspass.Event{Type: cresspass.HealthCheckDone, Engine: engine,
@@ -24,7 +25,7 @@
 	s.loop.Post(result)
 }
 
-// healthCheckConn returns a connection for a health check, and when it was asked for. It waits for a
+// healthCheckConn returns a connection for a health check, and when it was requested. It waits for a
 // descriptor for as long as the service runs: that there is none says nothing of the compute node, which
 // would be ejected for it.
 func (s *service) healthCheckConn(engine cresspass.EngineID, addr string) (*nodeConn, time.Time, error) {
@@ -38,7 +39,7 @@
 	}
 }
 
-// callHealthCheck makes the call of a health check and takes in its response.
+// callHealthCheck makes the call of a health check and reads its response.
 func (s *service) callHealthCheck(conn *nodeConn, result *cresspass.Event) {
 	path := "/ping"
 	if len(s.reportFields) > 0 {
--- a/internal/platform/lifecycle.go
+++ b/internal/platform/lifecycle.go
@@ -11,7 +11,7 @@
 // The phases of a graceful shutdown. The platform kills a process that is there 700 ms after the longest
 // deadline that it waits for.
 const (
-	acceptAfterTerm  = 650 * time.Millisecond // in which connections and requests still come after SIGTERM
+	acceptAfterTerm  = 650 * time.Millisecond // in which connections and requests are accepted after SIGTERM
 	maxShutdownWait  = 3 * time.Second        // of the longest deadline that the platform waits for
 	answerMargin     = 400 * time.Millisecond // after that deadline the core has answered every query...
 	lastAnswerMargin = 500 * time.Millisecond // ...those that are open all the same are failed...
@@ -86,7 +86,7 @@
 	s.log.Info("shutting down", "signal", sig.String())
 	s.recordChange("shutting down")
 	s.frontend.mu.Lock()
-	s.frontend.state.Drain()
+	s.frontend.registry.Drain()
 	s.frontend.mu.Unlock()
 	longest := s.longestDeadline()
 	if !mutantEnabled(mutantNoShutdownAnswers) {
--- a/internal/platform/mutant.go
+++ b/internal/platform/mutant.go
@@ -7,7 +7,7 @@
 
 // The mutants, by the values of CRESSPASS_MUTANT.
 const (
-	mutantNoStartRecheck    mutant = "no-look-at-begin"   // what was decided is sent, whatever came since
+	mutantNoStartRecheck    mutant = "no-look-at-begin"   // attempts are sent without a second check
 	mutantNoBudgetRecheck   mutant = "no-budget-at-begin" // retries are counted only when they are decided
 	mutantNoUnreadCheck     mutant = "no-unread-look"     // connections are closed over unread bytes
 	mutantNoLinger          mutant = "no-linger"          // connections are closed at once
@@ -17,11 +17,11 @@
 	mutantIgnoreReload      mutant = "deaf-to-reload"     // SIGHUP changes nothing
 	mutantPeekErrorFatal    mutant = "brittle-look"       // a peek that fails ends the connection
 	mutantNoBacklogDrain    mutant = "no-last-call"       // the listener is closed over its backlog
-	mutantFullDeadline      mutant = "full-deadline"      // compute nodes are told all of the client's time
+	mutantFullDeadline      mutant = "full-deadline"      // compute nodes get a deadline beyond the client's
 	mutantNoOrderingKey     mutant = "no-order"           // ordering keys are ignored
 	mutantNoShutdownAnswers mutant = "no-ending"          // shutdown answers no open request
 	mutantIgnoreCancel      mutant = "lost-cancel"        // cancels are ignored
 	mutantAcceptDuplicates  mutant = "believe-copies"     // every response counts as that of the last call
 	mutantNoStallDetection  mutant = "no-stalls"          // what is read counts as just received
-	mutantNoClientCheck     mutant = "no-client-look"     // a client is there as long as the books have it
+	mutantNoClientCheck     mutant = "no-client-look"     // a client waits as long as it is registered
 )
--- a/internal/platform/nodeconn.go
+++ b/internal/platform/nodeconn.go
@@ -71,7 +71,7 @@
 }
 
 // inspect looks at an idle connection without waiting: it is open and silent, or its compute node sent bytes
-// that nobody asked for, or it is closed (neither).
+// without a request, or it is closed (neither).
 func (c *nodeConn) inspect() (silent, unsolicited bool) {
 	if c.reader.Buffered() > 0 {
 		return false, true
@@ -98,7 +98,7 @@
 // roundTrip sends a request and reads its response.
 //
 // Where a write fails after a part of the request, its compute node may run the query, and the error says
-// nothing about it. Where the system took not one byte, as on a connection that was closed at this
+// nothing about it. Where the system accepted not one byte, as on a connection that was closed at this
 // moment, nothing runs and the error is errNotWritten.
 func (c *nodeConn) roundTrip(timeout time.Duration, method, path string, body []byte,
 	headers ...string) (*nodehttp.Response, error) {
--- a/internal/platform/nodepool.go
+++ b/internal/platform/nodepool.go
@@ -87,7 +87,7 @@
 		UrgentReserve: p.descriptors.urgentNodeConns()}
 }
 
-// getWithRetry is get; where our own machine has no connection for a moment, it asks again.
+// getWithRetry is get; where our own machine has no connection for a moment, it retries.
 func (p *nodePool) getWithRetry(ctx context.Context, wanted connRequest) (*nodeConn, error) {
 	for delay, waited := localRetryDelay, time.Duration(0); ; delay *= 2 {
 		conn, err := p.get(ctx, wanted)
@@ -124,7 +124,7 @@
 	}
 }
 
-// takeIdle takes a connection that was granted out of the idle ones.
+// takeIdle removes a connection that was granted from the idle ones.
 func (p *nodePool) takeIdle(id uint64) *nodeConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -155,7 +155,7 @@
 	return connpool.Grant{}, errNoDescriptor
 }
 
-// enqueue enters a request for a connection, and returns its id and when it was entered.
+// enqueue adds a request for a connection, and returns its id and when it was added.
 func (p *nodePool) enqueue(wanted connRequest, granted chan connpool.Grant) (id uint64, begun time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -170,7 +170,7 @@
 	return id, begun
 }
 
-// withdraw takes a request for a connection back, and what may have been granted to it meanwhile.
+// withdraw cancels a request for a connection, and returns what may have been granted to it meanwhile.
 func (p *nodePool) withdraw(id uint64, granted chan connpool.Grant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -238,7 +238,7 @@
 	p.apply(p.state.Closed(p.limits()))
 }
 
-// makeIdle enters a connection that others may use. p.mu is held.
+// makeIdle adds a connection that others may use. p.mu is held.
 func (p *nodePool) makeIdle(conn *nodeConn) {
 	p.idle[conn.id] = conn
 	p.state.Release(p.now(), conn.engine, conn.id)
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -11,8 +11,8 @@
 	slowReloadDelay  = time.Second            // ...and from then on
 )
 
-// reloadRetry reads the configuration again until it can be read: the old discovery service may tell
-// nothing more, so the file is needed however long it takes. It belongs to the lifecycle's goroutine.
+// reloadRetry reads the configuration again until it can be read: the old discovery service may be
+// gone, so the file is needed however long it takes. It belongs to the lifecycle's goroutine.
 type reloadRetry struct {
 	service *service
 	timer   <-chan time.Time // of the next try; nil: there is none
@@ -51,8 +51,8 @@
 	if !mutantEnabled(mutantIgnoreReload) {
 		s.watcher.redirect(cfg.DiscoveryAddr)
 	}
-	// Not left to the discovery service: it may be slow at its new address, and what the file knows counts as
-	// told to this dispatcher.
+	// Not left to the discovery service: it may be slow at its new address, and the dispatcher is
+	// judged by what the file knows.
 	if err := s.watcher.applyKnown(cfg.Known.Events); err != nil {
 		s.log.Error("known discovery events ignored", "error", err)
 	}
--- a/internal/platform/service.go
+++ b/internal/platform/service.go
@@ -198,7 +198,7 @@
 	}
 }
 
-// attemptEnded takes an attempt out of the books.
+// attemptEnded removes an attempt that has ended.
 func (s *service) attemptEnded(a *attempt, outcome cresspass.Outcome) {
 	s.guard.endAttempt(a, outcome)
 	s.events.Add(a.event(eventlog.AttemptEnded, outcomeName(outcome)))
@@ -223,7 +223,7 @@
 		Outcome: cresspass.OutcomeCancelled})
 }
 
-// recordChange enters a change of the dispatcher's own state.
+// recordChange records a change of the dispatcher's own state.
 func (s *service) recordChange(what string) {
 	s.events.Add(requestEvent(eventlog.StateChanged, "", what))
 }
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -29,7 +29,7 @@
 	eventually(t, "it is shutting down", func() bool {
 		h.frontend.mu.Lock()
 		defer h.frontend.mu.Unlock()
-		return h.frontend.state.Draining()
+		return h.frontend.registry.Draining()
 	})
 	h.dial().mustServe(2, 1)
 	if got := client.receive(); got.kind != "shed" {
--- a/internal/platform/watcher.go
+++ b/internal/platform/watcher.go
@@ -18,7 +18,7 @@
 const (
 	// streamSilenceTimeout is the silence that counts as the end of a stream: a comment comes each second.
 	streamSilenceTimeout = 1700 * time.Millisecond
-	// replayWindow is how long after a stream's begin its events may be old ones, told again.
+	// replayWindow is how long after a stream's begin its events may be replayed.
 	replayWindow = 500 * time.Millisecond
 	// minReconnectDelay and maxReconnectDelay are the bounds of the pause between calls.
 	minReconnectDelay = 50 * time.Millisecond
@@ -44,7 +44,7 @@
 
 	mu            sync.Mutex // guards the fields below, and the order of lists posted to the core
 	follower      *sse.Follower
-	sawEvent      bool // the discovery service itself told something
+	sawEvent      bool // an event arrived, not only the configuration's
 	discoveryAddr string
 	cancel        context.CancelFunc // of all that goes on at this address
 }
@@ -102,8 +102,8 @@
 	return w.follower.LastRevision()
 }
 
-// redirect has the discovery service polled at another address, at once. The old address tells nothing
-// more, so neither a call under way nor a pause between calls goes on.
+// redirect has the discovery service polled at another address, at once. The old address is
+// out of use, so neither a call under way nor a pause between calls goes on.
 func (w *watcher) redirect(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -113,7 +113,7 @@
 	}
 }
 
-// applyKnown takes in the events that a configuration knows. What was told already is passed over.
+// applyKnown applies the events that a configuration knows. Those that were applied already are skipped.
 func (w *watcher) applyKnown(known []sse.WatchEvent) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -121,11 +121,11 @@
 		w.follower.ObserveStarts(event)
 	}
 	for _, event := range known {
-		list, verdict, err := w.follower.ApplyWatchEvent(event)
+		list, result, err := w.follower.ApplyWatchEvent(event)
 		if err != nil {
 			return err
 		}
-		if verdict != sse.Applied {
+		if result != sse.Applied {
 			continue
 		}
 		if list.ListType == cresspass.ListComplete && !w.sawEvent {
@@ -164,13 +164,11 @@
 		w.calls.Add(1)
 		lastEvent := w.lastEvent()
 		result, remaining := w.awaitCall(ctx, w.startCall(ctx, addr, lastEvent), older)
-		received, err := false, result.err
+		err := result.err
 		if older = remaining; result.stream != nil {
 			older.abandon()
 			older = nil
-			received, err = w.readStream(result.stream)
-		}
-		if received {
+			err = w.readStream(result.stream)
 			w.backoff.Reset()
 		}
 		if err != nil && ctx.Err() == nil {
@@ -181,8 +179,8 @@
 	}
 }
 
-// readStream takes events from a stream until it ends. received: something came.
-func (w *watcher) readStream(s *eventStream) (received bool, err error) {
+// readStream applies the events of a stream until it ends, and returns why it did.
+func (w *watcher) readStream(s *eventStream) error {
 	defer s.close()
 	stop := context.AfterFunc(s.ctx, func() { expire(s.conn) })
 	defer stop()
@@ -191,26 +189,26 @@
 	begun := time.Now()
 	for {
 		if !extendDeadline(s.ctx, s.conn, streamSilenceTimeout) {
-			return true, s.ctx.Err()
+			return s.ctx.Err()
 		}
 		n, err := s.body.Read(b)
 		if s.ctx.Err() != nil {
-			return true, s.ctx.Err()
+			return s.ctx.Err()
 		}
 		if err := w.feed(&parser, b[:n], begun); err != nil {
-			return true, err
+			return err
 		}
 		if err != nil {
 			var netErr net.Error
 			if errors.As(err, &netErr) && netErr.Timeout() {
 				err = errStreamSilent
 			}
-			return true, err
+			return err
 		}
 	}
 }
 
-// feed hands the events in a part of a stream on, up to the first that can't be taken in.
+// feed applies the events in a part of a stream, up to the first that can't be applied.
 func (w *watcher) feed(parser *sse.Parser, b []byte, begun time.Time) error {
 	var eventErr error
 	parseErr := parser.Feed(b, func(event sse.Event) {
@@ -224,21 +222,21 @@
 	return parseErr
 }
 
-// handleEvent takes an event in and hands its list on; replayed: it may be an old one, told again.
+// handleEvent applies an event and posts its list; replayed: it may be an old one.
 func (w *watcher) handleEvent(event sse.Event, replayed bool) error {
-	verdict, removed, err := w.follow(event, replayed)
+	result, removed, err := w.follow(event, replayed)
 	for _, engine := range removed {
 		w.service.pool.closeIdleTo(engine)
 	}
-	if err == nil && verdict == sse.Gap {
+	if err == nil && result == sse.Gap {
 		return errEventGap
 	}
 	return err
 }
 
-// follow has the follower take an event in, and posts its list to the core under the lock: without it,
+// follow has the follower apply an event, and posts its list to the core under the lock: without it,
 // the lists of two calls could cross. It returns the compute nodes that have gone.
-func (w *watcher) follow(event sse.Event, replayed bool) (verdict sse.ApplyResult,
+func (w *watcher) follow(event sse.Event, replayed bool) (result sse.ApplyResult,
 	removed []cresspass.EngineID, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -246,16 +244,16 @@
 	if replayed {
 		apply = w.follower.ApplyDelayed
 	}
-	list, verdict, err := apply(event)
+	list, result, err := apply(event)
 	if mutantEnabled(mutantWallClock) {
 		w.ageByWallClock(list.Engines)
 	}
 	removed = w.follower.TakeRemoved()
-	if err == nil && verdict == sse.Applied {
+	if err == nil && result == sse.Applied {
 		w.sawEvent = true
 		w.service.loop.Post(list)
 	}
-	return verdict, removed, err
+	return result, removed, err
 }
 
 // ageByWallClock is what the mutant makes of start times: their age by the wall clock of the moment.
