--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -169,7 +169,7 @@
 	b, oob := make([]byte, 256), make([]byte, 256)
 	n, oobn, _, _, err := c.ReadMsgUnix(b, oob)
 	if err != nil || string(b[:n]) != said["listeners"] {
-		t.Fatalf("told %q, %v, want %q", b[:n], err, said["listeners"])
+		t.Fatalf("received %q, %v, want %q", b[:n], err, said["listeners"])
 	}
 	messages, err := syscall.ParseSocketControlMessage(oob[:oobn])
 	if err != nil || len(messages) != 1 {
@@ -191,11 +191,11 @@
 	lines := bufio.NewReader(c)
 	h.announceDrain()
 	if line, err := lines.ReadString('\n'); err != nil || line != said["draining"] {
-		t.Errorf("told %q, %v, want %q", line, err, said["draining"])
+		t.Errorf("received %q, %v, want %q", line, err, said["draining"])
 	}
 	h.reject(asked.SuccessorID)
 	if line, err := lines.ReadString('\n'); err != nil || line != said["rejected"] {
-		t.Errorf("told %q, %v, want %q", line, err, said["rejected"])
+		t.Errorf("received %q, %v, want %q", line, err, said["rejected"])
 	}
 	if ev := <-events; ev.Type != lifecycle.SuccessorLost || ev.SuccessorID != asked.SuccessorID {
 		t.Errorf("event %+v", ev)
@@ -217,8 +217,11 @@
 				}
 				defer c.Close()
 				line, err := bufio.NewReader(c).ReadString('\n')
-				if err != nil || line != said["request"] {
-					return fmt.Errorf("asked %q, %v", line, err)
+				if err != nil {
+					return err
+				}
+				if line != said["request"] {
+					return fmt.Errorf("asked %q, want %q", line, said["request"])
 				}
 				if rejected {
 					_, err = c.Write([]byte(said["rejected"]))
--- a/internal/daemon/handover_test.go
+++ b/internal/daemon/handover_test.go
@@ -43,7 +43,7 @@
 		case <-time.After(10 * time.Second):
 			t.Fatalf("the predecessor does not end:\n%s", a.log)
 		}
-		b.waitForLog(t, "msg=dispatchers ordinal=0")
+		b.waitForLog(t, `msg="membership changed" ordinal=0`)
 		time.Sleep(300 * time.Millisecond)
 		a = b
 	}
@@ -82,7 +82,10 @@
 		t.Errorf("free, and the predecessor drains: %v", err)
 	}
 	select {
-	case <-a.done:
+	case err := <-a.done:
+		if err != nil {
+			t.Error(err)
+		}
 	case <-time.After(10 * time.Second):
 		t.Fatalf("the predecessor does not end:\n%s", a.log)
 	}
