--- a/internal/protocol/sqlstate/sqlstate.go
+++ b/internal/protocol/sqlstate/sqlstate.go
@@ -12,6 +12,7 @@
 	InvalidParameterValue        = "22023"
 	InvalidSQLStatementName      = "26000"
 	InvalidTransactionState      = "25000"
+	IdleInTransactionTimeout     = "25P03"
 	InvalidAuthorization         = "28000"
 	InvalidCursorName            = "34000"
 	SyntaxError                  = "42601"
@@ -23,5 +24,6 @@
 	ProgramLimitExceeded         = "54000"
 	QueryCanceled                = "57014"
 	AdminShutdown                = "57P01"
+	CrashShutdown                = "57P02"
 	CannotConnectNow             = "57P03"
 )
