--- a/internal/frontend/thriftserver/message.go
+++ b/internal/frontend/thriftserver/message.go
@@ -19,7 +19,7 @@
 // MessageResult is what a message means for its connection.
 type MessageResult struct {
 	Accepted  *Request        // a request was accepted; Event is for the module
-	Event     cresspass.Event // QueryTaken
+	Event     cresspass.Event // QueryArrived
 	Cancelled *Request        // its client no longer waits for it
 	Reply     []byte          // to be written at once
 
--- a/internal/protocol/thrift/message_test.go
+++ b/internal/protocol/thrift/message_test.go
@@ -49,3 +49,18 @@
 		}
 	})
 }
+
+// TestFieldsLookup: a name that comes twice has its last value, one that does not come is distinguished
+// from one that is empty.
+func TestFieldsLookup(t *testing.T) {
+	fields := Fields{{"verb", "first"}, {"team", ""}, {"verb", "last"}}
+	if got := fields.Get("verb"); got != "last" {
+		t.Errorf("verb is %q", got)
+	}
+	if value, ok := fields.Lookup("team"); !ok || value != "" {
+		t.Errorf("team is %q, %v", value, ok)
+	}
+	if value, ok := fields.Lookup("item"); ok || value != "" {
+		t.Errorf("item is %q, %v", value, ok)
+	}
+}
