--- a/cmd/cresspass/rehearse.go
+++ b/cmd/cresspass/rehearse.go
@@ -134,7 +134,7 @@
 
 // Run prints the verdict of each rule on the kept traffic.
 func (c rehearseJudgeCmd) Run() error {
-	name, seed, verdicts, err := rehearsal.JudgeAgain(c.Folder)
+	name, seed, verdicts, err := rehearsal.CheckEvidence(c.Folder)
 	if err != nil {
 		return err
 	}
--- a/internal/rehearsal/day.go
+++ b/internal/rehearsal/day.go
@@ -117,33 +117,47 @@
 // clockSkew is how much the times of two relays may differ for one moment.
 const clockSkew = 50 * time.Millisecond
 
+// checkedEffects and checkedScopes are the checker's terms for the settings of a class.
+var (
+	checkedEffects = [...]rulecheck.Effect{
+		cresspass.Idempotent:        rulecheck.EffectIdempotent,
+		cresspass.IdempotentWithKey: rulecheck.EffectIdempotentWithKey,
+		cresspass.NotIdempotent:     rulecheck.EffectNotIdempotent,
+	}
+	checkedScopes = [...]rulecheck.Scope{
+		cresspass.ScopeAll:  rulecheck.ScopeAll,
+		cresspass.ScopeZone: rulecheck.ScopeZone,
+		cresspass.ScopeCell: rulecheck.ScopeCell,
+	}
+)
+
 // ParametersFromConfig returns the parameters of the rules for a dispatcher's settings.
 func ParametersFromConfig(m *cresspass.Config) rulecheck.Parameters {
 	r := m.Rules
 	p := rulecheck.Parameters{
-		Classes:        map[string]rulecheck.Class{},
-		AnswerGrace:    r.AnswerGrace,
-		DrainGrace:     r.DrainGrace,
-		ColdFrom:       r.SlowStartFrom,
-		ColdFor:        r.SlowStartDuration,
-		ColdMultiple:   r.SlowStartOverloadFactor,
-		ColdWindow:     r.SlowStartWindow,
-		OrderRest:      r.OrderSettleDelay,
-		HasBudget:      r.HasRetryBudget,
-		BudgetFree:     r.RetryBudgetFree,
-		BudgetShare:    r.RetryBudgetRatio,
-		BudgetLookBack: r.RetryBudgetWindow,
-		Skew:           clockSkew,
+		Classes:                 map[string]rulecheck.Class{},
+		AnswerGrace:             r.AnswerGrace,
+		DrainGrace:              r.DrainGrace,
+		SlowStartFrom:           r.SlowStartFrom,
+		SlowStartDuration:       r.SlowStartDuration,
+		SlowStartOverloadFactor: r.SlowStartOverloadFactor,
+		SlowStartWindow:         r.SlowStartWindow,
+		OrderSettleDelay:        r.OrderSettleDelay,
+		HasRetryBudget:          r.HasRetryBudget,
+		RetryBudgetFree:         r.RetryBudgetFree,
+		RetryBudgetRatio:        r.RetryBudgetRatio,
+		RetryBudgetWindow:       r.RetryBudgetWindow,
+		ClockSkew:               clockSkew,
 	}
 	for _, c := range m.Classes {
 		p.Classes[c.Name] = rulecheck.Class{
-			Effect:   [...]string{"safe", "keyed", "unsafe"}[c.Effect],
-			Scope:    [...]string{"all", "zone", "cell"}[c.DeduplicationScope],
-			Window:   c.DeduplicationWindow,
-			Deadline: c.Deadline,
-			InOrder:  c.OrderedByKey,
-			Kinds:    c.AllowedKinds,
-			Zones:    c.AllowedZones,
+			Effect:              checkedEffects[c.Effect],
+			DeduplicationScope:  checkedScopes[c.DeduplicationScope],
+			DeduplicationWindow: c.DeduplicationWindow,
+			Deadline:            c.Deadline,
+			OrderedByKey:        c.OrderedByKey,
+			AllowedKinds:        c.AllowedKinds,
+			AllowedZones:        c.AllowedZones,
 		}
 	}
 	return p
--- a/internal/rehearsal/day_test.go
+++ b/internal/rehearsal/day_test.go
@@ -88,14 +88,14 @@
 	}
 	at := time.Now()
 	log := &rulecheck.Log{
-		Requests: []*rulecheck.Request{{ID: "q", Class: "lookup", Dispatcher: "d0", At: at, Finals: 2,
-			Final: at}},
+		Requests: []*rulecheck.Request{{ID: "q", Class: "lookup", Dispatcher: "d0", At: at, FinalCount: 2,
+			FinalAt: at}},
 	}
 	r := &Result{
 		Day:      d,
 		Seed:     5,
 		Log:      log,
-		Verdicts: rulecheck.Judge(d.Parameters(), log),
+		Verdicts: rulecheck.Check(d.Parameters(), log),
 		Samples: []Sample{{
 			At:    time.Second,
 			Class: "lookup", Took: time.Millisecond}},
@@ -117,11 +117,11 @@
 	if err := r.StoreEvidence(dir); err != nil {
 		t.Fatal(err)
 	}
-	name, seed, all, err := JudgeAgain(dir)
+	name, seed, all, err := CheckEvidence(dir)
 	if err != nil || name != "deploy" || seed != 5 || rulecheck.AllKept(all) || all[0].Kept {
 		t.Errorf("judged again: %s, seed %d, %v, %v", name, seed, all, err)
 	}
-	if _, _, _, err := JudgeAgain(t.TempDir()); err == nil {
+	if _, _, _, err := CheckEvidence(t.TempDir()); err == nil {
 		t.Error("an empty folder was judged")
 	}
 }
--- a/internal/rehearsal/evaluate.go
+++ b/internal/rehearsal/evaluate.go
@@ -23,7 +23,7 @@
 	log := r.stopAndCollect()
 	out := &Result{
 		Day:           r.day,
-		Verdicts:      rulecheck.Judge(r.day.Parameters(), log),
+		Verdicts:      rulecheck.Check(r.day.Parameters(), log),
 		LoggedErrors:  r.load.errorCounts,
 		Requests:      len(log.Requests),
 		Attempts:      len(log.Attempts),
@@ -72,7 +72,7 @@
 		d.closeRelays()
 	}
 	log := r.recorder.Stop(decodeTimeout)
-	log.Fallen = fallen
+	log.OverloadedEngines = fallen
 	log.Notifications = r.notifications()
 	for _, d := range r.dispatchers {
 		log.Outages = append(log.Outages, d.outages...)
--- a/internal/rehearsal/evidence.go
+++ b/internal/rehearsal/evidence.go
@@ -37,8 +37,8 @@
 	})
 }
 
-// JudgeAgain checks the rules on a folder that StoreEvidence wrote.
-func JudgeAgain(dir string) (day string, seed uint64, all []rulecheck.Verdict, err error) {
+// CheckEvidence checks the rules on a folder that StoreEvidence wrote.
+func CheckEvidence(dir string) (day string, seed uint64, all []rulecheck.Verdict, err error) {
 	f, err := os.Open(filepath.Join(dir, evidenceFile))
 	if err != nil {
 		return "", 0, nil, err
@@ -55,5 +55,5 @@
 	if e.Log == nil {
 		return "", 0, nil, fmt.Errorf("%s holds no traffic", dir)
 	}
-	return e.Day, e.Seed, rulecheck.Judge(e.Parameters, e.Log), nil
+	return e.Day, e.Seed, rulecheck.Check(e.Parameters, e.Log), nil
 }
--- a/internal/rehearsal/golden_test.go
+++ b/internal/rehearsal/golden_test.go
@@ -101,9 +101,9 @@
 	if err := os.WriteFile(filepath.Join(dir, "traffic.json.gz"), zipped.Bytes(), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	day, seed, verdicts, err := JudgeAgain(dir)
+	day, seed, verdicts, err := CheckEvidence(dir)
 	if err != nil || day != e.Day || seed != e.Seed ||
-		!reflect.DeepEqual(verdicts, rulecheck.Judge(e.Parameters, e.Log)) {
+		!reflect.DeepEqual(verdicts, rulecheck.Check(e.Parameters, e.Log)) {
 		t.Errorf("judged again: day %q, seed %d, %+v, %v", day, seed, verdicts, err)
 	}
 }
--- /dev/null
+++ b/internal/rehearsal/rulecheck/flightsql.go
@@ -0,0 +1,367 @@
+package rulecheck
+
+import (
+	"encoding/base64"
+	"encoding/binary"
+	"errors"
+	"io"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/apache/arrow-go/v18/arrow/flight"
+	pb "github.com/apache/arrow-go/v18/arrow/flight/gen/flight"
+	"golang.org/x/net/http2"
+	"golang.org/x/net/http2/hpack"
+	"google.golang.org/genproto/googleapis/rpc/errdetails"
+	spb "google.golang.org/genproto/googleapis/rpc/status"
+	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/types/known/anypb"
+)
+
+// The clients' side in Flight SQL: HTTP/2 frames, gRPC's messages in them, and Flight SQL's commands in
+// those. A query begins with the message that runs it (DoGet of a statement's ticket, DoPut of an update)
+// and ends with its call's trailers. A ticket or a handle stands for the statement for which the
+// dispatcher issued it.
+
+const (
+	maxFrameSize     = 1<<24 - 1 // HTTP/2's largest
+	headerTableSize  = 4096      // HPACK's default
+	messageHeaderLen = 5         // of gRPC's messages: a flag and the length
+	codeReset        = "reset"   // in place of a SQLSTATE: the dispatcher reset the stream
+)
+
+// The methods of Flight SQL's calls.
+const (
+	methodHandshake     = "Handshake"
+	methodGetFlightInfo = "GetFlightInfo"
+	methodDoAction      = "DoAction"
+	methodDoGet         = "DoGet"
+	methodDoPut         = "DoPut"
+)
+
+// rpc is one stream of a connection.
+type rpc struct {
+	method   string
+	up       []byte // bytes of messages that are not complete yet
+	down     []byte
+	received bool   // the first message of the client was read
+	text     string // the statement for which its answer has a ticket or a handle
+	request  *Request
+	finished bool
+}
+
+// grpcConn is one connection while it is decoded. Two goroutines decode its directions.
+type grpcConn struct {
+	recorder *Recorder
+	name     string
+
+	mu      sync.Mutex
+	changed *sync.Cond
+	streams map[uint32]*rpc
+	ended   bool // no more requests
+}
+
+func (rec *Recorder) decodeGRPC(name string, up, down *tap) {
+	c := &grpcConn{recorder: rec, name: name, streams: map[uint32]*rpc{}}
+	c.changed = sync.NewCond(&c.mu)
+	requestsEnded := make(chan struct{})
+	go func() {
+		defer close(requestsEnded)
+		if err := c.readRequests(up); !isEndOfStream(err) {
+			rec.recordUnreadable(Clients, "gRPC requests: "+err.Error(), name)
+		}
+		c.mu.Lock()
+		c.ended = true
+		c.mu.Unlock()
+		c.changed.Broadcast()
+		up.discard()
+	}()
+	if err := c.readAnswers(down); !isEndOfStream(err) {
+		rec.recordUnreadable(Clients, "gRPC answers: "+err.Error(), name)
+	}
+	down.discard()
+	<-requestsEnded
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	for _, call := range c.streams {
+		if r := call.request; r != nil && r.FinalCount == 0 && r.ConnectionEnded.IsZero() {
+			r.recordConnectionEnd(down, up)
+		}
+	}
+}
+
+func newFramer(r io.Reader) *http2.Framer {
+	f := http2.NewFramer(io.Discard, r)
+	f.SetMaxReadFrameSize(maxFrameSize)
+	f.ReadMetaHeaders = hpack.NewDecoder(headerTableSize, nil)
+	return f
+}
+
+// readRequests reads the client's frames until an error, which may be the end of the stream.
+func (c *grpcConn) readRequests(up *tap) error {
+	preface := make([]byte, len(http2.ClientPreface))
+	if _, err := io.ReadFull(up, preface); err != nil {
+		return err
+	}
+	if string(preface) != http2.ClientPreface {
+		return errors.New("no preface")
+	}
+	framer := newFramer(up)
+	for {
+		frame, err := framer.ReadFrame()
+		if err != nil {
+			return err
+		}
+		c.mu.Lock()
+		c.handleRequestFrame(frame, up.at)
+		c.mu.Unlock()
+		c.changed.Broadcast()
+	}
+}
+
+// handleRequestFrame records a frame of the client. The caller holds c.mu, which is released while the
+// statement behind a ticket is awaited.
+func (c *grpcConn) handleRequestFrame(frame http2.Frame, at time.Time) {
+	call := c.streams[frame.Header().StreamID]
+	switch frame := frame.(type) {
+	case *http2.MetaHeadersFrame:
+		path := frame.PseudoValue("path")
+		c.streams[frame.StreamID] = &rpc{method: path[strings.LastIndexByte(path, '/')+1:]}
+	case *http2.DataFrame:
+		if call == nil || call.received {
+			return
+		}
+		call.up = append(call.up, frame.Data()...)
+		if message, ok := firstMessage(call.up); ok {
+			c.mu.Unlock()
+			c.handleRequest(call, message, at)
+			c.mu.Lock()
+			call.received, call.up = true, nil
+		}
+	case *http2.RSTStreamFrame:
+		if call == nil || call.request == nil {
+			return
+		}
+		c.recorder.mu.Lock()
+		if r := call.request; r.FinalCount == 0 && r.ConnectionEnded.IsZero() {
+			r.ConnectionEnded = at
+		}
+		c.recorder.mu.Unlock()
+		call.finished = true
+	}
+}
+
+// firstMessage returns the first of gRPC's messages ("gRPC over HTTP2", Length-Prefixed-Message), if it is
+// complete.
+func firstMessage(b []byte) (message []byte, ok bool) {
+	if len(b) < messageHeaderLen {
+		return nil, false
+	}
+	end := messageHeaderLen + int(binary.BigEndian.Uint32(b[1:]))
+	if len(b) < end {
+		return nil, false
+	}
+	return b[messageHeaderLen:end], true
+}
+
+// decodeCommand decodes a command of Flight SQL; nil: it is none.
+func decodeCommand(b []byte) proto.Message {
+	var command anypb.Any
+	if proto.Unmarshal(b, &command) != nil {
+		return nil
+	}
+	m, err := command.UnmarshalNew()
+	if err != nil {
+		return nil
+	}
+	return m
+}
+
+// handleRequest records a call's first message. A message that is none of Flight SQL's runs no statement.
+func (c *grpcConn) handleRequest(call *rpc, message []byte, at time.Time) {
+	statements := &c.recorder.statements
+	switch call.method {
+	case methodGetFlightInfo:
+		var descriptor flight.FlightDescriptor
+		if proto.Unmarshal(message, &descriptor) != nil {
+			return
+		}
+		switch m := decodeCommand(descriptor.Cmd).(type) {
+		case *pb.CommandStatementQuery:
+			call.text = m.Query
+		case *pb.CommandPreparedStatementQuery:
+			call.text = statements.get(m.PreparedStatementHandle)
+		}
+	case methodDoAction:
+		var action flight.Action
+		if proto.Unmarshal(message, &action) != nil {
+			return
+		}
+		if m, ok := decodeCommand(action.Body).(*pb.ActionCreatePreparedStatementRequest); ok {
+			call.text = m.Query
+		}
+	case methodDoGet:
+		var ticket flight.Ticket
+		if proto.Unmarshal(message, &ticket) == nil {
+			c.recordRequest(call, statements.get(ticket.Ticket), at)
+		}
+	case methodDoPut:
+		var data flight.FlightData
+		if proto.Unmarshal(message, &data) != nil {
+			return
+		}
+		switch m := decodeCommand(data.GetFlightDescriptor().GetCmd()).(type) {
+		case *pb.CommandStatementUpdate:
+			c.recordRequest(call, m.Query, at)
+		case *pb.CommandPreparedStatementUpdate:
+			c.recordRequest(call, statements.get(m.PreparedStatementHandle), at)
+		}
+	}
+}
+
+// recordRequest records a query, if its tags name it.
+func (c *grpcConn) recordRequest(call *rpc, text string, at time.Time) {
+	tags := statementTags(text, "")
+	if tags["id"] == "" || tags["class"] == "" {
+		return
+	}
+	call.request = newRequest(tags, c.name, at)
+	c.recorder.addRequest(call.request)
+}
+
+// readAnswers reads the dispatcher's frames until an error, which may be the end of the stream. A call's
+// answer is handled once its request has been.
+func (c *grpcConn) readAnswers(down *tap) error {
+	framer := newFramer(down)
+	for {
+		frame, err := framer.ReadFrame()
+		if err != nil {
+			return err
+		}
+		c.mu.Lock()
+		c.handleAnswerFrame(frame, down.at)
+		c.mu.Unlock()
+	}
+}
+
+// handleAnswerFrame records a frame of the dispatcher. The caller holds c.mu.
+func (c *grpcConn) handleAnswerFrame(frame http2.Frame, at time.Time) {
+	call := c.awaitCall(frame.Header().StreamID)
+	if call == nil {
+		return
+	}
+	switch frame := frame.(type) {
+	case *http2.MetaHeadersFrame:
+		if frame.StreamEnded() {
+			c.recordFinal(call, sqlStateOf(frame), at)
+		}
+	case *http2.DataFrame:
+		c.handleData(call, frame.Data())
+	case *http2.RSTStreamFrame:
+		if !call.finished {
+			c.recordFinal(call, codeReset, at)
+		}
+	}
+}
+
+// awaitCall waits until a call's request was read: its own decoder may be a moment behind. It returns nil for
+// frames of the connection, and for a call that does not come. The caller holds c.mu.
+func (c *grpcConn) awaitCall(id uint32) *rpc {
+	if id == 0 {
+		return nil
+	}
+	timedOut := false
+	timeout := time.AfterFunc(requestDecodingLag, func() {
+		c.mu.Lock()
+		timedOut = true
+		c.mu.Unlock()
+		c.changed.Broadcast()
+	})
+	defer timeout.Stop()
+	for {
+		call := c.streams[id]
+		// A handshake by header has no message to wait for.
+		received := call != nil && (call.received || call.method == methodHandshake)
+		if received || timedOut || c.ended {
+			return call
+		}
+		c.changed.Wait()
+	}
+}
+
+// handleData records bytes of an answer: rows of a query, or the ticket or handle of a statement.
+func (c *grpcConn) handleData(call *rpc, data []byte) {
+	rec := c.recorder
+	if r := call.request; r != nil {
+		rec.mu.Lock()
+		r.Rows++
+		if r.FinalCount > 0 {
+			r.MessagesAfterFinal++
+		}
+		rec.mu.Unlock()
+		return
+	}
+	if call.text == "" {
+		return
+	}
+	call.down = append(call.down, data...)
+	message, ok := firstMessage(call.down)
+	if !ok {
+		return
+	}
+	switch call.method {
+	case methodGetFlightInfo:
+		var info flight.FlightInfo
+		if proto.Unmarshal(message, &info) == nil {
+			for _, e := range info.Endpoint {
+				rec.statements.put(e.GetTicket().GetTicket(), call.text)
+			}
+		}
+	case methodDoAction:
+		var result flight.Result
+		if proto.Unmarshal(message, &result) == nil {
+			if p, ok := decodeCommand(result.Body).(*pb.ActionCreatePreparedStatementResult); ok {
+				rec.statements.put(p.PreparedStatementHandle, call.text)
+			}
+		}
+	}
+	call.text, call.down = "", nil
+}
+
+// recordFinal records a call's end.
+func (c *grpcConn) recordFinal(call *rpc, code string, at time.Time) {
+	call.finished = true
+	if r := call.request; r != nil {
+		c.recorder.mu.Lock()
+		r.recordFinal(at, code)
+		c.recorder.mu.Unlock()
+	}
+}
+
+// sqlStateOf is the SQLSTATE of trailers; "": the query was served.
+func sqlStateOf(h *http2.MetaHeadersFrame) string {
+	code, details := "", ""
+	for _, f := range h.Fields {
+		switch f.Name {
+		case "grpc-status":
+			code = f.Value
+		case "grpc-status-details-bin":
+			details = f.Value
+		}
+	}
+	if code == "0" {
+		return ""
+	}
+	b, err := base64.RawStdEncoding.DecodeString(strings.TrimRight(details, "="))
+	var s spb.Status
+	if err == nil && proto.Unmarshal(b, &s) == nil {
+		for _, d := range s.Details {
+			var i errdetails.ErrorInfo
+			if d.UnmarshalTo(&i) == nil && i.Metadata["sqlstate"] != "" {
+				return i.Metadata["sqlstate"]
+			}
+		}
+	}
+	return "gRPC " + code
+}
--- /dev/null
+++ b/internal/rehearsal/rulecheck/postgres.go
@@ -0,0 +1,377 @@
+package rulecheck
+
+import (
+	"io"
+	"sync"
+	"time"
+
+	"github.com/jackc/pgx/v5/pgproto3"
+)
+
+// requestDecodingLag limits the wait of an answer's decoder for the decoder of its request.
+const requestDecodingLag = time.Second
+
+// replyKind is the kind of message for which an answer is pending, as the message's type byte.
+type replyKind byte
+
+const (
+	replyToQuery    replyKind = 'Q'
+	replyToParse    replyKind = 'P'
+	replyToBind     replyKind = 'B'
+	replyToDescribe replyKind = 'D'
+	replyToClose    replyKind = 'C'
+	replyToExecute  replyKind = 'E'
+	replyToSync     replyKind = 'S'
+)
+
+// pendingReply is a message on a connection for which an answer is pending, in order.
+type pendingReply struct {
+	kind    replyKind
+	request *Request
+	attempt *Attempt
+}
+
+// portal is a statement with its first parameter.
+type portal struct{ text, firstParameter string }
+
+// stream is one connection of PostgreSQL's protocol while it is decoded. Two goroutines decode its
+// directions.
+type stream struct {
+	recorder   *Recorder
+	side       Side
+	name, user string
+	pid        uint32
+	statements map[string]string
+
+	mu          sync.Mutex
+	decoded     *sync.Cond // a request was decoded, or stopWaiting was set
+	stopWaiting bool       // an answer must not wait for its request any longer
+	portals     map[string]portal
+	pending     []pendingReply
+	failed      bool // after an error in the extended protocol, until Sync's answer
+}
+
+// decodePostgreSQL reads both directions of a connection in the order of their bytes' times: a request always
+// comes before its answer.
+func (rec *Recorder) decodePostgreSQL(side Side, name string, up, down *tap) {
+	s := &stream{recorder: rec, side: side, name: name, statements: map[string]string{},
+		portals: map[string]portal{}}
+	s.decoded = sync.NewCond(&s.mu)
+	from := pgproto3.NewBackend(up, io.Discard)
+	if !s.readStartup(from, up, down) {
+		up.discard()
+		down.discard()
+		return
+	}
+	to := pgproto3.NewFrontend(down, io.Discard)
+	if !s.readWelcome(to, down) {
+		up.discard()
+		return
+	}
+	requestsEnded := make(chan struct{})
+	go func() {
+		defer close(requestsEnded)
+		s.readRequests(from, up)
+	}()
+	s.readAnswers(to, down)
+	down.discard()
+	<-requestsEnded
+	s.recordConnectionEnd(down, up)
+}
+
+// readStartup reads up to the StartupMessage. It returns false where no statements follow.
+func (s *stream) readStartup(from *pgproto3.Backend, up, down *tap) bool {
+	for {
+		m, err := from.ReceiveStartupMessage()
+		if err != nil {
+			return false
+		}
+		switch m := m.(type) {
+		case *pgproto3.SSLRequest, *pgproto3.GSSEncRequest:
+			var answer [1]byte
+			_, _ = io.ReadFull(down, answer[:]) // where it is missing, the stream has ended
+			continue
+		case *pgproto3.CancelRequest:
+			s.recorder.recordCancel(s.side, s.name, m.ProcessID, up.at)
+			return false
+		case *pgproto3.StartupMessage:
+			s.user = m.Parameters["user"]
+		}
+		return true
+	}
+}
+
+// readWelcome reads the answer to the StartupMessage, before any request: its ReadyForQuery belongs to none,
+// however far the decoder of the requests has got.
+func (s *stream) readWelcome(to *pgproto3.Frontend, down *tap) bool {
+	for {
+		m, err := to.Receive()
+		if err != nil {
+			return false
+		}
+		if _, ready := m.(*pgproto3.ReadyForQuery); ready {
+			return true
+		}
+		s.handleAnswer(m, down.at)
+	}
+}
+
+func (s *stream) readRequests(from *pgproto3.Backend, up *tap) {
+	for {
+		m, err := from.Receive()
+		s.mu.Lock()
+		if err != nil {
+			s.stopWaiting = true
+			if !isEndOfStream(err) {
+				s.recorder.recordUnreadable(s.side, "requests: "+err.Error(), s.name)
+			}
+			s.decoded.Broadcast()
+			s.mu.Unlock()
+			up.discard()
+			return
+		}
+		s.handleRequest(m, up.at)
+		s.decoded.Broadcast()
+		s.mu.Unlock()
+	}
+}
+
+func (s *stream) readAnswers(to *pgproto3.Frontend, down *tap) {
+	for {
+		m, err := to.Receive()
+		s.mu.Lock()
+		if err != nil {
+			if !isEndOfStream(err) {
+				s.recorder.recordUnreadable(s.side, "answers: "+err.Error(), s.name)
+			}
+			s.mu.Unlock()
+			return
+		}
+		if expectsReply(m) {
+			s.awaitRequest()
+		}
+		s.handleAnswer(m, down.at)
+		s.mu.Unlock()
+	}
+}
+
+// awaitRequest waits until a request is pending: its own decoder may be a moment behind. The caller holds
+// s.mu.
+func (s *stream) awaitRequest() {
+	if len(s.pending) > 0 || s.stopWaiting {
+		return
+	}
+	timeout := time.AfterFunc(requestDecodingLag, func() {
+		s.mu.Lock()
+		s.stopWaiting = true
+		s.mu.Unlock()
+		s.decoded.Broadcast()
+	})
+	for len(s.pending) == 0 && !s.stopWaiting {
+		s.decoded.Wait()
+	}
+	timeout.Stop()
+	s.stopWaiting = false
+}
+
+// expectsReply reports whether a message answers some request.
+func expectsReply(m pgproto3.BackendMessage) bool {
+	switch m := m.(type) {
+	case *pgproto3.ErrorResponse:
+		return m.Severity == "ERROR" // a FATAL one may be of the connection
+	case *pgproto3.NoticeResponse, *pgproto3.NotificationResponse, *pgproto3.ParameterStatus,
+		*pgproto3.BackendKeyData:
+		return false
+	}
+	return true
+}
+
+// handleRequest records a message of the client. Messages between an error and Sync are skipped by the
+// server; their error may have been decoded first.
+func (s *stream) handleRequest(m pgproto3.FrontendMessage, at time.Time) {
+	if _, isSync := m.(*pgproto3.Sync); !s.failed || isSync {
+		s.failed = false
+		s.addPending(m, at)
+		return
+	}
+	n := len(s.pending)
+	s.addPending(m, at)
+	for _, p := range s.pending[n:] {
+		p.recordSkipped()
+	}
+	s.pending = s.pending[:n]
+}
+
+// addPending adds a message of the client to those for which an answer is pending.
+func (s *stream) addPending(m pgproto3.FrontendMessage, at time.Time) {
+	switch m := m.(type) {
+	case *pgproto3.Query:
+		s.addQuery(replyToQuery, portal{text: m.String}, at)
+	case *pgproto3.Parse:
+		s.statements[m.Name] = m.Query
+		s.pending = append(s.pending, pendingReply{kind: replyToParse})
+	case *pgproto3.Bind:
+		p := portal{text: s.statements[m.PreparedStatement]}
+		if len(m.Parameters) > 0 {
+			p.firstParameter = string(m.Parameters[0])
+		}
+		s.portals[m.DestinationPortal] = p
+		s.pending = append(s.pending, pendingReply{kind: replyToBind})
+	case *pgproto3.Describe:
+		s.pending = append(s.pending, pendingReply{kind: replyToDescribe})
+	case *pgproto3.Close:
+		s.pending = append(s.pending, pendingReply{kind: replyToClose})
+	case *pgproto3.Execute:
+		s.addQuery(replyToExecute, s.portals[m.Portal], at)
+	case *pgproto3.Sync:
+		s.pending = append(s.pending, pendingReply{kind: replyToSync})
+	}
+}
+
+// addQuery records a query, if its tags name it.
+func (s *stream) addQuery(kind replyKind, p portal, at time.Time) {
+	reply := pendingReply{kind: kind}
+	tags := statementTags(p.text, p.firstParameter)
+	if tags["id"] != "" && tags["class"] != "" {
+		if s.side == Clients {
+			reply.request = newRequest(tags, s.name, at)
+			s.recorder.addRequest(reply.request)
+		} else {
+			reply.attempt = &Attempt{ID: tags["id"], Class: tags["class"], Key: tags["key"], Engine: s.name,
+				Dispatcher: s.user, At: at, PID: s.pid, Work: number(tags["work_ms"]) / 1000,
+				Session: tags["session"]}
+			s.recorder.addAttempt(reply.attempt)
+		}
+	}
+	s.pending = append(s.pending, reply)
+}
+
+// handleAnswer records a message of the server against the request that it belongs to.
+func (s *stream) handleAnswer(m pgproto3.BackendMessage, at time.Time) {
+	rec := s.recorder
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	switch m := m.(type) {
+	case *pgproto3.BackendKeyData:
+		s.pid = m.ProcessID
+	case *pgproto3.ParseComplete:
+		s.pop(replyToParse)
+	case *pgproto3.BindComplete:
+		s.pop(replyToBind)
+	case *pgproto3.CloseComplete:
+		s.pop(replyToClose)
+	case *pgproto3.RowDescription, *pgproto3.NoData:
+		s.pop(replyToDescribe)
+	case *pgproto3.DataRow:
+		s.handleRow()
+	case *pgproto3.CommandComplete, *pgproto3.EmptyQueryResponse, *pgproto3.PortalSuspended:
+		p := s.nextPending()
+		if p == nil {
+			rec.log.StrayAnswers++
+			return
+		}
+		p.recordFinal(at, "")
+		if p.kind == replyToExecute {
+			s.pending = s.pending[1:]
+		}
+	case *pgproto3.ErrorResponse:
+		s.handleError(m.Code, at)
+	case *pgproto3.ReadyForQuery:
+		s.handleReady()
+	}
+}
+
+func (s *stream) handleRow() {
+	p := s.nextPending()
+	switch {
+	case p != nil && p.request != nil:
+		p.request.Rows++
+		if p.request.FinalCount > 0 {
+			p.request.MessagesAfterFinal++
+		}
+	case p == nil && s.side == Clients:
+		s.recorder.log.StrayAnswers++
+	}
+}
+
+// handleError ends the query that runs. In the extended protocol what follows up to Sync is skipped,
+// unanswered.
+func (s *stream) handleError(code string, at time.Time) {
+	p := s.nextPending()
+	if p == nil {
+		return // an error of the connection as a whole
+	}
+	p.recordFinal(at, code)
+	if p.kind == replyToQuery {
+		return
+	}
+	for len(s.pending) > 0 && s.pending[0].kind != replyToSync {
+		s.pending[0].recordSkipped()
+		s.pending = s.pending[1:]
+	}
+	s.failed = len(s.pending) == 0
+}
+
+func (s *stream) handleReady() {
+	if len(s.pending) == 0 || s.pending[0].kind != replyToSync && s.pending[0].kind != replyToQuery {
+		return
+	}
+	if r := s.pending[0].request; r != nil && r.FinalCount == 0 {
+		r.MessagesAfterFinal++ // the server is ready again, and sent no answer
+	}
+	s.pending = s.pending[1:]
+}
+
+// recordSkipped marks a query behind an error.
+func (p *pendingReply) recordSkipped() {
+	if p.request != nil && p.request.FinalCount == 0 {
+		p.request.Skipped = true
+	} else if p.attempt != nil && p.attempt.End.IsZero() {
+		p.attempt.Skipped = true
+	}
+}
+
+// nextPending is the query that messages now belong to; nil: there is none.
+func (s *stream) nextPending() *pendingReply {
+	s.popAll(replyToDescribe) // described by ParameterDescription alone
+	if len(s.pending) == 0 {
+		return nil
+	}
+	return &s.pending[0]
+}
+
+func (s *stream) pop(kind replyKind) {
+	if len(s.pending) > 0 && s.pending[0].kind == kind {
+		s.pending = s.pending[1:]
+	}
+}
+
+func (s *stream) popAll(kind replyKind) {
+	for len(s.pending) > 0 && s.pending[0].kind == kind {
+		s.pending = s.pending[1:]
+	}
+}
+
+func (p *pendingReply) recordFinal(at time.Time, code string) {
+	if p.request != nil {
+		p.request.recordFinal(at, code)
+	}
+	if a := p.attempt; a != nil && a.End.IsZero() {
+		a.End, a.Code = at, code
+		a.Done = code == ""
+	}
+}
+
+// recordConnectionEnd records what became of the queries that were pending when the connection ended.
+func (s *stream) recordConnectionEnd(down, up *tap) {
+	s.recorder.mu.Lock()
+	defer s.recorder.mu.Unlock()
+	for _, p := range s.pending {
+		if p.request != nil && p.request.FinalCount == 0 {
+			p.request.recordConnectionEnd(down, up)
+		}
+		if p.attempt != nil && p.attempt.End.IsZero() {
+			p.attempt.End, p.attempt.Lost = down.ended, true
+		}
+	}
+}
--- a/internal/server/mixed_load_test.go
+++ b/internal/server/mixed_load_test.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, v := range rulecheck.Judge(rehearsal.ParametersFromConfig(&parsed.Module), log) {
+	for _, v := range rulecheck.Check(rehearsal.ParametersFromConfig(&parsed.Module), log) {
 		if !v.Judged || !v.Kept {
 			t.Error(v)
 		}
