--- a/cmd/cresspass/soak.go
+++ b/cmd/cresspass/soak.go
@@ -52,7 +52,7 @@
 	}
 	broken := 0
 	for seed := c.Seed; seed < c.Seed+uint64(c.Seeds) && ctx.Err() == nil; seed++ {
-		plan := soak.NewPlan(soak.Options{Seed: seed, For: c.For, Dispatchers: c.Dispatchers,
+		plan := soak.NewPlan(soak.Options{Seed: seed, Duration: c.For, Dispatchers: c.Dispatchers,
 			Faults: c.Faults})
 		if c.Plan {
 			fmt.Print(plan)
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -35,7 +35,7 @@
 	dispatcher *dispatcher
 	conn       net.Conn
 	mu         sync.Mutex
-	next       int32
+	lastSeq    int32
 	open       map[int32]string // tickets
 	answered   map[int32]string // tickets that have their answer
 	sentAt     map[string]time.Time
@@ -67,8 +67,8 @@
 	if c == nil {
 		return
 	}
-	class, share := classes[0], s.random.Float64()
-	for _, class = range classes {
+	class, share := requestClasses[0], s.random.Float64()
+	for _, class = range requestClasses {
 		if share -= class.share; share < 0 {
 			break
 		}
@@ -85,10 +85,10 @@
 		r.halvesDelay = time.Duration(s.random.Int64N(int64(maxHalvesDelay)))
 	}
 	if class.inOrder {
-		r.key = fmt.Sprintf("d%d-k%d", s.dispatcher.index, s.random.IntN(keysPerDispatcher))
+		r.orderingKey = fmt.Sprintf("d%d-k%d", s.dispatcher.index, s.random.IntN(keysPerDispatcher))
 	}
-	if class.effect == keyed {
-		r.nonce = fmt.Sprintf("%016x%016x", s.random.Uint64(), s.random.Uint64())
+	if class.idempotency == idempotentWithKey {
+		r.idempotencyKey = fmt.Sprintf("%016x%016x", s.random.Uint64(), s.random.Uint64())
 	}
 	if !c.send(r) {
 		return
@@ -100,7 +100,7 @@
 	case x < cancelShare+leaveShare:
 		wait := time.Duration(s.random.IntN(300)) * time.Millisecond
 		hard := s.random.IntN(2) == 0
-		time.AfterFunc(wait, func() { c.leave(hard) })
+		time.AfterFunc(wait, func() { c.disconnect(hard) })
 	}
 }
 
@@ -133,12 +133,12 @@
 
 // request is what a client asks.
 type request struct {
-	ticket, key, nonce string
-	class              class
-	limit              time.Duration
-	crossedClose       bool          // it crossed a close before
-	halvesDelay        time.Duration // between its first half and its second; 0: it is written at once
-	malformed          bool
+	ticket, orderingKey, idempotencyKey string
+	class                               requestClass
+	limit                               time.Duration
+	resentAfterClose                    bool          // it crossed a close before
+	halvesDelay                         time.Duration // between its first half and its second; 0: it is written at once
+	malformed                           bool
 }
 
 // connect opens a connection to the dispatcher; nil: it takes none.
@@ -170,34 +170,34 @@
 func (c *clientConn) send(r request) bool {
 	fields := map[string]string{"txn": r.ticket, "verb": r.class.name, "heap_mb": "32",
 		"limit": fmt.Sprint(r.limit.Milliseconds()),
-		"cpu":   fmt.Sprintf("%.1f", float64(r.class.work)/float64(time.Millisecond))}
-	if r.key != "" {
-		fields["item"] = r.key
+		"cpu":   fmt.Sprintf("%.1f", float64(r.class.meanWork)/float64(time.Millisecond))}
+	if r.orderingKey != "" {
+		fields["item"] = r.orderingKey
 	}
-	if r.nonce != "" {
-		fields["unique"] = r.nonce
+	if r.idempotencyKey != "" {
+		fields["unique"] = r.idempotencyKey
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return false
 	}
-	c.next++
-	seq := c.next
+	c.lastSeq++
+	seq := c.lastSeq
 	c.open[seq] = r.ticket
 	// What is seen of it may come before Write returns.
 	life := c.dispatcher.currentIncarnation()
 	c.dispatcher.fleet.oracle.updateRequest(r.ticket, func(a *observedRequest) {
-		a.class, a.key, a.dispatcher, a.incarnation, a.limit = r.class.name, r.key, c.dispatcher.index, life,
+		a.class, a.orderingKey, a.dispatcher, a.incarnation, a.limit = r.class.name, r.orderingKey, c.dispatcher.index, life,
 			r.limit
 		a.malformed = r.malformed
-		a.sent = time.Now()
+		a.sentAt = time.Now()
 	})
 	c.dispatcher.rememberRequest(r)
 	err := c.write(dispatchMessage(seq, fields, "SELECT 1 FROM sales_3.orders"), r.halvesDelay)
 	c.sentAt[r.ticket] = time.Now()
 	c.dispatcher.fleet.oracle.updateRequest(r.ticket, func(a *observedRequest) {
-		if a.sent = time.Now(); err != nil {
+		if a.sentAt = time.Now(); err != nil {
 			a.excused = "it could not be written"
 		}
 	})
@@ -218,13 +218,13 @@
 	return err
 }
 
-// runResting asks, rests until the dispatcher is about to end the connection, and asks again, until stop is
+// runIdle asks, rests until the dispatcher is about to end the connection, and asks again, until stop is
 // closed.
-func (s *sender) runResting(stop <-chan struct{}) {
+func (s *sender) runIdle(stop <-chan struct{}) {
 	for {
 		if c := s.dispatcher.connect(); c != nil && s.dispatcher.acceptsConnections() {
 			for range 2 {
-				c.send(request{ticket: fmt.Sprintf("%016x", s.random.Uint64()), class: classes[0],
+				c.send(request{ticket: fmt.Sprintf("%016x", s.random.Uint64()), class: requestClasses[0],
 					limit: time.Second})
 				around := time.Duration(s.random.Int64N(int64(2*idleTimeoutJitter))) - idleTimeoutJitter
 				select {
@@ -233,7 +233,7 @@
 				case <-time.After(idleTimeout + around):
 				}
 			}
-			c.leave(false)
+			c.disconnect(false)
 		}
 		select {
 		case <-stop:
@@ -251,15 +251,15 @@
 		if open != ticket || c.closed {
 			continue
 		}
-		c.next++
-		c.conn.Write(cancelMessage(c.next, seq))
-		c.markGone(ticket)
+		c.lastSeq++
+		c.conn.Write(cancelMessage(c.lastSeq, seq))
+		c.markClientGone(ticket)
 		delete(c.open, seq)
 	}
 }
 
-// leave closes the connection with whatever is open on it.
-func (c *clientConn) leave(hard bool) {
+// disconnect closes the connection with whatever is open on it.
+func (c *clientConn) disconnect(hard bool) {
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
@@ -267,7 +267,7 @@
 	}
 	c.closed = true
 	for _, ticket := range c.open {
-		c.markGone(ticket)
+		c.markClientGone(ticket)
 	}
 	clear(c.open)
 	c.mu.Unlock()
@@ -277,12 +277,12 @@
 	c.conn.Close()
 }
 
-// markGone enters that the client waits no longer; the link may hold that back.
-func (c *clientConn) markGone(ticket string) {
+// markClientGone enters that the client waits no longer; the link may hold that back.
+func (c *clientConn) markClientGone(ticket string) {
 	at := time.Now().Add(c.dispatcher.linkDelay())
 	c.dispatcher.fleet.oracle.updateRequest(ticket, func(a *observedRequest) {
-		if a.clientGone.IsZero() {
-			a.clientGone = at
+		if a.clientGoneAt.IsZero() {
+			a.clientGoneAt = at
 		}
 	})
 }
@@ -306,7 +306,7 @@
 		a, err := parseAnswer(frame)
 		if err != nil {
 			c.dispatcher.fleet.oracle.addFinding("unreadable_answer", "", "%x", frame)
-			c.leave(true)
+			c.disconnect(true)
 			return
 		}
 		c.handleAnswer(a)
@@ -315,7 +315,7 @@
 
 func (c *clientConn) handleAnswer(a answer) {
 	if a.method == "alive" {
-		c.dispatcher.recordAlive(a.good)
+		c.dispatcher.recordAlive(a.alive)
 		return
 	}
 	c.mu.Lock()
@@ -331,7 +331,7 @@
 		return // taken back
 	}
 	c.dispatcher.fleet.oracle.updateRequest(ticket, func(r *observedRequest) {
-		r.answers = append(r.answers, response{a.kind, a.body, time.Now()})
+		r.answers = append(r.answers, receivedAnswer{a.kind, a.body, time.Now()})
 	})
 }
 
@@ -357,19 +357,19 @@
 	}
 	for _, ticket := range open {
 		r, ok := c.dispatcher.rememberedRequest(ticket)
-		if resting && ok && !r.crossedClose && c.dispatcher.acceptsConnections() {
+		if resting && ok && !r.resentAfterClose && c.dispatcher.acceptsConnections() {
 			if other := c.dispatcher.connect(); other != nil {
-				r.crossedClose = true
+				r.resentAfterClose = true
 				if other.send(r) {
 					continue
 				}
 			}
 		}
-		crossed := resting && (c.dispatcher.terminating() || c.dispatcher.isCrowded())
+		crossed := resting && (c.dispatcher.terminating() || c.dispatcher.descriptorsMayBeFull())
 		c.dispatcher.fleet.oracle.updateRequest(ticket, func(a *observedRequest) {
-			a.ended = now
+			a.connectionEndedAt = now
 			if crossed && a.excused == "" {
-				a.excused = crossedClose
+				a.excused = excuseCrossedClose
 			}
 		})
 	}
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -37,36 +37,36 @@
 // discoveryServer stands in for discovery, as one dispatcher sees it: events numbered from its start, told
 // at one of two addresses.
 type discoveryServer struct {
-	mu         sync.Mutex
-	events     []watchEvent
-	current    int // the address that tells
-	moved      time.Time
-	down       bool
-	silent     bool
-	slow       bool
-	truncating bool
-	underFault time.Time // its last trouble ended
-	lns        [2]net.Listener
-	servers    [2]*http.Server
-	ended      sync.WaitGroup
-	added      chan struct{} // closed when an event comes
+	mu             sync.Mutex
+	events         []watchEvent
+	currentAddress int // the address that tells
+	redirectedAt   time.Time
+	down           bool
+	silent         bool
+	slow           bool
+	truncating     bool
+	faultChangedAt time.Time // its last trouble ended
+	listeners      [2]net.Listener
+	servers        [2]*http.Server
+	ended          sync.WaitGroup
+	changed        chan struct{} // closed when an event comes
 }
 
-// slowAnswer is how long a slow discovery takes for each answer, oldAddressServesFor how long an address
+// slowAnswerDelay is how long a slow discovery takes for each answer, oldAddressServesFor how long an address
 // that was left keeps its streams.
 const (
-	slowAnswer          = 2200 * time.Millisecond
+	slowAnswerDelay     = 2200 * time.Millisecond
 	oldAddressServesFor = 1500 * time.Millisecond
 )
 
 func newDiscoveryServer() (*discoveryServer, error) {
-	b := &discoveryServer{added: make(chan struct{})}
-	for i := range b.lns {
+	b := &discoveryServer{changed: make(chan struct{})}
+	for i := range b.listeners {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
-		b.lns[i] = ln
+		b.listeners[i] = ln
 		b.servers[i] = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 			b.serve(i, w, q)
 		})}
@@ -79,7 +79,7 @@
 func (b *discoveryServer) addr() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.lns[b.current].Addr().String()
+	return b.listeners[b.currentAddress].Addr().String()
 }
 
 // restart numbers events anew, with a whole list first.
@@ -99,17 +99,17 @@
 	}
 	b.events = append(b.events, watchEvent{len(b.events) + 1, &endpointList{len(b.events) + 1, false,
 		changed}})
-	close(b.added)
-	b.added = make(chan struct{})
+	close(b.changed)
+	b.changed = make(chan struct{})
 }
 
 // redirect has the other address tell.
 func (b *discoveryServer) redirect() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.current, b.moved = 1-b.current, time.Now()
-	close(b.added)
-	b.added = make(chan struct{})
+	b.currentAddress, b.redirectedAt = 1-b.currentAddress, time.Now()
+	close(b.changed)
+	b.changed = make(chan struct{})
 }
 
 // set changes how it behaves.
@@ -117,16 +117,16 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	change(b)
-	b.underFault = time.Now()
-	close(b.added)
-	b.added = make(chan struct{})
+	b.faultChangedAt = time.Now()
+	close(b.changed)
+	b.changed = make(chan struct{})
 }
 
 // faulty reports whether it was not itself at any moment since a time.
 func (b *discoveryServer) faulty(since time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.down || b.silent || b.slow || b.truncating || b.underFault.After(since) || b.moved.After(since)
+	return b.down || b.silent || b.slow || b.truncating || b.faultChangedAt.After(since) || b.redirectedAt.After(since)
 }
 
 // hangUp ends a call without a word.
@@ -138,7 +138,7 @@
 
 func (b *discoveryServer) serve(address int, w http.ResponseWriter, q *http.Request) {
 	b.mu.Lock()
-	down, slow, left := b.down, b.slow, address != b.current
+	down, slow, left := b.down, b.slow, address != b.currentAddress
 	b.mu.Unlock()
 	if down || left {
 		hangUp(w)
@@ -146,7 +146,7 @@
 	}
 	if slow {
 		select {
-		case <-time.After(slowAnswer):
+		case <-time.After(slowAnswerDelay):
 		case <-q.Context().Done():
 			return
 		}
@@ -160,10 +160,10 @@
 	defer comment.Stop()
 	for q.Context().Err() == nil {
 		b.mu.Lock()
-		events, added, torn := b.events, b.added, b.truncating
-		down, mute, left := b.down, b.silent, address != b.current &&
-			time.Since(b.moved) > oldAddressServesFor
-		tells := address == b.current
+		events, added, torn := b.events, b.changed, b.truncating
+		down, mute, left := b.down, b.silent, address != b.currentAddress &&
+			time.Since(b.redirectedAt) > oldAddressServesFor
+		tells := address == b.currentAddress
 		b.mu.Unlock()
 		if down || left {
 			hangUp(w)
--- a/internal/soak/dispatcher.go
+++ b/internal/soak/dispatcher.go
@@ -35,19 +35,19 @@
 	dir       string
 	parsers   sync.Map // of taps: a parser for each connection
 
-	mu           sync.Mutex
-	incarnation  int
-	process      *exec.Cmd
-	ended        chan struct{} // closed when the process has ended
-	ready        bool
-	terminatedAt time.Time     // SIGTERM was sent; zero: not
-	changing     bool          // a change of life goes on
-	pausedFor    time.Duration // in all its lives
-	crowdedUntil time.Time     // until then idle clients may fill its descriptors
-	delay        time.Duration
-	clientConns  map[*clientConn]bool
-	requests     map[string]request
-	aliveReply   chan bool
+	mu                   sync.Mutex
+	incarnation          int
+	process              *exec.Cmd
+	ended                chan struct{} // closed when the process has ended
+	ready                bool
+	terminatedAt         time.Time     // SIGTERM was sent; zero: not
+	changing             bool          // a change of life goes on
+	pausedFor            time.Duration // in all its lives
+	descriptorsFullUntil time.Time     // until then idle clients may fill its descriptors
+	clientLinkDelay      time.Duration
+	clientConns          map[*clientConn]bool
+	requests             map[string]request
+	aliveReply           chan bool
 }
 
 // exchangeKey names a connection on a link to a compute node.
@@ -201,7 +201,7 @@
 		case good = <-got:
 		case <-time.After(500 * time.Millisecond):
 		}
-		c.leave(false)
+		c.disconnect(false)
 		if good {
 			d.mu.Lock()
 			d.ready = true
@@ -357,26 +357,26 @@
 func (d *dispatcher) linkDelay() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.delay
+	return d.clientLinkDelay
 }
 
 func (d *dispatcher) setLinkDelay(by time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.delay = by
+	d.clientLinkDelay = by
 }
 
-// setCrowded tells that idle clients come for so long.
-func (d *dispatcher) setCrowded(by time.Duration) {
+// expectFullDescriptors tells that idle clients come for so long.
+func (d *dispatcher) expectFullDescriptors(by time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.crowdedUntil = time.Now().Add(by)
+	d.descriptorsFullUntil = time.Now().Add(by)
 }
 
-func (d *dispatcher) isCrowded() bool {
+func (d *dispatcher) descriptorsMayBeFull() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return time.Now().Before(d.crowdedUntil)
+	return time.Now().Before(d.descriptorsFullUntil)
 }
 
 func (d *dispatcher) track(c *clientConn, on bool) {
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -78,8 +78,8 @@
 	background   sync.WaitGroup
 }
 
-// restingClients is how many clients of a dispatcher rest until it ends their connections.
-const restingClients = 3
+// idleClientsPerDispatcher is how many clients of a dispatcher rest until it ends their connections.
+const idleClientsPerDispatcher = 3
 
 // Of troubles.
 const (
@@ -126,10 +126,10 @@
 	for _, d := range f.dispatchers {
 		s := &sender{dispatcher: d, random: rand.New(rand.NewPCG(c.Plan.Seed, uint64(d.index)+1))}
 		f.background.Go(func() { s.run(c.Plan.Rate, sending) })
-		for i := range restingClients {
-			number := uint64(d.index*restingClients+i) << 32
+		for i := range idleClientsPerDispatcher {
+			number := uint64(d.index*idleClientsPerDispatcher+i) << 32
 			resting := &sender{dispatcher: d, random: rand.New(rand.NewPCG(c.Plan.Seed, number))}
-			f.background.Go(func() { resting.runResting(sending) })
+			f.background.Go(func() { resting.runIdle(sending) })
 		}
 	}
 	f.play(ctx)
@@ -233,12 +233,12 @@
 // that its discovery is in.
 func (f *fleet) recordDrain(d *dispatcher, generation string) {
 	told, life := time.Now(), d.currentIncarnation()
-	if !d.discovery.faulty(told.Add(-faultNoticeDelay)) {
+	if !d.discovery.faulty(told.Add(-discoveryCatchUp)) {
 		f.oracle.recordDrain(d.index, life, generation, told)
 		return
 	}
 	f.background.Go(func() {
-		for d.discovery.faulty(time.Now().Add(-faultNoticeDelay)) && !f.closing() {
+		for d.discovery.faulty(time.Now().Add(-discoveryCatchUp)) && !f.closing() {
 			time.Sleep(20 * time.Millisecond)
 		}
 		f.oracle.recordDrain(d.index, life, generation, time.Now())
@@ -247,13 +247,13 @@
 
 // settings are those of the platform, by its names.
 func (f *fleet) settings() map[string]any {
-	effects := map[effect]string{safe: "safe", keyed: "keyed", unsafe: "unsafe"}
+	effects := map[idempotency]string{idempotent: "safe", idempotentWithKey: "keyed", notIdempotent: "unsafe"}
 	var list []map[string]any
 	threads, loads := []float64{}, []bool{}
-	for _, c := range classes {
+	for _, c := range requestClasses {
 		k := map[string]any{"name": c.name, "aim-us": 400000, "deadline-us": 3000000, "importance": 1.0,
-			"semantics": effects[c.effect], "window-us": c.window.Microseconds()}
-		if c.effect == keyed {
+			"semantics": effects[c.idempotency], "window-us": c.deduplicationWindow.Microseconds()}
+		if c.idempotency == idempotentWithKey {
 			k["key-scope"] = "all"
 		}
 		if c.inOrder {
@@ -283,7 +283,7 @@
 func (f *fleet) play(ctx context.Context) {
 	begun := time.Now()
 	f.mu.Lock()
-	f.sendingUntil = begun.Add(f.plan.For)
+	f.sendingUntil = begun.Add(f.plan.Duration)
 	f.mu.Unlock()
 	for _, t := range f.plan.Faults {
 		select {
@@ -294,7 +294,7 @@
 		f.background.Go(func() { f.inject(t) })
 	}
 	select {
-	case <-time.After(time.Until(begun.Add(f.plan.For))):
+	case <-time.After(time.Until(begun.Add(f.plan.Duration))):
 	case <-ctx.Done():
 	}
 }
@@ -310,14 +310,14 @@
 		for _, p := range d.nodes {
 			p.set(m, delay)
 		}
-		time.Sleep(t.For)
+		time.Sleep(t.Duration)
 		for _, p := range d.nodes {
 			p.set(linkHealthy, 0)
 		}
 	}
 	discovery := func(set func(b *discoveryServer, on bool)) {
 		d.discovery.set(func(b *discoveryServer) { set(b, true) })
-		time.Sleep(t.For)
+		time.Sleep(t.Duration)
 		d.discovery.set(func(b *discoveryServer) { set(b, false) })
 	}
 	switch t.Kind {
@@ -330,15 +330,15 @@
 	case ReloadBurst:
 		for range 4 {
 			d.reload()
-			time.Sleep(t.For / 8)
+			time.Sleep(t.Duration / 8)
 		}
-	case DiscDown:
+	case DiscoveryDown:
 		discovery(func(b *discoveryServer, on bool) { b.down = on })
-	case DiscMute:
+	case DiscoverySilent:
 		discovery(func(b *discoveryServer, on bool) { b.silent = on })
-	case DiscSlow:
+	case DiscoverySlow:
 		discovery(func(b *discoveryServer, on bool) { b.slow = on })
-	case DiscTorn:
+	case DiscoveryTruncated:
 		discovery(func(b *discoveryServer, on bool) { b.truncating = on })
 	case LinkDelay:
 		links(linkDelay, 60*time.Millisecond)
@@ -351,25 +351,25 @@
 		links(linkBytes, 0)
 	case LinkReset:
 		links(linkReset, 0)
-	case LinkForget:
+	case LinkSilenceIdle:
 		for _, p := range d.nodes {
 			p.forget()
 		}
-	case LinkIdle:
-		for until := time.Now().Add(t.For); time.Now().Before(until); time.Sleep(idleResetInterval) {
+	case LinkResetIdle:
+		for until := time.Now().Add(t.Duration); time.Now().Before(until); time.Sleep(idleResetInterval) {
 			for _, p := range d.nodes {
 				p.resetIdle()
 			}
 		}
 	case Pause:
-		d.pause(t.For)
+		d.pause(t.Duration)
 	case ClientDelay, ClientBytes:
 		f.clientLink(t, d)
-	case ClientsLeave:
+	case ClientsDisconnect:
 		for i, c := range d.connections() {
-			c.leave(i%2 == 0)
+			c.disconnect(i%2 == 0)
 		}
-	case ClientsTake:
+	case ClientsCancel:
 		for _, c := range d.connections() {
 			c.cancelAll()
 		}
@@ -397,7 +397,7 @@
 	} else {
 		d.clients.set(linkBytes, 0)
 	}
-	time.Sleep(t.For)
+	time.Sleep(t.Duration)
 	d.clients.set(linkHealthy, 0)
 	time.Sleep(2 * delay)
 	d.setLinkDelay(0)
@@ -405,35 +405,35 @@
 
 // idleClients opens connections that say nothing.
 func (f *fleet) idleClients(t Fault, d *dispatcher) {
-	d.setCrowded(t.For + 300*time.Millisecond)
+	d.expectFullDescriptors(t.Duration + 300*time.Millisecond)
 	var all []*clientConn
 	for range 60 {
 		if c := d.connect(); c != nil {
 			all = append(all, c)
 		}
 	}
-	time.Sleep(t.For)
+	time.Sleep(t.Duration)
 	for _, c := range all {
-		c.leave(true)
+		c.disconnect(true)
 	}
 }
 
 // sendMalformed ask and take back at once, for a while.
 func (f *fleet) sendMalformed(t Fault, d *dispatcher) {
 	random := rand.New(rand.NewPCG(f.plan.Seed, uint64(t.At)))
-	for until := time.Now().Add(t.For); time.Now().Before(until) &&
+	for until := time.Now().Add(t.Duration); time.Now().Before(until) &&
 		d.acceptsConnections(); time.Sleep(5 * time.Millisecond) {
 		c := d.connect()
 		if c == nil {
 			return
 		}
 		for range maxOpenRequests {
-			c.send(request{ticket: fmt.Sprintf("%016x", random.Uint64()), class: classes[0],
+			c.send(request{ticket: fmt.Sprintf("%016x", random.Uint64()), class: requestClasses[0],
 				limit:     time.Second,
 				malformed: true})
 		}
 		c.cancelAll()
-		c.leave(false)
+		c.disconnect(false)
 	}
 }
 
@@ -455,7 +455,7 @@
 	default:
 		write(map[string]any{"share": 0.4})
 	}
-	time.Sleep(t.For)
+	time.Sleep(t.Duration)
 	write(map[string]any{})
 }
 
@@ -463,7 +463,7 @@
 func (f *fleet) injectNodeFault(t Fault, n *computeNode) {
 	during := func(set func(n *computeNode, on bool)) {
 		n.update(func(n *computeNode) { set(n, true) })
-		time.Sleep(t.For)
+		time.Sleep(t.Duration)
 		n.update(func(n *computeNode) { set(n, false) })
 	}
 	switch t.Kind {
@@ -477,7 +477,7 @@
 			return
 		}
 		n.crash()
-		time.Sleep(t.For / 2)
+		time.Sleep(t.Duration / 2)
 		f.restartNode(n)
 	case NodesHang:
 		var all sync.WaitGroup
@@ -494,7 +494,7 @@
 				n.hanging = hung
 			}
 		})
-		time.Sleep(t.For)
+		time.Sleep(t.Duration)
 		n.update(func(n *computeNode) {
 			if n.hanging == hung {
 				n.hanging = nil
@@ -505,7 +505,7 @@
 		during(func(n *computeNode, on bool) { n.full = on })
 	case NodeErrors:
 		during(func(n *computeNode, on bool) { n.errors = on })
-	case NodeTwice:
+	case NodeAnswersTwice:
 		during(func(n *computeNode, on bool) { n.answersTwice = on })
 	}
 }
@@ -524,7 +524,7 @@
 		return
 	}
 	f.updateEndpoint(n.index, func(s *endpoint) { s.State = "draining" })
-	time.Sleep(drainGrace + time.Second + t.For)
+	time.Sleep(drainGrace + time.Second + t.Duration)
 	n.crash()
 	time.Sleep(100 * time.Millisecond)
 	f.restartNode(n)
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -30,7 +30,7 @@
 	pages     []string
 	finished  bool // ended or given up
 	succeeded bool
-	done      chan struct{} // closed when it is over
+	over      chan struct{} // closed when it is over
 }
 
 // computeNode stands in for a compute node. Its life goes on when its process dies and another comes at its
@@ -59,8 +59,8 @@
 	n := &computeNode{index: index, oracle: o, runs: map[string]*queryRun{},
 		work:   map[string]time.Duration{},
 		random: rand.New(rand.NewPCG(seed, uint64(index)+1))}
-	for _, c := range classes {
-		n.work[c.name] = c.work
+	for _, c := range requestClasses {
+		n.work[c.name] = c.meanWork
 	}
 	return n, n.listen("127.0.0.1:0")
 }
@@ -105,7 +105,7 @@
 	was := r.finished
 	if !was {
 		r.finished, r.succeeded = true, good
-		close(r.done)
+		close(r.over)
 	}
 	n.mu.Unlock()
 	if !was {
@@ -213,7 +213,7 @@
 		mean := n.work[class]
 		took := mean/2 + time.Duration(n.random.ExpFloat64()*float64(mean)/2)
 		r = &queryRun{class: class, polledAt: time.Now(), endsAt: time.Now().Add(took),
-			done: make(chan struct{})}
+			over: make(chan struct{})}
 		for page := range 1 + n.random.IntN(3) {
 			r.pages = append(r.pages, fmt.Sprintf("%s\t%d\t%016x\n", ticket, page, n.random.Uint64()))
 		}
@@ -236,7 +236,7 @@
 	select {
 	case <-done.C:
 		n.endRun(ticket, r, true)
-	case <-r.done:
+	case <-r.over:
 	case <-news.C:
 		w.WriteHeader(http.StatusAccepted)
 		return
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -9,40 +9,40 @@
 	"time"
 )
 
-// effect says what a repeat of a class does.
-type effect int
+// idempotency says what a repeat of a class does.
+type idempotency int
 
 // The effects.
 const (
-	safe effect = iota
-	keyed
-	unsafe
+	idempotent idempotency = iota
+	idempotentWithKey
+	notIdempotent
 )
 
-// class is a class of requests of the soak's fleet.
-type class struct {
-	name    string
-	effect  effect
-	inOrder bool
-	window  time.Duration
-	work    time.Duration // mean, on one core
-	share   float64       // of the requests
+// requestClass is a class of requests of the soak's fleet.
+type requestClass struct {
+	name                string
+	idempotency         idempotency
+	inOrder             bool
+	deduplicationWindow time.Duration
+	meanWork            time.Duration // mean, on one core
+	share               float64       // of the requests
 }
 
-var classes = []class{
-	{name: "quick", effect: safe, work: 40 * time.Millisecond, share: 0.55},
-	{name: "load", effect: keyed, window: 3 * time.Second, work: 150 * time.Millisecond, share: 0.15},
-	{name: "once", effect: unsafe, work: 80 * time.Millisecond, share: 0.15},
-	{name: "turn", effect: safe, inOrder: true, work: 60 * time.Millisecond, share: 0.15},
+var requestClasses = []requestClass{
+	{name: "quick", idempotency: idempotent, meanWork: 40 * time.Millisecond, share: 0.55},
+	{name: "load", idempotency: idempotentWithKey, deduplicationWindow: 3 * time.Second, meanWork: 150 * time.Millisecond, share: 0.15},
+	{name: "once", idempotency: notIdempotent, meanWork: 80 * time.Millisecond, share: 0.15},
+	{name: "turn", idempotency: idempotent, inOrder: true, meanWork: 60 * time.Millisecond, share: 0.15},
 }
 
-func classOf(name string) class {
-	for _, c := range classes {
+func classNamed(name string) requestClass {
+	for _, c := range requestClasses {
 		if c.name == name {
 			return c
 		}
 	}
-	return class{name: name, effect: unsafe}
+	return requestClass{name: name, idempotency: notIdempotent}
 }
 
 // Of the settings that the fleet is given, and the slack with which the platform's page judges. measured
@@ -62,12 +62,12 @@
 	slowStartFactor   = 0.6
 	slowStartWindow   = time.Second
 	nodeCores         = 4.0
-	faultNoticeDelay  = 4 * time.Second // after discovery's trouble, what it would have told counts as told
+	discoveryCatchUp  = 4 * time.Second // after discovery's trouble, what it would have told counts as told
 )
 
-// crossedClose excuses a request that came as a dispatcher which ends, or whose descriptors idle clients
+// excuseCrossedClose excuses a request that came as a dispatcher which ends, or whose descriptors idle clients
 // fill, closed its connection, unless it was forwarded all the same.
-const crossedClose = "it crossed the close of a dispatcher that ends or is crowded"
+const excuseCrossedClose = "it crossed the close of a dispatcher that ends or is crowded"
 
 // Finding is a rule that was broken.
 type Finding struct {
@@ -81,8 +81,8 @@
 	return fmt.Sprintf("%.3fs %s %s: %s", f.At.Seconds(), f.Invariant, f.Ticket, f.Detail)
 }
 
-// response is an answer that came.
-type response struct {
+// receivedAnswer is an answer that came.
+type receivedAnswer struct {
 	kind answerKind
 	body string
 	at   time.Time
@@ -99,28 +99,28 @@
 
 // interval is a time in which an attempt was out at a compute node.
 type interval struct {
-	node     int
-	from, to time.Time // to zero: yet
+	node       int
+	start, end time.Time // to zero: yet
 }
 
 // observedRequest is a request with all that was seen of it.
 type observedRequest struct {
-	ticket, class, key      string
-	dispatcher, incarnation int
-	sent                    time.Time // its last byte
-	limit                   time.Duration
-	answers                 []response
-	clientGone              time.Time // its client cancelled or closed; zero: it waits
-	ended                   time.Time // its connection ended without an answer
-	excused                 string    // why no answer is owed
-	malformed               bool      // it raises no budget
-	posts                   []postedQuery
-	intervals               []interval
-	results                 []string
+	ticket, class, orderingKey string
+	dispatcher, incarnation    int
+	sentAt                     time.Time // its last byte
+	limit                      time.Duration
+	answers                    []receivedAnswer
+	clientGoneAt               time.Time // its client cancelled or closed; zero: it waits
+	connectionEndedAt          time.Time // its connection ended without an answer
+	excused                    string    // why no answer is owed
+	malformed                  bool      // it raises no budget
+	posts                      []postedQuery
+	intervals                  []interval
+	results                    []string
 }
 
-// notificationKey names what a dispatcher was told of a compute node.
-type notificationKey struct {
+// drainNoticeKey names what a dispatcher was told of a compute node.
+type drainNoticeKey struct {
 	dispatcher, incarnation int
 	generation              string
 }
@@ -130,7 +130,7 @@
 	mu             sync.Mutex
 	startedAt      time.Time
 	requests       map[string]*observedRequest
-	drainNotices   map[notificationKey]time.Time
+	drainNotices   map[drainNoticeKey]time.Time
 	slowStarts     map[string]time.Time // starts, by generation
 	findings       []Finding
 	hasRetryBudget bool
@@ -140,7 +140,7 @@
 	return &oracle{
 		startedAt:      time.Now(),
 		requests:       map[string]*observedRequest{},
-		drainNotices:   map[notificationKey]time.Time{},
+		drainNotices:   map[drainNoticeKey]time.Time{},
 		slowStarts:     map[string]time.Time{},
 		hasRetryBudget: budget,
 	}
@@ -175,12 +175,12 @@
 	now := time.Now()
 	o.updateRequest(ticket, func(a *observedRequest) {
 		if begun {
-			a.intervals = append(a.intervals, interval{node: node, from: now})
+			a.intervals = append(a.intervals, interval{node: node, start: now})
 			return
 		}
 		for i := range a.intervals {
-			if a.intervals[i].node == node && a.intervals[i].to.IsZero() {
-				a.intervals[i].to = now
+			if a.intervals[i].node == node && a.intervals[i].end.IsZero() {
+				a.intervals[i].end = now
 			}
 		}
 	})
@@ -197,7 +197,7 @@
 	defer o.mu.Unlock()
 	for _, a := range o.requests {
 		if a.dispatcher == dispatcher && a.incarnation == life && len(a.answers) == 0 &&
-			(a.excused == "" || a.excused == crossedClose) {
+			(a.excused == "" || a.excused == excuseCrossedClose) {
 			a.excused = "its dispatcher was killed"
 		}
 	}
@@ -207,8 +207,8 @@
 func (o *oracle) recordDrain(dispatcher, life int, generation string, at time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if _, ok := o.drainNotices[notificationKey{dispatcher, life, generation}]; !ok {
-		o.drainNotices[notificationKey{dispatcher, life, generation}] = at
+	if _, ok := o.drainNotices[drainNoticeKey{dispatcher, life, generation}]; !ok {
+		o.drainNotices[drainNoticeKey{dispatcher, life, generation}] = at
 	}
 }
 
@@ -243,17 +243,17 @@
 	switch {
 	case len(a.answers) > 1:
 		o.addFindingLocked("second_answer", a.ticket, a.answers[1].at, "%d answers", len(a.answers))
-	case len(a.answers) == 0 && a.clientGone.IsZero() && (a.excused == "" || a.excused == crossedClose &&
+	case len(a.answers) == 0 && a.clientGoneAt.IsZero() && (a.excused == "" || a.excused == excuseCrossedClose &&
 		len(a.posts) > 0):
-		o.addFindingLocked("lost", a.ticket, a.sent,
+		o.addFindingLocked("lost", a.ticket, a.sentAt,
 			"class %s at dispatcher %d: no answer in %v; connection ended %v", a.class,
-			a.dispatcher, a.limit, !a.ended.IsZero())
+			a.dispatcher, a.limit, !a.connectionEndedAt.IsZero())
 	}
 	if len(a.answers) == 0 {
 		return
 	}
 	first := a.answers[0]
-	if late := first.at.Sub(a.sent) - a.limit; late > answerSlack+measurementSlack && a.clientGone.IsZero() {
+	if late := first.at.Sub(a.sentAt) - a.limit; late > answerSlack+measurementSlack && a.clientGoneAt.IsZero() {
 		o.addFindingLocked("late", a.ticket, first.at, "%s %v after its time", first.kind, late)
 	}
 	if first.kind == answerServed && !slices.Contains(a.results, first.body) {
@@ -264,23 +264,23 @@
 
 func (o *oracle) judgePosts(a *observedRequest) {
 	for _, p := range a.posts {
-		if !a.clientGone.IsZero() {
-			if late := p.first.Sub(a.clientGone); late > clientGoneSlack+measurementSlack {
-				o.addFindingLocked("sent_after_gone", a.ticket, p.first, "%v after its client had gone", late)
+		if !a.clientGoneAt.IsZero() {
+			if late := p.firstByteAt.Sub(a.clientGoneAt); late > clientGoneSlack+measurementSlack {
+				o.addFindingLocked("sent_after_gone", a.ticket, p.firstByteAt, "%v after its client had gone", late)
 			}
 		}
 		if len(a.answers) > 0 {
-			if late := p.first.Sub(a.answers[0].at); late > 0 {
-				o.addFindingLocked("sent_after_answer", a.ticket, p.first, "%v after its answer", late)
+			if late := p.firstByteAt.Sub(a.answers[0].at); late > 0 {
+				o.addFindingLocked("sent_after_answer", a.ticket, p.firstByteAt, "%v after its answer", late)
 			}
 		}
-		if more := p.limit - (a.limit - p.first.Sub(a.sent)); more > deadlineSlack+measurementSlack {
-			o.addFindingLocked("told_deadline", a.ticket, p.first, "%v told, %v more than is left", p.limit,
+		if more := p.limit - (a.limit - p.firstByteAt.Sub(a.sentAt)); more > deadlineSlack+measurementSlack {
+			o.addFindingLocked("told_deadline", a.ticket, p.firstByteAt, "%v told, %v more than is left", p.limit,
 				more)
 		}
-		if told, ok := o.drainNotices[notificationKey{p.dispatcher, p.incarnation, p.generation}]; ok {
-			if late := p.first.Sub(told); late > drainGrace+measurementSlack {
-				o.addFindingLocked("sent_to_drained", a.ticket, p.first, "%s %v after its drain was told",
+		if told, ok := o.drainNotices[drainNoticeKey{p.dispatcher, p.incarnation, p.generation}]; ok {
+			if late := p.firstByteAt.Sub(told); late > drainGrace+measurementSlack {
+				o.addFindingLocked("sent_to_drained", a.ticket, p.firstByteAt, "%s %v after its drain was told",
 					p.generation, late)
 			}
 		}
@@ -288,25 +288,25 @@
 }
 
 func (o *oracle) judgeRetries(a *observedRequest) {
-	c := classOf(a.class)
+	c := classNamed(a.class)
 	sort.Slice(
 		a.intervals,
-		func(i, j int) bool { return a.intervals[i].from.Before(a.intervals[j].from) },
+		func(i, j int) bool { return a.intervals[i].start.Before(a.intervals[j].start) },
 	)
 	for i := 1; i < len(a.intervals); i++ {
 		before, now := a.intervals[i-1], a.intervals[i]
-		if c.effect == unsafe {
-			o.addFindingLocked("repeated_unsafe", a.ticket, now.from, "at node %d after node %d", now.node,
+		if c.idempotency == notIdempotent {
+			o.addFindingLocked("repeated_unsafe", a.ticket, now.start, "at node %d after node %d", now.node,
 				before.node)
 		}
-		alone := c.effect != safe || c.inOrder // of others the page forbids no second attempt
-		if alone && (before.to.IsZero() || now.from.Before(before.to)) {
-			o.addFindingLocked("repeated_beside", a.ticket, now.from, "at node %d while at node %d", now.node,
+		alone := c.idempotency != idempotent || c.inOrder // of others the page forbids no second attempt
+		if alone && (before.end.IsZero() || now.start.Before(before.end)) {
+			o.addFindingLocked("repeated_beside", a.ticket, now.start, "at node %d while at node %d", now.node,
 				before.node)
 		}
-		if late := now.from.Sub(a.intervals[0].from) - c.window; c.effect == keyed &&
+		if late := now.start.Sub(a.intervals[0].start) - c.deduplicationWindow; c.idempotency == idempotentWithKey &&
 			late > measurementSlack {
-			o.addFindingLocked("repeated_late", a.ticket, now.from, "%v after its window", late)
+			o.addFindingLocked("repeated_late", a.ticket, now.start, "%v after its window", late)
 		}
 	}
 }
@@ -315,15 +315,15 @@
 func (o *oracle) judgeOrder() {
 	byKey := map[string][]*observedRequest{}
 	for _, a := range o.requests {
-		if classOf(a.class).inOrder && a.key != "" {
-			byKey[a.key] = append(byKey[a.key], a)
+		if classNamed(a.class).inOrder && a.orderingKey != "" {
+			byKey[a.orderingKey] = append(byKey[a.orderingKey], a)
 		}
 	}
 	for _, all := range byKey {
 		for i, a := range all {
 			for _, b := range all[i+1:] {
 				if both, at := overlapping(a, b); both {
-					o.addFindingLocked("out_of_order", a.ticket, at, "key %s, beside %s", a.key, b.ticket)
+					o.addFindingLocked("out_of_order", a.ticket, at, "key %s, beside %s", a.orderingKey, b.ticket)
 				}
 			}
 		}
@@ -336,11 +336,11 @@
 	}
 	for _, x := range a.intervals {
 		for _, y := range b.intervals {
-			if (y.to.IsZero() || x.from.Before(y.to)) && (x.to.IsZero() || y.from.Before(x.to)) {
-				if x.from.Before(y.from) {
-					return true, y.from
+			if (y.end.IsZero() || x.start.Before(y.end)) && (x.end.IsZero() || y.start.Before(x.end)) {
+				if x.start.Before(y.start) {
+					return true, y.start
 				}
-				return true, x.from
+				return true, x.start
 			}
 		}
 	}
@@ -354,10 +354,10 @@
 	taken, further := map[life][]time.Time{}, map[life][]postedQuery{}
 	for _, a := range o.requests {
 		at := life{a.dispatcher, a.incarnation}
-		if !a.sent.IsZero() && !a.malformed {
-			taken[at] = append(taken[at], a.sent)
+		if !a.sentAt.IsZero() && !a.malformed {
+			taken[at] = append(taken[at], a.sentAt)
 		}
-		sort.Slice(a.posts, func(i, j int) bool { return a.posts[i].first.Before(a.posts[j].first) })
+		sort.Slice(a.posts, func(i, j int) bool { return a.posts[i].firstByteAt.Before(a.posts[j].firstByteAt) })
 		for i, p := range a.posts {
 			if i > 0 {
 				p.ticket = a.ticket
@@ -369,22 +369,22 @@
 		for _, p := range posts {
 			broken := true
 			for _, edge := range []time.Duration{-measurementSlack, 0, measurementSlack} {
-				from := p.first.Add(edge - retryBudgetWindow)
+				from := p.firstByteAt.Add(edge - retryBudgetWindow)
 				used, allowed := 0.0, retryBudgetFree
 				for _, other := range posts {
-					if other.first.After(from) && !other.first.After(p.first) {
+					if other.firstByteAt.After(from) && !other.firstByteAt.After(p.firstByteAt) {
 						used++
 					}
 				}
 				for _, t := range taken[at] {
-					if t.After(from) && !t.After(p.first.Add(measurementSlack)) {
+					if t.After(from) && !t.After(p.firstByteAt.Add(measurementSlack)) {
 						allowed += retryBudgetRatio
 					}
 				}
 				broken = broken && used > allowed+1e-9
 			}
 			if broken {
-				o.addFindingLocked("over_budget", p.ticket, p.first, "dispatcher %d", at.dispatcher)
+				o.addFindingLocked("over_budget", p.ticket, p.firstByteAt, "dispatcher %d", at.dispatcher)
 			}
 		}
 	}
@@ -394,13 +394,13 @@
 func (o *oracle) judgeSlowStart() {
 	arrivals := map[string][]postedQuery{}
 	mean, shares := 0.0, 0.0
-	for _, c := range classes {
-		mean, shares = mean+c.share*c.work.Seconds(), shares+c.share
+	for _, c := range requestClasses {
+		mean, shares = mean+c.share*c.meanWork.Seconds(), shares+c.share
 	}
 	mean /= shares
 	for _, a := range o.requests {
 		for _, p := range a.posts {
-			if start, ok := o.slowStarts[p.generation]; ok && p.first.Sub(start) < slowStartDuration {
+			if start, ok := o.slowStarts[p.generation]; ok && p.firstByteAt.Sub(start) < slowStartDuration {
 				arrivals[p.generation] = append(arrivals[p.generation], p)
 			}
 		}
@@ -410,19 +410,19 @@
 		for _, p := range posts {
 			work := 0.0
 			for _, other := range posts {
-				if since := p.first.Sub(other.first); since >= 0 && since < slowStartWindow {
-					work += classOf(other.class).work.Seconds() / mean
+				if since := p.firstByteAt.Sub(other.firstByteAt); since >= 0 && since < slowStartWindow {
+					work += classNamed(other.class).meanWork.Seconds() / mean
 				}
 			}
 			warmth := slowStartFrom +
-				(1-slowStartFrom)*p.first.Sub(start).Seconds()/slowStartDuration.Seconds()
+				(1-slowStartFrom)*p.firstByteAt.Sub(start).Seconds()/slowStartDuration.Seconds()
 			n := slowStartFactor * nodeCores * warmth * slowStartWindow.Seconds() / mean
 			allowed := n + 2*math.Sqrt(n) + 2
 			if n < 30 {
 				allowed = n + 3*math.Sqrt(n) + 3
 			}
 			if work > allowed {
-				o.addFindingLocked("cold_overload", p.ticket, p.first,
+				o.addFindingLocked("cold_overload", p.ticket, p.firstByteAt,
 					"%s: %.0f requests in %v, %.0f allowed",
 					generation, work,
 					slowStartWindow, allowed)
@@ -441,7 +441,7 @@
 		switch {
 		case len(a.answers) > 0:
 			out[string(a.answers[0].kind)]++
-		case !a.clientGone.IsZero():
+		case !a.clientGoneAt.IsZero():
 			out["gone"]++
 		case a.excused != "":
 			out["excused"]++
@@ -471,15 +471,15 @@
 	}
 	lines = append(lines,
 		fmt.Sprintf("request %s of class %s, key %q, at dispatcher %d life %d: sent %s, limit %v, "+
-			"client gone %s, connection ended %s, excused %q", a.ticket, a.class, a.key, a.dispatcher,
+			"client gone %s, connection ended %s, excused %q", a.ticket, a.class, a.orderingKey, a.dispatcher,
 			a.incarnation,
-			at(a.sent), a.limit, at(a.clientGone), at(a.ended), a.excused))
+			at(a.sentAt), a.limit, at(a.clientGoneAt), at(a.connectionEndedAt), a.excused))
 	for _, p := range a.posts {
 		lines = append(lines, fmt.Sprintf("  started at node %d (%s) %s to %s, told %v", p.node, p.generation,
-			at(p.first), at(p.whole), p.limit))
+			at(p.firstByteAt), at(p.lastByteAt), p.limit))
 	}
 	for _, x := range a.intervals {
-		lines = append(lines, fmt.Sprintf("  out at node %d %s to %s", x.node, at(x.from), at(x.to)))
+		lines = append(lines, fmt.Sprintf("  out at node %d %s to %s", x.node, at(x.start), at(x.end)))
 	}
 	for _, h := range a.answers {
 		lines = append(lines, fmt.Sprintf("  %s %s", h.kind, at(h.at)))
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// restingFrom is the silence from which a connection counts as resting: more than a question for news takes.
-const restingFrom = 300 * time.Millisecond
+// idleAfter is the silence from which a connection counts as resting: more than a question for news takes.
+const idleAfter = 300 * time.Millisecond
 
 // linkMode is how a link behaves.
 type linkMode int
@@ -89,13 +89,13 @@
 	c.server = far
 	p.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.pass(id, c, near, far, true) })
-	both.Go(func() { p.pass(id, c, far, near, false) })
+	both.Go(func() { p.copyDirection(id, c, near, far, true) })
+	both.Go(func() { p.copyDirection(id, c, far, near, false) })
 	both.Wait()
 }
 
-// pass passes bytes one way.
-func (p *proxy) pass(id int, c *proxiedConn, from, to net.Conn, tapped bool) {
+// copyDirection passes bytes one way.
+func (p *proxy) copyDirection(id int, c *proxiedConn, from, to net.Conn, tapped bool) {
 	b := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(b)
@@ -166,7 +166,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.conns {
-		if time.Since(c.lastUsed) > restingFrom {
+		if time.Since(c.lastUsed) > idleAfter {
 			c.forgotten = true
 		}
 	}
@@ -177,7 +177,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.conns {
-		if time.Since(c.lastUsed) > restingFrom {
+		if time.Since(c.lastUsed) > idleAfter {
 			reset(c.client)
 			reset(c.server)
 		}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -11,7 +11,7 @@
 
 // TestPlanIsDeterministic: a seed gives the same plan each time, and most troubles overlap another one.
 func TestPlanIsDeterministic(t *testing.T) {
-	o := Options{Seed: 7, For: time.Minute, Dispatchers: 10, Faults: true}
+	o := Options{Seed: 7, Duration: time.Minute, Dispatchers: 10, Faults: true}
 	p := NewPlan(o)
 	if p.String() != NewPlan(o).String() {
 		t.Error("the same seed gives another plan")
@@ -22,7 +22,7 @@
 	overlap := 0
 	for i, a := range p.Faults {
 		for _, b := range p.Faults[:i] {
-			if a.At < b.At+b.For {
+			if a.At < b.At+b.Duration {
 				overlap++
 				break
 			}
@@ -40,7 +40,7 @@
 		at func(ms int) time.Time
 	}
 	started := func(w *world, ticket string, ms int) {
-		p := postedQuery{call: call{first: w.at(ms), whole: w.at(ms), limit: 100 * time.Millisecond},
+		p := postedQuery{call: call{firstByteAt: w.at(ms), lastByteAt: w.at(ms), limit: 100 * time.Millisecond},
 			generation: "n0-0", incarnation: 1}
 		w.updateRequest(ticket, func(a *observedRequest) {
 			p.class = a.class
@@ -59,12 +59,12 @@
 	served := func(w *world, ticket string, ms int) {
 		w.updateRequest(
 			ticket,
-			func(a *observedRequest) { a.answers = append(a.answers, response{answerServed, "r", w.at(ms)}) },
+			func(a *observedRequest) { a.answers = append(a.answers, receivedAnswer{answerServed, "r", w.at(ms)}) },
 		)
 		w.recordResult(ticket, "r")
 	}
 	gone := func(w *world, ticket string, ms int) {
-		w.updateRequest(ticket, func(a *observedRequest) { a.clientGone = w.at(ms) })
+		w.updateRequest(ticket, func(a *observedRequest) { a.clientGoneAt = w.at(ms) })
 	}
 	for name, c := range map[string]struct {
 		class string
@@ -116,7 +116,7 @@
 			out(w, "a", 0, 1, 50)
 			served(w, "a", 60)
 			w.updateRequest("b", func(b *observedRequest) {
-				b.class, b.key, b.incarnation, b.limit, b.sent, b.clientGone = "turn", "k", 1, time.Second,
+				b.class, b.orderingKey, b.incarnation, b.limit, b.sentAt, b.clientGoneAt = "turn", "k", 1, time.Second,
 					w.at(0),
 					w.at(90)
 			})
@@ -133,7 +133,7 @@
 			for i := range 400 {
 				ticket := string(rune('b' + i))
 				w.updateRequest(ticket, func(b *observedRequest) {
-					b.class, b.incarnation, b.limit, b.sent, b.clientGone = "load", 1,
+					b.class, b.incarnation, b.limit, b.sentAt, b.clientGoneAt = "load", 1,
 						time.Second, w.at(0), w.at(900)
 				})
 				started(w, ticket, 1+i)
@@ -145,7 +145,7 @@
 		w := &world{o,
 			func(ms int) time.Time { return o.startedAt.Add(time.Duration(ms) * time.Millisecond) }}
 		o.updateRequest("a", func(a *observedRequest) {
-			a.class, a.key, a.incarnation, a.sent, a.limit = c.class, "k", 1, o.startedAt, time.Second
+			a.class, a.orderingKey, a.incarnation, a.sentAt, a.limit = c.class, "k", 1, o.startedAt, time.Second
 		})
 		c.play(w)
 		var found []string
@@ -188,7 +188,7 @@
 		"full-deadline": "told_deadline", "no-order": "out_of_order"} {
 		t.Run("mutant "+mutant, func(t *testing.T) {
 			t.Parallel()
-			plan := NewPlan(Options{Seed: 1, For: 8 * time.Second, Dispatchers: 3, Faults: true})
+			plan := NewPlan(Options{Seed: 1, Duration: 8 * time.Second, Dispatchers: 3, Faults: true})
 			if mutant == "no-order" {
 				plan.Rate = busy
 			}
--- a/internal/soak/wire.go
+++ b/internal/soak/wire.go
@@ -58,18 +58,18 @@
 	seq    int32
 	kind   answerKind
 	body   string
-	good   bool
+	alive  bool
 }
 
 var errAnswer = errors.New("soak: an answer that can't be read")
 
-// reader reads values of Thrift's strict binary protocol.
-type reader struct {
+// frameReader reads values of Thrift's strict binary protocol.
+type frameReader struct {
 	b   []byte
 	err error
 }
 
-func (r *reader) take(n int) []byte {
+func (r *frameReader) take(n int) []byte {
 	if n < 0 || n > len(r.b) {
 		r.err = errAnswer
 		return make([]byte, max(min(n, 8), 0))
@@ -79,12 +79,12 @@
 	return out
 }
 
-func (r *reader) u32() uint32  { return binary.BigEndian.Uint32(r.take(4)) }
-func (r *reader) text() string { return string(r.take(int(int32(r.u32())))) }
+func (r *frameReader) u32() uint32  { return binary.BigEndian.Uint32(r.take(4)) }
+func (r *frameReader) text() string { return string(r.take(int(int32(r.u32())))) }
 
 // parseAnswer reads a whole frame, without its length.
 func parseAnswer(frame []byte) (a answer, err error) {
-	r := &reader{b: frame}
+	r := &frameReader{b: frame}
 	head := r.u32()
 	a.method, a.seq = r.text(), int32(r.u32())
 	switch {
@@ -113,7 +113,7 @@
 		case kind == 11 && field == 1:
 			a.body = r.text()
 		case kind == 2 && field == 3:
-			a.good = r.take(1)[0] == 1
+			a.alive = r.take(1)[0] == 1
 		case kind == 13:
 			r.take(2)
 			for range r.u32() {
@@ -132,22 +132,22 @@
 
 // call is a call as a tap on a dispatcher's link to a compute node sees it.
 type call struct {
-	method, ticket, class string
-	page                  string
-	limit                 time.Duration // X-Max-Ms
-	first, whole          time.Time     // when its first and last byte left the dispatcher
+	method, ticket, class   string
+	page                    string
+	limit                   time.Duration // X-Max-Ms
+	firstByteAt, lastByteAt time.Time     // when its first and last byte left the dispatcher
 }
 
 // callParser cuts what a dispatcher writes on one connection into calls.
 type callParser struct {
-	buffer []byte
-	first  time.Time
+	buffer      []byte
+	firstByteAt time.Time
 }
 
 // feed takes bytes and returns the calls that are whole.
 func (p *callParser) feed(now time.Time, b []byte) (calls []call) {
 	if len(p.buffer) == 0 {
-		p.first = now
+		p.firstByteAt = now
 	}
 	p.buffer = append(p.buffer, b...)
 	for {
@@ -159,10 +159,10 @@
 		if len(rest) < length {
 			return calls
 		}
-		c.first, c.whole = p.first, now
+		c.firstByteAt, c.lastByteAt = p.firstByteAt, now
 		calls = append(calls, c)
 		p.buffer = append(p.buffer[:0], rest[length:]...)
-		p.first = now
+		p.firstByteAt = now
 	}
 }
 
