--- a/cmd/cresspass/soak.go
+++ b/cmd/cresspass/soak.go
@@ -62,7 +62,9 @@
 		if err != nil {
 			return err
 		}
-		report.Write(os.Stdout)
+		if err := report.Write(os.Stdout); err != nil {
+			return err
+		}
 		if report.Broken() {
 			broken++
 		}
--- /dev/null
+++ b/internal/soak/calltap_test.go
@@ -0,0 +1,21 @@
+package soak
+
+import (
+	"testing"
+	"time"
+)
+
+// TestCallParser: calls are cut out of what a dispatcher writes wherever it is split.
+func TestCallParser(t *testing.T) {
+	text := "POST /x HTTP/1.1\r\nX-Ticket: t1\r\nX-Queue: once\r\nX-Max-Ms: 1500\r\n" +
+		"Content-Length: 8\r\n\r\nSELECT 1" +
+		"GET /x/t1/0 HTTP/1.1\r\n\r\n" + "DELETE /x/t1 HTTP/1.1\r\n\r\n"
+	for cut := range len(text) {
+		p, now := &callParser{}, time.Now()
+		calls := append(p.feed(now, []byte(text[:cut])), p.feed(now, []byte(text[cut:]))...)
+		if len(calls) != 3 || calls[0].ticket != "t1" || calls[0].class != "once" ||
+			calls[0].limit != 1500*time.Millisecond || calls[1].page != "0" || calls[2].method != "DELETE" {
+			t.Fatalf("cut at %d: %+v", cut, calls)
+		}
+	}
+}
--- a/internal/soak/dispatcher.go
+++ b/internal/soak/dispatcher.go
@@ -8,61 +8,63 @@
 	"path/filepath"
 	"strings"
 	"sync"
-	"syscall"
 	"time"
 
 	"cresspass/internal/invariant"
 )
 
-// Of a dispatcher's process.
-const (
-	readyTimeout      = 10 * time.Second
-	acceptAfterTerm   = 300 * time.Millisecond  // after SIGTERM
-	requestsAfterTerm = 800 * time.Millisecond  // on connections that rest, into the close
-	exitTimeout       = 3700 * time.Millisecond // then it is killed
-	restartDelay      = 250 * time.Millisecond  // between two lives
-	firstPort         = 15000                   // that dispatchers listen at
-)
-
-// dispatcher is a real dispatcher, life after life at one address, with its links and its discovery.
+// dispatcher is a real dispatcher: one process after another at one address, with its links, its discovery
+// and its clients.
 type dispatcher struct {
 	index     int
 	fleet     *fleet
-	listen    string
+	listen    string // the address
 	discovery *discoveryServer
 	clients   *proxy
 	nodes     []*proxy // to each compute node
 	dir       string
-	parsers   sync.Map // of taps: a parser for each connection
+	parsers   sync.Map // exchangeKey to *callParser
+
+	files sync.Mutex // replaceFile is at work
 
 	mu                   sync.Mutex
-	incarnation          int
+	incarnation          int // number of the process
 	process              *exec.Cmd
-	ended                chan struct{} // closed when the process has ended
+	ended                chan struct{} // closed when the process has exited
 	ready                bool
-	terminatedAt         time.Time     // SIGTERM was sent; zero: not
-	changing             bool          // a change of life goes on
-	pausedFor            time.Duration // in all its lives
-	descriptorsFullUntil time.Time     // until then idle clients may fill its descriptors
+	terminatedAt         time.Time     // SIGTERM was sent; zero: it was not
+	changing             bool          // the process is being ended or replaced
+	pausedFor            time.Duration // all its processes together
+	descriptorsFullUntil time.Time     // until then idle clients may take all its descriptors
 	clientLinkDelay      time.Duration
 	clientConns          map[*clientConn]bool
-	requests             map[string]request
+	requests             map[string]request // by ticket
 	aliveReply           chan bool
 }
 
 // exchangeKey names a connection on a link to a compute node.
 type exchangeKey struct{ node, connection int }
 
+// Files in a dispatcher's folder.
+const (
+	configFile = "config.json"
+	faultsFile = "faults.json"
+	logFile    = "log"
+)
+
+// newDispatcher makes a dispatcher with its links; start starts its process.
 func newDispatcher(index int, f *fleet) (*dispatcher, error) {
-	d := &dispatcher{index: index, fleet: f, clientConns: map[*clientConn]bool{},
-		requests: map[string]request{},
-		dir:      filepath.Join(f.dir, fmt.Sprintf("d%d", index))}
+	d := &dispatcher{
+		index:       index,
+		fleet:       f,
+		listen:      listenAddress(f.run, index),
+		dir:         filepath.Join(f.dir, fmt.Sprintf("d%d", index)),
+		clientConns: map[*clientConn]bool{},
+		requests:    map[string]request{},
+	}
 	if err := os.MkdirAll(d.dir, 0o755); err != nil {
 		return nil, err
 	}
-	// Below the ports that the system gives to connections, on addresses that no other run has at the time.
-	d.listen = fmt.Sprintf("127.%d.%d.%d:%d", 10+os.Getpid()%200, 1+os.Getpid()/200%200, 1+index,
-		firstPort+f.number)
 	var err error
 	if d.discovery, err = newDiscoveryServer(); err != nil {
 		return nil, err
@@ -71,289 +73,91 @@
 		return nil, err
 	}
 	for i, n := range f.nodes {
-		p, err := newProxy(n.addr, func(connection int, now time.Time, b []byte) {
-			d.observe(i, connection,
-				now, b)
+		link, err := newProxy(n.addr, func(connection int, now time.Time, b []byte) {
+			d.observe(i, connection, now, b)
 		})
 		if err != nil {
 			return nil, err
 		}
-		d.nodes = append(d.nodes, p)
+		d.nodes = append(d.nodes, link)
 	}
 	return d, nil
 }
 
-// observe sees what the dispatcher writes to a compute node.
+// listenAddress is the address of a dispatcher: its port is below those that the system gives to connections,
+// and no other run has its loopback address at the time.
+func listenAddress(run, dispatcher int) string {
+	const firstPort = 15000
+	pid := os.Getpid()
+	return fmt.Sprintf("127.%d.%d.%d:%d", 10+pid%200, 1+pid/200%200, 1+dispatcher, firstPort+run)
+}
+
+// observe parses what the dispatcher writes to a compute node and records the starts of queries.
 func (d *dispatcher) observe(node, connection int, now time.Time, b []byte) {
-	v, _ := d.parsers.LoadOrStore(exchangeKey{node, connection}, &callParser{})
-	for _, c := range v.(*callParser).feed(now, b) {
-		if c.method == "POST" {
-			p := postedQuery{c, node, d.fleet.nodes[node].id(), d.index, d.currentIncarnation()}
-			d.fleet.oracle.updateRequest(c.ticket, func(a *observedRequest) { a.posts = append(a.posts, p) })
+	parser, _ := d.parsers.LoadOrStore(exchangeKey{node, connection}, &callParser{})
+	for _, c := range parser.(*callParser).feed(now, b) {
+		if c.method != "POST" {
+			continue
 		}
+		post := postedQuery{
+			call:        c,
+			node:        node,
+			generation:  d.fleet.nodes[node].id(),
+			dispatcher:  d.index,
+			incarnation: d.currentIncarnation(),
+		}
+		d.fleet.oracle.updateRequest(c.ticket, func(r *observedRequest) { r.posts = append(r.posts, post) })
 	}
 }
 
-// endpointList is the compute nodes at the addresses of this dispatcher's links.
+// endpointList is the endpoint list with the addresses of this dispatcher's links.
 func (d *dispatcher) endpointList() []endpoint {
-	out := append([]endpoint(nil), d.fleet.endpointList()...)
-	for i := range out {
-		out[i].Addr = d.nodes[i].addr()
+	list := d.fleet.endpointList()
+	for i := range list {
+		list[i].Addr = d.nodes[i].addr()
 	}
-	return out
+	return list
 }
 
 // writeConfiguration writes the file that the process reads.
 func (d *dispatcher) writeConfiguration(known []watchEvent) error {
-	settings := d.fleet.settings()
-	data, err := json.Marshal(map[string]any{"name": fmt.Sprintf("d%d", d.index), "listen": d.listen,
-		"seed":   fmt.Sprintf("%016x", d.fleet.plan.Seed*1000+uint64(d.index*100+d.currentIncarnation())),
-		"limits": map[string]any{"cores": 1, "memory_mb": 96, "sockets": d.fleet.plan.Sockets},
-		"board":  d.discovery.addr(),
-		"known":  map[string]any{"rev": len(known), "notices": known}, "settings": settings})
+	seed := d.fleet.plan.Seed*1000 + uint64(d.index*100+d.currentIncarnation())
+	data, err := json.Marshal(processConfig{
+		Discovery: d.discovery.addr(),
+		Known:     knownEvents{Events: known, Revision: len(known)},
+		Limits:    processLimits{Cores: 1, MemoryMB: 96, Sockets: d.fleet.plan.Sockets},
+		Listen:    d.listen,
+		Name:      fmt.Sprintf("d%d", d.index),
+		Seed:      fmt.Sprintf("%016x", seed),
+		Settings:  newPlatformSettings(d.fleet.plan),
+	})
 	if err != nil {
 		return err
 	}
-	next := filepath.Join(d.dir, "config.new")
-	if err := os.WriteFile(next, data, 0o644); err != nil {
-		return err
-	}
-	return os.Rename(next, filepath.Join(d.dir, "config.json"))
-}
-
-// start begins a life and waits until it is ready.
-func (d *dispatcher) start() {
-	d.mu.Lock()
-	d.incarnation++
-	life := d.incarnation
-	d.ready, d.terminatedAt = false, time.Time{}
-	d.mu.Unlock()
-	if err := d.writeConfiguration(d.discovery.restart(d.endpointList())); err != nil {
-		d.fleet.oracle.addFinding("harness", "", "%v", err)
-		return
-	}
-	for _, s := range d.fleet.endpointList() {
-		if s.State == "draining" {
-			d.fleet.oracle.recordDrain(d.index, life, s.ID, time.Now())
-		}
-	}
-	log, err := os.OpenFile(filepath.Join(d.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
-	if err != nil {
-		d.fleet.oracle.addFinding("harness", "", "%v", err)
-		return
-	}
-	c := exec.Command(d.fleet.program, "node")
-	c.Env = append(os.Environ(), "ROUTER_CONFIG="+filepath.Join(d.dir, "config.json"),
-		"CRESSPASS_LOG_LEVEL=debug", "CRESSPASS_FAULTS="+filepath.Join(d.dir, "faults.json"),
-		"CRESSPASS_MUTANT="+d.fleet.mutant)
-	c.Stdout, c.Stderr = log, log
-	if err := c.Start(); err != nil {
-		d.fleet.oracle.addFinding("harness", "", "%v", err)
-		return
-	}
-	ended := make(chan struct{})
-	d.mu.Lock()
-	d.process, d.ended = c, ended
-	d.mu.Unlock()
-	go func() {
-		err := c.Wait()
-		log.Close()
-		d.mu.Lock()
-		expected := d.changing && d.process == c
-		d.ready = false
-		d.mu.Unlock()
-		close(ended)
-		if !expected && !d.fleet.closing() {
-			d.fleet.oracle.addFinding(
-				"crash",
-				"",
-				"dispatcher %d life %d ended: %v; %s",
-				d.index,
-				life,
-				err,
-				d.lastLogLines(),
-			)
-		}
-	}()
-	d.awaitReady(ended)
-}
-
-// awaitReady asks until the dispatcher says that it is ready.
-func (d *dispatcher) awaitReady(ended <-chan struct{}) {
-	begun := time.Now()
-	for time.Since(begun) < readyTimeout {
-		select {
-		case <-ended:
-			return
-		case <-time.After(20 * time.Millisecond):
-		}
-		got := make(chan bool, 1)
-		d.mu.Lock()
-		d.aliveReply = got
-		d.mu.Unlock()
-		c := d.connect()
-		if c == nil {
-			continue
-		}
-		c.conn.Write(aliveMessage(1))
-		good := false
-		select {
-		case good = <-got:
-		case <-time.After(500 * time.Millisecond):
-		}
-		c.disconnect(false)
-		if good {
-			d.mu.Lock()
-			d.ready = true
-			d.mu.Unlock()
-			return
-		}
-	}
-	d.fleet.oracle.addFinding("not_ready", "", "dispatcher %d after %v", d.index, readyTimeout)
-}
-
-func (d *dispatcher) recordAlive(good bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	select {
-	case d.aliveReply <- good:
-	default:
-	}
-}
-
-// beginChange begins a change of life, unless one goes on.
-func (d *dispatcher) beginChange() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.changing || !d.ready {
-		return false
-	}
-	d.changing = true
-	return true
+	return d.replaceFile(configFile, data)
 }
 
-func (d *dispatcher) endChange() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.changing = false
-}
-
-// terminate ends the life in good order, and begins another unless it is the last.
-func (d *dispatcher) terminate(last bool) {
-	if !d.beginChange() {
-		return
-	}
-	defer d.endChange()
-	d.mu.Lock()
-	c, ended, life, paused := d.process, d.ended, d.incarnation, d.pausedFor
-	d.terminatedAt = time.Now()
-	d.mu.Unlock()
-	c.Process.Signal(syscall.SIGTERM)
-	select {
-	case <-ended:
-		if code := c.ProcessState.ExitCode(); code != 0 {
-			d.fleet.oracle.addFinding("crash", "", "dispatcher %d life %d: exit %d after SIGTERM", d.index,
-				life, code)
-		}
-	case <-d.afterRunning(exitTimeout, paused):
-		d.fleet.oracle.addFinding("not_ended", "", "dispatcher %d life %d, %v after SIGTERM", d.index, life,
-			exitTimeout)
-		c.Process.Kill()
-		<-ended
-	}
-	if !last {
-		time.Sleep(restartDelay)
-		d.start()
-	}
-}
-
-// afterRunning tells when so much time has passed in which the process ran, from when it had been paused for
-// so long.
-func (d *dispatcher) afterRunning(wait, paused time.Duration) <-chan time.Time {
-	over := make(chan time.Time, 1)
-	go func() {
-		time.Sleep(wait)
-		d.mu.Lock()
-		more := d.pausedFor - paused
-		d.mu.Unlock()
-		time.Sleep(more)
-		over <- time.Now()
-	}()
-	return over
-}
-
-// kill ends the life at once, and begins another.
-func (d *dispatcher) kill() {
-	if !d.beginChange() {
-		return
-	}
-	defer d.endChange()
-	d.mu.Lock()
-	c, ended, life := d.process, d.ended, d.incarnation
-	d.ready = false
-	d.mu.Unlock()
-	c.Process.Kill()
-	<-ended
-	d.fleet.oracle.excuseKilled(d.index, life)
-	time.Sleep(restartDelay)
-	d.fleet.oracle.excuseKilled(d.index, life) // also what was on its way
-	d.start()
-}
-
-// reload moves its discovery and tells it so.
-func (d *dispatcher) reload() {
-	d.mu.Lock()
-	c, ready := d.process, d.ready
-	d.mu.Unlock()
-	if !ready {
-		return
-	}
-	d.discovery.redirect()
-	d.discovery.mu.Lock()
-	known := d.discovery.events
-	d.discovery.mu.Unlock()
-	if err := d.writeConfiguration(known); err != nil {
-		d.fleet.oracle.addFinding("harness", "", "%v", err)
-	}
-	c.Process.Signal(syscall.SIGHUP)
-}
-
-// pause has the process not run for a while.
-func (d *dispatcher) pause(by time.Duration) {
-	d.mu.Lock()
-	c, ready := d.process, d.ready
-	d.mu.Unlock()
-	if !ready {
-		return
+// replaceFile replaces a file of the dispatcher's folder in one step, so that its process never reads half of
+// it. Faults that overlap write the same file, so one is written at a time.
+func (d *dispatcher) replaceFile(name string, data []byte) error {
+	d.files.Lock()
+	defer d.files.Unlock()
+	path := filepath.Join(d.dir, name)
+	next := strings.TrimSuffix(path, filepath.Ext(path)) + ".new"
+	if err := os.WriteFile(next, data, 0o644); err != nil {
+		return err
 	}
-	c.Process.Signal(syscall.SIGSTOP)
-	time.Sleep(by)
-	c.Process.Signal(syscall.SIGCONT)
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.pausedFor += by
-}
-
-// acceptsRequests reports whether it is sent requests, acceptsConnections whether new connections too.
-func (d *dispatcher) acceptsRequests() bool { return d.acceptsFor(requestsAfterTerm) }
-
-func (d *dispatcher) acceptsConnections() bool { return d.acceptsFor(acceptAfterTerm) }
-
-// terminating reports whether SIGTERM was sent to it, or it is not there.
-func (d *dispatcher) terminating() bool { return !d.acceptsFor(0) }
-
-func (d *dispatcher) acceptsFor(after time.Duration) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.ready && (d.terminatedAt.IsZero() || time.Since(d.terminatedAt) < after)
+	return os.Rename(next, path)
 }
 
+// currentIncarnation is the number of the process.
 func (d *dispatcher) currentIncarnation() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.incarnation
 }
 
+// linkDelay is how late bytes between clients and the dispatcher may come.
 func (d *dispatcher) linkDelay() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -366,11 +170,11 @@
 	d.clientLinkDelay = by
 }
 
-// expectFullDescriptors tells that idle clients come for so long.
-func (d *dispatcher) expectFullDescriptors(by time.Duration) {
+// expectFullDescriptors records that idle clients may take all descriptors for so long.
+func (d *dispatcher) expectFullDescriptors(duration time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.descriptorsFullUntil = time.Now().Add(by)
+	d.descriptorsFullUntil = time.Now().Add(duration)
 }
 
 func (d *dispatcher) descriptorsMayBeFull() bool {
@@ -379,16 +183,18 @@
 	return time.Now().Before(d.descriptorsFullUntil)
 }
 
-func (d *dispatcher) track(c *clientConn, on bool) {
+// track adds a client's connection to those that are open, or removes it.
+func (d *dispatcher) track(c *clientConn, open bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if on {
+	if open {
 		d.clientConns[c] = true
 	} else {
 		delete(d.clientConns, c)
 	}
 }
 
+// connections returns the open connections of clients.
 func (d *dispatcher) connections() (all []*clientConn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -398,6 +204,7 @@
 	return all
 }
 
+// rememberRequest keeps a request, in case it has to be sent again.
 func (d *dispatcher) rememberRequest(r request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -412,25 +219,32 @@
 }
 
 // violations returns what the dispatcher itself logged of violated invariants, and panics.
-func (d *dispatcher) violations() (lines []string) {
-	lines, err := invariant.ReadViolations(filepath.Join(d.dir, "log"))
+func (d *dispatcher) violations() []string {
+	lines, err := invariant.ReadViolations(filepath.Join(d.dir, logFile))
 	if err != nil {
 		lines = append(lines, err.Error())
 	}
 	return lines
 }
 
-// lastLogLines returns the end of the dispatcher's log.
-func (d *dispatcher) lastLogLines() string {
-	data, _ := os.ReadFile(filepath.Join(d.dir, "log"))
-	lines := strings.Split(strings.TrimSpace(string(data)), "\n")
+// readLog returns the lines of the dispatcher's log. A log that can't be read stands as its one line.
+func (d *dispatcher) readLog() []string {
+	data, err := os.ReadFile(filepath.Join(d.dir, logFile))
+	if err != nil {
+		return []string{err.Error()}
+	}
+	return strings.Split(strings.TrimSpace(string(data)), "\n")
+}
+
+// lastLogLine returns the end of the dispatcher's log.
+func (d *dispatcher) lastLogLine() string {
+	lines := d.readLog()
 	return lines[len(lines)-1]
 }
 
-// logOf returns the dispatcher's own log of a request.
+// logOf returns the lines of the dispatcher's log that name a request.
 func (d *dispatcher) logOf(ticket string) (lines []string) {
-	data, _ := os.ReadFile(filepath.Join(d.dir, "log"))
-	for _, line := range strings.Split(string(data), "\n") {
+	for _, line := range d.readLog() {
 		if ticket != "" && strings.Contains(line, ticket) {
 			lines = append(lines, line)
 		}
@@ -438,10 +252,11 @@
 	return lines
 }
 
+// close ends the links and the discovery; the process has exited before.
 func (d *dispatcher) close() {
 	d.clients.close()
-	for _, p := range d.nodes {
-		p.close()
+	for _, link := range d.nodes {
+		link.close()
 	}
 	d.discovery.close()
 }
--- /dev/null
+++ b/internal/soak/inject.go
@@ -0,0 +1,269 @@
+package soak
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"sync"
+	"time"
+)
+
+// What faults do.
+const (
+	reloadsInBurst    = 4
+	reloadBurstPause  = 8 // the pause between two reloads of a burst is this part of the fault's duration
+	linkFaultDelay    = 60 * time.Millisecond
+	clientFaultDelay  = 30 * time.Millisecond
+	idleResetInterval = 150 * time.Millisecond // between resets of idle connections
+	idleClients       = 60                     // connections that send nothing
+	idleClientsSlack  = 300 * time.Millisecond // after their end, descriptors may still be taken
+	malformedInterval = 5 * time.Millisecond   // between connections of malformed clients
+	maxDialDelay      = 1500 * time.Millisecond
+	failingCallShare  = 0.4
+)
+
+// dispatcherInjectors inject the faults of one dispatcher, its links and its clients. Each returns at the
+// fault's end.
+var dispatcherInjectors = map[FaultKind]func(f *fleet, fault Fault, d *dispatcher){
+	Terminate:   func(_ *fleet, _ Fault, d *dispatcher) { d.terminate(false) },
+	Kill:        func(_ *fleet, _ Fault, d *dispatcher) { d.kill() },
+	Reload:      func(_ *fleet, _ Fault, d *dispatcher) { d.reload() },
+	ReloadBurst: injectReloadBurst,
+	Pause:       func(_ *fleet, fault Fault, d *dispatcher) { d.pause(fault.Duration) },
+
+	DiscoveryDown:      discoveryFault(func(s *discoveryServer, on bool) { s.down = on }),
+	DiscoverySilent:    discoveryFault(func(s *discoveryServer, on bool) { s.silent = on }),
+	DiscoverySlow:      discoveryFault(func(s *discoveryServer, on bool) { s.slow = on }),
+	DiscoveryTruncated: discoveryFault(func(s *discoveryServer, on bool) { s.truncating = on }),
+
+	LinkDelay:       nodeLinkFault(linkDelay, linkFaultDelay),
+	LinkCut:         injectLinkCut,
+	LinkBytes:       nodeLinkFault(linkBytes, 0),
+	LinkReset:       nodeLinkFault(linkReset, 0),
+	LinkSilenceIdle: injectLinkSilenceIdle,
+	LinkResetIdle:   injectLinkResetIdle,
+
+	ClientDelay:       clientLinkFault(linkDelay, clientFaultDelay),
+	ClientBytes:       clientLinkFault(linkBytes, 0),
+	ClientsDisconnect: injectClientsDisconnect,
+	ClientsCancel:     injectClientsCancel,
+	ClientsIdle:       injectClientsIdle,
+	MalformedClients:  injectMalformedClients,
+
+	ClockStep: injectClockStep,
+	CallsFail: processFault(processFaultConfig{FailingCallShare: failingCallShare}),
+	DialsLate: processFault(processFaultConfig{MaxDialDelayMS: maxDialDelay.Milliseconds()}),
+}
+
+// nodeInjectors inject the faults of one compute node. Each returns at the fault's end.
+var nodeInjectors = map[FaultKind]func(f *fleet, fault Fault, n *computeNode){
+	NodeDrain:        injectNodeDrain,
+	NodeCrash:        injectNodeCrash,
+	NodeHang:         func(_ *fleet, fault Fault, n *computeNode) { n.hang(fault.Duration) },
+	NodesHang:        injectNodesHang,
+	NodeFull:         nodeFault(func(n *computeNode, on bool) { n.full = on }),
+	NodeErrors:       nodeFault(func(n *computeNode, on bool) { n.errors = on }),
+	NodeAnswersTwice: nodeFault(func(n *computeNode, on bool) { n.answersTwice = on }),
+}
+
+// injectFaults injects the plan's faults at their times, and returns at its end or when ctx is cancelled.
+func (f *fleet) injectFaults(ctx context.Context) {
+	begin := time.Now()
+	f.mu.Lock()
+	f.sendingUntil = begin.Add(f.plan.Duration)
+	f.mu.Unlock()
+	for _, fault := range f.plan.Faults {
+		select {
+		case <-time.After(time.Until(begin.Add(fault.At))):
+		case <-ctx.Done():
+			return
+		}
+		f.background.Go(func() { f.inject(fault) })
+	}
+	select {
+	case <-time.After(time.Until(begin.Add(f.plan.Duration))):
+	case <-ctx.Done():
+	}
+}
+
+// inject injects one fault and returns at its end.
+func (f *fleet) inject(fault Fault) {
+	if fault.Dispatcher == nodeTarget {
+		nodeInjectors[fault.Kind](f, fault, f.nodes[fault.Node])
+		return
+	}
+	dispatcherInjectors[fault.Kind](f, fault, f.dispatchers[fault.Dispatcher])
+}
+
+func injectReloadBurst(_ *fleet, fault Fault, d *dispatcher) {
+	for range reloadsInBurst {
+		d.reload()
+		time.Sleep(fault.Duration / reloadBurstPause)
+	}
+}
+
+// discoveryFault is a fault that is in force at a dispatcher's discovery for its duration.
+func discoveryFault(set func(s *discoveryServer, on bool)) func(*fleet, Fault, *dispatcher) {
+	return func(_ *fleet, fault Fault, d *dispatcher) {
+		d.discovery.set(func(s *discoveryServer) { set(s, true) })
+		time.Sleep(fault.Duration)
+		d.discovery.set(func(s *discoveryServer) { set(s, false) })
+	}
+}
+
+// nodeLinkFault puts a mode in force on a dispatcher's links to all compute nodes.
+func nodeLinkFault(mode linkMode, delay time.Duration) func(*fleet, Fault, *dispatcher) {
+	return func(_ *fleet, fault Fault, d *dispatcher) {
+		for _, link := range d.nodes {
+			link.set(mode, delay)
+		}
+		time.Sleep(fault.Duration)
+		for _, link := range d.nodes {
+			link.set(linkHealthy, 0)
+		}
+	}
+}
+
+// injectLinkCut cuts the links. Their connections are reset at the end: with bytes missing they can't go on.
+func injectLinkCut(f *fleet, fault Fault, d *dispatcher) {
+	nodeLinkFault(linkCut, 0)(f, fault, d)
+	for _, link := range d.nodes {
+		link.resetAll()
+	}
+}
+
+func injectLinkSilenceIdle(_ *fleet, _ Fault, d *dispatcher) {
+	for _, link := range d.nodes {
+		link.silenceIdle()
+	}
+}
+
+func injectLinkResetIdle(_ *fleet, fault Fault, d *dispatcher) {
+	for until := time.Now().Add(fault.Duration); time.Now().Before(until); time.Sleep(idleResetInterval) {
+		for _, link := range d.nodes {
+			link.resetIdle()
+		}
+	}
+}
+
+// clientLinkFault puts a mode in force on the link between a dispatcher and its clients. Before and after,
+// bytes may still be on their way, so the link counts as slow for longer.
+func clientLinkFault(mode linkMode, delay time.Duration) func(*fleet, Fault, *dispatcher) {
+	return func(_ *fleet, fault Fault, d *dispatcher) {
+		d.setLinkDelay(2 * clientFaultDelay)
+		d.clients.set(mode, delay)
+		time.Sleep(fault.Duration)
+		d.clients.set(linkHealthy, 0)
+		time.Sleep(2 * clientFaultDelay)
+		d.setLinkDelay(0)
+	}
+}
+
+func injectClientsDisconnect(_ *fleet, _ Fault, d *dispatcher) {
+	for i, c := range d.connections() {
+		c.disconnect(i%2 == 0)
+	}
+}
+
+func injectClientsCancel(_ *fleet, _ Fault, d *dispatcher) {
+	for _, c := range d.connections() {
+		c.cancelAll()
+	}
+}
+
+// injectClientsIdle opens connections that send nothing.
+func injectClientsIdle(_ *fleet, fault Fault, d *dispatcher) {
+	d.expectFullDescriptors(fault.Duration + idleClientsSlack)
+	var idle []*clientConn
+	for range idleClients {
+		if c := d.connect(); c != nil {
+			idle = append(idle, c)
+		}
+	}
+	time.Sleep(fault.Duration)
+	for _, c := range idle {
+		c.disconnect(true)
+	}
+}
+
+// injectMalformedClients has clients send requests and cancel them at once, for a while.
+func injectMalformedClients(f *fleet, fault Fault, d *dispatcher) {
+	random := rand.New(rand.NewPCG(f.plan.Seed, uint64(fault.At)))
+	until := time.Now().Add(fault.Duration)
+	for ; time.Now().Before(until) && d.acceptsConnections(); time.Sleep(malformedInterval) {
+		c := d.connect()
+		if c == nil {
+			return
+		}
+		for range maxOpenRequests {
+			c.send(request{ticket: newTicket(random), class: requestClasses[0], limit: time.Second,
+				malformed: true})
+		}
+		c.cancelAll()
+		c.disconnect(false)
+	}
+}
+
+// processFault is a fault inside a dispatcher's process that lasts for its duration.
+func processFault(config processFaultConfig) func(*fleet, Fault, *dispatcher) {
+	return func(_ *fleet, fault Fault, d *dispatcher) {
+		d.setProcessFault(config)
+		time.Sleep(fault.Duration)
+		d.setProcessFault(processFaultConfig{})
+	}
+}
+
+// injectClockStep steps the wall clocks of all dispatchers alike: they share a machine's clock.
+func injectClockStep(f *fleet, fault Fault, _ *dispatcher) {
+	f.forEachDispatcher(func(d *dispatcher) {
+		d.setProcessFault(processFaultConfig{ClockStepMS: fault.Step.Milliseconds()})
+	})
+}
+
+// setProcessFault puts a fault into a process that was built with the tag faults.
+func (d *dispatcher) setProcessFault(config processFaultConfig) {
+	data, err := json.Marshal(config)
+	if err == nil {
+		err = d.replaceFile(faultsFile, data)
+	}
+	if err != nil {
+		d.fleet.oracle.addFinding(harnessFailed, "%v", fmt.Errorf("writing process faults: %w", err))
+	}
+}
+
+// nodeFault is a fault that is in force at a compute node for its duration.
+func nodeFault(set func(n *computeNode, on bool)) func(*fleet, Fault, *computeNode) {
+	return func(_ *fleet, fault Fault, n *computeNode) {
+		n.update(func(n *computeNode) { set(n, true) })
+		time.Sleep(fault.Duration)
+		n.update(func(n *computeNode) { set(n, false) })
+	}
+}
+
+func injectNodeDrain(f *fleet, fault Fault, n *computeNode) {
+	if !n.beginChange() {
+		return
+	}
+	defer n.endChange()
+	f.drainNode(fault, n)
+}
+
+func injectNodeCrash(f *fleet, fault Fault, n *computeNode) {
+	if !n.beginChange() {
+		return
+	}
+	defer n.endChange()
+	n.crash()
+	time.Sleep(fault.Duration / 2)
+	f.restartNode(n)
+}
+
+// injectNodesHang hangs all compute nodes, whichever the fault names.
+func injectNodesHang(f *fleet, fault Fault, _ *computeNode) {
+	var all sync.WaitGroup
+	for _, n := range f.nodes {
+		all.Go(func() { n.hang(fault.Duration) })
+	}
+	all.Wait()
+}
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -2,24 +2,20 @@
 
 import (
 	"fmt"
-	"io"
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"strconv"
 	"strings"
 	"sync"
 	"time"
 )
 
-// Of the platform's protocol, as this stand-in keeps it.
 const (
-	longPollTimeout   = 250 * time.Millisecond // a question is answered without news
-	unpolledTimeout   = 2 * time.Second        // a query that nobody asks for is given up
-	minDuplicateDelay = 2 * time.Millisecond   // after which an answer comes a second time
-	maxDuplicateDelay = 120 * time.Millisecond
+	// unpolledTimeout is the time after which a compute node abandons a query that nobody polls.
+	unpolledTimeout = 2 * time.Second
 
-	silentDropBelowMS = 40 // milliseconds: a query that has less is dropped without a word
+	unpolledCheckInterval = 20 * time.Millisecond
+	maxPages              = 3 // of a result
 )
 
 // queryRun is a query on a compute node.
@@ -28,39 +24,38 @@
 	polledAt  time.Time
 	endsAt    time.Time
 	pages     []string
-	finished  bool // ended or given up
+	finished  bool // it ended or was abandoned
 	succeeded bool
-	over      chan struct{} // closed when it is over
+	over      chan struct{} // closed when it is finished
 }
 
-// computeNode stands in for a compute node. Its life goes on when its process dies and another comes at its
-// address: each is a generation.
+// computeNode stands in for a compute node: one process after another at one address. Each process is a
+// generation.
 type computeNode struct {
 	index  int
 	oracle *oracle
 
 	mu           sync.Mutex
-	changing     bool // it is about to end or to come back
+	changing     bool // its process is being ended or replaced
 	generation   int
-	runs         map[string]*queryRun
+	runs         map[string]*queryRun // by ticket
 	server       *http.Server
-	listener     net.Listener
 	addr         string
-	hanging      chan struct{} // closed at the end of a hang; nil: none
-	full         bool
-	errors       bool
+	hanging      chan struct{} // closed at the end of a hang; nil: there is none
+	full         bool          // sheds every query
+	errors       bool          // fails every query
 	answersTwice bool
-	work         map[string]time.Duration // mean time by class
 	random       *rand.Rand
 	ended        sync.WaitGroup
 }
 
+// newComputeNode starts a compute node.
 func newComputeNode(index int, o *oracle, seed uint64) (*computeNode, error) {
-	n := &computeNode{index: index, oracle: o, runs: map[string]*queryRun{},
-		work:   map[string]time.Duration{},
-		random: rand.New(rand.NewPCG(seed, uint64(index)+1))}
-	for _, c := range requestClasses {
-		n.work[c.name] = c.meanWork
+	n := &computeNode{
+		index:  index,
+		oracle: o,
+		runs:   map[string]*queryRun{},
+		random: rand.New(rand.NewPCG(seed, uint64(index)+1)),
 	}
 	return n, n.listen("127.0.0.1:0")
 }
@@ -80,12 +75,19 @@
 	}
 	server := &http.Server{Handler: n}
 	n.mu.Lock()
-	n.listener, n.addr, n.server = ln, ln.Addr().String(), server
+	n.addr, n.server = ln.Addr().String(), server
 	n.mu.Unlock()
-	n.ended.Go(func() { server.Serve(ln) })
+	n.ended.Go(func() { serve(server, ln) })
 	return nil
 }
 
+// serve serves HTTP until the server is closed.
+func serve(server *http.Server, ln net.Listener) { _ = server.Serve(ln) } // http.ErrServerClosed, always
+
+// closeServer closes a server with all its connections. Its error would be that of the listener's close; the
+// next process at that address would find the port taken.
+func closeServer(server *http.Server) { _ = server.Close() }
+
 // crash ends the process: its connections are reset and its queries are lost.
 func (n *computeNode) crash() {
 	n.mu.Lock()
@@ -93,33 +95,38 @@
 	n.runs = map[string]*queryRun{}
 	n.generation++
 	n.mu.Unlock()
-	server.Close()
+	closeServer(server)
 	for ticket, r := range runs {
 		n.endRun(ticket, r, false)
 	}
 }
 
-// endRun ends a query.
-func (n *computeNode) endRun(ticket string, r *queryRun, good bool) {
-	n.mu.Lock()
-	was := r.finished
-	if !was {
-		r.finished, r.succeeded = true, good
-		close(r.over)
-	}
-	n.mu.Unlock()
-	if !was {
-		n.oracle.recordInterval(ticket, n.index, false)
-	}
+// hang has the node answer nothing for a while.
+func (n *computeNode) hang(duration time.Duration) {
+	hung := make(chan struct{})
+	n.update(func(n *computeNode) {
+		if n.hanging == nil {
+			n.hanging = hung
+		}
+	})
+	time.Sleep(duration)
+	n.update(func(n *computeNode) {
+		if n.hanging == hung {
+			n.hanging = nil
+		}
+	})
+	close(hung)
 }
 
-// beginChange begins an end of its process, unless one goes on.
+// beginChange begins to end or replace the process, unless that goes on already.
 func (n *computeNode) beginChange() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	was := n.changing
+	if n.changing {
+		return false
+	}
 	n.changing = true
-	return !was
+	return true
 }
 
 func (n *computeNode) endChange() { n.update(func(n *computeNode) { n.changing = false }) }
@@ -131,175 +138,76 @@
 	change(n)
 }
 
-// abandonUnpolled gives up queries that nobody asks for, until stop is closed.
-func (n *computeNode) abandonUnpolled(stop <-chan struct{}) {
-	tick := time.NewTicker(20 * time.Millisecond)
-	defer tick.Stop()
-	for {
-		select {
-		case <-stop:
-			return
-		case <-tick.C:
-		}
-		n.mu.Lock()
-		late := map[string]*queryRun{}
-		for ticket, r := range n.runs {
-			if !r.finished && time.Since(r.polledAt) > unpolledTimeout {
-				late[ticket] = r
-			}
-		}
-		n.mu.Unlock()
-		for ticket, r := range late {
-			n.endRun(ticket, r, false)
-		}
-	}
-}
-
-func (n *computeNode) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	io.ReadAll(q.Body)
-	n.mu.Lock()
-	hung, full, failing := n.hanging, n.full, n.errors
-	n.mu.Unlock()
-	parts := strings.Split(strings.Trim(q.URL.Path, "/"), "/")
-	ticket := q.Header.Get("X-Ticket")
-	if limit, err := strconv.Atoi(q.Header.Get("X-Max-Ms")); err == nil && limit < silentDropBelowMS {
-		<-q.Context().Done() // dropped without a word
-		return
-	}
-	var r *queryRun
-	if q.Method == "POST" && !full { // it is out from here on, also while the node hangs
-		r = n.register(ticket, q.Header.Get("X-Queue"))
-	}
-	if hung != nil {
-		select {
-		case <-hung:
-		case <-q.Context().Done():
-			return
-		}
-	}
-	switch {
-	case q.Method == "POST" && full:
-		w.Header().Set("X-Shed", "1")
-		w.WriteHeader(http.StatusServiceUnavailable)
-	case q.Method == "POST" && failing:
-		n.endRun(ticket, r, false)
-		w.WriteHeader(http.StatusInternalServerError)
-	case q.Method == "POST":
-		n.writeResult(w, q, ticket, r)
-	case q.Method == "DELETE" && len(parts) == 2:
-		if r := n.find(parts[1]); r != nil {
-			n.endRun(parts[1], r, false)
-		}
-		w.WriteHeader(http.StatusNoContent)
-	case q.Method == "GET" && len(parts) == 3:
-		n.answerPoll(w, q, parts[1], parts[2])
-	default:
-		w.WriteHeader(http.StatusOK)
-	}
-}
-
-func (n *computeNode) find(ticket string) *queryRun {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.runs[ticket]
-}
-
-// register takes a query that came.
+// register registers a query that arrived, and returns the one that runs already where it arrives again.
 func (n *computeNode) register(ticket, class string) *queryRun {
 	n.mu.Lock()
 	r := n.runs[ticket]
-	fresh := r == nil || r.finished
-	if fresh {
-		mean := n.work[class]
-		took := mean/2 + time.Duration(n.random.ExpFloat64()*float64(mean)/2)
-		r = &queryRun{class: class, polledAt: time.Now(), endsAt: time.Now().Add(took),
-			over: make(chan struct{})}
-		for page := range 1 + n.random.IntN(3) {
-			r.pages = append(r.pages, fmt.Sprintf("%s\t%d\t%016x\n", ticket, page, n.random.Uint64()))
-		}
+	isNew := r == nil || r.finished
+	if isNew {
+		r = n.newRunLocked(ticket, class)
 		n.runs[ticket] = r
 	}
 	n.mu.Unlock()
-	if fresh {
+	if isNew {
 		n.oracle.recordInterval(ticket, n.index, true)
 		n.oracle.recordResult(ticket, strings.Join(r.pages, ""))
 	}
 	return r
 }
 
-// writeResult answers with a query's end, or without news.
-func (n *computeNode) writeResult(w http.ResponseWriter, q *http.Request, ticket string, r *queryRun) {
-	news := time.NewTimer(longPollTimeout)
-	defer news.Stop()
-	done := time.NewTimer(time.Until(r.endsAt))
-	defer done.Stop()
-	select {
-	case <-done.C:
-		n.endRun(ticket, r, true)
-	case <-r.over:
-	case <-news.C:
-		w.WriteHeader(http.StatusAccepted)
-		return
-	case <-q.Context().Done():
-		return
+// newRunLocked draws a query's run time and result. A class that the fleet does not have takes no time.
+func (n *computeNode) newRunLocked(ticket, class string) *queryRun {
+	mean := classNamed(class).meanWork
+	runTime := mean/2 + time.Duration(n.random.ExpFloat64()*float64(mean)/2)
+	now := time.Now()
+	r := &queryRun{class: class, polledAt: now, endsAt: now.Add(runTime), over: make(chan struct{})}
+	for page := range 1 + n.random.IntN(maxPages) {
+		r.pages = append(r.pages, fmt.Sprintf("%s\t%d\t%016x\n", ticket, page, n.random.Uint64()))
 	}
-	n.writePage(w, r, 0)
+	return r
 }
 
-// writePage writes a page of a result, or that there is none.
-func (n *computeNode) writePage(w http.ResponseWriter, r *queryRun, page int) {
-	n.mu.Lock()
-	twice, good := n.answersTwice, r.succeeded
-	n.mu.Unlock()
-	if !good {
-		w.WriteHeader(http.StatusInternalServerError)
-		return
-	}
-	if page == 0 {
-		w.Header().Set("Page-Count", fmt.Sprint(len(r.pages)))
-	} else {
-		w.Header().Set("Page-No", fmt.Sprint(page))
-	}
-	if !twice {
-		io.WriteString(w, r.pages[page])
-		return
-	}
-	c, _, err := w.(http.Hijacker).Hijack()
-	if err != nil {
-		return
-	}
-	defer c.Close()
-	number := "" // the first page has none, as on the platform
-	if page > 0 {
-		number = fmt.Sprintf("Page-No: %d\r\n", page)
-	}
-	text := fmt.Sprintf("HTTP/1.1 200 OK\r\nPage-Count: %d\r\n%sContent-Length: %d\r\n\r\n%s",
-		len(r.pages), number, len(r.pages[page]), r.pages[page])
+// find returns a query; nil: there is none.
+func (n *computeNode) find(ticket string) *queryRun {
 	n.mu.Lock()
-	late := minDuplicateDelay + time.Duration(n.random.Int64N(int64(maxDuplicateDelay-minDuplicateDelay)))
-	n.mu.Unlock()
-	io.WriteString(c, text)
-	time.Sleep(late)
-	io.WriteString(c, text)
-	time.Sleep(100 * time.Millisecond)
+	defer n.mu.Unlock()
+	return n.runs[ticket]
 }
 
-// answerPoll answers a question for a page, or for news.
-func (n *computeNode) answerPoll(w http.ResponseWriter, q *http.Request, ticket, number string) {
+// endRun finishes a query, unless it is finished.
+func (n *computeNode) endRun(ticket string, r *queryRun, succeeded bool) {
 	n.mu.Lock()
-	r := n.runs[ticket]
-	if r != nil {
-		r.polledAt = time.Now()
+	wasFinished := r.finished
+	if !wasFinished {
+		r.finished, r.succeeded = true, succeeded
+		close(r.over)
 	}
 	n.mu.Unlock()
-	page := 0
-	fmt.Sscan(number, &page)
-	switch {
-	case r == nil || page < 0 || page >= len(r.pages):
-		w.WriteHeader(http.StatusInternalServerError)
-	case page == 0:
-		n.writeResult(w, q, ticket, r)
-	default:
-		n.writePage(w, r, page)
+	if !wasFinished {
+		n.oracle.recordInterval(ticket, n.index, false)
+	}
+}
+
+// abandonUnpolled abandons queries that nobody polls, until stop is closed.
+func (n *computeNode) abandonUnpolled(stop <-chan struct{}) {
+	tick := time.NewTicker(unpolledCheckInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-stop:
+			return
+		case <-tick.C:
+		}
+		n.mu.Lock()
+		unpolled := map[string]*queryRun{}
+		for ticket, r := range n.runs {
+			if !r.finished && time.Since(r.polledAt) > unpolledTimeout {
+				unpolled[ticket] = r
+			}
+		}
+		n.mu.Unlock()
+		for ticket, r := range unpolled {
+			n.endRun(ticket, r, false)
+		}
 	}
 }
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -1,13 +1,19 @@
 package soak
 
 import (
+	"errors"
 	"net"
 	"sync"
+	"syscall"
 	"time"
 )
 
-// idleAfter is the silence from which a connection counts as resting: more than a question for news takes.
-const idleAfter = 300 * time.Millisecond
+const (
+	// idleAfter is the silence from which on a connection counts as idle: more than a long poll takes.
+	idleAfter = 300 * time.Millisecond
+
+	proxyBufferBytes = 16 << 10
+)
 
 // linkMode is how a link behaves.
 type linkMode int
@@ -15,14 +21,14 @@
 // The modes of a link.
 const (
 	linkHealthy linkMode = iota
-	linkDelay            // each piece comes later
+	linkDelay            // every piece of data arrives late
 	linkBytes            // one byte at a time
 	linkCut              // nothing comes through, nothing is closed, new connections stay silent
-	linkReset            // connections are reset when something comes on them
+	linkReset            // connections are reset when data comes on them
 )
 
-// proxy is a link: it takes connections on a port of its own and passes bytes on as its mode says. tap
-// sees what the near side writes, at once, whatever the mode does with it then.
+// proxy is a link: it accepts connections on a port of its own and forwards bytes to its target as its mode
+// says. tap sees what the client writes, at once, whatever the mode does with it then.
 type proxy struct {
 	listener net.Listener
 	target   string
@@ -39,7 +45,7 @@
 // proxiedConn is a connection through a link.
 type proxiedConn struct {
 	client, server net.Conn
-	forgotten      bool // nothing comes through any more
+	silenced       bool // nothing comes through any more
 	lastUsed       time.Time
 }
 
@@ -57,17 +63,17 @@
 
 func (p *proxy) run() {
 	for {
-		near, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		p.background.Go(func() { p.serve(near) })
+		p.background.Go(func() { p.serve(client) })
 	}
 }
 
-// serve connects a connection with the target and passes bytes both ways until one side ends.
-func (p *proxy) serve(near net.Conn) {
-	c := &proxiedConn{client: near, lastUsed: time.Now()}
+// serve connects a client with the target and copies bytes both ways until one side ends.
+func (p *proxy) serve(client net.Conn) {
+	c := &proxiedConn{client: client, lastUsed: time.Now()}
 	p.mu.Lock()
 	p.lastID++
 	id := p.lastID
@@ -77,51 +83,60 @@
 		p.mu.Lock()
 		delete(p.conns, id)
 		p.mu.Unlock()
-		near.Close()
+		client.Close()
 	}()
-	far, err := net.DialTimeout("tcp", p.target, time.Second)
+	server, err := net.DialTimeout("tcp", p.target, dialTimeout)
 	if err != nil {
-		reset(near)
+		reset(client)
 		return
 	}
-	defer far.Close()
+	defer server.Close()
 	p.mu.Lock()
-	c.server = far
+	c.server = server
 	p.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.copyDirection(id, c, near, far, true) })
-	both.Go(func() { p.copyDirection(id, c, far, near, false) })
+	both.Go(func() { p.copyFromClient(id, c) })
+	both.Go(func() { p.copyFromServer(c) })
 	both.Wait()
 }
 
-// copyDirection passes bytes one way.
-func (p *proxy) copyDirection(id int, c *proxiedConn, from, to net.Conn, tapped bool) {
-	b := make([]byte, 16<<10)
+// copyFromClient copies to the server, and shows the tap what comes.
+func (p *proxy) copyFromClient(id int, c *proxiedConn) {
+	err := p.copyDirection(c, c.client, c.server, func(b []byte) {
+		if p.tap != nil {
+			p.tap(id, time.Now(), b)
+		}
+	})
+	if err != nil {
+		closeLike(c.server, err)
+	}
+}
+
+// copyFromServer copies to the client. The server's end is not passed on where the link is silent.
+func (p *proxy) copyFromServer(c *proxiedConn) {
+	err := p.copyDirection(c, c.server, c.client, func([]byte) {})
+	p.mu.Lock()
+	silent := p.mode == linkCut || c.silenced
+	p.mu.Unlock()
+	if err != nil && !silent {
+		closeLike(c.client, err)
+	}
+}
+
+// copyDirection copies bytes one way and returns the error that ended reading, or nil where the receiver has
+// ended.
+func (p *proxy) copyDirection(c *proxiedConn, from, to net.Conn, observe func(b []byte)) error {
+	buffer := make([]byte, proxyBufferBytes)
 	for {
-		n, err := from.Read(b)
+		n, err := from.Read(buffer)
 		if n > 0 {
-			if tapped && p.tap != nil {
-				p.tap(id, time.Now(), b[:n])
-			}
-			if !p.forward(c, to, b[:n]) {
-				return
+			observe(buffer[:n])
+			if !p.forward(c, to, buffer[:n]) {
+				return nil
 			}
 		}
 		if err != nil {
-			p.mu.Lock()
-			silent := p.mode == linkCut || c.forgotten
-			p.mu.Unlock()
-			if silent && !tapped {
-				return // an end behind a cut link is not heard of
-			}
-			if tcp, ok := to.(*net.TCPConn); ok {
-				if isReset(err) {
-					reset(tcp)
-				} else {
-					tcp.CloseWrite()
-				}
-			}
-			return
+			return err
 		}
 	}
 }
@@ -129,81 +144,110 @@
 // forward writes bytes as the mode says. It returns false where the connection has ended.
 func (p *proxy) forward(c *proxiedConn, to net.Conn, b []byte) bool {
 	p.mu.Lock()
-	mode, delay, forgotten := p.mode, p.delay, c.forgotten
+	mode, delay, silenced := p.mode, p.delay, c.silenced
 	c.lastUsed = time.Now()
 	p.mu.Unlock()
 	switch {
-	case forgotten, mode == linkCut:
+	case silenced, mode == linkCut:
 		return true // swallowed
 	case mode == linkReset:
-		to.Write(b[:len(b)/2])
+		writeBestEffort(to, b[:len(b)/2])
 		reset(c.client)
 		reset(c.server)
 		return false
 	case mode == linkDelay:
 		time.Sleep(delay)
 	case mode == linkBytes:
-		for i := range b {
-			if _, err := to.Write(b[i : i+1]); err != nil {
-				return false
-			}
-		}
-		return true
+		return writeSingly(to, b)
 	}
 	_, err := to.Write(b)
 	return err == nil
 }
 
+// writeSingly writes one byte at a time, and reports whether all could be written.
+func writeSingly(to net.Conn, b []byte) bool {
+	for i := range b {
+		if _, err := to.Write(b[i : i+1]); err != nil {
+			return false
+		}
+	}
+	return true
+}
+
 // set puts a mode in force.
-func (p *proxy) set(m linkMode, delay time.Duration) {
+func (p *proxy) set(mode linkMode, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.mode, p.delay = m, delay
+	p.mode, p.delay = mode, delay
 }
 
-// forget has connections that rest be silent from now on.
-func (p *proxy) forget() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, c := range p.conns {
-		if time.Since(c.lastUsed) > idleAfter {
-			c.forgotten = true
+// silenceIdle has connections that are idle swallow all that comes on them from now on.
+func (p *proxy) silenceIdle() {
+	p.forEachConn(func(c *proxiedConn) {
+		if c.idle() {
+			c.silenced = true
 		}
-	}
+	})
 }
 
-// resetIdle resets connections that rest.
+// resetIdle resets connections that are idle.
 func (p *proxy) resetIdle() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, c := range p.conns {
-		if time.Since(c.lastUsed) > idleAfter {
-			reset(c.client)
-			reset(c.server)
+	p.forEachConn(func(c *proxiedConn) {
+		if c.idle() {
+			c.reset()
 		}
-	}
+	})
 }
 
-// cutAll resets all connections.
-func (p *proxy) cutAll() {
+// resetAll resets all connections.
+func (p *proxy) resetAll() { p.forEachConn((*proxiedConn).reset) }
+
+// forEachConn does something with each connection, under the lock.
+func (p *proxy) forEachConn(do func(c *proxiedConn)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.conns {
-		reset(c.client)
-		reset(c.server)
+		do(c)
 	}
 }
 
+// idle and reset need the proxy's lock.
+func (c *proxiedConn) idle() bool { return time.Since(c.lastUsed) > idleAfter }
+
+func (c *proxiedConn) reset() {
+	reset(c.client)
+	reset(c.server)
+}
+
+// close ends the link and waits for its connections.
 func (p *proxy) close() {
 	p.listener.Close()
-	p.cutAll()
+	p.resetAll()
 	p.background.Wait()
 }
 
+// closeLike ends the one side of a connection as the other side ended: by a reset, or by the end of its
+// writing.
+func closeLike(conn net.Conn, err error) {
+	tcp, ok := conn.(*net.TCPConn)
+	switch {
+	case !ok:
+	case isReset(err):
+		reset(tcp)
+	default:
+		_ = tcp.CloseWrite() // it fails where this side has ended too
+	}
+}
+
 // reset closes a connection so that the other side sees a reset.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok && tcp != nil {
-		tcp.SetLinger(0)
+		_ = tcp.SetLinger(0) // it fails where the connection is closed already
 		tcp.Close()
 	}
 }
+
+// isReset reports whether a connection was reset by the other side.
+func isReset(err error) bool {
+	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
+}
