--- a/internal/protocol/pgwire/pgwire_test.go
+++ b/internal/protocol/pgwire/pgwire_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// readAll cuts a stream given in pieces into messages, up to a fault.
+// readAll cuts a stream given in pieces into messages, up to an error.
 func readAll(r *Reader, pieces [][]byte) (out []string, err error) {
 	for _, p := range pieces {
 		scratch := append([]byte(nil), p...)
@@ -27,13 +27,14 @@
 			r.Startup = false
 		}
 		r.Rest()
-		for i := range scratch { // danger: bytes of a push belong to the network's buffer and change
+		for i := range scratch { // the caller reuses the buffer of a push after Rest
 			scratch[i] = 0xee
 		}
 	}
 	return out, nil
 }
 
+// split cuts a stream into pieces of random lengths.
 func split(t *rapid.T, b []byte) (pieces [][]byte) {
 	for len(b) > 0 {
 		n := rapid.IntRange(1, min(len(b), 40)).Draw(t, "piece")
@@ -43,6 +44,7 @@
 	return pieces
 }
 
+// drawStream draws a client's stream: a startup packet and messages.
 func drawStream(t *rapid.T) []byte {
 	b := AppendStartup(nil, Version30, "user", rapid.StringMatching(`[a-z]{1,9}`).Draw(t, "user"))
 	for range rapid.IntRange(0, 12).Draw(t, "messages") {
@@ -65,7 +67,8 @@
 	return b
 }
 
-func TestSplitsChangeNothing(t *testing.T) {
+// TestReaderIndependentOfSplits: however a stream is split, also a malformed one, the same messages come out.
+func TestReaderIndependentOfSplits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := drawStream(t)
 		if rapid.Bool().Draw(t, "broken") {
@@ -82,7 +85,7 @@
 	})
 }
 
-// What we write, pgproto3 reads with the same meaning, and the other way round.
+// TestAgreesWithPgproto3: pgproto3 reads what is written here with the same meaning, and the other way round.
 func TestAgreesWithPgproto3(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringMatching(`[ -~]{0,40}`).Draw(t, "text")
@@ -143,7 +146,8 @@
 	})
 }
 
-func TestLimits(t *testing.T) {
+// TestReaderRejectsMalformedHeads: a length out of bounds or an unexpected type is an error at once.
+func TestReaderRejectsMalformedHeads(t *testing.T) {
 	for name, c := range map[string]struct {
 		r Reader
 		b []byte
@@ -163,6 +167,7 @@
 	}
 }
 
+// FuzzReader: no stream makes reading panic, and fields that were read are written with the same meaning.
 func FuzzReader(f *testing.F) {
 	f.Add(AppendText(AppendStartup(nil, Version32, "user", "u"), 'Q', "select 1"), 3)
 	f.Add(AppendCancel(nil, 1, []byte{1, 2, 3, 4}), 1)
