--- a/internal/protocol/sqlscan/fingerprint_test.go
+++ b/internal/protocol/sqlscan/fingerprint_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// Texts of one shape have one fingerprint, texts of others have others.
+// TestFingerprint: texts of one shape have the same fingerprint, texts of others have others.
 func TestFingerprint(t *testing.T) {
 	shapes := [][]string{
 		{"select a from t where b = 1", "SELECT a\nFROM t -- note\nWHERE b=$1;",
--- a/internal/protocol/sqlscan/functions.go
+++ b/internal/protocol/sqlscan/functions.go
@@ -2,11 +2,10 @@
 
 import "strings"
 
-// A function that nobody here knows may leave something at the engine: a temporary table, a session lock, a
-// setting. Nothing in the protocol tells of that, so a statement that calls one is in doubt.
-
-// harmless are functions and words before a parenthesis that leave nothing in a session.
-var harmless = func() map[string]bool {
+// sessionNeutral are functions, and words that may stand before a parenthesis, that leave nothing in a
+// session. Any other function may leave something at the engine: a temporary table, a session lock, a
+// setting. Nothing in the protocol tells of that, so a statement that calls one counts as if it did.
+var sessionNeutral = func() map[string]bool {
 	all := map[string]bool{}
 	for _, w := range strings.Fields(`
 	SELECT FROM WHERE AND OR NOT IN ANY ALL SOME EXISTS AS ON USING BY HAVING VALUES OVER FILTER WITHIN GROUP
@@ -67,10 +66,10 @@
 	return all
 }()
 
-// calls takes note of a name before an opening parenthesis. before is the word in front of the name: in some
+// noteCall notes a name before an opening parenthesis; before is the word in front of the name: in some
 // places a name with a list behind it is no call.
-func (st *Statement) calls(name, before string) {
-	if st.Function != "" || harmless[strings.ToUpper(name)] {
+func (st *Statement) noteCall(name, before string) {
+	if st.Function != "" || sessionNeutral[strings.ToUpper(name)] {
 		return
 	}
 	switch st.Words[0] {
--- a/internal/protocol/sqlscan/group.go
+++ b/internal/protocol/sqlscan/group.go
@@ -5,52 +5,68 @@
 	"strings"
 )
 
+const (
+	// maxGroup bounds the numbers that count as a group's.
+	maxGroup = 1 << 20
+
+	// stagingSchema is the schema, without its number, that is of no group.
+	stagingSchema = "staging"
+)
+
 // Group returns the number of the group of tables that a text reads or writes: what stands behind the last
 // underscore in the name of a schema (17 in sales_17.orders), outside comments and quoted texts; 0 where
 // there is none. The schema staging is no group. A name after FROM, JOIN, INTO, UPDATE, TABLE or COPY goes
 // before any other.
 func Group(text string) int {
 	s := scanner{text: text}
-	first, found := 0, false
-	name, before := "", "" // the name before this token, and the word before that name
-	last := ""
+	firstGroup, found := 0, false
+	name, beforeName := "", "" // the name just read, and the word before it
+	last := ""                 // the last word, in upper case
 	for {
-		kind, a, b := s.next()
+		kind, from, to := s.next()
 		switch {
 		case kind == tokenEnd:
-			return first
+			return firstGroup
 		case kind == tokenComment:
 			continue
 		case kind == tokenWord:
-			name, before, last = text[a:b], last, strings.ToUpper(text[a:b])
-		case text[a] == '"' && b-a > 2:
-			name, before, last = text[a+1:b-1], last, ""
-		case text[a] == '.' && name != "":
-			if n, ok := groupOf(name); ok {
-				switch before {
-				case "FROM", "JOIN", "INTO", "UPDATE", "TABLE", "COPY", "ONLY":
-					return n
+			name, beforeName, last = text[from:to], last, strings.ToUpper(text[from:to])
+		case text[from] == '"' && to-from > 2:
+			name, beforeName, last = text[from+1:to-1], last, ""
+		case text[from] == '.' && name != "":
+			if group, ok := groupOfSchema(name); ok {
+				if tableFollows(beforeName) {
+					return group
 				}
 				if !found {
-					first, found = n, true
+					firstGroup, found = group, true
 				}
 			}
 			name = ""
 		default:
 			name = ""
-			if text[a] != ',' && text[a] != '(' {
+			if text[from] != ',' && text[from] != '(' {
 				last = ""
 			}
 		}
 	}
 }
 
-// groupOf is the number behind a schema's underscore, if there is one.
-func groupOf(schema string) (int, bool) {
+// tableFollows reports whether a table's name follows a word.
+func tableFollows(word string) bool {
+	switch word {
+	case "FROM", "JOIN", "INTO", "UPDATE", "TABLE", "COPY", "ONLY":
+		return true
+	}
+	return false
+}
+
+// groupOfSchema returns the number behind a schema's last underscore, if there is one.
+func groupOfSchema(schema string) (group int, ok bool) {
 	i := strings.LastIndexByte(schema, '_')
-	n, err := strconv.Atoi(schema[i+1:])
-	if i < 0 || err != nil || n < 0 || n > 1<<20 || strings.EqualFold(schema[:i], "staging") {
+	group, err := strconv.Atoi(schema[i+1:])
+	if i < 0 || err != nil || group < 0 || group > maxGroup || strings.EqualFold(schema[:i], stagingSchema) {
 		return 0, false
 	}
-	return n, true
+	return group, true
 }
