--- a/internal/backend/pgbackend/ready.go
+++ b/internal/backend/pgbackend/ready.go
@@ -76,12 +76,14 @@
 	}
 	if keep {
 		c.lease.Store(a.Lease)
-	} else if l := c.lease.Load(); l != nil &&
-		!tainted { // a tainted connection is lost to its session as it closes
+		return true, false
+	}
+	// A tainted connection is closed, and its session learns of the loss by that.
+	if l := c.lease.Load(); l != nil && !tainted {
 		c.lease.Store(nil)
 		l.release()
 	}
-	return keep, tainted
+	return false, tainted
 }
 
 // detach ends the attempt's use of the connection and gives the connection back, if another may have it. An
--- a/internal/backend/sessionparams/change.go
+++ b/internal/backend/sessionparams/change.go
@@ -37,6 +37,16 @@
 	return ch, true
 }
 
+// ChangesAny reports whether one of the statements changes a setting that is replayed.
+func ChangesAny(statements []sqlscan.Statement) bool {
+	for i := range statements {
+		if _, ok := ChangeOf(&statements[i]); ok {
+			return true
+		}
+	}
+	return false
+}
+
 // resetBy returns what a RESET changes.
 func resetBy(words *[4]string) (ch Change, ok bool) {
 	if words[1] == "ALL" {
--- a/internal/frontend/flightsql/scope.go
+++ b/internal/frontend/flightsql/scope.go
@@ -108,13 +108,12 @@
 
 // needsExclusive reports whether statements may leave session state, or change what is replayed.
 func needsExclusive(parsed []sqlscan.Statement) bool {
-	return slices.ContainsFunc(parsed, func(st sqlscan.Statement) bool {
-		return changesSettings(st) || affinity.MayLeaveState(&st) || changesSessionState(&st)
-	})
+	return sessionparams.ChangesAny(parsed) || slices.ContainsFunc(parsed, mayLeaveState) ||
+		slices.ContainsFunc(parsed, changesSessionState)
 }
 
 // changesSessionState reports whether a statement is about a transaction or session state that may exist.
-func changesSessionState(st *sqlscan.Statement) bool {
+func changesSessionState(st sqlscan.Statement) bool {
 	switch st.Words[0] {
 	case "COMMIT", "END", "ROLLBACK", "ABORT", "RELEASE", "DISCARD", "RESET", "UNLISTEN", "CLOSE",
 		"DEALLOCATE", "PREPARE":
@@ -123,11 +122,6 @@
 	return false
 }
 
-func changesSettings(st sqlscan.Statement) bool {
-	_, ok := sessionparams.ChangeOf(&st)
-	return ok
-}
-
 func mayLeaveState(st sqlscan.Statement) bool { return affinity.MayLeaveState(&st) }
 
 // prepareQuery fills in what a query has to do with its scope. The caller has the turn.
@@ -149,7 +143,7 @@
 		q.MayBecomeSticky = !sticky &&
 			(sc.affinity.Bound() || slices.ContainsFunc(q.Parsed, mayLeaveState))
 	}
-	q.Stateful = sticky || q.MayBecomeSticky || slices.ContainsFunc(q.Parsed, changesSettings)
+	q.Stateful = sticky || q.MayBecomeSticky || sessionparams.ChangesAny(q.Parsed)
 }
 
 // settleQuery takes the end of a statement at its engine.
--- a/internal/frontend/pgfrontend/pgsession/query.go
+++ b/internal/frontend/pgfrontend/pgsession/query.go
@@ -53,12 +53,7 @@
 	// A query that makes the session sticky may yet be rejected before an engine saw it; QueryEnded then says
 	// that no connection is held.
 	q.MayBecomeSticky = !q.Sticky && (s.Affinity.Bound() || slices.ContainsFunc(q.Parsed, mayLeaveState))
-	q.Stateful = q.Sticky || q.MayBecomeSticky || slices.ContainsFunc(q.Parsed, changesSettings)
+	q.Stateful = q.Sticky || q.MayBecomeSticky || sessionparams.ChangesAny(q.Parsed)
 }
 
 func mayLeaveState(st sqlscan.Statement) bool { return affinity.MayLeaveState(&st) }
-
-func changesSettings(st sqlscan.Statement) bool {
-	_, ok := sessionparams.ChangeOf(&st)
-	return ok
-}
