--- a/internal/frontend/flightsql/scope.go
+++ b/internal/frontend/flightsql/scope.go
@@ -108,13 +108,12 @@
 
 // needsExclusive reports whether statements may leave session state, or change what is replayed.
 func needsExclusive(parsed []sqlscan.Statement) bool {
-	return slices.ContainsFunc(parsed, func(st sqlscan.Statement) bool {
-		return changesSettings(st) || affinity.MayLeaveState(&st) || changesSessionState(&st)
-	})
+	return sessionparams.ChangesAny(parsed) || slices.ContainsFunc(parsed, mayLeaveState) ||
+		slices.ContainsFunc(parsed, changesSessionState)
 }
 
 // changesSessionState reports whether a statement is about a transaction or session state that may exist.
-func changesSessionState(st *sqlscan.Statement) bool {
+func changesSessionState(st sqlscan.Statement) bool {
 	switch st.Words[0] {
 	case "COMMIT", "END", "ROLLBACK", "ABORT", "RELEASE", "DISCARD", "RESET", "UNLISTEN", "CLOSE",
 		"DEALLOCATE", "PREPARE":
@@ -123,18 +122,13 @@
 	return false
 }
 
-func changesSettings(st sqlscan.Statement) bool {
-	_, ok := sessionparams.ChangeOf(&st)
-	return ok
-}
-
 func mayLeaveState(st sqlscan.Statement) bool { return affinity.MayLeaveState(&st) }
 
 // prepareQuery fills in what a query has to do with its scope. The caller has the turn.
 func (sc *scope) prepareQuery(c *call, q *enginequery.Query) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	q.OutsideTransaction = sc.affinity.Status() == 'I'
+	q.OutsideTransaction = sc.affinity.Status() == enginequery.StatusIdle
 	q.Settings = sc.affinity.Params.Desired()
 	sticky := sc.affinity.Bound()
 	if !c.exclusive && !sticky {
@@ -149,7 +143,7 @@
 		q.MayBecomeSticky = !sticky &&
 			(sc.affinity.Bound() || slices.ContainsFunc(q.Parsed, mayLeaveState))
 	}
-	q.Stateful = sticky || q.MayBecomeSticky || slices.ContainsFunc(q.Parsed, changesSettings)
+	q.Stateful = sticky || q.MayBecomeSticky || sessionparams.ChangesAny(q.Parsed)
 }
 
 // settleQuery takes the end of a statement at its engine.
@@ -173,7 +167,8 @@
 	sc.queue.SetSticky(keep)
 	sc.transactionBegan = sc.transactionBegan || keep
 	d := pgbackend.Disposition{Known: true, Keep: keep, Settings: a.Params.OnConnection()}
-	if sc.transactionID != "" && sc.transactionBegan && end.TransactionStatus == 'I' {
+	transactionEnded := sc.transactionBegan && end.TransactionStatus == enginequery.StatusIdle
+	if sc.transactionID != "" && transactionEnded {
 		// State that outlives the transaction belongs to no session: the connection is closed.
 		sc.endVerdict = verdict.Invalid(sqlstate.InvalidTransactionState, "it was committed or rolled back")
 		d.Keep, d.Known = false, !keep
--- a/internal/protocol/sqlstate/sqlstate.go
+++ b/internal/protocol/sqlstate/sqlstate.go
@@ -11,6 +11,7 @@
 	FeatureNotSupported          = "0A000"
 	InvalidParameterValue        = "22023"
 	InvalidTransactionState      = "25000"
+	IdleInTransactionTimeout     = "25P03"
 	InvalidSQLStatementName      = "26000"
 	InvalidAuthorization         = "28000"
 	InvalidCursorName            = "34000"
@@ -23,5 +24,6 @@
 	ProgramLimitExceeded         = "54000"
 	QueryCanceled                = "57014"
 	AdminShutdown                = "57P01"
+	CrashShutdown                = "57P02"
 	CannotConnectNow             = "57P03"
 )
