--- a/internal/platform/process_test.go
+++ b/internal/platform/process_test.go
@@ -33,11 +33,32 @@
 	harness *harness
 	addr    string // where it listens
 	cmd     *exec.Cmd
-	log     bytes.Buffer
+	log     outputBuffer
 	ended   chan error
 }
 
-// startProgram starts the program once the harness was prepared, and waits until it listens.
+// outputBuffer keeps what a process writes. It is for any number of goroutines.
+type outputBuffer struct {
+	mu   sync.Mutex
+	text strings.Builder
+}
+
+// Write implements io.Writer.
+func (b *outputBuffer) Write(data []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.Write(data)
+}
+
+// String returns what was written so far.
+func (b *outputBuffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.String()
+}
+
+// startProgram starts the program once the harness was prepared, and waits until its log says that it listens:
+// a connection that comes up may be to another process, which took the free port first.
 func startProgram(t *testing.T, prepare func(h *harness)) *testProcess {
 	t.Helper()
 	program := buildProgram(t)
@@ -59,11 +80,7 @@
 	t.Cleanup(func() { p.cmd.Process.Kill() })
 	go func() { p.ended <- p.cmd.Wait() }()
 	eventually(t, "the dispatcher listens", func() bool {
-		conn, err := net.Dial("tcp", p.addr)
-		if err == nil {
-			conn.Close()
-		}
-		return err == nil
+		return strings.Contains(p.log.String(), "msg=serving")
 	})
 	return p
 }
