--- /dev/null
+++ b/internal/simulation/faults_test.go
@@ -0,0 +1,127 @@
+package simulation
+
+import (
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// Whatever faults come together in whatever order, each client gets one answer within its deadline, no query
+// goes to a drained engine after the grace, no engine collapses while it warms up, and retries stay within
+// their budget; and one seed has one result.
+func TestRulesHoldUnderRandomFaults(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		c := smallFleet(rapid.Uint64().Draw(t, "seed"), GossipMode(rapid.IntRange(0, 2).Draw(t, "talk")), 0)
+		c.Restarts = nil
+		c.Length = 12 * time.Second
+		setSlowStart(&c, 10*time.Second, 3)
+		for range rapid.IntRange(0, 4).Draw(t, "troubles") {
+			c.Faults = append(c.Faults, Fault{Kind: rapid.SampledFrom(FaultKinds()).Draw(t, "kind"),
+				At:         time.Duration(rapid.IntRange(0, 8000).Draw(t, "at")) * time.Millisecond,
+				For:        time.Duration(rapid.IntRange(1000, 5000).Draw(t, "for")) * time.Millisecond,
+				Engines:    []int{rapid.IntRange(0, 2).Draw(t, "engine")},
+				Dispatcher: rapid.IntRange(0, 4).Draw(t, "d"),
+				Size:       0.3})
+		}
+		f, err := NewFleet(c)
+		if err != nil {
+			t.Fatal(err)
+		}
+		got := f.Run()
+		if got.Violations.Total() > 0 {
+			t.Fatalf("%+v with %+v", got.Violations, c.Faults)
+		}
+		again, _ := NewFleet(c)
+		if b := again.Run(); len(b.Requests) != len(got.Requests) || b.Events != got.Events {
+			t.Fatalf("the same seed: %d requests and %d events, then %d and %d", len(got.Requests),
+				got.Events, len(b.Requests), b.Events)
+		}
+	})
+}
+
+// All policies run; under overload, the oracle serves no less in time than the others.
+func TestPolicies(t *testing.T) {
+	served := map[string]float64{}
+	for _, p := range Policies {
+		c := smallFleet(1, NoGossip, 0)
+		c.Restarts, c.Policy, c.Length = nil, p, 40*time.Second
+		for i := range c.Traffic {
+			c.Traffic[i].Rate *= 1.3
+		}
+		f, err := NewFleet(c)
+		if err != nil {
+			t.Fatal(err)
+		}
+		s := f.Run().Between(10*time.Second, 30*time.Second, nil)
+		served[p] = s.Served * (1 - s.Late)
+	}
+	for p, v := range served {
+		if p != "oracle" && v > served["oracle"]+0.02 {
+			t.Errorf("%q serves %.3f in time, the oracle %.3f", p, v, served["oracle"])
+		}
+	}
+	c := smallFleet(1, NoGossip, 0)
+	c.Policy = "best"
+	if _, err := NewFleet(c); err == nil {
+		t.Error("an unknown policy, and no error")
+	}
+}
+
+// A newly started engine looks empty to all dispatchers, and they flood it: with the module it does not
+// collapse, and with a plain policy it does, which shows that the model would notice. The same holds where a
+// tenth of the dispatchers has nine tenths of the clients.
+func TestNewEngineIsNotFlooded(t *testing.T) {
+	late := time.Duration(0)
+	play := func(policy string, uneven float64) *Result {
+		c := smallFleet(2, GossipOnly, 0)
+		c.ListDelay = late
+		c.Restarts, c.Policy, c.Imbalance, c.Dispatchers, c.Length = nil, policy, uneven, 20, 40*time.Second
+		setSlowStart(&c, 15*time.Second, 2)
+		for i := range c.Traffic {
+			c.Traffic[i].Rate *= 0.75
+		}
+		c.Faults = []Fault{{Kind: "crash", At: 8 * time.Second, For: 3 * time.Second, Engines: []int{0}}}
+		f, err := NewFleet(c)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return f.Run()
+	}
+	for _, uneven := range []float64{0, 0.9} {
+		r := play("", uneven)
+		if r.Violations.Total() > 0 {
+			t.Errorf("busiest tenth %g: %+v", uneven, r.Violations)
+		}
+		s := r.Between(0, 30*time.Second, nil)
+		if busy := r.Between(0, 30*time.Second, []int{0, 1}); uneven > 0 &&
+			float64(busy.Tries) < 0.8*float64(s.Tries) {
+			t.Errorf("%d of %d tries at the busiest tenth", busy.Tries, s.Tries)
+		}
+		if s.Served < 0.5 {
+			t.Errorf("busiest tenth %g: %+v", uneven, s)
+		}
+	}
+	v := play("least-connections", 0).Violations
+	if v.InformedCollapses == 0 || v.UninformedCollapses > 0 {
+		t.Errorf("a plain policy makes no cold engine collapse: %+v", v)
+	}
+	late = time.Minute // nobody hears that the engine is new before the day is over
+	v = play("least-connections", 0).Violations
+	if v.InformedCollapses > 0 || v.UninformedCollapses == 0 {
+		t.Errorf("collapses are blamed on dispatchers that could not know: %+v", v)
+	}
+}
+
+// setSlowStart gives the module's rules and all machines the same slow start, from 0.3 of the capacity and
+// with a window of a second.
+func setSlowStart(c *Config, duration time.Duration, overloadFactor float64) {
+	r := &c.Module.Rules
+	r.SlowStartFrom, r.SlowStartDuration = 0.3, duration
+	r.SlowStartOverloadFactor, r.SlowStartWindow = overloadFactor, time.Second
+	for i := range c.Engines {
+		m := &c.Engines[i].Machine
+		m.SlowStartFrom, m.SlowStartDuration = r.SlowStartFrom, r.SlowStartDuration
+		m.SlowStartOverloadFactor, m.SlowStartWindow = r.SlowStartOverloadFactor, r.SlowStartWindow
+	}
+}
