--- a/internal/server/benchmark_test.go
+++ b/internal/server/benchmark_test.go
@@ -27,7 +27,7 @@
 	"cresspass/internal/standin"
 )
 
-// benchSettings admit all: the way is measured, not the decision to refuse.
+// benchSettings admit all: the path is measured, not the decision to reject.
 const benchSettings = baseSettings + `
 max_clients = 20000
 `
@@ -72,14 +72,16 @@
 	}
 }
 
-// benchmarkStatement tells a cost of a fiftieth of the aim, the least that the module believes: what it
-// learns at 30,000 statements a second of a tenth of a millisecond each is not the matter here.
+// benchmarkStatement reports a cost of a fiftieth of the latency objective, the least that the module
+// accepts: what it learns of 30,000 statements a second of a tenth of a millisecond each is not measured
+// here.
 const benchmarkStatement = "select $1::text /*work_ms='0',cost_ms='200'*/"
 
+// benchmarkStatements runs statements over connections, after a second of warming up.
 func benchmarkStatements(b *testing.B, addr string, conns int) {
 	ctx := context.Background()
 	var wg sync.WaitGroup
-	var left, refused atomic.Int64
+	var left, rejected atomic.Int64
 	var mu sync.Mutex
 	all := hdrhistogram.New(1, 60_000_000, 3)
 	warm, ready := make(chan struct{}), make(chan struct{})
@@ -95,7 +97,7 @@
 			_, err := c.Exec(ctx, benchmarkStatement, "x")
 			var e *pgconn.PgError
 			if errors.As(err, &e) && e.Code == "53000" {
-				refused.Add(1)
+				rejected.Add(1)
 			} else if err != nil {
 				b.Error(err)
 			}
@@ -128,7 +130,7 @@
 	}
 	close(warm)
 	warmed.Wait()
-	refused.Store(0)
+	rejected.Store(0)
 	b.ResetTimer()
 	close(ready)
 	wg.Wait()
@@ -136,7 +138,7 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "stmt/s")
 	b.ReportMetric(float64(all.ValueAtQuantile(50)), "p50-us")
 	b.ReportMetric(float64(all.ValueAtQuantile(99)), "p99-us")
-	b.ReportMetric(float64(refused.Load())/float64(b.N), "refused")
+	b.ReportMetric(float64(rejected.Load())/float64(b.N), "refused")
 }
 
 // idleClientsEnv has the child process of BenchmarkIdleClient hold clients, by an address and a number.
--- a/internal/server/flight_fault_test.go
+++ b/internal/server/flight_fault_test.go
@@ -94,19 +94,19 @@
 	for range 8 {
 		go func() { ends <- get(a, write) }()
 	}
-	served, refused := 0, 0
+	served, rejected := 0, 0
 	for range 8 {
 		switch err := <-ends; status.Code(err) {
 		case codes.OK:
 			served++
 		case codes.FailedPrecondition:
-			refused++
+			rejected++
 		default:
 			t.Error(err)
 		}
 	}
-	if n := countRuns(r, "once"); served != 1 || refused != 7 || n != 1 {
-		t.Errorf("eight fetches: %d served, %d refused, %d runs", served, refused, n)
+	if n := countRuns(r, "once"); served != 1 || rejected != 7 || n != 1 {
+		t.Errorf("eight fetches: %d served, %d rejected, %d runs", served, rejected, n)
 	}
 	if err := get(a, write); status.Code(err) != codes.FailedPrecondition || countRuns(r, "once") != 1 {
 		t.Errorf("fetched again: %v", err)
@@ -138,16 +138,17 @@
 	if err := get(a, old); status.Code(err) != codes.NotFound {
 		t.Errorf("an old ticket: %v", err)
 	}
-	refusal := issue("insert into t values (1) /*id='refused'*/") // one that was refused may be fetched again
+	// A ticket whose statement was rejected may be fetched again.
+	rejectedTicket := issue("insert into t values (1) /*id='refused'*/")
 	for _, full := range []bool{true, false} {
 		for _, e := range r.Engines {
 			e.SetFaults(standin.Faults{Full: full})
 		}
-		switch err := get(a, refusal); {
+		switch err := get(a, rejectedTicket); {
 		case full && (status.Code(err) != codes.ResourceExhausted || reportedRun(err) != "REFUSED false"):
-			t.Errorf("refused: %v (%s)", err, reportedRun(err))
+			t.Errorf("rejected: %v (%s)", err, reportedRun(err))
 		case !full && err != nil:
-			t.Errorf("a ticket whose statement was refused: %v", err)
+			t.Errorf("a ticket whose statement was rejected: %v", err)
 		}
 	}
 }
