--- a/internal/frontend/flightsql/query.go
+++ b/internal/frontend/flightsql/query.go
@@ -74,9 +74,7 @@
 		switch kind {
 		case 't': // ParameterDescription
 			d.params, err = arrowbatch.ParameterSchema(body)
-			if err == nil {
-				d.parameterTypes = string(body[2:]) // after their number
-			}
+			d.parameterTypes = string(body[2:]) // after their number
 		case 'T': // RowDescription
 			d.rows, err = arrowbatch.NewSchema(body, true)
 		}
