--- a/internal/frontend/pgfrontend/pgsession/golden_test.go
+++ b/internal/frontend/pgfrontend/pgsession/golden_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 
@@ -47,44 +48,56 @@
 	return send(pgwire.AppendSync(b))
 }
 
+// The messages of a client, and the end of a query at an engine.
+var (
+	user   = startup("user", "u")
+	done   = pgwire.AppendText(nil, 'C', "SELECT 1")
+	failed = pgwire.AppendFields(nil, 'E', &pgwire.Fields{Severity: "ERROR", Code: "42P01",
+		Message: "no table"})
+)
+
+func parse(name, text string, types ...byte) []byte {
+	return pgwire.AppendParse(nil, name, text, types)
+}
+
+func bind(portal, statement string) []byte {
+	return pgwire.AppendBind(nil, portal, statement, []byte{0, 0, 0, 0, 0, 0}) // no values
+}
+
+func target(kind, of byte, name string) []byte { return pgwire.AppendTarget(nil, kind, of, name) }
+
+func execute(portal string, rows int32) []byte { return pgwire.AppendExecute(nil, portal, rows) }
+
+// conversation is what happens to one session.
+type conversation struct {
+	name   string
+	events []event
+}
+
 // TestClientBytesAreStable plays conversations with clients and compares all that a client is sent, and all
 // that is put to an engine, with what the version that introduced this test gave.
 func TestClientBytesAreStable(t *testing.T) {
-	noValues := []byte{0, 0, 0, 0, 0, 0}
-	parse := func(name, text string, types ...byte) []byte {
-		return pgwire.AppendParse(nil, name, text,
-			types)
-	}
-	bind := func(portal, statement string) []byte {
-		return pgwire.AppendBind(nil, portal, statement,
-			noValues)
-	}
-	target := func(kind, of byte, name string) []byte { return pgwire.AppendTarget(nil, kind, of, name) }
-	execute := func(portal string, rows int32) []byte { return pgwire.AppendExecute(nil, portal, rows) }
-	done := pgwire.AppendText(nil, 'C', "SELECT 1")
-	failed := pgwire.AppendFields(nil, 'E', &pgwire.Fields{Severity: "ERROR", Code: "42P01",
-		Message: "no table"})
-	user := startup("user", "u")
 	var got strings.Builder
-	simple := []event{user}
-	for _, text := range []string{"", ";", "show statement_timeout", "set statement_timeout = '5s'",
-		"show statement_timeout", "set statement_timeout to default", "set statement_timeout = 250",
-		"set statement_timeout = 'soon'", "set application_name to 'me'", "show application_name",
-		"show server_version", "show server_encoding", "show client_encoding", "show datestyle",
-		"show timezone", "show time zone", "show standard_conforming_strings", "show extra_float_digits",
-		"show integer_datetimes", "show transaction_read_only", "show transaction isolation level",
-		"show default_transaction_isolation", "show transaction_isolation",
-		"show default_transaction_read_only",
-		"set client_encoding = 'UTF-8'", "show client_encoding", "set names 'utf8'", "set time zone 'UTC'",
-		"set datestyle = 'ISO, MDY'", "set extra_float_digits = 3; show extra_float_digits",
-		"reset statement_timeout", "reset all", "discard temp", "discard all", "deallocate nothing",
-		"deallocate all", "deallocate prepare \"x\""} {
-		simple = append(simple, query(text))
+	for _, c := range slices.Concat(startupConversations(), queryConversations(), extendedConversations(),
+		violationConversations(), copyConversations()) {
+		fmt.Fprintf(&got, "== %s\n", c.name)
+		s := New(
+			&Config{ServerVersion: "16.0 (cresspass)", MaxPending: 64, MaxPrepared: 2},
+			7,
+			strings.Repeat("k",
+				32),
+		)
+		for _, e := range c.events {
+			e(s)
+			transcribe(&got, s)
+		}
 	}
-	for _, c := range []struct {
-		name   string
-		events []event
-	}{
+	compareGolden(t, "conversations.txt", got.String())
+}
+
+// startupConversations are about the startup phase.
+func startupConversations() []conversation {
+	return []conversation{
 		{"startup", []event{user}},
 		{"startup with a database and a name", []event{startup("user", "u", "database", "d",
 			"application_name", "a", "client_encoding", "UTF8")}},
@@ -111,6 +124,27 @@
 			send([]byte{0, 0, 0, 8, 4, 210, 22, 48}), user}},
 		{"startup too long", []event{send([]byte{0, 1, 0, 0, 0, 3, 0, 0})}},
 		{"cancel request", []event{send(pgwire.AppendCancel(nil, 7, []byte("kkkk")))}},
+	}
+}
+
+// queryConversations use the simple protocol.
+func queryConversations() []conversation {
+	simple := []event{user}
+	for _, text := range []string{"", ";", "show statement_timeout", "set statement_timeout = '5s'",
+		"show statement_timeout", "set statement_timeout to default", "set statement_timeout = 250",
+		"set statement_timeout = 'soon'", "set application_name to 'me'", "show application_name",
+		"show server_version", "show server_encoding", "show client_encoding", "show datestyle",
+		"show timezone", "show time zone", "show standard_conforming_strings", "show extra_float_digits",
+		"show integer_datetimes", "show transaction_read_only", "show transaction isolation level",
+		"show default_transaction_isolation", "show transaction_isolation",
+		"show default_transaction_read_only",
+		"set client_encoding = 'UTF-8'", "show client_encoding", "set names 'utf8'", "set time zone 'UTC'",
+		"set datestyle = 'ISO, MDY'", "set extra_float_digits = 3; show extra_float_digits",
+		"reset statement_timeout", "reset all", "discard temp", "discard all", "deallocate nothing",
+		"deallocate all", "deallocate prepare \"x\""} {
+		simple = append(simple, query(text))
+	}
+	return []conversation{
 		{"simple queries served here", simple},
 		{"simple query", []event{user, query("select 1"), finish(enginequery.Simple, "SELECT 1", 'I', done,
 			false),
@@ -130,6 +164,12 @@
 			finish(enginequery.Simple, "CREATE TABLE", 'I', done, false), query("show timezone"),
 			finish(enginequery.Simple, "SHOW", 'I', done, false), query("discard all"),
 			finish(enginequery.Simple, "DISCARD ALL", 'I', done, false), query("show timezone")}},
+	}
+}
+
+// extendedConversations use the extended protocol.
+func extendedConversations() []conversation {
+	return []conversation{
 		{"extended query", []event{user, extended(parse("s", "select $1", 0, 0, 0, 25), bind("", "s"),
 			target('D', 'P', ""), execute("", 0)), finish(enginequery.Execute, "SELECT 1", 'I', done,
 			false)}},
@@ -162,6 +202,12 @@
 			extended(parse("", "select 1"), bind("p", ""), execute("p", 1)),
 			finish(enginequery.Execute, "", 'T', nil, false), extended(execute("p", 1)),
 			finish(enginequery.Execute, "SELECT 1", 'T', done, false)}},
+	}
+}
+
+// violationConversations break the protocol, or its limits, or use messages that are ignored.
+func violationConversations() []conversation {
+	return []conversation{
 		{"function call", []event{user, send(pgwire.Append(nil, 'F', []byte{1}))}},
 		{"message out of place", []event{user, send(pgwire.Append(nil, 'p', nil))}},
 		{"message of no known type", []event{user, send([]byte("~~~~~~"))}},
@@ -176,6 +222,12 @@
 			finish(enginequery.Simple, "SELECT 1", 'I', done, false), finish(enginequery.Simple, "SELECT 1",
 				'I', done,
 				false)}},
+	}
+}
+
+// copyConversations copy data into the engine, or end.
+func copyConversations() []conversation {
+	return []conversation{
 		{"copy", []event{user, query("copy t from stdin"), copyMode, send(pgwire.Append(nil, 'd',
 			[]byte("1\n"))),
 			send(pgwire.AppendFlush(nil)), send(pgwire.Append(nil, 'c', nil)),
@@ -189,20 +241,7 @@
 			send(pgwire.Append(nil, 'X', nil))}},
 		{"ended from our side", []event{user, func(s *Session) { s.Terminate("57P01", "over") },
 			func(s *Session) { s.Terminate("57P01", "again") }}},
-	} {
-		fmt.Fprintf(&got, "== %s\n", c.name)
-		s := New(
-			&Config{ServerVersion: "16.0 (cresspass)", MaxPending: 64, MaxPrepared: 2},
-			7,
-			strings.Repeat("k",
-				32),
-		)
-		for _, e := range c.events {
-			e(s)
-			transcribe(&got, s)
-		}
 	}
-	compareGolden(t, "conversations.txt", got.String())
 }
 
 // transcribe writes what a session has to say after an event: one line a message, one for a query.
