--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -166,12 +166,13 @@
 
 // readLoadReport adds the load report of a response, if it has one, to the attempt's end.
 func (a *attempt) readLoadReport(response *nodehttp.Response, done *cresspass.Event) {
-	if report, ok := parseLoadReport(response.Header[loadReportHeader], a.service.reportFields); ok {
+	header := response.Header[nodehttp.HeaderLoadReport]
+	if report, ok := parseLoadReport(header, a.service.reportFields); ok {
 		done.LoadReport, done.HasLoadReport = report, true
 	}
 }
 
-// postProgress passes word of a running query on to the core.
+// postProgress posts the progress of a running query to the core.
 func (a *attempt) postProgress(note computenode.Progress) {
 	if note.Type != 0 {
 		a.service.loop.Post(cresspass.Event{Type: cresspass.ProgressReported, Query: a.request.ID,
--- a/internal/platform/guard_test.go
+++ b/internal/platform/guard_test.go
@@ -97,13 +97,13 @@
 	h.guard.setServing(true)
 	seq := h.sendHeld(client, 3)
 	h.frontend.mu.Lock()
-	q := h.frontend.state.OpenRequestsOn(h.onlyConn().id)[0]
+	q := h.frontend.registry.OpenRequestsOn(h.onlyConn().id)[0]
 	h.frontend.mu.Unlock()
 	h.guard.complete(q, true) // as by another hand
 	if h.frontend.respondResult(q.ID, [][]byte{[]byte("a\tb\tc\n")}) {
 		t.Error("a second answer went out")
 	}
-	client.conn.Write(thrift.AppendCancel(nil, 99, seq))
+	client.conn.Write(thrift.CancelRequest{TargetSeq: seq}.Append(nil, 99))
 	if n := h.node.callCount("POST " + ticket(2)); n != 0 {
 		t.Errorf("%d queries sent outside life", n)
 	}
