--- a/internal/simulation/baseline/baseline_test.go
+++ b/internal/simulation/baseline/baseline_test.go
@@ -8,7 +8,7 @@
 	"cresspass/internal/dispatch"
 )
 
-// Each decider serves a plain day through the core, books even, and each mutation is a decider that decides.
+// Each decider, and each mutant, serves queries through the core and leaves none open.
 func TestDecidersServe(t *testing.T) {
 	cfg := cresspass.Config{
 		Seed:          1,
@@ -28,53 +28,59 @@
 	for m := 1; m <= 7; m++ {
 		deciders["mutant "+string(rune('0'+m))] = func() (dispatch.Decider, error) { return New("", m, cfg) }
 	}
-	for name, f := range deciders {
-		d, err := f()
+	for name, newDecider := range deciders {
+		d, err := newDecider()
 		if err != nil {
 			t.Fatal(name, err)
 		}
-		now := time.Hour
-		core := dispatch.NewCoreWithDecider(d, cfg, now)
-		core.Step(
-			now,
-			[]cresspass.Event{{Type: cresspass.EngineListReceived, ListType: cresspass.ListComplete,
-				Engines: []cresspass.EngineInfo{
-					{ID: "a", Kind: "std"}, {ID: "b", Kind: "std"}, {ID: "c", Kind: "std",
-						State: cresspass.EngineRemoved}}}},
-		)
-		sent := map[cresspass.EngineID]int{}
-		for id := range cresspass.QueryID(100) {
-			now += 20 * time.Millisecond
-			out := append([]dispatch.Output(nil), core.Step(now, []cresspass.Event{{
-				Type: cresspass.QueryArrived, Query: id + 1, Class: "q",
-				RemainingDeadline: 4 * time.Second}})...)
-			for _, o := range out {
-				if o.Type == dispatch.StartAttempt {
-					sent[o.Engine]++
-					end := cresspass.Event{Type: cresspass.AttemptDone, Query: o.Query, Attempt: o.Attempt,
-						Engine: o.Engine, Outcome: cresspass.OutcomeOK, Elapsed: 5 * time.Millisecond,
-						QueryFinished: true}
-					if id%10 == 3 {
-						end.Outcome, end.QueryFinished = cresspass.OutcomeConnectionReset, false
-					}
-					for _, again := range core.Step(now+5*time.Millisecond, []cresspass.Event{end}) {
-						if again.Type == dispatch.StartAttempt {
-							core.Step(now+9*time.Millisecond, []cresspass.Event{{Type: cresspass.AttemptDone,
-								Query: again.Query, Attempt: again.Attempt, Engine: again.Engine,
-								Outcome: cresspass.OutcomeOK, Elapsed: time.Millisecond,
-								QueryFinished: true}})
-						}
-					}
-				}
-			}
-		}
-		core.Step(now+time.Minute, nil)
-		if st := core.Stats(); st.Served < 95 || st.Open != 0 || sent["c"] > 0 || name == "round-robin" &&
+		stats, sent := serveQueries(dispatch.NewCoreWithDecider(d, cfg, time.Hour))
+		if stats.Served < 95 || stats.Open != 0 || sent["c"] > 0 || name == "round-robin" &&
 			(sent["a"] < 40 || sent["b"] < 40) {
-			t.Errorf("%s: %+v, sent %v", name, st, sent)
+			t.Errorf("%s: %+v, sent %v", name, stats, sent)
 		}
 	}
 	if _, err := New("other", 0, cfg); err == nil {
 		t.Error("an unknown policy")
 	}
 }
+
+// serveQueries sends 100 queries through a core with two active engines and a removed one. A tenth of them
+// lose their first attempt. It returns the core's figures a minute later, and the first attempts by engine.
+func serveQueries(core *dispatch.Core) (dispatch.Stats, map[cresspass.EngineID]int) {
+	now := time.Hour
+	core.Step(now, []cresspass.Event{{
+		Type:     cresspass.EngineListReceived,
+		ListType: cresspass.ListComplete,
+		Engines: []cresspass.EngineInfo{{ID: "a", Kind: "std"}, {ID: "b", Kind: "std"},
+			{ID: "c", Kind: "std", State: cresspass.EngineRemoved}},
+	}})
+	sent := map[cresspass.EngineID]int{}
+	for id := range cresspass.QueryID(100) {
+		now += 20 * time.Millisecond
+		out := append([]dispatch.Output(nil), core.Step(now, []cresspass.Event{{
+			Type: cresspass.QueryArrived, Query: id + 1, Class: "q", RemainingDeadline: 4 * time.Second}})...)
+		for _, o := range out {
+			if o.Type != dispatch.StartAttempt {
+				continue
+			}
+			sent[o.Engine]++
+			end := finished(o, 5*time.Millisecond)
+			if id%10 == 3 {
+				end.Outcome, end.QueryFinished = cresspass.OutcomeConnectionReset, false
+			}
+			for _, retry := range core.Step(now+5*time.Millisecond, []cresspass.Event{end}) {
+				if retry.Type == dispatch.StartAttempt {
+					core.Step(now+9*time.Millisecond, []cresspass.Event{finished(retry, time.Millisecond)})
+				}
+			}
+		}
+	}
+	core.Step(now+time.Minute, nil)
+	return core.Stats(), sent
+}
+
+// finished is the event of an attempt that served its query.
+func finished(o dispatch.Output, elapsed time.Duration) cresspass.Event {
+	return cresspass.Event{Type: cresspass.AttemptDone, Query: o.Query, Attempt: o.Attempt, Engine: o.Engine,
+		Outcome: cresspass.OutcomeOK, Elapsed: elapsed, QueryFinished: true}
+}
