--- a/internal/simulation/plot/plot.go
+++ b/internal/simulation/plot/plot.go
@@ -1,4 +1,4 @@
-// Package plot draws what the model found, with its error bars.
+// Package plot draws results of the simulation as charts with error bars, on pages of HTML.
 package plot
 
 import (
@@ -14,13 +14,16 @@
 	"cresspass/internal/simulation/experiment"
 )
 
-// Curve is a line of points with half the widths of their intervals; nil halves: it has no bars.
+// Curve is a line of points with the half widths of their intervals; nil HalfWidths: it has no error bars.
 type Curve struct {
 	Name       string
 	Values     []float64
 	HalfWidths []float64
 }
 
+// edgeOpacity is the opacity of the lines along the ends of the intervals.
+const edgeOpacity = 0.6
+
 // Chart draws curves over an axis.
 func Chart(title, subtitle, x, y string, axis []string, curves ...Curve) components.Charter {
 	l := charts.NewLine()
@@ -42,13 +45,14 @@
 				edge[i] = c.Values[i] + sign*c.HalfWidths[i]
 			}
 			l.AddSeries(fmt.Sprintf("%s, 95%%", c.Name), points(edge),
-				charts.WithLineStyleOpts(opts.LineStyle{Type: "dotted", Opacity: opts.Float(0.6)}),
+				charts.WithLineStyleOpts(opts.LineStyle{Type: "dotted", Opacity: opts.Float(edgeOpacity)}),
 				charts.WithLineChartOpts(opts.LineChart{ShowSymbol: opts.Bool(false)}))
 		}
 	}
 	return l
 }
 
+// points rounds values to what a chart can show; NaN and infinity are gaps.
 func points(values []float64) []opts.LineData {
 	out := make([]opts.LineData, len(values))
 	for i, v := range values {
@@ -79,15 +83,15 @@
 	}
 	return []components.Charter{
 		Chart("Convergence", "model, simulated network", "members", "s", axis,
-			Curve{Name: "all that begin agree",
-				Values: agreed}, Curve{Name: "news is known to all", Values: known},
+			Curve{Name: "all that begin agree", Values: agreed},
+			Curve{Name: "news is known to all", Values: known},
 			Curve{Name: "a tenth returns, all agree", Values: back}),
 		Chart("What each says", "model, membership itself left out", "members", "kB/s", axis,
 			Curve{Name: "mean", Values: mean}, Curve{Name: "most", Values: most}),
 	}
 }
 
-// Newcomers charts a comparison: each figure over the time since the return.
+// Newcomers charts a comparison: each figure over the time since the restart.
 func Newcomers(n *simulation.Comparison, where string) (out []components.Charter) {
 	var axis []string
 	for _, w := range n.Windows {
@@ -103,14 +107,13 @@
 			}
 			curves = append(curves, c)
 		}
-		out = append(out, Chart(simulation.Figures[f].Name,
-			"half of the dispatchers return; "+where, "",
-			"share", axis, curves...))
+		subtitle := "half of the dispatchers return; " + where
+		out = append(out, Chart(simulation.Figures[f].Name, subtitle, "", "share", axis, curves...))
 	}
 	return out
 }
 
-// Experiment charts each figure over what is swept, or by arm where nothing is.
+// Experiment charts each figure over the swept field, or by arm where nothing is swept.
 func Experiment(r *experiment.Result) (out []components.Charter) {
 	for f, name := range experiment.Figures {
 		var axis []string
@@ -126,7 +129,8 @@
 			}
 			curves = append(curves, c)
 		}
-		out = append(out, Chart(name, r.Title+"; model, simulated servers", r.SweptField, "", axis, curves...))
+		subtitle := r.Title + "; model, simulated servers"
+		out = append(out, Chart(name, subtitle, r.SweptField, "", axis, curves...))
 	}
 	return out
 }
--- a/internal/simulation/wirehost/host.go
+++ b/internal/simulation/wirehost/host.go
@@ -1,6 +1,6 @@
-// Package wirehost has another program decide: it runs a command that speaks the simulator's wire, as
-// cmd/adapter does, and gives each of its instances the form of a dispatch.Decider. So two versions of the
-// module can be compared, where one is a binary built earlier.
+// Package wirehost lets another program decide. It runs a command that speaks the simulator's protocol, as
+// cmd/adapter does, and makes each of its instances a dispatch.Decider. So a version of the module that was
+// built earlier can be compared with this one. The protocol has no place for membership or snapshots.
 package wirehost
 
 import (
@@ -9,18 +9,16 @@
 	"fmt"
 	"io"
 	"os/exec"
-	"strings"
-	"sync"
 	"time"
 
 	"cresspass"
 	"cresspass/internal/wire"
 )
 
-// exitTimeout is how long the program may take to end once its input has ended.
+// exitTimeout is how long the program may take to exit once its input has ended.
 const exitTimeout = 5 * time.Second
 
-// Host is a running program. It is for one goroutine at a time, but for Close.
+// Host is a running program. It is for one goroutine at a time, except Close.
 type Host struct {
 	command      string
 	cmd          *exec.Cmd
@@ -28,34 +26,12 @@
 	in           io.WriteCloser
 	out          *wire.BatchWriter
 	replies      *wire.ReplyReader
-	lastInstance int // instance
+	lastInstance int // its number
 	err          error
 	stderrTail   tailBuffer
 }
 
-// tailBuffer keeps the end of what a program says.
-type tailBuffer struct {
-	mu   sync.Mutex
-	text []byte
-}
-
-const maxTailBytes = 2000
-
-func (t *tailBuffer) Write(b []byte) (int, error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.text = append(t.text, b...)
-	t.text = t.text[max(0, len(t.text)-maxTailBytes):]
-	return len(b), nil
-}
-
-func (t *tailBuffer) String() string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return strings.TrimSpace(string(t.text))
-}
-
-// Start runs a command, as /bin/sh reads it. Close is owed.
+// Start runs a command, which /bin/sh reads. The caller must call Close.
 func Start(command string) (*Host, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	h := &Host{command: command, stop: stop, cmd: exec.CommandContext(ctx, "/bin/sh", "-c", "exec "+command)}
@@ -76,20 +52,22 @@
 	return h, nil
 }
 
-// Close ends the program and returns the first thing that went wrong with it.
+// Close ends the program's input, waits until it exits, and returns its first error. A program that does not
+// exit within exitTimeout is killed.
 func (h *Host) Close() error {
-	h.in.Close()
-	late := time.AfterFunc(exitTimeout, h.stop)
-	defer late.Stop()
+	_ = h.in.Close() // fails only where the program has ended, which Wait reports
+	killTimer := time.AfterFunc(exitTimeout, h.stop)
+	defer killTimer.Stop()
 	defer h.stop()
 	var exit *exec.ExitError
 	if err := h.cmd.Wait(); h.err == nil || errors.As(err, &exit) && exit.Exited() {
-		h.err = errors.Join(h.err, err) // how it ended says more than that its output did
+		h.err = errors.Join(h.err, err) // the exit status says more than the end of its output
 	}
 	return h.Err()
 }
 
-// Err returns the first thing that went wrong. From then on no instance does anything.
+// Err returns the first error, with the end of what the program wrote to its standard error. After an error
+// no instance does anything.
 func (h *Host) Err() error {
 	if h.err == nil {
 		return nil
@@ -100,24 +78,24 @@
 	return fmt.Errorf("wirehost: %s: %w", h.command, h.err)
 }
 
-// Instance is one dispatcher's decisions.
+// Instance is the decider of one dispatcher.
 type Instance struct {
 	host         *Host
 	number       int
-	firstActions []cresspass.Action // what it did when it began
+	firstActions []cresspass.Action // of its start, returned by the next Handle
 }
 
-// New has an instance begin, with a clock that stands at now.
+// New starts an instance, with a clock that shows now.
 func (h *Host) New(cfg *cresspass.Config, now time.Duration) *Instance {
 	h.lastInstance++
 	it := &Instance{host: h, number: h.lastInstance}
-	// Danger: what it does at once is its first timer, without which it would never look up again.
+	// The actions of its start hold its first timer; if they were lost, no timer of it would ever fire.
 	it.firstActions = it.exchange(now, nil, func() { h.out.Start(it.number, cfg) })
 	return it
 }
 
-// exchange makes one exchange. Danger: a program that says nothing further would hang all, so its end is an
-// error of the reply.
+// exchange sends a batch and reads the reply. The end of the program's output is an error of the reply;
+// otherwise, a program that exited would leave the simulation waiting forever.
 func (it *Instance) exchange(now time.Duration, actions []cresspass.Action, write func()) []cresspass.Action {
 	h := it.host
 	if h.err != nil {
@@ -131,7 +109,7 @@
 	return actions
 }
 
-// Handle has it decide. An instance acts on events only, so nothing is asked where there is none.
+// Handle lets the instance decide. An instance acts on events only, so without any there is no exchange.
 func (it *Instance) Handle(now time.Duration, events []cresspass.Event,
 	actions []cresspass.Action) []cresspass.Action {
 	actions, it.firstActions = append(actions, it.firstActions...), nil
@@ -145,13 +123,13 @@
 	})
 }
 
-// Retire ends it.
+// Retire ends the instance.
 func (it *Instance) Retire(now time.Duration) {
 	it.exchange(now, nil, func() { it.host.out.Stop(it.number) })
 }
 
-// Snapshot returns nothing: the wire has no place for what was learnt.
+// Snapshot returns nothing, as the protocol has no snapshots.
 func (it *Instance) Snapshot() []byte { return nil }
 
-// Restore takes nothing over.
+// Restore does nothing, as the protocol has no snapshots.
 func (it *Instance) Restore([]byte, time.Duration) error { return nil }
