--- a/cmd/cresspass/model.go
+++ b/cmd/cresspass/model.go
@@ -116,6 +116,5 @@
 	if err != nil {
 		return err
 	}
-	experiment.PrintRows(os.Stdout, rows)
-	return nil
+	return experiment.PrintRows(os.Stdout, rows)
 }
--- a/cmd/cresspass/model_run.go
+++ b/cmd/cresspass/model_run.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"os"
 	"path/filepath"
 	"runtime/debug"
@@ -97,7 +96,9 @@
 		return err
 	}
 	fmt.Printf("%s: %s (model, simulated servers)\n", name, e.Title)
-	result.Print(os.Stdout)
+	if err := result.Print(os.Stdout); err != nil {
+		return err
+	}
 	if c.Report == "" {
 		return nil
 	}
@@ -105,8 +106,5 @@
 	if err := writePage(c.Report, base, plot.Experiment(result)); err != nil {
 		return err
 	}
-	return writeFile(filepath.Join(c.Report, base+".txt"), func(w io.Writer) error {
-		result.Print(w)
-		return nil
-	})
+	return writeFile(filepath.Join(c.Report, base+".txt"), result.Print)
 }
--- a/internal/simulation/experiment/binary_test.go
+++ b/internal/simulation/experiment/binary_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// buildAdapter builds the repository's own adapter: a version of the module as a binary.
+// buildAdapter builds the repository's own adapter: the module as a binary.
 func buildAdapter(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "adapter")
@@ -19,7 +19,8 @@
 	return path
 }
 
-// TestBinaryArm: the module behind the wire serves as the module in the process does, on the same seeds.
+// TestBinaryArm checks that the module as a binary serves as the module in the process does, on the same
+// seeds.
 func TestBinaryArm(t *testing.T) {
 	e, err := Parse("x.hcl", []byte(`
 day = "little"
@@ -39,22 +40,23 @@
 		t.Fatal(err)
 	}
 	for f, name := range Figures {
-		// Times are cut to microseconds on the wire, so single queries go other ways; not the figures.
+		// Times are cut to microseconds on the wire, which changes single queries but not the figures.
 		if d := r.Difference(1, 0, f); d.IsSignificant() && (d.Mean > 0.01 || d.Mean < -0.01) {
 			t.Errorf("%s differs by %.4f ±%.4f", name, d.Mean, d.HalfWidth)
 		}
 	}
-	// Danger: an instance that lost its first timer serves, and looks at nothing any more.
+	// An instance that lost its first timer serves, but no timer of it fires any more: it has fewer events.
 	if a, b := float64(r.Cells[0][0].Events), float64(r.Cells[1][0].Events); b < 0.95*a || b > 1.05*a {
 		t.Errorf("%.0f events, %.0f in the process", b, a)
 	}
 	if c := &r.Cells[1][0]; c.Estimate(0).Mean < 0.5 || c.Estimate(len(Figures)-1).Mean != 0 {
-		t.Errorf("served in time %.3f, rules broken %.1f", c.Estimate(0).Mean, c.Estimate(len(Figures)-1).Mean)
+		t.Errorf("served in time %.3f, rules broken %.1f", c.Estimate(0).Mean,
+			c.Estimate(len(Figures)-1).Mean)
 	}
 }
 
-// TestFailingBinary: a program that is not there, ends, gives in or talks nonsense ends the experiment
-// with a word of what it was.
+// TestFailingBinary checks that a program that is missing, exits, gives up or replies with nonsense ends the
+// experiment with an error that says so.
 func TestFailingBinary(t *testing.T) {
 	each := `while read l; do test "$l" = eob && `
 	for script, want := range map[string]string{
--- a/internal/simulation/experiment/calibrate.go
+++ b/internal/simulation/experiment/calibrate.go
@@ -1,33 +1,38 @@
 package experiment
 
 import (
+	"bufio"
 	"context"
 	"fmt"
 	"io"
+	"maps"
 	"math"
 	"os"
-	"sort"
+	"slices"
 	"time"
 
 	"cresspass/internal/rehearsal"
 	"cresspass/internal/simulation"
 )
 
-// Row is a figure as it was seen through sockets and in the model.
+// Row is a figure of a class as measured with real processes and in the simulation.
 type Row struct {
 	Class, Figure        string
 	OnSockets, Simulated simulation.Estimate
 }
 
-// Differs reports whether the bars of a row do not meet.
+// Differs reports whether the intervals of a row do not overlap.
 func (r *Row) Differs() bool {
 	return math.Abs(r.OnSockets.Mean-r.Simulated.Mean) > r.OnSockets.HalfWidth+r.Simulated.HalfWidth
 }
 
-// outcomeCounts are what is compared of a class in one play.
+// rowNames are the names of outcomeCounts.figures.
+var rowNames = []string{"served", "refused", "failed", "p50, s", "p95, s"}
+
+// outcomeCounts are the outcomes of a class in one run.
 type outcomeCounts struct {
 	total, served, rejected, failed int
-	responseTimes                   []float64
+	responseTimes                   []float64 // of the served, in seconds
 }
 
 func (t *outcomeCounts) add(a *simulation.Request) {
@@ -45,22 +50,57 @@
 
 func (t *outcomeCounts) figures() []float64 {
 	n := math.Max(float64(t.total), 1)
-	sort.Float64s(t.responseTimes)
-	at := func(q float64) float64 {
+	slices.Sort(t.responseTimes)
+	quantile := func(q float64) float64 {
 		if len(t.responseTimes) == 0 {
 			return 0
 		}
 		return t.responseTimes[int(q*float64(len(t.responseTimes)-1))]
 	}
-	return []float64{float64(t.served) / n, float64(t.rejected) / n, float64(t.failed) / n, at(0.5), at(0.95)}
+	return []float64{float64(t.served) / n, float64(t.rejected) / n, float64(t.failed) / n, quantile(0.5),
+		quantile(0.95)}
 }
 
-var rowNames = []string{"served", "refused", "failed", "p50, s", "p95, s"}
+// countsByClass are the outcomes of one run.
+type countsByClass map[string]*outcomeCounts
 
-// Calibrate plays a day through processes and sockets, and in the model, on as many seeds, and holds each
-// class's figures against one another.
+func (by countsByClass) add(class string, a *simulation.Request) {
+	if by[class] == nil {
+		by[class] = &outcomeCounts{}
+	}
+	by[class].add(a)
+}
+
+// Calibrate plays a day with real processes, as many at once as jobs says, and in the simulation, on the same
+// number of seeds, and compares the figures of each class.
 func Calibrate(ctx context.Context, d *rehearsal.Day, program []string, seeds, jobs int) ([]Row, error) {
-	sockets, modelled := map[string][][]float64{}, map[string][][]float64{}
+	onSockets, err := playOnSockets(ctx, d, program, seeds, jobs)
+	if err != nil {
+		return nil, err
+	}
+	simulated, err := simulation.Parallel(seeds, func(i int) (countsByClass, error) {
+		return simulateDay(d, uint64(i+1))
+	})
+	if err != nil {
+		return nil, err
+	}
+	measured, modelled := figuresByClass(onSockets), figuresByClass(simulated)
+	var rows []Row
+	for _, class := range slices.Sorted(maps.Keys(modelled)) {
+		for f, figure := range rowNames {
+			rows = append(rows, Row{Class: class, Figure: figure,
+				OnSockets: estimateFigure(measured[class], f), Simulated: estimateFigure(modelled[class], f)})
+		}
+	}
+	return rows, nil
+}
+
+// warmUp is the part of a day that a calibration leaves out.
+func warmUp(d *rehearsal.Day) time.Duration { return d.Length / 10 }
+
+// playOnSockets plays a day with real processes, and returns the outcomes of each seed.
+func playOnSockets(ctx context.Context, d *rehearsal.Day, program []string, seeds,
+	jobs int) (all []countsByClass, failed error) {
 	type played struct {
 		result *rehearsal.Result
 		err    error
@@ -77,103 +117,78 @@
 				results[i] <- played{nil, err}
 				return
 			}
-			defer os.RemoveAll(dir)
-			r, err := rehearsal.Play(
-				ctx,
-				d,
-				rehearsal.Options{Seed: uint64(i + 1), Program: program, Dir: dir},
-			)
+			defer func() { _ = os.RemoveAll(dir) }() // a temporary folder that stays does no harm
+			options := rehearsal.Options{Seed: uint64(i + 1), Program: program, Dir: dir}
+			r, err := rehearsal.Play(ctx, d, options)
 			results[i] <- played{r, err}
 		}()
 	}
-	var failed error
-	for _, ch := range results {
+	for _, ch := range results { // all of them, so that no process outlives the calibration
 		p := <-ch
 		if p.err != nil {
 			failed = p.err
 			continue
 		}
-		by := map[string]*outcomeCounts{}
+		by := countsByClass{}
 		for _, a := range p.result.AllRequests() {
-			if a.At >= d.Length/10 && a.Class >= 0 { // without the warm-up, and sessions
-				countsFor(by, d.Module.Classes[a.Class].Name).add(&a)
+			if a.At >= warmUp(d) && a.Class >= 0 { // sessions have no class
+				by.add(d.Module.Classes[a.Class].Name, &a)
 			}
 		}
-		appendFigures(sockets, by)
-	}
-	if failed != nil {
-		return nil, failed
+		all = append(all, by)
 	}
-	runs, err := simulation.Parallel(seeds, func(i int) (map[string]*outcomeCounts, error) {
-		c := FromDay(d, uint64(i+1))
-		c.Length += 20 * time.Second // those that came last have their answers as well
-		c.Gossip = map[string]simulation.GossipMode{"cold": simulation.GossipOnly,
-			"ask": simulation.GossipAndBootstrap}[d.Gossip]
-		f, err := simulation.NewFleet(c)
-		if err != nil {
-			return nil, err
-		}
-		by := map[string]*outcomeCounts{}
-		for _, a := range f.Run().Requests {
-			if a.At < d.Length/10 || a.At >= d.Length {
-				continue
-			}
-			countsFor(by, c.Traffic[a.Class].Class).add(&a)
-		}
-		return by, nil
-	})
+	return all, failed
+}
+
+// simulateDay simulates a day and returns its outcomes.
+func simulateDay(d *rehearsal.Day, seed uint64) (countsByClass, error) {
+	c := FromDay(d, seed)
+	c.Length += calibrationTail
+	c.Gossip = gossipModes[d.Gossip]
+	f, err := simulation.NewFleet(c)
 	if err != nil {
 		return nil, err
 	}
-	for _, by := range runs {
-		appendFigures(modelled, by)
-	}
-	var names []string
-	for name := range modelled {
-		names = append(names, name)
-	}
-	sort.Strings(names)
-	var rows []Row
-	for _, name := range names {
-		for f, figure := range rowNames {
-			rows = append(rows, Row{Class: name, Figure: figure, OnSockets: estimateFigure(sockets[name], f),
-				Simulated: estimateFigure(modelled[name], f)})
+	by := countsByClass{}
+	for _, a := range f.Run().Requests {
+		if a.At >= warmUp(d) && a.At < d.Length {
+			by.add(c.Traffic[a.Class].Class, &a)
 		}
 	}
-	return rows, nil
-}
-
-func countsFor(by map[string]*outcomeCounts, class string) *outcomeCounts {
-	if by[class] == nil {
-		by[class] = &outcomeCounts{}
-	}
-	return by[class]
+	return by, nil
 }
 
-func appendFigures(into map[string][][]float64, by map[string]*outcomeCounts) {
-	for class, t := range by {
-		into[class] = append(into[class], t.figures())
+// figuresByClass are the figures of each class, one list for each run that has the class.
+func figuresByClass(runs []countsByClass) map[string][][]float64 {
+	figures := map[string][][]float64{}
+	for _, by := range runs {
+		for class, counts := range by {
+			figures[class] = append(figures[class], counts.figures())
+		}
 	}
+	return figures
 }
 
-func estimateFigure(runs [][]float64, f int) simulation.Estimate {
+func estimateFigure(runs [][]float64, figure int) simulation.Estimate {
 	var v []float64
 	for _, r := range runs {
-		v = append(v, r[f])
+		v = append(v, r[figure])
 	}
 	return simulation.EstimateMean(v)
 }
 
-// PrintRows writes a calibration's table.
-func PrintRows(w io.Writer, rows []Row) {
-	fmt.Fprintf(w, "%-12s %-8s %22s %22s\n", "class", "figure", "sockets", "model")
+// PrintRows writes a calibration as a table.
+func PrintRows(w io.Writer, rows []Row) error {
+	out := bufio.NewWriter(w)
+	fmt.Fprintf(out, "%-12s %-8s %22s %22s\n", "class", "figure", "sockets", "model")
 	for i := range rows {
 		r := &rows[i]
 		word := ""
 		if r.Differs() {
 			word = "  apart"
 		}
-		fmt.Fprintf(w, "%-12s %-8s %12.4f ±%8.4f %12.4f ±%8.4f%s\n", r.Class, r.Figure, r.OnSockets.Mean,
+		fmt.Fprintf(out, "%-12s %-8s %12.4f ±%8.4f %12.4f ±%8.4f%s\n", r.Class, r.Figure, r.OnSockets.Mean,
 			r.OnSockets.HalfWidth, r.Simulated.Mean, r.Simulated.HalfWidth, word)
 	}
+	return out.Flush()
 }
--- /dev/null
+++ b/internal/simulation/experiment/day.go
@@ -0,0 +1,92 @@
+package experiment
+
+import (
+	"slices"
+	"time"
+
+	"cresspass"
+	"cresspass/internal/rehearsal"
+	"cresspass/internal/simulation"
+	"cresspass/internal/simulation/enginemodel"
+)
+
+// The simulated engines of a day: as in a rehearsal, with a bound on their jobs.
+const (
+	spillCost       = 2.5
+	cachedSets      = 4
+	cacheSaving     = 0.3
+	jobsPerCore     = 8
+	enginesPerCell  = 2
+	transitTime     = 300 * time.Microsecond
+	calibrationTail = 20 * time.Second // after a day's length, for the last clients' answers
+)
+
+// gossipModes are the modes by their names in days and experiments; "" and "no": none.
+var gossipModes = map[string]simulation.GossipMode{
+	"cold": simulation.GossipOnly,
+	"ask":  simulation.GossipAndBootstrap,
+}
+
+// FromDay returns a rehearsal's day as the model simulates it. Sessions of several statements, Flight SQL and
+// clients that give up are not modelled, nor are faults of bytes on the wire; these are left out.
+func FromDay(d *rehearsal.Day, seed uint64) simulation.Config {
+	c := simulation.Config{
+		Seed:        seed,
+		Dispatchers: d.Dispatchers,
+		Length:      d.Length,
+		Network:     simulation.CalmNetwork(),
+		TransitTime: transitTime,
+		Module:      d.Module,
+	}
+	for i := range d.Engines {
+		kind := d.Kinds[i%len(d.Kinds)]
+		cores := d.Module.KindCores[slices.Index(d.Module.KindNames, kind)]
+		c.Engines = append(c.Engines, simulation.Engine{
+			Kind:    kind,
+			Zone:    string(rune('a' + i%d.Zones)),
+			Cell:    i / enginesPerCell,
+			Machine: machine(cores, d.MemoryMB, &d.Module.Rules),
+		})
+	}
+	for _, t := range d.Traffic {
+		if t.Session {
+			continue
+		}
+		c.Traffic = append(c.Traffic, simulation.Traffic{Class: t.Class, Rate: t.Rate, Work: t.Work,
+			Spread: t.Spread, Threads: t.Threads, Repeats: t.Retries, Keys: t.Keys, Tables: t.Tables,
+			Loads: t.Loads, CostEstimateFactor: t.CostFactor})
+	}
+	for _, t := range d.Faults {
+		if slices.Contains(simulation.FaultKinds(), t.Kind) {
+			c.Faults = append(c.Faults, simulation.Fault{Kind: t.Kind, At: t.At, For: t.For,
+				Engines: t.Engines, Dispatcher: t.Dispatcher, Size: t.Size, Class: t.Class})
+		}
+	}
+	return c
+}
+
+// machine is an engine that warms up as the rules say.
+func machine(cores, memoryMB float64, rules *cresspass.Rules) enginemodel.Kind {
+	return enginemodel.Kind{
+		Cores:                   cores,
+		MemoryMB:                memoryMB,
+		SpillCost:               spillCost,
+		WarmSets:                cachedSets,
+		WarmSaves:               cacheSaving,
+		SlowStartFrom:           rules.SlowStartFrom,
+		SlowStartDuration:       rules.SlowStartDuration,
+		SlowStartOverloadFactor: rules.SlowStartOverloadFactor,
+		SlowStartWindow:         rules.SlowStartWindow,
+		MaxJobs:                 int(jobsPerCore * cores),
+	}
+}
+
+// OmittedFaults are the kinds of faults of a day that the model does not have.
+func OmittedFaults(d *rehearsal.Day) (out []string) {
+	for _, t := range d.Faults {
+		if !slices.Contains(simulation.FaultKinds(), t.Kind) && !slices.Contains(out, t.Kind) {
+			out = append(out, t.Kind)
+		}
+	}
+	return out
+}
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -25,12 +25,10 @@
   work_ms = 600
   threads = 2
 }
-trouble "hurry" {
-  at = "1s"
-}
 `
 
 func sources(t *testing.T) Sources {
+	t.Helper()
 	settings, err := os.ReadFile("../../../rehearsals/settings/model-city.hcl")
 	if err != nil {
 		t.Fatal(err)
@@ -40,23 +38,26 @@
 			if name != "little" {
 				return nil, fmt.Errorf("no day %q", name)
 			}
-			return []byte(strings.Replace(dayText, `"hurry"`, `"garbage"`+"\n", 1)[:strings.Index(dayText,
-				"trouble")]), nil
+			return []byte(dayText), nil
 		},
 		Shared: func(string) ([]byte, error) { return settings, nil },
 		Recording: func(string) (out []recording.Entry, err error) {
 			for i := range 200 {
-				out = append(out, recording.Entry{ArrivedAt: time.Duration(i) * 90 * time.Millisecond,
-					Class:   "board",
-					Elapsed: 300 * time.Millisecond, Threads: 2, Fingerprint: uint64(i % 3),
-					Dispatcher: fmt.Sprint("d", i*i%4)})
+				out = append(out, recording.Entry{
+					ArrivedAt:   time.Duration(i) * 90 * time.Millisecond,
+					Class:       "board",
+					Elapsed:     300 * time.Millisecond,
+					Threads:     2,
+					Fingerprint: uint64(i % 3),
+					Dispatcher:  fmt.Sprint("d", i*i%4),
+				})
 			}
 			return out, nil
 		},
 	}
 }
 
-// An experiment says what is wrong with it, and where.
+// The error of Parse says what is wrong with an experiment, and where.
 func TestParse(t *testing.T) {
 	for text, want := range map[string]string{
 		`day = "none"`: "no day",
@@ -79,15 +80,15 @@
 seeds = 1`: "seeds",
 		`days = 3`: "argument",
 	} {
-		if _, err := Parse("x", []byte(text), sources(t)); err == nil || !strings.Contains(err.Error(),
-			want) {
+		_, err := Parse("x", []byte(text), sources(t))
+		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, want %q", text, err, want)
 		}
 	}
 }
 
-// Two arms that are the same are equal on each seed; less of everything differs; what is swept changes; an
-// overload without any admission is said to be unstable.
+// Two equal arms are equal on each seed; half of the engines make a significant difference; the swept field
+// changes the figures.
 func TestRun(t *testing.T) {
 	e, err := Parse("x", []byte(`
 day    = "little"
@@ -120,12 +121,13 @@
 		t.Errorf("half of the engines: %+v", d)
 	}
 	var b strings.Builder
-	if r.Print(&b); !strings.Contains(b.String(), "equal") || !strings.Contains(b.String(), "differs") {
-		t.Error(b.String())
+	err = r.Print(&b)
+	if err != nil || !strings.Contains(b.String(), "equal") || !strings.Contains(b.String(), "differs") {
+		t.Errorf("%v\n%s", err, b.String())
 	}
 }
 
-// A recording is replayed: its clients come when and where they came; twice played it has one outcome.
+// A recording is replayed: its clients arrive when and where they did; two runs have one result.
 func TestReplay(t *testing.T) {
 	e, err := Parse("x", []byte("day = \"little\"\nrecording = \"r\"\nseeds = 2\nwarm_up = \"1s\""),
 		sources(t))
@@ -143,7 +145,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, _ := e.Run(nil)
+	again, err := e.Run(nil)
+	if err != nil {
+		t.Fatal(err)
+	}
 	if x, y := a.Cells[0][0].Samples[0], again.Cells[0][0].Samples[0]; len(x) != 2 || x[0] != y[0] ||
 		x[0] < 0.9 {
 		t.Errorf("%v, then %v", x, y)
--- /dev/null
+++ b/internal/simulation/experiment/parse.go
@@ -0,0 +1,196 @@
+package experiment
+
+import (
+	"errors"
+	"fmt"
+	"regexp"
+	"slices"
+	"time"
+
+	"github.com/hashicorp/hcl/v2/gohcl"
+	"github.com/hashicorp/hcl/v2/hclparse"
+
+	"cresspass/internal/config"
+	"cresspass/internal/rehearsal"
+	"cresspass/internal/simulation"
+)
+
+// What holds where an experiment does not say.
+const (
+	defaultSeeds  = 20
+	minSeeds      = 2
+	maxWarmUp     = 10 * time.Second
+	warmUpDivisor = 6 // the warm-up is at most this part of the length
+)
+
+// experimentFile is an experiment as written.
+type experimentFile struct {
+	Title     string    `hcl:"title,optional"`
+	Day       string    `hcl:"day"`
+	Recording string    `hcl:"recording,optional"`
+	Length    string    `hcl:"length,optional"`
+	Warmup    string    `hcl:"warm_up,optional"`
+	Seeds     int       `hcl:"seeds,optional"`
+	HalfWidth float64   `hcl:"half_width,optional"`
+	Arms      []armFile `hcl:"arm,block"`
+	Sweep     *struct {
+		Over   string    `hcl:"over,label"`
+		Values []float64 `hcl:"values"`
+	} `hcl:"sweep,block"`
+}
+
+// armFile is an arm as written.
+type armFile struct {
+	Name        string            `hcl:"name,label"`
+	Policy      string            `hcl:"policy,optional"`
+	Binary      string            `hcl:"binary,optional"`
+	Talk        string            `hcl:"talk,optional"`
+	Dispatchers int               `hcl:"dispatchers,optional"`
+	Engines     int               `hcl:"engines,optional"`
+	Rate        float64           `hcl:"rate,optional"`
+	Uneven      float64           `hcl:"uneven,optional"`
+	ListLate    string            `hcl:"list_late,optional"`
+	ReportLate  string            `hcl:"report_late,optional"`
+	Loss        float64           `hcl:"loss,optional"`
+	Told        float64           `hcl:"told,optional"`
+	Calm        bool              `hcl:"calm,optional"`
+	Set         map[string]string `hcl:"set,optional"`
+}
+
+// sweepableFields are the fields that can be swept, with how each changes an arm.
+var sweepableFields = map[string]func(a *armFile, v float64){
+	"rate":        func(a *armFile, v float64) { a.Rate = v },
+	"dispatchers": func(a *armFile, v float64) { a.Dispatchers = int(v) },
+	"engines":     func(a *armFile, v float64) { a.Engines = int(v) },
+	"uneven":      func(a *armFile, v float64) { a.Uneven = v },
+	"list_late":   func(a *armFile, v float64) { a.ListLate = fmt.Sprintf("%gs", v) },
+	"report_late": func(a *armFile, v float64) { a.ReportLate = fmt.Sprintf("%gs", v) },
+	"loss":        func(a *armFile, v float64) { a.Loss = v },
+}
+
+// parser checks an experiment and collects what is wrong with it.
+type parser struct {
+	name string
+	file experimentFile
+	from Sources
+	errs []error
+}
+
+// Parse reads and checks an experiment. Its error names everything that is wrong.
+func Parse(name string, src []byte, from Sources) (*Experiment, error) {
+	p := &parser{name: name, from: from}
+	parsed, diags := hclparse.NewParser().ParseHCL(src, name)
+	if !diags.HasErrors() {
+		diags = gohcl.DecodeBody(parsed.Body, nil, &p.file)
+	}
+	if diags.HasErrors() {
+		return nil, diags
+	}
+	f := &p.file
+	e := &Experiment{Name: name, Title: f.Title, Seeds: f.Seeds, HalfWidth: f.HalfWidth}
+	var err error
+	if e.Day, err = p.day(&armFile{}); err != nil {
+		return nil, err
+	}
+	e.Length = p.duration("length", f.Length, e.Day.Length)
+	e.WarmUp = p.duration("warm_up", f.Warmup, min(maxWarmUp, e.Length/warmUpDivisor))
+	if e.Seeds == 0 {
+		e.Seeds = defaultSeeds
+	}
+	if e.Seeds < minSeeds || e.HalfWidth < 0 || e.WarmUp >= e.Length {
+		p.fail("seeds are 2 at least, half_width 0 at least, warm_up within the length")
+	}
+	e.Arms = p.arms()
+	if f.Sweep != nil {
+		if sweepableFields[f.Sweep.Over] == nil || len(f.Sweep.Values) == 0 {
+			p.fail("sweep over %q: one of rate, dispatchers, engines, uneven, list_late, report_late, loss, "+
+				"and its values, are wanted", f.Sweep.Over)
+		}
+		e.SweptField, e.SweptValues = f.Sweep.Over, f.Sweep.Values
+	}
+	if f.Recording != "" {
+		e.Recorded, err = from.Recording(f.Recording)
+		p.errs = append(p.errs, err)
+	}
+	return e, errors.Join(p.errs...)
+}
+
+func (p *parser) fail(format string, args ...any) {
+	p.errs = append(p.errs, fmt.Errorf("%s: "+format, append([]any{p.name}, args...)...))
+}
+
+// duration reads a time; "" is the default.
+func (p *parser) duration(field, text string, byDefault time.Duration) time.Duration {
+	if text == "" {
+		return byDefault
+	}
+	d, err := time.ParseDuration(text)
+	if err != nil || d < 0 {
+		p.fail("%s: %q is no time", field, text)
+	}
+	return d
+}
+
+// day reads the day with an arm's settings.
+func (p *parser) day(arm *armFile) (*rehearsal.Day, error) {
+	src, err := p.from.Day(p.file.Day)
+	if err != nil {
+		return nil, err
+	}
+	d, err := rehearsal.ParseDay(p.file.Day, src, p.from.Shared)
+	if err != nil || len(arm.Set) == 0 {
+		return d, err
+	}
+	for setting, value := range arm.Set {
+		line := regexp.MustCompile(`(?m)^(\s*` + regexp.QuoteMeta(setting) + `\s*=\s*).*$`)
+		if len(line.FindAllString(d.Settings, -1)) != 1 {
+			// The text begins with the setting, unlike others, which begin with the experiment's name.
+			return nil, fmt.Errorf("%s: arm %q: the settings do not have one %s", setting, arm.Name, setting)
+		}
+		d.Settings = line.ReplaceAllString(d.Settings, "${1}"+value)
+	}
+	cfg, err := config.Parse(p.file.Day+" settings", []byte(d.Settings))
+	if err != nil {
+		return nil, err
+	}
+	d.Module = cfg.Module
+	return d, nil
+}
+
+// arms checks the arms. Without any, there is one that changes nothing.
+func (p *parser) arms() (arms []Arm) {
+	files := p.file.Arms
+	if len(files) == 0 {
+		files = []armFile{{Name: "as it is"}}
+	}
+	seen := map[string]bool{}
+	for _, a := range files {
+		if seen[a.Name] {
+			p.fail("arm %q is given twice", a.Name)
+		}
+		seen[a.Name] = true
+		p.checkArm(&a)
+		d, err := p.day(&a)
+		p.errs = append(p.errs, err)
+		arms = append(arms, Arm{a.Name, a, d})
+	}
+	return arms
+}
+
+func (p *parser) checkArm(a *armFile) {
+	if !slices.Contains(simulation.Policies, a.Policy) {
+		p.fail("arm %q: there is no policy %q", a.Name, a.Policy)
+	}
+	if a.Binary != "" && a.Policy != "" {
+		p.fail("arm %q: a binary and a policy both decide", a.Name)
+	}
+	if !slices.Contains([]string{"", "no", "cold", "ask"}, a.Talk) {
+		p.fail("arm %q: talk is no, cold or ask", a.Name)
+	}
+	if a.Rate < 0 || a.Uneven < 0 || a.Uneven > 1 || a.Loss < 0 || a.Loss > 1 || a.Dispatchers < 0 ||
+		a.Engines < 0 {
+		p.fail("arm %q: a figure is out of its bounds", a.Name)
+	}
+	p.duration("list_late", a.ListLate, 0)
+	p.duration("report_late", a.ReportLate, 0)
+}
--- a/internal/simulation/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"math"
 	"runtime"
 	"time"
@@ -13,91 +12,64 @@
 	"cresspass/internal/simulation/wirehost"
 )
 
-// Figures are what is told of each way, in their order.
+// Figures are the names of what is reported of each arm, in the order of Cell.Samples.
 var Figures = []string{"served in time", "served", "refused", "failed", "mean time to answer, s",
 	"engines over two threads a core", "rules broken"}
 
-// Cell is one way at one swept value.
+// servedInTime is the index of the figure whose estimates decide how many seeds are run.
+const servedInTime = 0
+
+// firstSeeds is how many seeds are run before the estimates decide about more.
+const firstSeeds = 5
+
+// Cell is one arm at one swept value.
 type Cell struct {
 	Value    float64
 	Samples  [][]float64 // by figure, one for each seed
-	Times    [][]float64 // to answer of served ones, by seed, in seconds
-	Unstable int         // runs in which what waited grew all along
+	Times    [][]float64 // response times of served requests, by seed, in seconds
+	Unstable int         // runs whose number of open requests grew all along
 	Events   uint64
-	WallTime time.Duration // of the computer's
+	WallTime time.Duration
 }
 
-// Estimate is a figure's.
+// Estimate is the estimate of a figure.
 func (c *Cell) Estimate(figure int) simulation.Estimate {
 	return simulation.EstimateMean(c.Samples[figure])
 }
 
-// Result is what an experiment came to.
+// add adds the result of a seed.
+func (c *Cell) add(r *seedResult) {
+	for f, v := range r.figures {
+		c.Samples[f] = append(c.Samples[f], v)
+	}
+	c.Times = append(c.Times, r.times)
+	c.Events += r.events
+	if r.unstable {
+		c.Unstable++
+	}
+}
+
+// Result is the result of an experiment.
 type Result struct {
 	*Experiment
 	Cells [][]Cell // by arm and value
 }
 
-// seedResult is what one seed came to.
-type seedResult struct {
-	figures  []float64
-	times    []float64
-	unstable bool
-	events   uint64
-}
-
-// simulate plays one run, on so many cores.
-func (e *Experiment) simulate(arm int, value float64, seed uint64, cores int) (r seedResult, err error) {
-	cfg, err := e.Config(arm, value, seed)
-	if err != nil {
-		return r, err
-	}
-	cfg.Workers = cores
-	if binary := e.Arms[arm].file.Binary; binary != "" {
-		host, failed := wirehost.Start(binary)
-		if failed != nil {
-			return r, failed
-		}
-		defer func() { // what it did after a fault tells nothing
-			if fault := host.Close(); fault != nil {
-				err = fault
-			}
-		}()
-		cfg.Decide = func(c *cresspass.Config, now time.Duration) (dispatch.Decider, error) {
-			return host.New(c, now), host.Err()
-		}
-	}
-	f, err := simulation.NewFleet(cfg)
-	if err != nil {
-		return r, err
-	}
-	got := f.Run()
-	last := cfg.Length
-	for _, c := range cfg.Module.Classes { // those whose clients may wait yet are not counted
-		last = min(last, cfg.Length-min(c.Deadline, cfg.Length/4))
-	}
-	s := got.Between(e.WarmUp, last, nil)
-	r.figures = []float64{s.Served * (1 - s.Late), s.Served, s.Rejected, s.Failed, s.Mean.Seconds(),
-		s.Overload,
-		float64(got.Violations.Total())}
-	for _, a := range got.Requests {
-		if a.End == simulation.Served && a.At >= e.WarmUp && a.At < last {
-			r.times = append(r.times, a.Elapsed.Seconds())
-		}
-	}
-	r.unstable, r.events = simulation.IsUnstable(got.OpenRequests), got.Events
-	return r, nil
+// Difference is the estimate of a figure's difference between an arm and the first, seed by seed.
+func (r *Result) Difference(arm, value, figure int) simulation.Estimate {
+	return simulation.EstimateMean(simulation.Differences(r.Cells[arm][value].Samples[figure],
+		r.Cells[0][value].Samples[figure]))
 }
 
-// Run plays an experiment: all ways on the same seeds, more of them until the bars of the first figure, and
-// of the differences from the first arm, are as narrow as asked, or there are as many seeds as allowed.
-// Look is told how far it is; it may be nil.
-func (e *Experiment) Run(look func(done string)) (*Result, error) {
-	out := &Result{Experiment: e}
+// Run runs all arms on the same seeds. It adds seeds until the estimates of the first figure, and of its
+// differences from the first arm, are as narrow as wanted, or there are as many seeds as allowed. onProgress
+// is called after each round; it may be nil.
+func (e *Experiment) Run(onProgress func(done string)) (*Result, error) {
 	values := e.SweptValues
 	if e.SweptField == "" {
 		values = []float64{0}
 	}
+	out := &Result{Experiment: e}
 	for range e.Arms {
 		cells := make([]Cell, len(values))
 		for i, v := range values {
@@ -107,89 +79,110 @@
 	}
 	for i, v := range values {
 		seeds := 0
-		for more := min(e.Seeds, 5); more > 0; {
+		for more := min(e.Seeds, firstSeeds); more > 0; more = out.additionalSeeds(i) {
 			for arm := range e.Arms {
-				begin := time.Now()
-				cores := max(1, runtime.GOMAXPROCS(0)/more)
-				runs, err := simulation.Parallel(more, func(k int) (seedResult, error) {
-					return e.simulate(arm, v, e.SeedOffset+uint64(seeds+k+1), cores)
-				})
-				if err != nil {
+				if err := out.runSeeds(arm, i, seeds, more); err != nil {
 					return nil, fmt.Errorf("arm %q: %w", e.Arms[arm].Name, err)
 				}
-				c := &out.Cells[arm][i]
-				c.WallTime += time.Since(begin)
-				for _, r := range runs {
-					for f, v := range r.figures {
-						c.Samples[f] = append(c.Samples[f], v)
-					}
-					c.Times = append(c.Times, r.times)
-					c.Events += r.events
-					if r.unstable {
-						c.Unstable++
-					}
-				}
 			}
 			seeds += more
-			if look != nil {
-				look(fmt.Sprintf("%s %g: %d seeds", e.SweptField, v, seeds))
-			}
-			more = 0
-			for arm := range e.Arms {
-				b := out.Cells[arm][i].Estimate(0)
-				if arm > 0 {
-					b = out.Difference(arm, i, 0)
-				}
-				half := e.HalfWidth
-				if half == 0 { // all seeds
-					half = math.SmallestNonzeroFloat64
-				}
-				more = max(more, simulation.AdditionalRuns(b, half, e.Seeds))
+			if onProgress != nil {
+				onProgress(fmt.Sprintf("%s %g: %d seeds", e.SweptField, v, seeds))
 			}
 		}
 	}
 	return out, nil
 }
 
-// Difference is a figure's of an arm from the first, seed by seed.
-func (r *Result) Difference(arm, value, figure int) simulation.Estimate {
-	return simulation.EstimateMean(simulation.Differences(r.Cells[arm][value].Samples[figure],
-		r.Cells[0][value].Samples[figure]))
+// runSeeds runs an arm at a value with more seeds than it has been run with, side by side.
+func (r *Result) runSeeds(arm, value, done, more int) error {
+	begin := time.Now()
+	c := &r.Cells[arm][value]
+	cores := max(1, runtime.GOMAXPROCS(0)/more)
+	runs, err := simulation.Parallel(more, func(k int) (seedResult, error) {
+		return r.simulate(arm, c.Value, r.SeedOffset+uint64(done+k+1), cores)
+	})
+	if err != nil {
+		return err
+	}
+	c.WallTime += time.Since(begin)
+	for i := range runs {
+		c.add(&runs[i])
+	}
+	return nil
 }
 
-// Print writes a table.
-func (r *Result) Print(w io.Writer) {
-	for i := range r.Cells[0] {
-		if r.SweptField != "" {
-			fmt.Fprintf(w, "%s %g\n", r.SweptField, r.Cells[0][i].Value)
+// additionalSeeds is how many more seeds the arms need at a value.
+func (r *Result) additionalSeeds(value int) (more int) {
+	halfWidth := r.HalfWidth
+	if halfWidth == 0 { // all seeds
+		halfWidth = math.SmallestNonzeroFloat64
+	}
+	for arm := range r.Arms {
+		estimate := r.Cells[arm][value].Estimate(servedInTime)
+		if arm > 0 {
+			estimate = r.Difference(arm, value, servedInTime)
 		}
-		for arm := range r.Arms {
-			c := &r.Cells[arm][i]
-			fmt.Fprintf(w, "  %s: %d seeds, %.1f million events, %.1f s\n", r.Arms[arm].Name,
-				len(c.Samples[0]),
-				float64(c.Events)/1e6, c.WallTime.Seconds())
-			if c.Unstable > 0 {
-				fmt.Fprintf(w,
-					"    UNSTABLE in %d runs: what waited grew all along, so means are of the length\n",
-					c.Unstable)
-			}
-			for f, name := range Figures {
-				b := c.Estimate(f)
-				fmt.Fprintf(w, "    %-32s %8.4f ±%.4f", name, b.Mean, b.HalfWidth)
-				if arm > 0 {
-					d := r.Difference(arm, i, f)
-					word := "equal"
-					if d.IsSignificant() {
-						word = "differs"
-					}
-					fmt.Fprintf(w, "   %+8.4f ±%.4f %s", d.Mean, d.HalfWidth, word)
-				}
-				fmt.Fprintln(w)
-			}
-			for _, q := range []float64{0.5, 0.99} {
-				b := simulation.Bootstrap(c.Times, 200, 1, q)
-				fmt.Fprintf(w, "    time to answer, p%-14g  %8.3f ±%.3f s\n", 100*q, b.Mean, b.HalfWidth)
+		more = max(more, simulation.AdditionalRuns(estimate, halfWidth, r.Seeds))
+	}
+	return more
+}
+
+// seedResult is the result of one seed.
+type seedResult struct {
+	figures  []float64 // see Figures
+	times    []float64
+	unstable bool
+	events   uint64
+}
+
+// simulate runs an arm with one seed, on a number of cores.
+func (e *Experiment) simulate(arm int, value float64, seed uint64, cores int) (r seedResult, err error) {
+	cfg, err := e.Config(arm, value, seed)
+	if err != nil {
+		return r, err
+	}
+	cfg.Workers = cores
+	if binary := e.Arms[arm].file.Binary; binary != "" {
+		host, startErr := wirehost.Start(binary)
+		if startErr != nil {
+			return r, startErr
+		}
+		defer func() { // the results of a program that failed mean nothing
+			if hostErr := host.Close(); hostErr != nil {
+				err = hostErr
 			}
+		}()
+		cfg.Decide = func(c *cresspass.Config, now time.Duration) (dispatch.Decider, error) {
+			return host.New(c, now), host.Err()
+		}
+	}
+	f, err := simulation.NewFleet(cfg)
+	if err != nil {
+		return r, err
+	}
+	result := f.Run()
+	if err := f.Err(); err != nil {
+		return r, err
+	}
+	return e.summarize(&cfg, result), nil
+}
+
+// summarize returns the figures of a run. Requests that came so late that they may still be open at the end
+// are left out.
+func (e *Experiment) summarize(cfg *simulation.Config, result *simulation.Result) (r seedResult) {
+	last := cfg.Length
+	for _, c := range cfg.Module.Classes {
+		last = min(last, cfg.Length-min(c.Deadline, cfg.Length/4))
+	}
+	s := result.Between(e.WarmUp, last, nil)
+	r.figures = []float64{s.Served * (1 - s.Late), s.Served, s.Rejected, s.Failed, s.Mean.Seconds(),
+		s.Overload, float64(result.Violations.Total())}
+	for _, a := range result.Requests {
+		if a.End == simulation.Served && a.At >= e.WarmUp && a.At < last {
+			r.times = append(r.times, a.Elapsed.Seconds())
 		}
 	}
+	r.unstable, r.events = simulation.IsUnstable(result.OpenRequests), result.Events
+	return r
 }
