--- a/internal/rehearsal/newcomers.go
+++ b/internal/rehearsal/newcomers.go
@@ -80,7 +80,7 @@
 }
 
 // simulationEnds are the simulation's terms for outcomes.
-var simulationEnds = map[Outcome]simulation.End{
+var simulationEnds = map[Outcome]simulation.Outcome{
 	Served:    simulation.Served,
 	Rejected:  simulation.Rejected,
 	Failed:    simulation.Failed,
@@ -105,7 +105,7 @@
 			Dispatcher: v.Dispatcher,
 			At:         v.At - v.Took,
 			Elapsed:    v.Took,
-			End:        simulationEnds[v.Outcome],
+			Outcome:    simulationEnds[v.Outcome],
 			Late:       objective > 0 && v.Took > objective,
 		})
 	}
--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -86,9 +86,9 @@
 	}
 	t := &f.cfg.Traffic[a.traffic]
 	j.running = e.model.Start(f.queue.Now(), enginemodel.Job{Work: a.work, Threads: t.Threads,
-		NeedMB: t.NeedMB, GrantMB: o.MemoryGrantMB, Tables: tables, Loads: t.Loads,
+		NeedMB: t.NeedMB, GrantMB: o.MemoryGrantMB, DataSet: tables, IsLoad: t.IsLoad,
 		Priority: max(o.Priority, 0)})
-	if e.model.Fallen() {
+	if e.model.Collapsed() {
 		f.engineCollapsed(e)
 		return
 	}
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -133,14 +133,14 @@
 }
 
 // finishRequest delivers a dispatcher's answer to the client, who may retry a rejected query.
-func (f *Fleet) finishRequest(a *request, d *dispatcher, end End, retryAfter time.Duration) {
+func (f *Fleet) finishRequest(a *request, d *dispatcher, end Outcome, retryAfter time.Duration) {
 	if a.done {
 		return
 	}
 	t := &f.cfg.Traffic[a.traffic]
 	left := a.class.Deadline - (f.queue.Now() - a.firstArrival)
 	a.attempts++
-	if end == Rejected && a.attempts <= t.Repeats && retryAfter > 0 && left > 2*retryAfter {
+	if end == Rejected && a.attempts <= t.Retries && retryAfter > 0 && left > 2*retryAfter {
 		jitter := time.Duration(f.random.Float64() * float64(retryAfter) / 2)
 		f.queue.In(retryAfter+jitter, func() { f.handleArrival(a, d.number) })
 		return
@@ -152,5 +152,5 @@
 		f.result.Violations.LateAnswers++
 	}
 	f.result.Requests = append(f.result.Requests, Request{Class: a.traffic, Dispatcher: d.number,
-		At: a.firstArrival, Elapsed: elapsed, End: end, Late: elapsed > a.class.LatencyObjective})
+		At: a.firstArrival, Elapsed: elapsed, Outcome: end, Late: elapsed > a.class.LatencyObjective})
 }
--- a/internal/simulation/config.go
+++ b/internal/simulation/config.go
@@ -27,10 +27,10 @@
 	Work    float64 // mean thread seconds
 	Spread  float64 // sigma of the logarithm of the work
 	Threads float64
-	Repeats int  // how often a client retries a rejected query
+	Retries int  // how often a client retries a rejected query
 	Keys    int  // queries carry one of so many keys; 0: none
 	Tables  int  // and one of so many table groups; 0: none
-	Loads   bool // they write their tables, which blocks readers
+	IsLoad  bool // they write their tables, which blocks readers
 	NeedMB  float64
 	// CostEstimateFactor makes clients send a cost estimate of about this multiple of the work; 0: none.
 	CostEstimateFactor float64
--- a/internal/simulation/dispatcher.go
+++ b/internal/simulation/dispatcher.go
@@ -237,7 +237,7 @@
 }
 
 // answer ends a query without an engine's answer.
-func (d *dispatcher) answer(o dispatch.Output, end End) {
+func (d *dispatcher) answer(o dispatch.Output, end Outcome) {
 	a := d.requests[o.Query]
 	delete(d.requests, o.Query)
 	if a != nil {
--- a/internal/simulation/dispatcher_gossip.go
+++ b/internal/simulation/dispatcher_gossip.go
@@ -95,22 +95,33 @@
 	})
 }
 
-// forgeMessage makes a dispatcher tell the others, every forgeInterval, that all engines are full, sick or
-// down.
+// forgedMessages are the messages of a Byzantine dispatcher. Their loads are 255 and 254 in turn, so one
+// aggregate says that all engines are full, and the other that they are ejected.
+var forgedMessages = []cresspass.PeerMessageType{cresspass.PeerLoadReport, cresspass.PeerAggregate,
+	cresspass.PeerAggregate, cresspass.PeerSendNotice, cresspass.PeerForwardedSends}
+
+// forgedLoads is a message that gives all engines one load. A load report also says that attempts failed.
+func (f *Fleet) forgedLoads(messageType cresspass.PeerMessageType, load byte) []byte {
+	const onlyFailures = 0x0f
+	data := []byte{byte(messageType)}
+	for _, e := range f.engines {
+		tag := cresspass.EngineTag(e.id)
+		data = append(data, byte(tag>>8), byte(tag), load)
+		if messageType == cresspass.PeerLoadReport {
+			data = append(data, onlyFailures)
+		}
+	}
+	return data
+}
+
+// forgeMessage makes a dispatcher tell the others, every forgeInterval, that all engines are full, ejected
+// or down.
 func (f *Fleet) forgeMessage(d *dispatcher) {
 	f.queue.In(forgeInterval, func() {
 		if d.up && d.member != nil {
 			now := d.member.now(f.queue)
-			for k, kind := range []byte{1, 2, 2, 3, 4} {
-				data := []byte{kind}
-				for _, e := range f.engines {
-					tag := cresspass.EngineTag(e.id)
-					load := byte(255 - k%2)
-					if data = append(data, byte(tag>>8), byte(tag), load); kind == 1 {
-						data = append(data, 0x0f)
-					}
-				}
-				d.member.Node.SendMessage(now, -1, data)
+			for i, messageType := range forgedMessages {
+				d.member.Node.SendMessage(now, -1, f.forgedLoads(messageType, byte(255-i%2)))
 			}
 			for _, e := range f.engines {
 				d.member.Node.Store().Observe(now, observation.Key{Engine: string(e.id),
--- a/internal/simulation/engine.go
+++ b/internal/simulation/engine.go
@@ -61,7 +61,7 @@
 
 // scheduleEngine schedules the model's next event, unless an earlier one is scheduled.
 func (f *Fleet) scheduleEngine(e *engine) {
-	next, ok := e.model.Next()
+	next, ok := e.model.NextEvent()
 	if !ok || next >= e.nextEvent && e.nextEvent > f.queue.Now() {
 		return
 	}
@@ -118,7 +118,7 @@
 		case "concurrent":
 			values[i] = float64(len(e.model.Jobs()))
 		case "x0":
-			values[i] = e.model.Granted()
+			values[i] = e.model.GrantedShare()
 		}
 	}
 	return values
--- a/internal/simulation/engine_faults.go
+++ b/internal/simulation/engine_faults.go
@@ -14,7 +14,7 @@
 // slowDown makes engines slower by a factor for a time.
 func (f *Fleet) slowDown(engines []int, factor float64, length time.Duration) {
 	set := func(e *engine, v float64) {
-		e.model.Slow(f.queue.Now(), v)
+		e.model.SetSlowdown(f.queue.Now(), v)
 		f.reschedule(e)
 	}
 	f.forEachEngine(engines, func(e *engine) { set(e, max(factor, 1)) })
@@ -58,7 +58,7 @@
 }
 
 func (f *Fleet) setHalted(e *engine, halted bool) {
-	e.model.Halt(f.queue.Now(), halted)
+	e.model.SetHalted(f.queue.Now(), halted)
 	f.reschedule(e)
 }
 
@@ -79,7 +79,7 @@
 }
 
 func (f *Fleet) flushCaches(t Fault) {
-	f.forEachEngine(t.Engines, func(e *engine) { e.model.Flush() })
+	f.forEachEngine(t.Engines, func(e *engine) { e.model.FlushCache() })
 }
 
 func (f *Fleet) crashEngines(t Fault) {
--- a/internal/simulation/enginemodel/clock.go
+++ b/internal/simulation/enginemodel/clock.go
@@ -63,8 +63,8 @@
 	return max(time.Duration(math.Ceil(math.Min(seconds, maxStepSeconds)*1e9)), 1)
 }
 
-// Next is when Advance should be called next, and whether anything is to be expected.
-func (m *Model) Next() (time.Duration, bool) {
+// NextEvent is when Advance should be called next, and whether anything is to be expected.
+func (m *Model) NextEvent() (time.Duration, bool) {
 	if len(m.finished) > 0 {
 		return m.now, true
 	}
--- a/internal/simulation/enginemodel/job.go
+++ b/internal/simulation/enginemodel/job.go
@@ -9,25 +9,25 @@
 	NeedMB   float64
 	GrantMB  float64 // memory grant; 0: the engine gives what the job needs
 	Priority int     // 0 to 3
-	Tables   string  // data set that it reads; "": none
-	Loads    bool    // it writes its data set: other jobs of the set wait until it ends
+	DataSet  string  // data set that it reads; "": none
+	IsLoad   bool    // it writes its data set: other jobs of the set wait until it ends
 }
 
 // Running is a job in the engine.
 type Running struct {
 	Job
-	Begun         time.Duration
+	StartedAt     time.Duration
 	totalWork     float64 // with spills and cache savings, in thread seconds
 	remainingWork float64
 	spillMB       float64
-	waiting       bool
+	blocked       bool
 }
 
-// Done is the completed share of the job's work.
-func (r *Running) Done() float64 { return 1 - r.remainingWork/r.totalWork }
+// Progress is the completed share of the job's work.
+func (r *Running) Progress() float64 { return 1 - r.remainingWork/r.totalWork }
 
 // SpillMB is the memory that the job needs and was not given, in MB.
 func (r *Running) SpillMB() float64 { return r.spillMB }
 
-// Waits reports whether the job is blocked by a load of its data set.
-func (r *Running) Waits() bool { return r.waiting }
+// IsBlocked reports whether the job is blocked by a load of its data set.
+func (r *Running) IsBlocked() bool { return r.blocked }
--- a/internal/simulation/enginemodel/model.go
+++ b/internal/simulation/enginemodel/model.go
@@ -10,10 +10,10 @@
 type Kind struct {
 	Cores                   float64
 	MemoryMB                float64
-	Knee                    float64       // threads a core above which throughput falls; 0: defaultKnee
+	ContentionKnee          float64       // threads a core above which throughput falls; 0: defaultKnee
 	SpillCost               float64       // extra work, as a multiple, of a query that gets no memory at all
-	WarmSets                int           // data sets that the cache holds
-	WarmSaves               float64       // share of the work that a cached data set saves
+	CachedDataSets          int           // data sets that the cache holds
+	CacheSaving             float64       // share of the work that a cached data set saves
 	SlowStartFrom           float64       // share of its capacity right after a start
 	SlowStartDuration       time.Duration // until it has its full capacity
 	SlowStartOverloadFactor float64       // sent more than this multiple of its present capacity...
@@ -38,7 +38,7 @@
 	now            time.Duration
 	slowdown       float64
 	halted         bool
-	fallen         bool
+	collapsed      bool
 	jobs           []*Running
 	finished       []*Running // not yet returned by Advance
 	cachedSets     []string   // most recently used first
@@ -61,21 +61,21 @@
 // WorkDone is the work done so far, in thread seconds.
 func (m *Model) WorkDone() float64 { return m.workDone }
 
-// Fallen reports whether the engine collapsed under load while it was warming up. It stays down.
-func (m *Model) Fallen() bool { return m.fallen }
+// Collapsed reports whether the engine collapsed under load while it was warming up. It stays down.
+func (m *Model) Collapsed() bool { return m.collapsed }
 
 // Threads is the number of threads that run or are ready to.
 func (m *Model) Threads() (sum float64) {
 	for _, r := range m.jobs {
-		if !r.waiting {
+		if !r.blocked {
 			sum += r.Threads
 		}
 	}
 	return sum
 }
 
-// Granted is the granted memory as a share of the machine's; 0 where that is not known.
-func (m *Model) Granted() float64 {
+// GrantedShare is the granted memory as a share of the machine's; 0 where that is not known.
+func (m *Model) GrantedShare() float64 {
 	if m.kind.MemoryMB <= 0 {
 		return 0
 	}
@@ -89,38 +89,38 @@
 	return sum
 }
 
-// Slow makes the engine slower by a factor.
-func (m *Model) Slow(now time.Duration, factor float64) {
+// SetSlowdown makes the engine slower by a factor.
+func (m *Model) SetSlowdown(now time.Duration, factor float64) {
 	m.advance(now)
 	m.slowdown = math.Max(factor, minSlowdown)
 }
 
-// Halt stops all work, or resumes it.
-func (m *Model) Halt(now time.Duration, halted bool) {
+// SetHalted stops all work, or resumes it.
+func (m *Model) SetHalted(now time.Duration, halted bool) {
 	m.advance(now)
 	m.halted = halted
 }
 
-// Flush empties the cache of data sets.
-func (m *Model) Flush() { m.cachedSets = nil }
+// FlushCache empties the cache of data sets.
+func (m *Model) FlushCache() { m.cachedSets = nil }
 
 // Start adds a job. It returns nil where the engine rejects the job or is down. A cold engine may collapse
-// under the job; Fallen tells.
+// under the job; Collapsed tells.
 func (m *Model) Start(now time.Duration, j Job) *Running {
 	m.advance(now)
 	m.recordArrivedWork(j.Work)
-	if m.fallen || m.kind.MaxJobs > 0 && len(m.jobs) >= m.kind.MaxJobs {
+	if m.collapsed || m.kind.MaxJobs > 0 && len(m.jobs) >= m.kind.MaxJobs {
 		return nil
 	}
-	r := &Running{Job: j, Begun: m.now, totalWork: math.Max(j.Work, minWork)}
+	r := &Running{Job: j, StartedAt: m.now, totalWork: math.Max(j.Work, minWork)}
 	r.Threads = math.Max(r.Threads, minThreads)
 	m.grantMemory(r)
-	if j.Tables != "" && m.accessDataSet(j.Tables) {
-		r.totalWork *= 1 - m.kind.WarmSaves
+	if j.DataSet != "" && m.accessDataSet(j.DataSet) {
+		r.totalWork *= 1 - m.kind.CacheSaving
 	}
 	r.remainingWork = r.totalWork
 	m.jobs = append(m.jobs, r)
-	m.blockWaitingJobs()
+	m.updateBlockedJobs()
 	return r
 }
 
@@ -150,7 +150,7 @@
 		}
 	}
 	m.cachedSets = append([]string{set}, m.cachedSets...)
-	m.cachedSets = m.cachedSets[:min(len(m.cachedSets), m.kind.WarmSets)]
+	m.cachedSets = m.cachedSets[:min(len(m.cachedSets), m.kind.CachedDataSets)]
 	return false
 }
 
@@ -168,19 +168,19 @@
 			break
 		}
 	}
-	m.blockWaitingJobs()
+	m.updateBlockedJobs()
 }
 
-// blockWaitingJobs marks the jobs that wait: all of a data set that is being loaded, except the first load.
-func (m *Model) blockWaitingJobs() {
+// updateBlockedJobs marks the jobs that wait: all of a data set that is being loaded, except the first load.
+func (m *Model) updateBlockedJobs() {
 	loads := map[string]*Running{}
 	for _, r := range m.jobs {
-		if r.Loads && r.Tables != "" && loads[r.Tables] == nil {
-			loads[r.Tables] = r
+		if r.IsLoad && r.DataSet != "" && loads[r.DataSet] == nil {
+			loads[r.DataSet] = r
 		}
 	}
 	for _, r := range m.jobs {
-		load := loads[r.Tables]
-		r.waiting = load != nil && load != r
+		load := loads[r.DataSet]
+		r.blocked = load != nil && load != r
 	}
 }
--- a/internal/simulation/enginemodel/model_test.go
+++ b/internal/simulation/enginemodel/model_test.go
@@ -14,7 +14,7 @@
 // what the cores can do.
 func TestResultIndependentOfStepSize(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		kind := Kind{Cores: 4, MemoryMB: 100, SpillCost: 2, WarmSets: 2, WarmSaves: 0.3}
+		kind := Kind{Cores: 4, MemoryMB: 100, SpillCost: 2, CachedDataSets: 2, CacheSaving: 0.3}
 		a, b := New(kind, 0, false), New(kind, 0, false)
 		endA, endB := map[int]time.Duration{}, map[int]time.Duration{}
 		ids := map[*Running]int{}
@@ -26,14 +26,14 @@
 				Threads:  float64(rapid.IntRange(1, 3).Draw(t, "threads")),
 				Priority: rapid.IntRange(0, 3).Draw(t, "priority"),
 				NeedMB:   float64(rapid.IntRange(0, 60).Draw(t, "need")),
-				Tables:   rapid.SampledFrom([]string{"", "x", "y", "z"}).Draw(t, "set"),
-				Loads:    rapid.Bool().Draw(t, "loads"),
+				DataSet:  rapid.SampledFrom([]string{"", "x", "y", "z"}).Draw(t, "set"),
+				IsLoad:   rapid.Bool().Draw(t, "loads"),
 			}
 			for _, r := range a.Advance(at) {
 				endA[ids[r]] = at
 			}
 			for { // b goes from one expected end to the next
-				next, ok := b.Next()
+				next, ok := b.NextEvent()
 				if !ok || next > at {
 					break
 				}
@@ -47,7 +47,7 @@
 			endA[ids[r]] = 0
 		}
 		for {
-			next, ok := b.Next()
+			next, ok := b.NextEvent()
 			if !ok {
 				break
 			}
@@ -72,26 +72,26 @@
 func TestCoresAreShared(t *testing.T) {
 	m := New(Kind{Cores: 2}, 0, false)
 	m.Start(0, Job{Work: 1, Threads: 1, Priority: 1})
-	if next, _ := m.Next(); next != time.Second {
+	if next, _ := m.NextEvent(); next != time.Second {
 		t.Errorf("one thread alone: %v, want 1s", next)
 	}
 	m.Start(0, Job{Work: 1, Threads: 1, Priority: 1})
 	m.Start(0, Job{Work: 1, Threads: 1, Priority: 1})
-	if next, _ := m.Next(); next != 1500*ms {
+	if next, _ := m.NextEvent(); next != 1500*ms {
 		t.Errorf("three on two cores: %v, want 1.5s", next)
 	}
-	m.Halt(0, true)
-	if _, ok := m.Next(); ok {
+	m.SetHalted(0, true)
+	if _, ok := m.NextEvent(); ok {
 		t.Error("a halted engine expects an end")
 	}
 }
 
 func TestLoadBlocksReadersOfItsTables(t *testing.T) {
 	m := New(Kind{Cores: 8}, 0, false)
-	load := m.Start(0, Job{Work: 1, Threads: 1, Tables: "x", Loads: true})
-	read := m.Start(0, Job{Work: 0.1, Threads: 1, Tables: "x"})
-	other := m.Start(0, Job{Work: 0.1, Threads: 1, Tables: "y"})
-	if load.Waits() || !read.Waits() || other.Waits() {
+	load := m.Start(0, Job{Work: 1, Threads: 1, DataSet: "x", IsLoad: true})
+	read := m.Start(0, Job{Work: 0.1, Threads: 1, DataSet: "x"})
+	other := m.Start(0, Job{Work: 0.1, Threads: 1, DataSet: "y"})
+	if load.IsBlocked() || !read.IsBlocked() || other.IsBlocked() {
 		t.Fatal("who waits is wrong")
 	}
 	if got := m.Advance(1100 * ms); len(got) != 3 || got[0] != other || got[1] != load || got[2] != read {
@@ -108,10 +108,10 @@
 		SlowStartWindow:         time.Second,
 	}
 	m := New(kind, 0, true)
-	if r := m.Start(0, Job{Work: 1.9, Threads: 1}); r == nil || m.Fallen() {
+	if r := m.Start(0, Job{Work: 1.9, Threads: 1}); r == nil || m.Collapsed() {
 		t.Fatal("collapsed within its budget of 2")
 	}
-	if r := m.Start(900*ms, Job{Work: 0.5, Threads: 1}); r != nil || !m.Fallen() {
+	if r := m.Start(900*ms, Job{Work: 0.5, Threads: 1}); r != nil || !m.Collapsed() {
 		t.Fatal("took 2.4 in a window with a budget of 2")
 	}
 	if m = New(kind, 0, false); m.Start(0, Job{Work: 50, Threads: 1}) == nil {
@@ -124,7 +124,7 @@
 	m := New(Kind{Cores: 4}, 0, false)
 	r := m.Start(0, Job{Work: 0.01, Threads: 1})
 	m.Start(20*ms, Job{Work: 1, Threads: 1})
-	if next, ok := m.Next(); !ok || next > 20*ms {
+	if next, ok := m.NextEvent(); !ok || next > 20*ms {
 		t.Errorf("an unreported end is due at %v, %v", next, ok)
 	}
 	if finished := m.Advance(21 * ms); len(finished) != 1 || finished[0] != r {
--- a/internal/simulation/enginemodel/scheduling.go
+++ b/internal/simulation/enginemodel/scheduling.go
@@ -24,7 +24,7 @@
 	threadSpeed := math.Min(1, m.RampFraction()) / m.slowdown // what one thread can do at most
 	open := make([]int, 0, len(m.jobs))
 	for i, r := range m.jobs {
-		if !r.waiting {
+		if !r.blocked {
 			open = append(open, i)
 		}
 	}
@@ -57,7 +57,7 @@
 
 // capacity is the speed of all jobs together, in thread seconds a second, with so many threads.
 func (m *Model) capacity(threads float64) float64 {
-	knee := m.kind.Knee
+	knee := m.kind.ContentionKnee
 	if knee <= 0 {
 		knee = defaultKnee
 	}
@@ -65,7 +65,7 @@
 	if load := threads / m.kind.Cores; load > knee {
 		capacity *= math.Pow(knee/load, contentionExponent)
 	}
-	if granted := m.Granted(); granted > 1 {
+	if granted := m.GrantedShare(); granted > 1 {
 		capacity *= math.Pow(granted, pagingExponent)
 	}
 	return capacity
--- a/internal/simulation/enginemodel/warmup.go
+++ b/internal/simulation/enginemodel/warmup.go
@@ -36,6 +36,6 @@
 		sum += m.recentArrivals[i].work
 	}
 	if sum > k.SlowStartOverloadFactor*k.Cores*m.RampFraction()*k.SlowStartWindow.Seconds() {
-		m.fallen, m.jobs = true, nil
+		m.collapsed, m.jobs = true, nil
 	}
 }
--- a/internal/simulation/experiment/calibrate.go
+++ b/internal/simulation/experiment/calibrate.go
@@ -37,7 +37,7 @@
 
 func (t *outcomeCounts) add(a *simulation.Request) {
 	t.total++
-	switch a.End {
+	switch a.Outcome {
 	case simulation.Served:
 		t.served++
 		t.responseTimes = append(t.responseTimes, a.Elapsed.Seconds())
--- a/internal/simulation/experiment/day.go
+++ b/internal/simulation/experiment/day.go
@@ -53,8 +53,8 @@
 			continue
 		}
 		c.Traffic = append(c.Traffic, simulation.Traffic{Class: t.Class, Rate: t.Rate, Work: t.Work,
-			Spread: t.Spread, Threads: t.Threads, Repeats: t.Retries, Keys: t.Keys, Tables: t.Tables,
-			Loads: t.Loads, CostEstimateFactor: t.CostFactor})
+			Spread: t.Spread, Threads: t.Threads, Retries: t.Retries, Keys: t.Keys, Tables: t.Tables,
+			IsLoad: t.Loads, CostEstimateFactor: t.CostFactor})
 	}
 	for _, t := range d.Faults {
 		if slices.Contains(simulation.FaultKinds(), t.Kind) {
@@ -71,8 +71,8 @@
 		Cores:                   cores,
 		MemoryMB:                memoryMB,
 		SpillCost:               spillCost,
-		WarmSets:                cachedSets,
-		WarmSaves:               cacheSaving,
+		CachedDataSets:          cachedSets,
+		CacheSaving:             cacheSaving,
 		SlowStartFrom:           rules.SlowStartFrom,
 		SlowStartDuration:       rules.SlowStartDuration,
 		SlowStartOverloadFactor: rules.SlowStartOverloadFactor,
--- a/internal/simulation/experiment/experiment.go
+++ b/internal/simulation/experiment/experiment.go
@@ -61,20 +61,20 @@
 		if a.Rate > 0 {
 			c.Traffic[i].Rate *= a.Rate
 		}
-		if a.Told > 0 {
-			c.Traffic[i].CostEstimateFactor = a.Told
+		if a.CostFactor > 0 {
+			c.Traffic[i].CostEstimateFactor = a.CostFactor
 		}
 	}
-	c.Imbalance = a.Uneven
-	c.ListDelay, _ = time.ParseDuration(a.ListLate) // Parse has checked it; "" is none
-	c.ReportDelay, _ = time.ParseDuration(a.ReportLate)
+	c.Imbalance = a.Imbalance
+	c.ListDelay, _ = time.ParseDuration(a.ListDelay) // Parse has checked it; "" is none
+	c.ReportDelay, _ = time.ParseDuration(a.ReportDelay)
 	c.Network.Loss = math.Max(c.Network.Loss, a.Loss)
-	if a.Calm {
+	if a.OmitFaults {
 		c.Faults = nil
 	}
 	mode := d.Gossip
-	if a.Talk != "" {
-		mode = a.Talk
+	if a.Gossip != "" {
+		mode = a.Gossip
 	}
 	c.Gossip = gossipModes[mode]
 	if e.Recorded != nil {
--- a/internal/simulation/experiment/parse.go
+++ b/internal/simulation/experiment/parse.go
@@ -29,7 +29,7 @@
 	Day       string    `hcl:"day"`
 	Recording string    `hcl:"recording,optional"`
 	Length    string    `hcl:"length,optional"`
-	Warmup    string    `hcl:"warm_up,optional"`
+	WarmUp    string    `hcl:"warm_up,optional"`
 	Seeds     int       `hcl:"seeds,optional"`
 	HalfWidth float64   `hcl:"half_width,optional"`
 	Arms      []armFile `hcl:"arm,block"`
@@ -44,16 +44,16 @@
 	Name        string            `hcl:"name,label"`
 	Policy      string            `hcl:"policy,optional"`
 	Binary      string            `hcl:"binary,optional"`
-	Talk        string            `hcl:"talk,optional"`
+	Gossip      string            `hcl:"talk,optional"`
 	Dispatchers int               `hcl:"dispatchers,optional"`
 	Engines     int               `hcl:"engines,optional"`
 	Rate        float64           `hcl:"rate,optional"`
-	Uneven      float64           `hcl:"uneven,optional"`
-	ListLate    string            `hcl:"list_late,optional"`
-	ReportLate  string            `hcl:"report_late,optional"`
+	Imbalance   float64           `hcl:"uneven,optional"`
+	ListDelay   string            `hcl:"list_late,optional"`
+	ReportDelay string            `hcl:"report_late,optional"`
 	Loss        float64           `hcl:"loss,optional"`
-	Told        float64           `hcl:"told,optional"`
-	Calm        bool              `hcl:"calm,optional"`
+	CostFactor  float64           `hcl:"told,optional"`
+	OmitFaults  bool              `hcl:"calm,optional"`
 	Set         map[string]string `hcl:"set,optional"`
 }
 
@@ -62,9 +62,9 @@
 	"rate":        func(a *armFile, v float64) { a.Rate = v },
 	"dispatchers": func(a *armFile, v float64) { a.Dispatchers = int(v) },
 	"engines":     func(a *armFile, v float64) { a.Engines = int(v) },
-	"uneven":      func(a *armFile, v float64) { a.Uneven = v },
-	"list_late":   func(a *armFile, v float64) { a.ListLate = fmt.Sprintf("%gs", v) },
-	"report_late": func(a *armFile, v float64) { a.ReportLate = fmt.Sprintf("%gs", v) },
+	"uneven":      func(a *armFile, v float64) { a.Imbalance = v },
+	"list_late":   func(a *armFile, v float64) { a.ListDelay = fmt.Sprintf("%gs", v) },
+	"report_late": func(a *armFile, v float64) { a.ReportDelay = fmt.Sprintf("%gs", v) },
 	"loss":        func(a *armFile, v float64) { a.Loss = v },
 }
 
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	e.Length = p.duration("length", f.Length, e.Day.Length)
-	e.WarmUp = p.duration("warm_up", f.Warmup, min(maxWarmUp, e.Length/warmUpDivisor))
+	e.WarmUp = p.duration("warm_up", f.WarmUp, min(maxWarmUp, e.Length/warmUpDivisor))
 	if e.Seeds == 0 {
 		e.Seeds = defaultSeeds
 	}
@@ -184,13 +184,13 @@
 	if a.Binary != "" && a.Policy != "" {
 		p.fail("arm %q: a binary and a policy both decide", a.Name)
 	}
-	if !slices.Contains([]string{"", "no", "cold", "ask"}, a.Talk) {
+	if !slices.Contains([]string{"", "no", "cold", "ask"}, a.Gossip) {
 		p.fail("arm %q: talk is no, cold or ask", a.Name)
 	}
-	if a.Rate < 0 || a.Uneven < 0 || a.Uneven > 1 || a.Loss < 0 || a.Loss > 1 || a.Dispatchers < 0 ||
+	if a.Rate < 0 || a.Imbalance < 0 || a.Imbalance > 1 || a.Loss < 0 || a.Loss > 1 || a.Dispatchers < 0 ||
 		a.Engines < 0 {
 		p.fail("arm %q: a figure is out of its bounds", a.Name)
 	}
-	p.duration("list_late", a.ListLate, 0)
-	p.duration("report_late", a.ReportLate, 0)
+	p.duration("list_late", a.ListDelay, 0)
+	p.duration("report_late", a.ReportDelay, 0)
 }
--- a/internal/simulation/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -179,7 +179,7 @@
 	r.figures = []float64{s.Served * (1 - s.Late), s.Served, s.Rejected, s.Failed, s.Mean.Seconds(),
 		s.Overload, float64(result.Violations.Total())}
 	for _, a := range result.Requests {
-		if a.End == simulation.Served && a.At >= e.WarmUp && a.At < last {
+		if a.Outcome == simulation.Served && a.At >= e.WarmUp && a.At < last {
 			r.times = append(r.times, a.Elapsed.Seconds())
 		}
 	}
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -95,8 +95,8 @@
 		}
 		s := r.Between(0, 30*time.Second, nil)
 		if busy := r.Between(0, 30*time.Second, []int{0, 1}); uneven > 0 &&
-			float64(busy.Tries) < 0.8*float64(s.Tries) {
-			t.Errorf("%d of %d tries at the busiest tenth", busy.Tries, s.Tries)
+			float64(busy.Requests) < 0.8*float64(s.Requests) {
+			t.Errorf("%d of %d tries at the busiest tenth", busy.Requests, s.Requests)
 		}
 		if s.Served < 0.5 {
 			t.Errorf("busiest tenth %g: %+v", uneven, s)
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -52,7 +52,7 @@
 		if a.Elapsed > class.Deadline+f.cfg.Module.Rules.AnswerGrace {
 			t.Errorf("%+v after its deadline of %v", a, class.Deadline)
 		}
-		if a.End == Served {
+		if a.Outcome == Served {
 			served++
 		}
 	}
--- a/internal/simulation/half_restart.go
+++ b/internal/simulation/half_restart.go
@@ -27,9 +27,9 @@
 		TransitTime: 300 * time.Microsecond,
 		Module:      halfRestartModule(),
 		Traffic: []Traffic{
-			{Class: "board", Rate: 160, Work: 0.6, Spread: 0.5, Threads: 2, Repeats: 2,
+			{Class: "board", Rate: 160, Work: 0.6, Spread: 0.5, Threads: 2, Retries: 2,
 				CostEstimateFactor: costFactor},
-			{Class: "report", Rate: 10, Work: 8, Spread: 0.7, Threads: 4, Repeats: 1,
+			{Class: "report", Rate: 10, Work: 8, Spread: 0.7, Threads: 4, Retries: 1,
 				CostEstimateFactor: costFactor},
 		},
 	}
--- a/internal/simulation/reference.go
+++ b/internal/simulation/reference.go
@@ -39,67 +39,100 @@
 		Queries: queries}
 }
 
+// Parts of the run of a reference case.
+const (
+	referenceStream     = 7   // of the random numbers of a seed
+	referenceWarmUpPart = 5   // the first of so many parts of the queries is left out
+	referenceSamples    = 200 // of the open queries
+	referenceMaxLengths = 4   // a run ends after so many times its expected length
+)
+
+// referenceRun is a run of a reference case.
+type referenceRun struct {
+	ReferenceCase
+	random        *rand.Rand
+	queue         Queue
+	engine        *enginemodel.Model
+	nextEvent     time.Duration // of the engine, as scheduled
+	startedAt     map[*enginemodel.Running]time.Duration
+	finished      int
+	responseTimes []float64
+}
+
 // Simulate returns the response times of a run, in mean works and without the warm-up, and the number of
 // queries in the system at even times.
-func (k ReferenceCase) Simulate(seed uint64) (took, waiting []float64) {
-	r := rand.New(rand.NewPCG(seed, 7))
-	q := &Queue{}
-	m := enginemodel.New(enginemodel.Kind{Cores: float64(k.Cores), Knee: 1e9}, 0, false)
-	next, begun := time.Duration(math.MaxInt64), map[*enginemodel.Running]time.Duration{}
-	warm := k.Queries / 5
-	n := 0
-	var arm func()
-	arm = func() {
-		at, ok := m.Next()
-		if !ok || at >= next && next > q.Now() {
-			return
-		}
-		next = at
-		q.At(at, func() {
-			if next != at {
-				return
-			}
-			next = math.MaxInt64
-			for _, j := range m.Advance(q.Now()) {
-				if n++; n > warm && len(took) < k.Queries {
-					took = append(took, (q.Now() - begun[j]).Seconds())
-				}
-				delete(begun, j)
-			}
-			arm()
-		})
+func (k ReferenceCase) Simulate(seed uint64) (responseTimes, openQueries []float64) {
+	kind := enginemodel.Kind{Cores: float64(k.Cores), ContentionKnee: 1e9} // without contention
+	r := &referenceRun{
+		ReferenceCase: k,
+		random:        rand.New(rand.NewPCG(seed, referenceStream)),
+		engine:        enginemodel.New(kind, 0, false),
+		nextEvent:     math.MaxInt64,
+		startedAt:     map[*enginemodel.Running]time.Duration{},
 	}
-	work := func() float64 {
-		if k.Spread == 0 {
-			return r.ExpFloat64()
+	r.queue.At(0, r.arrive)
+	length := time.Duration(float64(k.Queries) / (k.Load * float64(k.Cores)) * 1e9)
+	end := referenceMaxLengths * length
+	for at := time.Duration(0); !r.done() && at < end; at += length / referenceSamples {
+		r.queue.Run(at)
+		if at < length {
+			openQueries = append(openQueries, float64(len(r.engine.Jobs())))
 		}
-		return math.Exp(k.Spread*r.NormFloat64() - k.Spread*k.Spread/2)
 	}
-	var arrive func()
-	arrive = func() {
-		j := m.Start(q.Now(), enginemodel.Job{Work: work(), Threads: 1})
-		begun[j] = q.Now()
-		arm()
-		if len(took) < k.Queries {
-			q.In(time.Duration(r.ExpFloat64()/(k.Load*float64(k.Cores))*1e9), arrive)
-		}
+	return r.responseTimes, openQueries
+}
+
+func (r *referenceRun) done() bool { return len(r.responseTimes) >= r.Queries }
+
+// arrive starts a query and schedules the next arrival.
+func (r *referenceRun) arrive() {
+	j := r.engine.Start(r.queue.Now(), enginemodel.Job{Work: r.drawWork(), Threads: 1})
+	r.startedAt[j] = r.queue.Now()
+	r.scheduleEngine()
+	if !r.done() {
+		r.queue.In(time.Duration(r.random.ExpFloat64()/(r.Load*float64(r.Cores))*1e9), r.arrive)
 	}
-	q.At(0, arrive)
-	length := time.Duration(float64(k.Queries) / (k.Load * float64(k.Cores)) * 1e9)
-	for at := time.Duration(0); len(took) < k.Queries && at < 4*length; at += length / 200 {
-		q.Run(at)
-		if at < length {
-			waiting = append(waiting, float64(len(m.Jobs())))
+}
+
+func (r *referenceRun) drawWork() float64 {
+	if r.Spread == 0 {
+		return r.random.ExpFloat64()
+	}
+	return math.Exp(r.Spread*r.random.NormFloat64() - r.Spread*r.Spread/2)
+}
+
+// scheduleEngine schedules the engine's next event, unless an earlier one is scheduled.
+func (r *referenceRun) scheduleEngine() {
+	at, ok := r.engine.NextEvent()
+	if !ok || at >= r.nextEvent && r.nextEvent > r.queue.Now() {
+		return
+	}
+	r.nextEvent = at
+	r.queue.At(at, func() {
+		if r.nextEvent != at {
+			return // another was scheduled since
+		}
+		r.nextEvent = math.MaxInt64
+		r.finish(r.engine.Advance(r.queue.Now()))
+		r.scheduleEngine()
+	})
+}
+
+// finish records the response times of queries, after the warm-up.
+func (r *referenceRun) finish(jobs []*enginemodel.Running) {
+	for _, j := range jobs {
+		if r.finished++; r.finished > r.Queries/referenceWarmUpPart && !r.done() {
+			r.responseTimes = append(r.responseTimes, (r.queue.Now() - r.startedAt[j]).Seconds())
 		}
+		delete(r.startedAt, j)
 	}
-	return took, waiting
 }
 
 // Coverage is the share of runs in which the interval of BatchMeans holds the known mean.
 func (k ReferenceCase) Coverage(runs, batches int) (share float64, err error) {
 	held, err := Parallel(runs, func(i int) (float64, error) {
-		took, _ := k.Simulate(uint64(i + 1))
-		if b := BatchMeans(took, batches); math.Abs(b.Mean-k.ResponseTime) <= b.HalfWidth {
+		responseTimes, _ := k.Simulate(uint64(i + 1))
+		if b := BatchMeans(responseTimes, batches); math.Abs(b.Mean-k.ResponseTime) <= b.HalfWidth {
 			return 1, nil
 		}
 		return 0, nil
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -8,12 +8,12 @@
 	"cresspass/internal/membership/gossip"
 )
 
-// End is how a client's request ended.
-type End int
+// Outcome is how a client's request ended.
+type Outcome int
 
 // The ends.
 const (
-	Served End = iota
+	Served Outcome = iota
 	Rejected
 	Failed
 	Abandoned // by the client; only in rehearsals
@@ -25,7 +25,7 @@
 	Dispatcher int
 	At         time.Duration // when the client first sent it
 	Elapsed    time.Duration
-	End        End
+	Outcome    Outcome
 	Late       bool // after its class's latency objective
 }
 
@@ -53,7 +53,7 @@
 
 // WindowSummary sums up the requests to some dispatchers, and the engines' load, in a window of time.
 type WindowSummary struct {
-	Tries                    int     // requests
+	Requests                 int     // requests
 	Served, Rejected, Failed float64 // shares
 	Late                     float64 // share of those served
 	Overload                 float64 // share of the samples with more than overloadThreads
@@ -67,8 +67,8 @@
 		if a.At < from || a.At >= to || at != nil && !slices.Contains(at, a.Dispatcher) {
 			continue
 		}
-		s.Tries++
-		switch a.End {
+		s.Requests++
+		switch a.Outcome {
 		case Served:
 			s.Served++
 			elapsed += a.Elapsed
@@ -83,7 +83,7 @@
 	}
 	s.Mean = elapsed / time.Duration(max(s.Served, 1))
 	s.Late /= max(s.Served, 1)
-	n := math.Max(float64(s.Tries), 1)
+	n := math.Max(float64(s.Requests), 1)
 	s.Served, s.Rejected, s.Failed = s.Served/n, s.Rejected/n, s.Failed/n
 	s.Overload = r.overloadShare(from, to)
 	return s
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -146,13 +146,13 @@
 func (e *Engine) Up() (up, fallen bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.up, e.model.Fallen()
+	return e.up, e.model.Collapsed()
 }
 
 // Flush empties the engine's caches.
 func (e *Engine) Flush() {
 	e.mu.Lock()
-	e.model.Flush()
+	e.model.FlushCache()
 	e.mu.Unlock()
 }
 
@@ -205,7 +205,7 @@
 	if e.timer != nil {
 		e.timer.Stop()
 	}
-	if next, ok := e.model.Next(); ok && e.up {
+	if next, ok := e.model.NextEvent(); ok && e.up {
 		model := e.model
 		e.timer = time.AfterFunc(max(next-e.now(), 0), func() {
 			e.mu.Lock()
@@ -227,7 +227,7 @@
 	}
 	if now := time.Now(); now.Sub(e.loadAt) >= e.cfg.ReportEvery+e.faults.LateReports || e.load == "" {
 		e.loadAt = now
-		e.load = fmt.Sprintf("%d,%.3f", len(e.model.Jobs()), e.model.Granted())
+		e.load = fmt.Sprintf("%d,%.3f", len(e.model.Jobs()), e.model.GrantedShare())
 	}
 	return e.load
 }
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -29,8 +29,8 @@
 		slow = 1
 	}
 	e.finish(e.model.Advance(now))
-	e.model.Slow(now, slow)
-	e.model.Halt(now, f.Hang)
+	e.model.SetSlowdown(now, slow)
+	e.model.SetHalted(now, f.Hang)
 	e.scheduleNext()
 }
 
--- a/internal/standin/statement.go
+++ b/internal/standin/statement.go
@@ -59,8 +59,8 @@
 			NeedMB:   numberTag(tags, "need_mb", 0),
 			GrantMB:  c.grantMB,
 			Priority: c.priority,
-			Tables:   tags["tables"],
-			Loads:    tags["loads"] != "",
+			DataSet:  tags["tables"],
+			IsLoad:   tags["loads"] != "",
 		},
 		done: make(chan Outcome, 1),
 		run: &Run{ID: id, Class: tags["class"], Key: tags["key"], Text: text, Begun: time.Now(),
@@ -173,7 +173,7 @@
 	if x.job.Work > 0 {
 		e.runs = append(e.runs, x.run)
 	}
-	x.repeat = x.job.Loads && !faults.Full && !e.cfg.Group.first(x.id, x.run.Begun, e.cfg.Window)
+	x.repeat = x.job.IsLoad && !faults.Full && !e.cfg.Group.first(x.id, x.run.Begun, e.cfg.Window)
 	if x.repeat {
 		x.job.Work = repeatWork
 	}
@@ -189,7 +189,7 @@
 	if x.running != nil {
 		e.ended[x.running] = x.done
 	}
-	if e.model.Fallen() {
+	if e.model.Collapsed() {
 		e.crash()
 		return jobRejected, errConnectionEnded
 	}
@@ -243,7 +243,7 @@
 func (c *engineConn) sendProgress(r *enginemodel.Running) error {
 	c.engine.mu.Lock()
 	c.engine.finish(c.engine.model.Advance(c.engine.now()))
-	share, spilledMB, waits := r.Done(), r.SpillMB(), r.Waits()
+	share, spilledMB, waits := r.Progress(), r.SpillMB(), r.IsBlocked()
 	c.engine.mu.Unlock()
 	c.sendNotice(noticeProgress, share)
 	if spilledMB > 0 {
