--- a/internal/simulation/baseline/mutant.go
+++ b/internal/simulation/baseline/mutant.go
@@ -19,7 +19,7 @@
 	ignoreRetryBudget
 )
 
-// deadlineStretch is the factor on the deadlines that a module with ignoreDeadline is told.
+// deadlineStretch is the factor on the deadlines that a mutant with ignoreDeadline gets.
 const deadlineStretch = 3
 
 // loosenedAnswerGrace is the answer grace in place of the configured one, see LoosenRule.
--- a/internal/simulation/comparison.go
+++ b/internal/simulation/comparison.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Arm is one way of a comparison.
+// Arm is one of the variants that are compared.
 type Arm struct {
 	Name      string
 	Gossip    GossipMode
--- a/internal/simulation/estimate.go
+++ b/internal/simulation/estimate.go
@@ -27,7 +27,7 @@
 	mean, dev := stat.MeanStdDev(samples, nil)
 	n := float64(len(samples))
 	b.Mean = mean
-	b.HalfWidth = distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975) * dev / math.Sqrt(n)
+	b.HalfWidth = distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(upperTail) * dev / math.Sqrt(n)
 	return b
 }
 
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -1,9 +1,15 @@
 package simulation
 
 import (
+	"errors"
+	"fmt"
 	"reflect"
 	"testing"
 	"time"
+
+	"cresspass"
+	"cresspass/internal/dispatch"
+	"cresspass/internal/simulation/baseline"
 )
 
 // smallFleet is a short day of a small fleet.
@@ -66,6 +72,26 @@
 	}
 }
 
+// Err returns the first error of a decider that could not be made at a restart.
+func TestDeciderErrorAtRestart(t *testing.T) {
+	c := smallFleet(1, NoGossip, 0)
+	failed := errors.New("no decider")
+	made := 0
+	c.Decide = func(cfg *cresspass.Config, _ time.Duration) (dispatch.Decider, error) {
+		if made++; made > c.Dispatchers {
+			return nil, fmt.Errorf("%d: %w", made, failed)
+		}
+		return baseline.New("round-robin", 0, *cfg)
+	}
+	f, err := NewFleet(c)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if f.Run(); !errors.Is(f.Err(), failed) || f.Err().Error() != "6: no decider" {
+		t.Errorf("%v", f.Err())
+	}
+}
+
 // With costs estimated as a third of the truth, dispatchers that return and ask others for what they learnt
 // serve at least as many queries in time as those that return without it, with one Byzantine dispatcher of
 // five or without.
@@ -74,7 +100,7 @@
 		t.Skip("statistics: nothing runs side by side that the race detector does not see elsewhere")
 	}
 	n, err := CompareNewcomers([]Arm{{"cold", GossipOnly, 0}, {"newcomers", GossipAndBootstrap, 0},
-		{"newcomers, liars", GossipAndBootstrap, 4}}, 2, 0.33)
+		{"newcomers, Byzantine", GossipAndBootstrap, 4}}, 2, 0.33)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/statistics.go
+++ b/internal/simulation/statistics.go
@@ -11,11 +11,20 @@
 )
 
 const (
-	bootstrapStream = 95   // of the random numbers of Bootstrap
-	minDrawings     = 20   // of Bootstrap, for an interval
-	minTrendSamples = 20   // of IsUnstable
-	minRuns         = 3    // from which AdditionalRuns expects a width
-	normalQuantile  = 1.96 // of 97.5%
+	bootstrapStream = 95    // of the random numbers of Bootstrap
+	minDrawings     = 20    // of Bootstrap, for an interval
+	minTrendSamples = 20    // of IsUnstable
+	minRuns         = 3     // from which AdditionalRuns expects a width
+	normalQuantile  = 1.96  // of 97.5%
+	upperTail       = 0.975 // quantile at the upper end of a 95% interval
+)
+
+// When IsUnstable calls a run unstable.
+const (
+	minGrowthShare  = 0.3 // the trend over the second half, as a share of the mean at the end
+	minGrowthFactor = 3   // from the mean of the first quarter to that of the last
+	trendParts      = 8   // of a run, whose means are compared
+	minRisingParts  = 6   // of the steps between them
 )
 
 // BatchMeans estimates the mean of one long run, whose samples depend on those before them, from the means of
@@ -95,18 +104,18 @@
 	_, slope := stat.LinearRegression(x, half, nil, false)
 	grown := slope * float64(len(half))
 	first, last := stat.Mean(waiting[:len(waiting)/4], nil), stat.Mean(half[len(half)/2:], nil)
-	return grown > 0.3*last && last > 3*math.Max(first, 1) && isRising(waiting)
+	return grown > minGrowthShare*last && last > minGrowthFactor*math.Max(first, 1) && isRising(waiting)
 }
 
 // isRising reports whether the means of eighths grow from nearly each to the next.
 func isRising(v []float64) bool {
-	n, up := len(v)/8, 0
-	for i := 1; i < 8; i++ {
+	n, up := len(v)/trendParts, 0
+	for i := 1; i < trendParts; i++ {
 		if stat.Mean(v[i*n:(i+1)*n], nil) > stat.Mean(v[(i-1)*n:i*n], nil) {
 			up++
 		}
 	}
-	return up >= 6
+	return up >= minRisingParts
 }
 
 // AdditionalRuns is the number of further runs until the half width of an estimate is as small as wanted: 0
@@ -118,7 +127,7 @@
 	if b.N < minRuns || halfWidth <= 0 {
 		return min(minRuns, maxRuns-b.N)
 	}
-	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(b.N - 1)}.Quantile(0.975)
+	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(b.N - 1)}.Quantile(upperTail)
 	dev := b.HalfWidth * math.Sqrt(float64(b.N)) / t
 	ratio := normalQuantile * dev / halfWidth
 	want := int(math.Ceil(ratio*ratio)) - b.N
