--- a/cmd/cresspass/help_test.go
+++ b/cmd/cresspass/help_test.go
@@ -8,11 +8,13 @@
 	"testing"
 
 	"github.com/alecthomas/kong"
+
+	"cresspass/internal/goldentest"
 )
 
 // The --help of the program and of each of its sub-commands, hidden ones included, is that of
 // testdata/help. Scripts and pages rely on commands, flags and defaults: a flag must not follow the name of
-// a field. UPDATE_GOLDEN has the files written again.
+// a field.
 func TestGoldenHelp(t *testing.T) {
 	t.Setenv("COLUMNS", "100")
 	dir := filepath.Join("testdata", "help")
@@ -20,21 +22,7 @@
 	for _, path := range commandPaths(t) {
 		name := strings.Join(append([]string{"cresspass"}, path...), "-") + ".txt"
 		expected[name] = true
-		current := helpOf(t, path)
-		file := filepath.Join(dir, name)
-		if os.Getenv("UPDATE_GOLDEN") != "" {
-			if err := os.WriteFile(file, current, 0o644); err != nil {
-				t.Fatal(err)
-			}
-		}
-		want, err := os.ReadFile(file)
-		if err != nil {
-			t.Error(err)
-			continue
-		}
-		if !bytes.Equal(current, want) {
-			t.Errorf("%s --help prints\n%s\nwant\n%s", strings.Join(path, " "), current, want)
-		}
+		goldentest.Compare(t, "help/"+name, helpOf(t, path))
 	}
 	files, err := os.ReadDir(dir)
 	if err != nil {
--- a/decision_trace_test.go
+++ b/decision_trace_test.go
@@ -11,6 +11,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"cresspass/internal/goldentest"
 )
 
 // The decision trace: scripted runs of gateways against simulated engines, with every action written bit
@@ -162,7 +164,8 @@
 // TestGoldenDecisionTrace: the scripted runs give the same actions, bit for bit, as when the trace was
 // written.
 func TestGoldenDecisionTrace(t *testing.T) {
-	stored := golden(t, "snapshot.json", trainedGateway(t).Snapshot())
+	goldentest.Compare(t, "snapshot.json", trainedGateway(t).Snapshot())
+	stored := goldentest.Read(t, "snapshot.json")
 	var current bytes.Buffer
 	for _, s := range traceScenarios() {
 		playTrace(t, s, stored, &current)
@@ -175,7 +178,10 @@
 	if err := z.Close(); err != nil {
 		t.Fatal(err)
 	}
-	unpack, err := gzip.NewReader(bytes.NewReader(golden(t, "decision_trace.txt.gz", packed.Bytes())))
+	// Compared unpacked: another version of Go may compress the same trace to other bytes.
+	const trace = "decision_trace.txt.gz"
+	goldentest.Update(t, trace, packed.Bytes())
+	unpack, err := gzip.NewReader(bytes.NewReader(goldentest.Read(t, trace)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/golden_test.go
+++ b/golden_test.go
@@ -3,40 +3,18 @@
 import (
 	"bytes"
 	"encoding/hex"
-	"flag"
 	"fmt"
 	"math"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
 	"testing"
 	"time"
+
+	"cresspass/internal/goldentest"
 )
 
 // Snapshots are stored and peer messages are sent between processes of different versions, so bytes that
 // an earlier version wrote stand under testdata and must be read, and written, as they were.
 
-var updateGolden = flag.Bool("update", false, "write the golden files under testdata anew")
-
-// golden returns the bytes of a golden file; with -update it writes them first.
-func golden(t *testing.T, name string, current []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *updateGolden {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, current, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	data, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return data
-}
-
 // trainedGateway has learnt from a fixed sequence of outcomes.
 func trainedGateway(t *testing.T) *Gateway {
 	t.Helper()
@@ -77,10 +55,8 @@
 // outcomes are written as the same bytes.
 func TestGoldenSnapshot(t *testing.T) {
 	trained := trainedGateway(t)
-	data := golden(t, "snapshot.json", trained.Snapshot())
-	if got := trained.Snapshot(); !bytes.Equal(got, data) {
-		t.Errorf("the snapshot of the same outcomes is\n%s\nwant\n%s", got, data)
-	}
+	goldentest.Compare(t, "snapshot.json", trained.Snapshot())
+	data := goldentest.Read(t, "snapshot.json")
 	g, err := New(allRulesConfig())
 	if err != nil {
 		t.Fatal(err)
@@ -162,10 +138,8 @@
 			read = append(read, fmt.Sprint(int(c.m), " ", e.Tag, " ", load, " ", good, " ", bad))
 		}
 	}
-	data := golden(t, "peer_messages.txt", current.Bytes())
-	if !bytes.Equal(current.Bytes(), data) {
-		t.Errorf("messages are written as\n%s\nwant\n%s", current.Bytes(), data)
-	}
+	goldentest.Compare(t, "peer_messages.txt", current.Bytes())
+	data := goldentest.Read(t, "peer_messages.txt")
 	var got []string
 	for _, line := range bytes.Fields(data) {
 		message, err := hex.DecodeString(string(line))
--- a/internal/backend/pgbackend/golden_test.go
+++ b/internal/backend/pgbackend/golden_test.go
@@ -3,8 +3,6 @@
 import (
 	"container/list"
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
@@ -12,6 +10,7 @@
 	"cresspass/internal/backend/enginequery"
 	"cresspass/internal/backend/sessionparams"
 	"cresspass/internal/dispatch/response"
+	"cresspass/internal/goldentest"
 	"cresspass/internal/protocol/sqlscan"
 )
 
@@ -88,33 +87,5 @@
 	}
 	r := notStarted(cresspass.OutcomeNotStarted)
 	fmt.Fprintf(&got, "not begun: outcome %d message %q\n", r.Outcome, r.Message)
-	compareGolden(t, "requests.txt", got.String())
-}
-
-// compareGolden compares a text with a file under testdata; with UPDATE_GOLDEN set it writes the file first.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	file := filepath.Join("testdata", name)
-	if os.Getenv("UPDATE_GOLDEN") != "" {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	b, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got == string(b) {
-		return
-	}
-	have, want := strings.Split(got, "\n"), strings.Split(string(b), "\n")
-	for i := range min(len(have), len(want)) {
-		if have[i] != want[i] {
-			t.Fatalf("%s:%d: got\n%s\nwant\n%s", file, i+1, have[i], want[i])
-		}
-	}
-	t.Fatalf("%s: got %d lines, want %d", file, len(have), len(want))
+	goldentest.Compare(t, "requests.txt", []byte(got.String()))
 }
--- a/internal/backend/sessionparams/golden_test.go
+++ b/internal/backend/sessionparams/golden_test.go
@@ -2,12 +2,11 @@
 
 import (
 	"fmt"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
 
+	"cresspass/internal/goldentest"
 	"cresspass/internal/protocol/sqlscan"
 )
 
@@ -38,33 +37,5 @@
 		change, replay := ChangeOf(&st)
 		fmt.Fprintf(&got, "assignment %q: %q %q %v; change %q %v\n", text, name, value, ok, change, replay)
 	}
-	compareGolden(t, "statements.txt", got.String())
-}
-
-// compareGolden compares a text with a file under testdata; with UPDATE_GOLDEN set it writes the file first.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	file := filepath.Join("testdata", name)
-	if os.Getenv("UPDATE_GOLDEN") != "" {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	b, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got == string(b) {
-		return
-	}
-	have, want := strings.Split(got, "\n"), strings.Split(string(b), "\n")
-	for i := range min(len(have), len(want)) {
-		if have[i] != want[i] {
-			t.Fatalf("%s:%d: got\n%s\nwant\n%s", file, i+1, have[i], want[i])
-		}
-	}
-	t.Fatalf("%s: got %d lines, want %d", file, len(have), len(want))
+	goldentest.Compare(t, "statements.txt", []byte(got.String()))
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -1,7 +1,6 @@
 package config
 
 import (
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -10,25 +9,10 @@
 	"testing"
 
 	"cresspass"
+	"cresspass/internal/goldentest"
 )
 
 // The files under testdata hold the keys that earlier builds knew and the values that they read.
-var update = flag.Bool("update", false, "write the golden files anew")
-
-func golden(t *testing.T, name, today string) string {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(today), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	stored, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return string(stored)
-}
 
 // dumper writes what a file was read as, under the names of its keys.
 type dumper struct{ strings.Builder }
@@ -223,20 +207,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		read := dump(cfg)
-		stored := golden(t, name+".golden", read)
-		if read == stored {
-			continue
-		}
-		now, was := strings.Split(read, "\n"), strings.Split(stored, "\n")
-		for i := range max(len(now), len(was)) {
-			if i >= len(now) || i >= len(was) || now[i] != was[i] {
-				t.Errorf("%s.golden:%d: another value; now %d lines, then %d:\n%s\n%s", name, i+1,
-					len(now), len(was), strings.Join(now[min(i, len(now)):min(i+1, len(now))], ""),
-					strings.Join(was[min(i, len(was)):min(i+1, len(was))], ""))
-				break
-			}
-		}
+		goldentest.Compare(t, name+".golden", []byte(dump(cfg)))
 	}
 }
 
@@ -264,9 +235,7 @@
 // The keys, which of them may be left out, and their types.
 func TestGoldenKeys(t *testing.T) {
 	today := strings.Join(keys(reflect.TypeFor[File](), ""), "\n") + "\n"
-	if stored := golden(t, "keys.txt", today); today != stored {
-		t.Errorf("the keys are\n%s\nthey were\n%s", today, stored)
-	}
+	goldentest.Compare(t, "keys.txt", []byte(today))
 }
 
 // The file that is said to name every key does.
@@ -318,9 +287,7 @@
 	}
 	live, restart := Compare(files[0], files[1])
 	today := "live\n" + strings.Join(live, "\n") + "\nrestart\n" + strings.Join(restart, "\n") + "\n"
-	if stored := golden(t, "changed.txt", today); today != stored {
-		t.Errorf("what changed is\n%s\nit was\n%s", today, stored)
-	}
+	goldentest.Compare(t, "changed.txt", []byte(today))
 	if live, restart := Compare(files[0], files[0]); len(live)+len(restart) > 0 {
 		t.Errorf("a file differs from itself in %q and %q", live, restart)
 	}
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -5,13 +5,11 @@
 	"bytes"
 	"context"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"log/slog"
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"os"
 	"path/filepath"
 	"reflect"
 	"strings"
@@ -20,27 +18,12 @@
 	"time"
 
 	"cresspass/internal/daemon/lifecycle"
+	"cresspass/internal/goldentest"
 	"cresspass/internal/invariant"
 )
 
 // The files under testdata hold what earlier builds answered and sent. In a handover two builds talk to each
 // other.
-var update = flag.Bool("update", false, "write the golden files anew")
-
-func golden(t *testing.T, name string, today []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, today, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	stored, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return stored
-}
 
 // Health keeps its keys, and is read from the answer of an earlier build.
 func TestGoldenHealth(t *testing.T) {
@@ -64,10 +47,8 @@
 			t.Fatal(err)
 		}
 	}
-	stored := golden(t, "health.json", written.Bytes())
-	if !bytes.Equal(written.Bytes(), stored) {
-		t.Errorf("health is written as\n%s, it was\n%s", written.Bytes(), stored)
-	}
+	goldentest.Compare(t, "health.json", written.Bytes())
+	stored := goldentest.Read(t, "health.json")
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/health" {
 			t.Errorf("health was asked for at %s", r.URL.Path)
@@ -91,16 +72,15 @@
 		lifecycle.Draining, lifecycle.Stopped} {
 		fmt.Fprintln(&written, s)
 	}
-	if stored := golden(t, "states.txt", []byte(written.String())); written.String() != string(stored) {
-		t.Errorf("states are called\n%s, they were\n%s", written.String(), stored)
-	}
+	goldentest.Compare(t, "states.txt", []byte(written.String()))
 }
 
 // handOver returns what both sides say in a handover, in order, from testdata.
 func handOver(t *testing.T) map[string]string {
 	said := map[string]string{}
-	stored := golden(t, "handover.txt", []byte("successor socket\npredecessor here\nsuccessor serving\n"+
+	goldentest.Compare(t, "handover.txt", []byte("successor socket\npredecessor here\nsuccessor serving\n"+
 		"predecessor draining\nrejected no another hand-over is under way, or this dispatcher ends\n"))
+	stored := goldentest.Read(t, "handover.txt")
 	for i, line := range strings.Split(strings.TrimSpace(string(stored)), "\n") {
 		_, text, _ := strings.Cut(line, " ")
 		said[[]string{"request", "listeners", "serving", "draining", "rejected"}[i]] = text + "\n"
--- a/internal/discovery/eds/golden_test.go
+++ b/internal/discovery/eds/golden_test.go
@@ -1,7 +1,6 @@
 package eds
 
 import (
-	"bytes"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -11,27 +10,9 @@
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/anypb"
-)
-
-// updateGolden is the environment variable that has the golden files written again. They hold stored and
-// sent forms: a change of their bytes is a change of a format that running dispatchers read.
-const updateGolden = "UPDATE_GOLDEN"
 
-// golden returns a file of testdata, which current replaces where updateGolden is set.
-func golden(t *testing.T, name string, current []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if os.Getenv(updateGolden) != "" {
-		if err := os.WriteFile(path, current, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	stored, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return stored
-}
+	"cresspass/internal/goldentest"
+)
 
 // The cached list of an earlier version is read, and this version writes the same bytes.
 func TestGoldenCachedList(t *testing.T) {
@@ -43,10 +24,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stored := golden(t, "cached-list", current)
-	if !bytes.Equal(current, stored) {
-		t.Errorf("the cached list is written as %q, want %q", current, stored)
-	}
+	goldentest.Compare(t, "cached-list", current)
+	stored := goldentest.Read(t, "cached-list")
 	if err := os.WriteFile(path, stored, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -66,7 +45,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stored := golden(t, "assignment.pb", current)
+	// Compared as a message: another version of the library may encode an equal one in other bytes.
+	goldentest.Update(t, "assignment.pb", current)
+	stored := goldentest.Read(t, "assignment.pb")
 	var sent endpointv3.ClusterLoadAssignment
 	if err := proto.Unmarshal(stored, &sent); err != nil {
 		t.Fatal(err)
--- a/internal/discovery/sse/golden_test.go
+++ b/internal/discovery/sse/golden_test.go
@@ -1,15 +1,13 @@
 package sse
 
 import (
-	"bytes"
 	"encoding/json"
-	"os"
-	"path/filepath"
 	"reflect"
 	"testing"
 	"time"
 
 	"cresspass"
+	"cresspass/internal/goldentest"
 )
 
 // TestGoldenWatchEvent: the recorded watch event, as a configuration holds the known ones and the discovery
@@ -20,23 +18,12 @@
 			StartedMs: 40},
 		{ID: "n2", Addr: "10.0.0.2:8080", Zone: "z2", Kind: "small", State: "draining", Weight: 1},
 		{ID: "n3", State: "removed"}}}}
-	path := filepath.Join("testdata", "golden", "watchevent.json")
 	written, err := json.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if os.Getenv("UPDATE_GOLDEN") != "" {
-		if err := os.WriteFile(path, written, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	data, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(written, data) {
-		t.Errorf("\n got %s\nwant %s", written, data)
-	}
+	goldentest.Compare(t, "golden/watchevent.json", written)
+	data := goldentest.Read(t, "golden/watchevent.json")
 	var got WatchEvent
 	if err := json.Unmarshal(data, &got); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, %v", got, err)
@@ -45,10 +32,7 @@
 
 // TestGoldenStream: the recorded event stream gives the module the lists that it gave when it was recorded.
 func TestGoldenStream(t *testing.T) {
-	stream, err := os.ReadFile(filepath.Join("testdata", "golden", "stream.txt"))
-	if err != nil {
-		t.Fatal(err)
-	}
+	stream := goldentest.Read(t, "golden/stream.txt")
 	var p Parser
 	var lists []cresspass.Event
 	follower := newFollower()
--- a/internal/dispatch/verdict/golden_test.go
+++ b/internal/dispatch/verdict/golden_test.go
@@ -2,15 +2,12 @@
 
 import (
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
-)
 
-// update has the golden file written anew: UPDATE_GOLDEN=1 go test ./...
-var update = os.Getenv("UPDATE_GOLDEN") != ""
+	"cresspass/internal/goldentest"
+)
 
 // TestGoldenTexts: clients receive the code and the texts of a verdict, so they outlive every rename in the
 // code.
@@ -38,20 +35,5 @@
 		fmt.Fprintf(&now, "%s: kind %d code %q message %q detail %q retry after %v may have run %v\n", c.name,
 			v.Kind, v.Code, v.Message, v.Detail, v.RetryAfter, v.MayHaveRun)
 	}
-	path := filepath.Join("testdata", "texts.txt")
-	if update {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(now.String()), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if now.String() != string(want) {
-		t.Errorf("verdicts\n%s, want\n%s", now.String(), want)
-	}
+	goldentest.Compare(t, "texts.txt", []byte(now.String()))
 }
--- a/internal/frontend/flightsql/arrowbatch/golden_test.go
+++ b/internal/frontend/flightsql/arrowbatch/golden_test.go
@@ -2,14 +2,14 @@
 
 import (
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
 	"github.com/apache/arrow-go/v18/arrow"
 	"github.com/apache/arrow-go/v18/arrow/array"
 	"github.com/apache/arrow-go/v18/arrow/memory"
+
+	"cresspass/internal/goldentest"
 )
 
 // TestParameterTextIsStable compares the text forms of Arrow values that engines are sent, and the Arrow
@@ -60,33 +60,5 @@
 	}
 	bind, err := AppendBind(nil, nil, 0, s)
 	fmt.Fprintf(&got, "schema %v bind %x error %v\n", s.Arrow, bind, err)
-	compareGolden(t, "parameters.txt", got.String())
-}
-
-// compareGolden compares a text with a file under testdata; with UPDATE_GOLDEN set it writes the file first.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	file := filepath.Join("testdata", name)
-	if os.Getenv("UPDATE_GOLDEN") != "" {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	b, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got == string(b) {
-		return
-	}
-	have, want := strings.Split(got, "\n"), strings.Split(string(b), "\n")
-	for i := range min(len(have), len(want)) {
-		if have[i] != want[i] {
-			t.Fatalf("%s:%d: got\n%s\nwant\n%s", file, i+1, have[i], want[i])
-		}
-	}
-	t.Fatalf("%s: got %d lines, want %d", file, len(have), len(want))
+	goldentest.Compare(t, "parameters.txt", []byte(got.String()))
 }
--- a/internal/frontend/flightsql/grpcstatus/golden_test.go
+++ b/internal/frontend/flightsql/grpcstatus/golden_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
@@ -13,6 +11,7 @@
 	"google.golang.org/grpc/codes"
 
 	"cresspass/internal/dispatch/verdict"
+	"cresspass/internal/goldentest"
 	"cresspass/internal/protocol/pgwire"
 )
 
@@ -58,33 +57,5 @@
 		"44000", "27000", "54000", "40001", "53100", "58000", "XX000", "", "1"} {
 		write(FromEngineError(&pgwire.Fields{Code: code, Message: "m"}))
 	}
-	compareGolden(t, "statuses.txt", got.String())
-}
-
-// compareGolden compares a text with a file under testdata; with UPDATE_GOLDEN set it writes the file first.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	file := filepath.Join("testdata", name)
-	if os.Getenv("UPDATE_GOLDEN") != "" {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	b, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got == string(b) {
-		return
-	}
-	have, want := strings.Split(got, "\n"), strings.Split(string(b), "\n")
-	for i := range min(len(have), len(want)) {
-		if have[i] != want[i] {
-			t.Fatalf("%s:%d: got\n%s\nwant\n%s", file, i+1, have[i], want[i])
-		}
-	}
-	t.Fatalf("%s: got %d lines, want %d", file, len(have), len(want))
+	goldentest.Compare(t, "statuses.txt", []byte(got.String()))
 }
--- a/internal/frontend/flightsql/ticket/golden_test.go
+++ b/internal/frontend/flightsql/ticket/golden_test.go
@@ -3,12 +3,12 @@
 import (
 	"bytes"
 	"encoding/hex"
-	"os"
-	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
 	"time"
+
+	"cresspass/internal/goldentest"
 )
 
 // TestTicketEncodingIsStable: clients hold tickets and send them back, to a dispatcher of another version
@@ -24,20 +24,9 @@
 			SingleUse: true},
 		"empty": {},
 	} {
-		file := filepath.Join("testdata", name+".ticket")
-		if os.Getenv("UPDATE_GOLDEN") != "" {
-			if err := os.MkdirAll("testdata", 0o755); err != nil {
-				t.Fatal(err)
-			}
-			text := hex.EncodeToString(Seal(key, want)) + "\n"
-			if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
-				t.Fatal(err)
-			}
-		}
-		text, err := os.ReadFile(file)
-		if err != nil {
-			t.Fatal(err)
-		}
+		file := name + ".ticket"
+		goldentest.Compare(t, file, []byte(hex.EncodeToString(Seal(key, want))+"\n"))
+		text := goldentest.Read(t, file)
 		sealed, err := hex.DecodeString(strings.TrimSpace(string(text)))
 		if err != nil {
 			t.Fatalf("%s: %v", file, err)
--- a/internal/frontend/pgfrontend/pgsession/golden_test.go
+++ b/internal/frontend/pgfrontend/pgsession/golden_test.go
@@ -2,13 +2,12 @@
 
 import (
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
 	"cresspass/internal/backend/enginequery"
 	"cresspass/internal/backend/sessionparams"
+	"cresspass/internal/goldentest"
 	"cresspass/internal/protocol/pgwire"
 )
 
@@ -202,7 +201,7 @@
 			transcribe(&got, s)
 		}
 	}
-	compareGolden(t, "conversations.txt", got.String())
+	goldentest.Compare(t, "conversations.txt", []byte(got.String()))
 }
 
 // transcribe writes what a session has to say after an event: one line a message, one for a query.
@@ -252,31 +251,3 @@
 		s.StatementTimeout,
 	)
 }
-
-// compareGolden compares a text with a file under testdata; with UPDATE_GOLDEN set it writes the file first.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	file := filepath.Join("testdata", name)
-	if os.Getenv("UPDATE_GOLDEN") != "" {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	b, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got == string(b) {
-		return
-	}
-	have, want := strings.Split(got, "\n"), strings.Split(string(b), "\n")
-	for i := range min(len(have), len(want)) {
-		if have[i] != want[i] {
-			t.Fatalf("%s:%d: got\n%s\nwant\n%s", file, i+1, have[i], want[i])
-		}
-	}
-	t.Fatalf("%s: got %d lines, want %d", file, len(have), len(want))
-}
--- a/internal/frontend/thriftserver/golden_test.go
+++ b/internal/frontend/thriftserver/golden_test.go
@@ -2,15 +2,14 @@
 
 import (
 	"bytes"
-	"os"
-	"path/filepath"
 	"testing"
 
+	"cresspass/internal/goldentest"
 	"cresspass/internal/protocol/thrift"
 )
 
 // TestGoldenReplies: what is replied at once to a message is the recorded bytes, the texts that clients read
-// included; UPDATE_GOLDEN=1 records them.
+// included.
 func TestGoldenReplies(t *testing.T) {
 	const long = "0123456789012345678901234567890123456789 and more"
 	good := func(seq int32, pairs ...string) []byte {
@@ -82,17 +81,5 @@
 // compareGolden compares a reply with the recorded bytes of testdata/golden.
 func compareGolden(t *testing.T, name string, reply []byte) {
 	t.Helper()
-	path := filepath.Join("testdata", "golden", name+".bin")
-	if os.Getenv("UPDATE_GOLDEN") != "" {
-		if err := os.WriteFile(path, reply, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(reply, want) {
-		t.Errorf("%s:\n got %q\nwant %q", name, reply, want)
-	}
+	goldentest.Compare(t, "golden/"+name+".bin", reply)
 }
--- a/internal/invariant/golden_test.go
+++ b/internal/invariant/golden_test.go
@@ -9,29 +9,9 @@
 	"strings"
 	"testing"
 	"time"
-)
-
-// update has the golden files written anew: UPDATE_GOLDEN=1 go test ./...
-var update = os.Getenv("UPDATE_GOLDEN") != ""
 
-// golden returns what a golden file holds; with update it is first written from what the code gives now.
-func golden(t *testing.T, name, now string) string {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if update {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(now), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	data, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return string(data)
-}
+	"cresspass/internal/goldentest"
+)
 
 // TestGoldenNames: the names of the invariants are keys of the health answer and values in the log, so they
 // outlive every rename in the code.
@@ -55,9 +35,7 @@
 	for _, name := range names {
 		now.WriteString(string(name) + "\n")
 	}
-	if want := golden(t, "names.txt", now.String()); now.String() != want {
-		t.Errorf("names %q, want %q", now.String(), want)
-	}
+	goldentest.Compare(t, "names.txt", []byte(now.String()))
 }
 
 // TestGoldenViolationLines: a violation is logged as in the golden files, in both formats of the dispatcher's
@@ -81,9 +59,7 @@
 		counter.Record(violated(SentOutOfOrder, "key %q has query %d out", "a\"b", 3), "t-4")
 		counter.Record(stale(SentAfterDeadline, "%v after the client's time", time.Second), "18")
 		written := log.String()
-		if want := golden(t, "violations."+format+".log", written); written != want {
-			t.Errorf("%s: logged\n%s, want\n%s", format, written, want)
-		}
+		goldentest.Compare(t, "violations."+format+".log", log.Bytes())
 		lines := strings.Split(strings.TrimSuffix(written, "\n"), "\n")
 		lines = append(lines, "panic: runtime error", "fatal error: all goroutines are asleep")
 		others := "time=2026-12-02 level=INFO msg=figures violations=\"\"\ngoroutine 1 [running]:\n"
--- a/internal/membership/gossip/golden_test.go
+++ b/internal/membership/gossip/golden_test.go
@@ -4,39 +4,15 @@
 	"bytes"
 	"encoding/binary"
 	"errors"
-	"os"
-	"path/filepath"
 	"reflect"
 	"testing"
 	"time"
 
+	"cresspass/internal/goldentest"
 	"cresspass/internal/membership/observation"
 	"cresspass/internal/membership/ordinal"
 )
 
-// golden compares the bytes that this version writes with those of testdata, and returns the latter.
-// UPDATE_GOLDEN=1 in the environment writes the file anew; only a change of the packet version may need it.
-func golden(t *testing.T, file string, written []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", file)
-	if os.Getenv("UPDATE_GOLDEN") != "" {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, written, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	stored, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(written, stored) {
-		t.Errorf("%s: this version writes\n%x\nthe file has\n%x", file, written, stored)
-	}
-	return stored
-}
-
 // goldenObservations have every field set, the greatest and the least values among them.
 func goldenObservations() []observation.Observation {
 	return []observation.Observation{
@@ -54,7 +30,8 @@
 }
 
 // Packets of every kind as dispatchers sent them on 2026-12-02: a fleet that is being upgraded has both
-// versions at once, so each is read with the same values, and written with the same bytes.
+// versions at once, so each is read with the same values, and written with the same bytes. Only a change of
+// the packet version may change the files.
 func TestGoldenPackets(t *testing.T) {
 	var digest observation.Digest
 	for i := range digest {
@@ -79,7 +56,8 @@
 	} {
 		want := header{kind: packetKind(c.kind), incarnation: 1764633600000000001, seq: 0x0102030405060708,
 			clock: 25*time.Hour + 123*time.Millisecond, name: "hall-a-1"}
-		stored := golden(t, c.file, want.append(c.data))
+		goldentest.Compare(t, c.file, want.append(c.data))
+		stored := goldentest.Read(t, c.file)
 		h, data, ok := readHeader(stored)
 		if !ok || h != want || !bytes.Equal(data, c.data) {
 			t.Errorf("%s: read as %+v, %x, %v", c.file, h, data, ok)
@@ -126,7 +104,8 @@
 	if len(pieces) < 2 {
 		t.Fatalf("%d pieces", len(pieces))
 	}
-	stored := golden(t, "observations.bin", bytes.Join(pieces, nil))
+	goldentest.Compare(t, "observations.bin", bytes.Join(pieces, nil))
+	stored := goldentest.Read(t, "observations.bin")
 	if read, err := DecodeObservations(stored); err != nil || !reflect.DeepEqual(read, all) {
 		t.Errorf("read as %+v, %v", read, err)
 	}
--- a/internal/membership/observation/golden_test.go
+++ b/internal/membership/observation/golden_test.go
@@ -1,42 +1,18 @@
 package observation
 
 import (
-	"bytes"
 	"encoding/binary"
 	"encoding/json"
 	"fmt"
-	"os"
-	"path/filepath"
 	"testing"
 	"time"
-)
 
-// golden compares the bytes that this version writes with those of testdata, and returns the latter.
-// UPDATE_GOLDEN=1 in the environment writes the file anew; only a change of the packet version may need it.
-func golden(t *testing.T, file string, written []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", file)
-	if os.Getenv("UPDATE_GOLDEN") != "" {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, written, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	stored, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(written, stored) {
-		t.Errorf("%s: this version writes\n%x\nthe file has\n%x", file, written, stored)
-	}
-	return stored
-}
+	"cresspass/internal/goldentest"
+)
 
 // Two versions in one fleet have the same digest for the same evidence: otherwise each would take the other
 // for one that lacks everything, and answer with all it has, once a second. The numbers of properties are
-// sent.
+// sent. Only a change of the packet version may change the file.
 func TestGoldenDigest(t *testing.T) {
 	if Health != 0 || Load != 1 || Uptime != 2 || ModelParameter != 3 {
 		t.Errorf("properties are sent as %d, %d, %d, %d", Health, Load, Uptime, ModelParameter)
@@ -66,7 +42,7 @@
 	for _, v := range s.Digest(now) {
 		written = binary.BigEndian.AppendUint64(written, v)
 	}
-	golden(t, "digest.bin", written)
+	goldentest.Compare(t, "digest.bin", written)
 }
 
 // Which observers are kept follows from their names alone, the same at all members.
@@ -79,5 +55,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "ranks.json", append(written, '\n'))
+	goldentest.Compare(t, "ranks.json", append(written, '\n'))
 }
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"io"
 	"net"
-	"os"
 	"path/filepath"
 	"regexp"
 	"slices"
@@ -16,35 +15,18 @@
 	"testing"
 	"time"
 
+	"cresspass/internal/goldentest"
 	"cresspass/internal/protocol/thrift"
 )
 
 // The files under testdata hold what other processes write to a dispatcher or read from it. They keep their
-// form whatever the code is called. UPDATE_GOLDEN=1 writes them anew.
-
-// compareGolden compares bytes with those of a file under testdata.
-func compareGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if os.Getenv("UPDATE_GOLDEN") != "" {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s: got\n%s\nwant\n%s", path, got, want)
-	}
-}
+// form whatever the code is called.
 
 // TestGoldenConfig: a configuration as the platform writes it keeps its keys and what they mean.
 func TestGoldenConfig(t *testing.T) {
 	r := &harness{t: t, discovery: &fakeDiscovery{}, sockets: 256}
 	r.discovery.add(true, "s-1", "127.0.0.1:1", "up")
-	compareGolden(t, "config.json", r.config("127.0.0.1:2"))
+	goldentest.Compare(t, "config.json", r.config("127.0.0.1:2"))
 	cfg, err := Load(filepath.Join("testdata", "config.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -188,9 +170,9 @@
 	client.conn.Write(thrift.CancelRequest{TargetSeq: seq}.Append(nil, 99))
 	eventually(t, "the query is cancelled", func() bool { return r.node.callCount("DELETE "+ticket(3)) == 1 })
 	r.checkHealth("s-1", nodeAddr)
-	compareGolden(t, "node_requests.txt", []byte(strings.Join(toNode.requests(), "\n----\n")))
+	goldentest.Compare(t, "node_requests.txt", []byte(strings.Join(toNode.requests(), "\n----\n")))
 	eventually(t, "discovery is polled", func() bool { return len(toDiscovery.requests()) > 0 })
-	compareGolden(t, "discovery_request.txt", []byte(strings.Join(toDiscovery.requests(), "\n----\n")))
+	goldentest.Compare(t, "discovery_request.txt", []byte(strings.Join(toDiscovery.requests(), "\n----\n")))
 }
 
 // TestGoldenReplies: what clients are answered keeps its bytes.
@@ -221,5 +203,5 @@
 	reply("fault of the request")
 	client.conn.Write([]byte{0, 0, 0, 17, 0x80, 1, 0, 1, 0, 0, 0, 4, 'n', 'o', 'n', 'e', 0, 0, 0, 9, 0})
 	reply("no such method")
-	compareGolden(t, "client_replies.txt", got.Bytes())
+	goldentest.Compare(t, "client_replies.txt", got.Bytes())
 }
--- a/internal/protocol/nodehttp/golden_test.go
+++ b/internal/protocol/nodehttp/golden_test.go
@@ -1,14 +1,12 @@
 package nodehttp
 
 import (
-	"bytes"
-	"os"
-	"path/filepath"
 	"testing"
+
+	"cresspass/internal/goldentest"
 )
 
-// TestGoldenRequests: each call of a compute node is written as the recorded bytes; UPDATE_GOLDEN=1 records
-// them.
+// TestGoldenRequests: each call of a compute node is written as the recorded bytes.
 func TestGoldenRequests(t *testing.T) {
 	const host, ticket = "10.0.0.7:8080", "00ff00ff00ff00ff"
 	const nonce = "0123456789abcdef0123456789abcdef"
@@ -24,18 +22,6 @@
 		"ping":             AppendRequest(nil, "GET", "/ping", host, nil),
 		"load":             AppendRequest([]byte("earlier bytes"), "GET", "/load", host, nil),
 	} {
-		path := filepath.Join("testdata", "golden", name+".http")
-		if os.Getenv("UPDATE_GOLDEN") != "" {
-			if err := os.WriteFile(path, request, 0o644); err != nil {
-				t.Fatal(err)
-			}
-		}
-		want, err := os.ReadFile(path)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if !bytes.Equal(request, want) {
-			t.Errorf("%s:\n got %q\nwant %q", name, request, want)
-		}
+		goldentest.Compare(t, "golden/"+name+".http", request)
 	}
 }
--- a/internal/protocol/thrift/golden_test.go
+++ b/internal/protocol/thrift/golden_test.go
@@ -1,29 +1,10 @@
 package thrift
 
 import (
-	"bytes"
-	"os"
-	"path/filepath"
 	"testing"
-)
 
-// checkGolden compares a frame with the recorded bytes of testdata/golden; UPDATE_GOLDEN=1 records it.
-func checkGolden(t *testing.T, name string, frame []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name+".bin")
-	if os.Getenv("UPDATE_GOLDEN") != "" {
-		if err := os.WriteFile(path, frame, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(frame, want) {
-		t.Errorf("%s:\n got %x\nwant %x", name, frame, want)
-	}
-}
+	"cresspass/internal/goldentest"
+)
 
 // TestGoldenFrames: each message is encoded to the recorded bytes, so that clients and dispatchers of other
 // versions read it.
@@ -53,17 +34,14 @@
 		}.Append(nil, 4),
 		"append_to_others": Alive{}.Append([]byte("earlier bytes"), 2),
 	} {
-		checkGolden(t, name, frame)
+		goldentest.Compare(t, "golden/"+name+".bin", frame)
 	}
 }
 
 // TestGoldenRequests: the recorded requests are read with the values that they were written with.
 func TestGoldenRequests(t *testing.T) {
 	read := func(name string) Request {
-		frame, err := os.ReadFile(filepath.Join("testdata", "golden", name+".bin"))
-		if err != nil {
-			t.Fatal(err)
-		}
+		frame := goldentest.Read(t, "golden/"+name+".bin")
 		r, err := ParseRequest(frame[FrameHeaderBytes:])
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
--- a/internal/recording/golden_test.go
+++ b/internal/recording/golden_test.go
@@ -4,10 +4,11 @@
 	"bytes"
 	"errors"
 	"io"
-	"os"
 	"reflect"
 	"testing"
 	"time"
+
+	"cresspass/internal/goldentest"
 )
 
 // goldenEntries has every field set, and one entry of zeros.
@@ -50,23 +51,12 @@
 }
 
 // TestGoldenRecording reads a recording that an earlier version wrote, and writes the same bytes.
-// UPDATE_GOLDEN=1 writes the file anew.
 func TestGoldenRecording(t *testing.T) {
-	const file = "testdata/golden.rec"
+	const file = "golden.rec"
 	start := time.UnixMicro(1764600000123456)
 	written := AppendBlock(AppendHeader(nil, Header{Start: start}), goldenEntries())
-	if os.Getenv("UPDATE_GOLDEN") != "" {
-		if err := os.WriteFile(file, written, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	golden, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(written, golden) {
-		t.Errorf("written %x, want %x", written, golden)
-	}
+	goldentest.Compare(t, file, written)
+	golden := goldentest.Read(t, file)
 	r, err := NewReader(bytes.NewReader(golden))
 	if err != nil || !r.Header.Start.Equal(start) {
 		t.Fatalf("header: %v, %v", r, err)
--- a/internal/rehearsal/golden_test.go
+++ b/internal/rehearsal/golden_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"cresspass/internal/goldentest"
 	"cresspass/internal/rehearsal/rulecheck"
 )
 
@@ -52,24 +53,6 @@
 	}
 }
 
-// compareGolden compares text with a file that an earlier version wrote. UPDATE_GOLDEN=1 writes it anew.
-func compareGolden(t *testing.T, file string, text []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", file)
-	if os.Getenv("UPDATE_GOLDEN") != "" {
-		if err := os.WriteFile(path, text, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	golden, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(text, golden) {
-		t.Errorf("%s: written\n%s\nwant\n%s", file, text, golden)
-	}
-}
-
 // TestGoldenEvidence keeps the form of the evidence that is stored of a day whose rules broke, and judges
 // evidence that an earlier version stored.
 func TestGoldenEvidence(t *testing.T) {
@@ -80,11 +63,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	compareGolden(t, "evidence.json", text)
-	golden, err := os.ReadFile(filepath.Join("testdata", "evidence.json"))
-	if err != nil {
-		t.Fatal(err)
-	}
+	goldentest.Compare(t, "evidence.json", text)
+	golden := goldentest.Read(t, "evidence.json")
 	var read evidence
 	if err := json.Unmarshal(golden, &read); err != nil || !reflect.DeepEqual(read, e) {
 		t.Errorf("read %+v, %v, want %+v", read, err, e)
@@ -122,5 +102,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	compareGolden(t, "report.json", text)
+	goldentest.Compare(t, "report.json", text)
 }
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"log/slog"
 	"os"
 	"path/filepath"
@@ -13,11 +12,11 @@
 	"time"
 
 	"cresspass/internal/affinity/orphanedsession"
+	"cresspass/internal/goldentest"
 )
 
 // The files under testdata hold what earlier builds wrote. A build that can't read them, or that writes other
 // bytes for the same values, breaks the state directories of running dispatchers.
-var update = flag.Bool("update", false, "write the golden files anew")
 
 // goldenTime has a zone and parts of a second, as the wall clock gives them.
 var goldenTime = time.Date(2026, 1, 5, 9, 0, 0, 123456789, time.FixedZone("", 3600))
@@ -53,21 +52,6 @@
 	}
 }
 
-func golden(t *testing.T, name string, today []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, today, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	stored, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return stored
-}
-
 // openGolden opens a directory whose log has the given bytes.
 func openGolden(t *testing.T, stored []byte) []Record {
 	t.Helper()
@@ -92,10 +76,8 @@
 	for _, r := range want {
 		written = appendRecord(written, r)
 	}
-	stored := golden(t, "log-killed.bin", written)
-	if !bytes.Equal(written, stored) {
-		t.Errorf("the log is written as\n%q, it was\n%q", written, stored)
-	}
+	goldentest.Compare(t, "log-killed.bin", written)
+	stored := goldentest.Read(t, "log-killed.bin")
 	records := openGolden(t, stored)
 	same := func(a, b Record) bool { return a.Kind == b.Kind && bytes.Equal(a.Payload, b.Payload) }
 	if !slices.EqualFunc(records, want, same) {
@@ -149,10 +131,8 @@
 		SinceBoot: 90*time.Minute + time.Second}) {
 		written = appendRecord(written, r)
 	}
-	stored := golden(t, "log-rewritten.bin", written)
-	if !bytes.Equal(written, stored) {
-		t.Errorf("the log is rewritten as\n%q, it was\n%q", written, stored)
-	}
+	goldentest.Compare(t, "log-rewritten.bin", written)
+	stored := goldentest.Read(t, "log-rewritten.bin")
 	again := NewState()
 	if unreadable := again.Apply(openGolden(t, stored)); unreadable != 0 {
 		t.Errorf("%d records were not read", unreadable)
@@ -169,10 +149,8 @@
 	for _, r := range append(goldenRecords(), CleanShutdownRecord()) {
 		written = appendRecord(written, r)
 	}
-	stored := golden(t, "log-stopped.bin", written)
-	if !bytes.Equal(written, stored) {
-		t.Errorf("the log is written as\n%q, it was\n%q", written, stored)
-	}
+	goldentest.Compare(t, "log-stopped.bin", written)
+	stored := goldentest.Read(t, "log-stopped.bin")
 	state := NewState()
 	if unreadable := state.Apply(openGolden(t, stored)); unreadable != 0 {
 		t.Errorf("%d records were not read", unreadable)
@@ -217,10 +195,8 @@
 		{200, []byte("later")}, {1, append(bytes.Clone(id), "{"...)}} {
 		written = appendRecord(written, r)
 	}
-	stored := golden(t, "log-old-and-later.bin", written)
-	if !bytes.Equal(written, stored) {
-		t.Errorf("the log is written as\n%q, it was\n%q", written, stored)
-	}
+	goldentest.Compare(t, "log-old-and-later.bin", written)
+	stored := goldentest.Read(t, "log-old-and-later.bin")
 	state := NewState()
 	if unreadable := state.Apply(openGolden(t, stored)); unreadable != 2 {
 		t.Errorf("%d records were not read, want 2", unreadable)
@@ -260,9 +236,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if stored := golden(t, c.name, written); !bytes.Equal(written, stored) {
-			t.Errorf("%s is written as\n%s, it was\n%s", c.name, written, stored)
-		}
+		goldentest.Compare(t, c.name, written)
 	}
 }
 
