--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -11,7 +11,8 @@
 
 func TestSession(t *testing.T) {
 	var out strings.Builder
-	in := "clock now-us=1000\n" + start + "ask dispatcher=1 op-id=7 budget-us=5000000 category=x\neob\nclock now-us=2000\neob\n"
+	in := "clock now-us=1000\n" + start +
+		"ask dispatcher=1 op-id=7 budget-us=5000000 category=x\neob\nclock now-us=2000\neob\n"
 	if err := run(strings.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
--- a/decision_trace_test.go
+++ b/decision_trace_test.go
@@ -44,7 +44,8 @@
 	}
 
 	reporting := allRulesConfig()
-	reporting.Seed, reporting.GatewayCount, reporting.MayCheckHealth, reporting.PollEngineList = 5, 40, true, true
+	reporting.Seed, reporting.GatewayCount, reporting.MayCheckHealth, reporting.PollEngineList = 5, 40, true,
+		true
 	reporting.LoadReportFields = []string{"concurrent", "depth", "load_share", "x0"}
 	reporting.OnMemoryShortage, reporting.KindMemoryMB = ShortagePages, []float64{8192, 16384}
 	reporting.ReportsCost, reporting.AcceptsMemoryGrants, reporting.MaySendRetryAfter = true, true, false
@@ -213,7 +214,8 @@
 		types    []ActionType
 	}{
 		{"peers", []ActionType{Send, SetTimer, SendToPeer, Reject, Fail, CheckHealth, Cancel, SetResources}},
-		{"reports", []ActionType{Send, SetTimer, Reject, Fail, CheckHealth, Cancel, SetResources, SubscribeEngineList}},
+		{"reports", []ActionType{Send, SetTimer, Reject, Fail, CheckHealth, Cancel, SetResources,
+			SubscribeEngineList}},
 		{"single", []ActionType{Send, SetTimer, Reject, Cancel}},
 		{"large", []ActionType{Send, SetTimer, SendToPeer, Reject, Fail, Cancel}},
 	} {
--- a/gateway_test.go
+++ b/gateway_test.go
@@ -82,7 +82,8 @@
 		)
 	}
 	if len(g.keyOrder.keys) > 200 || len(g.queries) > 10 || len(g.attempts) > 10 {
-		t.Errorf("%d keys, %d queries, %d attempts held", len(g.keyOrder.keys), len(g.queries), len(g.attempts))
+		t.Errorf("%d keys, %d queries, %d attempts held", len(g.keyOrder.keys), len(g.queries),
+			len(g.attempts))
 	}
 }
 
--- a/gossip_test.go
+++ b/gossip_test.go
@@ -93,7 +93,8 @@
 	var broadcast []PeerLoad
 	for range 60 {
 		for peer := 1; peer < 6; peer++ {
-			for _, data := range encodePeerMessage(PeerLoadReport, []PeerLoad{{bad, 0, 0, 3}, {fine, 2, 5, 0}}) {
+			for _, data := range encodePeerMessage(PeerLoadReport, []PeerLoad{{bad, 0, 0, 3}, {fine, 2, 5,
+				0}}) {
 				b.advance(0, Event{Type: PeerMessageReceived, Peer: peer, Data: data})
 			}
 		}
@@ -121,7 +122,8 @@
 func TestForgedPeerMessagesAreClipped(t *testing.T) {
 	b := newHarness(t, largeFleetConfig(), standardEngines(3)...)
 	for _, peer := range []int{-1, 0, 3, 200, 1 << 30} {
-		for _, data := range [][]byte{nil, {0}, {1}, {2, 1}, {3, 1, 2}, {9, 9, 9, 9}, bytes.Repeat([]byte{2, 255, 255}, 300)} {
+		for _, data := range [][]byte{nil, {0}, {1}, {2, 1}, {3, 1, 2}, {9, 9, 9, 9}, bytes.Repeat([]byte{2,
+			255, 255}, 300)} {
 			b.advance(0, Event{Type: PeerMessageReceived, Peer: peer, Data: data})
 		}
 	}
--- a/harness_test.go
+++ b/harness_test.go
@@ -95,7 +95,8 @@
 			RetryBudgetRatio:        0.2,
 			RetryBudgetWindow:       5 * time.Second,
 		},
-		MaxAttempts: 4, MaxRetryAfter: time.Second, MayCancel: true, MaySendRetryAfter: true, ProgressInterval: 2 * time.Second,
+		MaxAttempts: 4, MaxRetryAfter: time.Second, MayCancel: true, MaySendRetryAfter: true,
+		ProgressInterval: 2 * time.Second,
 	}
 }
 
--- a/internal/daemon/restart_test.go
+++ b/internal/daemon/restart_test.go
@@ -50,7 +50,8 @@
 	env.dir = copyTo
 	env.rig.Discovery.SetUnavailable(true) // only the cached list is known
 	s = env.start(t, "", false)
-	if !strings.Contains(s.log.String(), `msg="previous incarnation did not shut down cleanly" pending_writes=1`) {
+	if !strings.Contains(s.log.String(),
+		`msg="previous incarnation did not shut down cleanly" pending_writes=1`) {
 		t.Errorf("the write is not logged: %s", s.log)
 	}
 	c = env.connect(t)
--- a/internal/rehearsal/testbed/testbed.go
+++ b/internal/rehearsal/testbed/testbed.go
@@ -32,7 +32,8 @@
 
 // EngineKind describes a machine for stand-in engines with the usual costs of spilling and starting.
 func EngineKind(cores, memoryMB float64) enginemodel.Kind {
-	return enginemodel.Kind{Cores: cores, MemoryMB: memoryMB, SpillCost: 2.5, CachedDataSets: 4, CacheSaving: 0.3,
+	return enginemodel.Kind{Cores: cores, MemoryMB: memoryMB, SpillCost: 2.5, CachedDataSets: 4,
+		CacheSaving:       0.3,
 		SlowStartFrom:     0.31,
 		SlowStartDuration: 15 * time.Second, SlowStartOverloadFactor: 3, SlowStartWindow: 3 * time.Second,
 		MaxJobs: int(8 * cores)}
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -230,7 +230,8 @@
 	case cresspass.PeerMessageReceived:
 		fmt.Fprintf(b.w, " sender=%d msg=%s", e.Peer, hexDigits(e.Data))
 	case cresspass.HealthCheckDone:
-		fmt.Fprintf(b.w, " node=%s disposition=%d duration-us=%d", e.Engine, e.Outcome, e.Elapsed.Microseconds())
+		fmt.Fprintf(b.w, " node=%s disposition=%d duration-us=%d", e.Engine, e.Outcome,
+			e.Elapsed.Microseconds())
 		b.loadReport(e)
 	case cresspass.AttemptDone:
 		b.attempt(e)
@@ -249,7 +250,8 @@
 }
 
 func (b *BatchWriter) queryFields(e *cresspass.Event) {
-	options := bit(e.HasCostEstimate, optionHasCost) | bit(e.IsRetry, optionRetry) | bit(e.IsWrite, optionWrite)
+	options := bit(e.HasCostEstimate, optionHasCost) | bit(e.IsRetry, optionRetry) | bit(e.IsWrite,
+		optionWrite)
 	fmt.Fprintf(b.w, " op-id=%d tables=%s opts=%d budget-us=%d ram-mb=%s cost-us=%d", e.Query,
 		float(e.TableGroup), options, e.RemainingDeadline.Microseconds(), float(e.MemoryEstimateMB),
 		e.CostEstimate.Microseconds())
--- a/internal/wire/reader_test.go
+++ b/internal/wire/reader_test.go
@@ -32,22 +32,30 @@
 		want cresspass.Event
 	}{
 		{"ask dispatcher=1 op-id=9 tables=11 opts=7 budget-us=240 category=short object=ff ram-mb=3 cost-us=12 later=x",
-			cresspass.Event{Type: cresspass.QueryArrived, Query: 9, TableGroup: 11, HasCostEstimate: true, IsRetry: true, IsWrite: true,
-				RemainingDeadline: 240 * time.Microsecond, Class: "short", Key: "ff", MemoryEstimateMB: 3, CostEstimate: 12 * time.Microsecond}},
+			cresspass.Event{Type: cresspass.QueryArrived, Query: 9, TableGroup: 11, HasCostEstimate: true,
+				IsRetry: true, IsWrite: true,
+				RemainingDeadline: 240 * time.Microsecond, Class: "short", Key: "ff", MemoryEstimateMB: 3,
+				CostEstimate: 12 * time.Microsecond}},
 		{"alarm dispatcher=1 label=77", cresspass.Event{Type: cresspass.TimerFired, Label: 77}},
 		{"gone dispatcher=1 op-id=5", cresspass.Event{Type: cresspass.QueryAbandoned, Query: 5}},
-		{"message dispatcher=1 sender=2 msg=6869", cresspass.Event{Type: cresspass.PeerMessageReceived, Peer: 2, Data: []byte("hi")}},
+		{"message dispatcher=1 sender=2 msg=6869", cresspass.Event{Type: cresspass.PeerMessageReceived,
+			Peer: 2, Data: []byte("hi")}},
 		{"check_result dispatcher=1 disposition=110 duration-us=7 node=a:1 health-info=0.5,3",
-			cresspass.Event{Type: cresspass.HealthCheckDone, Outcome: cresspass.OutcomeTimedOut, Elapsed: 7 * time.Microsecond, Engine: "a:1",
+			cresspass.Event{Type: cresspass.HealthCheckDone, Outcome: cresspass.OutcomeTimedOut,
+				Elapsed: 7 * time.Microsecond, Engine: "a:1",
 				LoadReport: []float64{0.5, 3}, HasLoadReport: true}},
 		{"closed_attempt dispatcher=1 op-id=5 trial=2 node=a:1 disposition=0 duration-us=7 finished=1 note=69728",
-			cresspass.Event{Type: cresspass.AttemptDone, Query: 5, Attempt: 2, Engine: "a:1", Elapsed: 7 * time.Microsecond,
+			cresspass.Event{Type: cresspass.AttemptDone, Query: 5, Attempt: 2, Engine: "a:1",
+				Elapsed:       7 * time.Microsecond,
 				QueryFinished: true, ActualCost: 17 * time.Millisecond, ActualMemoryMB: 384}},
-		{"notice dispatcher=1 op-id=5 trial=0 node=a:1 topic=1 x=0.5", cresspass.Event{Type: cresspass.ProgressReported, Query: 5,
-			Engine: "a:1", Note: cresspass.NoteFractionDone, Value: 0.5}},
-		{"flowing dispatcher=1 op-id=5 trial=0 node=a:1 duration-us=3", cresspass.Event{Type: cresspass.ResponseStarted, Query: 5,
-			Engine: "a:1", Elapsed: 3 * time.Microsecond}},
-		{"sync dispatcher=1 scope=failed revision=3", cresspass.Event{Type: cresspass.EngineListReceived, ListType: cresspass.ListFailed}},
+		{"notice dispatcher=1 op-id=5 trial=0 node=a:1 topic=1 x=0.5",
+			cresspass.Event{Type: cresspass.ProgressReported, Query: 5,
+				Engine: "a:1", Note: cresspass.NoteFractionDone, Value: 0.5}},
+		{"flowing dispatcher=1 op-id=5 trial=0 node=a:1 duration-us=3",
+			cresspass.Event{Type: cresspass.ResponseStarted, Query: 5,
+				Engine: "a:1", Elapsed: 3 * time.Microsecond}},
+		{"sync dispatcher=1 scope=failed revision=3", cresspass.Event{Type: cresspass.EngineListReceived,
+			ListType: cresspass.ListFailed}},
 	} {
 		if got := one(t, c.line+"\n"); got.Instance != 1 || !reflect.DeepEqual(got.Event, c.want) {
 			t.Errorf("%s:\n got %+v\nwant %+v", c.line, got.Event, c.want)
@@ -91,7 +99,8 @@
 }
 
 func TestMalformedLinesNameTheirNumber(t *testing.T) {
-	for _, lines := range []string{"ask\n", "ask dispatcher=1 op-id=x budget-us=1\neob\n", "alarm dispatcher=1 label\neob\n",
+	for _, lines := range []string{"ask\n", "ask dispatcher=1 op-id=x budget-us=1\neob\n",
+		"alarm dispatcher=1 label\neob\n",
 		"sync dispatcher=1 scope=odd sheet=0\neob\n", "=x\neob\n", "alarm dispatcher=1 label=1\n"} {
 		_, err := NewReader(strings.NewReader(opening + lines)).Next()
 		if err == nil || !strings.HasPrefix(err.Error(), "line 2: ") ||
@@ -102,7 +111,8 @@
 	if _, err := NewReader(strings.NewReader("")).Next(); !errors.Is(err, io.EOF) {
 		t.Errorf("empty input: %v, want EOF", err)
 	}
-	if b, err := NewReader(strings.NewReader(opening + "novelty dispatcher=1 a=b\neob\n")).Next(); err != nil ||
+	if b, err := NewReader(strings.NewReader(opening +
+		"novelty dispatcher=1 a=b\neob\n")).Next(); err != nil ||
 		len(b.Messages) != 0 {
 		t.Errorf("unknown event: %v", err)
 	}
@@ -115,15 +125,20 @@
 	}{
 		{cresspass.Action{Type: cresspass.Send, Query: 5, Engine: "a:1", Wait: time.Millisecond},
 			"dispatch dispatcher=3 op-id=5 node=a:1 patience-us=1000"},
-		{cresspass.Action{Type: cresspass.SetTimer, Wait: time.Second, Label: 7}, "defer dispatcher=3 delay-us=1000000 label=7"},
-		{cresspass.Action{Type: cresspass.Reject, Query: 5, Wait: time.Millisecond}, "deny dispatcher=3 op-id=5 not-before-for-us=1000"},
+		{cresspass.Action{Type: cresspass.SetTimer, Wait: time.Second, Label: 7},
+			"defer dispatcher=3 delay-us=1000000 label=7"},
+		{cresspass.Action{Type: cresspass.Reject, Query: 5, Wait: time.Millisecond},
+			"deny dispatcher=3 op-id=5 not-before-for-us=1000"},
 		{cresspass.Action{Type: cresspass.Fail, Query: 5}, "finish_error dispatcher=3 op-id=5"},
-		{cresspass.Action{Type: cresspass.Cancel, Query: 5, Attempt: 1}, "retract dispatcher=3 op-id=5 trial=1"},
+		{cresspass.Action{Type: cresspass.Cancel, Query: 5, Attempt: 1},
+			"retract dispatcher=3 op-id=5 trial=1"},
 		{cresspass.Action{Type: cresspass.SetResources, Query: 5, Priority: 2, MemoryGrantMB: 64.5},
 			"allot dispatcher=3 op-id=5 rank=2 workspace-mb=64.5"},
-		{cresspass.Action{Type: cresspass.SendToPeer, Peer: -1, Data: []byte("hi")}, "share dispatcher=3 recipient=-1 msg=6869"},
+		{cresspass.Action{Type: cresspass.SendToPeer, Peer: -1, Data: []byte("hi")},
+			"share dispatcher=3 recipient=-1 msg=6869"},
 		{cresspass.Action{Type: cresspass.CheckHealth, Engine: "a:1"}, "touch dispatcher=3 node=a:1"},
-		{cresspass.Action{Type: cresspass.CloseIdleConnections, Engine: "a:1"}, "let_go dispatcher=3 node=a:1"},
+		{cresspass.Action{Type: cresspass.CloseIdleConnections, Engine: "a:1"},
+			"let_go dispatcher=3 node=a:1"},
 		{cresspass.Action{Type: cresspass.FetchEngineList}, "list_all dispatcher=3"},
 		{cresspass.Action{Type: cresspass.SubscribeEngineList, Enabled: true}, "follow dispatcher=3 want=1"},
 		{cresspass.Action{Type: cresspass.Log, Text: "two\nlines"}, "emit dispatcher=3 words=two lines"},
@@ -144,7 +159,8 @@
 func FuzzReader(f *testing.F) {
 	f.Add(opening + "alarm dispatcher=1 label=1\neob\n")
 	f.Add(
-		opening + "roster sheet=15 elements=1\nentry state=on node=a:1\nsync dispatcher=1 scope=full sheet=15\neob\n",
+		opening +
+			"roster sheet=15 elements=1\nentry state=on node=a:1\nsync dispatcher=1 scope=full sheet=15\neob\n",
 	)
 	f.Add("clock now-us=-1\nroster sheet=0 elements=9999999\neob\n")
 	f.Add(opening + "closed_attempt dispatcher=1 op-id=1 disposition=0 note=99999999999 health-info=,\neob\n")
--- a/internal/wire/round_trip_test.go
+++ b/internal/wire/round_trip_test.go
@@ -26,7 +26,8 @@
 		PollEngineList: true,
 		Classes: []cresspass.Class{
 			{Name: "a", LatencyObjective: 7 * us, ObjectiveStretch: 1.5, Deadline: 9 * us, PriorityWeight: 2,
-				LateAnswerValue: 0.25, Effect: cresspass.IdempotentWithKey, DeduplicationScope: cresspass.ScopeZone, DeduplicationWindow: 3 * us,
+				LateAnswerValue: 0.25, Effect: cresspass.IdempotentWithKey,
+				DeduplicationScope: cresspass.ScopeZone, DeduplicationWindow: 3 * us,
 				OrderedByKey: true,
 				AllowedKinds: []string{"k", "l"}, AllowedZones: []string{"z"}},
 			{Name: "b", Deadline: us,
--- a/internal/wire/settings_writer.go
+++ b/internal/wire/settings_writer.go
@@ -116,7 +116,8 @@
 	b.micros("specifics.progress-pace-us", c.ProgressInterval)
 	b.flag("specifics.bills", c.ReportsCost)
 	b.text("specifics.when-short", map[cresspass.MemoryShortage]string{
-		cresspass.ShortageQueues: "wait", cresspass.ShortageShrinksGrant: "shrink", cresspass.ShortagePages: "page",
+		cresspass.ShortageQueues: "wait", cresspass.ShortageShrinksGrant: "shrink",
+		cresspass.ShortagePages: "page",
 	}[c.OnMemoryShortage])
 }
 
--- a/load_report_test.go
+++ b/load_report_test.go
@@ -70,7 +70,8 @@
 			healthCheckWithReport("e02", 40),
 		)
 	}
-	free, full := b.g.engines["e00"].runningCount[len(b.g.classList)], b.g.engines["e01"].runningCount[len(b.g.classList)]
+	free, full := b.g.engines["e00"].runningCount[len(b.g.classList)],
+		b.g.engines["e01"].runningCount[len(b.g.classList)]
 	if free < full/2 {
 		t.Errorf("%.1f threads counted on an engine free 1.5 s ago, %.1f on the others", free, full)
 	}
--- a/membership_test.go
+++ b/membership_test.go
@@ -29,7 +29,8 @@
 	if count(0, 2, 0); e.limiter.limit != 4 || b.g.tenants["t"].rate != 50 || b.g.gatewayCount != 2 {
 		t.Errorf("of 6 to 2: bound %g, quota %g", e.limiter.limit, b.g.tenants["t"].rate)
 	}
-	for _, bad := range []Event{{Peer: 2, Value: 2}, {Peer: -1, Value: 3}, {Value: 0.5}, {Value: math.NaN()}} {
+	for _, bad := range []Event{{Peer: 2, Value: 2}, {Peer: -1, Value: 3}, {Value: 0.5},
+		{Value: math.NaN()}} {
 		bad.Type = MembershipChanged
 		if b.advance(ms, bad); b.g.gatewayCount != 2 || b.g.cfg.Ordinal != 0 {
 			t.Errorf("%+v was accepted", bad)
--- a/peer_message_test.go
+++ b/peer_message_test.go
@@ -44,7 +44,8 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		m, entries := DecodePeerMessage(data)
 		for _, e := range entries {
-			if e.Threads < 0 || e.Threads > maxPeerLoad || e.Succeeded > maxPeerCount || e.Failed > maxPeerCount {
+			if e.Threads < 0 || e.Threads > maxPeerLoad || e.Succeeded > maxPeerCount ||
+				e.Failed > maxPeerCount {
 				t.Errorf("entry out of its clip: %v", e)
 			}
 		}
--- a/rule_checker_test.go
+++ b/rule_checker_test.go
@@ -51,7 +51,8 @@
 func newRuleChecker(t *testing.T, seed uint64) *ruleChecker {
 	c := &ruleChecker{t: t, r: rand.New(rand.NewPCG(seed, 7)), cfg: allRulesConfig(), now: time.Hour, next: 1}
 	c.cfg.PollEngineList = seed%2 == 1
-	if seed%4 > 1 { // health checks and reports, no Retry-After, a shorter grace; many gateways, no slow start
+	// health checks and reports, no Retry-After, a shorter grace; many gateways, no slow start
+	if seed%4 > 1 {
 		c.cfg.MayCheckHealth, c.cfg.LoadReportFields = true, []string{
 			"concurrent",
 			"depth",
@@ -196,7 +197,8 @@
 			if !out {
 				continue
 			}
-			o := []Outcome{OutcomeOK, OutcomeOK, OutcomeOK, OutcomeFailed, OutcomeRejected, OutcomeConnectionReset, OutcomeConnectFailed}[c.r.IntN(7)]
+			o := []Outcome{OutcomeOK, OutcomeOK, OutcomeOK, OutcomeFailed, OutcomeRejected,
+				OutcomeConnectionReset, OutcomeConnectFailed}[c.r.IntN(7)]
 			return c.endAttempt(id, q, n, a, o)
 		}
 	}
@@ -236,7 +238,8 @@
 	if len(c.cfg.LoadReportFields) == 0 {
 		return nil, false
 	}
-	return [][]float64{{3, 0, 0.4, 0.2}, {40, 2, 1, 3}, {1}, nil, {math.NaN(), -1, 1e300, math.Inf(1)}}[c.r.IntN(5)], true
+	return [][]float64{{3, 0, 0.4, 0.2}, {40, 2, 1, 3}, {1}, nil, {math.NaN(), -1, 1e300,
+		math.Inf(1)}}[c.r.IntN(5)], true
 }
 
 func (c *ruleChecker) engineChange() Event {
@@ -267,10 +270,14 @@
 func (c *ruleChecker) strayEvent() Event {
 	return []Event{
 		{Type: AttemptDone, Query: 1 << 40, Outcome: OutcomeOK}, {Type: QueryAbandoned, Query: 1 << 41},
-		{Type: ProgressReported, Query: 1 << 42, Note: NoteFractionDone}, {Type: HealthCheckDone, Engine: "nobody"},
-		{Type: EngineListReceived, ListType: ListFailed}, {Type: TimerFired, Label: 1 << 43}, {Type: PeerMessageReceived, Peer: 9, Data: []byte("x")},
-		{Type: MembershipChanged, Peer: c.r.IntN(2), Value: float64(c.cfg.GatewayCount * (1 + c.r.IntN(3))), Elapsed: c.now},
-		{Type: MembershipChanged, Peer: 5, Value: 3}, {Type: MembershipChanged, Value: math.NaN()}, {Type: MembershipChanged},
+		{Type: ProgressReported, Query: 1 << 42, Note: NoteFractionDone}, {Type: HealthCheckDone,
+			Engine: "nobody"},
+		{Type: EngineListReceived, ListType: ListFailed}, {Type: TimerFired, Label: 1 << 43},
+		{Type: PeerMessageReceived, Peer: 9, Data: []byte("x")},
+		{Type: MembershipChanged, Peer: c.r.IntN(2), Value: float64(c.cfg.GatewayCount * (1 + c.r.IntN(3))),
+			Elapsed: c.now},
+		{Type: MembershipChanged, Peer: 5, Value: 3}, {Type: MembershipChanged, Value: math.NaN()},
+		{Type: MembershipChanged},
 		{Type: EngineReportedDown, Engine: EngineID(fmt.Sprint("e", c.r.IntN(9)))},
 	}[c.r.IntN(12)]
 }
@@ -327,7 +334,8 @@
 		}
 		maybe := q.maybeRan || len(q.inFlight) > 0
 		if a.Type == Reject && maybe &&
-			(q.class.Effect == NotIdempotent || q.class.Effect == IdempotentWithKey && q.class.DeduplicationScope != ScopeAll) {
+			(q.class.Effect == NotIdempotent || q.class.Effect == IdempotentWithKey &&
+				q.class.DeduplicationScope != ScopeAll) {
 			c.t.Errorf("rule 2: %s query %d rejected though it may have run", q.class.Name, a.Query)
 		}
 		q.done = true
--- a/rules_test.go
+++ b/rules_test.go
@@ -90,9 +90,12 @@
 		after   time.Duration
 		want    ActionType
 	}{
-		{"short", OutcomeConnectionReset, ms, Send}, {"short", OutcomeFailed, 100 * ms, Send}, {"once", OutcomeRejected, ms, Send},
-		{"once", OutcomeConnectFailed, ms, Send}, {"once", OutcomeConnectionReset, ms, Fail}, {"once", OutcomeFailed, ms, Fail},
-		{"once", OutcomeTimedOut, ms, Fail}, {"load", OutcomeConnectionReset, ms, Send}, {"load", OutcomeConnectionReset, 3100 * ms, Reject},
+		{"short", OutcomeConnectionReset, ms, Send}, {"short", OutcomeFailed, 100 * ms, Send}, {"once",
+			OutcomeRejected, ms, Send},
+		{"once", OutcomeConnectFailed, ms, Send}, {"once", OutcomeConnectionReset, ms, Fail}, {"once",
+			OutcomeFailed, ms, Fail},
+		{"once", OutcomeTimedOut, ms, Fail}, {"load", OutcomeConnectionReset, ms, Send}, {"load",
+			OutcomeConnectionReset, 3100 * ms, Reject},
 		{"cell", OutcomeConnectionReset, 7 * time.Second, Fail}, {"short", OutcomeNotStarted, ms, Reject},
 	} {
 		t.Run(fmt.Sprint(c.class, c.outcome, c.after), func(t *testing.T) {
@@ -146,7 +149,8 @@
 			}
 		}
 	}
-	budget := cfg.Rules.SlowStartOverloadFactor * cfg.Rules.SlowStartFrom * 8 * capacityCPUShare * cfg.Rules.SlowStartWindow.Seconds() / 2
+	window := cfg.Rules.SlowStartWindow.Seconds()
+	budget := cfg.Rules.SlowStartOverloadFactor * cfg.Rules.SlowStartFrom * 8 * capacityCPUShare * window / 2
 	if work := float64(sent) * 0.2; sent == 0 || work > budget {
 		t.Errorf("sent %d queries, %.1f s of work, budget %.1f s", sent, work, budget)
 	}
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -37,7 +37,8 @@
 		last = scale
 	}
 	g, _ := New(allRulesConfig())
-	for _, bad := range []string{"", "{", `{"version":9}`, `{"version":1,"classes":[{"name":"short","scale":-1,"work":1,"grant":1}]}`,
+	for _, bad := range []string{"", "{", `{"version":9}`,
+		`{"version":1,"classes":[{"name":"short","scale":-1,"work":1,"grant":1}]}`,
 		`{"version":1,"classes":[{"name":"short","scale":1,"work":1,"grant":1}],"kinds":{"std":[[1]]}}`} {
 		if g.Restore([]byte(bad), 0) == nil {
 			t.Errorf("snapshot %q was accepted", bad)
--- a/trace_simulation_test.go
+++ b/trace_simulation_test.go
@@ -192,7 +192,8 @@
 		case a.ends <= r.now:
 			r.endAttempt(a)
 			continue
-		case r.s.cfg.ProgressInterval > 0 && r.now >= a.noted+r.s.cfg.ProgressInterval && !r.engines[a.engine].hanging:
+		case r.s.cfg.ProgressInterval > 0 && r.now >= a.noted+r.s.cfg.ProgressInterval &&
+			!r.engines[a.engine].hanging:
 			a.noted = r.now
 			note := Event{
 				Type:    ProgressReported,
