--- a/internal/server/transparency_test.go
+++ b/internal/server/transparency_test.go
@@ -5,6 +5,7 @@
 	"context"
 	"fmt"
 	"net"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -119,6 +120,26 @@
 	eventually(t, "all sessions are free", func() bool { return s.StickySessions() == 0 })
 }
 
+// A transaction that sets a setting, overrides it by SET LOCAL and resets it leaves the default, in which the
+// next client finds the engine connection. Random sessions found it only where the next one happened to be on
+// that connection.
+func TestResetAfterSetLocalLeavesDefault(t *testing.T) {
+	_, s := startDispatcher(t, 1, baseSettings)
+	for _, reset := range []string{"reset search_path", "reset all"} {
+		c := dialServer(t, s)
+		for _, text := range []string{"begin", "set search_path = a", "set local search_path = z", reset,
+			"commit"} {
+			if seen := c.query(text); countPrefix(seen, "E") != 0 {
+				t.Fatalf("%s: %v", text, seen)
+			}
+		}
+		next := dialServer(t, s)
+		if seen := next.query("show search_path"); !slices.Contains(seen, "D:") {
+			t.Errorf("after %s another client finds %v", reset, seen)
+		}
+	}
+}
+
 // The connection pool and the batches of pgx.
 func TestPoolsAndBatches(t *testing.T) {
 	r, s := startDispatcher(t, 3, baseSettings)
--- a/internal/standin/session.go
+++ b/internal/standin/session.go
@@ -190,11 +190,15 @@
 	c.fail(codeInvalidParameterValue, "invalid value for parameter "+name)
 }
 
+// reset carries out RESET. As SET does, it ends a SET LOCAL of the same transaction: COMMIT keeps the
+// default.
 func (c *engineConn) reset(st *sqlscan.Statement) string {
 	if change, ok := sessionparams.ChangeOf(st); ok && change.Name != "" {
 		delete(c.settings, change.Name)
+		delete(c.overridden, change.Name)
 	} else {
 		clear(c.settings)
+		clear(c.overridden)
 	}
 	return "RESET"
 }
