--- a/internal/backend/computenode/event.go
+++ b/internal/backend/computenode/event.go
@@ -7,56 +7,57 @@
 	"cresspass/internal/protocol/nodehttp"
 )
 
-// EventType says what became of the last Step.
+// EventType is the type of an Event.
 type EventType int
 
 // The events of a Machine.
 const (
 	Begin            EventType = iota // the first event
 	ResponseReceived                  // Response is complete
-	ResponseLost                      // the request may have arrived; no response that can be read came
-	ConnRefused                       // the connection was refused by an address that should accept new ones
+	ResponseLost                      // the request may have arrived; no readable response came
+	ConnRefused                       // an address that should accept connections refused one
 	Unreachable                       // no connection came up, or it broke before anything was written
-	NoDescriptor                      // there was no descriptor for a connection
+	NoDescriptor                      // no file descriptor was left for a connection
 	NotNeeded                         // nothing was written: no client waits for the query any more
 	Withheld                          // nothing was written: the node accepts nothing new, or it is too late
-	Stop                              // end with Outcome; what became of the last call was reported before
+	Stop                              // end with Outcome; the outcome of the last call was reported before
 )
 
-// Event is what became of the last Step, or Stop.
+// Event is the outcome of the last Step, or the beginning or the stop of an attempt.
 type Event struct {
 	Type     EventType
-	Response *nodehttp.Response
-	Reset    bool // with ResponseLost: the other side reset the connection
-	Outcome  cresspass.Outcome
+	Response *nodehttp.Response // of ResponseReceived
+	Reset    bool               // of ResponseLost: the compute node reset the connection
+	Outcome  cresspass.Outcome  // of Stop: the outcome of the attempt
 }
 
-// StepType says what is to be done.
+// StepType is the type of a Step.
 type StepType int
 
 // The steps of a Machine.
 const (
-	Start  StepType = iota // POST the query; Timeout
-	Poll                   // GET Page; after Delay; FreshConn: not on the last connection; Timeout
-	Delete                 // DELETE the query; after Delay; FreshConn; Timeout; not after Deadline
-	End                    // Outcome, Pages
+	Start  StepType = iota // POST the query; uses Due and Timeout
+	Poll                   // GET a page; uses Page, FreshConn, Due, Delay and Timeout
+	Delete                 // DELETE the query; uses FreshConn, Due, Delay, Timeout and Deadline
+	End                    // the attempt has ended; uses Outcome and, where that is OutcomeOK, Pages
 )
 
-// Step is the next thing to be done. Times are on the clock that the events' times are on.
+// Step is the next call to make, or the end of the attempt. Due and Deadline are on the clock of the now that
+// Machine.Next receives.
 type Step struct {
 	Type      StepType
-	Page      int
-	FreshConn bool
-	Due       time.Duration // when it should be made at the latest, where connections are short
-	Delay     time.Duration // before it is made
-	Timeout   time.Duration // for the response
-	Deadline  time.Duration
+	Page      int           // the page to fetch, from 0
+	FreshConn bool          // not on the last connection
+	Due       time.Duration // the latest time to make the call; orders the calls that wait for a connection
+	Delay     time.Duration // how long to wait before the call
+	Timeout   time.Duration // how long to wait for the response
+	Deadline  time.Duration // no later than this
 	Outcome   cresspass.Outcome
 	Pages     [][]byte
 	Progress  Progress // with any step: what the last response reported
 }
 
-// Progress is what a compute node reports of a running query. Type 0: nothing.
+// Progress is what a compute node reports about a running query. A Type of 0 means that it reported nothing.
 type Progress struct {
 	Type  cresspass.NoteType
 	Value float64
--- a/internal/backend/computenode/machine.go
+++ b/internal/backend/computenode/machine.go
@@ -1,7 +1,7 @@
-// Package computenode is the protocol of one attempt: a query on one compute node of the platform. It is
-// started by a POST, polled until it ends, its pages are collected, or it is cancelled by a DELETE. The
-// Machine owns the state of the attempt and decides the next call. It does no I/O and reads no clock: what
-// became of a call goes in, the next call comes out.
+// Package computenode implements the protocol of one attempt to run a query on one compute node of the
+// platform. A POST starts the query, GETs poll it and fetch the pages of its result, and a DELETE cancels
+// it. The Machine holds the state of the attempt and decides the next call. It does no I/O and reads no
+// clock: the caller makes the calls and reports their outcomes as events.
 package computenode
 
 import (
@@ -13,57 +13,61 @@
 	"cresspass/internal/protocol/nodehttp"
 )
 
-// Times of the protocol, and of this side of it.
+// Timeouts, delays and limits of the protocol and of the dispatcher's side of it.
 const (
-	longPollTimeout = 250 * time.Millisecond // after which a compute node answers: still running
-	abandonAfter    = 2 * time.Second        // after which a compute node drops a query that nobody polls
-	abandonSlack    = 100 * time.Millisecond // on top of it, for a clock that is not ours
+	longPollTimeout = 250 * time.Millisecond // a compute node then reports that the query still runs
+	abandonAfter    = 2 * time.Second        // a compute node drops a query that was not polled for so long
+	abandonSlack    = 100 * time.Millisecond // added to abandonAfter: the compute node's clock may differ
 
-	initialTransitTimeout = 100 * time.Millisecond // for a response on its way, doubled after a lost one...
-	maxTransitTimeout     = 350 * time.Millisecond // ...up to this
-	maxTransitDoublings   = 4
+	initialTransitTimeout = 100 * time.Millisecond // for a response in transit; doubles with each failure
+	maxTransitTimeout     = 350 * time.Millisecond
+	maxTransitDoublings   = 4 // limits the shift
 
-	dueWithin = time.Second // a Start and a first poll are due so soon: the first to come is the first served
+	// dueWithin is how soon a Start and a poll for page 0 are due. It is the same for all attempts, so such
+	// calls get connections in the order in which they arrive.
+	dueWithin = time.Second
 
-	initialBackoff = 10 * time.Millisecond  // before the second repeat of a call, doubled with each...
-	maxBackoff     = 160 * time.Millisecond // ...up to this
-	maxDoublings   = 8                      // keeps the shift small
+	initialBackoff = 10 * time.Millisecond // before the second repeat of a call; doubles with each repeat
+	maxBackoff     = 160 * time.Millisecond
+	maxDoublings   = 8 // limits the shift
 
-	maxQuickPolls   = 3                     // polls in a row that were answered at once, without an end
-	minPollInterval = 25 * time.Millisecond // between polls, from then on
+	maxQuickPolls   = 3                     // consecutive polls answered at once before polls are paced
+	minPollInterval = 25 * time.Millisecond // between polls that are paced
 
-	maxFailures = 8 // calls in a row without a good response: the result is lost
+	maxFailures = 8 // consecutive calls without a good response before the result counts as lost
 )
 
-// Machine is one attempt. The zero value is ready for Begin.
+// Machine is the state machine of one attempt. The zero value is ready for a Begin event. All times are on
+// the clock of the now that Next receives.
 type Machine struct {
-	// Exclusive: nothing may run beside the query, neither another attempt of it nor the next of its key.
+	// Exclusive means that neither another attempt of the query nor the next query of its ordering key may
+	// run at the same time.
 	Exclusive bool
 
 	startedAt time.Duration
-	postedAt  time.Duration // Start was written by then
+	postedAt  time.Duration // Start had been written by this time
 	reachedAt time.Duration // the last time at which a Start or a Poll may have reached the compute node
 	calledAt  time.Duration // when the last call was made
 
-	posted        bool // the query may be at the compute node
-	startBroken   bool // the response to Start was lost
-	startLost     bool // Start was not answered, although the process lived on
-	confirmed     bool // a response showed that the query had reached the compute node
-	responseLost  bool // a response was lost, so that the compute node may never have had the query
-	lastCallReset bool // the last call that was written ended with a reset
+	posted        bool // the compute node may have the query
+	startBroken   bool // the response to Start was lost or invalid
+	startLost     bool // Start was not answered, although the compute node's process did not die then
+	confirmed     bool // a response showed that the compute node has the query
+	responseLost  bool // a response was lost, so the compute node may never have received the query
+	lastCallReset bool // the last call that was written ended with a connection reset
 
 	cancelling    bool
 	cancelOutcome cresspass.Outcome
 
-	failures   int // calls in a row without a good response
-	quickPolls int // polls in a row that were answered at once, without an end
+	failures   int // consecutive calls without a good response
+	quickPolls int // consecutive polls that were answered at once without ending the query
 
 	pages       [][]byte
 	pageCount   int
 	resultBytes int
 }
 
-// Next takes an event at a time and returns what is to be done.
+// Next handles an event that happened at now and returns the next step.
 func (m *Machine) Next(now time.Duration, ev Event) Step {
 	took := now - m.calledAt
 	m.calledAt = now
@@ -89,15 +93,15 @@
 	return m.retry(now, ev.Type != ConnRefused)
 }
 
-// recordCall takes in what a call that was written shows of the query and of the compute node's process.
+// recordCall records what a call that was written shows about the query and the compute node's process.
 func (m *Machine) recordCall(now time.Duration, ev Event) {
 	m.lastCallReset = ev.Reset
-	if m.cancelling { // the call was a Delete, which shows nothing of the query
+	if m.cancelling { // the call was a Delete, which does not show whether Start arrived
 		return
 	}
 	switch {
 	case !m.posted && (ev.Type == ResponseLost || classify(ev.Response, 0) == kindInvalid):
-		// An invalid response may be a late copy of an earlier one, and shows as little as one that was lost.
+		// An invalid response may be a late duplicate of an earlier one: it shows no more than a lost one.
 		m.startBroken, m.startLost = true, !ev.Reset
 	case ev.Type == ResponseReceived:
 		m.startLost = m.startLost || m.startBroken
@@ -109,26 +113,26 @@
 	m.reachedAt = now
 }
 
-// unstartedOutcome is the outcome of an attempt whose Start was never written.
+// unstartedOutcome returns the outcome of an attempt whose Start was never written.
 func unstartedOutcome(ev EventType) cresspass.Outcome {
 	switch ev {
 	case NoDescriptor, NotNeeded:
 		return cresspass.OutcomeNotStarted
-	case Withheld: // no fault of its compute node, and it may go to another
+	case Withheld: // not the compute node's fault; the query may go to another one
 		return cresspass.OutcomeRejected
 	}
 	return cresspass.OutcomeConnectFailed
 }
 
-// processDead reports whether a refused connection shows that the process which had the query is dead. A
-// compute node refuses connections while it drains, and while it holds as many as it can, and still runs
-// what it has: if it were taken for dead then, its query, or the next of its key, would run beside it. A
-// process that dies resets its connections, so the refusal has to follow a reset. Where Start was never
-// answered although the process lived on, not even that ends the attempt for the platform: it is in flight
-// until the query was not polled for abandonAfter.
+// processDead reports whether a refused connection shows that the process that had the query is dead. A
+// compute node also refuses connections while it drains or is at its connection limit, and still runs its
+// queries. If that counted as its death, a retry of the query or the next query of its key would run
+// concurrently with it. A process that dies resets its connections, so a refusal shows its death only after
+// a reset. Where Start was never answered although the process lived on, even that does not end the attempt
+// for the platform: it stays in flight until the query has not been polled for abandonAfter.
 func (m *Machine) processDead() bool { return m.lastCallReset && !m.startLost }
 
-// handleResponse reads a response to Start or Poll.
+// handleResponse handles a response to Start or Poll.
 func (m *Machine) handleResponse(now, took time.Duration, resp *nodehttp.Response) Step {
 	switch classify(resp, len(m.pages)) {
 	case kindPage:
@@ -148,9 +152,8 @@
 			return m.poll(resp.Close, delay, Progress{})
 		}
 		if m.responseLost {
-			// The compute node is well and knows no such query: Start was lost on its way. Reported as a
-			// reset it would count against the compute node, which would be ejected and leave the others
-			// with its load.
+			// The compute node works and does not know the query: Start was lost in transit. A reset would
+			// count against the compute node, which would be ejected, and its load would go to the others.
 			return Step{Type: End, Outcome: cresspass.OutcomeTimedOut}
 		}
 		return Step{Type: End, Outcome: cresspass.OutcomeFailed}
@@ -158,20 +161,20 @@
 	return m.retry(now, true)
 }
 
-// arrivedBy is when a Start that was written is no longer on its way.
+// arrivedBy returns the time from which a Start that was written is no longer in transit.
 func (m *Machine) arrivedBy() time.Duration { return m.postedAt + maxTransitTimeout }
 
-// mayStillArrive reports whether a Start of which nothing was heard may come to its compute node after a poll
-// on another connection. An exclusive query that is not known there is not over then: if it counted as over,
-// it would run beside its next attempt, or beside the next of its key.
+// mayStillArrive reports whether an unconfirmed Start may reach its compute node after a poll on another
+// connection did. An exclusive query that the compute node does not know is not over then: if it counted as
+// over, it would run concurrently with its next attempt or with the next query of its key.
 func (m *Machine) mayStillArrive(now time.Duration) bool {
 	return m.Exclusive && m.responseLost && !m.confirmed && now < m.arrivedBy()
 }
 
-// addPage takes a page of the result, and polls for the next one or ends.
+// addPage adds a page of the result, and polls for the next page or ends the attempt.
 func (m *Machine) addPage(resp *nodehttp.Response) Step {
 	if len(m.pages) == 0 {
-		m.pageCount, _ = strconv.Atoi(resp.Header[nodehttp.HeaderPageCount]) // validPage has read it
+		m.pageCount, _ = strconv.Atoi(resp.Header[nodehttp.HeaderPageCount]) // validPage has checked it
 	}
 	m.resultBytes += len(resp.Body)
 	if m.resultBytes > maxResultBytes {
@@ -185,8 +188,8 @@
 	return m.poll(resp.Close, 0, Progress{})
 }
 
-// pollDelay is how long to wait after a response without an end. Without it, a compute node that answers at
-// once each time would be polled without a pause.
+// pollDelay returns how long to wait after a response that reports the query as running; took is how long the
+// call took. Without the delay, a compute node that always answers at once would be polled without a pause.
 func (m *Machine) pollDelay(took time.Duration) time.Duration {
 	m.quickPolls++
 	if took >= minPollInterval {
@@ -198,37 +201,37 @@
 	return 0
 }
 
-// retry polls again, on a fresh connection or on any that is open: a query runs on although its connection is
-// lost, and its result can be fetched again.
+// retry polls again after a failed call, on a new connection or on any open one. A query keeps running when
+// its connection is lost, and its result can be fetched again.
 func (m *Machine) retry(now time.Duration, freshConn bool) Step {
 	m.responseLost = true
 	m.failures++
 	if m.failures > maxFailures && now-m.startedAt > abandonAfter {
 		return m.cancel(cresspass.OutcomeConnectionReset)
 	}
-	delay := time.Duration(0) // the first lost response is followed up at once
+	delay := time.Duration(0) // the first retry is made at once
 	if m.failures > 1 {
 		delay = backoff(m.failures - 1)
 	}
 	return m.poll(freshConn, delay, Progress{})
 }
 
-// poll asks for the next page.
+// poll returns the step that requests the next page.
 func (m *Machine) poll(freshConn bool, delay time.Duration, progress Progress) Step {
 	m.calledAt += delay
 	step := Step{Type: Poll, Page: len(m.pages), FreshConn: freshConn, Due: m.calledAt, Delay: delay,
 		Timeout: transitTimeout(m.failures), Progress: progress}
 	if step.Page == 0 {
 		step.Timeout += longPollTimeout
-		// Calls that start queries come before this one only up to the time at which the compute node would
-		// drop the query because nobody polled it.
+		// Calls that start queries may go before this one only as long as the compute node does not drop
+		// the query for lack of polls.
 		step.Due = min(m.calledAt+dueWithin, m.reachedAt+abandonAfter-maxTransitTimeout)
 	}
 	return step
 }
 
-// cancel has the compute node drop the query. Until that is confirmed the attempt is in flight: another one
-// beside it could run the query twice.
+// cancel makes the compute node drop the query. The attempt stays in flight until that is confirmed: another
+// attempt before then could run the query twice.
 func (m *Machine) cancel(outcome cresspass.Outcome) Step {
 	m.cancelling, m.cancelOutcome, m.failures = true, outcome, 0
 	if !m.posted {
@@ -237,17 +240,16 @@
 	return Step{Type: Delete, Due: m.calledAt, Timeout: transitTimeout(0), Deadline: m.abandonedAt()}
 }
 
-// abandonedAt is when the compute node has dropped the query by itself, because nobody polled it.
+// abandonedAt returns the time by which the compute node has dropped the query by itself for lack of polls.
 func (m *Machine) abandonedAt() time.Duration { return m.reachedAt + abandonAfter + abandonSlack }
 
-// afterDelete takes in what became of a Delete, which is repeated until the query is known to be over.
+// afterDelete handles the outcome of a Delete, which is repeated until the query is known to be over.
 func (m *Machine) afterDelete(now time.Duration, ev Event) Step {
 	over := ev.Type == ConnRefused && m.processDead() ||
 		ev.Type == ResponseReceived && confirmsDelete(ev.Response)
-	// A Start of which nothing was heard may still be on its way, on the connection that it was written to,
-	// and arrive after the Delete. Where the query is exclusive, only a Delete that was sent when no Start
-	// can be on its way shows that it is over. Other queries do not wait for that: they would wait for
-	// nothing.
+	// An unconfirmed Start may still be in transit on its own connection and arrive after the Delete. Only a
+	// Delete that is sent when the Start can no longer be in transit shows that an exclusive query is over.
+	// Other queries may run beside a late copy, so they do not wait.
 	if arrived := m.reachedAt + maxTransitTimeout; over && m.Exclusive && !m.confirmed && now < arrived {
 		return Step{Type: Delete, Due: arrived, Timeout: transitTimeout(0), Deadline: m.abandonedAt(),
 			Delay: arrived - now}
@@ -260,14 +262,14 @@
 		Timeout: transitTimeout(m.failures), Deadline: m.abandonedAt(), Delay: backoff(m.failures)}
 }
 
-// backoff is the delay before the nth repeat of a call, from 1.
+// backoff returns the delay before the nth delayed repeat of a call; n is at least 1.
 func backoff(n int) time.Duration {
 	return min(initialBackoff<<min(n-1, maxDoublings), maxBackoff)
 }
 
-// transitTimeout is how long a response that is due may take on its way, after so many calls in a row that
-// failed. A short one finds a lost response early; but where the core is busy, responses that have arrived
-// are read late, and would be taken for lost.
+// transitTimeout returns how long a response may be in transit after a number of consecutive failed calls. A
+// short timeout detects a lost response early, but on a busy core responses that have arrived are read late
+// and would count as lost.
 func transitTimeout(failures int) time.Duration {
 	return min(initialTransitTimeout<<min(failures, maxTransitDoublings), maxTransitTimeout)
 }
--- a/internal/backend/computenode/machine_test.go
+++ b/internal/backend/computenode/machine_test.go
@@ -14,24 +14,23 @@
 
 const ms = time.Millisecond
 
-// fakeNode is a compute node behind a network that loses, breaks and corrupts messages, under a hand-driven
-// clock.
+// fakeNode is a compute node behind a network that loses and corrupts messages, with a simulated clock.
 type fakeNode struct {
 	t         *rapid.T
 	now       time.Duration
 	posts     int
 	running   bool // the query runs on the compute node
-	ended     bool // it succeeded; its result is stored
-	failed    bool
+	ended     bool // the query succeeded; its result is stored
+	failed    bool // the query fails instead of succeeding
 	dead      bool
-	reset     bool // the network reset a connection
-	draining  bool // open connections are served, new ones refused
+	reset     bool // the network has reset a connection
+	draining  bool // open connections are served, new ones are refused
 	connOpen  bool // the last call left an open connection
 	pollsLeft int  // polls until the query ends
 	pages     int
 	lastPoll  time.Duration
-	shed      bool
-	faults    int // calls that may still go wrong
+	shed      bool // the compute node rejects the query
+	faults    int  // calls for which a fault is still drawn
 }
 
 func pageRows(n int) []byte { return []byte(fmt.Sprintf("r%d\tx\ty\n", n)) }
@@ -44,10 +43,10 @@
 	return h
 }
 
-// handle is what the compute node does with a complete request, and its response.
+// handle performs a complete request on the compute node and returns its response.
 func (w *fakeNode) handle(s Step) *nodehttp.Response {
 	if w.running && w.now-w.lastPoll > abandonAfter {
-		w.running = false // nobody polled it
+		w.running = false // dropped, because it was not polled
 	}
 	w.lastPoll = w.now
 	switch {
@@ -88,7 +87,7 @@
 	}
 }
 
-// perform carries a step out, with a fault that is drawn for it.
+// perform carries out a step, with a randomly drawn fault, and returns the resulting event.
 func (w *fakeNode) perform(s Step) Event {
 	w.now += s.Delay + ms
 	fault := "none"
@@ -149,9 +148,9 @@
 	return Event{Type: ResponseReceived, Response: a}
 }
 
-// TestAttempt: whatever faults its calls have, an attempt posts once, ends once, in good time, is no longer
-// in flight by then, reports that it never ran only where it never did, and has no rows but its own, all of
-// them and in order.
+// TestAttempt checks that an attempt, whatever faults its calls meet, posts once, ends within 200 calls, does
+// not leave its query running, reports that the query never ran only if it did not, and returns exactly the
+// query's pages, in order.
 func TestAttempt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &fakeNode{t: t, now: time.Hour, pollsLeft: rapid.IntRange(1, 6).Draw(t, "polls"),
@@ -163,7 +162,7 @@
 		s := m.Next(w.now, Event{Type: Begin})
 		for n := 0; s.Type != End; n++ {
 			if n > 200 {
-				t.Fatal("it does not end")
+				t.Fatal("the attempt has not ended after 200 calls")
 			}
 			if s.Type == Start && n > 0 {
 				t.Fatal("the query was posted twice")
@@ -177,31 +176,31 @@
 			}
 		}
 		if w.running && w.now-w.lastPoll <= abandonAfter {
-			t.Fatalf("ended with %d while its query runs on", s.Outcome)
+			t.Fatalf("the attempt ended with outcome %d while its query still runs", s.Outcome)
 		}
 		if s.Outcome.NeverRan() && w.posts > 0 && !w.shed {
-			t.Fatalf("ended with %d, but the query arrived", s.Outcome)
+			t.Fatalf("outcome %d means that the query never ran, but it reached the compute node", s.Outcome)
 		}
 		if s.Outcome == cresspass.OutcomeOK {
 			if len(s.Pages) != w.pages {
-				t.Fatalf("%d pages of %d", len(s.Pages), w.pages)
+				t.Fatalf("got %d pages, want %d", len(s.Pages), w.pages)
 			}
 			for i, p := range s.Pages {
 				if string(p) != string(pageRows(i)) {
-					t.Fatalf("page %d is %q", i, p)
+					t.Fatalf("page %d: got %q", i, p)
 				}
 			}
 		}
 		if stopAt < 0 && w.faults >= 0 && w.posts == 1 && !w.dead && !w.shed && !w.failed && s.Outcome ==
 			cresspass.OutcomeFailed {
-			t.Fatal("failed without a failure")
+			t.Fatal("the attempt failed, but its query did not")
 		}
 	})
 }
 
-// TestConnRefusedIsNoProofOfDeath: a refused connection ends an attempt only after a reset, and where Start
-// was answered or was broken by that reset; else the attempt is in flight until nobody has polled it for
-// long enough.
+// TestConnRefusedIsNoProofOfDeath checks that a refused connection ends an attempt at once only after a
+// reset, and only if Start was answered or was itself the call that was reset. Otherwise the attempt stays in
+// flight until the compute node has dropped the query for lack of polls.
 func TestConnRefusedIsNoProofOfDeath(t *testing.T) {
 	running := Event{Type: ResponseReceived, Response: &nodehttp.Response{Status: 202}}
 	lost, reset := Event{Type: ResponseLost}, Event{Type: ResponseLost, Reset: true}
@@ -211,14 +210,14 @@
 		events []Event
 		atOnce bool
 	}{
-		"dies":                             {[]Event{running, reset}, true},
-		"dies as it starts":                {[]Event{reset}, true},
-		"dies as it is cancelled":          {[]Event{running, reset, stop}, true},
-		"drains":                           {[]Event{running, lost}, false},
-		"cancelled as it drains":           {[]Event{running, lost, stop}, false},
-		"start lost, then dies":            {[]Event{lost, running, reset}, false},
-		"start reset, came, then dies":     {[]Event{reset, running, reset}, false},
-		"start lost, cancelled, then dies": {[]Event{lost, running, reset, stop}, false},
+		"node dies":                             {[]Event{running, reset}, true},
+		"node dies during start":                {[]Event{reset}, true},
+		"node dies during cancel":               {[]Event{running, reset, stop}, true},
+		"node drains":                           {[]Event{running, lost}, false},
+		"cancelled while node drains":           {[]Event{running, lost, stop}, false},
+		"start lost, then node dies":            {[]Event{lost, running, reset}, false},
+		"start reset, answered, node dies":      {[]Event{reset, running, reset}, false},
+		"start lost, cancelled, then node dies": {[]Event{lost, running, reset, stop}, false},
 	} {
 		m, now := &Machine{}, time.Hour
 		m.Next(now, Event{Type: Begin})
@@ -229,20 +228,20 @@
 		refusedAt, s := now, m.Next(now, refused)
 		for n := 0; s.Type != End && n < 200; n++ {
 			if s.FreshConn {
-				t.Errorf("%s: after a refusal, an open connection is not used", name)
+				t.Errorf("%s: a new connection is required after a refusal, want any open one", name)
 			}
 			now += s.Delay + ms
 			s = m.Next(now, refused)
 		}
 		if took := now - refusedAt; s.Type != End || c.atOnce != (took == 0) ||
 			!c.atOnce && took <= abandonAfter || took > 2*abandonAfter {
-			t.Errorf("%s: ended %v after %v, at once %v", name, s.Type == End, took, c.atOnce)
+			t.Errorf("%s: ended %v after %v, want an end at once: %v", name, s.Type == End, took, c.atOnce)
 		}
 	}
 }
 
-// TestQuickPollsArePaced: a compute node that answers at once, and never with an end, is not polled without
-// a pause.
+// TestQuickPollsArePaced checks that a compute node that always answers at once that the query runs is not
+// polled without a pause.
 func TestQuickPollsArePaced(t *testing.T) {
 	m, now := &Machine{}, time.Hour
 	s := m.Next(now, Event{Type: Begin})
@@ -251,13 +250,13 @@
 		s = m.Next(now, Event{Type: ResponseReceived, Response: &nodehttp.Response{Status: 202}})
 	}
 	if now-time.Hour < 90*minPollInterval {
-		t.Errorf("100 polls in %v", now-time.Hour)
+		t.Errorf("100 polls took %v, want at least 90 times minPollInterval", now-time.Hour)
 	}
 }
 
-// TestDeleteOvertakesStart: a Start of which nothing was heard may still be on its way when a Delete on
-// another connection is answered; the attempt is over only after a Delete that was sent when no Start can
-// be on its way.
+// TestDeleteOvertakesStart: an unanswered Start may still be in transit when a Delete on another connection
+// is answered. An exclusive attempt ends only after a Delete that was sent when the Start can no longer be in
+// transit.
 func TestDeleteOvertakesStart(t *testing.T) {
 	deleted := Event{Type: ResponseReceived, Response: &nodehttp.Response{Status: 204}}
 	stop := Event{Type: Stop, Outcome: cresspass.OutcomeCancelled}
@@ -266,9 +265,9 @@
 		exclusive bool
 		waits     bool
 	}{
-		"nothing heard": {Event{Type: ResponseLost}, true, true},
-		"reset unheard": {Event{Type: ResponseLost, Reset: true}, true, true},
-		"start was heard": {Event{Type: ResponseReceived, Response: &nodehttp.Response{Status: 202}}, true,
+		"start lost":  {Event{Type: ResponseLost}, true, true},
+		"start reset": {Event{Type: ResponseLost, Reset: true}, true, true},
+		"start answered": {Event{Type: ResponseReceived, Response: &nodehttp.Response{Status: 202}}, true,
 			false},
 		"not exclusive": {Event{Type: ResponseLost}, false, false},
 	} {
@@ -291,8 +290,8 @@
 	}
 }
 
-// TestDeleteConfirmedByItsOwnResponse: a response that no Delete gets, as a duplicate of an earlier one,
-// does not show that a query was cancelled.
+// TestDeleteConfirmedByItsOwnResponse checks that a status that is no answer to a Delete, such as that of a
+// duplicate of an earlier response, does not count as a confirmation that the query was cancelled.
 func TestDeleteConfirmedByItsOwnResponse(t *testing.T) {
 	for status, over := range map[int]bool{200: false, 202: false, 204: true, 500: true, 503: false} {
 		m := Machine{Exclusive: true}
@@ -300,17 +299,18 @@
 		m.Next(ms, Event{Type: ResponseReceived, Response: &nodehttp.Response{Status: 202}})
 		step := m.Next(2*ms, Event{Type: Stop, Outcome: cresspass.OutcomeCancelled})
 		if step.Type != Delete {
-			t.Fatalf("%+v", step)
+			t.Fatalf("step after Stop: %+v, want a Delete", step)
 		}
 		step = m.Next(3*ms, Event{Type: ResponseReceived, Response: &nodehttp.Response{Status: status}})
 		if got := step.Type == End; got != over {
-			t.Errorf("after %d: over %v, want %v", status, got, over)
+			t.Errorf("after status %d: attempt ended: %v, want %v", status, got, over)
 		}
 	}
 }
 
-// TestPollOvertakesStart guards against an ordered query that ran beside its own next attempt: a poll on a
-// new connection came to the compute node before its Start, and 'no such query' counted as the attempt's end.
+// TestPollOvertakesStart guards against an ordered query that runs concurrently with its own next attempt. A
+// poll on a new connection reached the compute node before the Start did, and the answer "no such query"
+// counted as the end of the attempt.
 func TestPollOvertakesStart(t *testing.T) {
 	unknown := Event{Type: ResponseReceived, Response: &nodehttp.Response{Status: 500}}
 	lost := Event{Type: ResponseLost}
@@ -319,31 +319,31 @@
 		m = &Machine{Exclusive: exclusive}
 		m.Next(0, Event{Type: Begin})
 		if step := m.Next(ms, toStart); step.Type != Poll {
-			t.Fatalf("after the response to Start: %+v", step)
+			t.Fatalf("after the response to Start: %+v, want a Poll", step)
 		}
 		return m, 2 * ms
 	}
-	for name, toStart := range map[string]Event{"lost": lost, "a copy of another": invalid} {
+	for name, toStart := range map[string]Event{"lost": lost, "duplicate of another": invalid} {
 		m, now := begin(true, toStart)
 		for now < ms+maxTransitTimeout {
 			step := m.Next(now, unknown)
 			if step.Type != Poll {
-				t.Fatalf("%s, not known there after %v: %+v", name, now, step)
+				t.Fatalf("%s, query unknown after %v: %+v, want a Poll", name, now, step)
 			}
 			now += step.Delay + ms
 		}
 		if step := m.Next(now, unknown); step.Type != End || step.Outcome != cresspass.OutcomeTimedOut {
-			t.Errorf("%s, not known there after %v: %+v", name, now, step)
+			t.Errorf("%s, query unknown after %v: %+v, want an End with OutcomeTimedOut", name, now, step)
 		}
 	}
 	m, now := begin(true, lost)
 	m.Next(now, unknown)
 	m.Next(now+ms, Event{Type: ResponseReceived, Response: &nodehttp.Response{Status: 202}})
 	if step := m.Next(now+2*ms, unknown); step.Type != End {
-		t.Errorf("an end after it was known there: %+v", step)
+		t.Errorf("query unknown after it was confirmed: %+v, want an End", step)
 	}
 	m, now = begin(false, lost)
 	if step := m.Next(now, unknown); step.Type != End || step.Outcome != cresspass.OutcomeTimedOut {
-		t.Errorf("a query that is not exclusive: %+v", step)
+		t.Errorf("non-exclusive query unknown: %+v, want an End with OutcomeTimedOut", step)
 	}
 }
--- a/internal/backend/computenode/response.go
+++ b/internal/backend/computenode/response.go
@@ -8,27 +8,27 @@
 	"cresspass/internal/protocol/nodehttp"
 )
 
-// Bounds of what a compute node may send.
+// Limits of what a compute node may send.
 const (
-	maxPages         = 64    // of a result
-	maxPageBytes     = 6000  // of a page
-	maxResultBytes   = 48000 // of a result
-	columns          = 3     // of a row
+	maxPages         = 64    // pages in a result
+	maxPageBytes     = 6000  // bytes in a page
+	maxResultBytes   = 48000 // bytes in a result
+	columns          = 3     // columns in a row
 	maxProgressValue = 1e9
 )
 
-// responseKind is what a response to Start or Poll means.
+// responseKind is the meaning of a response to Start or Poll.
 type responseKind int
 
 const (
-	kindInvalid  responseKind = iota // no response to what was asked
+	kindInvalid  responseKind = iota // not a valid response to the call
 	kindRunning                      // the query has not ended
-	kindPage                         // the page that was asked for
+	kindPage                         // the requested page
 	kindRejected                     // the query never ran
 	kindFailed                       // the query may have run
 )
 
-// classify reads a response to a call for a page.
+// classify returns the meaning of a response to a call that requested a page.
 func classify(resp *nodehttp.Response, page int) responseKind {
 	switch resp.Status {
 	case http.StatusAccepted:
@@ -50,21 +50,21 @@
 	return kindInvalid
 }
 
-// validPage reports whether a response is the page that was asked for.
+// validPage reports whether a response is the requested page.
 func validPage(resp *nodehttp.Response, page int) bool {
 	if len(resp.Body) > maxPageBytes || !validRows(resp.Body) {
 		return false
 	}
 	number, numbered := resp.Header[nodehttp.HeaderPageNumber]
 	if page > 0 {
-		// Without this check a duplicate of an earlier page would be taken for this one.
+		// Without this check a duplicate of an earlier page would be accepted as this one.
 		return numbered && number == strconv.Itoa(page)
 	}
 	count, err := strconv.Atoi(resp.Header[nodehttp.HeaderPageCount])
 	return (!numbered || number == "0") && err == nil && count >= 0 && count <= maxPages
 }
 
-// validRows reports whether a page holds complete rows with the right number of columns.
+// validRows reports whether a page consists of complete rows with the right number of columns.
 func validRows(page []byte) bool {
 	tabs := 0
 	for _, c := range page {
@@ -88,20 +88,20 @@
 }
 
 // confirmsDelete reports whether a response to a Delete shows that the query is over: it was cancelled, or
-// is not known. Any other status may be a duplicate of an earlier response: taken for a confirmation, the
-// query would count as over while it runs.
+// the compute node does not know it. Any other status may be a duplicate of an earlier response; if it
+// counted as a confirmation, the query would count as over while it still runs.
 func confirmsDelete(resp *nodehttp.Response) bool {
 	return resp.Status == http.StatusNoContent || resp.Status == http.StatusInternalServerError
 }
 
-// progressTypes are the kinds of progress that compute nodes report.
+// progressTypes maps the kinds of progress that compute nodes report to the module's.
 var progressTypes = map[string]cresspass.NoteType{
 	"frac":    cresspass.NoteFractionDone,
 	"missing": cresspass.NoteSpilled,
 	"parked":  cresspass.NoteBlocked,
 }
 
-// parseProgress reads what a response reports of a running query. What can't be read is no progress.
+// parseProgress returns the progress that a response reports, or the zero Progress if none can be read.
 func parseProgress(resp *nodehttp.Response) Progress {
 	kind, known := progressTypes[resp.Header[nodehttp.HeaderProgressKind]]
 	value, err := strconv.ParseFloat(resp.Header[nodehttp.HeaderProgressValue], 64)
