--- a/internal/backend/connpool/idle.go
+++ b/internal/backend/connpool/idle.go
@@ -7,14 +7,15 @@
 	"cresspass"
 )
 
-// idleConn is a connection without a call.
+// idleConn is an open connection that no call uses.
 type idleConn struct {
 	conn  uint64
 	since time.Duration // when its last response was complete
 }
 
-// grantReuse grants the connection to the compute node that became idle last, of those that were idle for
-// long enough.
+// grantReuse grants an idle connection to the request's compute node, and reports whether there was one. Of
+// those that have been idle for at least minIdle and less than maxIdle, it takes the one that became idle
+// last.
 func (p *Pool) grantReuse(now time.Duration, req Request) bool {
 	if req.Fresh {
 		return false
@@ -30,7 +31,8 @@
 	return false
 }
 
-// evictOldest closes the connection that has been idle for longest, if it was idle for long enough.
+// evictOldest closes the connection that has been idle longest, if that is at least minIdle, and reports
+// whether it closed one.
 func (p *Pool) evictOldest(now time.Duration) bool {
 	var engine cresspass.EngineID
 	var oldest *idleConn
@@ -46,12 +48,12 @@
 	return true
 }
 
-// olderThan orders idle connections, those that became idle at the same time by their numbers.
+// olderThan reports whether c became idle before other; equal times are ordered by connection number.
 func (c *idleConn) olderThan(other *idleConn) bool {
 	return c.since < other.since || c.since == other.since && c.conn < other.conn
 }
 
-// closeExpired closes what was idle for too long.
+// closeExpired closes connections that have been idle for maxIdle.
 func (p *Pool) closeExpired(now time.Duration) {
 	for engine, list := range p.idle {
 		expired := 0
--- a/internal/backend/connpool/pool.go
+++ b/internal/backend/connpool/pool.go
@@ -1,7 +1,7 @@
-// Package connpool decides who gets which connection to a compute node while there are fewer descriptors
-// than calls: an idle connection, a new one, or a place in a queue that is ordered by when each call is
-// due. The Pool owns the count of connections, the idle ones and the queue. It does no I/O and reads no
-// clock: what callers request and what became of connections goes in, grants come out.
+// Package connpool assigns connections to compute nodes when there are fewer file descriptors than calls. A
+// call gets an idle connection, a new one, or a place in a queue ordered by due time. The Pool holds the
+// number of open connections, the idle ones and the queue. It does no I/O and reads no clock: callers report
+// requests and the state of connections, and carry out the grants that it returns.
 package connpool
 
 import (
@@ -13,44 +13,45 @@
 )
 
 const (
-	// sweepInterval is how often the whole queue is looked at, at most.
+	// sweepInterval is the delay of a scheduled sweep; it limits how often the whole queue is scanned.
 	sweepInterval = 5 * time.Millisecond
-	// pressingBefore is how long before it is due a request has idle connections to other compute nodes
-	// closed for it: a call that holds a connection ends within this.
+	// pressingBefore is how long before its due time a queued request may have idle connections to other
+	// compute nodes closed for it. A call that holds a connection ends within this time.
 	pressingBefore = 300 * time.Millisecond
 )
 
-// Pool is who has and who waits for connections. It is for one goroutine at a time.
+// Pool keeps track of open and idle connections and of the requests that wait for one. It is not safe for
+// concurrent use.
 type Pool struct {
-	minIdle time.Duration // a connection is not reused so soon after a response
-	maxIdle time.Duration // a connection that was idle for so long is closed
+	minIdle time.Duration // least idle time before a connection is reused or evicted
+	maxIdle time.Duration // idle time after which a connection is closed
 	open    int
-	idle    map[cresspass.EngineID][]idleConn // idle for longest first; no empty lists
-	queue   []Request                         // by Due, then first come first served
+	idle    map[cresspass.EngineID][]idleConn // each list longest idle first; no empty lists
+	queue   []Request                         // by Due, then in order of arrival
 
 	nextSweep      time.Duration
-	sweepScheduled bool // nextSweep counts
+	sweepScheduled bool // nextSweep is valid
 
 	grants []Grant // of the current call
 }
 
-// New returns a pool without connections. A connection is idle for at least minIdle after a response before
-// another call has it, and is closed when it was idle for maxIdle.
+// New returns a pool without connections. A connection stays idle for at least minIdle after a response
+// before another call gets it, and is closed after being idle for maxIdle.
 func New(minIdle, maxIdle time.Duration) *Pool {
 	return &Pool{minIdle: minIdle, maxIdle: maxIdle, idle: map[cresspass.EngineID][]idleConn{}}
 }
 
-// OpenConns returns how many connections there are, including those that are being made.
+// OpenConns returns the number of connections, including those that are being dialed.
 func (p *Pool) OpenConns() int { return p.open }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of queued requests.
 func (p *Pool) Waiting() int { return len(p.queue) }
 
-// NextSweep returns when Sweep must be called at the latest, and whether it must.
+// NextSweep returns the latest time at which Sweep must be called, and whether it must be called at all.
 func (p *Pool) NextSweep() (time.Duration, bool) { return p.nextSweep, p.sweepScheduled }
 
-// Acquire takes a request. Its grant is among those returned, or comes later. The grants are valid until the
-// next call, as for all methods.
+// Acquire requests a connection. The request's grant is among those returned, or is returned by a later
+// call. The returned grants are valid until the next call of any method.
 func (p *Pool) Acquire(now time.Duration, req Request, limits Limits) []Grant {
 	p.grants = p.grants[:0]
 	if len(p.queue) == 0 || req.Urgent {
@@ -60,21 +61,21 @@
 		}
 	}
 	at, _ := slices.BinarySearchFunc(p.queue, req, func(queued, req Request) int {
-		return cmp.Or(cmp.Compare(queued.Due, req.Due), -1) // behind those that are due at the same time
+		return cmp.Or(cmp.Compare(queued.Due, req.Due), -1) // after requests with the same due time
 	})
 	p.queue = slices.Insert(p.queue, at, req)
 	p.scheduleSweep(now)
 	return p.grants
 }
 
-// Cancel takes a request out of the queue. It returns false where its grant was given already.
+// Cancel removes a request from the queue. It returns false if the request was granted already.
 func (p *Pool) Cancel(id uint64) bool {
 	n := len(p.queue)
 	p.queue = slices.DeleteFunc(p.queue, func(req Request) bool { return req.ID == id })
 	return len(p.queue) < n
 }
 
-// Release takes back a connection after a complete response, which leaves it open.
+// Release returns an open connection to the pool after a complete response.
 func (p *Pool) Release(now time.Duration, engine cresspass.EngineID, conn uint64) {
 	p.idle[engine] = append(p.idle[engine], idleConn{conn, now})
 	if len(p.queue) > 0 {
@@ -82,7 +83,7 @@
 	}
 }
 
-// Closed reports that a connection which was granted is closed, or did not come up.
+// Closed tells the pool that a granted connection was closed or could not be established.
 func (p *Pool) Closed(limits Limits) []Grant {
 	p.grants = p.grants[:0]
 	p.open--
@@ -90,7 +91,7 @@
 	return p.grants
 }
 
-// CloseIdle has all idle connections to a compute node closed.
+// CloseIdle returns grants that close all idle connections to a compute node.
 func (p *Pool) CloseIdle(engine cresspass.EngineID, limits Limits) []Grant {
 	p.grants = p.grants[:0]
 	for len(p.idle[engine]) > 0 {
@@ -100,13 +101,13 @@
 	return p.grants
 }
 
-// Sweep closes what was idle for too long, and looks at the whole queue.
+// Sweep closes connections that were idle for too long and tries to serve every queued request.
 func (p *Pool) Sweep(now time.Duration, limits Limits) []Grant {
 	p.grants, p.sweepScheduled = p.grants[:0], false
 	p.closeExpired(now)
 	p.dialQueued(limits)
 	p.serveQueue(now, limits)
-	// A connection that no queued request can use makes way for one that waits.
+	// Idle connections that no queued request can use are closed, so that queued requests can dial.
 	for len(p.queue) > 0 && p.evictOldest(now) {
 		if !p.dialQueued(limits) {
 			break
@@ -118,10 +119,10 @@
 	return p.grants
 }
 
-// serveQueue grants idle connections to queued requests for their compute nodes. A new connection for each
-// would spend the core on handshakes. But while others use theirs up, a query whose compute node has no
-// idle connection would wait without end, and be dropped there because nobody polls it: a pressing request
-// therefore has any idle connection closed for it.
+// serveQueue grants idle connections to queued requests for the same compute node. Dialing for each request
+// would spend the core on handshakes. But while other requests reuse their connections, one whose compute
+// node has no idle connection would wait forever, and its query would be dropped there for lack of polls. A
+// request that is close to its due time therefore has any idle connection closed for it.
 func (p *Pool) serveQueue(now time.Duration, limits Limits) {
 	left := p.queue[:0]
 	for i, req := range p.queue {
@@ -141,8 +142,8 @@
 	}
 }
 
-// dialQueued has queued requests make connections, in the queue's order, as far as the limits allow. It
-// reports whether any did.
+// dialQueued grants new connections to queued requests in the order of the queue, up to the limits. It
+// reports whether it granted any.
 func (p *Pool) dialQueued(limits Limits) bool {
 	n := 0
 	for n < len(p.queue) && p.grantDial(p.queue[n], limits) {
@@ -152,7 +153,7 @@
 	return n > 0
 }
 
-// grantDial grants a new connection, where the limits allow it.
+// grantDial grants a new connection if the limits allow it, and reports whether it did.
 func (p *Pool) grantDial(req Request, limits Limits) bool {
 	capacity := limits.Capacity
 	if req.Urgent {
--- a/internal/backend/connpool/pool_test.go
+++ b/internal/backend/connpool/pool_test.go
@@ -16,19 +16,19 @@
 	maxIdle = 3 * time.Second
 )
 
-// poolHarness carries a pool's grants out, and checks them against what may be granted.
+// poolHarness carries out a pool's grants and checks that each of them is permitted.
 type poolHarness struct {
 	t           *rapid.T
 	pool        *Pool
 	now         time.Duration
 	limits      Limits
-	waiting     map[uint64]Request            // not granted yet
-	idleSince   map[uint64]time.Duration      // idle connections
-	engines     map[uint64]cresspass.EngineID // of all connections
+	waiting     map[uint64]Request            // requests without a grant, by ID
+	idleSince   map[uint64]time.Duration      // by idle connection
+	engines     map[uint64]cresspass.EngineID // by open connection
 	held        map[uint64]uint64             // connection by request
 	lastConn    uint64
-	granted     func(request, conn uint64)
-	closingIdle cresspass.EngineID
+	granted     func(request, conn uint64) // called for each connection that is granted; may be nil
+	closingIdle cresspass.EngineID         // whose idle connections may be closed before minIdle
 }
 
 func newPoolHarness(t *rapid.T, limits Limits) *poolHarness {
@@ -48,7 +48,8 @@
 		if g.Type == Close {
 			if at, ok := h.idleSince[g.Conn]; !ok ||
 				h.now-at < minIdle && h.engines[g.Conn] != h.closingIdle {
-				h.t.Fatalf("%v: connection %d closed, idle since %v (%v)", h.now, g.Conn, at, ok)
+				h.t.Fatalf("%v: connection %d closed too early, idle since %v (idle: %v)", h.now, g.Conn, at,
+					ok)
 			}
 			delete(h.idleSince, g.Conn)
 			delete(h.engines, g.Conn)
@@ -56,7 +57,7 @@
 		}
 		req, ok := h.waiting[g.RequestID]
 		if !ok {
-			h.t.Fatalf("%v: request %d granted that does not wait", h.now, g.RequestID)
+			h.t.Fatalf("%v: request %d got a grant but does not wait", h.now, g.RequestID)
 		}
 		delete(h.waiting, g.RequestID)
 		conn := g.Conn
@@ -66,7 +67,7 @@
 			h.engines[conn] = req.Engine
 		} else if at, ok := h.idleSince[conn]; !ok || h.now-at < minIdle || req.Fresh ||
 			h.engines[conn] != req.Engine {
-			h.t.Fatalf("%v: %+v got connection %d to %s, idle since %v (%v)", h.now, req, conn,
+			h.t.Fatalf("%v: %+v got connection %d to %s, idle since %v (idle: %v)", h.now, req, conn,
 				h.engines[conn], at, ok)
 		}
 		delete(h.idleSince, conn)
@@ -76,10 +77,11 @@
 		}
 	}
 	if open := h.pool.OpenConns(); open != len(h.engines) || open > h.limits.Capacity+h.limits.UrgentReserve {
-		h.t.Fatalf("%v: %d open, %d granted, %+v", h.now, open, len(h.engines), h.limits)
+		h.t.Fatalf("%v: %d connections open, %d were granted and not closed, limits %+v", h.now, open,
+			len(h.engines), h.limits)
 	}
 	if h.pool.Waiting() != len(h.waiting) {
-		h.t.Fatalf("%v: %d wait, %d were requested", h.now, h.pool.Waiting(), len(h.waiting))
+		h.t.Fatalf("%v: %d requests queued, want %d", h.now, h.pool.Waiting(), len(h.waiting))
 	}
 }
 
@@ -88,7 +90,7 @@
 	h.apply(h.pool.Acquire(h.now, req, h.limits))
 }
 
-// finish gives a request's connection back, open or closed.
+// finish ends a request's call and returns its connection to the pool, open or closed.
 func (h *poolHarness) finish(request uint64, reusable bool) {
 	conn := h.held[request]
 	delete(h.held, request)
@@ -101,7 +103,7 @@
 	h.apply(h.pool.Closed(h.limits))
 }
 
-// advance lets time pass, with the sweeps that the pool schedules and one each 500 ms.
+// advance moves the clock to a time and makes the sweeps that the pool schedules, and one every 500 ms.
 func (h *poolHarness) advance(to time.Duration) {
 	for {
 		next := h.now - h.now%(500*ms) + 500*ms
@@ -117,8 +119,9 @@
 	}
 }
 
-// TestGrants: whatever callers do, each request has one grant at most, none waits while there is capacity,
-// and a connection goes only to its compute node, after its least idle time, to one request at a time.
+// TestGrants checks that whatever callers do, each request gets at most one grant, none waits while there is
+// capacity, and a connection is granted only for its own compute node, after minIdle, and to one request at
+// a time.
 func TestGrants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newPoolHarness(t, Limits{Capacity: rapid.IntRange(1, 6).Draw(t, "capacity"), UrgentReserve: 1})
@@ -148,45 +151,46 @@
 					h.finish(n, rapid.Bool().Draw(t, "reusable"))
 				}
 			case 4:
-				n := rapid.Uint64Range(1, id+1).Draw(t, "leaves")
+				n := rapid.Uint64Range(1, id+1).Draw(t, "cancel")
 				_, waits := h.waiting[n]
 				if h.pool.Cancel(n) != waits {
-					t.Fatalf("request %d cancelled: it waits: %v", n, waits)
+					t.Fatalf("Cancel of request %d returned the wrong result, want %v", n, waits)
 				}
 				delete(h.waiting, n)
 			case 5:
-				h.advance(h.now + time.Duration(rapid.IntRange(1, 800).Draw(t, "passes"))*ms)
+				h.advance(h.now + time.Duration(rapid.IntRange(1, 800).Draw(t, "time"))*ms)
 			case 6:
 				h.closingIdle = "b"
 				h.apply(h.pool.CloseIdle("b", h.limits))
 				if h.closingIdle = ""; len(h.pool.idle["b"]) > 0 {
-					t.Fatal("closed connections are still idle")
+					t.Fatal("idle connections are left after CloseIdle")
 				}
 			}
 		}
 		h.advance(h.now + 100*ms)
 		if h.pool.Waiting() > 0 && h.pool.OpenConns() < h.limits.Capacity {
-			t.Fatalf("%d wait, %d of %d open", h.pool.Waiting(), h.pool.OpenConns(), h.limits.Capacity)
+			t.Fatalf("%d requests wait although only %d of %d connections are open", h.pool.Waiting(),
+				h.pool.OpenConns(), h.limits.Capacity)
 		}
-		for rounds := 0; len(h.held)+len(h.waiting) > 0; rounds++ { // all are served in the end
+		for rounds := 0; len(h.held)+len(h.waiting) > 0; rounds++ { // every request is served in the end
 			for n := range h.held {
 				h.finish(n, true)
 			}
 			if h.advance(h.now + 100*ms); rounds > 200 {
-				t.Fatalf("%d still wait, %d of %d open", h.pool.Waiting(), h.pool.OpenConns(),
-					h.limits.Capacity)
+				t.Fatalf("%d requests still wait after 200 rounds, %d of %d connections open",
+					h.pool.Waiting(), h.pool.OpenConns(), h.limits.Capacity)
 			}
 		}
 		if h.advance(h.now + maxIdle + time.Second); h.pool.OpenConns() > 0 {
-			t.Fatalf("without calls %d are open", h.pool.OpenConns())
+			t.Fatalf("%d connections are still open after maxIdle without calls", h.pool.OpenConns())
 		}
 	})
 }
 
-// TestNoQueryAbandoned: queries on many compute nodes, more than there are connections, each polled again
-// and again by calls that last as long as a poll of a running query; beside them queries are started all the
-// time. A compute node drops a query that was not polled for 2 s: none may be. The quick queries of one
-// compute node have its connections always in use, and the others must not wait for these.
+// TestNoQueryAbandoned checks that no query goes unpolled for 2 s, after which its compute node would drop
+// it. There are more running queries than connections, on many compute nodes, each polled repeatedly by calls
+// that last as long as a poll of a running query, while new queries are started all the time. Quick queries
+// on one compute node keep its connections in use; the other queries must not wait for those.
 func TestNoQueryAbandoned(t *testing.T) {
 	const (
 		capacity     = 30
@@ -195,12 +199,12 @@
 	)
 	rapid.Check(t, func(rt *rapid.T) {
 		h := newPoolHarness(rt, Limits{Capacity: capacity, UrgentReserve: 2})
-		// A connection makes three calls a second, each of which keeps a query from being dropped for 2 s.
+		// A connection makes three calls a second; each of them keeps its query from being dropped for 2 s.
 		running := rapid.IntRange(capacity, 4*capacity).Draw(rt, "running")
 		nodes := rapid.IntRange(1, 40).Draw(rt, "nodes")
 		busy := rapid.IntRange(0, 100).Draw(rt, "busy")
 		type event struct {
-			at      time.Duration // the call of the request ends then
+			at      time.Duration // when the call of the request ends
 			request uint64
 		}
 		var due []event
@@ -229,7 +233,7 @@
 		}
 		for h.now < 12*time.Second {
 			h.advance(h.now + 5*ms)
-			for len(due) > 0 { // ends of calls, in any order within the step
+			for len(due) > 0 { // end the calls that are due; their order within the step does not matter
 				at := -1
 				for i, e := range due {
 					if e.at <= h.now {
--- a/internal/backend/connpool/request.go
+++ b/internal/backend/connpool/request.go
@@ -8,30 +8,30 @@
 
 // Request is a call that needs a connection.
 type Request struct {
-	ID     uint64 // the caller's, never used twice
+	ID     uint64 // chosen by the caller, never used twice
 	Engine cresspass.EngineID
-	Fresh  bool          // on a new connection only
-	Urgent bool          // short and pressing: it may use Limits.UrgentReserve as well
-	Due    time.Duration // the latest time at which it helps, on the clock of all calls
+	Fresh  bool          // needs a new connection
+	Urgent bool          // a short call that must not wait: it may also use Limits.UrgentReserve
+	Due    time.Duration // latest useful time for the call, on the clock of the now that Pool methods receive
 }
 
-// Limits are how many connections there may be now.
+// Limits are the numbers of connections that may be open now.
 type Limits struct {
-	Capacity      int // connections of all kinds
-	UrgentReserve int // on top, for urgent requests
+	Capacity      int // for all requests
+	UrgentReserve int // in addition to Capacity, for urgent requests
 }
 
-// GrantType says what a Grant is.
+// GrantType is the type of a Grant.
 type GrantType int
 
-// The grants.
+// The types of Grant.
 const (
 	Reuse GrantType = iota // the request gets the idle connection Conn
-	Dial                   // the request may make a connection
-	Close                  // the idle connection Conn is to be closed
+	Dial                   // the request may dial a new connection
+	Close                  // the idle connection Conn must be closed
 )
 
-// Grant is one thing that the caller is to do.
+// Grant is an action that the caller must carry out.
 type Grant struct {
 	Type      GrantType
 	RequestID uint64
--- a/internal/backend/duplicateresponse/detector.go
+++ b/internal/backend/duplicateresponse/detector.go
@@ -1,8 +1,7 @@
-// Package duplicateresponse detects duplicates of responses on connections to compute nodes. A response
-// does not name the request that it belongs to, so one that a compute node sends a second time, and that
-// comes after the connection was idle and is used again, would be taken for the response to the next
-// query's call. The package owns what is remembered of responses; it does no I/O and reads no clock, and
-// repeats no call itself.
+// Package duplicateresponse detects duplicate responses on connections to compute nodes. A response does not
+// name the request that it belongs to. If a compute node sends a response a second time, and it arrives after
+// the connection was idle and is used again, it would be read as the response to the next query's call. The
+// package keeps a history of responses; it does no I/O, reads no clock and repeats no call itself.
 package duplicateresponse
 
 import (
@@ -16,22 +15,24 @@
 
 const (
 	// minLongPoll is the least time after which a compute node answers that a query still runs: 250 ms by the
-	// protocol, less what its clock and ours may differ.
+	// protocol, less a margin for the difference between its clock and ours.
 	minLongPoll = 200 * time.Millisecond
-	// suspicionPeriod is how long after a duplicate responses that often repeat are suspected as well.
+	// suspicionPeriod is how long after a duplicate response the responses that often repeat without being
+	// duplicates are suspected too.
 	suspicionPeriod = 30 * time.Second
-	// historySize is how many responses of a connection are remembered: as many as a result has pages.
+	// historySize is the number of responses remembered for a connection: the largest number of pages in a
+	// result.
 	historySize = 64
-	// maxKnownRepeats bounds the responses that are known to repeat without being duplicates.
+	// maxKnownRepeats limits the responses remembered as repeating without being duplicates.
 	maxKnownRepeats = 64
 )
 
-// Fingerprint stands for a response's status, headers and body: two responses with the same one are equal,
-// but for chance. The zero value is no response.
+// Fingerprint is a hash of a response's status, headers and body. Two responses with the same Fingerprint are
+// equal, except for hash collisions. The zero value stands for no response.
 type Fingerprint uint64
 
-// History is the last responses on a connection that could be taken for another call's. The zero value is
-// that of a new connection.
+// History holds the fingerprints of the last responses on one connection. The zero value is the history of a
+// new connection.
 type History struct {
 	fingerprints [historySize]Fingerprint
 	next         int
@@ -44,10 +45,10 @@
 	h.next = (h.next + 1) % historySize
 }
 
-// Detector judges the responses on all connections of a dispatcher. It is for one goroutine at a time.
+// Detector finds duplicate responses on all connections of a dispatcher. It is not safe for concurrent use.
 type Detector struct {
 	seed            maphash.Seed
-	knownRepeats    []Fingerprint // the oldest first
+	knownRepeats    []Fingerprint // responses that compute nodes repeat without duplication, oldest first
 	duplicateSeen   bool
 	lastDuplicateAt time.Duration
 }
@@ -58,15 +59,15 @@
 // fingerprint returns the fingerprint of a response.
 func (d *Detector) fingerprint(resp *nodehttp.Response) Fingerprint {
 	sum := uint64(resp.Status) ^ maphash.Bytes(d.seed, resp.Body)
-	for name, value := range resp.Header { // XOR makes their order irrelevant
+	for name, value := range resp.Header { // XOR makes the order of the headers irrelevant
 		sum ^= maphash.String(d.seed, name+":"+value)
 	}
 	return Fingerprint(max(sum, 1))
 }
 
-// Suspect takes in a response that came so long after its call, and reports whether it may be a duplicate
-// of an earlier one on the same connection. The call is then to be made again on a new connection, and
-// Recheck to be given the response there.
+// Suspect adds a response to the history of its connection and reports whether it may be a duplicate of an
+// earlier response there; took is the time since the call was sent. If so, the caller makes the call again on
+// a new connection and passes the response to Recheck together with the returned Fingerprint.
 func (d *Detector) Suspect(now, took time.Duration, history *History,
 	resp *nodehttp.Response) (Fingerprint, bool) {
 	f := d.fingerprint(resp)
@@ -75,34 +76,35 @@
 	return f, repeated && d.suspectRepeat(now, took, f, resp)
 }
 
-// suspectRepeat reports whether a response is suspected that came on its connection before.
+// suspectRepeat reports whether a response that its connection has delivered before may be a duplicate.
 func (d *Detector) suspectRepeat(now, took time.Duration, f Fingerprint, resp *nodehttp.Response) bool {
 	duplicateRecent := d.duplicateSeen && now-d.lastDuplicateAt < suspicionPeriod
 	known := slices.Contains(d.knownRepeats, f)
 	switch {
 	case resp.Status == http.StatusOK:
-		// While duplicates come, a result that is known to repeat may be one too, and the query's own rows
-		// others.
+		// After a recent duplicate, even a result that is known to repeat may be a duplicate, and the
+		// query's own rows may differ from it.
 		return !known || duplicateRecent
 	case known:
 		return false
 	case resp.Status == http.StatusAccepted:
 		return took < minLongPoll && resp.Header[nodehttp.HeaderProgressKind] == ""
 	case resp.Status == http.StatusNoContent:
-		return false // what it says of another call is true of this one within moments
+		return false // a Delete that another call's response confirms takes effect within moments anyway
 	}
-	// Rejections and errors are mostly alike. If they were suspected each time, a query that could go to
-	// another compute node would pay for a second call.
+	// Rejections and errors are mostly identical. If each one were suspected, a query that could go to
+	// another compute node would need a second call here first.
 	return duplicateRecent
 }
 
-// Recheck takes in the response that a new connection gave to a call whose first response was suspected.
+// Recheck handles the response on a new connection to a call whose first response was suspected. If the two
+// differ, the first was a duplicate; otherwise the compute node is known to repeat that response.
 func (d *Detector) Recheck(now time.Duration, suspected Fingerprint, resp *nodehttp.Response) {
 	if d.fingerprint(resp) != suspected {
 		d.RecordDuplicate(now)
 		return
 	}
-	// The compute node repeats itself: the response was no duplicate.
+	// Both responses are equal: the first was not a duplicate.
 	if slices.Contains(d.knownRepeats, suspected) {
 		return
 	}
@@ -112,5 +114,5 @@
 	d.knownRepeats = append(d.knownRepeats, suspected)
 }
 
-// RecordDuplicate takes in that a compute node sent more than it was asked for.
+// RecordDuplicate records that a compute node sent a response that no call asked for.
 func (d *Detector) RecordDuplicate(now time.Duration) { d.duplicateSeen, d.lastDuplicateAt = true, now }
--- a/internal/backend/duplicateresponse/detector_test.go
+++ b/internal/backend/duplicateresponse/detector_test.go
@@ -16,8 +16,8 @@
 	return a
 }
 
-// TestSuspect: a repeated response on a connection is suspected where a compute node would hardly repeat
-// itself.
+// TestSuspect checks that a repeated response on a connection is suspected only if a compute node is unlikely
+// to send the same response to two calls.
 func TestSuspect(t *testing.T) {
 	const quick, slow = 2 * time.Millisecond, 250 * time.Millisecond
 	result := response(200, "a\tb\tc\n", "page-count", "1", "x-meter", "inflight:7")
@@ -34,12 +34,12 @@
 		want          bool
 	}{
 		"result":                    {result, result, quick, false, true},
-		"another load":              {result, loaded, quick, false, false},
-		"another result":            {result, other, quick, false, false},
+		"other load report":         {result, loaded, quick, false, false},
+		"other result":              {result, other, quick, false, false},
 		"numbered page":             {numbered, numbered, quick, false, true},
 		"next page":                 {numbered, next, quick, true, false},
-		"running, in time":          {running, running, slow, false, false},
-		"running, too soon":         {running, running, quick, false, true},
+		"running, after long poll":  {running, running, slow, false, false},
+		"running, too early":        {running, running, quick, false, true},
 		"progress, at once":         {progress, progress, quick, true, false},
 		"rejected":                  {rejected, rejected, quick, false, false},
 		"rejected, after duplicate": {rejected, rejected, quick, true, true},
@@ -51,19 +51,19 @@
 			d.RecordDuplicate(0)
 		}
 		if _, suspect := d.Suspect(time.Second, c.took, m, c.first); suspect {
-			t.Errorf("%s: the first of its kind is suspected", name)
+			t.Errorf("%s: the first response on the connection is suspected", name)
 		}
 		if _, suspect := d.Suspect(2*time.Second, c.took, m, c.second); suspect != c.want {
 			t.Errorf("%s: suspected %v, want %v", name, suspect, c.want)
 		}
 		if _, suspect := d.Suspect(2*time.Second, c.took, &History{}, c.second); suspect {
-			t.Errorf("%s: suspected on another connection", name)
+			t.Errorf("%s: the response is suspected on another connection", name)
 		}
 	}
 }
 
-// TestConstantResult: a result that a compute node repeats is suspected once; one that turns out to be
-// a duplicate has rejections suspected for a while.
+// TestConstantResult checks that a result that a compute node repeats is suspected only once, and that after
+// a duplicate rejections are suspected for suspicionPeriod.
 func TestConstantResult(t *testing.T) {
 	d, m := NewDetector(), &History{}
 	done, rejected := response(200, "", "page-count", "0"), response(503, "", "x-shed", "1")
@@ -93,46 +93,47 @@
 	}
 	d.Suspect(0, 0, m, rejected)
 	if _, suspect := d.Suspect(0, 0, m, rejected); suspect {
-		t.Error("a rejection is suspected, and no duplicate was seen")
+		t.Error("a rejection is suspected although no duplicate was seen")
 	}
 	d.Recheck(time.Second, 1, rejected)
 	if _, suspect := d.Suspect(2*time.Second, 0, m, rejected); !suspect {
 		t.Error("a rejection is not suspected after a duplicate")
 	}
 	if _, suspect := d.Suspect(2*time.Second+suspicionPeriod, 0, m, rejected); suspect {
-		t.Error("a rejection is suspected long after a duplicate")
+		t.Error("a rejection is suspected suspicionPeriod after a duplicate")
 	}
 }
 
-// TestConstantResultAfterDuplicate guards against a result that was another's: a result that a compute node
-// is known to repeat was never suspected again, so that a copy of it could answer a query with other rows.
+// TestConstantResultAfterDuplicate guards against answering a query with another query's rows: a result that
+// a compute node is known to repeat was never suspected again, so a duplicate of it was accepted.
 func TestConstantResultAfterDuplicate(t *testing.T) {
 	d, m := NewDetector(), &History{}
 	empty := response(200, "", "page-count", "0")
 	suspect := func(now time.Duration) bool {
 		f, suspected := d.Suspect(now, 0, m, empty)
 		if suspected {
-			d.Recheck(now, f, empty) // the compute node repeats itself
+			d.Recheck(now, f, empty) // the compute node sends the same result again
 		}
 		return suspected
 	}
 	suspect(0)
 	if !suspect(0) || suspect(0) {
-		t.Error("before any duplicate it is to be suspected once")
+		t.Error("before any duplicate the result is not suspected exactly once")
 	}
 	d.RecordDuplicate(time.Second)
 	if !suspect(2*time.Second) || !suspect(3*time.Second) {
-		t.Error("it is not suspected after a duplicate")
+		t.Error("the result is not suspected after a duplicate")
 	}
 	if suspect(time.Second + suspicionPeriod) {
-		t.Error("it is suspected long after a duplicate")
+		t.Error("the result is suspected suspicionPeriod after a duplicate")
 	}
 	if n := len(d.knownRepeats); n != 1 {
-		t.Errorf("it is remembered %d times", n)
+		t.Errorf("the result is remembered %d times, want once", n)
 	}
 }
 
-// TestCopyAfterLongResult: a copy of a result's first page is suspected also after all its other pages.
+// TestCopyAfterLongResult checks that a duplicate of a result's first page is suspected even after all other
+// pages of a result of the maximum length.
 func TestCopyAfterLongResult(t *testing.T) {
 	const pages = 64
 	d, m := NewDetector(), &History{}
@@ -142,6 +143,6 @@
 		d.Suspect(0, 0, m, response(200, "a", "page-no", strconv.Itoa(page)))
 	}
 	if _, suspect := d.Suspect(time.Second, 0, m, first); !suspect {
-		t.Error("the copy is not suspected")
+		t.Error("the duplicate of the first page is not suspected")
 	}
 }
