--- a/internal/protocol/nodehttp/golden_test.go
+++ b/internal/protocol/nodehttp/golden_test.go
@@ -6,7 +6,7 @@
 	"cresspass/internal/goldentest"
 )
 
-// TestGoldenRequests: each call of a compute node is written as the recorded bytes.
+// TestGoldenRequests checks that each call to a compute node is encoded to the recorded bytes.
 func TestGoldenRequests(t *testing.T) {
 	const host, ticket = "10.0.0.7:8080", "00ff00ff00ff00ff"
 	const nonce = "0123456789abcdef0123456789abcdef"
--- a/internal/protocol/nodehttp/request.go
+++ b/internal/protocol/nodehttp/request.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// AppendRequest appends a request with a body and headers, given as names and values in turn; a header
-// without a value is left out. A request with a body, a POST and a PUT have a Content-Length.
+// AppendRequest appends an HTTP/1.1 request to b. The headers are alternating names and values; a header with
+// an empty value is left out. Content-Length is added if body is not nil or the method is POST or PUT.
 func AppendRequest(b []byte, method, path, host string, body []byte, headers ...string) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
@@ -26,7 +26,7 @@
 	return append(b, body...)
 }
 
-// appendHeader ends the line before and appends a header without its line end.
+// appendHeader ends the previous line and appends a header without a line end of its own.
 func appendHeader(b []byte, name, value string) []byte {
 	b = append(b, "\r\n"...)
 	b = append(b, name...)
--- a/internal/protocol/nodehttp/response_test.go
+++ b/internal/protocol/nodehttp/response_test.go
@@ -15,7 +15,7 @@
 		in     string
 		status int
 		body   string
-		err    error // nil: none; ErrMalformed or an end
+		err    error // nil: none; else ErrMalformed, io.EOF or io.ErrUnexpectedEOF
 	}{
 		"length":        {ok + "Content-Length: 3\r\nPage-Count: 1\r\n\r\nabc", 200, "abc", nil},
 		"chunks":        {ok + chunked + "2\r\nab\r\n1;x=y\r\nc\r\n0\r\n\r\n", 200, "abc", nil},
@@ -42,19 +42,20 @@
 			continue
 		}
 		if err != nil || a.Status != c.status || string(a.Body) != c.body {
-			t.Errorf("%s: %+v, %v", name, a, err)
+			t.Errorf("%s: got %+v, error %v", name, a, err)
 		}
 	}
 }
 
-// FuzzReadResponse: whatever comes, reading ends without a panic, and no body is longer than allowed.
+// FuzzReadResponse checks that reading arbitrary bytes ends without a panic, and that no body is longer than
+// MaxBodyBytes or than the input.
 func FuzzReadResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		a, err := ReadResponse(bufio.NewReaderSize(strings.NewReader(string(b)), 4096))
 		if err == nil && (len(a.Body) > MaxBodyBytes || len(a.Body) > len(b)) {
-			t.Errorf("a body of %d bytes", len(a.Body))
+			t.Errorf("body has %d bytes, more than allowed or more than the input", len(a.Body))
 		}
 	})
 }
