--- a/internal/protocol/thrift/decoder.go
+++ b/internal/protocol/thrift/decoder.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	maxDepth = 16 // structs and containers inside one another
+	maxDepth = 16 // nesting of structs and containers in a skipped value
 
-	// MaxFields is how many entries the fields of a dispatch call may have.
+	// MaxFields is the largest number of entries in the Fields of a dispatch call.
 	MaxFields = 64
 )
 
@@ -18,16 +18,16 @@
 	errTooDeep   = errors.New("thrift: values lie too deep in one another")
 )
 
-// decoder reads values of the binary protocol.
+// decoder reads values of the binary protocol from data, beginning at offset.
 type decoder struct {
 	data   []byte
 	offset int
 }
 
-// left returns how many bytes are not yet read.
+// left returns the number of bytes that are not read yet.
 func (d *decoder) left() int { return len(d.data) - d.offset }
 
-// take returns the next n bytes; they point into the data.
+// take returns the next n bytes. The slice shares memory with the data.
 func (d *decoder) take(n int) ([]byte, error) {
 	if n < 0 || n > d.left() {
 		return nil, errTruncated
@@ -69,7 +69,7 @@
 	return d.take(int(n))
 }
 
-// fields reads a map from strings to strings.
+// fields reads a map from strings to strings with at most MaxFields entries.
 func (d *decoder) fields() (Fields, error) {
 	keyType, err := d.u8()
 	if err != nil {
@@ -102,7 +102,7 @@
 	return fields, nil
 }
 
-// skip passes over a value that is not used.
+// skip reads past a value of a type without decoding it. depth counts the values that contain it.
 func (d *decoder) skip(valueType byte, depth int) (err error) {
 	if depth > maxDepth {
 		return errTooDeep
@@ -128,7 +128,7 @@
 	return err
 }
 
-// skipStruct passes over the fields of a struct.
+// skipStruct reads past the fields of a struct, up to its end.
 func (d *decoder) skipStruct(depth int) error {
 	for {
 		fieldType, err := d.u8()
@@ -144,7 +144,7 @@
 	}
 }
 
-// skipContainer passes over a list, a set or a map.
+// skipContainer reads past a list, a set or a map.
 func (d *decoder) skipContainer(containerType byte, depth int) error {
 	elementType, err := d.u8()
 	if err != nil {
@@ -162,7 +162,7 @@
 	if err != nil {
 		return err
 	}
-	if int(n) < 0 || int(n) > d.left() { // each element has a byte at least
+	if int(n) < 0 || int(n) > d.left() { // each element takes at least one byte
 		return errTruncated
 	}
 	for range n {
--- a/internal/protocol/thrift/encoder.go
+++ b/internal/protocol/thrift/encoder.go
@@ -2,7 +2,7 @@
 
 import "encoding/binary"
 
-// The types of value on the wire.
+// The type numbers of values in the binary protocol.
 const (
 	typeStop   = 0
 	typeBool   = 2
@@ -18,7 +18,7 @@
 	typeList   = 15
 )
 
-// appendField appends the head of a struct's field.
+// appendField appends the header of a struct field: its type and its id.
 func appendField(b []byte, valueType byte, id uint16) []byte {
 	return binary.BigEndian.AppendUint16(append(b, valueType), id)
 }
@@ -37,7 +37,7 @@
 	return append(b, 0)
 }
 
-// appendFields appends a struct's field that is a map from strings to strings.
+// appendFields appends a struct field that is a map from strings to strings.
 func appendFields(b []byte, id uint16, fields Fields) []byte {
 	b = append(appendField(b, typeMap, id), typeString, typeString)
 	b = appendI32(b, int32(len(fields)))
--- a/internal/protocol/thrift/golden_test.go
+++ b/internal/protocol/thrift/golden_test.go
@@ -6,8 +6,8 @@
 	"cresspass/internal/goldentest"
 )
 
-// TestGoldenFrames: each message is encoded to the recorded bytes, so that clients and dispatchers of other
-// versions read it.
+// TestGoldenFrames checks that each message is encoded to the recorded bytes, so that clients and dispatchers
+// of other versions can decode it.
 func TestGoldenFrames(t *testing.T) {
 	rows := [][]byte{[]byte("1\ta\tb\n"), []byte("2\tc\td\n")}
 	later, reason := Fields{{"later", "250"}}, Fields{{"reason", "no statement"}}
@@ -38,7 +38,7 @@
 	}
 }
 
-// TestGoldenRequests: the recorded requests are read with the values that they were written with.
+// TestGoldenRequests checks that the recorded requests are decoded to the values they were encoded from.
 func TestGoldenRequests(t *testing.T) {
 	read := func(name string) Request {
 		frame := goldentest.Read(t, "golden/"+name+".bin")
--- a/internal/protocol/thrift/message.go
+++ b/internal/protocol/thrift/message.go
@@ -1,7 +1,7 @@
-// Package thrift encodes and decodes the messages between clients and dispatchers: Apache Thrift's strict
-// binary protocol in frames. Each message has a type, with its encoding and decoding beside each other. The
-// bytes come from unknown clients, so every length is checked against what is there before it is used. The
-// package does no I/O and does not judge what a message asks for.
+// Package thrift encodes and decodes the messages between clients and dispatchers, in Apache Thrift's strict
+// binary protocol with framing. Each message has a Go type with methods for its encoding and decoding. The
+// bytes come from untrusted clients, so every length is checked against the bytes that are left before it is
+// used. The package does no I/O and does not check whether a request makes sense.
 package thrift
 
 import (
@@ -9,10 +9,10 @@
 	"fmt"
 )
 
-// MessageType is the type of a message in its header.
+// MessageType is the message type in a message's header.
 type MessageType byte
 
-// The types of message of the protocol.
+// The message types of the protocol.
 const (
 	Call      MessageType = 1
 	Reply     MessageType = 2
@@ -23,28 +23,28 @@
 // The methods of the service.
 const (
 	MethodDispatch      = "dispatch"      // runs a query
-	MethodCancelRequest = "cancelRequest" // takes a dispatch call back
+	MethodCancelRequest = "cancelRequest" // cancels an earlier dispatch call
 	MethodAlive         = "alive"         // asks whether the dispatcher accepts queries
 )
 
 const (
-	// FrameHeaderBytes is the length of the number before a frame.
+	// FrameHeaderBytes is the size of the length that precedes each frame.
 	FrameHeaderBytes = 4
-	// MaxMethodBytes is the longest name of a method.
+	// MaxMethodBytes is the largest length of a method name that is accepted, in bytes.
 	MaxMethodBytes = 64
 
 	versionMask = 0xffff0000
 	version1    = 0x80010000
 )
 
-// Header is how a message begins.
+// Header is the header of a message.
 type Header struct {
-	Name string // of the method
+	Name string // name of the method
 	Type MessageType
-	Seq  int32
+	Seq  int32 // sequence id, which a reply repeats from its call
 }
 
-// header reads a message's header.
+// header reads a message header.
 func (d *decoder) header() (h Header, err error) {
 	v, err := d.i32()
 	if err != nil {
@@ -68,7 +68,7 @@
 	return h, err
 }
 
-// beginFrame appends the length of a frame, to be written by endFrame, and a message's header.
+// beginFrame appends space for the length of a frame, which endFrame fills in, and a message header.
 func beginFrame(b []byte, h Header) []byte {
 	b = append(b, make([]byte, FrameHeaderBytes)...)
 	b = binary.BigEndian.AppendUint32(b, version1|uint32(h.Type))
@@ -76,7 +76,7 @@
 	return binary.BigEndian.AppendUint32(b, uint32(h.Seq))
 }
 
-// endFrame writes the length of the frame that begins at start and goes to the end of b.
+// endFrame fills in the length of the frame that begins at start and ends at the end of b.
 func endFrame(b []byte, start int) []byte {
 	binary.BigEndian.PutUint32(b[start:], uint32(len(b)-start-FrameHeaderBytes))
 	return b
--- a/internal/protocol/thrift/message_test.go
+++ b/internal/protocol/thrift/message_test.go
@@ -6,18 +6,19 @@
 	"testing"
 )
 
-// TestRequestRoundTrip: a request is decoded to what was encoded, and every truncation of it is an error.
+// TestRequestRoundTrip checks that an encoded request decodes to the same values, and that every truncation
+// of it, and a trailing byte, is an error.
 func TestRequestRoundTrip(t *testing.T) {
 	call := Dispatch{Fields: Fields{{"verb", "report"}, {"txn", "00ff"}}, Body: []byte("SELECT 1")}
 	frame := call.Append(nil, 7)
 	if n := binary.BigEndian.Uint32(frame); int(n) != len(frame)-FrameHeaderBytes {
-		t.Fatalf("the frame header says %d bytes of %d", n, len(frame)-FrameHeaderBytes)
+		t.Fatalf("the frame header gives a length of %d bytes, want %d", n, len(frame)-FrameHeaderBytes)
 	}
 	r, err := ParseRequest(frame[FrameHeaderBytes:])
 	if err != nil || r.Name != "dispatch" || r.Seq != 7 || r.Type != Call ||
 		r.Dispatch.Fields.Get("verb") != "report" ||
 		r.Dispatch.Fields.Get("txn") != "00ff" || string(r.Dispatch.Body) != "SELECT 1" {
-		t.Fatalf("%+v, %v", r, err)
+		t.Fatalf("decoded dispatch call: %+v, error %v", r, err)
 	}
 	for i := FrameHeaderBytes; i < len(frame); i++ {
 		if _, err := ParseRequest(frame[FrameHeaderBytes:i]); err == nil {
@@ -25,18 +26,19 @@
 		}
 	}
 	if _, err := ParseRequest(append(frame[FrameHeaderBytes:], 0)); err == nil {
-		t.Error("no error for a byte too many")
+		t.Error("no error for a byte after the message")
 	}
 	r, err = ParseRequest(CancelRequest{TargetSeq: 7}.Append(nil, 9)[FrameHeaderBytes:])
 	if err != nil || r.Name != "cancelRequest" || r.Type != Oneway || r.Cancel.TargetSeq != 7 {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("decoded cancel request: %+v, error %v", r, err)
 	}
 	if r, err = ParseRequest(Alive{}.Append(nil, 2)[FrameHeaderBytes:]); err != nil || r.Name != "alive" {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("decoded alive call: %+v, error %v", r, err)
 	}
 }
 
-// FuzzRequest: whatever comes, reading ends without a panic and keeps within the frame.
+// FuzzRequest checks that decoding arbitrary bytes ends without a panic, and that the body is not longer than
+// the frame.
 func FuzzRequest(f *testing.F) {
 	f.Add(Dispatch{Fields: Fields{{"verb", "x"}}, Body: []byte("SELECT 1")}.Append(nil, 1)[FrameHeaderBytes:])
 	f.Add(CancelRequest{TargetSeq: 2}.Append(nil, 1)[FrameHeaderBytes:])
@@ -45,22 +47,22 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r, err := ParseRequest(b)
 		if err == nil && len(r.Dispatch.Body) > len(b) {
-			t.Error("a body longer than its frame")
+			t.Error("the body is longer than its frame")
 		}
 	})
 }
 
-// TestFieldsLookup: a name that comes twice has its last value, one that does not come is distinguished
-// from one that is empty.
+// TestFieldsLookup checks that a repeated name has its last value, and that a missing name is distinguished
+// from one with an empty value.
 func TestFieldsLookup(t *testing.T) {
 	fields := Fields{{"verb", "first"}, {"team", ""}, {"verb", "last"}}
 	if got := fields.Get("verb"); got != "last" {
-		t.Errorf("verb is %q", got)
+		t.Errorf("verb is %q, want the last value", got)
 	}
 	if value, ok := fields.Lookup("team"); !ok || value != "" {
-		t.Errorf("team is %q, %v", value, ok)
+		t.Errorf("team is %q, present: %v, want an empty value", value, ok)
 	}
 	if value, ok := fields.Lookup("item"); ok || value != "" {
-		t.Errorf("item is %q, %v", value, ok)
+		t.Errorf("item is %q, present: %v, want none", value, ok)
 	}
 }
--- a/internal/protocol/thrift/reply.go
+++ b/internal/protocol/thrift/reply.go
@@ -2,14 +2,14 @@
 
 import "encoding/binary"
 
-// Answer is the result of MethodDispatch and MethodAlive.
+// Answer is the reply to MethodDispatch or MethodAlive that holds the result.
 type Answer struct {
 	Method string
-	Good   bool
-	Body   [][]byte // in parts, one after another
+	Good   bool     // of MethodAlive: whether the dispatcher accepts queries
+	Body   [][]byte // parts that are concatenated
 }
 
-// Append appends a frame with the reply.
+// Append appends a frame with the reply to the call with sequence id seq.
 func (m Answer) Append(b []byte, seq int32) []byte {
 	start := len(b)
 	b = beginFrame(b, Header{m.Method, Reply, seq})
@@ -27,22 +27,23 @@
 	return endFrame(append(b, typeStop, typeStop), start)
 }
 
-// DispatchExceptionType says which of its exceptions MethodDispatch raises, by the field in its result.
+// DispatchExceptionType tells the exceptions of MethodDispatch apart. Its value is the id of the exception's
+// field in the result struct.
 type DispatchExceptionType uint16
 
 // The exceptions of MethodDispatch.
 const (
-	ShedException  DispatchExceptionType = 1 // rejected: a retry is harmless
-	FaultException DispatchExceptionType = 2
+	ShedException  DispatchExceptionType = 1 // the query was rejected; a retry is harmless
+	FaultException DispatchExceptionType = 2 // the query failed or was invalid
 )
 
-// DispatchException is the reply to a query that is not answered.
+// DispatchException is the reply to a dispatch call that raises an exception instead of returning a result.
 type DispatchException struct {
 	Which  DispatchExceptionType
 	Fields Fields
 }
 
-// Append appends a frame with the reply.
+// Append appends a frame with the reply to the dispatch call with sequence id seq.
 func (m DispatchException) Append(b []byte, seq int32) []byte {
 	start := len(b)
 	b = beginFrame(b, Header{MethodDispatch, Reply, seq})
@@ -51,23 +52,23 @@
 	return endFrame(append(b, typeStop, typeStop), start)
 }
 
-// ApplicationExceptionType is a number of Thrift's application exception.
+// ApplicationExceptionType is the type number of a Thrift application exception (TApplicationException).
 type ApplicationExceptionType int32
 
-// The application exceptions of the service.
+// The application exceptions that the service sends.
 const (
 	UnknownMethod ApplicationExceptionType = 1
 	ProtocolError ApplicationExceptionType = 7
 )
 
-// ApplicationException is the reply to a message that is no call of the service.
+// ApplicationException is the reply to a message that is not a valid call of the service.
 type ApplicationException struct {
 	Method string
 	Type   ApplicationExceptionType
 	Text   string
 }
 
-// Append appends a frame with the reply.
+// Append appends a frame with the reply to the message with sequence id seq.
 func (m ApplicationException) Append(b []byte, seq int32) []byte {
 	start := len(b)
 	b = beginFrame(b, Header{m.Method, Exception, seq})
--- a/internal/protocol/thrift/request.go
+++ b/internal/protocol/thrift/request.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// Request is a message of a client. Of the arguments, those of the header's method count, as far as the
-// message had them.
+// Request is a message from a client. Only the arguments of the method in the header are set, and of those
+// only the fields that the message has.
 type Request struct {
 	Header
 	Dispatch Dispatch
 	Cancel   CancelRequest
 }
 
-// ParseRequest reads a complete frame, without its length. The header counts also where the arguments give an
-// error.
+// ParseRequest decodes a complete frame without its length. If the arguments cannot be decoded, the header of
+// the returned Request is still valid.
 func ParseRequest(frame []byte) (req Request, err error) {
 	d := decoder{data: frame}
 	if req.Header, err = d.header(); err != nil {
@@ -39,7 +39,7 @@
 	return req, nil
 }
 
-// decodeField reads an argument of the header's method.
+// decodeField reads an argument of the method in the header, and skips those of other methods.
 func (r *Request) decodeField(d *decoder, fieldType byte, id uint16) error {
 	switch r.Name {
 	case MethodDispatch:
@@ -50,13 +50,13 @@
 	return d.skip(fieldType, 0)
 }
 
-// Fields is a map from strings to strings in the order of the message.
+// Fields is a map from strings to strings, as a list in the order of the message.
 type Fields []Field
 
 // Field is an entry of Fields.
 type Field struct{ Name, Value string }
 
-// Lookup returns the value of a name, the last one where it comes twice.
+// Lookup returns the value of a name, and whether there is one. Of several values it returns the last one.
 func (f Fields) Lookup(name string) (string, bool) {
 	for i := len(f) - 1; i >= 0; i-- {
 		if f[i].Name == name {
@@ -66,19 +66,19 @@
 	return "", false
 }
 
-// Get returns the value of a name; "" where there is none.
+// Get returns the value of a name, or "" if there is none.
 func (f Fields) Get(name string) string {
 	value, _ := f.Lookup(name)
 	return value
 }
 
-// Dispatch is the arguments of a call of MethodDispatch: a query.
+// Dispatch holds the arguments of a MethodDispatch call: a query.
 type Dispatch struct {
 	Fields Fields // field 1
-	Body   []byte // field 2; decoded, it points into the frame
+	Body   []byte // field 2; after decoding it shares memory with the frame
 }
 
-// Append appends a frame with the call.
+// Append appends a frame with the call, with sequence id seq.
 func (m Dispatch) Append(b []byte, seq int32) []byte {
 	start := len(b)
 	b = beginFrame(b, Header{MethodDispatch, Call, seq})
@@ -99,12 +99,12 @@
 	return err
 }
 
-// CancelRequest is the argument of a call of MethodCancelRequest, which has no reply.
+// CancelRequest holds the argument of a MethodCancelRequest call, which has no reply.
 type CancelRequest struct {
-	TargetSeq int32 // field 1: of the dispatch call that is taken back
+	TargetSeq int32 // field 1: sequence id of the dispatch call to cancel
 }
 
-// Append appends a frame with the call.
+// Append appends a frame with the call, with sequence id seq.
 func (m CancelRequest) Append(b []byte, seq int32) []byte {
 	start := len(b)
 	b = beginFrame(b, Header{MethodCancelRequest, Oneway, seq})
@@ -120,10 +120,10 @@
 	return d.skip(fieldType, 0)
 }
 
-// Alive is a call of MethodAlive, whose argument says nothing.
+// Alive is a MethodAlive call. Its argument has no meaning.
 type Alive struct{}
 
-// Append appends a frame with the call.
+// Append appends a frame with the call, with sequence id seq.
 func (Alive) Append(b []byte, seq int32) []byte {
 	start := len(b)
 	b = beginFrame(b, Header{MethodAlive, Call, seq})
