--- a/internal/discovery/eds/cache.go
+++ b/internal/discovery/eds/cache.go
@@ -11,20 +11,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The cached list is cacheMagic, the list as JSON, and the checksum of the JSON (xxHash64, big-endian).
+// A cache file consists of cacheMagic, the list as JSON, and the checksum of the JSON (xxHash64, big-endian).
 const (
-	cacheMagic    = "cresspass list 1\n" // the number is the version of the format
+	cacheMagic    = "cresspass list 1\n" // 1 is the version of the format
 	checksumBytes = 8
 )
 
-// damagedSuffix is added to the name of a cached list that cannot be used.
+// damagedSuffix is appended to the name of a cache file that cannot be used.
 const damagedSuffix = ".damaged"
 
-// ErrCacheDamaged is the kind of error for a cached list that cannot be used.
+// ErrCacheDamaged is wrapped by the errors of LoadCache for a cache file that cannot be used.
 var ErrCacheDamaged = errors.New("eds: the cached list is damaged")
 
-// SaveCache writes a list to a file so that after a crash the file holds this list or the one before: it
-// writes a temporary file, syncs it, renames it, and syncs the directory.
+// SaveCache writes a list to a file atomically: after a crash the file holds either this list or the previous
+// one. It writes a temporary file, syncs it, renames it, and syncs the directory.
 func SaveCache(path string, l *List) error {
 	body, err := json.Marshal(l)
 	if err != nil {
@@ -37,7 +37,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(f.Name()) }() // after the rename there is nothing to remove
+	defer func() { _ = os.Remove(f.Name()) }() // fails after the rename, when there is nothing to remove
 	_, err = f.Write(data)
 	err = errors.Join(err, f.Sync(), f.Close())
 	if err != nil {
@@ -53,7 +53,8 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// LoadCache reads a cached list. One that is damaged is renamed to path.damaged and never used.
+// LoadCache reads the list from a cache file. A damaged file is renamed to path.damaged and is not used; the
+// error then wraps ErrCacheDamaged.
 func LoadCache(path string) (*List, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -68,7 +69,7 @@
 	return l, nil
 }
 
-// decodeCache returns the list of a cache file's bytes, or an error that says what is wrong with them.
+// decodeCache decodes the contents of a cache file.
 func decodeCache(data []byte) (*List, error) {
 	end := len(data) - checksumBytes
 	if end < len(cacheMagic) || string(data[:len(cacheMagic)]) != cacheMagic {
--- a/internal/discovery/eds/client.go
+++ b/internal/discovery/eds/client.go
@@ -17,38 +17,40 @@
 	"google.golang.org/grpc/keepalive"
 )
 
-// Source is where engine lists come from.
+// Source delivers engine lists.
 type Source interface {
-	// Run delivers lists, and failures of the subscription, until the context ends.
+	// Run calls list with each list that it receives, and failed with the error of each subscription that
+	// ends, until the context ends.
 	Run(ctx context.Context, list func(*List), failed func(error))
-	// Refresh requests the complete list once more.
+	// Refresh requests the complete list again.
 	Refresh()
 }
 
-// Client subscribes to an endpoint discovery service over gRPC: state of the world, one resource. Make one
-// with NewClient.
+// Client subscribes to an endpoint discovery service over gRPC, to one resource in the state-of-the-world
+// variant of the protocol. Create it with NewClient.
 type Client struct {
 	Address string // host:port
-	Service string // the name of the ClusterLoadAssignment
-	NodeID  string // how the dispatcher identifies itself
+	Service string // name of the ClusterLoadAssignment
+	NodeID  string // identifies the dispatcher to the service
 	Log     *slog.Logger
-	refresh chan struct{} // holds at most one request to refresh
+	refresh chan struct{} // holds at most one pending refresh request
 
-	pingInterval time.Duration // without a response, after which the service is pinged
-	pingTimeout  time.Duration // after which a service that does not answer a ping has failed
+	pingInterval time.Duration // idle time after which the service is pinged
+	pingTimeout  time.Duration // time to wait for the answer to a ping before the connection has failed
 }
 
-// A service that vanished, or hangs, sends nothing, as one does whose list does not change. A ping tells them
-// apart.
+// A service that has vanished or hangs sends nothing, and neither does one whose list does not change. Pings
+// tell the two apart.
 const (
 	defaultPingInterval = 30 * time.Second
 	defaultPingTimeout  = 5 * time.Second
-	// tooManyPings is what a service closes the connection with that wants fewer pings ("PING" in gRPC's
-	// keepalive).
+	// tooManyPings is in the error when a service closes the connection because it gets pings too often (the
+	// debug data of a GOAWAY frame in gRPC's keepalive).
 	tooManyPings = "too_many_pings"
 )
 
-// NewClient returns a client that is not yet running.
+// NewClient returns a client for the resource of a service, with default ping times. It does not connect
+// before Run.
 func NewClient(address, service, nodeID string, log *slog.Logger) *Client {
 	return &Client{
 		Address: address,
@@ -62,24 +64,27 @@
 	}
 }
 
-// Refresh requests the complete list once more.
+// Refresh requests the complete list again. It does not wait for the list and may be called from any
+// goroutine.
 func (c *Client) Refresh() {
 	select {
 	case c.refresh <- struct{}{}:
-	default: // one request is pending already
+	default: // a request is pending already
 	}
 }
 
-// minBackoff and maxBackoff bound the pause between two subscriptions, which doubles from one to the next.
+// minBackoff and maxBackoff limit the delay between two subscriptions, which doubles each time until a list
+// is accepted.
 const (
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 2 * time.Second
 )
 
-// errRefresh ends a subscription because of Refresh.
-var errRefresh = errors.New("eds: the list was requested again")
+// errRefresh is the error of a subscription that Refresh has ended.
+var errRefresh = errors.New("eds: subscription ended to request the complete list again")
 
-// Run subscribes, again and again, until the context ends.
+// Run subscribes, and subscribes again after each failure, until the context ends. It calls list and failed
+// one at a time.
 func (c *Client) Run(ctx context.Context, list func(*List), failed func(error)) {
 	backoff := minBackoff
 	for ctx.Err() == nil {
@@ -106,7 +111,8 @@
 // endpointStream is one subscription.
 type endpointStream = endpointservice.EndpointDiscoveryService_StreamEndpointsClient
 
-// subscribe runs one subscription to its end. accepted says whether a list was accepted.
+// subscribe runs one subscription until it ends and returns the reason. accepted tells whether a list was
+// accepted.
 func (c *Client) subscribe(ctx context.Context, list func(*List)) (accepted bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -115,7 +121,7 @@
 	if err != nil {
 		return false, err
 	}
-	defer func() { _ = conn.Close() }() // the subscription has ended: nothing is lost
+	defer func() { _ = conn.Close() }() // the subscription has ended; an error does not matter
 	stream, err := endpointservice.NewEndpointDiscoveryServiceClient(conn).StreamEndpoints(ctx)
 	if err != nil {
 		return false, err
@@ -130,7 +136,7 @@
 		case err := <-ended:
 			return accepted, err
 		case <-c.refresh:
-			// The service responds to a new subscription of the same name with the complete resource.
+			// The service answers a new subscription to the same name with the complete resource.
 			return accepted, errRefresh
 		case response := <-responses:
 			l, rejection := c.parseResponse(response)
@@ -140,8 +146,7 @@
 				acceptedVersion, accepted = response.VersionInfo, true
 				list(l)
 			}
-			// With a rejection, the last version that was accepted: this is how the protocol rejects a
-			// response.
+			// The protocol rejects a response by a request with the last accepted version and an error.
 			if err := c.request(stream, acceptedVersion, response.Nonce, rejection); err != nil {
 				return accepted, err
 			}
@@ -149,7 +154,8 @@
 	}
 }
 
-// request subscribes, or accepts or rejects the response with the nonce.
+// request sends a discovery request. With an empty nonce it subscribes; otherwise it accepts the response
+// with that nonce, or rejects it if rejection is not nil.
 func (c *Client) request(stream endpointStream, version, nonce string, rejection error) error {
 	r := &discoveryv3.DiscoveryRequest{
 		VersionInfo:   version,
@@ -164,8 +170,8 @@
 	return stream.Send(r)
 }
 
-// receive passes on what comes by a stream, in a goroutine that ends with the stream or the context; ended
-// then has the reason.
+// receive reads responses from a stream in a goroutine that ends with the stream or the context. The reason
+// is then sent on the second channel.
 func receive(ctx context.Context,
 	stream endpointStream) (<-chan *discoveryv3.DiscoveryResponse, <-chan error) {
 	responses := make(chan *discoveryv3.DiscoveryResponse)
@@ -180,8 +186,8 @@
 			select {
 			case responses <- response:
 			case <-ctx.Done():
-				// Without this the reader would wait forever for the stream's end, where a response comes
-				// in the moment in which the context ends.
+				// Without this case the goroutine would block forever on a response that arrives at the
+				// moment the context ends.
 				ended <- ctx.Err()
 				return
 			}
--- a/internal/discovery/eds/eds_test.go
+++ b/internal/discovery/eds/eds_test.go
@@ -15,7 +15,7 @@
 	"cresspass/internal/discovery/starttime"
 )
 
-// sampleList has an engine in each state.
+// sampleList returns a list with an engine in each state.
 func sampleList() *List {
 	return &List{Version: "7", ReceivedAt: time.UnixMilli(1700000000000).UTC(), Engines: []Engine{
 		{Address: "127.0.0.1:7001", State: StateActive, Kind: "std", Zone: "a", Cell: 2, Size: 1.5,
@@ -24,7 +24,8 @@
 		{Address: "127.0.0.1:7003", State: StateRemoved}}}
 }
 
-// A cached list is read back completely or, truncated at any byte or with any bit flipped, not at all.
+// TestCachedListIsCompleteOrRejected checks that a cached list is read back completely, and that one that is
+// truncated at any byte, or has a bit flipped in any byte, is rejected and renamed.
 func TestCachedListIsCompleteOrRejected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
 	if err := SaveCache(path, sampleList()); err != nil {
@@ -32,7 +33,7 @@
 	}
 	l, err := LoadCache(path)
 	if err != nil || !reflect.DeepEqual(l, sampleList()) {
-		t.Fatalf("read back %+v, %v", l, err)
+		t.Fatalf("LoadCache returned %+v, %v, want the saved list", l, err)
 	}
 	intact, err := os.ReadFile(path)
 	if err != nil {
@@ -46,19 +47,21 @@
 				t.Fatal(err)
 			}
 			if _, err := LoadCache(path); !errors.Is(err, ErrCacheDamaged) {
-				t.Fatalf("%d of %d bytes: %v", len(data), len(intact), err)
+				t.Fatalf("damaged file of %d bytes, intact %d: error %v, want ErrCacheDamaged", len(data),
+					len(intact), err)
 			}
 			if _, err := os.Stat(path); !os.IsNotExist(err) {
-				t.Fatalf("a damaged list was left in place: %v", err)
+				t.Fatalf("the damaged file was not renamed: %v", err)
 			}
 		}
 	}
 	if left, _ := filepath.Glob(filepath.Join(filepath.Dir(path), "*.new-*")); len(left) > 0 {
-		t.Errorf("left behind: %v", left)
+		t.Errorf("temporary files are left: %v", left)
 	}
 }
 
-// What NewAssignment writes, the client reads; a response with anything wrong is rejected completely.
+// TestDiscoveryResponses checks that the client reads the resource that NewAssignment returns, and that it
+// rejects a response completely if any part of it is wrong.
 func TestDiscoveryResponses(t *testing.T) {
 	c := NewClient("127.0.0.1:1", "engines", "node", nil)
 	response := func(l *List, service string) *discoveryv3.DiscoveryResponse {
@@ -80,7 +83,7 @@
 	for i, e := range l.Engines {
 		want := sampleList().Engines[i]
 		if !e.Started.Equal(want.Started) {
-			t.Errorf("start %v, want %v", e.Started, want.Started)
+			t.Errorf("start time %v, want %v", e.Started, want.Started)
 		}
 		e.Started = want.Started
 		if e != want {
@@ -90,20 +93,21 @@
 	twice := sampleList()
 	twice.Engines[1].Address = twice.Engines[0].Address
 	if _, err := c.parseResponse(response(twice, "engines")); err == nil {
-		t.Error("an engine named twice was accepted")
+		t.Error("a list that names an engine twice was accepted")
 	}
 	if _, err := c.parseResponse(response(sampleList(), "others")); err == nil {
-		t.Error("another service's list was accepted")
+		t.Error("the list of another service was accepted")
 	}
 	truncated := response(sampleList(), "engines")
 	value := truncated.Resources[0].Value
 	truncated.Resources[0].Value = value[:len(value)/2]
 	if _, err := c.parseResponse(truncated); err == nil {
-		t.Error("half a resource was accepted")
+		t.Error("a truncated resource was accepted")
 	}
 }
 
-// Start times are converted to the module's clock, the same each time that a start is listed.
+// TestEngineInfos checks that start times are converted to the module's clock, and that the same start time
+// is converted to the same value each time it is listed.
 func TestEngineInfos(t *testing.T) {
 	l := sampleList()
 	now := 24 * time.Hour
@@ -112,13 +116,13 @@
 	clock.Observe(now, "started just now", started.Add(3*time.Second))
 	infos := l.EngineInfos(now, clock)
 	if infos[0].StartedAt != now-3*time.Second || infos[1].StartedAt != 0 {
-		t.Errorf("starts %v, %v", infos[0].StartedAt, infos[1].StartedAt)
+		t.Errorf("start times %v, %v, want 3 s ago and none", infos[0].StartedAt, infos[1].StartedAt)
 	}
 	if again := l.EngineInfos(now+time.Second, clock); again[0].StartedAt != infos[0].StartedAt {
-		t.Errorf("listed again: start %v, then %v", infos[0].StartedAt, again[0].StartedAt)
+		t.Errorf("start time %v, then %v when listed again", infos[0].StartedAt, again[0].StartedAt)
 	}
 	clock = starttime.New(starttime.AllStarts, started.Add(-time.Hour), now)
 	if ahead := l.EngineInfos(now, clock); ahead[0].StartedAt != now {
-		t.Errorf("a start in the future counts as %v, want now", ahead[0].StartedAt)
+		t.Errorf("a start time in the future is converted to %v, want now", ahead[0].StartedAt)
 	}
 }
--- a/internal/discovery/eds/golden_test.go
+++ b/internal/discovery/eds/golden_test.go
@@ -14,7 +14,8 @@
 	"cresspass/internal/goldentest"
 )
 
-// The cached list of an earlier version is read, and this version writes the same bytes.
+// TestGoldenCachedList checks that a cache file of an earlier version is read, and that this version writes
+// the same bytes.
 func TestGoldenCachedList(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
 	if err := SaveCache(path, sampleList()); err != nil {
@@ -30,12 +31,12 @@
 		t.Fatal(err)
 	}
 	if l, err := LoadCache(path); err != nil || !reflect.DeepEqual(l, sampleList()) {
-		t.Errorf("the stored list is read as %+v, %v", l, err)
+		t.Errorf("the recorded list is read as %+v, %v", l, err)
 	}
 }
 
-// The resource that an earlier version sent by endpoint discovery is read, and this version sends an equal
-// one.
+// TestGoldenAssignment checks that the discovery resource of an earlier version is read, and that this
+// version produces an equal one.
 func TestGoldenAssignment(t *testing.T) {
 	assignment, err := NewAssignment("engines", sampleList())
 	if err != nil {
@@ -45,7 +46,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Compared as a message: another version of the library may encode an equal one in other bytes.
+	// Compare messages, not bytes: another version of the library may encode an equal message differently.
 	goldentest.Update(t, "assignment.pb", current)
 	stored := goldentest.Read(t, "assignment.pb")
 	var sent endpointv3.ClusterLoadAssignment
@@ -53,7 +54,7 @@
 		t.Fatal(err)
 	}
 	if !proto.Equal(&sent, assignment) {
-		t.Errorf("the resource is sent as %v, want %v", assignment, &sent)
+		t.Errorf("the resource is %v, want %v", assignment, &sent)
 	}
 	l, err := NewClient("127.0.0.1:1", "engines", "node", nil).parseResponse(&discoveryv3.DiscoveryResponse{
 		VersionInfo: "7",
@@ -64,7 +65,7 @@
 		t.Fatal(err)
 	}
 	if want := sampleList().Engines; len(l.Engines) != len(want) || l.Version != "7" {
-		t.Fatalf("the stored resource is read as %+v", l)
+		t.Fatalf("the recorded resource is read as %+v", l)
 	}
 	for i, want := range sampleList().Engines {
 		got := l.Engines[i]
--- a/internal/discovery/eds/list.go
+++ b/internal/discovery/eds/list.go
@@ -1,6 +1,6 @@
-// Package eds brings the engine list: its form, a client of Envoy's endpoint discovery service (EDS) that
-// receives it, and the file that caches the last one. It accepts a list completely or not at all; what
-// becomes of the engines is decided by the module.
+// Package eds defines the engine list, a client that receives it from an endpoint discovery service (Envoy's
+// EDS), and a file that caches the last list. It accepts a list completely or not at all. What a list means
+// for the engines is decided by the module.
 package eds
 
 import (
@@ -32,7 +32,7 @@
 	Zone    string      `json:"zone,omitempty"`
 	Cell    int         `json:"cell,omitempty"`
 	Size    float64     `json:"size,omitempty"`
-	Started time.Time   `json:"started,omitzero"` // zero: long ago
+	Started time.Time   `json:"started,omitzero"` // zero: not reported, counts as long ago
 }
 
 // List is a complete engine list.
@@ -42,14 +42,15 @@
 	Engines    []Engine  `json:"engines"`
 }
 
-// Validate sorts the list by address and returns an error that names what makes it unacceptable. The
-// discovery service receives the error's text with the rejection of its list.
+// Validate sorts the list by address. It returns an error if an engine has no address, an address listed
+// already, or an unknown state. The discovery service receives the text of the error when its list is
+// rejected.
 func (l *List) Validate() error {
 	slices.SortFunc(l.Engines, func(a, b Engine) int { return cmp.Compare(a.Address, b.Address) })
 	for i, e := range l.Engines {
 		switch {
 		case e.Address == "":
-			return errors.New("roster: an engine without an address")
+			return errors.New("roster: engine has no address")
 		case i > 0 && l.Engines[i-1].Address == e.Address:
 			return fmt.Errorf("roster: engine %s is named twice", e.Address)
 		case e.State != StateActive && e.State != StateDraining && e.State != StateRemoved:
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// Lookup returns the entry of an engine, or nil.
+// Lookup returns the entry with an address, or nil if there is none.
 func (l *List) Lookup(address string) *Engine {
 	for i := range l.Engines {
 		if l.Engines[i].Address == address {
@@ -69,11 +70,11 @@
 	return nil
 }
 
-// EngineInfos returns the list in the module's terms, at a time of its clock. The converter turns start
-// times into that clock's time, and drops the engines that are not on the list.
+// EngineInfos returns the list in the module's types; now is the time on the module's clock. The converter
+// converts start times to that clock and forgets engines that are not on the list.
 func (l *List) EngineInfos(now time.Duration, clock *starttime.Converter) []cresspass.EngineInfo {
 	listed := map[cresspass.EngineID]bool{}
-	for _, e := range l.Engines { // all are observed before one is converted
+	for _, e := range l.Engines { // observe all start times before converting the first
 		listed[cresspass.EngineID(e.Address)] = true
 		if !e.Started.IsZero() {
 			clock.Observe(now, cresspass.EngineID(e.Address), e.Started)
--- a/internal/discovery/eds/resource.go
+++ b/internal/discovery/eds/resource.go
@@ -16,28 +16,28 @@
 // TypeURL is the resource type of endpoint discovery (xDS protocol, "Resource Types").
 const TypeURL = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 
-// MetadataFilter is the filter name under which an endpoint's metadata stand.
+// MetadataFilter is the key of the dispatcher's fields in the filter metadata of an endpoint.
 const MetadataFilter = "cresspass"
 
 // Fields of an endpoint's metadata.
 const (
 	metadataKind  = "kind"
 	metadataSize  = "size"
-	metadataStart = "start" // seconds since 1970
+	metadataStart = "start" // Unix time in seconds
 )
 
-// parseResponse returns the list of a response, or an error that says why the response is rejected. The
-// discovery service receives its text.
+// parseResponse returns the engine list in a response, or an error with the reason to reject the response.
+// The discovery service receives the text of the error.
 func (c *Client) parseResponse(response *discoveryv3.DiscoveryResponse) (*List, error) {
 	if response.TypeUrl != TypeURL {
-		return nil, fmt.Errorf("roster: type %q", response.TypeUrl)
+		return nil, fmt.Errorf("roster: unexpected resource type %q", response.TypeUrl)
 	}
 	l := &List{Version: response.VersionInfo, ReceivedAt: time.Now()}
 	found := false
 	for _, resource := range response.Resources {
 		var assignment endpointv3.ClusterLoadAssignment
 		if err := resource.UnmarshalTo(&assignment); err != nil {
-			return nil, fmt.Errorf("roster: %w", err)
+			return nil, fmt.Errorf("roster: decode resource: %w", err)
 		}
 		if assignment.ClusterName != c.Service {
 			continue
@@ -54,16 +54,17 @@
 		}
 	}
 	if !found {
-		return nil, fmt.Errorf("roster: no resource %q in version %q", c.Service, response.VersionInfo)
+		return nil, fmt.Errorf("roster: resource %q is missing from version %q", c.Service,
+			response.VersionInfo)
 	}
 	return l, l.Validate()
 }
 
-// parseEndpoint returns the engine of an endpoint.
+// parseEndpoint converts an endpoint and its locality to an engine.
 func parseEndpoint(locality *corev3.Locality, endpoint *endpointv3.LbEndpoint) (e Engine, err error) {
 	address := endpoint.GetEndpoint().GetAddress().GetSocketAddress()
 	if address == nil {
-		return e, errors.New("roster: an endpoint without a socket address")
+		return e, errors.New("roster: endpoint has no socket address")
 	}
 	e.Address = net.JoinHostPort(address.Address, strconv.Itoa(int(address.GetPortValue())))
 	e.Zone = locality.GetZone()
@@ -74,7 +75,7 @@
 	}
 	switch endpoint.HealthStatus {
 	case corev3.HealthStatus_UNKNOWN, corev3.HealthStatus_HEALTHY, corev3.HealthStatus_DEGRADED:
-		e.State = StateActive // UNKNOWN: no health checking, by the definition of the field
+		e.State = StateActive // the protocol counts UNKNOWN as healthy: there is no health checking
 	case corev3.HealthStatus_DRAINING:
 		e.State = StateDraining
 	default:
@@ -89,14 +90,14 @@
 	return e, nil
 }
 
-// healthStatus is the state of an engine in the terms of endpoint discovery.
+// healthStatus maps the state of an engine to the health status of its endpoint.
 var healthStatus = map[EngineState]corev3.HealthStatus{
 	StateActive:   corev3.HealthStatus_HEALTHY,
 	StateDraining: corev3.HealthStatus_DRAINING,
 	StateRemoved:  corev3.HealthStatus_UNHEALTHY,
 }
 
-// NewAssignment returns a list as a discovery service sends it.
+// NewAssignment converts a list to the resource that a discovery service sends.
 func NewAssignment(service string, l *List) (*endpointv3.ClusterLoadAssignment, error) {
 	assignment := &endpointv3.ClusterLoadAssignment{ClusterName: service}
 	for _, e := range l.Engines {
@@ -112,7 +113,8 @@
 	return assignment, nil
 }
 
-// newEndpoint returns an engine as a discovery service sends it; its zone and cell are the locality's.
+// newEndpoint converts an engine to an endpoint. The zone and cell are not in it: they belong to the
+// locality.
 func newEndpoint(e Engine) (*endpointv3.LbEndpoint, error) {
 	host, port, err := net.SplitHostPort(e.Address)
 	if err != nil {
--- a/internal/discovery/eds/silent_test.go
+++ b/internal/discovery/eds/silent_test.go
@@ -23,7 +23,7 @@
 	return s.Context().Err()
 }
 
-// forwardUntil passes bytes on until silent is set; from then on they are read and dropped.
+// forwardUntil copies bytes from one connection to another until silent is set; then it reads and drops them.
 func forwardUntil(silent *atomic.Bool, to, from net.Conn) {
 	buffer := make([]byte, 1024)
 	for {
@@ -40,7 +40,8 @@
 	}
 }
 
-// Guards against a service that vanished, or hangs, and is taken for one whose list does not change.
+// TestSilentServiceIsNoticed guards against treating a service that has vanished or hangs as one whose list
+// does not change: the client must report a failure once pings are not answered.
 func TestSilentServiceIsNoticed(t *testing.T) {
 	t.Parallel()
 	service, err := net.Listen("tcp", "127.0.0.1:0")
@@ -49,7 +50,7 @@
 	}
 	server := grpc.NewServer()
 	endpointservice.RegisterEndpointDiscoveryServiceServer(server, silentService{})
-	go func() { _ = server.Serve(service) }() // it ends with Stop
+	go func() { _ = server.Serve(service) }() // ended by Stop
 	defer server.Stop()
 	link, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -73,7 +74,7 @@
 		}
 	}()
 	c := NewClient(link.Addr().String(), "engines", "node", slog.New(slog.NewTextHandler(io.Discard, nil)))
-	c.pingInterval, c.pingTimeout = 10*time.Second, 200*time.Millisecond // the least that the library takes
+	c.pingInterval, c.pingTimeout = 10*time.Second, 200*time.Millisecond // 10 s is the library's minimum
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	noticed := make(chan error, 1)
@@ -86,6 +87,6 @@
 		cancel()
 	})
 	if ctx.Err() == context.DeadlineExceeded || len(noticed) == 0 {
-		t.Error("a silent service is not noticed within a minute")
+		t.Error("no failure was reported within a minute of a silent service")
 	}
 }
