--- a/internal/discovery/sse/backoff.go
+++ b/internal/discovery/sse/backoff.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// Backoff is the delay before the discovery is polled again after a call that brought nothing: doubled each
-// time up to Max, half of it fixed and half of it random. Without the random half, all dispatchers that
-// lost the discovery at the same moment would come back to it at the same moments.
+// Backoff computes the delay before the discovery service is called again after a call that returned no data.
+// The delay doubles each time up to Max; half of it is fixed and half of it is random. Without the random
+// half, all dispatchers that lost the discovery service at the same time would reconnect at the same times.
+// It is not safe for concurrent use.
 type Backoff struct {
 	Min, Max time.Duration
 	Random   *rand.Rand
@@ -15,10 +16,10 @@
 	delay time.Duration
 }
 
-// Reset begins again at Min: the last call brought something.
+// Reset sets the delay back to Min, after a call that returned data.
 func (b *Backoff) Reset() { b.delay = 0 }
 
-// Next returns the delay to wait now.
+// Next returns the delay before the next call.
 func (b *Backoff) Next() time.Duration {
 	b.delay = min(max(2*b.delay, b.Min), b.Max)
 	half := b.delay / 2
--- a/internal/discovery/sse/follower.go
+++ b/internal/discovery/sse/follower.go
@@ -1,7 +1,7 @@
-// Package sse follows a service discovery that sends server-sent events, each a numbered change of the list
-// of compute nodes. A Parser owns the state of a stream, a Follower the endpoint list as it was last
-// reported. The package does no I/O and does not connect to the discovery: bytes go into a Parser, complete
-// events into a Follower, and engine lists for the module come out.
+// Package sse follows a discovery service that sends the list of compute nodes as server-sent events, each a
+// numbered change of the list. A Parser splits the bytes of a stream into events. A Follower applies the
+// events to the endpoint list and returns engine lists for the module. The package does no I/O and does not
+// connect to the service.
 package sse
 
 import (
@@ -11,50 +11,52 @@
 	"cresspass/internal/discovery/starttime"
 )
 
-// ApplyResult says what to do after an event.
+// ApplyResult is the result of applying an event.
 type ApplyResult int
 
-// The results.
+// The results of applying an event.
 const (
 	Applied   ApplyResult = iota
-	Duplicate             // it was applied before
-	Gap                   // events between are missing: poll again from LastRevision
+	Duplicate             // the event was applied before
+	Gap                   // events before it are missing: request the stream again from LastRevision
 )
 
-// Follower holds the endpoint list of a dispatcher: the last revision, and what was reported of each compute
-// node. It is for one goroutine at a time.
+// Follower holds the endpoint list of a dispatcher: the last revision that was applied, and what was last
+// reported about each compute node. It is not safe for concurrent use.
 type Follower struct {
 	lastRevision uint64
 	addrs        map[cresspass.EngineID]string
 	locations    map[cresspass.EngineID]Location
 	accepting    map[cresspass.EngineID]bool
 	removed      []cresspass.EngineID // since the last call of TakeRemoved
-	now          func() time.Duration
+	now          func() time.Duration // the module's clock
 	startTimes   *starttime.Converter
 }
 
-// NewFollower returns a Follower without endpoints; now is the module's time, into which startTimes converts.
+// NewFollower returns a Follower without endpoints. now is the module's clock; startTimes converts start
+// times to it.
 func NewFollower(now func() time.Duration, startTimes *starttime.Converter) *Follower {
 	return &Follower{addrs: map[cresspass.EngineID]string{}, locations: map[cresspass.EngineID]Location{},
 		accepting: map[cresspass.EngineID]bool{}, now: now, startTimes: startTimes}
 }
 
-// LastRevision is the number of the last event that was applied.
+// LastRevision returns the revision of the last event that was applied, or 0 if there is none.
 func (f *Follower) LastRevision() uint64 { return f.lastRevision }
 
-// Addr returns the address of a compute node, as it was last reported; "" where none was.
+// Addr returns the last reported address of a compute node, or "" if it has none.
 func (f *Follower) Addr(id cresspass.EngineID) string { return f.addrs[id] }
 
-// Location is what kind of machine a compute node is, and where it stands.
+// Location is the machine kind of a compute node and its zone.
 type Location struct{ Kind, Zone string }
 
-// Location returns a compute node's location, as it was last reported.
+// Location returns the last reported location of a compute node.
 func (f *Follower) Location(id cresspass.EngineID) Location { return f.locations[id] }
 
-// Len returns how many compute nodes have an address.
+// Len returns the number of compute nodes that have an address.
 func (f *Follower) Len() int { return len(f.addrs) }
 
-// AcceptsQueries reports whether a compute node at an address accepts new queries, as far as was reported.
+// AcceptsQueries reports whether, by the last report, a compute node has this address and accepts new
+// queries.
 func (f *Follower) AcceptsQueries(id cresspass.EngineID, addr string) bool {
 	return f.accepting[id] && f.addrs[id] == addr
 }
@@ -62,20 +64,21 @@
 // Draining reports whether a compute node is on the list and draining.
 func (f *Follower) Draining(id cresspass.EngineID) bool { return f.addrs[id] != "" && !f.accepting[id] }
 
-// TakeRemoved returns the compute nodes that were removed since the last call. Their addresses are forgotten.
+// TakeRemoved returns the compute nodes that were removed since the last call. They have no address any more.
 func (f *Follower) TakeRemoved() []cresspass.EngineID {
 	removed := f.removed
 	f.removed = nil
 	return removed
 }
 
-// Apply takes an event that came as it was sent. The list is to be handed to the module where the result is
-// Applied. What can't be read is an error and changes nothing.
+// Apply applies an event that was received as it was sent. If the result is Applied, the returned list is for
+// the module. An event that cannot be decoded is an error and changes nothing.
 func (f *Follower) Apply(ev Event) (cresspass.Event, ApplyResult, error) {
 	return f.applyEvent(ev, true)
 }
 
-// ApplyDelayed is Apply for an event that was sent some time ago, while the discovery was out of reach.
+// ApplyDelayed is like Apply for an event that may have been sent some time ago, such as while the discovery
+// service was unreachable. Its start times then do not show how far the wall clock is ahead.
 func (f *Follower) ApplyDelayed(ev Event) (cresspass.Event, ApplyResult, error) {
 	return f.applyEvent(ev, false)
 }
@@ -91,11 +94,12 @@
 	return f.ApplyWatchEvent(we)
 }
 
-// ObserveStarts takes in what the starts in a watch event show of the wall clock, and nothing else. Where
-// several watch events are at hand, all are observed before the first is applied.
+// ObserveStarts passes the start times in a watch event to the converter, which estimates the error of the
+// wall clock from them, and changes nothing else. If there are several watch events, observe all of them
+// before applying the first.
 func (f *Follower) ObserveStarts(we WatchEvent) { f.eachStart(we, f.startTimes.Observe) }
 
-// eachStart calls observe for each start in a watch event.
+// eachStart calls observe for each start time in a watch event.
 func (f *Follower) eachStart(we WatchEvent,
 	observe func(now time.Duration, id cresspass.EngineID, started time.Time)) {
 	if we.List == nil {
@@ -110,7 +114,7 @@
 	}
 }
 
-// ApplyWatchEvent takes what an event held, as Apply.
+// ApplyWatchEvent is like ApplyDelayed for a decoded event.
 func (f *Follower) ApplyWatchEvent(we WatchEvent) (cresspass.Event, ApplyResult, error) {
 	full := we.List != nil && we.List.Full
 	switch {
@@ -145,7 +149,7 @@
 	return list, Applied, nil
 }
 
-// engineInfo turns an endpoint into what the module knows of an engine.
+// engineInfo converts an endpoint to the module's description of an engine.
 func (f *Follower) engineInfo(now time.Duration, e *Endpoint) cresspass.EngineInfo {
 	info := cresspass.EngineInfo{ID: e.engineID(), State: engineStates[e.State], Kind: e.Kind, Zone: e.Zone,
 		Cell: e.Cell, Size: e.Weight}
@@ -155,7 +159,8 @@
 	return info
 }
 
-// clearUnlisted forgets all endpoints before a full list is taken: those that it leaves out are removed.
+// clearUnlisted forgets all endpoints before a full list is applied. Those that the list leaves out count as
+// removed.
 func (f *Follower) clearUnlisted(endpoints []Endpoint) {
 	listed := make(map[cresspass.EngineID]bool, len(endpoints))
 	for i := range endpoints {
@@ -172,7 +177,7 @@
 	f.startTimes.Retain(func(id cresspass.EngineID) bool { return listed[id] })
 }
 
-// update takes what was reported of an endpoint.
+// update stores what was reported about an endpoint.
 func (f *Follower) update(e *Endpoint) {
 	id := e.engineID()
 	if e.State == stateRemoved {
--- a/internal/discovery/sse/follower_test.go
+++ b/internal/discovery/sse/follower_test.go
@@ -20,15 +20,15 @@
 		`"started_ms":%d}`, id, state, started)
 }
 
-// newFollower returns a Follower at 50 ms of its own and of Unix time.
+// newFollower returns a Follower whose clock is at 50 ms, when the wall clock was at 50 ms of Unix time.
 func newFollower() *Follower {
 	const now = 50 * time.Millisecond
 	clock := starttime.New(starttime.RecentStarts, time.UnixMilli(50), now)
 	return NewFollower(func() time.Duration { return now }, clock)
 }
 
-// TestClockSecondsAhead: a wall clock that is seconds ahead when the dispatcher starts makes no compute node
-// look older that is reported as it starts.
+// TestClockSecondsAhead checks that a wall clock that is seconds ahead when the dispatcher starts does not
+// make a compute node look older if its start is reported as it happens.
 func TestClockSecondsAhead(t *testing.T) {
 	const ahead, zero, delay = 5 * time.Second, time.Hour, 300 * time.Millisecond
 	truth := time.UnixMilli(1_000_000_000)
@@ -46,7 +46,7 @@
 				t.Fatal(err)
 			}
 			if age := now - list.Engines[0].StartedAt; age > delay+time.Second {
-				t.Errorf("started %v ago, taken for %v", delay, age)
+				t.Errorf("a node that started %v ago has the age %v", delay, age)
 			}
 		}); err != nil {
 			t.Fatal(err)
@@ -54,8 +54,8 @@
 	}
 }
 
-// FuzzFollower: whatever a discovery sends, reading it ends without a panic, and the last revision never
-// goes back.
+// FuzzFollower checks that reading arbitrary bytes from a discovery service ends without a panic, that the
+// last revision never goes back, and that it changes only when an event was applied.
 func FuzzFollower(f *testing.F) {
 	f.Add([]byte(event(1, true, server("a", "up", 0)) + event(2, false, server("a", "removed", 5))))
 	f.Add([]byte("id: 7\ndata: {\"rev\":7}\n\nid: 8\ndata\n\n:\n"))
@@ -67,7 +67,7 @@
 			_, result, err := follower.Apply(ev)
 			applied := err == nil && result == Applied
 			if now := follower.LastRevision(); now < last || !applied && now != last {
-				t.Errorf("from %d to %d, %v, %v", last, now, result, err)
+				t.Errorf("last revision went from %d to %d, result %v, error %v", last, now, result, err)
 			}
 		})
 		if err != nil && !errors.Is(err, ErrEventTooLong) {
@@ -76,8 +76,9 @@
 	})
 }
 
-// TestFollower: what was applied before is passed over, a gap and what can't be read change nothing, a
-// compute node that was removed has no address, and starts are on the module's clock.
+// TestFollower checks that an event that was applied before is ignored, that a gap and an event that cannot
+// be decoded change nothing, that a removed compute node has no address, and that start times are on the
+// module's clock.
 func TestFollower(t *testing.T) {
 	f := newFollower()
 	apply := func(stream string) (cresspass.Event, ApplyResult, error) {
@@ -91,45 +92,45 @@
 	list, result, err := apply(event(3, true, server("a", "up", 0)+","+server("b", "up", 50)))
 	if err != nil || result != Applied || list.ListType != cresspass.ListComplete || len(list.Engines) != 2 ||
 		list.Engines[1].StartedAt != 50*time.Millisecond || list.Engines[0].StartedAt != 0 {
-		t.Fatalf("%+v, %v, %v", list, result, err)
+		t.Fatalf("first full list: %+v, result %v, error %v", list, result, err)
 	}
 	_, result, err = apply(event(3, false, server("b", "removed", 0)))
 	if result != Duplicate || err != nil || f.Addr("b") == "" {
-		t.Errorf("reported twice: %v, %v", result, err)
+		t.Errorf("event reported twice: result %v, error %v, want Duplicate", result, err)
 	}
 	if _, result, err = apply(event(5, false, server("b", "removed", 0))); result != Gap || err != nil ||
 		f.LastRevision() != 3 {
-		t.Errorf("gap: %v, %v, last %d", result, err, f.LastRevision())
+		t.Errorf("after a gap: result %v, error %v, last revision %d", result, err, f.LastRevision())
 	}
 	_, _, err = apply("id: 4\ndata: {\"rev\":4,\"pool\":{\"serv\n\n")
 	if err == nil || f.LastRevision() != 3 {
-		t.Error("a truncated event was applied")
+		t.Error("an event with truncated data was applied")
 	}
 	if _, _, err = apply(event(4, false, server("b", "confused", 0))); err == nil || f.LastRevision() != 3 {
-		t.Error("an unknown state was applied")
+		t.Error("an event with an unknown state was applied")
 	}
 	_, result, err = apply(event(4, false, server("b", "removed", 0)))
 	if result != Applied || err != nil || f.Addr("b") != "" {
-		t.Errorf("%v, %v, address %q", result, err, f.Addr("b"))
+		t.Errorf("removal: result %v, error %v, address %q", result, err, f.Addr("b"))
 	}
 	if f.AcceptsQueries("b", f.Addr("b")) || !f.AcceptsQueries("a", f.Addr("a")) ||
 		f.AcceptsQueries("a", "elsewhere:1") {
-		t.Error("accepts queries: one that was removed, not one that is up, or one elsewhere")
+		t.Error("a removed node, or one at another address, accepts queries, or a node that is up does not")
 	}
 	if removed := f.TakeRemoved(); len(removed) != 1 || removed[0] != "b" {
-		t.Errorf("removed: %v", removed)
+		t.Errorf("removed nodes %v, want only b", removed)
 	}
 	_, result, _ = apply(event(9, true, server("c", "up", 0)))
 	if result != Applied || f.Addr("a") != "" || f.Addr("c") == "" {
-		t.Errorf("a full list after a gap: %v", result)
+		t.Errorf("full list after a gap: result %v, want Applied", result)
 	}
 	addr := f.Addr("c")
 	if f.AcceptsQueries("a", f.Addr("a")) || !f.AcceptsQueries("c", addr) {
-		t.Error("one that a full list leaves out accepts queries, or one on it does not")
+		t.Error("a node that the full list leaves out accepts queries, or a node on it does not")
 	}
 	_, result, _ = apply(event(10, false, server("c", "draining", 0)))
 	if result != Applied || f.Addr("c") != addr ||
 		f.AcceptsQueries("c", addr) || !f.Draining("c") || f.Draining("a") {
-		t.Error("a draining one accepts queries, or has no address for those that it runs")
+		t.Error("a draining node accepts new queries, or has no address for the queries that it runs")
 	}
 }
--- a/internal/discovery/sse/golden_test.go
+++ b/internal/discovery/sse/golden_test.go
@@ -10,8 +10,8 @@
 	"cresspass/internal/goldentest"
 )
 
-// TestGoldenWatchEvent: the recorded watch event, as a configuration holds the known ones and the discovery
-// sends them, is read with its values, and written as the same bytes.
+// TestGoldenWatchEvent checks that the recorded watch event, in the format of configurations and of the
+// discovery service, is decoded to its values and encoded to the same bytes.
 func TestGoldenWatchEvent(t *testing.T) {
 	want := WatchEvent{Revision: 12, List: &EndpointList{Version: 3, Full: true, Endpoints: []Endpoint{
 		{ID: "n1", Addr: "10.0.0.1:8080", Zone: "z1", Kind: "large", Cell: 2, State: "up", Weight: 4.5,
@@ -26,11 +26,12 @@
 	data := goldentest.Read(t, "golden/watchevent.json")
 	var got WatchEvent
 	if err := json.Unmarshal(data, &got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("decoded %+v, error %v", got, err)
 	}
 }
 
-// TestGoldenStream: the recorded event stream gives the module the lists that it gave when it was recorded.
+// TestGoldenStream checks that the recorded event stream gives the module the same lists as when it was
+// recorded.
 func TestGoldenStream(t *testing.T) {
 	stream := goldentest.Read(t, "golden/stream.txt")
 	var p Parser
@@ -39,7 +40,7 @@
 	apply := func(ev Event) {
 		list, result, err := follower.Apply(ev)
 		if err != nil || result != Applied {
-			t.Errorf("event %d: %v, %v", ev.ID, result, err)
+			t.Errorf("event %d: result %v, error %v, want Applied", ev.ID, result, err)
 		}
 		lists = append(lists, list)
 	}
@@ -68,7 +69,7 @@
 	}
 	if follower.LastRevision() != 14 || follower.Addr("n1") != "10.0.0.1:8080" || follower.Addr("n2") != "" {
 		t.Errorf(
-			"at %d, n1 at %q, n2 at %q",
+			"last revision %d, address of n1 %q, address of n2 %q",
 			follower.LastRevision(),
 			follower.Addr("n1"),
 			follower.Addr("n2"),
--- a/internal/discovery/sse/parser.go
+++ b/internal/discovery/sse/parser.go
@@ -6,33 +6,34 @@
 	"strconv"
 )
 
-// MaxEventBytes is the longest event that is accepted.
+// MaxEventBytes is the largest size of an event that is accepted, in bytes.
 const MaxEventBytes = 1 << 20
 
-// byteOrderMark may stand before the first line of a stream.
+// byteOrderMark may precede the first line of a stream.
 const byteOrderMark = "\ufeff"
 
-// ErrEventTooLong is the error of an event of more than MaxEventBytes.
-var ErrEventTooLong = errors.New("discovery: an event that is too long")
+// ErrEventTooLong is returned for an event of more than MaxEventBytes.
+var ErrEventTooLong = errors.New("discovery: event is too long")
 
-// Event is a complete event. HasID is false where it had no id.
+// Event is a complete server-sent event. HasID is false if it has no valid id.
 type Event struct {
 	ID    uint64
 	HasID bool
 	Data  []byte
 }
 
-// Parser cuts a stream of server-sent events (WHATWG HTML, 9.2.6) into events. An event that the stream
-// breaks off in is never handed out. The zero value is ready for the beginning of a stream.
+// Parser splits a stream of server-sent events (WHATWG HTML, 9.2.6) into events. An incomplete event at the
+// end of a stream is never delivered. The zero value is ready for the beginning of a stream.
 type Parser struct {
-	started   bool // the first line has come
-	afterCR   bool // the last byte was a CR: an LF behind it ends no line
+	started   bool // the first line was read
+	afterCR   bool // the last byte was a CR: an LF that follows it belongs to the same line end
 	line      []byte
 	event     Event
 	dataLines int
 }
 
-// Feed takes bytes and calls handle for each complete event; the event is valid until handle returns.
+// Feed parses the next bytes of the stream and calls handle for each complete event. The event is valid until
+// handle returns. A line or an event of more than MaxEventBytes is an error.
 func (p *Parser) Feed(b []byte, handle func(Event)) error {
 	for len(b) > 0 {
 		if b[0] == '\n' && p.afterCR {
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// endLine takes a complete line, without its end. An empty one ends the event.
+// endLine processes a complete line without its line end. An empty line ends the event.
 func (p *Parser) endLine(line []byte, handle func(Event)) error {
 	if len(line) == 0 {
 		if p.dataLines > 0 {
--- a/internal/discovery/sse/parser_test.go
+++ b/internal/discovery/sse/parser_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestParserAnySplit: a stream gives the same events wherever it is cut, and one that breaks off gives no
-// partial event.
+// TestParserAnySplit checks that a stream gives the same events wherever it is split, and that a stream that
+// ends early gives no partial event.
 func TestParserAnySplit(t *testing.T) {
 	stream := event(1, true, server("a", "up", 0)) + ": comment\n\n" +
 		event(2, false, server("a", "draining", 0))
@@ -21,23 +21,23 @@
 			t.Fatal(err)
 		}
 		if len(ids) != 1 || ids[0] != 1 {
-			t.Fatalf("cut at %d: events %v before the last is complete", cut, ids)
+			t.Fatalf("cut at %d: events %v before the last byte, want only the first event", cut, ids)
 		}
 		if err := p.Feed([]byte(stream[len(stream)-1:]), handle); err != nil {
 			t.Fatal(err)
 		}
 		if len(ids) != 2 || ids[1] != 2 {
-			t.Fatalf("cut at %d: events %v", cut, ids)
+			t.Fatalf("cut at %d: events %v, want both", cut, ids)
 		}
 	}
 	var p Parser
 	if err := p.Feed(make([]byte, MaxEventBytes+1), func(Event) {}); err == nil {
-		t.Error("no error for an endless line")
+		t.Error("no error for a line of more than MaxEventBytes")
 	}
 }
 
-// TestParserLineEndings: a stream gives the same events with each of the line ends of the standard, also
-// where a piece ends between a CR and its LF, and with a byte order mark before it.
+// TestParserLineEndings checks that a stream gives the same events with each line end of the standard, even
+// if it is split between a CR and its LF, and with or without a byte order mark.
 func TestParserLineEndings(t *testing.T) {
 	plain := event(1, true, server("a", "up", 0)) + ": comment\n" +
 		event(2, false, server("a", "draining", 0))
@@ -54,7 +54,7 @@
 					}
 				}
 				if len(ids) != 2 || ids[0] != 1 || ids[1] != 2 {
-					t.Fatalf("line end %q, mark %q, cut at %d: events %v", end, mark, cut, ids)
+					t.Fatalf("line end %q, mark %q, cut at %d: events %v, want both", end, mark, cut, ids)
 				}
 			}
 		}
--- a/internal/discovery/sse/watchevent.go
+++ b/internal/discovery/sse/watchevent.go
@@ -8,17 +8,17 @@
 	"cresspass"
 )
 
-// WatchEvent is the data of an event: a numbered change of the endpoint list. Configurations hold the known
-// ones in the same form.
+// WatchEvent is the data of an event: a numbered change of the endpoint list. The platform's configuration
+// lists the events that are known at the start in the same format.
 type WatchEvent struct {
 	Revision uint64        `json:"rev"`
 	List     *EndpointList `json:"pool"` // nil: nothing changed
 }
 
-// EndpointList is a list of compute nodes, or what changed in it.
+// EndpointList is a complete list of compute nodes or the changes to it.
 type EndpointList struct {
 	Version   uint64     `json:"version"`
-	Full      bool       `json:"full"` // what it leaves out is removed
+	Full      bool       `json:"full"` // the list is complete: endpoints that it leaves out are removed
 	Endpoints []Endpoint `json:"servers"`
 }
 
@@ -31,7 +31,7 @@
 	Cell      int     `json:"cell"`
 	State     string  `json:"state"`
 	Weight    float64 `json:"weight"`
-	StartedMs int64   `json:"started_ms"` // Unix milliseconds; 0: long ago
+	StartedMs int64   `json:"started_ms"` // Unix milliseconds; 0: not reported, counts as long ago
 }
 
 // The states of an endpoint.
@@ -47,23 +47,24 @@
 	stateRemoved:  cresspass.EngineRemoved,
 }
 
-// parseWatchEvent reads the data of an event.
+// parseWatchEvent decodes the data of an event and checks it against the event's id.
 func parseWatchEvent(ev Event) (WatchEvent, error) {
 	var we WatchEvent
 	if err := json.Unmarshal(ev.Data, &we); err != nil {
 		return WatchEvent{}, fmt.Errorf("discovery: event %d: %w", ev.ID, err)
 	}
 	if ev.HasID && ev.ID != we.Revision {
-		return WatchEvent{}, fmt.Errorf("discovery: event %d says that it is %d", ev.ID, we.Revision)
+		return WatchEvent{}, fmt.Errorf("discovery: event with id %d has revision %d", ev.ID, we.Revision)
 	}
 	return we, nil
 }
 
-// check reports what is wrong with an endpoint.
+// check returns an error if an endpoint has no id, an unknown state, a negative weight, or is up without an
+// address.
 func (e *Endpoint) check(revision uint64) error {
 	state, known := engineStates[e.State]
 	if e.ID == "" || !known || state == cresspass.EngineActive && e.Addr == "" || e.Weight < 0 {
-		return fmt.Errorf("discovery: watch event %d: compute node %q at %q is %q", revision,
+		return fmt.Errorf("discovery: watch event %d: invalid compute node %q at %q in state %q", revision,
 			e.ID, e.Addr, e.State)
 	}
 	return nil
@@ -71,5 +72,5 @@
 
 func (e *Endpoint) engineID() cresspass.EngineID { return cresspass.EngineID(e.ID) }
 
-// startedAt returns the wall-clock time of the start, if it was reported.
+// startedAt returns the wall-clock time of the start, and whether it was reported.
 func (e *Endpoint) startedAt() (time.Time, bool) { return time.UnixMilli(e.StartedMs), e.StartedMs > 0 }
--- a/internal/discovery/starttime/converter.go
+++ b/internal/discovery/starttime/converter.go
@@ -1,6 +1,6 @@
-// Package starttime converts the wall-clock times at which compute nodes report to have started into the
-// dispatcher's monotonic time. It does not trust the dispatcher's own wall clock, which may be wrong from the
-// beginning and may step while the process runs. It does no I/O and reads no clock.
+// Package starttime converts the start times that compute nodes report, which are wall-clock times, to the
+// dispatcher's monotonic time. It does not rely on the dispatcher's own wall clock, which may be wrong from
+// the beginning and may step while the process runs. It does no I/O and reads no clock.
 package starttime
 
 import (
@@ -9,64 +9,65 @@
 	"cresspass"
 )
 
-// Converter converts starts. It is for one goroutine at a time.
+// Converter converts start times. It is not safe for concurrent use.
 //
-// The wall clock is read once, when the Converter is made; from then on only monotonic time counts, so a
-// step changes nothing. A clock that was wrong already at that moment shows in the ages that it gives. No
-// start can be reported before it happened, so a start that lies in the future shows how far the clock is
-// behind at least. Where only recent starts are reported (RecentStarts), one that is very old when it is
-// first reported shows that the clock is ahead, and so does one that is some seconds old when its report
-// came as it was sent (ObserveFresh). The least age is then taken for the clock's error. That makes a node
-// look younger than it is, never older: reports that come late by as much look the same.
+// The caller reads the wall clock once, for New. From then on only monotonic time counts, so a step of the
+// wall clock changes nothing. If the clock was already wrong at that moment, the ages that follow from it
+// show the error. No start is reported before it happens, so a start time in the future shows by how much, at
+// least, the clock is behind. If only recent starts are reported (RecentStarts), a start time that is very
+// old when it is first reported shows that the clock is ahead, and so does one that is some seconds old in a
+// report that was received as it was sent (ObserveFresh). The least such age is then used as the error of the
+// clock. A node may look younger than it is as a result, never older: reports that are delayed by that much
+// look the same as a clock that is ahead.
 type Converter struct {
 	source Source
 
-	wallBase      time.Time     // the wall clock...
-	monotonicBase time.Duration // ...at this monotonic time
+	wallBase      time.Time     // the wall clock at monotonicBase
+	monotonicBase time.Duration // the monotonic time at which the wall clock was read
 
-	minAge         time.Duration // the least age of a node when it was first reported
+	minAge         time.Duration // least age of a node when its start was first reported
 	hasMinAge      bool
-	minFreshAge    time.Duration // the same, of reports that came as they were sent
+	minFreshAge    time.Duration // the same, for reports that were received as they were sent
 	hasMinFreshAge bool
 
 	starts map[cresspass.EngineID]conversion
 }
 
-// Source says which nodes' starts are reported.
+// Source tells which nodes' start times are reported.
 type Source int
 
-// The sources.
+// The sources of start times.
 const (
 	RecentStarts Source = iota // only of nodes that started recently
 	AllStarts                  // of every node
 )
 
 const (
-	// maxRecentAge is the age from which a start that is reported as recent shows that the clock is wrong: no
-	// report takes so long.
+	// maxRecentAge is the largest plausible age of a start that is reported as recent. A greater age shows
+	// that the clock is wrong: no report takes so long.
 	maxRecentAge = 10 * time.Minute
-	// maxFreshAge is the same for a report that came as it was sent.
+	// maxFreshAge is the same for a report that was received as it was sent.
 	maxFreshAge = 1500 * time.Millisecond
-	// maxFutureStart is how far in the future a start may lie to show anything of the clock. What lies
-	// further ahead is no time that a clock could show, and is converted to now.
+	// maxFutureStart is how far in the future a start time may be to count as evidence about the clock. A
+	// clock is not wrong by more; such a start time is converted to now.
 	maxFutureStart = 24 * time.Hour
 )
 
-// conversion is a converted start. It is stored, so that a start that is reported again is not converted
-// again.
+// conversion is the stored result for a start time, so that a start time that is reported again is not
+// converted again.
 type conversion struct {
 	wall      time.Time
 	monotonic time.Duration
 }
 
-// New returns a Converter for a wall clock that shows wall at the monotonic time now.
+// New returns a Converter for a wall clock that reads wall at the monotonic time now.
 func New(source Source, wall time.Time, now time.Duration) *Converter {
 	return &Converter{source: source, wallBase: wall.Round(0), monotonicBase: now,
 		starts: map[cresspass.EngineID]conversion{}}
 }
 
-// Observe takes in that a node reports to have started, without converting it. All nodes of a list are
-// observed before one of them is converted, so that the order in a list does not matter.
+// Observe uses a reported start time to estimate the error of the wall clock, without converting it. If all
+// start times of a list are observed before the first is converted, the order of the list does not matter.
 func (c *Converter) Observe(now time.Duration, id cresspass.EngineID, started time.Time) {
 	if c.known(id, started) {
 		return
@@ -76,7 +77,7 @@
 	}
 }
 
-// ObserveFresh takes in that a node reports to have started, by a report that came as it was sent.
+// ObserveFresh is like Observe for a report that was received as it was sent.
 func (c *Converter) ObserveFresh(now time.Duration, id cresspass.EngineID, started time.Time) {
 	if c.known(id, started) {
 		return
@@ -86,13 +87,14 @@
 	}
 }
 
-// known reports whether a start was converted before: its age by now shows nothing of the clock.
+// known reports whether a start time was converted before. Its age is then no evidence about the clock any
+// more.
 func (c *Converter) known(id cresspass.EngineID, started time.Time) bool {
 	return c.starts[id].wall.Equal(started)
 }
 
-// Convert returns the monotonic time of a node's start, the same each time that the same start is reported.
-// It is after zero and not after now.
+// Convert returns the monotonic time of a node's start, which is greater than zero and not after now. It
+// returns the same value each time that the same start time is reported.
 func (c *Converter) Convert(now time.Duration, id cresspass.EngineID, started time.Time) time.Duration {
 	if s, ok := c.starts[id]; ok && s.wall.Equal(started) {
 		return s.monotonic
@@ -104,21 +106,21 @@
 	return monotonic
 }
 
-// clockLead is how far the wall clock is taken to be ahead; negative: behind.
+// clockLead returns by how much the wall clock is estimated to be ahead; a negative value means behind.
 func (c *Converter) clockLead() time.Duration {
 	switch {
 	case c.minAge < 0, c.source == RecentStarts && c.minAge > maxRecentAge:
 		return c.minAge
 	case c.source == RecentStarts && c.hasMinFreshAge && c.minFreshAge > maxFreshAge:
-		return min(c.minFreshAge, c.minAge) // a node that is younger by this clock bounds its error
+		return min(c.minFreshAge, c.minAge) // the clock is ahead by no more than the least age it gives
 	}
 	return 0
 }
 
-// Forget drops a node that was removed.
+// Forget deletes the stored start time of a node that was removed.
 func (c *Converter) Forget(id cresspass.EngineID) { delete(c.starts, id) }
 
-// Retain drops all nodes except those for which listed returns true.
+// Retain deletes the stored start times of all nodes except those for which listed returns true.
 func (c *Converter) Retain(listed func(cresspass.EngineID) bool) {
 	for id := range c.starts {
 		if !listed(id) {
@@ -127,7 +129,7 @@
 	}
 }
 
-// age is how old a node is by the wall clock as it was when the Converter was made.
+// age returns the age of a node by the wall clock as it was read for New.
 func (c *Converter) age(now time.Duration, started time.Time) time.Duration {
 	return c.wallBase.Add(now - c.monotonicBase).Sub(started)
 }
--- a/internal/discovery/starttime/converter_test.go
+++ b/internal/discovery/starttime/converter_test.go
@@ -10,9 +10,10 @@
 	"cresspass"
 )
 
-// TestNeverOlder: whether the wall clock was right when it was read, behind, or far ahead, and whatever
-// order nodes are reported in, none is taken to be older than it is; where the clock was right, or one was
-// reported at once, all that are reported after it have their true age.
+// TestNeverOlder checks that no node is converted to be older than it is, whether the wall clock was right,
+// behind or far ahead when it was read, and in whatever order nodes are reported. Once a node was reported
+// without delay, and always if the clock was right, nodes that are reported for the first time get their true
+// age.
 func TestNeverOlder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		truth := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -32,21 +33,22 @@
 			want := now - delay
 			prompt = prompt || delay == 0
 			if got < want || got > now {
-				t.Fatalf("started %v ago, taken for %v", delay, now-got)
+				t.Fatalf("a node that started %v ago has the age %v", delay, now-got)
 			}
 			if prompt && !known && got != want {
-				t.Fatalf("after a report without delay: started %v ago, taken for %v", delay, now-got)
+				t.Fatalf("after a report without delay, a node that started %v ago has the age %v", delay,
+					now-got)
 			}
 			if again := c.Convert(now+time.Minute, id, started); again != got {
-				t.Fatalf("reported again: %v, then %v", got, again)
+				t.Fatalf("converted to %v, then to %v when reported again", got, again)
 			}
 		}
 	})
 }
 
-// TestFreshObservations: where a wall clock is seconds or minutes ahead, no node is taken to be older than
-// it is when the report of its start comes as it was sent; one that is young by this clock shows that the
-// clock is right.
+// TestFreshObservations checks that with a wall clock that is seconds or minutes ahead, no node is converted
+// to be older than it is if its report was received as it was sent, and that a node that is young by this
+// clock shows that the clock is right.
 func TestFreshObservations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		truth := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -58,7 +60,7 @@
 			id, started := cresspass.EngineID(fmt.Sprint(i)), truth.Add(now-time.Hour-delay)
 			c.ObserveFresh(now, id, started)
 			if got := c.Convert(now, id, started); got < now-delay || got > now {
-				t.Fatalf("started %v ago, taken for %v", delay, now-got)
+				t.Fatalf("a node that started %v ago has the age %v", delay, now-got)
 			}
 		}
 	})
@@ -66,6 +68,6 @@
 	c.ObserveFresh(time.Hour, "late report", time.Unix(995, 0))
 	c.Observe(time.Hour, "young", time.Unix(1000, 0))
 	if got := c.Convert(time.Hour, "old", time.Unix(990, 0)); got != time.Hour-10*time.Second {
-		t.Errorf("a clock that is right: 10 s taken for %v", time.Hour-got)
+		t.Errorf("by a clock that is right, a node that started 10 s ago has the age %v", time.Hour-got)
 	}
 }
