--- a/internal/netlisten/listen.go
+++ b/internal/netlisten/listen.go
@@ -1,5 +1,6 @@
-// Package netlisten opens listeners and accepts connections on a machine that fails for a moment. Servers
-// that take any error of Accept for the listener's end would accept nothing from then on.
+// Package netlisten opens listeners and accepts connections despite temporary errors of the local machine.
+// Servers that treat any error of Accept as the end of the listener would accept no more connections after
+// such an error.
 package netlisten
 
 import (
@@ -14,18 +15,18 @@
 
 const (
 	openRetryInterval   = 50 * time.Millisecond
-	openRetryLimit      = 2 * time.Second       // after which the last error is returned
-	acceptRetryInterval = 10 * time.Millisecond // after an Accept that failed on the local machine
-	maxImmediateRetries = 16                    // of Accepts in a row that failed by their connections
+	openRetryLimit      = 2 * time.Second       // then the last error is returned
+	acceptRetryInterval = 10 * time.Millisecond // after an error of the local machine
+	maxImmediateRetries = 16                    // failures in a row; then errors of connections wait too
 )
 
-// Open listens on a TCP address. If the machine fails for a moment, or a process that is ending still holds
-// the address, it retries for a while.
+// Open listens on a TCP address. It retries for openRetryLimit after a temporary error of the local machine,
+// or while another process, such as one that is exiting, still holds the address.
 func Open(addr string) (net.Listener, error) {
 	return OpenFunc(addr, func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) })
 }
 
-// OpenFunc is Open with another way to listen.
+// OpenFunc is like Open but calls listen to open the listener.
 func OpenFunc(addr string, listen func(addr string) (net.Listener, error)) (net.Listener, error) {
 	for startedAt := time.Now(); ; time.Sleep(openRetryInterval) {
 		ln, err := listen(addr)
@@ -36,11 +37,11 @@
 	}
 }
 
-// ResilientListener is a listener whose Accept fails only on a deadline or once the listener is closed. An
-// error of one connection, or of the machine for a moment, does not end it.
+// ResilientListener is a listener whose Accept returns an error only if a deadline passes or the listener is
+// closed. After an error of one connection or of the local machine it tries again.
 type ResilientListener struct{ net.Listener }
 
-// Accept waits for the next connection.
+// Accept waits for the next connection and retries after errors other than a deadline or a closed listener.
 func (l ResilientListener) Accept() (net.Conn, error) {
 	for failures := 1; ; failures++ {
 		conn, err := l.Listener.Accept()
--- a/internal/netlisten/listen_test.go
+++ b/internal/netlisten/listen_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// scriptedListener fails its Accepts by a list of errors, and then as one that is closed.
+// scriptedListener returns the errors of a list from Accept, and then net.ErrClosed.
 type scriptedListener struct {
 	net.Listener
 	errs  []error
@@ -23,8 +23,8 @@
 	return nil, l.errs[l.calls-1]
 }
 
-// TestAcceptOutlivesErrors: neither an error of one connection nor one of the machine ends a listener; a
-// deadline and a close do.
+// TestAcceptOutlivesErrors checks that Accept retries after an error of one connection or of the local
+// machine, and returns after a deadline or a close.
 func TestAcceptOutlivesErrors(t *testing.T) {
 	perConnection, local := os.NewSyscallError("accept", syscall.ECONNABORTED), syscall.EMFILE
 	for name, c := range map[string]struct {
@@ -44,16 +44,16 @@
 	}
 }
 
-// TestOpenRetriesWhatPasses: an address that is still held, or a machine that fails for a moment, is tried
-// again; any other error is returned at once.
+// TestOpenRetriesWhatPasses checks that Open retries if the address is in use or the local machine has a
+// temporary error, and returns any other error at once.
 func TestOpenRetriesWhatPasses(t *testing.T) {
 	for name, c := range map[string]struct {
 		errs  []error
 		calls int
 		want  error
 	}{
-		"held, then short of descriptors": {[]error{syscall.EADDRINUSE, syscall.EMFILE, nil}, 3, nil},
-		"not permitted":                   {[]error{syscall.EACCES, nil}, 1, syscall.EACCES},
+		"in use, then no descriptors left": {[]error{syscall.EADDRINUSE, syscall.EMFILE, nil}, 3, nil},
+		"not permitted":                    {[]error{syscall.EACCES, nil}, 1, syscall.EACCES},
 	} {
 		calls := 0
 		_, err := OpenFunc("addr", func(string) (net.Listener, error) {
--- a/internal/oserr/oserr.go
+++ b/internal/oserr/oserr.go
@@ -1,5 +1,5 @@
-// Package oserr classifies errors of system calls by what they concern: the local machine, which says
-// nothing of the other side, or one connection alone.
+// Package oserr classifies errors of system calls: those of the local machine, which say nothing about the
+// peer, and those of a single connection. Its functions may be called from several goroutines.
 package oserr
 
 import (
@@ -17,15 +17,15 @@
 	transientErrors = []syscall.Errno{syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM}
 )
 
-// IsLocal reports whether a call failed on the local machine, which says nothing of the other side.
+// IsLocal reports whether a call failed because of the local machine, which says nothing about the peer.
 func IsLocal(err error) bool { return isAny(err, localErrors) }
 
-// IsPerConnection reports whether an accept failed by the connection that it was to return. Linux passes on
-// the pending network errors of that connection; others wait behind it, so that the accept is to be retried
-// at once (accept(2), "Error handling").
+// IsPerConnection reports whether an accept failed because of the connection it would have returned. Linux
+// returns pending network errors of that connection from accept. Other connections may wait behind it, so the
+// accept should be retried at once (accept(2), "Error handling").
 func IsPerConnection(err error) bool { return isAny(err, perConnectionErrors) }
 
-// IsTransient reports whether a non-blocking call failed in a way that says nothing of its connection.
+// IsTransient reports whether a non-blocking call failed in a way that says nothing about its connection.
 func IsTransient(err error) bool { return isAny(err, transientErrors) }
 
 func isAny(err error, errnos []syscall.Errno) bool {
--- a/internal/oserr/oserr_test.go
+++ b/internal/oserr/oserr_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestClassesOfErrors: an errno is found inside the errors that wrap it; some concern the machine and one
-// connection alike, as an accept and a connect report them.
+// TestClassesOfErrors checks that an errno is found inside the errors that wrap it. Some errnos count both as
+// local and as per connection, because connect and accept report them with different meanings.
 func TestClassesOfErrors(t *testing.T) {
 	for name, c := range map[string]struct {
 		err                             error
--- a/internal/tcpinfo/tcpinfo_test.go
+++ b/internal/tcpinfo/tcpinfo_test.go
@@ -7,7 +7,7 @@
 	"cresspass/internal/tcptest"
 )
 
-// TestSinceData: how long ago bytes came counts from their arrival, however late they are read.
+// TestSinceData checks that SinceData counts from the arrival of the bytes, even if they are not read.
 func TestSinceData(t *testing.T) {
 	const wait, slack = 200 * time.Millisecond, 20 * time.Millisecond
 	conn, peer := tcptest.Pair(t)
@@ -18,10 +18,10 @@
 	peer.Write([]byte("x"))
 	time.Sleep(wait)
 	if since := SinceData(raw); since < wait-slack {
-		t.Errorf("bytes came %v ago, want %v", since, wait)
+		t.Errorf("SinceData is %v, want at least about %v", since, wait)
 	}
 	conn.Close()
 	if since := SinceData(raw); since != 0 {
-		t.Errorf("of a closed connection: %v", since)
+		t.Errorf("SinceData of a closed connection is %v, want 0", since)
 	}
 }
--- a/internal/tcptest/tcptest.go
+++ b/internal/tcptest/tcptest.go
@@ -1,4 +1,4 @@
-// Package tcptest makes TCP connections for tests.
+// Package tcptest creates TCP connections for tests.
 package tcptest
 
 import (
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Pair returns the two ends of a connection over loopback: the one that was accepted and its peer. Both are
-// closed at the end of the test.
+// Pair returns the two ends of a new connection over the loopback interface: the accepted end and its peer.
+// Both are closed at the end of the test.
 func Pair(t *testing.T) (accepted, peer *net.TCPConn) {
 	t.Helper()
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
--- a/internal/timingwheel/wheel.go
+++ b/internal/timingwheel/wheel.go
@@ -1,5 +1,6 @@
-// Package timingwheel has a hierarchical timing wheel (Varghese and Lauck 1987, scheme 7) for timers that are
-// set in great number, never withdrawn, and may fire up to a tick late but never early. It reads no clock.
+// Package timingwheel implements a hierarchical timing wheel (Varghese and Lauck 1987, scheme 7). It is meant
+// for large numbers of timers that are never cancelled and may fire up to one tick late but never early. It
+// reads no clock.
 package timingwheel
 
 import (
@@ -18,40 +19,43 @@
 )
 
 type timer[T any] struct {
-	expiry uint64 // tick
+	expiry uint64 // tick at which it fires
 	value  T
 }
 
-// Wheel holds timers with values of type T. To set one and to fire it take constant time each.
+// Wheel holds timers with values of type T. Setting a timer and firing it each take constant time. A Wheel is
+// not safe for concurrent use.
 //
-// Level 0 has a slot for each of the next ticks; a slot of each level above spans all slots of the level
-// below, to which its timers are moved when the time gets there.
+// Level 0 has one slot for each of the next slotsPerLevel ticks. Each slot of a higher level spans as many
+// ticks as the whole level below it; when the current tick reaches the slot, its timers move to lower levels.
 type Wheel[T any] struct {
 	resolution  time.Duration // length of a tick
-	currentTick uint64        // ticks up to this one have fired
-	count       int
+	currentTick uint64        // timers up to this tick have fired
+	count       int           // pending timers
 	slots       [levels][slotsPerLevel][]timer[T]
-	occupied    [levels][slotsPerLevel / wordBits]uint64 // a bit for each slot that holds timers
-	spare       [][]timer[T]                             // memory of emptied slots, for use again
+	occupied    [levels][slotsPerLevel / wordBits]uint64 // one bit per slot, set if the slot holds timers
+	spare       [][]timer[T]                             // empty slices of former slots, for reuse
 }
 
-// New returns a wheel that begins at a time and fires at whole multiples of its resolution, in which all
-// durations are measured from the same zero. It spans 2^32 ticks; later timers are set again inside.
+// New returns a wheel whose time is now and whose timers fire at whole multiples of resolution. All times are
+// durations since the same zero. The wheel spans 2^32 ticks; timers beyond that wait in its farthest slot
+// and are inserted again from there.
 func New[T any](now, resolution time.Duration) *Wheel[T] {
 	return &Wheel[T]{resolution: resolution, currentTick: uint64(now / resolution)}
 }
 
-// Len returns the number of timers that wait.
+// Len returns the number of pending timers.
 func (w *Wheel[T]) Len() int { return w.count }
 
-// Schedule sets a timer; one whose time is past fires at the next tick.
+// Schedule sets a timer that fires with value at due, rounded up to a tick. A timer that is due already fires
+// at the next tick.
 func (w *Wheel[T]) Schedule(due time.Duration, value T) {
 	expiry := uint64((due + w.resolution - 1) / w.resolution)
 	w.count++
 	w.insert(timer[T]{max(expiry, w.currentTick+1), value})
 }
 
-// insert puts a timer into the slot of the lowest level that reaches as far.
+// insert adds a timer to a slot of the lowest level that spans its expiry.
 func (w *Wheel[T]) insert(pending timer[T]) {
 	ahead := pending.expiry - w.currentTick
 	level := 0
@@ -69,7 +73,7 @@
 	w.occupied[level][slot/wordBits] |= 1 << (slot % wordBits)
 }
 
-// slotIndex returns the index of a tick's slot on a level.
+// slotIndex returns the index of the slot that holds a tick on a level.
 func slotIndex(tick uint64, level int) uint64 {
 	return tick >> (bitsPerLevel * level) & (slotsPerLevel - 1)
 }
@@ -82,7 +86,7 @@
 	return timers
 }
 
-// recycle keeps the memory of an emptied slot.
+// recycle keeps the slice of an emptied slot for reuse, up to maxSpareSlots slices.
 func (w *Wheel[T]) recycle(timers []timer[T]) {
 	if cap(timers) > 0 && len(w.spare) < maxSpareSlots {
 		clear(timers)
@@ -90,8 +94,8 @@
 	}
 }
 
-// Advance brings the wheel to a time and calls fire for every timer that is due, in the order of their ticks.
-// fire may set timers.
+// Advance moves the wheel's time to now and calls fire for every timer that is due, in the order of their
+// ticks. fire may call Schedule.
 func (w *Wheel[T]) Advance(now time.Duration, fire func(T)) {
 	targetTick := uint64(now / w.resolution)
 	for w.currentTick < targetTick {
@@ -101,7 +105,7 @@
 			return
 		}
 		w.currentTick = next
-		for level := levels - 1; level >= 0; level-- { // coarse levels first: they refill the finer ones
+		for level := levels - 1; level >= 0; level-- { // higher levels first: their timers move to lower ones
 			slotStarts := w.currentTick&(1<<(bitsPerLevel*level)-1) == 0
 			if slotStarts {
 				w.expireSlot(level, fire)
@@ -110,8 +114,8 @@
 	}
 }
 
-// expireSlot fires the timers of a level's current slot that are due, and moves the others to finer levels.
-// On level 0 all are due.
+// expireSlot fires the due timers in the current slot of a level and moves the others to lower levels. On
+// level 0 all timers in the slot are due.
 func (w *Wheel[T]) expireSlot(level int, fire func(T)) {
 	timers := w.takeSlot(level, slotIndex(w.currentTick, level))
 	for _, t := range timers {
@@ -125,8 +129,8 @@
 	w.recycle(timers)
 }
 
-// nextTick returns the next tick with something to do: a timer that is due, or a coarse slot whose timers
-// have to be moved.
+// nextTick returns the next tick at which a timer is due or a slot of a higher level begins whose timers have
+// to move.
 func (w *Wheel[T]) nextTick() uint64 {
 	earliest := uint64(math.MaxUint64)
 	for level := range levels {
@@ -147,7 +151,8 @@
 	return earliest
 }
 
-// NextExpiry returns the time until which nothing fires, and whether any timer waits at all.
+// NextExpiry returns a time before which no timer fires, and whether there are pending timers. At that time
+// there may be only timers to move to a lower level.
 func (w *Wheel[T]) NextExpiry() (due time.Duration, ok bool) {
 	if w.count == 0 {
 		return 0, false
--- a/internal/timingwheel/wheel_test.go
+++ b/internal/timingwheel/wheel_test.go
@@ -12,8 +12,8 @@
 
 const ms = time.Millisecond
 
-// TestWheelMatchesList: the wheel fires the same timers at the same ticks as a plain list, in any pattern of
-// waits and steps.
+// TestWheelMatchesList checks that for random timers and steps of the clock, the wheel fires the same timers
+// at the same ticks as a plain list.
 func TestWheelMatchesList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "start"))
@@ -32,7 +32,7 @@
 			last := time.Duration(0)
 			w.Advance(now, func(id int) {
 				if due[id] > now || due[id] < last {
-					t.Fatalf("at %v fired one due at %v, after one due at %v", now, due[id], last)
+					t.Fatalf("at %v: fired a timer due at %v after one due at %v", now, due[id], last)
 				}
 				last = due[id]
 				delete(due, id)
@@ -40,13 +40,14 @@
 			first := time.Duration(1 << 62)
 			for id, d := range due {
 				if d <= now {
-					t.Fatalf("at %v number %d, due at %v, has not fired", now, id, d)
+					t.Fatalf("at %v: timer %d, due at %v, has not fired", now, id, d)
 				}
 				first = min(first, d)
 			}
 			next, ok := w.NextExpiry()
 			if ok != (len(due) > 0) || ok && (next > first || next <= now/ms*ms) || w.Len() != len(due) {
-				t.Fatalf("at %v next %v %v, first due %v of %d", now, next, ok, first, len(due))
+				t.Fatalf("at %v: NextExpiry is %v, %v; the earliest of the timers is due at %v; %d wait", now,
+					next, ok, first, len(due))
 			}
 		}
 	})
@@ -65,8 +66,8 @@
 	return v
 }
 
-// BenchmarkTimers: in one operation a timer is set 4 to 20 s ahead and 100 us pass, with n timers waiting, as
-// queries do.
+// BenchmarkTimers measures the wheel against a heap with n pending timers. One operation sets a timer that is
+// due in 4 to 20 s, as queries do, and advances the clock by 12 s / n.
 func BenchmarkTimers(b *testing.B) {
 	for _, n := range []int{1000, 100000} {
 		step := 12 * time.Second / time.Duration(n)
