--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,5 +1,5 @@
-// Package eventlog keeps the last events of a dispatcher in memory, by request, and writes them to the log
-// as they happen if its level is debug. After a fault the events of one request can be read in order, even if
+// Package eventlog keeps the last events of a dispatcher's requests in memory, and writes each event to the
+// log if the log's level is debug. After a failure the events of one request can be read in order, even if
 // the log's level was too high to show them.
 package eventlog
 
@@ -12,37 +12,37 @@
 	"time"
 )
 
-// Kind says what happened. It is the message of the event's log line.
+// Kind is the type of an event and the message of its log line.
 type Kind string
 
-// The kinds of event, in the order in which a request meets them.
+// The kinds of event, in the order in which they happen to a request.
 const (
 	RequestReceived    Kind = "request received"
-	RequestMalformed   Kind = "request malformed" // it could be read, but is itself at fault
-	AttemptStarted     Kind = "attempt started"   // the decision module wants it
-	AttemptWithheld    Kind = "attempt withheld"  // it was not sent: its decision holds no longer
-	AttemptSent        Kind = "attempt sent"      // its bytes were handed to the system
+	RequestMalformed   Kind = "request malformed" // the request was decoded, but its content is invalid
+	AttemptStarted     Kind = "attempt started"   // the decision module started the attempt
+	AttemptWithheld    Kind = "attempt withheld"  // the attempt was not sent: its decision is not valid any more
+	AttemptSent        Kind = "attempt sent"      // the bytes of the attempt were passed to the operating system
 	ResponseUnreadable Kind = "response unreadable"
-	AttemptStopped     Kind = "attempt stopped" // it is to end; "attempt ended" follows
+	AttemptStopped     Kind = "attempt stopped" // the attempt was told to end; "attempt ended" follows
 	AttemptEnded       Kind = "attempt ended"
 	RequestAnswered    Kind = "request answered"  // with its result
-	RequestRejected    Kind = "request rejected"  // the client was told that a retry does no harm
-	RequestFailed      Kind = "request failed"    // the client was told that the outcome is not known
-	ClientGone         Kind = "client gone"       // it cancelled the request, or its connection is lost
-	ConnectionClosed   Kind = "connection closed" // a client's connection, by the dispatcher
-	ConnectionLost     Kind = "connection lost"   // a client's connection, by the client or the network
-	StateChanged       Kind = "state changed"     // the dispatcher's own state
+	RequestRejected    Kind = "request rejected"  // the client was told that a retry is harmless
+	RequestFailed      Kind = "request failed"    // the client was told that the outcome is unknown
+	ClientGone         Kind = "client gone"       // the client cancelled the request or lost its connection
+	ConnectionClosed   Kind = "connection closed" // the dispatcher closed a client connection
+	ConnectionLost     Kind = "connection lost"   // the client or the network ended a client connection
+	StateChanged       Kind = "state changed"     // the dispatcher's own state changed
 )
 
-// NoAttempt is the Attempt of an event that concerns no attempt.
+// NoAttempt is the value of Event.Attempt for an event that belongs to no attempt.
 const NoAttempt = -1
 
-// Event is one thing that happened. Fields that do not apply are empty.
+// Event is an event of a dispatcher. Fields that do not apply are empty.
 type Event struct {
-	Elapsed   time.Duration // since the log was made
+	Elapsed   time.Duration // time since the Log was created
 	Kind      Kind
-	RequestID string // as the client gave it
-	Attempt   int    // NoAttempt: none
+	RequestID string // as the client sent it
+	Attempt   int    // number of the attempt, or NoAttempt
 	Node      string
 	Reason    string
 }
@@ -62,23 +62,23 @@
 	return b.String()
 }
 
-// Log is a ring of the last events. It is for any number of goroutines.
+// Log is a ring buffer of the last events. It is safe for concurrent use.
 type Log struct {
 	logger    *slog.Logger
 	createdAt time.Time
 
 	mu      sync.Mutex
 	ring    []Event
-	next    int  // the place of the next event
+	next    int  // index of the next event
 	wrapped bool // the ring is full: the oldest event is at next
 }
 
-// New returns a log of the last so many events.
+// New returns a Log that keeps the last size events and writes all events to logger at debug level.
 func New(size int, logger *slog.Logger) *Log {
 	return &Log{logger: logger, createdAt: time.Now(), ring: make([]Event, size)}
 }
 
-// Add enters an event of the present moment.
+// Add records an event that happens now; it sets Elapsed.
 func (l *Log) Add(event Event) {
 	event.Elapsed = time.Since(l.createdAt)
 	l.mu.Lock()
@@ -93,7 +93,7 @@
 	}
 }
 
-// Events returns what is left of a request's events, the oldest first.
+// Events returns the events of a request that are still in the ring, oldest first.
 func (l *Log) Events(requestID string) (events []Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,7 +112,7 @@
 	return matching
 }
 
-// Trace returns a request's events as one line.
+// Trace returns the events of a request that are still in the ring as one line, oldest first.
 func (l *Log) Trace(requestID string) string {
 	var parts []string
 	for _, event := range l.Events(requestID) {
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestRingKeepsLastEventsInOrder: the last events of a request are kept in order, however often the ring has
-// wrapped.
+// TestRingKeepsLastEventsInOrder checks that the last events of a request are kept in order, however often
+// the ring has wrapped around.
 func TestRingKeepsLastEventsInOrder(t *testing.T) {
 	for _, n := range []int{3, 8, 9, 21} {
 		l := New(8, slog.New(slog.DiscardHandler))
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestEventsAsLines: an event is a debug line of the log, and a part of its request's trace; both name its
-// attempt, node and reason by the same keys.
+// TestEventsAsLines checks that an event is written to the log as a debug line and is part of its request's
+// trace, and that both use the same keys for attempt, node and reason.
 func TestEventsAsLines(t *testing.T) {
 	var lines strings.Builder
 	l := New(8, slog.New(slog.NewTextHandler(&lines, &slog.HandlerOptions{Level: slog.LevelDebug})))
--- a/internal/invariant/counter.go
+++ b/internal/invariant/counter.go
@@ -9,8 +9,8 @@
 	"sync"
 )
 
-// Counter counts acts that were not allowed, by invariant, and logs violations. It is for any number of
-// goroutines.
+// Counter counts the actions that were not allowed, by invariant, and logs violations. It is safe for
+// concurrent use.
 type Counter struct {
 	log *slog.Logger
 
@@ -19,13 +19,13 @@
 	violated map[Name]uint64
 }
 
-// NewCounter returns a Counter that logs violations.
+// NewCounter returns a Counter that logs violations to log.
 func NewCounter(log *slog.Logger) *Counter {
 	return &Counter{log: log, withheld: map[Name]uint64{}, violated: map[Name]uint64{}}
 }
 
-// Record counts the result of a check on an act for a request, named as in the log. It reports whether the
-// act is allowed.
+// Record counts the result of a check and reports whether the action is allowed. requestID is the request's
+// name in the log.
 func (c *Counter) Record(result Result, requestID string) bool {
 	if result.OK() {
 		return true
@@ -43,7 +43,7 @@
 	return false
 }
 
-// LogTrace logs the events of a request that a violation concerns.
+// LogTrace logs the events of a request for which an invariant was violated.
 func (c *Counter) LogTrace(requestID, trace string) {
 	c.log.Error("request trace", "request", requestID, "events", trace)
 }
@@ -55,14 +55,14 @@
 	return maps.Clone(c.violated)
 }
 
-// Withheld returns how often each invariant stopped an act that had been allowed when it was decided on.
+// Withheld returns how often each invariant prevented an action that had been allowed when it was decided on.
 func (c *Counter) Withheld() map[Name]uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.withheld)
 }
 
-// FormatCounts writes counts as name=count, in the order of names.
+// FormatCounts formats counts as name=count, separated by spaces and sorted by name.
 func FormatCounts(counts map[Name]uint64) string {
 	var parts []string
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
--- a/internal/invariant/golden_test.go
+++ b/internal/invariant/golden_test.go
@@ -13,8 +13,8 @@
 	"cresspass/internal/goldentest"
 )
 
-// TestGoldenNames: the names of the invariants are keys of the health answer and values in the log, so they
-// outlive every rename in the code.
+// TestGoldenNames checks that the names of the invariants are the recorded ones: they are keys in the health
+// response and values in the log, and must stay the same when an identifier in the code is renamed.
 func TestGoldenNames(t *testing.T) {
 	names := []Name{
 		SentAfterEnd,
@@ -38,8 +38,8 @@
 	goldentest.Compare(t, "names.txt", []byte(now.String()))
 }
 
-// TestGoldenViolationLines: a violation is logged as in the golden files, in both formats of the dispatcher's
-// log, and ReadViolations finds these lines, and those of a crash, and no others.
+// TestGoldenViolationLines checks that violations are logged as recorded in the golden files, in both formats
+// of the dispatcher's log, and that ReadViolations finds these lines and those of a crash, and no others.
 func TestGoldenViolationLines(t *testing.T) {
 	noTime := func(_ []string, a slog.Attr) slog.Attr {
 		if a.Key == slog.TimeKey {
@@ -69,7 +69,7 @@
 			t.Fatal(err)
 		}
 		if found, err := ReadViolations(path); err != nil || !slices.Equal(found, lines) || len(found) != 4 {
-			t.Errorf("%s: found %q, %v, want %q", format, found, err, lines)
+			t.Errorf("%s: ReadViolations returned %q, %v, want %q", format, found, err, lines)
 		}
 	}
 }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,18 +1,19 @@
-// Package invariant re-checks the safety rules in the moment of an act. A decision is made earlier than it
-// is carried out: between the two lie a wait for a descriptor, a dial, a record on disk.
+// Package invariant checks the safety rules again at the moment an action is carried out. The decision was
+// made earlier, and a wait for a file descriptor, a dial or a write to disk may lie between the two.
 //
-// Ledger records what has really happened to requests, without I/O and without a clock; every path checks
-// with it before it sends, retries, answers or closes. Counter counts and logs what the Ledger did not allow.
-// Guard is both behind one lock. The package makes no decisions of its own: it only withholds acts.
+// A Ledger records what has really happened to requests, without I/O and without a clock; every code path
+// asks it before it sends, retries, answers or closes. A Counter counts and logs actions that the Ledger did
+// not allow. A Guard combines both for concurrent use. The package makes no decisions of its own: it only
+// prevents actions.
 package invariant
 
 import "fmt"
 
-// Name names an invariant. The names are values in the log and keys of the health answer: they do not follow
-// a rename in the code.
+// Name identifies an invariant. The names are values in the log and keys in the health response, so they stay
+// the same when an identifier in the code is renamed.
 type Name string
 
-// The invariants, by the act that they guard.
+// The invariants, grouped by the action that they concern.
 const (
 	// Sending.
 
@@ -22,7 +23,7 @@
 	SentAfterDeadline Name = "sent_too_late"
 	// SentToDraining: nothing new is sent to an engine that does not accept requests.
 	SentToDraining Name = "sent_to_drained"
-	// SentOutOfOrder: of the requests with one ordering key, one is in flight at a time.
+	// SentOutOfOrder: only one request with the same ordering key is in flight at a time.
 	SentOutOfOrder Name = "sent_out_of_order"
 	// SentWhileNotServing: nothing is sent before the dispatcher's start or after its end.
 	SentWhileNotServing Name = "sent_outside_life"
@@ -31,20 +32,20 @@
 
 	// Retrying.
 
-	// RetriedNonIdempotent: a request that is not idempotent is retried only if no attempt ran.
+	// RetriedNonIdempotent: a request that is not idempotent is retried only if no attempt can have run.
 	RetriedNonIdempotent Name = "repeated_unsafe"
-	// RetriedConcurrently: one attempt of a request is in flight at a time, unless requests may be hedged.
+	// RetriedConcurrently: only one attempt of a request is in flight at a time, unless hedging is allowed.
 	RetriedConcurrently Name = "repeated_beside"
-	// RetriedAfterWindow: a request with an idempotency key is retried only inside its deduplication window.
+	// RetriedAfterWindow: a request with an idempotency key is retried only within its deduplication window.
 	RetriedAfterWindow Name = "repeated_late"
-	// RetriedOverBudget: retries stay within their budget.
+	// RetriedOverBudget: retries stay within the retry budget.
 	RetriedOverBudget Name = "repeated_over_budget"
 
 	// Answering and closing.
 
-	// AnsweredTwice: a request has one final answer.
+	// AnsweredTwice: a request gets only one final answer.
 	AnsweredTwice Name = "answered_twice"
-	// ClosedInFlight: no client's connection is closed with a request in flight on it.
+	// ClosedInFlight: no client connection is closed while a request is in flight on it.
 	ClosedInFlight Name = "closed_with_open"
 
 	// Accepting.
@@ -53,13 +54,13 @@
 	AcceptedWhileNotServing Name = "taken_outside_life"
 )
 
-// Kind tells whether an act is allowed, and if not, whether it ever was.
+// Kind tells whether an action is allowed, and if not, whether it was allowed when it was decided on.
 type Kind int
 
-// The kinds.
+// The kinds of Result.
 const (
 	Allowed  Kind = iota
-	Stale         // allowed when it was decided on, but no longer: the crossing that the check is there for
+	Stale         // allowed when it was decided on, but not any more: the race that the checks are there for
 	Violated      // never allowed: a defect of the dispatcher
 )
 
@@ -75,14 +76,14 @@
 	return fmt.Sprintf("Kind(%d)", int(k))
 }
 
-// Result is what a check found. The zero value allows the act.
+// Result is the result of a check. The zero value allows the action.
 type Result struct {
 	Kind   Kind
-	Name   Name   // the invariant that does not allow the act
-	Detail string // what it is that breaks it
+	Name   Name   // the invariant that forbids the action; empty if it is allowed
+	Detail string // what would violate the invariant
 }
 
-// OK reports whether the act is allowed.
+// OK reports whether the action is allowed.
 func (r Result) OK() bool { return r.Kind == Allowed }
 
 func (r Result) String() string { return fmt.Sprintf("%s: %s", r.Name, r.Detail) }
--- a/internal/invariant/ledger.go
+++ b/internal/invariant/ledger.go
@@ -7,7 +7,7 @@
 	"cresspass"
 )
 
-// Request is a request as the Ledger knows it.
+// Request holds the facts about a request that the Ledger checks.
 type Request struct {
 	ID          cresspass.QueryID
 	Class       string
@@ -15,38 +15,39 @@
 	Deadline    time.Time
 }
 
-// Target is where an attempt is sent, as it is in that moment.
+// Target is the engine to which an attempt is sent, in its state at that moment.
 type Target struct {
 	Engine    cresspass.EngineID
 	Kind      string
 	Zone      string
-	Accepting bool // it is active, and at that address
+	Accepting bool // the engine is active and has the address to which the attempt is sent
 }
 
-// requestState is what has happened to a request.
+// requestState is the recorded state of a request.
 type requestState struct {
 	Request
 	class         *cresspass.Class
 	acceptedAt    time.Time
-	ended         bool
+	ended         bool // its final answer was recorded, or nobody waits for it any more
 	attemptsBegun int
-	begunAt       map[int]time.Time // of the attempts in flight, by their number
+	begunAt       map[int]time.Time // start times of the attempts in flight, by attempt number
 	inFlight      int               // attempts that have begun and not ended
-	mayHaveRun    int               // attempts that are in flight or may have run
-	firstRunAt    time.Time         // when the first began of those that have ended and may have run
+	mayHaveRun    int               // attempts that are in flight, or have ended and may have run
+	firstRunAt    time.Time         // earliest start time of the attempts that have ended and may have run
 }
 
-// Ledger records what has happened to requests. It is for one goroutine at a time.
+// Ledger records what has happened to requests and checks actions against it. It is not safe for concurrent
+// use.
 type Ledger struct {
 	rules      Rules
 	classes    map[string]*cresspass.Class
 	requests   map[cresspass.QueryID]*requestState
-	keyHolders map[string]cresspass.QueryID // the request in flight of each ordering key
+	keyHolders map[string]cresspass.QueryID // the request in flight with each ordering key
 	retries    retryCount
 	serving    bool
 }
 
-// NewLedger returns the empty Ledger of a dispatcher that does not serve yet.
+// NewLedger returns an empty Ledger of a dispatcher that does not serve yet.
 func NewLedger(rules Rules) *Ledger {
 	l := &Ledger{
 		rules:      rules,
@@ -61,13 +62,14 @@
 	return l
 }
 
-// SetServing tells whether the dispatcher serves: from its start to its end.
+// SetServing records whether the dispatcher serves, which it does from its start to its end.
 func (l *Ledger) SetServing(serving bool) { l.serving = serving }
 
-// Len returns how many requests are recorded.
+// Len returns the number of recorded requests.
 func (l *Ledger) Len() int { return len(l.requests) }
 
-// Accept enters a request. One that may not be accepted is entered too, as it is owed a rejection.
+// Accept records a request and checks whether it may be accepted. A request that may not be accepted is
+// recorded too, because it must still be answered with a rejection.
 func (l *Ledger) Accept(now time.Time, request Request) Result {
 	class := l.classes[request.Class]
 	if class == nil {
@@ -81,8 +83,8 @@
 	return Result{}
 }
 
-// Complete enters a request's final answer, or that nobody waits for one any more; served tells that it has
-// its result.
+// Complete records the final answer to a request, or that nobody waits for one any more, and checks that it
+// is the only one. served tells whether the request was answered with its result.
 func (l *Ledger) Complete(id cresspass.QueryID, served bool) Result {
 	r := l.requests[id]
 	if r == nil || r.ended {
@@ -96,8 +98,8 @@
 	return Result{}
 }
 
-// BeginAttempt asks whether an attempt may be sent now, and enters it if so. EndAttempt is owed for each that
-// may. An attempt of which not a byte could be written is checked again.
+// BeginAttempt checks whether an attempt may be sent now, and records it if so. EndAttempt must be called for
+// each attempt that is allowed. An attempt of which no byte could be written may be checked again.
 func (l *Ledger) BeginAttempt(now time.Time, id cresspass.QueryID, attempt int, target Target) Result {
 	r := l.requests[id]
 	switch {
@@ -110,7 +112,7 @@
 		return result
 	}
 	if _, again := r.begunAt[attempt]; again {
-		return Result{} // not a byte of it was written the first time
+		return Result{} // no byte of it was written the first time
 	}
 	if result := l.checkRetry(now, r); !result.OK() {
 		return result
@@ -131,7 +133,7 @@
 	return Result{}
 }
 
-// checkTarget checks the moment and the target of an attempt.
+// checkTarget checks that the deadline of a request has not passed and that its attempt may go to the target.
 func checkTarget(now time.Time, r *requestState, target Target) Result {
 	class := r.class
 	switch {
@@ -147,7 +149,7 @@
 	return Result{}
 }
 
-// checkRetry checks an attempt against those that began before it.
+// checkRetry checks an attempt against the request's earlier attempts and the retry budget.
 func (l *Ledger) checkRetry(now time.Time, r *requestState) Result {
 	effect := r.class.Effect
 	switch {
@@ -165,7 +167,8 @@
 	return Result{}
 }
 
-// EndAttempt enters that an attempt has ended; neverRan tells that it certainly did not run.
+// EndAttempt records that an attempt has ended. neverRan tells whether it is certain that it did not run. An
+// attempt that was not allowed to begin is ignored.
 func (l *Ledger) EndAttempt(id cresspass.QueryID, attempt int, neverRan bool) {
 	r := l.requests[id]
 	if r == nil {
@@ -188,7 +191,7 @@
 	l.removeIfFinished(r)
 }
 
-// removeIfFinished drops a request that has ended and has no attempt in flight.
+// removeIfFinished removes a request that has ended and has no attempt in flight.
 func (l *Ledger) removeIfFinished(r *requestState) {
 	if r.ended && r.inFlight == 0 {
 		delete(l.requests, r.ID)
--- a/internal/invariant/ledger_test.go
+++ b/internal/invariant/ledger_test.go
@@ -23,8 +23,8 @@
 	}}
 }
 
-// TestEachInvariant: each act that a rule forbids is withheld under the name of its invariant, and counts as
-// a defect only if it was never allowed.
+// TestEachInvariant checks that each forbidden action is prevented under the name of its invariant, and that
+// it counts as a violation only if it was never allowed.
 func TestEachInvariant(t *testing.T) {
 	draining := openTarget
 	draining.Accepting = false
@@ -37,11 +37,11 @@
 		"first attempt": {"not idempotent", func(l *Ledger) Result {
 			return l.BeginAttempt(t0, 1, 0, openTarget)
 		}, "", Allowed},
-		"sent after its answer": {"idempotent", func(l *Ledger) Result {
+		"sent after final answer": {"idempotent", func(l *Ledger) Result {
 			l.Complete(1, true)
 			return l.BeginAttempt(t0, 1, 0, openTarget)
 		}, SentAfterEnd, Stale},
-		"sent after its deadline": {"idempotent", func(l *Ledger) Result {
+		"sent after deadline": {"idempotent", func(l *Ledger) Result {
 			return l.BeginAttempt(t0.Add(10*time.Second), 1, 0, openTarget)
 		}, SentAfterDeadline, Stale},
 		"sent to a draining engine": {"idempotent", func(l *Ledger) Result {
@@ -92,11 +92,11 @@
 		if result.Name != c.want || result.Kind != c.kind || allowed != (c.kind == Allowed) ||
 			len(counter.Violations()) > 0 != (c.kind == Violated) ||
 			len(counter.Withheld()) > 0 != (c.kind == Stale) {
-			t.Errorf("%s: %+v, allowed %v", name, result, allowed)
+			t.Errorf("%s: result %+v, allowed %v", name, result, allowed)
 		}
 	}
 	l := NewLedger(testRules())
 	if result := l.Accept(t0, Request{ID: 1}); result.Name != AcceptedWhileNotServing {
-		t.Errorf("before the start: %+v", result)
+		t.Errorf("request accepted before the start: result %+v, want AcceptedWhileNotServing", result)
 	}
 }
--- a/internal/invariant/retry_budget.go
+++ b/internal/invariant/retry_budget.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// retryCount counts retries against their budget. Both lists are in ascending order.
+// retryCount counts retries and served requests for a retry budget. Both lists are in ascending order.
 type retryCount struct {
 	budget  RetryBudget
-	served  []time.Time // when requests were accepted that have been served
-	retries []time.Time // when retries were begun
+	served  []time.Time // times at which the requests that were served had been accepted
+	retries []time.Time // times at which retries began
 }
 
-// addServed counts a request that was served, by when it was accepted.
+// addServed counts a request that was served, at the time it was accepted.
 func (c *retryCount) addServed(acceptedAt time.Time) {
 	if !c.budget.Enabled {
 		return
 	}
 	i, _ := slices.BinarySearchFunc(c.served, acceptedAt, time.Time.Compare)
 	c.served = slices.Insert(c.served, i, acceptedAt)
-	// A request that is a window older than the newest counts for no retry to come. Without this, a
-	// dispatcher that never retries would keep each request it served.
+	// A request older than the newest one by a window counts for no later retry. Without this, a dispatcher
+	// that never retries would keep every request that it served.
 	newest := c.served[len(c.served)-1]
 	c.served = keepAfter(c.served, newest.Add(-c.budget.Window))
 }
@@ -32,7 +32,7 @@
 	}
 }
 
-// allowsRetry reports whether one more retry is within the budget now.
+// allowsRetry reports whether one more retry at now is within the budget.
 func (c *retryCount) allowsRetry(now time.Time) bool {
 	if !c.budget.Enabled {
 		return true
@@ -43,7 +43,7 @@
 	return float64(len(c.retries)+1) <= c.budget.Free+c.budget.Ratio*float64(len(c.served))
 }
 
-// keepAfter drops the times, in ascending order, that are not after a start.
+// keepAfter removes the times that are not after start. times is in ascending order.
 func keepAfter(times []time.Time, start time.Time) []time.Time {
 	n, _ := slices.BinarySearchFunc(times, start, func(t, start time.Time) int {
 		if t.After(start) {
--- a/internal/invariant/retry_budget_test.go
+++ b/internal/invariant/retry_budget_test.go
@@ -9,8 +9,8 @@
 	"cresspass"
 )
 
-// TestRetryBudgetOverAnyWindow: however requests and attempts come, in no window are there more retries than
-// the requests served in it allow, also by a clock that differs by less than the skew.
+// TestRetryBudgetOverAnyWindow checks that for random requests and attempts, no window has more retries than
+// the requests served in it allow, even by a clock that differs by less than ClockSkew.
 func TestRetryBudgetOverAnyWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := RetryBudget{Enabled: true, Free: float64(rapid.IntRange(0, 3).Draw(t, "free")),
@@ -46,7 +46,7 @@
 					from := now.Add(-budget.Window + edge)
 					allowed := budget.Free + budget.Ratio*count(accepted, from)
 					if got := count(retries, from); got > allowed {
-						t.Fatalf("%v retries, %v allowed", got, allowed)
+						t.Fatalf("%v retries in a window, at most %v are allowed", got, allowed)
 					}
 				}
 			}
@@ -56,13 +56,13 @@
 			}
 		}
 		if l.Len() != 0 {
-			t.Fatalf("%d requests are still recorded", l.Len())
+			t.Fatalf("%d requests are still recorded, want none", l.Len())
 		}
 	})
 }
 
-// TestRetryBudgetForgets: what is kept for the budget is bounded by its window, also if nothing is ever
-// retried.
+// TestRetryBudgetForgets checks that the number of served requests kept for the budget is limited by its
+// window, even if nothing is ever retried.
 func TestRetryBudgetForgets(t *testing.T) {
 	rules := testRules()
 	rules.RetryBudget = RetryBudget{Enabled: true, Ratio: 0.1, Window: time.Second}
@@ -75,6 +75,6 @@
 		l.Complete(id, true)
 	}
 	if n := len(l.retries.served); n > 1000 {
-		t.Errorf("%d requests are kept of the last second's 100", n)
+		t.Errorf("%d served requests are kept, but only 100 are in the window", n)
 	}
 }
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -6,19 +6,20 @@
 	"cresspass"
 )
 
-// Rules are what the Ledger checks acts against.
+// Rules are the rules that the Ledger checks actions against.
 type Rules struct {
 	Classes     []cresspass.Class
 	RetryBudget RetryBudget
-	MayHedge    bool // two attempts of a request may be in flight at a time
+	MayHedge    bool // more than one attempt of a request may be in flight at a time
 }
 
-// RetryBudget bounds retries: at most Free plus Ratio of the requests served, over each span of Window.
+// RetryBudget limits retries: in any period of length Window there are at most Free retries plus Ratio times
+// the number of requests served.
 //
-// A request counts from when it was accepted, but only once it was served: the platform does not count the
-// requests of unknown clients, and with these a dispatcher would allow itself more retries than it has.
-// Requests are counted over a window shorter by ClockSkew, and retries over one longer by it, so that clocks
-// that differ by as much see the bound kept.
+// A request counts at the time it was accepted, but only once it was served: the platform does not count the
+// requests of unknown clients, and with these a dispatcher would allow itself more retries than the platform
+// does. Requests are counted over a window that is shorter by ClockSkew, and retries over one that is longer
+// by ClockSkew, so that the limit also holds by a clock that differs by that much.
 type RetryBudget struct {
 	Enabled   bool
 	Free      float64
@@ -27,11 +28,11 @@
 	ClockSkew time.Duration
 }
 
-// clockSkewTicks is by how much the platform's clocks may differ from ours where they count retries, in ticks
-// of the decision module.
+// clockSkewTicks is the largest difference between our clock and the platform's clocks that count retries, in
+// ticks of the decision module.
 const clockSkewTicks = 4
 
-// RulesFromConfig returns the rules in a decision module's settings.
+// RulesFromConfig returns the rules in the settings of a decision module.
 func RulesFromConfig(cfg *cresspass.Config) Rules {
 	return Rules{
 		Classes:  cfg.Classes,
--- a/internal/invariant/violation_log.go
+++ b/internal/invariant/violation_log.go
@@ -6,19 +6,19 @@
 	"strings"
 )
 
-// The writer and the reader of a violation's log line stand side by side, on one message: rehearsals and the
-// soak find violations by ReadViolations alone, so a line that it does not know would pass unseen.
+// The writer and the reader of a violation's log line are in one file and share one message: rehearsals and
+// the soak find violations only by ReadViolations, and would miss a line that it does not recognize.
 
-// violationMessage is the message of a violation's log line.
+// violationMessage is the message in the log line of a violation.
 const violationMessage = "invariant violated"
 
 // crashPrefixes begin the lines that the Go runtime writes when the process crashes.
 var crashPrefixes = []string{"panic:", "fatal error:"}
 
-// maxLineBytes is the longest line of a log that can be read.
+// maxLineBytes is the length of the longest log line that can be read.
 const maxLineBytes = 1 << 20
 
-// logViolation logs a violation, for ReadViolations to find.
+// logViolation logs a violation in a line that ReadViolations finds.
 func (c *Counter) logViolation(result Result, requestID string) {
 	c.log.Error(violationMessage, "invariant", string(result.Name), "request", requestID,
 		"detail", result.Detail)
@@ -30,7 +30,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // it was only read: nothing is lost
+	defer func() { _ = file.Close() }() // only read, so an error does not matter
 	scanner := bufio.NewScanner(file)
 	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
