--- a/internal/backend/computenode/machine.go
+++ b/internal/backend/computenode/machine.go
@@ -249,7 +249,7 @@
 		ev.Type == ResponseReceived && confirmsDelete(ev.Response)
 	// An unconfirmed Start may still be in transit on its own connection and arrive after the Delete. Only a
 	// Delete that is sent when the Start can no longer be in transit shows that an exclusive query is over.
-	// Other queries may run beside a late copy, so they do not wait.
+	// A query that is not exclusive may run concurrently with such a Start: waiting would gain it nothing.
 	if arrived := m.reachedAt + maxTransitTimeout; over && m.Exclusive && !m.confirmed && now < arrived {
 		return Step{Type: Delete, Due: arrived, Timeout: transitTimeout(0), Deadline: m.abandonedAt(),
 			Delay: arrived - now}
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -20,8 +20,8 @@
 	RequestReceived    Kind = "request received"
 	RequestMalformed   Kind = "request malformed" // the request was decoded, but its content is invalid
 	AttemptStarted     Kind = "attempt started"   // the decision module started the attempt
-	AttemptWithheld    Kind = "attempt withheld"  // the attempt was not sent: its decision is not valid any more
-	AttemptSent        Kind = "attempt sent"      // the bytes of the attempt were passed to the operating system
+	AttemptWithheld    Kind = "attempt withheld"  // the attempt was not sent: its decision is out of date
+	AttemptSent        Kind = "attempt sent"      // the attempt's bytes were passed to the operating system
 	ResponseUnreadable Kind = "response unreadable"
 	AttemptStopped     Kind = "attempt stopped" // the attempt was told to end; "attempt ended" follows
 	AttemptEnded       Kind = "attempt ended"
