--- a/internal/membership/clocksync/clock.go
+++ b/internal/membership/clocksync/clock.go
@@ -1,7 +1,7 @@
-// Package clocksync has the members of a fleet agree on one clock, by which they take turns as aggregators.
-// Each process's own clock begins when it starts, and wall clocks may be an hour off; so no member's clock
-// is the reference, but one near the median of what all members say theirs is, on which most agree. It does
-// no I/O and reads no clock.
+// Package clocksync lets the members of a fleet agree on one clock, by which they take turns as aggregators.
+// Each process's own clock begins when it starts, and wall clocks may be an hour off, so no single member's
+// clock is the reference. The fleet's clock is one near the median of the clocks that members send, on which
+// most of them agree. The package does no I/O and reads no clock.
 package clocksync
 
 import (
@@ -16,7 +16,8 @@
 	tolerance = 250 * time.Millisecond
 	// maxClock bounds the clocks that are accepted, so that differences cannot overflow.
 	maxClock = 1 << 62
-	// middleShare: one in so many of the samples, on each side of the median, may be followed in its place.
+	// middleShare sets which samples may be followed in place of the median: on each side of it, one in
+	// middleShare of all samples.
 	middleShare = 16
 )
 
@@ -30,14 +31,14 @@
 	scratch []time.Duration // reused by Sync
 }
 
-// New returns the clock of a member that has heard of no other: its own.
+// New returns the clock of a member without samples, which is the member's own.
 func New() *Clock { return &Clock{samples: map[string]sample{}} }
 
 // At returns the fleet's clock at a time of the member's own.
 func (c *Clock) At(now time.Duration) time.Duration { return now + c.offset }
 
-// AddSample records that a member says that the fleet's clock is now at a time. Impossible times are
-// ignored.
+// AddSample records the fleet's clock as a member has sent it. Negative clocks, and those of maxClock and
+// above, are ignored.
 func (c *Clock) AddSample(now time.Duration, name string, clock time.Duration) {
 	if clock >= 0 && clock < maxClock {
 		c.samples[name] = sample{now, clock - now}
@@ -48,12 +49,12 @@
 func (c *Clock) Forget(name string) { delete(c.samples, name) }
 
 // Sync moves the clock to the one, near the median of all samples and its own, on which most of them agree,
-// and reports whether it was moved. The median alone would not do: it may be what a single liar says. Of two
-// on which as many agree the later of those nearest to the median counts, so that two halves of a healed
-// split, or a fleet of two, choose alike.
+// and reports whether it was moved. The median alone is not enough: a single Byzantine member may have sent
+// it. Of several clocks on which as many agree, the nearest to the median counts, and of two as near the
+// later one, so that two halves of a healed split, or a fleet of two, choose the same.
 //
-// A clock that agrees with most samples is left alone: one that followed the median at each step would fall
-// behind by the samples' time on the network, again and again, and the fleet's clock would run slow.
+// A clock that agrees with most samples is not moved: if it followed the median at each step, it would fall
+// behind by the samples' network delay each time, and the fleet's clock would run slow.
 func (c *Clock) Sync(now time.Duration) (moved bool) {
 	offsets := c.scratch[:0]
 	offsets = append(offsets, c.offset)
@@ -69,7 +70,7 @@
 		}
 	}
 	c.scratch = offsets
-	if 2*agreeing > len(offsets) { // the median is one of them
+	if 2*agreeing > len(offsets) { // the median is then among those that agree
 		return false
 	}
 	slices.Sort(offsets)
@@ -81,9 +82,9 @@
 	return true
 }
 
-// mostShared returns, of the sorted offsets near the median, the one with which most of all agree. Of several
-// it is the nearest to the median, and of two as near the later. Members who agree on a false clock have to
-// hold the median to be followed.
+// mostShared returns, of the sorted offsets near the median, the one with which most of all offsets agree. Of
+// several it is the nearest to the median, and of two as near the later. So members that agree on a false
+// clock are followed only if their offsets are at the median or near it.
 func mostShared(offsets []time.Duration) time.Duration {
 	middle := len(offsets) / 2
 	best, bestAgreeing := offsets[middle], 0
@@ -97,14 +98,14 @@
 	return best
 }
 
-// countAgreeing counts the sorted offsets that agree with the one of an index, itself among them.
+// countAgreeing counts the sorted offsets that agree with the one at an index, itself included.
 func countAgreeing(offsets []time.Duration, index int) int {
 	first, _ := slices.BinarySearch(offsets, offsets[index]-tolerance+1)
 	end, _ := slices.BinarySearch(offsets, offsets[index]+tolerance)
 	return end - first
 }
 
-// agrees reports whether an offset is, within tolerance, the clock's own.
+// agrees reports whether an offset differs from the clock's own by less than the tolerance.
 func (c *Clock) agrees(offset time.Duration) bool {
 	difference := offset - c.offset
 	return difference > -tolerance && difference < tolerance
--- a/internal/membership/clocksync/clock_test.go
+++ b/internal/membership/clocksync/clock_test.go
@@ -9,17 +9,18 @@
 	"pgregory.net/rapid"
 )
 
-// testFleet is a number of members whose own clocks begin at different times. The first are liars.
+// testFleet is a number of members whose own clocks begin at different times. The first ones are Byzantine.
 type testFleet struct {
 	now     time.Duration
 	random  *rand.Rand
 	clocks  []*Clock
 	started []time.Duration
 	liars   int
-	claim   time.Duration // what all liars say; 0: each something else each time
+	claim   time.Duration // the clock that all Byzantine members send; 0: a random one each time
 }
 
-// newTestFleet returns members that started at times drawn from a seed; of ten or more a fifth are liars.
+// newTestFleet returns members that started at times drawn from a seed. Of ten or more a fifth are
+// Byzantine.
 func newTestFleet(members int, seed uint64) *testFleet {
 	f := &testFleet{now: 100 * time.Hour, random: rand.New(rand.NewPCG(seed, 1))}
 	if members >= 10 {
@@ -35,7 +36,7 @@
 // fleetClock is the fleet's clock as member i has it.
 func (f *testFleet) fleetClock(i int) time.Duration { return f.clocks[i].At(f.now - f.started[i]) }
 
-// round has each member hear up to four others by chance, late by up to 100 ms.
+// round lets each member receive the clocks of up to four random others, late by up to 100 ms.
 func (f *testFleet) round() {
 	f.now += time.Second
 	for i, c := range f.clocks {
@@ -67,10 +68,10 @@
 	return most - least
 }
 
-// However far apart the clocks of up to 60 members begin, with one in five that says what it likes each
-// time and samples late by up to 100 ms: within 40 rounds in which each hears a few by chance, the honest
-// ones differ by less than an aggregator's turn can bear, and one that returns changes nothing for the
-// others.
+// Up to 60 members begin with any clocks, one in five sends random clocks, and samples are late by up to
+// 100 ms. Within 40 rounds, in each of which a member receives a few random samples, the honest members'
+// clocks differ by less than an aggregator's turn tolerates. A member that restarts does not move the clock
+// of the others.
 func TestClocksConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 60).Draw(t, "members")
@@ -79,35 +80,36 @@
 			f.round()
 		}
 		if spread := f.spread(); spread > 600*time.Millisecond {
-			t.Fatalf("%d members, %d of them liars: clocks lie %v apart", n, f.liars, spread)
+			t.Fatalf("%d members, %d of them Byzantine: clocks are %v apart", n, f.liars, spread)
 		}
 		before := f.fleetClock(n-1) - f.now
 		if n > 12 {
-			f.clocks[n-2], f.started[n-2] = New(), f.now // one returns
+			f.clocks[n-2], f.started[n-2] = New(), f.now // one restarts
 			for range 40 {
 				f.round()
 			}
 			if moved := f.fleetClock(n-1) - f.now - before; moved > time.Second || moved < -time.Second ||
 				f.spread() > 600*time.Millisecond {
-				t.Fatalf("one that returned moved the fleet's clock by %v, spread %v", moved, f.spread())
+				t.Fatalf("one that restarted moved the fleet's clock by %v, spread %v", moved, f.spread())
 			}
 		}
 	})
 }
 
-// Guards against slow agreement: with this seed the fleet's members took 49 rounds, since they moved to what
-// single liars said.
+// Guards against slow agreement: with this seed the members took 49 rounds, because they moved to the clocks
+// of single Byzantine members.
 func TestClocksConvergeDespiteLoneLiars(t *testing.T) {
 	f := newTestFleet(60, 0xc3)
 	for range 40 {
 		f.round()
 	}
 	if spread := f.spread(); spread > 600*time.Millisecond {
-		t.Errorf("clocks lie %v apart", spread)
+		t.Errorf("clocks are %v apart", spread)
 	}
 }
 
-// Guards against following the largest group alone: a fifth that states one clock from the start is one.
+// Guards against following the largest group that agrees, wherever it is: a fifth of the members that send
+// one false clock from the start would be that group.
 func TestAgreeingLiarsSetNoClock(t *testing.T) {
 	for seed := range uint64(10) {
 		f := newTestFleet(60, seed)
@@ -116,13 +118,13 @@
 			f.round()
 		}
 		if clock := f.fleetClock(f.liars); clock > 200*time.Hour {
-			t.Errorf("seed %d: the fleet follows its liars to %v", seed, clock)
+			t.Errorf("seed %d: the fleet follows its Byzantine members to %v", seed, clock)
 		}
 	}
 }
 
-// Two halves of a healed split, each with its own clock, come to agree: the later clock counts, also in a
-// fleet of two.
+// Two halves of a healed split, each with its own clock, come to agree, as the later clock counts; so do the
+// members of a fleet of two.
 func TestHealedSplit(t *testing.T) {
 	for _, n := range []int{2, 10} {
 		f := &testFleet{now: 100 * time.Hour, random: rand.New(rand.NewPCG(1, 1))}
@@ -134,7 +136,7 @@
 			f.round()
 		}
 		if spread := f.spread(); spread > 600*time.Millisecond {
-			t.Errorf("%d members: clocks lie %v apart", n, spread)
+			t.Errorf("%d members: clocks are %v apart", n, spread)
 		}
 	}
 }
