--- a/internal/membership/ordinal/assigner.go
+++ b/internal/membership/ordinal/assigner.go
@@ -24,21 +24,22 @@
 // Limits of an Assigner.
 type Limits struct {
 	// SettleTime is how long the members must have been unchanged before the view follows them: each change
-	// of the view costs the decision module its fair shares.
+	// of the view makes the decision module drop its peers' reports and adapt its shares.
 	SettleTime time.Duration
 	// LossGrace is how long a member that was lost still counts. Without it both sides of a network split
 	// would at once take over the other's share of the engines and together send twice as much.
 	LossGrace time.Duration
 	// LeaveGrace is how long a member that announced its leave still counts. Without it the others would
-	// send its share once more while what it last sent to an engine that is warming up still counts there.
+	// take over its share at once, while the queries that it last sent to an engine in slow start still
+	// count there.
 	LeaveGrace time.Duration
 	// MinCount is a lower bound of the count, from the settings.
 	MinCount int
 }
 
-// View is what a dispatcher tells its decision module.
+// View is a dispatcher's ordinal and the number of dispatchers, for its decision module.
 type View struct {
-	Ordinal int // Unassigned: none yet, as two claim it or the members have not settled
+	Ordinal int // Unassigned: none is claimed, and the members have not settled yet
 	Count   int
 }
 
@@ -51,10 +52,10 @@
 	expiry    map[string]time.Duration // until when members that were lost still count
 	changedAt time.Duration            // when the members last changed
 	view      View
-	upToDate  bool // the view is of the members as they are
+	upToDate  bool // the view was computed from the current members
 }
 
-// New returns the assigner of a dispatcher that sees only itself.
+// New returns the assigner of a dispatcher that knows no other member yet.
 func New(self Member, limits Limits, now time.Duration) *Assigner {
 	return &Assigner{
 		self:      self,
@@ -77,7 +78,7 @@
 	old, known := a.members[m.Name]
 	switch {
 	case m.Name == a.self.Name:
-		return // a duplicate, or an echo of our own metadata: ours stands, see SupersededBy
+		return // a duplicate name, or an echo of our metadata: ours stands, see SupersededBy
 	case known && m.Incarnation < old.Incarnation:
 		return // an earlier incarnation's, delivered late
 	}
@@ -93,8 +94,8 @@
 	}
 }
 
-// SupersededBy reports whether metadata under our own name is that of a later process, which then has the
-// name; that of an earlier one is of a process that has ended.
+// SupersededBy reports whether metadata under our own name is that of a later process, which then owns the
+// name. An earlier process with the name has ended.
 func (a *Assigner) SupersededBy(m Member) bool {
 	return m.Name == a.self.Name && m.Incarnation > a.self.Incarnation
 }
@@ -155,10 +156,10 @@
 	return highest
 }
 
-// assign gives each member an ordinal. A claim stands where nobody else has it: a member that returns gets
-// its own again, and the others keep theirs. Of two members with one claim the first by name keeps it.
-// Members without an ordinal get the least that are free, in the order of their names; so all that see the
-// same members and claims assign the same. Ordinals not below the number of members are given up, so that
+// assign gives each member an ordinal. A claim that only one member has stands: a member that returns gets
+// its ordinal back, and the others keep theirs. Of two members with one claim the first by name keeps it.
+// Members without an ordinal get the lowest free ones, in the order of their names, so all assigners that see
+// the same members and claims assign the same. Claims not below the number of members are dropped, so that
 // the count can fall again.
 func (a *Assigner) assign() map[string]int {
 	names := make([]string, 0, len(a.members))
--- a/internal/membership/ordinal/assigner_test.go
+++ b/internal/membership/ordinal/assigner_test.go
@@ -10,22 +10,22 @@
 
 var testLimits = Limits{SettleTime: time.Second, LossGrace: 5 * time.Second, MinCount: 1}
 
-// testFleet is a number of assigners on a network that may be split in two.
+// testFleet is a number of assigners on a network that may be split in two sides, 0 and 1.
 type testFleet struct {
 	now         time.Duration
 	assigners   []*Assigner
-	side        []int // of the split that each is on
+	side        []int // of the network that each assigner is on
 	incarnation uint64
 }
 
-// start starts member i anew, with a claim.
+// start starts member i, or restarts it, with a claim.
 func (f *testFleet) start(i, claim int) {
 	f.incarnation++
 	self := Member{Name: fmt.Sprint("d", i), Incarnation: f.incarnation, Claim: claim}
 	f.assigners[i] = New(self, testLimits, f.now)
 }
 
-// round has all members of each side see each other, and those of the other side lost.
+// round advances time by 500 ms and shows each member those on its side as alive and the others as lost.
 func (f *testFleet) round() {
 	f.now += 500 * time.Millisecond
 	for i, a := range f.assigners {
@@ -44,8 +44,9 @@
 	}
 }
 
-// Whatever comes, goes, returns and splits: when the network has healed and settled, all have ordinals of
-// their own below one count, those that never left keep theirs, and nothing changes any more.
+// After any sequence of restarts and network splits, once the network has healed and settled, all members
+// have distinct ordinals below one count, and nothing changes any more. A restart of one member then leaves
+// the count as it is.
 func TestAssignersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 9).Draw(t, "members")
@@ -59,7 +60,7 @@
 			case 0:
 				f.side[i] = 1 - f.side[i]
 			case 1:
-				f.start(i, claim()) // a new incarnation of the name, which claims what it likes
+				f.start(i, claim()) // a new incarnation of the name, with any claim
 			}
 			f.round()
 		}
@@ -87,8 +88,8 @@
 	})
 }
 
-// A split: for the grace the others still count; a member that announces its leave does not; a later process
-// with our name supersedes us.
+// Members lost in a split count until their grace is over. A member that announced its leave does not count
+// any more, as these tests have no LeaveGrace. A later process with our name supersedes us.
 func TestSplitLeaveDuplicateName(t *testing.T) {
 	a := New(Member{Name: "a", Incarnation: 1, Claim: 0}, testLimits, 0)
 	for i, name := range []string{"b", "c", "d"} {
@@ -115,6 +116,6 @@
 	if a.SupersededBy(Member{Name: "a", Incarnation: 1}) ||
 		!a.SupersededBy(Member{Name: "a", Incarnation: 2}) ||
 		a.SupersededBy(Member{Name: "b", Incarnation: 9}) {
-		t.Error("who has the name")
+		t.Error("not exactly the later process with our name supersedes us")
 	}
 }
--- a/internal/membership/replayguard/guard.go
+++ b/internal/membership/replayguard/guard.go
@@ -1,11 +1,11 @@
 package replayguard
 
-// Guard holds the windows of a bounded number of senders. When there are too many, the window of the sender
-// that was heard of first is dropped.
+// Guard holds the windows of a bounded number of senders. When there are too many, the oldest window is
+// dropped. It is not safe for concurrent use.
 type Guard struct {
 	maxSenders int
 	windows    map[string]*Window
-	senders    []string // in the order in which they were first heard of
+	senders    []string // in the order in which their windows were created
 }
 
 // NewGuard returns a guard for up to maxSenders senders.
@@ -13,8 +13,8 @@
 	return &Guard{maxSenders: maxSenders, windows: map[string]*Window{}}
 }
 
-// Accept reports whether a message of a sender is new, see Window.Accept. known tells that the sender is a
-// member: of others nothing is accepted and nothing remembered.
+// Accept reports whether a message of a sender is new, see Window.Accept. known tells whether the sender is a
+// member: messages of others are not accepted, and nothing is recorded of them.
 func (g *Guard) Accept(sender string, known bool, incarnation, seq uint64) bool {
 	if !known {
 		return false
@@ -22,7 +22,7 @@
 	return g.window(sender).Accept(incarnation, seq)
 }
 
-// window returns a sender's window, a new one if there is none.
+// window returns a sender's window, and creates it if there is none.
 func (g *Guard) window(sender string) *Window {
 	if w := g.windows[sender]; w != nil {
 		return w
--- a/internal/membership/replayguard/window.go
+++ b/internal/membership/replayguard/window.go
@@ -1,9 +1,10 @@
 // Package replayguard decides whether a message of a peer is new, by the sender's incarnation and the
-// message's sequence number. Messages come late, twice and out of order, and an eavesdropper may send one
-// again. It owns the record of what was accepted, does no I/O and reads no clock.
+// message's sequence number. Messages arrive late, twice and out of order, and an eavesdropper may replay
+// one. It owns the record of what was accepted, does no I/O and reads no clock.
 package replayguard
 
-// windowSize is how far behind the newest message another may be, as networks reorder some.
+// windowSize is the number of sequence numbers, up to the highest accepted one, of which a message may still
+// be accepted: networks reorder messages.
 const windowSize = 1024
 
 const wordBits = 64
@@ -15,8 +16,8 @@
 	accepted    [windowSize / wordBits]uint64 // a bit for each of the windowSize numbers up to highest
 }
 
-// Accept reports whether a message with a sequence number, from 1 on, is new, and remembers it. Messages of
-// earlier incarnations, and those too far behind the newest, are not new.
+// Accept reports whether a message is new, and records it as accepted. Sequence numbers begin at 1. Messages
+// of earlier incarnations, and those too far behind the highest number, count as not new.
 func (w *Window) Accept(incarnation, seq uint64) bool {
 	switch {
 	case seq == 0 || incarnation < w.incarnation:
@@ -36,8 +37,8 @@
 	return true
 }
 
-// advance moves the window up to a new highest number. The bits of numbers that were skipped may be set by
-// numbers that have left the window; they are cleared.
+// advance moves the window up to a new highest number. The bits of skipped numbers may still be set for
+// numbers that have left the window, so they are cleared.
 func (w *Window) advance(highest uint64) {
 	if highest-w.highest >= windowSize {
 		clear(w.accepted[:])
--- a/internal/membership/replayguard/window_test.go
+++ b/internal/membership/replayguard/window_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Against a model that remembers everything: nothing is accepted twice, nothing of an earlier incarnation,
-// and whatever is new and not far behind is accepted.
+// The window accepts the same messages as a model that records all: none twice, none of an earlier
+// incarnation, none too far behind, and all others.
 func TestWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var w Window
@@ -39,8 +39,8 @@
 	})
 }
 
-// A guard accepts nothing of unknown senders and remembers nothing of them; it keeps a bounded number of
-// windows, and drops the one of the sender that was heard of first.
+// A guard accepts no message of unknown senders and records nothing of them. It keeps a bounded number of
+// windows, and drops the oldest.
 func TestGuard(t *testing.T) {
 	g := NewGuard(2)
 	if g.Accept("x", false, 1, 1) || len(g.windows) != 0 {
