--- a/internal/membership/gossip/action.go
+++ b/internal/membership/gossip/action.go
@@ -18,21 +18,21 @@
 const (
 	SendPacket        ActionType = iota // To, Data: a packet to a peer
 	DeliverMessage                      // From, Data: a peer's message to the decision module
-	UpdateView                          // View, Clock: what the decision module is to know of the fleet
+	UpdateView                          // View, Clock: the fleet's state for the decision module
 	BroadcastMetadata                   // this dispatcher's metadata has changed, see Node.Self
 	CompleteBootstrap                   // ReportingPeers: the wait for the peers' model state is over
-	ReportEngineDown                    // Engine: peers agree that it is down, and no evidence here differs
-	YieldName                           // a later process has this dispatcher's name: stop the gossip
+	ReportEngineDown                    // Engine: peers agree that it is down; no local evidence differs
+	YieldName                           // a later process has this dispatcher's name: stop gossiping
 )
 
-// Action is one thing for the caller to do.
+// Action is one thing for the caller to do. Its type tells which fields are set.
 type Action struct {
 	Type           ActionType
 	To             string // name of a member
 	From           int    // ordinal of a member
 	Data           []byte
 	View           ordinal.View
-	Clock          time.Duration // the fleet's
+	Clock          time.Duration // the fleet's clock
 	ReportingPeers int
 	Engine         string
 }
@@ -52,7 +52,7 @@
 	ObservationsRejected observation.Rejected
 	DigestsSent          uint64
 	BootstrapsAnswered   uint64 // starting peers that were sent the model state
-	BootstrapsDeclined   uint64 // starting peers that were not: there is none, or too many asked
+	BootstrapsDeclined   uint64 // starting peers that were not: none was learnt, or too many peers asked
 
 	Members     int
 	Ordinal     int
--- a/internal/membership/gossip/bootstrap.go
+++ b/internal/membership/gossip/bootstrap.go
@@ -6,32 +6,33 @@
 	"cresspass/internal/membership/observation"
 )
 
-// A starting node asks its peers for the model state that they have learnt, so that it need not learn it
-// anew. Peers answer in numbered packets, or that they have none.
+// A starting node requests the model state that its peers have learnt, so that it need not learn it again.
+// Peers answer with numbered packets, or with one that says that they have none.
 
 const (
-	// maxBootstrapPeers is how many peers are asked, or have answered, at a time.
+	// maxBootstrapPeers is the most peers that have answered completely or may still answer.
 	maxBootstrapPeers = 9
-	// enoughReportingPeers complete answers end the bootstrap once no more has come for
+	// enoughReportingPeers complete answers end the bootstrap once no further one has come for
 	// bootstrapSettleTime.
 	enoughReportingPeers = 5
 	bootstrapSettleTime  = 100 * time.Millisecond
-	// bootstrapReplyTimeout is when a peer that has not answered is replaced by another.
+	// bootstrapReplyTimeout is how long after its request a peer that has not answered is replaced by
+	// another.
 	bootstrapReplyTimeout = 300 * time.Millisecond
-	// discoveryTime is when the membership should have found the peers.
+	// discoveryTime is how long after the start the membership should have found the peers.
 	discoveryTime = 300 * time.Millisecond
 
-	// bootstrapReplyBurst and bootstrapRepliesPerSecond bound the answers to starting peers.
+	// bootstrapReplyBurst and bootstrapRepliesPerSecond limit the rate of answers to starting peers.
 	bootstrapReplyBurst       = 8
 	bootstrapRepliesPerSecond = 4
 )
 
-// bootstrapRequest is one peer's part in a bootstrap.
+// bootstrapRequest is the state of the request to one peer.
 type bootstrapRequest struct {
 	sentAt   time.Duration
-	parts    map[byte]bool // packets of the answer that have come
-	complete bool          // all of them
-	empty    bool          // the peer has learnt nothing either
+	parts    map[byte]bool // numbers of the answer's packets that have come
+	complete bool          // all packets have come
+	empty    bool          // the peer has no model state
 }
 
 // outstanding reports whether the peer may still answer.
@@ -47,7 +48,7 @@
 	requests map[string]*bootstrapRequest // by peer
 
 	reporting      int           // peers with complete answers at the last step
-	reportingSince time.Duration // since when they are so many
+	reportingSince time.Duration // when that number last changed
 }
 
 func newBootstrap(timeout, now time.Duration) bootstrap {
@@ -60,8 +61,8 @@
 	}
 }
 
-// acceptReply takes one packet of a peer's answer and reports whether its content is to be used. Answers of
-// peers that were not asked are ignored: otherwise one lying member could answer under five names and
+// acceptReply records one packet of a peer's answer and reports whether its content is to be used. Answers of
+// peers that were not asked are ignored: otherwise one Byzantine member could answer under five names and
 // outvote the honest peers.
 func (b *bootstrap) acceptReply(name string, part, parts byte) bool {
 	request := b.requests[name]
@@ -76,14 +77,14 @@
 	return true
 }
 
-// markEmpty takes a peer's answer that it has learnt nothing.
+// markEmpty records a peer's answer that it has no model state.
 func (b *bootstrap) markEmpty(name string) {
 	if request := b.requests[name]; request != nil && request.parts == nil {
 		request.empty = true
 	}
 }
 
-// reportingPeers is how many peers have answered completely.
+// reportingPeers returns how many peers have answered completely.
 func (b *bootstrap) reportingPeers() (count int) {
 	for _, request := range b.requests {
 		if request.complete {
@@ -93,7 +94,7 @@
 	return count
 }
 
-// outstanding is how many peers may still answer.
+// outstanding returns how many peers may still answer.
 func (b *bootstrap) outstanding(now time.Duration) (count int) {
 	for _, request := range b.requests {
 		if request.outstanding(now) {
@@ -103,8 +104,8 @@
 	return count
 }
 
-// finished reports whether the bootstrap is over: its time is up, all or enough peers have answered, or
-// there is nobody left to ask. members is the number of peers that are known.
+// finished reports whether the bootstrap is over: it has timed out, enough peers have answered, or no peer is
+// left to ask or to wait for. members is the number of known peers.
 func (b *bootstrap) finished(now time.Duration, members int) bool {
 	switch {
 	case now-b.started >= b.timeout:
@@ -148,8 +149,8 @@
 	}
 }
 
-// answerBootstrap sends a starting peer the model state that was learnt here, or that there is none. The
-// rate limit keeps a flood of joins, as after a power cut, from taking all of a running node's time.
+// answerBootstrap sends a starting peer the model state that was learnt here, or that there is none. The rate
+// limit keeps a flood of joins, as after a power cut, from taking all of a running node's time.
 func (n *Node) answerBootstrap(now time.Duration, to string) {
 	parameters := n.store.OwnModelParameters(now)
 	if len(parameters) == 0 || !n.bootstrapLimiter.AllowN(limiterTime(now), 1) {
@@ -167,8 +168,8 @@
 	}
 }
 
-// handleBootstrapReply records a peer's model state; false: the packet is malformed. Answers that nobody
-// asked for, or that come too late, are ignored: what was learnt here since then stands.
+// handleBootstrapReply records a peer's model state; false: the packet is malformed. Answers that were not
+// requested, or that come too late, are ignored: what was learnt here since then stands.
 func (n *Node) handleBootstrapReply(now time.Duration, from string, data []byte) bool {
 	part, parts, data, ok := readReplyPart(data)
 	if !ok {
@@ -187,8 +188,8 @@
 	return true
 }
 
-// asOwnObservations attributes all observations to the peer that sent them: with observers of its choice a
-// lying peer would count several times.
+// asOwnObservations attributes all observations to the peer that sent them: a Byzantine peer that named
+// several observers would otherwise count several times.
 func asOwnObservations(observations []observation.Observation, peer string) {
 	for i := range observations {
 		observations[i].Observer, observations[i].Hops = peer, 0
--- a/internal/membership/gossip/golden_test.go
+++ b/internal/membership/gossip/golden_test.go
@@ -13,7 +13,7 @@
 	"cresspass/internal/membership/ordinal"
 )
 
-// goldenObservations have every field set, the greatest and the least values among them.
+// goldenObservations returns observations that cover all fields, with their greatest and least values.
 func goldenObservations() []observation.Observation {
 	return []observation.Observation{
 		{Key: observation.Key{Engine: "10.0.0.1:5432", Property: observation.Health}, Observer: "hall-a-1",
@@ -29,9 +29,9 @@
 	}
 }
 
-// Packets of every kind as dispatchers sent them on 2026-12-02: a fleet that is being upgraded has both
-// versions at once, so each is read with the same values, and written with the same bytes. Only a change of
-// the packet version may change the files.
+// Packets of every kind as dispatchers sent them on 2026-12-02. A fleet that is being upgraded runs both
+// versions at once, so each packet is still decoded to the same values and encoded to the same bytes. Only a
+// change of the packet version may change the files.
 func TestGoldenPackets(t *testing.T) {
 	var digest observation.Digest
 	for i := range digest {
@@ -90,8 +90,8 @@
 	}
 }
 
-// What a dispatcher has learnt, in as many pieces as packets need, joined: so it is stored in the state
-// folder and passed on in a hand-over.
+// What a dispatcher has learnt, as pieces of packet size that are concatenated: the form in which it is stored
+// in the state folder and passed on in a hand-over.
 func TestGoldenStoredObservations(t *testing.T) {
 	var all []observation.Observation
 	for i := range 60 {
--- a/internal/membership/gossip/member.go
+++ b/internal/membership/gossip/member.go
@@ -18,7 +18,7 @@
 	conflictQuorum = 3
 )
 
-// conflictTracker follows names that two processes claim.
+// conflictTracker records which names two processes claim, and who reported it.
 type conflictTracker struct {
 	notices map[string]time.Duration // last notice sent, by the member whose name is claimed twice
 	reports map[string]time.Duration // last report that our own name is claimed twice, by its sender
@@ -28,7 +28,7 @@
 	return conflictTracker{notices: map[string]time.Duration{}, reports: map[string]time.Duration{}}
 }
 
-// shouldNotify reports whether a member is to be notified now, and remembers that it was.
+// shouldNotify reports whether a member is to be notified now, and if so records the notice as sent.
 func (c *conflictTracker) shouldNotify(now time.Duration, name string) bool {
 	if now-c.notices[name] < conflictNoticeInterval {
 		return false
@@ -37,9 +37,9 @@
 	return true
 }
 
-// report records a report that our own name is claimed twice, and tells whether enough members have sent
-// one: three, or half of the others where these are fewer. Without a quorum a single lying member could
-// silence every other.
+// report records a report that our own name is claimed twice, and tells whether a quorum of members has sent
+// one: three, or half of the other members, rounded up, if that is fewer. Without a quorum a single Byzantine
+// member could stop the gossip of every other.
 func (c *conflictTracker) report(now time.Duration, from string, members map[string]ordinal.Member) bool {
 	c.reports[from] = now
 	reporting := 0
@@ -72,7 +72,7 @@
 	n.ordinals.MemberAlive(now, m)
 }
 
-// MemberLost records the loss of a member; left: it announced that it leaves.
+// MemberLost records the loss of a member. left tells whether it announced its leave.
 func (n *Node) MemberLost(now time.Duration, name string, left bool) {
 	if _, known := n.members[name]; known {
 		delete(n.members, name)
@@ -83,8 +83,9 @@
 	n.ordinals.MemberLost(now, name, left)
 }
 
-// NameConflict records that another process claims a member's name from another address. The member is
-// notified: the peers that the later process contacts first may be the only ones that see both.
+// NameConflict records that another process claims a member's name from another address. If that process is
+// the later one, the member is notified: the peers that the later process contacts first may be the only ones
+// that see both.
 func (n *Node) NameConflict(now time.Duration, m ordinal.Member) {
 	if m.Name == n.config.Name {
 		n.MemberAlive(now, m)
@@ -96,16 +97,16 @@
 	}
 }
 
-// conflictReported takes a member's report that a process with this node's name and another incarnation
-// exists.
+// conflictReported handles a member's report that a process with this node's name and another incarnation
+// exists. Only reports of later incarnations count.
 func (n *Node) conflictReported(now time.Duration, from string, incarnation uint64) {
 	if incarnation > n.config.Incarnation && n.conflicts.report(now, from, n.members) {
 		n.yieldName()
 	}
 }
 
-// yieldName stops this node's gossip, as a later process has its name: that one was started on purpose. If
-// both went on, everything that is recorded by name would alternate between the two, and peers could not
+// yieldName stops this node's gossip for good: a later process has its name, and was started on purpose. If
+// both went on, everything that peers record by name would alternate between the two, and peers could not
 // tell the messages of one from replayed messages of the other.
 func (n *Node) yieldName() {
 	if !n.stats.NameYielded {
--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -1,11 +1,10 @@
 // Package gossip is the state machine of a dispatcher's gossip with its peers. It decides what a node sends,
-// which packets and peers it believes, and what its decision module is told about the fleet: membership
-// events, packets and the module's messages go in, actions come out, all under a clock that the caller
-// passes.
+// which packets and peers it trusts, and what it passes on to its decision module about the fleet. Its input
+// is membership events, packets and the module's messages, its output actions. The caller passes the time.
 //
-// It owns the packet format and joins the parts that each own one decision: packages ordinal, clocksync,
-// replayguard, validation and observation. It does no I/O, starts no goroutine and reads no clock; package
-// membership carries its actions out over a network, and the simulation over one that loses packets.
+// It owns the packet format and combines the packages that make one decision each: ordinal, clocksync,
+// replayguard, validation and observation. It does no I/O, starts no goroutine and reads no clock. Package
+// membership carries out its actions over a network, and the simulation over one that loses packets.
 package gossip
 
 import (
@@ -24,7 +23,7 @@
 
 // Config holds the settings of a Node.
 type Config struct {
-	// Name identifies the dispatcher in the fleet; it keeps its name over restarts.
+	// Name identifies the dispatcher in the fleet; it stays the same over restarts.
 	Name string
 	// Incarnation is greater than that of every earlier process with this name.
 	Incarnation uint64
@@ -32,19 +31,19 @@
 	OrdinalClaim int
 	// RandomSeed seeds the choice of peers.
 	RandomSeed uint64
-	// BytesPerSecond bounds what is sent.
+	// BytesPerSecond bounds the rate at which packets are sent.
 	BytesPerSecond int
 	Ordinals       ordinal.Limits
 	Validation     validation.Limits
 	// BootstrapTimeout bounds how long a starting node waits for the model state of its peers; 0: it does
-	// not ask for it.
+	// not request it.
 	BootstrapTimeout time.Duration
 }
 
 const (
 	// digestInterval is the time between two digests, each to one random peer.
 	digestInterval = time.Second
-	// engineCheckInterval is the time between two looks for engines that peers report to be down.
+	// engineCheckInterval is the time between two checks for engines that peers report to be down.
 	engineCheckInterval = time.Second
 	// maxDigestReply is the most observations of a reply to a digest.
 	maxDigestReply = 200
@@ -54,7 +53,7 @@
 	minBurstPackets = 4
 )
 
-// Node is one dispatcher's part in the gossip. Make one with New. It is not safe for concurrent use.
+// Node is the gossip of one dispatcher. Make one with New. It is not safe for concurrent use.
 type Node struct {
 	config      Config
 	store       *observation.Store
@@ -66,12 +65,12 @@
 	random      *rand.Rand
 
 	members     map[string]ordinal.Member // the peers, without this node
-	memberNames []string                  // theirs, sorted, so that random choices are reproducible
+	memberNames []string                  // names of members, sorted so that random choices are reproducible
 	seq         uint64                    // of the last packet sent
 	actions     []Action                  // since the last call of Ready
 
 	view            ordinal.View
-	viewReported    bool
+	viewReported    bool // an UpdateView was emitted
 	lastDigest      time.Duration
 	lastEngineCheck time.Duration
 	enginesDown     map[string]bool // as of lastEngineCheck
@@ -111,10 +110,10 @@
 // Store returns the observations, to be read and added to.
 func (n *Node) Store() *observation.Store { return n.store }
 
-// FleetClock returns the clock that the fleet agrees on.
+// FleetClock returns the fleet's clock at a time of the node's own.
 func (n *Node) FleetClock(now time.Duration) time.Duration { return n.clock.At(now) }
 
-// Ready returns the actions to carry out since its last call, in order.
+// Ready returns the actions that were emitted since its last call, in the order to carry them out.
 func (n *Node) Ready() []Action {
 	actions := n.actions
 	n.actions = nil
@@ -134,7 +133,7 @@
 }
 
 // RecordAttempt records whether an attempt at an engine was answered. threads is what the engine reports to
-// run in total; negative: it reported nothing.
+// run in total; negative: it reported nothing. It counts only if the attempt was answered.
 func (n *Node) RecordAttempt(now time.Duration, id cresspass.EngineID, answered bool, threads float64) {
 	health := observation.Unhealthy
 	if answered {
@@ -144,7 +143,7 @@
 	n.store.Observe(now, observation.Key{Engine: string(id), Property: observation.Health}, health)
 }
 
-// RecordModelState records the parameters that the decision module has learnt, by name.
+// RecordModelState records the parameters that this dispatcher's decision module has learnt, by name.
 func (n *Node) RecordModelState(now time.Duration, parameters map[string]float64) {
 	for name, value := range parameters {
 		key := observation.Key{Property: observation.ModelParameter, Parameter: name}
@@ -152,7 +151,8 @@
 	}
 }
 
-// SendMessage sends a message of the decision module to the dispatcher with an ordinal; AllPeers: to all.
+// SendMessage sends a message of the decision module to the peer with an ordinal; AllPeers: to all peers that
+// have one. Packets that exceed the rate are not sent.
 func (n *Node) SendMessage(now time.Duration, to int, data []byte) {
 	for _, name := range n.memberNames {
 		if claim := n.members[name].Claim; claim >= 0 && (to < 0 || claim == to) {
@@ -161,7 +161,7 @@
 	}
 }
 
-// sendPacket emits one packet, if the rate allows.
+// sendPacket emits one packet, if the rate allows it and the node still has its name.
 func (n *Node) sendPacket(now time.Duration, to string, kind packetKind, data []byte) {
 	if n.stats.NameYielded {
 		return
@@ -186,7 +186,7 @@
 // limiterTime converts the caller's clock for the rate limiters.
 func limiterTime(now time.Duration) time.Time { return time.Unix(0, int64(now)) }
 
-// Tick advances time. It is to be called some twenty times a second.
+// Tick advances time and does what has become due. The caller calls it about twenty times a second.
 func (n *Node) Tick(now time.Duration) {
 	if n.stats.NameYielded {
 		return
@@ -204,7 +204,7 @@
 	}
 }
 
-// updateView advances the ordinal assignment and the fleet's clock, and reports a change of either.
+// updateView updates the ordinal assignment and the fleet's clock, and emits an UpdateView if either changed.
 func (n *Node) updateView(now time.Duration) {
 	view, _ := n.ordinals.Update(now)
 	clockMoved := n.clock.Sync(now)
@@ -218,7 +218,8 @@
 	n.emit(Action{Type: UpdateView, View: view, Clock: n.clock.At(now)})
 }
 
-// sendDigest sends a digest to a random peer when it is time: the peer answers with what this node lacks.
+// sendDigest sends a digest to a random peer, once per digestInterval. The peer answers with what this node
+// lacks.
 func (n *Node) sendDigest(now time.Duration) {
 	if len(n.memberNames) == 0 || now-n.lastDigest < digestInterval {
 		return
@@ -229,7 +230,7 @@
 	n.sendPacket(now, n.memberNames[n.random.IntN(len(n.memberNames))], kindDigest, appendDigest(digest))
 }
 
-// reportEnginesDown reports engines that peers newly agree to be down.
+// reportEnginesDown emits a ReportEngineDown for each engine that peers newly agree to be down.
 func (n *Node) reportEnginesDown(now time.Duration) {
 	before := n.enginesDown
 	n.enginesDown = map[string]bool{}
--- a/internal/membership/gossip/node_test.go
+++ b/internal/membership/gossip/node_test.go
@@ -51,7 +51,7 @@
 	return others
 }
 
-// introduce has all nodes see each other's metadata.
+// introduce passes each node's metadata to all others.
 func introduce(now time.Duration, nodes ...*Node) {
 	for _, a := range nodes {
 		for _, b := range nodes {
@@ -62,7 +62,7 @@
 	}
 }
 
-// paired is the time at which the nodes of newTestPair have their ordinals.
+// paired is the time up to which newTestPair has run its nodes; they have their ordinals by then.
 const paired = start + 2*time.Second
 
 // newTestPair returns two nodes with ordinals that know each other.
@@ -78,8 +78,8 @@
 	return a, b
 }
 
-// A packet is accepted once, of members only, and of the member's last incarnation only; what cannot be read
-// is counted.
+// A packet is accepted once, from members only, and from a member's latest incarnation only. Malformed
+// packets are counted.
 func TestPacketAcceptance(t *testing.T) {
 	now := paired
 	a, b := newTestPair()
@@ -121,8 +121,8 @@
 	}
 }
 
-// Two members that report a conflict, of six, do not silence a node; a later process with its name does, once
-// and for good.
+// Reports of a name conflict by two of six members do not stop a node's gossip. A later process with its name
+// does, once and for good.
 func TestYieldName(t *testing.T) {
 	now := paired
 	a, _ := newTestPair()
@@ -138,7 +138,7 @@
 	}
 	if reportConflict("m0", 9) || reportConflict("m0", 10) || reportConflict("m1", 1) ||
 		reportConflict("m1", 9) {
-		t.Error("two reports of six members silence a node")
+		t.Error("reports by two of six members stop a node's gossip")
 	}
 	a.MemberAlive(now, ordinal.Member{Name: "a", Incarnation: 2})
 	yields := 0
@@ -154,8 +154,8 @@
 	}
 }
 
-// The quorum for a conflict is three members, or half of the others where these are fewer; reports count for
-// their TTL, and those of members that are gone do not.
+// The quorum for a conflict is three members, or half of the other members, rounded up, if that is fewer.
+// Reports expire, and those of members that are gone do not count.
 func TestConflictTracker(t *testing.T) {
 	membersOf := func(count int) map[string]ordinal.Member {
 		members := map[string]ordinal.Member{}
@@ -188,8 +188,8 @@
 	}
 }
 
-// A peer that is wrong about an engine, or whose view is minutes old, changes nothing; when three agree, the
-// decision module is told, once; and evidence here stands.
+// One peer that is wrong about an engine, or whose report is minutes old, has no effect. When three peers
+// agree that it is down, that is reported once. A response to this node outweighs them.
 func TestReportEngineDown(t *testing.T) {
 	now := start
 	n := newTestNode("a", 1, 0)
@@ -229,7 +229,7 @@
 	}
 }
 
-// Observations are decoded as they were encoded, and any bytes are decoded or rejected.
+// Encoded observations are decoded unchanged, and arbitrary bytes are decoded or rejected without a panic.
 func TestObservationEncoding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var in, out []observation.Observation
@@ -275,22 +275,22 @@
 	return map[string]float64{"c/x/scale": value, "c/x/work": value}
 }
 
-// silentPeer is, in TestBootstrap, in place of what a peer has learnt: it does not answer.
+// silentPeer stands, in TestBootstrap, in place of what a peer has learnt: the peer does not answer.
 const silentPeer = -1
 
-// A starting node takes the median of five peers, whatever one of them lies; it does not wait for those that
-// know nothing, nor for ever; and an answer that was not requested is ignored.
+// A starting node takes the median of five peers, whatever value one Byzantine peer sends. It does not wait
+// for peers that have no model state, nor for ever, and ignores answers that come too late.
 func TestBootstrap(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		learnt    []float64 // by each peer; 0: nothing; NaN: sent by hand, as an honest node does not send it
+		learnt    []float64 // by each peer; 0: nothing; NaN: forged on the way, as no honest node sends it
 		want      float64
 		within    time.Duration
 		reporting int
 	}{
 		{"five", []float64{2, 2.1, 2.2, 2.3, 2.4}, 2.2, 300 * time.Millisecond, 5},
-		{"a liar of five", []float64{2, 2.1, 2.2, 2.3, 1e4}, 2.2, 300 * time.Millisecond, 5},
-		{"a liar of five with what cannot be", []float64{2, 2.1, 2.2, 2.3, math.NaN()}, 2.1,
+		{"one Byzantine peer of five", []float64{2, 2.1, 2.2, 2.3, 1e4}, 2.2, 300 * time.Millisecond, 5},
+		{"one Byzantine peer of five with an invalid value", []float64{2, 2.1, 2.2, 2.3, math.NaN()}, 2.1,
 			300 * time.Millisecond, 5},
 		{"starting nodes ask starting nodes", []float64{0, 0, 0, 0, 0}, 0, 600 * time.Millisecond, 0},
 		{"two know", []float64{0, 0, 3, 3, 0}, 3, 600 * time.Millisecond, 2},
@@ -308,7 +308,7 @@
 			math.Abs(p.Value-c.want) > 1e-9 {
 			t.Errorf("%s: done after %v with %d peers, %+v, %v", c.name, took, reporting, p, known)
 		}
-		if len(peers) > 0 { // too late: what was learnt here stands
+		if len(peers) > 0 { // too late: the value that was taken over stands
 			before := p
 			peers[0].RecordModelState(now, parametersOf(77))
 			peers[0].answerBootstrap(now, "new")
@@ -320,7 +320,7 @@
 	}
 }
 
-// newTestPeers returns peers that know a starting node, by what each has learnt.
+// newTestPeers returns peers of a starting node, one for each value that a peer has learnt.
 func newTestPeers(n *Node, learnt []float64) (peers []*Node) {
 	for i, value := range learnt {
 		peer := newTestNode(fmt.Sprint("o", i), 1, 0)
@@ -368,7 +368,7 @@
 	return now, took, reporting
 }
 
-// forgeReply returns a bootstrap reply with another value in place of all its own; other packets as they are.
+// forgeReply replaces all values of a bootstrap reply. It returns other packets unchanged.
 func forgeReply(packet []byte, value float64) []byte {
 	h, data, _ := readHeader(packet)
 	if h.kind != kindBootstrapReply {
@@ -381,7 +381,7 @@
 	return h.append(append(append([]byte{}, data[:replyPartSize]...), EncodeObservations(observations)[0]...))
 }
 
-// Nodes that are asked answer a bounded number at a time.
+// A node answers a bounded number of bootstrap requests at a time.
 func TestBootstrapFlood(t *testing.T) {
 	n := newTestNode("old", 1, 0)
 	n.RecordModelState(start, parametersOf(1))
--- a/internal/membership/gossip/observations.go
+++ b/internal/membership/gossip/observations.go
@@ -13,16 +13,17 @@
 	// observationSize is the size of an encoded observation without its strings: property, hops, age in
 	// milliseconds, sequence number and value.
 	observationSize = 1 + 1 + 4 + 8 + 8
-	// pieceSize is the most bytes of encoded observations in a packet. It leaves room for the sender's name
-	// in the header.
+	// pieceSize is the most bytes of encoded observations in a packet. It leaves 64 bytes for the sender's
+	// name in the header.
 	pieceSize = MaxPacketSize - fixedHeaderSize - 64
 )
 
-// errTruncated tells that bytes end within an observation.
+// errTruncated is returned for bytes that end within an observation.
 var errTruncated = errors.New("decode observations: truncated")
 
-// EncodeObservations encodes observations in pieces that each fit a packet. Joined pieces are as readable as
-// single ones; so they are stored. Observations with a string of more than 255 bytes are left out.
+// EncodeObservations encodes observations in pieces that each fit a packet. Concatenated pieces can be
+// decoded at once; they are stored in that form. Observations with a string of more than 255 bytes are left
+// out.
 func EncodeObservations(observations []observation.Observation) (pieces [][]byte) {
 	var piece []byte
 	for _, o := range observations {
@@ -52,7 +53,8 @@
 	return binary.BigEndian.AppendUint64(b, math.Float64bits(o.Value))
 }
 
-// DecodeObservations reads encoded observations of any bytes.
+// DecodeObservations decodes observations from untrusted bytes. It returns an error, and no observation, if
+// the bytes end within an observation.
 func DecodeObservations(b []byte) (observations []observation.Observation, err error) {
 	for len(b) > 0 {
 		var o observation.Observation
@@ -64,7 +66,7 @@
 	return observations, nil
 }
 
-// readObservation reads one observation and returns the bytes that follow it.
+// readObservation decodes one observation and returns the bytes that follow it.
 func readObservation(b []byte) (o observation.Observation, rest []byte, err error) {
 	for _, field := range []*string{&o.Engine, &o.Parameter, &o.Observer} {
 		if *field, b, err = readString(b); err != nil {
@@ -81,7 +83,7 @@
 	return o, b[observationSize:], nil
 }
 
-// readString reads a string with its length in one byte, and returns the bytes that follow it.
+// readString decodes a string with its length in one byte, and returns the bytes that follow it.
 func readString(b []byte) (s string, rest []byte, err error) {
 	if len(b) < 1 {
 		return "", nil, errTruncated
--- a/internal/membership/gossip/packet.go
+++ b/internal/membership/gossip/packet.go
@@ -8,7 +8,7 @@
 	"cresspass/internal/membership/observation"
 )
 
-// packetKind is the kind of a packet, as it is sent.
+// packetKind is the kind of a packet, as encoded in its header.
 type packetKind byte
 
 const (
@@ -17,7 +17,7 @@
 	kindObservations     packetKind = 3 // observations
 	kindBootstrapRequest packetKind = 4 // its sender starts, and wants the model state
 	kindBootstrapReply   packetKind = 5 // part number, number of parts, then model parameters as observations
-	kindBootstrapEmpty   packetKind = 6 // no model state: nothing was learnt, or too many ask
+	kindBootstrapEmpty   packetKind = 6 // no model state: nothing was learnt, or too many peers ask
 	kindNameConflict     packetKind = 7 // incarnation of another process that has the receiver's name
 )
 
@@ -27,7 +27,7 @@
 	MaxPacketSize = 1200
 	// fixedHeaderSize is the size of a header without its name.
 	fixedHeaderSize = 27
-	// maxNameSize is the most bytes of a string that is sent with a length of one byte.
+	// maxNameSize is the most bytes of a string whose length is encoded in one byte.
 	maxNameSize = math.MaxUint8
 	// incarnationSize is the size of an incarnation in the payload of kindNameConflict.
 	incarnationSize = 8
@@ -42,7 +42,7 @@
 	kind        packetKind
 	incarnation uint64
 	seq         uint64
-	clock       time.Duration // the fleet's, as the sender has it
+	clock       time.Duration // the fleet's clock, as the sender estimates it
 	name        string
 }
 
@@ -58,7 +58,8 @@
 	return append(b, data...)
 }
 
-// readHeader reads the header of any bytes and returns the payload with it.
+// readHeader decodes the header of an untrusted packet and returns the payload that follows it; false: the
+// packet is malformed, or of another version.
 func readHeader(b []byte) (h header, data []byte, ok bool) {
 	if len(b) < fixedHeaderSize || b[0] != packetVersion {
 		return h, nil, false
@@ -76,6 +77,7 @@
 	return h, b[end:], true
 }
 
+// appendDigest returns the payload of kindDigest.
 func appendDigest(digest observation.Digest) []byte {
 	b := make([]byte, 0, 8*len(digest))
 	for _, bucket := range digest {
@@ -84,6 +86,7 @@
 	return b
 }
 
+// readDigest decodes the payload of kindDigest; false: it has another size.
 func readDigest(b []byte) (digest observation.Digest, ok bool) {
 	if len(b) != 8*len(digest) {
 		return digest, false
@@ -99,7 +102,7 @@
 	return append([]byte{part, parts}, observations...)
 }
 
-// readReplyPart reads the payload of one packet of a bootstrap reply.
+// readReplyPart decodes the payload of one packet of a bootstrap reply; false: it is malformed.
 func readReplyPart(b []byte) (part, parts byte, observations []byte, ok bool) {
 	if len(b) < replyPartSize || b[0] >= b[1] {
 		return 0, 0, nil, false
--- a/internal/membership/gossip/receive.go
+++ b/internal/membership/gossip/receive.go
@@ -9,7 +9,8 @@
 	"cresspass/internal/membership/validation"
 )
 
-// HandlePacket takes a packet from the network. The caller has authenticated it as one of the group.
+// HandlePacket handles a packet from the network. The caller has authenticated it as sent by a process of the
+// fleet.
 func (n *Node) HandlePacket(now time.Duration, packet []byte) {
 	h, data, ok := readHeader(packet)
 	if !ok {
@@ -33,7 +34,7 @@
 	}
 }
 
-// handlePayload takes the payload of an accepted packet; false: it is malformed.
+// handlePayload handles the payload of an accepted packet; false: it is malformed.
 func (n *Node) handlePayload(now time.Duration, from ordinal.Member, kind packetKind, data []byte) bool {
 	switch kind {
 	case kindMessage:
@@ -73,7 +74,7 @@
 	}
 }
 
-// handleDigest answers a peer's digest with the observations that the peer lacks.
+// handleDigest answers a peer's digest with the observations that the peer lacks; false: it is malformed.
 func (n *Node) handleDigest(now time.Duration, from string, data []byte) bool {
 	digest, ok := readDigest(data)
 	if !ok {
@@ -85,7 +86,7 @@
 	return true
 }
 
-// handleObservations records a peer's observations.
+// handleObservations records a peer's observations; false: they are malformed.
 func (n *Node) handleObservations(now time.Duration, from string, data []byte) bool {
 	observations, err := DecodeObservations(data)
 	if err != nil {
