--- a/internal/membership/observation/assessment.go
+++ b/internal/membership/observation/assessment.go
@@ -9,24 +9,25 @@
 	"time"
 )
 
-// Assessment is what a store concludes of a key.
+// Assessment is what a store concludes about a key.
 type Assessment struct {
 	Value float64
-	// Local tells that it was observed here.
+	// Local tells whether the value was observed here.
 	Local bool
-	// Confidence is from 0 to 1; of reports it follows from how many agree, and how fresh they are.
+	// Confidence is from 0 to 1. For reports it depends on how many agree, and on how fresh they are.
 	Confidence float64
-	Known      bool
+	Known      bool // there is evidence that has not expired
 }
 
-// vote is one report and its weight.
+// vote is the value and the weight of one report.
 type vote struct {
 	value, weight float64
 	reportedBy    string
 }
 
-// Assess weighs what is known of a key. An observation made here counts alone until it expires. Of reports
-// the weighted median counts: to move it takes more than half of the weight, however far off a value is.
+// Assess weighs the evidence about a key. An observation made here counts alone until it expires. Of
+// reports the weighted median counts: to shift it takes more than half of the weight, however far off a
+// value is.
 func (s *Store) Assess(now time.Duration, key Key) Assessment {
 	terms := &propertyTerms[key.Property]
 	votes := make([]vote, 0, 8)
@@ -54,11 +55,12 @@
 	}
 }
 
-// peersForFullConfidence has one peer alone believed by half at most, and three that agree completely.
+// peersForFullConfidence limits the confidence by the number n of peers to (n+1)/peersForFullConfidence:
+// one half for one peer, full confidence for three that agree.
 const peersForFullConfidence = 4
 
-// shareWeights divides the weight of votes that one peer has reported among them, and returns the number of
-// peers and the total weight. It sorts the votes by peer.
+// shareWeights divides the weight of each vote by the number of votes that the same peer has reported. It
+// returns the number of peers and the total weight, and sorts the votes by peer.
 func shareWeights(votes []vote) (peers int, total float64) {
 	slices.SortFunc(votes, func(a, b vote) int { return strings.Compare(a.reportedBy, b.reportedBy) })
 	for start, end := 0, 0; start < len(votes); start = end {
@@ -73,8 +75,8 @@
 	return peers, total
 }
 
-// weightedMedian is the least value by which half of the total weight is reached. It sorts the votes by
-// value.
+// weightedMedian returns the lowest value at which the votes up to it have half of the total weight. It sorts
+// the votes by value.
 func weightedMedian(votes []vote, total float64) (median float64) {
 	slices.SortStableFunc(votes, func(a, b vote) int { return cmp.Compare(a.value, b.value) })
 	sum := 0.0
@@ -86,7 +88,7 @@
 	return 0
 }
 
-// agreeingWeight is the weight of the votes that agree with a value.
+// agreeingWeight returns the weight of the votes that agree with a value.
 func agreeingWeight(votes []vote, value, tolerance float64) (weight float64) {
 	for _, v := range votes {
 		if math.Abs(v.value-value) <= tolerance*max(math.Abs(value), 1) {
@@ -96,12 +98,14 @@
 	return weight
 }
 
-// minAvoidConfidence is the confidence in reports that is needed to avoid an engine: two peers that agree.
+// minAvoidConfidence is the confidence in reports that is needed to avoid an engine. It takes at least two
+// peers that agree.
 const minAvoidConfidence = 0.6
 
 // EnginesToAvoid returns the engines to avoid because of reports: those that several peers agree to be
-// unhealthy, without evidence here. If they are more than half of all engines, none is returned: a lying
-// peer, or a group that is cut off from the engines, would otherwise have all of them avoided.
+// unhealthy and that have no evidence here. If they are more than half of all engines, none is returned: a
+// Byzantine peer, or a group of peers that is cut off from the engines, could otherwise have all engines
+// avoided.
 func (s *Store) EnginesToAvoid(now time.Duration) (avoid []string) {
 	for engine := range s.engines {
 		if engine == "" {
--- a/internal/membership/observation/bench_test.go
+++ b/internal/membership/observation/bench_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// BenchmarkObservers receives reports of 63 engines from 500 observers each: the sample of the seven with the
-// least ranks (a bottom-k sketch of hashes) against a plain map of all. Bytes are of a store that has
-// received all.
+// BenchmarkObservers receives reports of 63 engines from 500 observers each. It compares the sample of the
+// seven observers with the lowest ranks (a bottom-k sketch of hashes) with a plain map of all. bytes-kept
+// is the heap of a store that has received all reports.
 func BenchmarkObservers(b *testing.B) {
 	const engineCount, members = 63, 500
 	var engines []string
--- a/internal/membership/observation/digest.go
+++ b/internal/membership/observation/digest.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
-// DigestBuckets is the size of a Digest.
+// DigestBuckets is the number of buckets of a Digest.
 const DigestBuckets = 64
 
-// Digest is a fingerprint of what a store concludes, by which a peer sees what another lacks. It is sent, and
-// dispatchers of different versions compare theirs: the same records must have the same digest in all.
+// Digest is a fingerprint of a store's conclusions, by which a peer finds what the store lacks. Dispatchers
+// of different versions send and compare digests: the same records must have the same digest in all
+// versions.
 type Digest [DigestBuckets]uint64
 
-// digestBucket is the bucket that a key falls into.
+// digestBucket returns the bucket that a key falls into.
 func digestBucket(key Key) int {
 	hash := (hash32(fnvOffset32, key.Engine) ^ uint32(key.Property)) * fnvPrime32
 	return int(hash32(hash, key.Parameter) % DigestBuckets)
 }
 
-// maxDigestVotes is how many observers make a difference to a conclusion: more are not distinguished.
+// maxDigestVotes is the number of observers from which on a digest does not distinguish how many there are.
 const maxDigestVotes = 3
 
-// Digest returns the fingerprint of the conclusions: of each key the median, quantized, and whether one, two
-// or more observers support it. It is not one of records: in a large fleet all dispatchers observe all
-// engines all the time, so that records always differ everywhere, and news would be lost among what every
-// member knows. Nor are times in it, as they differ between dispatchers.
+// Digest returns the fingerprint of the conclusions: for each key the quantized median, and whether one,
+// two or more observers support it. It does not cover the records: in a large fleet all dispatchers observe
+// all engines all the time, so records differ everywhere, and new conclusions would be lost among those
+// that every member knows. It does not cover times, which differ between dispatchers.
 func (s *Store) Digest(now time.Duration) (digest Digest) {
 	var values []float64
 	for _, records := range s.engines {
@@ -43,7 +44,7 @@
 	return digest
 }
 
-// currentValues appends the values of the records that have not expired.
+// currentValues appends the values of the records that have not expired to values.
 func currentValues(values []float64, now time.Duration, property Property, records []Record) []float64 {
 	for i := range records {
 		if now-records[i].ObservedAt <= propertyTerms[property].ttl {
@@ -53,7 +54,7 @@
 	return values
 }
 
-// conclusionHash hashes what is concluded of a key from sorted values.
+// conclusionHash hashes the conclusion about a key from its sorted values.
 func conclusionHash(key Key, sorted []float64) uint64 {
 	hash := (hash64(fnvOffset64, key.Engine) ^ uint64(key.Property)) * fnvPrime64
 	hash = (hash ^ uint64(min(len(sorted), maxDigestVotes))) * fnvPrime64
@@ -65,8 +66,8 @@
 	return hash
 }
 
-// quantize returns the number of a value's step. Above 1 the steps grow with the value, by the fraction that
-// makes no difference.
+// quantize returns the number of the step that a value falls into. From 1 on the steps grow with the value,
+// each by the tolerance.
 func quantize(value, tolerance float64) int {
 	if tolerance <= 0 || value < 1 {
 		return int(math.Round(2 * value))
@@ -74,8 +75,8 @@
 	return 2 + int(math.Round(math.Log(value)/math.Log1p(tolerance)))
 }
 
-// AnswerDigest returns at most limit observations that the sender of a digest lacks, or has otherwise: those
-// in the buckets that differ.
+// AnswerDigest returns at most limit observations that the sender of a digest may lack, or may know with
+// another value: those in the buckets that differ, the freshest first.
 func (s *Store) AnswerDigest(now time.Duration, theirs Digest, limit int) []Observation {
 	ours := s.Digest(now)
 	missing := s.collect(now, func(key Key) bool {
--- a/internal/membership/observation/golden_test.go
+++ b/internal/membership/observation/golden_test.go
@@ -10,8 +10,8 @@
 	"cresspass/internal/goldentest"
 )
 
-// Two versions in one fleet have the same digest for the same evidence: otherwise each would take the other
-// for one that lacks everything, and answer with all it has, once a second. The numbers of properties are
+// Two versions in one fleet have the same digest for the same evidence: otherwise each would conclude that
+// the other lacks everything, and answer with all it has, once a second. The numbers of properties are
 // sent. Only a change of the packet version may change the file.
 func TestGoldenDigest(t *testing.T) {
 	if Health != 0 || Load != 1 || Uptime != 2 || ModelParameter != 3 {
@@ -45,7 +45,7 @@
 	goldentest.Compare(t, "digest.bin", written)
 }
 
-// Which observers are kept follows from their names alone, the same at all members.
+// Which observers are kept depends on their names alone, so that it is the same at all members.
 func TestGoldenRanks(t *testing.T) {
 	ranks := map[string]uint32{}
 	for _, name := range []string{"", "a", "hall-a-1", "hall-b-2", "(former)", "d000", "d499"} {
--- a/internal/membership/observation/hash.go
+++ b/internal/membership/observation/hash.go
@@ -1,6 +1,6 @@
 package observation
 
-// FNV-1a as in hash/fnv, without its allocations: members hash all that they know once a second.
+// FNV-1a as in hash/fnv, without its allocations: members hash all their records once a second.
 const (
 	fnvOffset32 = uint32(2166136261)
 	fnvPrime32  = 16777619
--- a/internal/membership/observation/initial.go
+++ b/internal/membership/observation/initial.go
@@ -8,22 +8,23 @@
 	"cresspass/internal/membership/modelstate"
 )
 
-// InitialParameter is a model parameter that a starting dispatcher takes over.
+// InitialParameter is a model parameter that a starting dispatcher restores.
 type InitialParameter struct {
 	Value float64
-	Age   time.Duration // how old the parameter is to be taken for
+	Age   time.Duration // the age to assume for the value
 }
 
-// PreviousIncarnation is the peer under which a dispatcher reports what its previous incarnation has learnt.
+// PreviousIncarnation is the peer name under which a dispatcher records what its previous incarnation learnt.
 const PreviousIncarnation = "(former)"
 
-// maxReportedCompletions bounds how many completed queries are taken to support what peers have learnt, so
-// that a few of our own weigh as much: a parameter that seems to rest on many moves slowly, and a wrong one
-// would stay.
+// maxReportedCompletions bounds the number of completed queries on which parameters learnt by peers count
+// as based, so that a few completions of our own weigh as much: a parameter that is based on many changes
+// slowly, and a wrong value would stay.
 const maxReportedCompletions = 8
 
-// InitialParameter weighs a model parameter for a dispatcher that starts: the weighted median, and the median
-// of the ages. What a single peer reports is taken for a half-life older, so that it counts by half.
+// InitialParameter weighs the evidence about a model parameter for a starting dispatcher: its value is the
+// weighted median, its age the median of the ages. What a single peer reports counts as one half-life older,
+// which halves its weight. false: nothing is known of the parameter.
 func (s *Store) InitialParameter(now time.Duration, name string) (p InitialParameter, ok bool) {
 	key := Key{Property: ModelParameter, Parameter: name}
 	assessment := s.Assess(now, key)
@@ -41,10 +42,11 @@
 	return p, true
 }
 
-// fromPeer reports whether a record was learnt by another dispatcher.
+// fromPeer reports whether a record is from another dispatcher, not from this one or its previous
+// incarnation.
 func fromPeer(r Record) bool { return r.Hops > 0 && r.ReportedBy != PreviousIncarnation }
 
-// medianAge is the greater median of the records' ages.
+// medianAge returns the upper median of the records' ages.
 func medianAge(now time.Duration, records []Record) time.Duration {
 	var ages []time.Duration
 	for _, r := range records {
--- a/internal/membership/observation/property.go
+++ b/internal/membership/observation/property.go
@@ -1,9 +1,9 @@
-// Package observation holds what dispatchers have observed of engines, their own observations and those that
-// peers report, and decides what to conclude from them. Each record names its observer and the time of its
-// evidence; an observation made here is never outweighed by reports.
+// Package observation stores what dispatchers have observed of engines, both a dispatcher's own
+// observations and those that peers report, and draws conclusions from them. Each record names its observer
+// and the time of its evidence. Reports never outweigh an observation made here.
 //
-// It owns the merging of reports, their weighing and the digests that peers compare. It does no I/O and
-// reads no clock: times are the dispatcher's own, and what travels between dispatchers are ages, so that
+// It owns the merging and weighing of reports, and the digests that peers compare. It does no I/O and reads
+// no clock: times are by the dispatcher's own clock, and dispatchers send each other ages, so that their
 // clocks need not agree.
 package observation
 
@@ -14,7 +14,7 @@
 	"cresspass/internal/membership/modelstate"
 )
 
-// Property is what an observation is about. Its numbers are sent between dispatchers.
+// Property is what an observation is about. Its values are sent between dispatchers and must not change.
 type Property uint8
 
 // The properties.
@@ -22,7 +22,7 @@
 	Health         Property = 0 // Healthy or Unhealthy
 	Load           Property = 1 // running threads
 	Uptime         Property = 2 // seconds since the engine's start
-	ModelParameter Property = 3 // a learnt parameter of no engine; see package modelstate
+	ModelParameter Property = 3 // a learnt parameter, of no engine; see package modelstate
 	propertyCount           = 4
 )
 
@@ -35,7 +35,8 @@
 // healthThreshold is the value of Health below which an engine counts as unhealthy.
 const healthThreshold = (Unhealthy + Healthy) / 2
 
-// propertyTerms are how long evidence of a property counts, how fast it fades, and what its values can be.
+// propertyTerms hold, for each property, how long its evidence counts (ttl), in what time the evidence loses
+// half of its weight (halfLife), and which values are valid.
 var propertyTerms = [propertyCount]struct {
 	ttl, halfLife time.Duration
 	min, max      float64
@@ -56,7 +57,7 @@
 	Parameter string // name of a model parameter
 }
 
-// valid reports whether an observation can have a value.
+// valid reports whether a value is possible for a key.
 func valid(key Key, value float64) bool {
 	if key.Property >= propertyCount || math.IsNaN(value) {
 		return false
--- a/internal/membership/observation/record.go
+++ b/internal/membership/observation/record.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Observation is a record as it travels between dispatchers: with its age in place of a time.
+// Observation is a record as dispatchers send it to each other: with its age in place of a time.
 type Observation struct {
 	Key
 	Observer string
@@ -26,8 +26,9 @@
 	rank       uint32 // of Observer
 }
 
-// supersedes is a total order of the records of one property: by the time of the evidence, then by whatever
-// differs. All merging rests on it.
+// supersedes reports whether r replaces other. It is a total order of the records of one property: by the
+// time of the evidence, then by the fields that differ. Merging is independent of the order of reports only
+// because the order is total.
 func (r *Record) supersedes(other *Record) bool {
 	switch {
 	case r.ObservedAt != other.ObservedAt:
@@ -44,7 +45,7 @@
 	return r.Value < other.Value
 }
 
-// before orders records of different observers by rank.
+// before reports whether r is sorted before other: records of different observers are sorted by rank.
 func (r *Record) before(other *Record) bool {
 	if r.rank != other.rank {
 		return r.rank < other.rank
@@ -52,15 +53,15 @@
 	return r.Observer < other.Observer
 }
 
-// observerRank is an observer's place among those whose records are kept.
+// observerRank hashes an observer's name. Records of the observers with the lowest ranks are kept.
 func observerRank(observer string) uint32 { return hash32(fnvOffset32, observer) * 0x9e3779b1 }
 
-// mergeRecord merges a report into the sorted records of a property: of each observer the newest record, and
-// of the observers the limit with the least ranks. self's record comes first, whatever its rank, and does not
-// count. Merging is commutative, associative and idempotent, so that loss, order and repetition of reports
-// do not matter.
+// mergeRecord merges a report into the sorted records of a property. It keeps the newest record of each
+// observer, for at most limit observers: those with the lowest ranks. self's record comes first, whatever its
+// rank, and does not count towards the limit. Merging is commutative, associative and idempotent, so that
+// loss, order and repetition of reports do not matter.
 //
-// Which observers are kept depends on their names alone. If the newest records were kept instead, lying
+// Which observers are kept depends on their names alone. If the newest records were kept instead, Byzantine
 // members that report twice a second would displace honest ones that report now and then.
 func mergeRecord(records []Record, report Record, self string, limit int) []Record {
 	first := 0
@@ -80,10 +81,10 @@
 	case at-first < limit:
 		records = slices.Insert(records, at, report)
 	}
-	return records[:min(len(records), max(limit+first, limit))] // the sum overflows where there is no limit
+	return records[:min(len(records), max(limit+first, limit))] // without a limit the sum overflows
 }
 
-// dropExpired removes records whose evidence no longer counts: they would take the places of others.
+// dropExpired removes records whose evidence no longer counts, as they would take the place of others.
 func dropExpired(now time.Duration, property Property, records []Record) []Record {
 	ttl := propertyTerms[property].ttl
 	return slices.DeleteFunc(records, func(r Record) bool { return now-r.ObservedAt > ttl })
--- a/internal/membership/observation/record_test.go
+++ b/internal/membership/observation/record_test.go
@@ -23,9 +23,9 @@
 	}), 0, 6).Draw(t, label)
 }
 
-// join merges two sets of records of one property, as a model of mergeRecord: of each observer the newest,
-// and of the observers so many, by a rank that no record changes. It is commutative, associative and
-// idempotent. If the newest records were kept instead, lying members that report twice a second would
+// join merges two sets of records of one property, as a model of mergeRecord: it keeps the newest record of
+// each observer, for at most limit observers, those with the lowest ranks. It is commutative, associative and
+// idempotent. If the newest records were kept instead, Byzantine members that report twice a second would
 // displace honest ones that report now and then.
 func join(a, b []Record, limit int) []Record {
 	all := append(append(make([]Record, 0, len(a)+len(b)), a...), b...)
--- a/internal/membership/observation/store.go
+++ b/internal/membership/observation/store.go
@@ -12,23 +12,23 @@
 type Limits struct {
 	Observers       int // records of one property, without our own
 	ModelParameters int
-	Hops            uint8 // reports that came through so many dispatchers go no further
+	Hops            uint8 // reports that came through so many dispatchers are not passed on
 }
 
-// DefaultLimits suit a fleet of some hundred engines.
+// DefaultLimits returns limits that suit a fleet of some hundred engines.
 func DefaultLimits() Limits { return Limits{Observers: 7, ModelParameters: 8192, Hops: 12} }
 
 // Rejected counts the reports that were not accepted, by reason.
 type Rejected struct {
 	InvalidValue   int
 	UnknownEngine  int // not in the engine list
-	OwnObservation int // claims that we observed it
-	Expired        int // too old, or of an impossible age
+	OwnObservation int // names us as the observer
+	Expired        int // too old, or with an impossible age
 	TooManyHops    int
 	NoCapacity     int // there are Limits.ModelParameters already
 }
 
-// Store holds the records. Make one with New. It is not safe for concurrent use.
+// Store holds the records of one dispatcher. Make one with New. It is not safe for concurrent use.
 type Store struct {
 	self        string
 	limits      Limits
@@ -38,7 +38,7 @@
 	rejected    Rejected
 }
 
-// New returns an empty store of a dispatcher. Its name is unique among all members' names of all time: a
+// New returns the empty store of a dispatcher with the name self. No other process may ever have the name: a
 // dispatcher that restarts takes another.
 func New(self string, limits Limits) *Store {
 	return &Store{
@@ -49,7 +49,7 @@
 	}
 }
 
-// SetEngines sets which engines exist. Records of others are dropped: no report adds an engine.
+// SetEngines sets which engines exist, and drops the records of all others. No report adds an engine.
 func (s *Store) SetEngines(engines []string) {
 	current := map[string]map[Key][]Record{"": s.engines[""]}
 	for _, engine := range engines {
@@ -68,8 +68,8 @@
 // Rejected returns how many reports were not accepted so far.
 func (s *Store) Rejected() Rejected { return s.rejected }
 
-// Observe records an observation of this dispatcher's own. A failure of an engine discards all earlier
-// reports of its health.
+// Observe records an observation made by this dispatcher. An engine observed as unhealthy loses all earlier
+// reports of its health. Invalid values, unknown engines and parameters beyond the limit are ignored.
 func (s *Store) Observe(now time.Duration, key Key, value float64) {
 	records := s.engines[key.Engine]
 	if records == nil || !valid(key, value) || !s.hasCapacity(records, key) {
@@ -86,8 +86,8 @@
 	records[key] = append([]Record{own}, reports...)
 }
 
-// Receive records the reports of a peer. The peer that sent a report is kept with it, and what one peer
-// reports of a property counts once: a lying peer can name many observers, real or invented.
+// Receive records the reports of a peer. Each record names the peer that sent it, and all that one peer
+// reports of a property counts once: a Byzantine peer can name many observers, real or invented.
 func (s *Store) Receive(now time.Duration, from string, reports []Observation) {
 	for i := range reports {
 		report := &reports[i]
@@ -114,7 +114,7 @@
 	}
 }
 
-// rejection returns the count of the reason for which a report is rejected; nil: it is accepted.
+// rejection returns the counter of the reason for which a report is rejected; nil: it is accepted.
 func (s *Store) rejection(now time.Duration, report *Observation) *int {
 	records := s.engines[report.Engine]
 	switch {
@@ -123,7 +123,7 @@
 	case records == nil:
 		return &s.rejected.UnknownEngine
 	case report.Observer == s.self:
-		// Our own words, echoed or invented by a peer, would otherwise count as observed here.
+		// Reports that a peer echoes or invents in our name would otherwise count as observed here.
 		return &s.rejected.OwnObservation
 	case report.Age < 0 || report.Age > propertyTerms[report.Property].ttl || report.Age > now:
 		return &s.rejected.Expired
@@ -135,14 +135,14 @@
 	return nil
 }
 
-// disproved reports whether an attempt failed here after the evidence of an engine's health.
+// disproved reports whether an attempt has failed here since the evidence of an engine's health.
 func (s *Store) disproved(report *Observation, observedAt time.Duration) bool {
 	failed, ok := s.lastFailure[report.Engine]
 	return ok && report.Property == Health && observedAt <= failed
 }
 
-// maxRecords is how many peers' records of a property are kept. Model parameters are requested once, from a
-// few peers.
+// maxRecords returns how many observers' records of a property are kept. Model parameters have no limit: they
+// are requested once, from a few peers.
 func (s *Store) maxRecords(property Property) int {
 	if property == ModelParameter {
 		return math.MaxInt
@@ -150,7 +150,7 @@
 	return s.limits.Observers
 }
 
-// hasCapacity reports whether a key may have records: the number of model parameters is bounded.
+// hasCapacity reports whether records of a key may be added: the number of model parameters is bounded.
 func (s *Store) hasCapacity(records map[Key][]Record, key Key) bool {
 	_, known := records[key]
 	return known || key.Property != ModelParameter || len(records) < s.limits.ModelParameters
@@ -168,8 +168,8 @@
 	return own
 }
 
-// collect returns the current observations of the selected keys: the freshest first, by the fraction of
-// their TTL that has passed, and of those our own before reports.
+// collect returns the current observations of the selected keys, the freshest first: by the number of hops,
+// then by the fraction of their TTL that has passed. Our own, without hops, come before reports.
 func (s *Store) collect(now time.Duration, selected func(Key) bool) []Observation {
 	var collected []Observation
 	for _, records := range s.engines {
@@ -188,7 +188,7 @@
 	return collected
 }
 
-// observation returns a record as it is sent to peers; false: it is expired or has come too far.
+// observation returns a record as it is sent to peers; false: it has expired, or has too many hops.
 func (s *Store) observation(now time.Duration, key Key, r *Record) (o Observation, ok bool) {
 	age := now - r.ObservedAt
 	if age < 0 || age > propertyTerms[key.Property].ttl || r.Hops >= s.limits.Hops {
@@ -198,7 +198,8 @@
 	return o, true
 }
 
-// compareFreshness orders observations for sending; each hop counts as much as a whole TTL.
+// compareFreshness orders observations for sending, the freshest first. Ties are broken by key and
+// observer, so that the order is reproducible.
 func compareFreshness(a, b Observation) int {
 	return cmp.Or(
 		cmp.Compare(staleness(&a), staleness(&b)),
@@ -208,6 +209,7 @@
 		strings.Compare(a.Observer, b.Observer))
 }
 
+// staleness is the fraction of an observation's TTL that has passed; each hop counts as much as a whole TTL.
 func staleness(o *Observation) float64 {
 	return float64(o.Age)/float64(propertyTerms[o.Property].ttl) + float64(o.Hops)
 }
--- a/internal/membership/observation/store_test.go
+++ b/internal/membership/observation/store_test.go
@@ -12,7 +12,7 @@
 
 func healthKey(engine string) Key { return Key{Engine: engine, Property: Health} }
 
-// Receiving reports one by one results in what join makes of all of them.
+// Receiving reports one by one leaves the same records as joining all of them.
 func TestReceiveMatchesJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := drawRecords(t, "all")
@@ -42,8 +42,8 @@
 	})
 }
 
-// An observation made here stands against any number of peers; a failed attempt discards the reports before
-// it; no report adds an engine; invalid reports are rejected.
+// Any number of peers does not outweigh an observation made here. A failed attempt discards the reports
+// before it. No report adds an engine. Invalid reports are rejected.
 func TestLocalEvidenceOutweighsReports(t *testing.T) {
 	s := New("me", DefaultLimits())
 	s.SetEngines([]string{"e1", "e2", "e3", "e4"})
@@ -133,8 +133,8 @@
 	})
 }
 
-// By digests and answers alone all stores come to hold the same, in whatever order they meet, and then have
-// nothing more to send.
+// By digests and answers alone all stores reach the same conclusions, in whatever order they exchange them,
+// and then have nothing more to send.
 func TestAntiEntropy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const members, engineCount = 8, 6
@@ -164,7 +164,7 @@
 		}
 		for _, s := range stores[1:] {
 			if s.Digest(now) != stores[0].Digest(now) {
-				t.Fatal("two members hold different things")
+				t.Fatal("two members have different digests")
 			}
 			if left := s.AnswerDigest(now, stores[0].Digest(now), 1000); len(left) > 0 {
 				t.Fatalf("%d observations are sent again", len(left))
