--- a/internal/membership/modelstate/golden_test.go
+++ b/internal/membership/modelstate/golden_test.go
@@ -9,9 +9,9 @@
 	"cresspass/internal/goldentest"
 )
 
-// A module's snapshot, and the names and values that it is flattened into: dispatchers send the names to
-// each other and keep them, so they stay. Assembled again, the snapshot has the same bytes. Only a change of
-// the version of the snapshot may change the files.
+// A module's snapshot, and the names and values that it is flattened into. Dispatchers send the names to
+// each other and store them, so they must not change. Assembled again, the snapshot has the same bytes.
+// Only a change of the version of the snapshot may change the files.
 func TestGoldenParameters(t *testing.T) {
 	classes, kinds := []string{"dash", "we/ird \"class\""}, []string{"std", "big/1"}
 	values := map[string]float64{}
--- a/internal/membership/modelstate/modelstate.go
+++ b/internal/membership/modelstate/modelstate.go
@@ -1,7 +1,7 @@
-// Package modelstate takes the decision module's snapshot apart into named parameters, so that those of
-// several dispatchers can be weighed one by one, and assembles parameters into a snapshot that the module
-// restores. It owns the parameters' names and bounds; the names are sent between dispatchers and stored, so
-// they stay as they are. It does no I/O and reads no clock.
+// Package modelstate splits the decision module's snapshot into named parameters, so that those of several
+// dispatchers can be weighed one by one, and assembles parameters into a snapshot that the module restores.
+// It owns the parameters' names and bounds. The names are sent between dispatchers and stored, so they must
+// not change. The package does no I/O and reads no clock.
 package modelstate
 
 import (
@@ -12,17 +12,17 @@
 	"strings"
 )
 
-// snapshotVersion is that of the decision module's snapshot.
+// snapshotVersion is the version of the decision module's snapshot.
 const snapshotVersion = 1
 
-// snapshot is the decision module's form, see cresspass.Gateway.Snapshot.
+// snapshot is the JSON form of the decision module's snapshot, see cresspass.Gateway.Snapshot.
 type snapshot struct {
 	Version int                    `json:"version"`
 	Classes []class                `json:"classes"`
 	Kinds   map[string][][]float64 `json:"kinds"`
 }
 
-// class is what the module has learnt of a class of queries.
+// class holds what the module has learnt about a class of queries.
 type class struct {
 	Name  string  `json:"name"`
 	Scale float64 `json:"scale"`
@@ -32,9 +32,9 @@
 }
 
 const (
-	classPrefix = "c/" // of the names of a class's parameters
-	kindPrefix  = "k/" // of the names of weights on an engine kind
-	// otherDispatchers stands in a weight's name for the load of other dispatchers, in place of a class.
+	classPrefix = "c/" // begins the names of a class's parameters
+	kindPrefix  = "k/" // begins the names of the weights on an engine kind
+	// otherDispatchers stands in a weight's name, in place of a class, for the load of other dispatchers.
 	otherDispatchers = "*"
 	// CompletionsSuffix ends the names of parameters that count completed queries.
 	CompletionsSuffix = "/seen"
@@ -55,8 +55,9 @@
 	{"/grant", 0.01, 100, func(c *class) *float64 { return &c.Grant }},
 }
 
-// Flatten returns the parameters of a snapshot by name. Names contain the classes and kinds, so that the
-// parameters of other settings match nothing.
+// Flatten returns the parameters of a snapshot by name. Names contain the classes and kinds, so parameters
+// that were learnt under other settings match nothing. It returns an error if the snapshot is not valid
+// JSON or has another version.
 func Flatten(data []byte) (map[string]float64, error) {
 	var s snapshot
 	if err := json.Unmarshal(data, &s); err != nil {
@@ -84,8 +85,8 @@
 	return parameters, nil
 }
 
-// weightName names the weight that a running query of class j, or of other dispatchers where there is no
-// class j, has for a query of class i on a kind of engines.
+// weightName returns the name of the interference weight that a running query of class j has for a query of
+// class i on a kind of engines. The j after the last class stands for queries of other dispatchers.
 func weightName(kind string, classes []class, i, j int) string {
 	other := otherDispatchers
 	if j < len(classes) {
@@ -94,7 +95,7 @@
 	return kindPrefix + kind + "/" + strconv.Quote(classes[i].Name) + "/" + other
 }
 
-// Valid reports whether a parameter can have a value.
+// Valid reports whether a value is within the bounds of a parameter. It is false for unknown names.
 func Valid(name string, value float64) bool {
 	if math.IsNaN(value) || len(name) <= len(classPrefix) {
 		return false
@@ -110,9 +111,9 @@
 	return false
 }
 
-// Assemble returns a snapshot of the parameters that get knows of the settings' classes and kinds. Classes
-// with a parameter that is unknown or invalid are left out, and kinds with such a weight; nil: there is
-// nothing to restore.
+// Assemble returns a snapshot of the settings' classes and kinds, with the parameters that get returns. A
+// class with a parameter that is unknown or invalid is left out, and so is a kind with such a weight. Kinds
+// are included only if no class is left out. nil: there is nothing to restore.
 func Assemble(classes, kinds []string, get func(name string) (float64, bool)) []byte {
 	known := func(name string) (float64, bool) {
 		value, ok := get(name)
@@ -139,7 +140,7 @@
 	return data
 }
 
-// assembleClass returns a class; false: one of its parameters is not known.
+// assembleClass returns a class; false: one of its parameters is unknown or invalid.
 func assembleClass(name string, known func(name string) (float64, bool)) (c class, complete bool) {
 	c, complete = class{Name: name}, true
 	for _, p := range classParameters {
@@ -150,7 +151,7 @@
 	return c, complete
 }
 
-// assembleWeights returns the weights on a kind of engines; nil: one of them is not known.
+// assembleWeights returns the weights on a kind of engines; nil: one of them is unknown or invalid.
 func assembleWeights(kind string, classes []class, known func(string) (float64, bool)) [][]float64 {
 	var rows [][]float64
 	for i := range classes {
--- a/internal/membership/modelstate/modelstate_test.go
+++ b/internal/membership/modelstate/modelstate_test.go
@@ -25,9 +25,8 @@
 	}
 }
 
-// What a module has learnt, flattened and assembled, is what it was, and another module takes it. Of
-// parameters that are missing or invalid, whatever they are, what is assembled is taken as well, or is
-// nothing.
+// A snapshot that is flattened and assembled again is unchanged. With any parameters missing or invalid,
+// what is assembled is either a snapshot that a module restores, or nothing.
 func TestFlattenAndAssemble(t *testing.T) {
 	config := testConfig()
 	g, err := cresspass.New(config)
--- a/internal/membership/validation/aggregate.go
+++ b/internal/membership/validation/aggregate.go
@@ -6,24 +6,24 @@
 	"cresspass"
 )
 
-// Two members aggregate at a time, and others did before them: their sums are compared for
+// Two members are aggregators at a time, and others were before them. Their sums are compared for
 // comparableTTLs times EvidenceTTL, and kept for retainedTTLs times EvidenceTTL.
 const (
 	comparableTTLs = 3
 	retainedTTLs   = 10
 )
 
-// validateAggregate judges an aggregator's sums of the loads of all dispatchers.
+// validateAggregate checks an aggregator's sums of the loads of all dispatchers.
 func (v *Validator) validateAggregate(now time.Duration, from int, loads []cresspass.PeerLoad) Result {
 	if result := v.checkAgainstEngines(now, loads); result != Accepted {
 		return result
 	}
 	own := v.recordLoads(v.aggregates, from, now, loads)
 	confirming, contradicting := v.compareAggregates(now, from, own)
-	// It costs less to know too little than to reject clients for a load that does not exist; so sums that
-	// at least as many aggregators contradict as confirm are rejected, and high sums that nobody confirms.
-	// They are kept all the same: a load that does exist is believed with the second aggregator that reports
-	// it.
+	// To miss a load costs less than to reject clients for a load that does not exist. So sums are rejected
+	// if at least as many aggregators contradict as confirm them, and high sums also if there is no
+	// aggregator to compare them with. Rejected sums are kept all the same: a load that does exist is
+	// accepted once a second aggregator reports it.
 	if contradicting > 0 && contradicting >= confirming {
 		return Contradicted
 	}
@@ -34,7 +34,7 @@
 	return Accepted
 }
 
-// checkAgainstEngines compares sums with what engines have shown to this dispatcher.
+// checkAgainstEngines compares sums with what engines have answered and reported to this dispatcher.
 func (v *Validator) checkAgainstEngines(now time.Duration, loads []cresspass.PeerLoad) Result {
 	known, ejected, ejectedButResponding := 0, 0, 0
 	checked, contradicted := 0, 0
@@ -70,7 +70,7 @@
 	return Accepted
 }
 
-// isFresh reports whether evidence of a time, 0 for none, still counts.
+// isFresh reports whether evidence from a time still counts; 0: there is no evidence.
 func (v *Validator) isFresh(now, at time.Duration) bool {
 	return at > 0 && now-at <= v.limits.EvidenceTTL
 }
@@ -98,16 +98,17 @@
 	return confirming, contradicting
 }
 
-// comparison is what another aggregator's sums say of sums.
+// comparison is the result of comparing an aggregator's sums with another's.
 type comparison int
 
 const (
-	sumsNotComparable comparison = iota // no engine that is known here is in both
+	sumsNotComparable comparison = iota // no engine known here is in both
 	sumsConfirm
 	sumsContradict
 )
 
-// compare tells whether sums exceed another's by far on the engines known here that are in both.
+// compare tells whether an aggregator's sums far exceed another's, on the engines known here that are in
+// both.
 func (v *Validator) compare(own, other *peerLoads) comparison {
 	ours, theirs, cores := 0.0, 0.0, 0.0
 	for tag, threads := range own.threads {
--- a/internal/membership/validation/enginegroup.go
+++ b/internal/membership/validation/enginegroup.go
@@ -6,15 +6,15 @@
 	"cresspass"
 )
 
-// knownEngine is what is known of an engine here.
+// knownEngine is what an engine has shown to this dispatcher.
 type knownEngine struct {
 	lastResponse    time.Duration // to this dispatcher; 0: never
-	reportedThreads float64       // what it reported to run in total
+	reportedThreads float64       // threads that it reported to run in total
 	reportedAt      time.Duration // 0: never
 }
 
-// engineGroup is the engines that have one tag: nearly always a single one. Messages do not tell them apart,
-// so that their loads are compared with what all of them show.
+// engineGroup holds the engines that have one tag: nearly always a single one. Messages do not tell them
+// apart, so their loads are compared with what is known of all of them.
 type engineGroup struct {
 	cores   float64 // of all
 	engines map[cresspass.EngineID]*knownEngine
@@ -24,7 +24,7 @@
 	return &engineGroup{engines: map[cresspass.EngineID]*knownEngine{}}
 }
 
-// add adds an engine, with what a former group, which may be nil, knows of it.
+// add adds an engine, and takes over what a former group, which may be nil, knows of it.
 func (g *engineGroup) add(id cresspass.EngineID, cores float64, former *engineGroup) {
 	g.cores += cores
 	g.engines[id] = &knownEngine{}
@@ -48,7 +48,7 @@
 	}
 }
 
-// lastResponse is the time by which every engine has last responded; 0: one never did.
+// lastResponse returns the earliest of the engines' last responses; 0: one never responded.
 func (g *engineGroup) lastResponse() time.Duration {
 	first := true
 	var earliest time.Duration
@@ -60,7 +60,8 @@
 	return earliest
 }
 
-// reported is the threads that all engines reported, and the time of the oldest report; 0: one never did.
+// reported returns the threads that all engines reported together, and the time of the oldest report; 0: one
+// never reported.
 func (g *engineGroup) reported() (threads float64, at time.Duration) {
 	first := true
 	for _, e := range g.engines {
--- a/internal/membership/validation/peerloads.go
+++ b/internal/membership/validation/peerloads.go
@@ -6,26 +6,26 @@
 	"cresspass"
 )
 
-// splitWindow is the time within which messages of one sender are parts of one that was split, as it
-// exceeded the size of a message.
+// splitWindow is the time within which messages of one sender count as parts of one message, which was split
+// because it exceeded the size limit.
 const splitWindow = 100 * time.Millisecond
 
-// peerLoads is what a member has last reported.
+// peerLoads holds the loads that a member has last reported.
 type peerLoads struct {
 	receivedAt time.Duration
 	threads    map[uint16]float64 // by the engines' tag
-	knownTotal float64            // of engines known here
+	knownTotal float64            // threads on engines known here
 }
 
-// sentThreads is what a member has sent to engines since a time.
+// sentThreads holds the threads of the queries that a member has sent to engines since a time.
 type sentThreads struct {
 	since          time.Duration
 	known, unknown float64 // threads on engines that are known here, and on others
 }
 
-// recordLoads keeps the loads of a message by its sender and returns what the sender has reported in this
-// message and those that it was split from. Engines with one tag have an entry each in a message, which add
-// up; a later message replaces what an earlier one says of a tag.
+// recordLoads stores the loads of a message by its sender, and returns those of all parts of the message so
+// far. Engines that share a tag have one entry each in a message, which add up. A later message replaces
+// the loads that an earlier one has for a tag.
 func (v *Validator) recordLoads(
 	peers map[int]*peerLoads, from int, now time.Duration, loads []cresspass.PeerLoad,
 ) *peerLoads {
@@ -49,10 +49,10 @@
 	return p
 }
 
-// isLoad reports whether an entry is a load: the value may call an engine ejected instead.
+// isLoad reports whether an entry is a load, and not the mark of an ejected engine.
 func isLoad(load cresspass.PeerLoad) bool { return load.Threads < cresspass.PeerLoadEjected }
 
-// add adds to the threads on the engines with a tag.
+// add adds threads to the load on the engines with a tag.
 func (p *peerLoads) add(tag uint16, threads float64, known map[uint16]*engineGroup) {
 	p.threads[tag] += threads
 	if known[tag] != nil {
@@ -60,8 +60,8 @@
 	}
 }
 
-// recomputeTotal adds up the loads of the engines known now. Loads are whole numbers, so that the order in
-// which they are added does not matter.
+// recomputeTotal sums the loads on the engines that are known now. Loads are whole numbers, so the order of
+// addition does not matter.
 func (p *peerLoads) recomputeTotal(known map[uint16]*engineGroup) {
 	p.knownTotal = 0
 	for tag, threads := range p.threads {
--- a/internal/membership/validation/result.go
+++ b/internal/membership/validation/result.go
@@ -10,16 +10,16 @@
 	Accepted          Result = iota
 	Malformed                // of no known type
 	NotAggregator            // sums or relays of a member that is not an aggregator now
-	OutOfRange               // loads that cannot be
-	ImplausibleOutage        // most engines are called ejected, or such as answered here just now
-	Contradicted             // another aggregator, or evidence here, says otherwise
-	Disproportionate         // one dispatcher's load exceeds that of all others together by far
+	OutOfRange               // impossible loads
+	ImplausibleOutage        // most engines are said to be ejected, or ones that have just answered here
+	Contradicted             // another aggregator, or evidence here, contradicts it
+	Disproportionate         // one dispatcher's load far exceeds that of all others together
 	SenderBlocked            // an earlier message of the sender was out of range
-	UnknownEngines           // more on engines not known here than can be told from a lie
+	UnknownEngines           // more load than is plausible on engines not known here
 	resultCount
 )
 
-// ResultCount is how many results there are, Accepted among them.
+// ResultCount is the number of results, Accepted included.
 const ResultCount = int(resultCount)
 
 var resultNames = [ResultCount]string{
@@ -34,6 +34,7 @@
 	UnknownEngines:    "unknown engines",
 }
 
+// String returns the result's name.
 func (r Result) String() string {
 	if r < 0 || r >= resultCount {
 		return fmt.Sprintf("Result(%d)", int(r))
--- a/internal/membership/validation/unknown_engines_test.go
+++ b/internal/membership/validation/unknown_engines_test.go
@@ -13,12 +13,12 @@
 // peerEngines is how many engines the peers know.
 const peerEngines = 12
 
-// onAllEngines returns a message of a kind with one load for each engine that the peers know.
+// onAllEngines returns a message with the same load for each engine that the peers know.
 func onAllEngines(kind, load byte) []byte {
 	return message(kind, bytes.Repeat([]byte{load}, peerEngines)...)
 }
 
-// Guards against honest peers that are not heard because they know engines that are not known here.
+// Guards against the rejection of honest peers' messages because they name engines that are not known here.
 func TestHonestPeerKnowsMoreEngines(t *testing.T) {
 	clock, first, other, _ := aggregators(t)
 	for _, known := range []int{0, 1, 2, peerEngines} {
@@ -42,8 +42,8 @@
 	}
 }
 
-// Guards against a peer that is judged disproportionate, or against sums that are contradicted, because
-// loads of all engines are held against the cores of the known ones.
+// Guards against reports rejected as disproportionate, and sums rejected as contradicted, because loads on
+// all engines are compared with the cores of the known ones only.
 func TestComparesKnownEnginesOnly(t *testing.T) {
 	clock, first, other, _ := aggregators(t)
 	v := newTestValidator(2)
@@ -66,7 +66,8 @@
 	}
 }
 
-// Guards against lies that pass because some or all of the engines they speak of are not known here.
+// Guards against false loads that are accepted because some or all of the engines they name are not known
+// here.
 func TestLiarKnowsMoreEngines(t *testing.T) {
 	clock, first, _, _ := aggregators(t)
 	for _, known := range []int{0, 1, 2, 4} {
@@ -80,14 +81,14 @@
 		}
 		cores := max(float64(known)*engineCores, presumedCores)
 		if limit := 2 * (v.limits.MaxPeerThreadsPerCore*cores + v.limits.MaxQueryThreads); accepted > limit {
-			t.Errorf("%d engines known: %v threads of small lies accepted, at most %v",
+			t.Errorf("%d engines known: %v threads of small false loads accepted, at most %v",
 				known, accepted, limit)
 		}
 		if got := v.Validate(20*second, clock, 101, memberCount, onAllEngines(sent, 9)); got != OutOfRange {
 			t.Errorf("%d engines known: queries of nine threads: %v", known, got)
 		}
 		if known == 0 {
-			continue // nothing that is said here concerns an engine that the module has
+			continue // no message names an engine that the module has
 		}
 		for name, c := range map[string]struct {
 			data []byte
@@ -104,7 +105,7 @@
 	}
 }
 
-// twoOfOneTag returns two engines with one tag.
+// twoOfOneTag returns two engines that share a tag.
 func twoOfOneTag(t *testing.T) (a, b cresspass.EngineID) {
 	t.Helper()
 	seen := map[uint16]cresspass.EngineID{}
@@ -115,12 +116,12 @@
 		}
 		seen[cresspass.EngineTag(id)] = id
 	}
-	t.Fatal("no two engines of one tag")
+	t.Fatal("no two engines share a tag")
 	return "", ""
 }
 
-// Guards against honest loads of two engines with one tag that are held against the cores, the reported
-// load or the response of one of them.
+// Guards against honest loads on two engines that share a tag being compared with the cores, the reported
+// load or the response of only one of them.
 func TestEnginesThatShareATag(t *testing.T) {
 	clock, first, _, _ := aggregators(t)
 	a, b := twoOfOneTag(t)
@@ -153,8 +154,8 @@
 	})
 }
 
-// Guards against a load that counts twice because its report comes twice, as it does where one peer
-// aggregates in two terms in a row.
+// Guards against a load that counts twice because its report comes twice, as it does if one peer is the
+// aggregator in two consecutive terms.
 func TestRepeatedReportCountsOnce(t *testing.T) {
 	clock, _, _, _ := aggregators(t)
 	v := newTestValidator(4)
--- a/internal/membership/validation/validator.go
+++ b/internal/membership/validation/validator.go
@@ -1,7 +1,8 @@
-// Package validation judges the decision modules' messages to each other before a module takes them: whether
-// the sender may send such a message now, whether its loads can be, and whether evidence here or another
-// aggregator's message contradicts it. A message is accepted or rejected as a whole; one that is rejected
-// costs no more than one that the network lost. It does no I/O and reads no clock.
+// Package validation checks the messages that decision modules send each other before a module receives
+// them: whether the sender may send such a message now, whether its loads are plausible, and whether
+// evidence here or another aggregator's message contradicts it. A message is accepted or rejected as a
+// whole; a rejected one costs no more than one that the network lost. The package does no I/O and reads no
+// clock.
 package validation
 
 import (
@@ -10,7 +11,7 @@
 	"cresspass"
 )
 
-// Limits of what is plausible.
+// Limits bound what is plausible.
 type Limits struct {
 	// MaxQueryThreads is the most threads of a query.
 	MaxQueryThreads float64
@@ -18,22 +19,22 @@
 	MaxPeerThreadsPerCore float64
 	// MaxTotalThreadsPerCore is the most threads a core that all dispatchers together run on an engine.
 	MaxTotalThreadsPerCore float64
-	// MaxUnconfirmedThreadsPerCore is the most threads a core, over all engines, for which one aggregator's
-	// word is enough.
+	// MaxUnconfirmedThreadsPerCore is the most threads a core, over all engines, that are accepted from one
+	// aggregator without confirmation by another.
 	MaxUnconfirmedThreadsPerCore float64
 	// DisagreementFactor is by how much one load may exceed another that it is compared with.
 	DisagreementFactor float64
-	// DisagreementSlack is the difference, in threads a core, that is no contradiction. It is less than what
-	// the module takes for an overload.
+	// DisagreementSlack is the difference, in threads a core, that is not a contradiction. It is less than
+	// what the module considers an overload.
 	DisagreementSlack float64
 	// EvidenceTTL is how long evidence counts.
 	EvidenceTTL time.Duration
-	// BlockFor is how long a sender is not heard whose message was out of range.
+	// BlockFor is how long a sender is blocked after a message that was out of range.
 	BlockFor time.Duration
 }
 
-// DefaultLimits suit the decision module, which runs at most one and a half threads a core of its own, and
-// accepts no report of more than sixteen.
+// DefaultLimits returns limits that suit the decision module, which runs at most one and a half threads a
+// core of its own, and accepts no report of more than sixteen.
 func DefaultLimits(maxQueryThreads float64) Limits {
 	return Limits{
 		MaxQueryThreads:              maxQueryThreads,
@@ -47,22 +48,22 @@
 	}
 }
 
-// maxTrackedPeers bounds the members of which anything is kept.
+// maxTrackedPeers bounds the number of members about which anything is kept.
 const maxTrackedPeers = 1024
 
-// presumedCores is the least number of cores that the engines which a peer knows, and this dispatcher does
-// not, are presumed to have together.
+// presumedCores is the least number of cores that is assumed in total for the engines that a peer knows and
+// this dispatcher does not.
 const presumedCores = 16
 
-// Validator judges messages. Make one with New. It is not safe for concurrent use.
+// Validator validates messages. Make one with New. It is not safe for concurrent use.
 type Validator struct {
 	limits  Limits
-	engines map[uint16]*engineGroup // by the tag that messages have for them
+	engines map[uint16]*engineGroup // by the tag that identifies them in messages
 
 	// By the sender's ordinal:
 	aggregates   map[int]*peerLoads    // last sums over all dispatchers
 	reports      map[int]*peerLoads    // last report of its own load
-	sentLoads    map[int]*sentThreads  // of queries that it has just sent
+	sentLoads    map[int]*sentThreads  // loads of queries that it has just sent
 	blockedUntil map[int]time.Duration // senders of messages that were out of range
 
 	counts [ResultCount]uint64
@@ -109,7 +110,7 @@
 	}
 }
 
-// ResetPeers drops what is kept by ordinal, as ordinals may belong to other members now.
+// ResetPeers drops all that is kept by ordinal. It is called when ordinals may belong to other members.
 func (v *Validator) ResetPeers() {
 	clear(v.aggregates)
 	clear(v.reports)
@@ -120,8 +121,8 @@
 // Counts returns how many messages had each result.
 func (v *Validator) Counts() [ResultCount]uint64 { return v.counts }
 
-// Validate judges a message of the member with an ordinal, in a fleet of so many members. now is this
-// dispatcher's clock, fleetClock the one that the fleet agrees on.
+// Validate checks a message from the member with the ordinal from, in a fleet of so many members, and
+// counts the result. now is this dispatcher's clock, fleetClock the one that the fleet agrees on.
 func (v *Validator) Validate(now, fleetClock time.Duration, from, members int, data []byte) Result {
 	result := v.validate(now, fleetClock, from, members, data)
 	v.counts[result]++
@@ -151,16 +152,16 @@
 	default:
 		result = v.validateSent(now, from, loads)
 	}
-	// An aggregator passes on what lying members told it; a sender is blocked for its own word only. A
-	// disproportionate report may be the truth of a dispatcher that has nearly all clients; it is rejected,
-	// and its sender is heard again.
+	// An aggregator forwards what Byzantine members have sent to it, so a sender is blocked only for loads of
+	// its own. A disproportionate report may be true, if the dispatcher has nearly all clients: it is
+	// rejected, and its sender is not blocked.
 	if result == OutOfRange && !fromAggregator && len(v.blockedUntil) < maxTrackedPeers {
 		v.blockedUntil[from] = now + v.limits.BlockFor
 	}
 	return result
 }
 
-// totalCores is the number of cores of all engines known here.
+// totalCores returns the number of cores of all engines known here.
 func (v *Validator) totalCores() (sum float64) {
 	for _, group := range v.engines {
 		sum += group.cores
@@ -173,7 +174,7 @@
 	return load > v.limits.DisagreementFactor*other+v.limits.DisagreementSlack*cores
 }
 
-// validateReport judges a dispatcher's report of what it runs.
+// validateReport checks a dispatcher's report of what it runs.
 func (v *Validator) validateReport(now time.Duration, from int, loads []cresspass.PeerLoad) Result {
 	for _, load := range loads {
 		group := v.engines[load.Tag]
@@ -198,10 +199,10 @@
 	return Accepted
 }
 
-// minReportsToCompare is how many others' reports a report is compared with, at least.
+// minReportsToCompare is the least number of other dispatchers' reports with which a report is compared.
 const minReportsToCompare = 2
 
-// validateQueries judges the threads of each query.
+// validateQueries checks the threads of each query.
 func (v *Validator) validateQueries(loads []cresspass.PeerLoad) Result {
 	for _, load := range loads {
 		if load.Threads > v.limits.MaxQueryThreads {
@@ -211,15 +212,16 @@
 	return Accepted
 }
 
-// maxPeerThreads is the most threads that one dispatcher runs on so many cores.
+// maxPeerThreads returns the most threads that one dispatcher may run on so many cores.
 func (v *Validator) maxPeerThreads(cores float64) float64 {
 	return v.limits.MaxPeerThreadsPerCore*cores + v.limits.MaxQueryThreads
 }
 
-// validateSent judges a dispatcher's message of the queries that it has just sent. Small lies add up: nobody
-// sends more, within the time in which such messages fade, than would fill all cores. A peer may know
-// engines that are not known here, so what it sends to those is judged apart: beyond what is plausible it is
-// rejected, but it does not prove a lie, and the sender is heard again.
+// validateSent checks a dispatcher's message about the queries that it has just sent. Small false loads add
+// up, so their sum is bounded: within EvidenceTTL, the time in which such messages fade, nobody sends more
+// than would fill all cores. A peer may know engines that are not known here, so the loads on those are
+// summed separately: more than is plausible is rejected, but does not prove that the sender is Byzantine,
+// and it is not blocked.
 func (v *Validator) validateSent(now time.Duration, from int, loads []cresspass.PeerLoad) Result {
 	if result := v.validateQueries(loads); result != Accepted {
 		return result
--- a/internal/membership/validation/validator_test.go
+++ b/internal/membership/validation/validator_test.go
@@ -30,15 +30,15 @@
 	return cresspass.EngineID(fmt.Sprint("10.0.0.", i, ":5432"))
 }
 
-// The types of messages, as sent.
+// The types of messages, as encoded.
 const (
 	report  = 1
 	sums    = 2
-	sent    = 3 // a query
-	relayed = 4 // queries, by an aggregator
+	sent    = 3 // queries, by the dispatcher that has sent them
+	relayed = 4 // queries, forwarded by an aggregator
 )
 
-// message encodes a message by hand, with the loads of the first engines.
+// message encodes a message with the loads of the first engines.
 func message(kind byte, loads ...byte) []byte {
 	data := []byte{kind}
 	for i, load := range loads {
@@ -51,8 +51,8 @@
 	return data
 }
 
-// aggregators returns a time of the fleet's clock, two ordinals that aggregate at it, and one that does
-// not, in a fleet of memberCount.
+// aggregators returns a time of the fleet's clock, the ordinals of two aggregators at that time, and one
+// ordinal that is not an aggregator, in a fleet of memberCount.
 func aggregators(t *testing.T) (clock time.Duration, first, second, none int) {
 	for clock = 1000 * time.Second; clock < 2000*time.Second; clock += time.Second {
 		var aggregating, others []int
@@ -71,7 +71,7 @@
 	return 0, 0, 0, 0
 }
 
-// Each kind of lie is rejected for its reason, and what honest members send beside it is accepted.
+// Each kind of false message is rejected for its own reason, and honest messages are accepted.
 func TestValidate(t *testing.T) {
 	clock, first, other, none := aggregators(t)
 	now := 50 * second
@@ -146,12 +146,12 @@
 		small++
 	}
 	if small > 20 {
-		t.Errorf("%d small lies in a moment", small)
+		t.Errorf("%d messages of small false loads accepted at one time", small)
 	}
 }
 
-// Whatever is sent in whatever order, accepted sums never call more than half of the engines ejected, nor
-// have a load over sixteen threads a core, and nothing grows without bound.
+// After any messages in any order, accepted sums mark at most half of the engines as ejected and have no load
+// over sixteen threads a core, and the validator's state stays bounded.
 func TestAcceptedAggregatesStayInBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := newTestValidator(5)
@@ -186,7 +186,7 @@
 	})
 }
 
-// Every result has a name of its own.
+// Every result has a distinct name.
 func TestResultNames(t *testing.T) {
 	seen := map[string]Result{}
 	for r := range resultCount {
