--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -19,8 +19,8 @@
 	"cresspass/internal/membership/validation"
 )
 
-// countingTransport counts the bytes of packets. Streams, for joins and exchanges of state now and then, are
-// not counted.
+// countingTransport counts the bytes of packets. It does not count streams, which memberlist uses for joins
+// and occasional exchanges of state.
 type countingTransport struct {
 	*memberlist.NetTransport
 	bytes *atomic.Int64
@@ -36,9 +36,9 @@
 	return c.NetTransport.WriteToAddress(b, addr)
 }
 
-// BenchmarkFleet starts the members of a fleet at once on memberlist as it is, encrypted, over a network
-// within the process. It reports when all agree on ordinals and count, and what each then sends a second,
-// membership and digests together.
+// BenchmarkFleet starts the members of a fleet one after another, with encryption, over loopback sockets.
+// It reports how long it takes to start them, and until all agree on ordinals and count, in seconds, and
+// how many bytes a second each member then sends, membership and digests together.
 func BenchmarkFleet(b *testing.B) {
 	for _, n := range []int{10, 50, 200, 500} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -81,7 +81,7 @@
 	wg.Wait()
 }
 
-// startCounted starts one member whose packets are counted.
+// startCounted starts one member and counts the bytes of its packets.
 func startCounted(b *testing.B, number int, seeds []string, bytesSent *atomic.Int64) *Service {
 	b.Helper()
 	name := fmt.Sprintf("d%03d", number)
@@ -112,7 +112,7 @@
 	return s
 }
 
-// seedsOf returns the address of the first member, if there is one.
+// seedsOf returns the address of the first member; nil: there is none.
 func seedsOf(all []*Service) []string {
 	if len(all) == 0 {
 		return nil
--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -12,20 +12,20 @@
 
 // The methods that memberlist calls: its Delegate, EventDelegate and ConflictDelegate.
 
-// incarnationSize and metadataSize are bytes of a member's metadata: its incarnation, then its claim to an
-// ordinal as a signed 16-bit number, both big-endian.
+// incarnationSize and metadataSize are sizes in bytes. A member's metadata is its incarnation, then its
+// claim to an ordinal as a signed 16-bit number, both big-endian.
 const (
 	incarnationSize = 8
 	metadataSize    = incarnationSize + 2
 )
 
-// encodeMetadata encodes what the others are sent together with a member's name.
+// encodeMetadata encodes the metadata that memberlist sends together with a member's name.
 func encodeMetadata(m ordinal.Member) []byte {
 	b := binary.BigEndian.AppendUint64(nil, m.Incarnation)
 	return binary.BigEndian.AppendUint16(b, uint16(int16(m.Claim)))
 }
 
-// decodeMember reads a node's metadata; false: it is malformed.
+// decodeMember decodes a node's metadata; false: it is malformed.
 func decodeMember(n *memberlist.Node) (m ordinal.Member, ok bool) {
 	if len(n.Meta) != metadataSize {
 		return m, false
@@ -44,15 +44,15 @@
 	return encodeMetadata(s.node.Self())
 }
 
-// NotifyMsg takes a packet.
+// NotifyMsg handles a packet from a member.
 func (s *Service) NotifyMsg(packet []byte) {
 	s.withNode(func(now time.Duration, n *gossip.Node) { n.HandlePacket(now, packet) })
 }
 
-// GetBroadcasts returns none: packets go to single members.
+// GetBroadcasts returns none: packets are sent to single members.
 func (s *Service) GetBroadcasts(int, int) [][]byte { return nil }
 
-// LocalState returns none: digests find the differences at less cost.
+// LocalState returns none: digests find the differences between members at less cost.
 func (s *Service) LocalState(bool) []byte { return nil }
 
 // MergeRemoteState has nothing to merge.
@@ -64,8 +64,8 @@
 // NotifyUpdate records a member's changed metadata.
 func (s *Service) NotifyUpdate(n *memberlist.Node) { s.memberAlive(n) }
 
-// memberAlive records a member's metadata. Actions that follow are carried out at the next tick, as
-// memberlist holds its locks here.
+// memberAlive records a member's address and metadata. Actions that follow are carried out at the next
+// tick, as memberlist holds its locks here.
 func (s *Service) memberAlive(n *memberlist.Node) {
 	m, ok := decodeMember(n)
 	if !ok {
@@ -77,7 +77,7 @@
 	s.node.MemberAlive(s.clock(), m)
 }
 
-// NotifyLeave records that a member was lost, or has left.
+// NotifyLeave records that a member was lost, or has announced its leave.
 func (s *Service) NotifyLeave(n *memberlist.Node) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -9,8 +9,8 @@
 	"cresspass/internal/membership/ordinal"
 )
 
-// A member's metadata as sent on 2026-12-02: a fleet that is being upgraded has both versions at once. Only a
-// change of the form may change the files.
+// A member's metadata as sent on 2026-12-02. A fleet that is being upgraded runs both versions at once, so
+// the encoding must not change. Only a change of the format may change the files.
 func TestGoldenMetadata(t *testing.T) {
 	for file, m := range map[string]ordinal.Member{
 		"metadata-claim.bin":    {Name: "hall-a-1", Incarnation: 1764633600000000001, Claim: 258},
@@ -24,7 +24,7 @@
 	}
 	for _, malformed := range [][]byte{nil, make([]byte, 9), make([]byte, 11)} {
 		if _, ok := decodeMember(&memberlist.Node{Name: "x", Meta: malformed}); ok {
-			t.Errorf("%d bytes were read", len(malformed))
+			t.Errorf("%d bytes were decoded", len(malformed))
 		}
 	}
 }
--- a/internal/membership/keyring.go
+++ b/internal/membership/keyring.go
@@ -8,14 +8,14 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// SetKeys changes the keys in service: all are accepted, the first is used. A fleet changes its key in three
-// steps, each at all members before the next: the new key is added behind the old, then put before it, then
-// the old one is removed. An error says that nothing has changed.
+// SetKeys replaces the keys in use: all are accepted for received traffic, the first is used to send. A fleet
+// changes its key in three steps, each of them at all members before the next: add the new key after the old
+// one, move it before the old one, remove the old one. If a key is invalid, nothing is changed.
 func (s *Service) SetKeys(keys [][]byte) error {
 	if len(keys) == 0 {
 		return ErrNoKeys
 	}
-	for _, key := range keys { // all of them before the first is in service
+	for _, key := range keys { // all are checked before the first is added
 		if err := memberlist.ValidateKey(key); err != nil {
 			return fmt.Errorf("membership: check key: %w", err)
 		}
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -1,6 +1,6 @@
-// Package membership runs a gossip node over a network: membership by SWIM on hashicorp/memberlist, and
-// packets that may be lost. It owns the sockets, the keys and the goroutines; what is sent, believed and told
-// to the decision module is decided in package gossip.
+// Package membership runs a gossip node over a network: hashicorp/memberlist provides membership by the SWIM
+// protocol and transports packets, which may be lost. This package owns the sockets, the keys and the
+// goroutines. Package gossip decides what is sent, trusted and passed on to the decision module.
 package membership
 
 import (
@@ -31,10 +31,10 @@
 	// Keys authenticate and encrypt all traffic: 16, 24 or 32 bytes each. All are accepted, the first is
 	// used.
 	Keys          [][]byte
-	ProbeInterval time.Duration // between probes of members; 0: one second
-	// Transport carries the traffic in place of sockets at Listen; nil: sockets.
+	ProbeInterval time.Duration // between probes of members; 0: memberlist's default, one second
+	// Transport replaces the sockets at Listen; nil: sockets.
 	Transport memberlist.Transport
-	// Clock is the dispatcher's; nil: one that began a day ago.
+	// Clock is the dispatcher's clock; nil: one that reads one day at the start.
 	Clock dispatch.Clock
 	// HandleAction carries out the actions that concern the decision module: DeliverMessage, UpdateView and
 	// ReportEngineDown. It must not block.
@@ -49,11 +49,11 @@
 	leaveTimeout     = 500 * time.Millisecond
 	updateTimeout    = time.Second
 	joinTimeout      = 2 * time.Second
-	// sealingOverhead is room in UDP packets for memberlist's headers and encryption.
+	// sealingOverhead is the room in a UDP packet, in bytes, for memberlist's headers and encryption.
 	sealingOverhead = 200
 )
 
-// ErrNoKeys tells that a configuration has no key. Traffic that anybody could forge is not accepted.
+// ErrNoKeys is returned by New and SetKeys if there is no key: without one anybody could forge traffic.
 var ErrNoKeys = errors.New("membership: no keys")
 
 // Service is a dispatcher's membership in its fleet. Make one with New; end it with Close or Abort. It is
@@ -67,21 +67,24 @@
 	stop       chan struct{}
 	closeOnce  sync.Once
 	background sync.WaitGroup
-	announcing atomic.Bool
+	announcing atomic.Bool // an announcement is under way
 
 	bootstrapped   chan struct{} // closed once the wait for the peers' model state is over
 	reportingPeers atomic.Int64
 
 	mu   sync.Mutex
 	node *gossip.Node
-	// members is nil while it is being created: it notifies of packets and members before. It is set once.
+	// members is nil until memberlist has created it, although memberlist calls the notification methods
+	// before that. It is set once.
 	members *memberlist.Memberlist
-	// addresses are the members'. They are copied in memberlist's notifications, as memberlist changes its
-	// nodes at any other time.
+	// addresses has the members' addresses by name. They are copied in memberlist's notifications, as
+	// memberlist changes its nodes at any other time.
 	addresses map[string]memberlist.Address
 }
 
-// New joins the fleet through the seeds. A dispatcher that reaches no seed is alone until others find it.
+// New starts a service and joins the fleet through the seeds. A dispatcher that reaches no seed is alone
+// until others find it. It returns an error if the address or a key is invalid, if there is no key, or if
+// the address can't be listened on.
 func New(config Config, store *observation.Store, logger *slog.Logger) (*Service, error) {
 	host, port, err := parseListenAddress(config.Listen)
 	if err != nil {
@@ -104,12 +107,12 @@
 		addresses:    map[string]memberlist.Address{},
 	}
 	if s.clock == nil {
-		// A clock that begins now would not do: ages are subtracted from it, and all that peers observed
-		// before it began would be rejected as too old.
+		// A clock that begins at 0 now is not enough: ages are subtracted from it, and all that peers
+		// observed before it began would be rejected as too old.
 		s.clock = dispatch.NewMonotonicClock()
 	}
 	s.node = gossip.New(config.Config, store, s.clock())
-	if config.BootstrapTimeout <= 0 { // nothing is requested, so that the node never completes it
+	if config.BootstrapTimeout <= 0 { // no bootstrap is requested, so the node never completes it
 		close(s.bootstrapped)
 	}
 	members, err := memberlist.Create(s.memberlistConfig(host, port))
@@ -152,7 +155,7 @@
 	c.Transport = s.config.Transport
 	c.UDPBufferSize = gossip.MaxPacketSize + sealingOverhead
 	c.TCPTimeout = joinTimeout
-	// A restarted dispatcher has its name at once, and may have another port.
+	// A restarted dispatcher may take its name again at once, also with another port.
 	c.DeadNodeReclaimTime = time.Millisecond
 	if probe := s.config.ProbeInterval; probe > 0 {
 		c.ProbeInterval, c.ProbeTimeout = probe, probe/2
@@ -162,13 +165,13 @@
 	return c
 }
 
-// Addr returns the address at which others reach this dispatcher.
+// Addr returns the address at which other members reach this dispatcher.
 func (s *Service) Addr() string { return s.members.LocalNode().Address() }
 
-// Bootstrapped is closed once the peers have sent their model state, or it is not waited for any more.
+// Bootstrapped returns a channel that is closed once the wait for the peers' model state is over.
 func (s *Service) Bootstrapped() <-chan struct{} { return s.bootstrapped }
 
-// ReportingPeers is how many peers have sent their model state.
+// ReportingPeers returns how many peers had sent their complete model state when the wait for it was over.
 func (s *Service) ReportingPeers() int { return int(s.reportingPeers.Load()) }
 
 // Stats returns the node's counts so far.
@@ -178,7 +181,8 @@
 	return s.node.Stats()
 }
 
-// Close announces the leave, so that the others need not detect a failure, and stops.
+// Close announces the leave, so that the others need not detect a failure, and stops. Further calls of
+// Close or Abort have no effect.
 func (s *Service) Close() { s.shutdown(true) }
 
 // Abort stops without an announcement, as a crash does.
@@ -189,7 +193,7 @@
 		close(s.stop)
 		s.background.Wait()
 		if leave {
-			_ = s.members.Leave(leaveTimeout) // where it is not delivered in time, the others detect the loss
+			_ = s.members.Leave(leaveTimeout) // if it is not delivered in time, the others detect the loss
 		}
 		_ = s.members.Shutdown() // it never fails: memberlist logs what its transport returns
 	})
@@ -217,7 +221,7 @@
 
 // announce joins the seeds and broadcasts the metadata once more. While the others do not yet know that this
 // name's previous process has ended, they ignore the metadata of this one, and memberlist does not repeat it.
-// Seeds that do not answer delay the announcement only, as it runs beside the ticks.
+// It runs in a goroutine of its own, so that seeds that do not answer do not delay the ticks.
 func (s *Service) announce() {
 	if !s.announcing.CompareAndSwap(false, true) {
 		return
@@ -233,12 +237,12 @@
 
 // broadcastMetadata has memberlist fetch this dispatcher's metadata and broadcast it.
 func (s *Service) broadcastMetadata() {
-	_ = s.members.UpdateNode(updateTimeout) // it fails if the broadcast is late; memberlist goes on with it
+	_ = s.members.UpdateNode(updateTimeout) // it fails if the broadcast is late; memberlist continues it
 }
 
-// withNode calls f with the node and carries out the actions that follow; while the member list is being
-// created, a later call carries them out. It must not be called from memberlist's notifications, which hold
-// memberlist's locks.
+// withNode calls f with the node and carries out the actions that follow. While the member list is being
+// created, the actions are left to a later call. It must not be called from memberlist's notifications of
+// members, which hold memberlist's locks.
 func (s *Service) withNode(f func(now time.Duration, n *gossip.Node)) {
 	s.mu.Lock()
 	f(s.clock(), s.node)
@@ -264,7 +268,7 @@
 	switch a.Type {
 	case gossip.SendPacket:
 		if receiver.Addr != "" {
-			_ = s.members.SendToAddress(receiver, a.Data) // as good as lost on the network, which may happen
+			_ = s.members.SendToAddress(receiver, a.Data) // an error is handled as a loss on the network
 		}
 	case gossip.BroadcastMetadata:
 		s.broadcastMetadata()
@@ -282,7 +286,7 @@
 }
 
 // SendMessage sends a message of the decision module to the dispatcher with an ordinal; gossip.AllPeers: to
-// all. It may be lost, and is not sent beyond the rate.
+// all. It may be lost, and is not sent if it exceeds the rate.
 func (s *Service) SendMessage(to int, data []byte) {
 	s.withNode(func(now time.Duration, n *gossip.Node) { n.SendMessage(now, to, data) })
 }
@@ -292,12 +296,12 @@
 	s.withNode(func(_ time.Duration, n *gossip.Node) { n.SetEngines(engines) })
 }
 
-// RecordAttempt records how an attempt at an engine ended, see gossip.Node.RecordAttempt.
+// RecordAttempt records whether an engine answered an attempt, see gossip.Node.RecordAttempt.
 func (s *Service) RecordAttempt(id cresspass.EngineID, answered bool, threads float64) {
 	s.withNode(func(now time.Duration, n *gossip.Node) { n.RecordAttempt(now, id, answered, threads) })
 }
 
-// WithStore calls f with the observations, to be read or added to.
+// WithStore calls f with the store of observations, which f may read and add to. f must not call the service.
 func (s *Service) WithStore(f func(now time.Duration, store *observation.Store)) {
 	s.withNode(func(now time.Duration, n *gossip.Node) { f(now, n.Store()) })
 }
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -42,7 +42,7 @@
 	return s
 }
 
-// configure returns the settings and the observations of a dispatcher to be started.
+// configure returns the settings and the store of a dispatcher to be started.
 func (f *testFleet) configure(name string, keys [][]byte, seeds ...string) (Config, *observation.Store) {
 	f.incarnation++
 	store := observation.New(fmt.Sprint(name, "-", f.incarnation), observation.DefaultLimits())
@@ -80,7 +80,7 @@
 	}
 }
 
-// converged reports whether all have the same count and ordinals of their own.
+// converged reports whether all services know all members and have distinct ordinals.
 func converged(services []*Service) bool {
 	seen := map[int]bool{}
 	for _, s := range services {
@@ -93,11 +93,12 @@
 	return true
 }
 
-// sentMessage is a message of a query just sent.
+// sentMessage returns a message about a query that was just sent.
 func sentMessage(threads byte) []byte { return []byte{3, 0, 0, threads} }
 
-// Five dispatchers over real sockets: ordinals, messages, an observation that all learn of; one that crashes
-// and one that leaves; a wrong key; keys changed in service with one left behind; the rate.
+// Five dispatchers over real sockets agree on ordinals, and exchange messages and observations within the
+// rate. A dispatcher with a wrong key does not join. The key is changed in use, and a member that does not
+// change it is lost. One member leaves, one crashes, and one returns.
 func TestMembershipOverSockets(t *testing.T) {
 	f := &testFleet{t: t, received: map[string][]string{}}
 	keys := [][]byte{testKey(1)}
@@ -109,7 +110,7 @@
 	}
 	f.eventually("converged", func() bool { return converged(all) })
 	wrongKey := f.start("x", [][]byte{testKey(9)}, first.Addr())
-	f.eventually("messages", func() bool { // they may be lost, and claims are heard of a moment late
+	f.eventually("messages", func() bool { // they may be lost, and claims arrive a moment late
 		first.SendMessage(gossip.AllPeers, sentMessage(0))
 		first.SendMessage(all[2].Stats().Ordinal, sentMessage(1))
 		f.mu.Lock()
@@ -132,14 +133,14 @@
 	f.mu.Unlock()
 	f.observationReachesAll(first, all[1:])
 	if !converged(all) || wrongKey.Stats().Members != 1 {
-		t.Errorf("one with a wrong key is in: %+v", wrongKey.Stats())
+		t.Errorf("a dispatcher with a wrong key has joined: %+v", wrongKey.Stats())
 	}
 	wrongKey.Close()
 
 	for range 200 {
 		first.SendMessage(gossip.AllPeers, make([]byte, 255))
 	}
-	// A second's worth may be sent at once, and the rate for as long as the test has taken.
+	// The bytes of one second may be sent at once, in addition to the rate times the duration of the test.
 	st := first.Stats()
 	mostBytes := uint64(bytesPerSecond * (1 + time.Since(begin).Seconds()))
 	if st.PacketsRateLimited == 0 || st.BytesSent > mostBytes {
@@ -164,7 +165,8 @@
 	}
 }
 
-// observationReachesAll has one dispatcher observe an engine, and waits until its peers know of it.
+// observationReachesAll records an observation of an engine at one dispatcher, and waits until its peers
+// have it.
 func (f *testFleet) observationReachesAll(observer *Service, peers []*Service) {
 	f.t.Helper()
 	key := observation.Key{Engine: "e1", Property: observation.Uptime}
@@ -191,7 +193,7 @@
 	}
 }
 
-// A service without a key, or with an address that cannot be, is not started.
+// A service without a key, with an invalid key or with an invalid address is not started.
 func TestInvalidConfig(t *testing.T) {
 	start := func(listen string, keys ...[]byte) error {
 		config := Config{Config: gossip.Config{Name: "a"}, Listen: listen, Keys: keys}
@@ -215,7 +217,7 @@
 	}
 }
 
-// Guards against keys of which some are in service although the change has failed.
+// Guards against a failed change of keys after which some of the new keys are in use.
 func TestWrongKeyChangesNothing(t *testing.T) {
 	f := &testFleet{t: t, received: map[string][]string{}}
 	s := f.start("a", [][]byte{testKey(1)})
@@ -224,6 +226,6 @@
 		t.Error("a key of five bytes is accepted")
 	}
 	if keys := s.keyring.GetKeys(); len(keys) != 1 || !bytes.Equal(keys[0], testKey(1)) {
-		t.Errorf("keys %x in service after a change that failed", keys)
+		t.Errorf("keys %x in use after a change that failed", keys)
 	}
 }
--- a/internal/membership/start_test.go
+++ b/internal/membership/start_test.go
@@ -18,14 +18,14 @@
 	"cresspass/internal/membership/ordinal"
 )
 
-// slowStartTransport calls a function while the member list is being created and receives already.
+// slowStartTransport calls receiving while the member list is being created and already receives packets.
 type slowStartTransport struct {
 	*memberlist.NetTransport
 	advertised atomic.Int32
 	receiving  func()
 }
 
-// FinalAdvertiseAddr is called a second time once the transport's packets and streams are being read.
+// FinalAdvertiseAddr is called for the second time when the transport's packets and streams are already read.
 func (t *slowStartTransport) FinalAdvertiseAddr(ip string, port int) (net.IP, int, error) {
 	if t.advertised.Add(1) == 2 {
 		t.receiving()
@@ -33,7 +33,7 @@
 	return t.NetTransport.FinalAdvertiseAddr(ip, port)
 }
 
-// digestPacket returns a packet to which a member answers with all that it has observed.
+// digestPacket returns a digest of an empty store, to which a member answers with all that it has observed.
 func digestPacket(t *testing.T, name string, incarnation uint64) []byte {
 	t.Helper()
 	config := gossip.Config{Name: name, Incarnation: incarnation, BytesPerSecond: 20000}
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// Guards against a dispatcher that crashes by a packet which comes before its member list is complete.
+// Guards against a crash of a dispatcher that receives a packet before its member list is created.
 func TestPacketsDuringStart(t *testing.T) {
 	f := &testFleet{t: t, received: map[string][]string{}}
 	keys := [][]byte{testKey(1)}
@@ -85,7 +85,7 @@
 	}
 	defer starting.Close()
 	if starting.Stats().PacketsAccepted == 0 {
-		t.Fatal("no packet came during the start")
+		t.Fatal("no packet was accepted during the start")
 	}
 	f.eventually("its observations arrive once it has started", func() bool {
 		return peer.Stats().ObservationsReceived > 0
