--- a/internal/membership/gossip/member.go
+++ b/internal/membership/gossip/member.go
@@ -14,7 +14,7 @@
 	conflictNoticeInterval = 2 * time.Second
 	// conflictReportTTL is how long a member's report of a name conflict counts.
 	conflictReportTTL = time.Minute
-	// conflictQuorum is how many members have to report a conflict before this node believes it.
+	// conflictQuorum is how many members have to report a conflict before this node accepts it.
 	conflictQuorum = 3
 )
 
--- a/internal/wire/settings_writer.go
+++ b/internal/wire/settings_writer.go
@@ -10,7 +10,7 @@
 	"cresspass"
 )
 
-// settingsBuilder collects settings in the wire's units. Zero values are left out.
+// settingsBuilder collects settings in the wire's units. Zero values are left out, except by always.
 type settingsBuilder struct{ settings []Setting }
 
 // text adds a setting, unless its value is "", "0" or "false".
@@ -60,8 +60,8 @@
 }
 
 // SettingsFromConfig returns the settings of a dispatcher with the simulator's names and units;
-// ConfigFromSettings reads them back. Zero values are left out, and so is MaxSessionsPerEngine, for which the
-// protocol has no setting.
+// ConfigFromSettings reads them back. Zero values are left out if a missing setting is read as zero, and so
+// is MaxSessionsPerEngine, for which the protocol has no setting.
 func SettingsFromConfig(c *cresspass.Config) []Setting {
 	b := &settingsBuilder{}
 	b.dispatcher(c)
