--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -104,31 +104,31 @@
 	e.Engine = cresspass.EngineID(p.text("node"))
 	e.Outcome = cresspass.Outcome(p.unsigned("disposition", true))
 	e.Elapsed = p.duration("duration-us", false)
-	e.LoadReport, e.HasLoadReport = p.row("health-info")
+	e.LoadReport, e.HasLoadReport = p.findNumbers("health-info")
 }
 
 func (r *Reader) parseAttemptDone(p *parser, e *cresspass.Event) {
 	e.Type = cresspass.AttemptDone
-	p.attempt(e)
+	p.attemptID(e)
 	e.Outcome = cresspass.Outcome(p.unsigned("disposition", true))
 	e.Elapsed = p.duration("duration-us", false)
 	e.QueryFinished = p.flag("finished")
 	note := p.unsigned("note", false)
 	e.ActualCost = time.Duration(note>>noteMemoryBits) * time.Millisecond
 	e.ActualMemoryMB = float64(note&noteMemoryMax) * noteMemoryUnit
-	e.LoadReport, e.HasLoadReport = p.row("health-info")
+	e.LoadReport, e.HasLoadReport = p.findNumbers("health-info")
 }
 
 func (r *Reader) parseProgress(p *parser, e *cresspass.Event) {
 	e.Type = cresspass.ProgressReported
-	p.attempt(e)
+	p.attemptID(e)
 	e.Note = cresspass.NoteType(p.unsigned("topic", true))
 	e.Value = p.number("x")
 }
 
 func (r *Reader) parseResponseStarted(p *parser, e *cresspass.Event) {
 	e.Type = cresspass.ResponseStarted
-	p.attempt(e)
+	p.attemptID(e)
 	e.Elapsed = p.duration("duration-us", false)
 }
 
@@ -173,25 +173,25 @@
 func (b *BatchWriter) Stop(instance int) { fmt.Fprintf(b.w, "retire dispatcher=%d\n", instance) }
 
 var (
-	scopes = map[cresspass.EngineListType]string{
+	listTypeNames = map[cresspass.EngineListType]string{
 		cresspass.ListIncremental: "delta",
 		cresspass.ListComplete:    "full",
 		cresspass.ListCached:      "cached",
 		cresspass.ListFailed:      "failed",
 	}
-	states = map[cresspass.EngineState]string{
+	engineStateNames = map[cresspass.EngineState]string{
 		cresspass.EngineActive:   "on",
 		cresspass.EngineDraining: "fading",
 		cresspass.EngineRemoved:  "off",
 	}
 )
 
-func float(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
+func formatFloat(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
 
-func floats(values []float64) string {
+func formatFloats(values []float64) string {
 	var out []string
 	for _, v := range values {
-		out = append(out, float(v))
+		out = append(out, formatFloat(v))
 	}
 	return strings.Join(out, ",")
 }
@@ -212,7 +212,7 @@
 	}
 	if e.Type == cresspass.EngineListReceived && e.ListType != cresspass.ListFailed {
 		b.listNumber = (b.listNumber + 1) % listCount
-		b.list(e.Engines)
+		b.engineList(e.Engines)
 	}
 	fmt.Fprintf(b.w, "%s dispatcher=%d", name, instance)
 	b.eventFields(e)
@@ -224,7 +224,7 @@
 func (b *BatchWriter) eventFields(e *cresspass.Event) {
 	switch e.Type {
 	case cresspass.EngineListReceived:
-		fmt.Fprintf(b.w, " scope=%s sheet=%d", scopes[e.ListType], b.listNumber)
+		fmt.Fprintf(b.w, " scope=%s sheet=%d", listTypeNames[e.ListType], b.listNumber)
 	case cresspass.QueryArrived:
 		b.queryFields(e)
 	case cresspass.TimerFired:
@@ -234,17 +234,17 @@
 	case cresspass.HealthCheckDone:
 		fmt.Fprintf(b.w, " node=%s disposition=%d duration-us=%d", e.Engine, e.Outcome,
 			e.Elapsed.Microseconds())
-		b.loadReport(e)
+		b.loadReportField(e)
 	case cresspass.AttemptDone:
-		b.attempt(e)
+		b.attemptFields(e)
 		fmt.Fprintf(b.w, " disposition=%d duration-us=%d finished=%d note=%d", e.Outcome,
 			e.Elapsed.Microseconds(), bit(e.QueryFinished, 1), attemptNote(e))
-		b.loadReport(e)
+		b.loadReportField(e)
 	case cresspass.ProgressReported:
-		b.attempt(e)
-		fmt.Fprintf(b.w, " topic=%d x=%s", e.Note, float(e.Value))
+		b.attemptFields(e)
+		fmt.Fprintf(b.w, " topic=%d x=%s", e.Note, formatFloat(e.Value))
 	case cresspass.ResponseStarted:
-		b.attempt(e)
+		b.attemptFields(e)
 		fmt.Fprintf(b.w, " duration-us=%d", e.Elapsed.Microseconds())
 	case cresspass.QueryAbandoned:
 		fmt.Fprintf(b.w, " op-id=%d", e.Query)
@@ -255,8 +255,8 @@
 	options := bit(e.HasCostEstimate, optionHasCost) | bit(e.IsRetry, optionRetry) | bit(e.IsWrite,
 		optionWrite)
 	fmt.Fprintf(b.w, " op-id=%d tables=%s opts=%d budget-us=%d ram-mb=%s cost-us=%d", e.Query,
-		float(e.TableGroup), options, e.RemainingDeadline.Microseconds(), float(e.MemoryEstimateMB),
-		e.CostEstimate.Microseconds())
+		formatFloat(e.TableGroup), options, e.RemainingDeadline.Microseconds(),
+		formatFloat(e.MemoryEstimateMB), e.CostEstimate.Microseconds())
 	b.text("category", escapeWord(e.Class))
 	b.text("object", escapeWord(e.Key))
 	b.text("project", escapeWord(e.Tenant))
@@ -269,13 +269,13 @@
 	}
 }
 
-func (b *BatchWriter) attempt(e *cresspass.Event) {
+func (b *BatchWriter) attemptFields(e *cresspass.Event) {
 	fmt.Fprintf(b.w, " op-id=%d trial=%d node=%s", e.Query, e.Attempt, e.Engine)
 }
 
-func (b *BatchWriter) loadReport(e *cresspass.Event) {
+func (b *BatchWriter) loadReportField(e *cresspass.Event) {
 	if e.HasLoadReport {
-		b.text("health-info", floats(e.LoadReport))
+		b.text("health-info", formatFloats(e.LoadReport))
 	}
 }
 
@@ -286,12 +286,12 @@
 	return uint64(e.ActualCost.Milliseconds())<<noteMemoryBits | min(memory, noteMemoryMax)
 }
 
-// list writes an engine list under the current list number.
-func (b *BatchWriter) list(engines []cresspass.EngineInfo) {
+// engineList writes an engine list under the current list number.
+func (b *BatchWriter) engineList(engines []cresspass.EngineInfo) {
 	fmt.Fprintf(b.w, "roster sheet=%d elements=%d\n", b.listNumber, len(engines))
 	for _, e := range engines {
-		fmt.Fprintf(b.w, "entry node=%s state=%s block=%d size=%s start-time-us=%d", e.ID, states[e.State],
-			e.Cell, float(e.Size), e.StartedAt.Microseconds())
+		fmt.Fprintf(b.w, "entry node=%s state=%s block=%d size=%s start-time-us=%d", e.ID,
+			engineStateNames[e.State], e.Cell, formatFloat(e.Size), e.StartedAt.Microseconds())
 		if e.Kind != "" {
 			fmt.Fprintf(b.w, " flavor=%s", escapeWord(e.Kind))
 		}
--- a/internal/wire/parser.go
+++ b/internal/wire/parser.go
@@ -115,8 +115,8 @@
 	return b
 }
 
-// row reads comma-separated numbers; false: the field is missing or empty.
-func (p *parser) row(name string) ([]float64, bool) {
+// findNumbers returns the value of a field as comma-separated numbers; false: the field is missing or empty.
+func (p *parser) findNumbers(name string) ([]float64, bool) {
 	v, ok := p.find(name)
 	if !ok || v == "" {
 		return nil, false
@@ -132,8 +132,8 @@
 	return out, true
 }
 
-// attempt reads which attempt an event is about: its query, number and engine.
-func (p *parser) attempt(e *cresspass.Event) {
+// attemptID reads which attempt an event is about: its query, number and engine.
+func (p *parser) attemptID(e *cresspass.Event) {
 	e.Query = cresspass.QueryID(p.unsigned("op-id", true))
 	e.Attempt = int(p.unsigned("trial", false))
 	e.Engine = cresspass.EngineID(p.text("node"))
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -58,7 +58,7 @@
 // Next returns the next batch, valid until the following call, or io.EOF at the end of the input.
 // Any other error names the line and what is wrong with it.
 func (r *Reader) Next() (*Batch, error) {
-	name, p, err := r.read()
+	name, p, err := r.readLine()
 	if err != nil {
 		return nil, err
 	}
@@ -71,7 +71,7 @@
 		return nil, p.err
 	}
 	for {
-		name, p, err := r.read()
+		name, p, err := r.readLine()
 		if errors.Is(err, io.EOF) {
 			return nil, r.errorf("the input ended inside a batch, expected eob")
 		}
@@ -81,7 +81,7 @@
 		if name == "eob" {
 			return &r.batch, nil
 		}
-		if err := r.message(name, p); err != nil {
+		if err := r.parseMessage(name, p); err != nil {
 			return nil, err
 		}
 	}
@@ -91,17 +91,17 @@
 	return fmt.Errorf("line %d: %s", r.line, fmt.Sprintf(format, args...))
 }
 
-// read returns the name and the fields of the next line.
-func (r *Reader) read() (string, *parser, error) {
-	text, err := r.next()
+// readLine returns the name and the fields of the next line.
+func (r *Reader) readLine() (string, *parser, error) {
+	text, err := r.nextLine()
 	if err != nil {
 		return "", nil, err
 	}
-	return r.split(text)
+	return r.parseLine(text)
 }
 
-// next returns the next line.
-func (r *Reader) next() (string, error) {
+// nextLine returns the next line without its line end.
+func (r *Reader) nextLine() (string, error) {
 	text, err := r.in.ReadString('\n')
 	if err == io.EOF && text == "" {
 		return "", io.EOF
@@ -113,8 +113,8 @@
 	return strings.TrimRight(text, "\r\n"), nil
 }
 
-// split returns the name and the fields of a line.
-func (r *Reader) split(text string) (string, *parser, error) {
+// parseLine returns the name and the fields of a line.
+func (r *Reader) parseLine(text string) (string, *parser, error) {
 	name, rest, _ := strings.Cut(text, " ")
 	if name == "" || strings.Contains(name, "=") {
 		return "", nil, r.errorf("%q where a name should stand, expected a message's name", name)
@@ -132,13 +132,13 @@
 	return name, &parser{reader: r, fields: r.fields}, nil
 }
 
-// message adds the message of one line to the batch. Unknown names are ignored: they are events of a later
-// version of the protocol.
-func (r *Reader) message(name string, p *parser) error {
+// parseMessage adds the message of one line to the batch. Unknown names are ignored: they are events of a
+// later version of the protocol.
+func (r *Reader) parseMessage(name string, p *parser) error {
 	m := Message{Type: EventMessage}
 	switch name {
 	case "roster":
-		return r.roster(p)
+		return r.readEngineList(p)
 	case "provision":
 		m.Type = StartInstance
 		m.Config = p.config()
@@ -159,10 +159,10 @@
 	return nil
 }
 
-// roster reads an engine list, whose entries are on the following lines, and stores it by its number.
-func (r *Reader) roster(p *parser) error {
-	sheet, count := p.unsigned("sheet", true), p.unsigned("elements", true)
-	if sheet >= listCount {
+// readEngineList reads an engine list, whose entries are on the following lines, and stores it by its number.
+func (r *Reader) readEngineList(p *parser) error {
+	number, count := p.unsigned("sheet", true), p.unsigned("elements", true)
+	if number >= listCount {
 		p.invalid("sheet", "a list number from 0 to 15")
 	}
 	if p.err != nil {
@@ -170,7 +170,7 @@
 	}
 	var list []cresspass.EngineInfo
 	for range count {
-		name, p, err := r.read()
+		name, p, err := r.readLine()
 		if errors.Is(err, io.EOF) {
 			return r.errorf("the input ended inside a roster of %d, expected entry", count)
 		}
@@ -191,6 +191,6 @@
 			return p.err
 		}
 	}
-	r.lists[sheet] = list
+	r.lists[number] = list
 	return nil
 }
--- a/internal/wire/reader_test.go
+++ b/internal/wire/reader_test.go
@@ -12,11 +12,12 @@
 	"cresspass"
 )
 
-const opening = "clock now-us=1000\n"
+// header is the first line of a batch.
+const header = "clock now-us=1000\n"
 
-func one(t *testing.T, lines string) Message {
+func readMessage(t *testing.T, lines string) Message {
 	t.Helper()
-	b, err := NewReader(strings.NewReader(opening + lines + "eob\n")).Next()
+	b, err := NewReader(strings.NewReader(header + lines + "eob\n")).Next()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +58,7 @@
 		{"sync dispatcher=1 scope=failed revision=3", cresspass.Event{Type: cresspass.EngineListReceived,
 			ListType: cresspass.ListFailed}},
 	} {
-		if got := one(t, c.line+"\n"); got.Instance != 1 || !reflect.DeepEqual(got.Event, c.want) {
+		if got := readMessage(t, c.line+"\n"); got.Instance != 1 || !reflect.DeepEqual(got.Event, c.want) {
 			t.Errorf("%s:\n got %+v\nwant %+v", c.line, got.Event, c.want)
 		}
 	}
@@ -66,7 +67,7 @@
 // A later list replaces an earlier one with the same number within one batch; messages refer to the list that
 // precedes them.
 func TestListsResolveInOrder(t *testing.T) {
-	b, err := NewReader(strings.NewReader(opening +
+	b, err := NewReader(strings.NewReader(header +
 		"roster sheet=0 elements=1\nentry state=on node=a:1 flavor=k area=z block=2 start-time-us=5\n" +
 		"sync dispatcher=1 scope=full sheet=0\nroster sheet=0 elements=1\nentry state=off node=b:1\n" +
 		"sync dispatcher=2 scope=delta sheet=0\neob\n")).Next()
@@ -80,7 +81,7 @@
 }
 
 func TestConfigErrors(t *testing.T) {
-	c := one(
+	c := readMessage(
 		t,
 		"provision dispatcher=3 rng-seed=8 peers-total=4 tick-us=5000 membership-mode=ask shapes=s,b "+
 			"specifics.cpu-of-kind=8,16 specifics.when-short=page classes.count=1 classes.0.name=x classes.0.semantics=keyed "+
@@ -103,7 +104,7 @@
 	for _, lines := range []string{"ask\n", "ask dispatcher=1 op-id=x budget-us=1\neob\n",
 		"alarm dispatcher=1 label\neob\n",
 		"sync dispatcher=1 scope=odd sheet=0\neob\n", "=x\neob\n", "alarm dispatcher=1 label=1\n"} {
-		_, err := NewReader(strings.NewReader(opening + lines)).Next()
+		_, err := NewReader(strings.NewReader(header + lines)).Next()
 		if err == nil || !strings.HasPrefix(err.Error(), "line 2: ") ||
 			!strings.Contains(err.Error(), "expected") {
 			t.Errorf("%q: error %v", lines, err)
@@ -112,7 +113,7 @@
 	if _, err := NewReader(strings.NewReader("")).Next(); !errors.Is(err, io.EOF) {
 		t.Errorf("empty input: %v, want EOF", err)
 	}
-	if b, err := NewReader(strings.NewReader(opening +
+	if b, err := NewReader(strings.NewReader(header +
 		"novelty dispatcher=1 a=b\neob\n")).Next(); err != nil ||
 		len(b.Messages) != 0 {
 		t.Errorf("unknown event: %v", err)
@@ -158,13 +159,13 @@
 
 // No input makes the reader panic, and every error except the end of the input names its line.
 func FuzzReader(f *testing.F) {
-	f.Add(opening + "alarm dispatcher=1 label=1\neob\n")
+	f.Add(header + "alarm dispatcher=1 label=1\neob\n")
 	f.Add(
-		opening +
+		header +
 			"roster sheet=15 elements=1\nentry state=on node=a:1\nsync dispatcher=1 scope=full sheet=15\neob\n",
 	)
 	f.Add("clock now-us=-1\nroster sheet=0 elements=9999999\neob\n")
-	f.Add(opening + "closed_attempt dispatcher=1 op-id=1 disposition=0 note=99999999999 health-info=,\neob\n")
+	f.Add(header + "closed_attempt dispatcher=1 op-id=1 disposition=0 note=99999999999 health-info=,\neob\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		r := NewReader(strings.NewReader(text))
 		for {
--- a/internal/wire/reply_reader.go
+++ b/internal/wire/reply_reader.go
@@ -11,7 +11,7 @@
 )
 
 // ReplyReader reads the replies of a process that hosts instances. It is not safe for concurrent use.
-type ReplyReader struct{ r Reader }
+type ReplyReader struct{ reader Reader }
 
 // NewReplyReader returns a ReplyReader of in.
 func NewReplyReader(in io.Reader) *ReplyReader {
@@ -22,18 +22,18 @@
 // instance's code has failed, if a line is malformed, or if a line is of another instance.
 func (rr *ReplyReader) Next(instance int, actions []cresspass.Action) ([]cresspass.Action, error) {
 	for {
-		line, err := rr.r.next()
+		line, err := rr.reader.nextLine()
 		switch {
 		case errors.Is(err, io.EOF):
-			return actions, rr.r.errorf("the output ended, expected ready")
+			return actions, rr.reader.errorf("the output ended, expected ready")
 		case err != nil:
 			return actions, err
 		case strings.HasPrefix(line, "emit "): // log text
 			continue
 		case strings.HasPrefix(line, "give_in "):
-			return actions, rr.r.errorf("%s", line)
+			return actions, rr.reader.errorf("%s", line)
 		}
-		name, p, err := rr.r.split(line)
+		name, p, err := rr.reader.parseLine(line)
 		if err != nil || name == "ready" {
 			return actions, err
 		}
@@ -75,9 +75,9 @@
 		case "follow":
 			a.Type, a.Enabled = cresspass.SubscribeEngineList, p.flag("want")
 		default:
-			return actions, rr.r.errorf("%q is no action", name)
+			return actions, rr.reader.errorf("%q is no action", name)
 		}
-		if of := p.unsigned("dispatcher", true); p.err == nil && of != uint64(instance) {
+		if owner := p.unsigned("dispatcher", true); p.err == nil && owner != uint64(instance) {
 			p.invalid("dispatcher", strconv.Itoa(instance))
 		}
 		if p.err != nil {
--- a/internal/wire/round_trip_test.go
+++ b/internal/wire/round_trip_test.go
@@ -147,8 +147,8 @@
 			}
 			want = append(want, e)
 		}
-		var wired bytes.Buffer
-		w := NewBatchWriter(&wired)
+		var encoded bytes.Buffer
+		w := NewBatchWriter(&encoded)
 		w.Begin(5 * us)
 		for i := range want {
 			if !w.Event(7, &want[i]) {
@@ -158,7 +158,7 @@
 		if err := w.End(); err != nil {
 			t.Fatal(err)
 		}
-		b, err := NewReader(&wired).Next()
+		b, err := NewReader(&encoded).Next()
 		if err != nil || b.Now != 5*us || len(b.Messages) != len(want) {
 			t.Fatalf("%+v, %v", b, err)
 		}
@@ -182,8 +182,8 @@
 		{Type: cresspass.CheckHealth, Engine: "b:2"}, {Type: cresspass.Cancel, Query: 4, Attempt: 2},
 		{Type: cresspass.SetResources, Query: 5, Priority: 2, MemoryGrantMB: 1.5},
 		{Type: cresspass.SubscribeEngineList, Enabled: true}}
-	var wired bytes.Buffer
-	w := bufio.NewWriter(&wired)
+	var encoded bytes.Buffer
+	w := bufio.NewWriter(&encoded)
 	for i := range want {
 		WriteAction(w, 4, &want[i])
 		WriteAction(w, 4, &cresspass.Action{Type: cresspass.Log, Text: "two = engines known"})
@@ -192,11 +192,11 @@
 	if err := w.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	got, err := NewReplyReader(&wired).Next(4, nil)
+	got, err := NewReplyReader(&encoded).Next(4, nil)
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%v\n got %+v\nwant %+v", err, got, want)
 	}
-	for text, wanted := range map[string]string{
+	for text, wantErr := range map[string]string{
 		"":                                      "line 0: the output ended, expected ready",
 		"give_in dispatcher=4 words=it is so\n": "line 1: give_in dispatcher=4 words=it is so",
 		"dispatch dispatcher=5 op-id=1\n":       "line 1: dispatcher is 5, expected 4",
@@ -205,8 +205,8 @@
 			"numbers",
 	} {
 		_, err := NewReplyReader(strings.NewReader(text)).Next(4, nil)
-		if err == nil || err.Error() != wanted {
-			t.Errorf("%q: %v, want %q", text, err, wanted)
+		if err == nil || err.Error() != wantErr {
+			t.Errorf("%q: %v, want %q", text, err, wantErr)
 		}
 	}
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -64,28 +64,28 @@
 		c.Classes = append(c.Classes, p.class("classes."+strconv.FormatUint(i, 10)+"."))
 	}
 	for i := range p.unsigned("tenants.count", false) {
-		at := "tenants." + strconv.FormatUint(i, 10) + "."
-		c.Tenants = append(c.Tenants, cresspass.Tenant{Name: p.text(at + "name"),
-			QuotaPerSecond: p.number(at + "quota-per-s"), Share: p.number(at + "share")})
+		prefix := "tenants." + strconv.FormatUint(i, 10) + "."
+		c.Tenants = append(c.Tenants, cresspass.Tenant{Name: p.text(prefix + "name"),
+			QuotaPerSecond: p.number(prefix + "quota-per-s"), Share: p.number(prefix + "share")})
 	}
 	return c
 }
 
-// class reads the settings of a class of queries, whose paths begin with at.
-func (p *parser) class(at string) cresspass.Class {
+// class reads the settings of a class of queries, whose paths begin with prefix.
+func (p *parser) class(prefix string) cresspass.Class {
 	c := cresspass.Class{
-		Name: p.text(at + "name"), LatencyObjective: p.duration(at+"aim-us", false),
-		ObjectiveStretch: p.number(at + "aim-stretch"), Deadline: p.duration(at+"deadline-us", false),
-		PriorityWeight: p.number(at + "importance"), LateAnswerValue: p.number(at + "late-value"),
-		DeduplicationWindow: p.duration(at+"window-us", false), OrderedByKey: p.flag(at + "in-turn"),
-		AllowedKinds: p.stringList(at + "bound-to"), AllowedZones: p.stringList(at + "runs-in"),
-		Effect: parseWord(p, at+"semantics", map[string]cresspass.Effect{"safe": cresspass.Idempotent,
+		Name: p.text(prefix + "name"), LatencyObjective: p.duration(prefix+"aim-us", false),
+		ObjectiveStretch: p.number(prefix + "aim-stretch"), Deadline: p.duration(prefix+"deadline-us", false),
+		PriorityWeight: p.number(prefix + "importance"), LateAnswerValue: p.number(prefix + "late-value"),
+		DeduplicationWindow: p.duration(prefix+"window-us", false), OrderedByKey: p.flag(prefix + "in-turn"),
+		AllowedKinds: p.stringList(prefix + "bound-to"), AllowedZones: p.stringList(prefix + "runs-in"),
+		Effect: parseWord(p, prefix+"semantics", map[string]cresspass.Effect{"safe": cresspass.Idempotent,
 			"keyed": cresspass.IdempotentWithKey, "unsafe": cresspass.NotIdempotent}),
 	}
-	if _, ok := p.find(at + "key-scope"); ok {
+	if _, ok := p.find(prefix + "key-scope"); ok {
 		c.DeduplicationScope = parseWord(
 			p,
-			at+"key-scope",
+			prefix+"key-scope",
 			map[string]cresspass.DeduplicationScope{"all": cresspass.ScopeAll,
 				"zone": cresspass.ScopeZone, "cell": cresspass.ScopeCell},
 		)
@@ -102,7 +102,7 @@
 }
 
 func (p *parser) numberList(name string) []float64 {
-	out, _ := p.row(name)
+	out, _ := p.findNumbers(name)
 	return out
 }
 
--- a/internal/wire/settings_writer.go
+++ b/internal/wire/settings_writer.go
@@ -27,15 +27,15 @@
 
 func (b *settingsBuilder) integer(path string, v int) { b.text(path, strconv.Itoa(v)) }
 
-func (b *settingsBuilder) number(path string, v float64) { b.text(path, float(v)) }
+func (b *settingsBuilder) number(path string, v float64) { b.text(path, formatFloat(v)) }
 
 func (b *settingsBuilder) flag(path string, on bool) { b.text(path, strconv.FormatBool(on)) }
 
-func (b *settingsBuilder) micros(path string, d time.Duration) {
+func (b *settingsBuilder) duration(path string, d time.Duration) {
 	b.text(path, strconv.FormatInt(d.Microseconds(), 10))
 }
 
-func (b *settingsBuilder) words(path string, list []string) {
+func (b *settingsBuilder) stringList(path string, list []string) {
 	escaped := make([]string, 0, len(list))
 	for _, w := range list {
 		escaped = append(escaped, escapeWord(w))
@@ -43,13 +43,13 @@
 	b.text(path, strings.Join(escaped, ","))
 }
 
-func (b *settingsBuilder) numbers(path string, values []float64) {
+func (b *settingsBuilder) numberList(path string, values []float64) {
 	if len(values) > 0 {
-		b.always(path, floats(values))
+		b.always(path, formatFloats(values))
 	}
 }
 
-func (b *settingsBuilder) flags(path string, values []bool) {
+func (b *settingsBuilder) flagList(path string, values []bool) {
 	text := make([]string, 0, len(values))
 	for _, v := range values {
 		text = append(text, strconv.FormatBool(v))
@@ -73,10 +73,10 @@
 	}
 	b.integer("tenants.count", len(c.Tenants))
 	for i, t := range c.Tenants {
-		at := fmt.Sprintf("tenants.%d.", i)
-		b.text(at+"name", escapeWord(t.Name))
-		b.number(at+"quota-per-s", t.QuotaPerSecond)
-		b.number(at+"share", t.Share)
+		prefix := fmt.Sprintf("tenants.%d.", i)
+		b.text(prefix+"name", escapeWord(t.Name))
+		b.number(prefix+"quota-per-s", t.QuotaPerSecond)
+		b.number(prefix+"share", t.Share)
 	}
 	return b.settings
 }
@@ -88,34 +88,34 @@
 	b.integer("ordinal", c.Ordinal)
 	b.integer("peers-total", c.GatewayCount)
 	b.text("zone", escapeWord(c.Zone))
-	b.micros("tick-us", c.BatchInterval)
+	b.duration("tick-us", c.BatchInterval)
 	mode := "push"
 	if c.PollEngineList {
 		mode = "ask"
 	}
 	b.text("membership-mode", mode)
-	b.numbers("specifics.class-threads", c.ClassThreads)
-	b.flags("specifics.writes-tables", c.ClassIsBulkLoad)
-	b.flags("specifics.yields-to-loads", c.ClassWaitsForBulkLoad)
-	b.words("shapes", c.KindNames)
-	b.numbers("specifics.cpu-of-kind", c.KindCores)
-	b.numbers("specifics.kind-memory-mb", c.KindMemoryMB)
+	b.numberList("specifics.class-threads", c.ClassThreads)
+	b.flagList("specifics.writes-tables", c.ClassIsBulkLoad)
+	b.flagList("specifics.yields-to-loads", c.ClassWaitsForBulkLoad)
+	b.stringList("shapes", c.KindNames)
+	b.numberList("specifics.cpu-of-kind", c.KindCores)
+	b.numberList("specifics.kind-memory-mb", c.KindMemoryMB)
 }
 
 func (b *settingsBuilder) limits(c *cresspass.Config) {
 	b.number("over-share-worth", c.OverQuotaPriorityWeight)
 	b.integer("limits.max-attempts", c.MaxAttempts)
-	b.micros("limits.max-retry-after-us", c.MaxRetryAfter)
+	b.duration("limits.max-retry-after-us", c.MaxRetryAfter)
 	b.flag("limits.cancel", c.MayCancel)
 	b.flag("limits.may-duplicate", c.MayHedge)
 	b.flag("limits.may-probe", c.MayCheckHealth)
 	b.flag("limits.may-tell", c.MayGossip)
 	b.flag("limits.retry-after", c.MaySendRetryAfter)
-	b.words("feedback.columns", c.LoadReportFields)
+	b.stringList("feedback.columns", c.LoadReportFields)
 	b.flag("specifics.takes-grants", c.AcceptsMemoryGrants)
 	b.flag("specifics.takes-priority", c.AcceptsPriority)
 	b.number("specifics.max-grant-share", c.MaxGrantShare)
-	b.micros("specifics.progress-pace-us", c.ProgressInterval)
+	b.duration("specifics.progress-pace-us", c.ProgressInterval)
 	b.flag("specifics.bills", c.ReportsCost)
 	b.text("specifics.when-short", map[cresspass.MemoryShortage]string{
 		cresspass.ShortageQueues: "wait", cresspass.ShortageShrinksGrant: "shrink",
@@ -124,14 +124,14 @@
 }
 
 func (b *settingsBuilder) rules(r *cresspass.Rules) {
-	b.micros("rules.grace-to-answer-us", r.AnswerGrace)
-	b.micros("rules.stop-sending-within-us", r.DrainGrace)
+	b.duration("rules.grace-to-answer-us", r.AnswerGrace)
+	b.duration("rules.stop-sending-within-us", r.DrainGrace)
 	b.number("rules.cold-from", r.SlowStartFrom)
-	b.micros("rules.ramp-time-us", r.SlowStartDuration)
+	b.duration("rules.ramp-time-us", r.SlowStartDuration)
 	b.number("rules.overload-factor", r.SlowStartOverloadFactor)
-	b.micros("rules.overload-for-us", r.SlowStartWindow)
-	b.micros("rules.must-ask-in-us", r.EngineListPollInterval)
-	b.micros("rules.settle-after-doubt-us", r.OrderSettleDelay)
+	b.duration("rules.overload-for-us", r.SlowStartWindow)
+	b.duration("rules.must-ask-in-us", r.EngineListPollInterval)
+	b.duration("rules.settle-after-doubt-us", r.OrderSettleDelay)
 	if r.HasRetryBudget {
 		b.number("rules.free-resends", r.RetryBudgetFree)
 		b.number("rules.further-ratio", r.RetryBudgetRatio)
@@ -139,21 +139,21 @@
 	}
 }
 
-func (b *settingsBuilder) class(at string, c *cresspass.Class) {
-	b.text(at+"name", escapeWord(c.Name))
-	b.micros(at+"aim-us", c.LatencyObjective)
-	b.number(at+"aim-stretch", c.ObjectiveStretch)
-	b.micros(at+"deadline-us", c.Deadline)
-	b.number(at+"importance", c.PriorityWeight)
-	b.number(at+"late-value", c.LateAnswerValue)
-	b.micros(at+"window-us", c.DeduplicationWindow)
-	b.flag(at+"in-turn", c.OrderedByKey)
-	b.words(at+"bound-to", c.AllowedKinds)
-	b.words(at+"runs-in", c.AllowedZones)
-	b.text(at+"semantics", map[cresspass.Effect]string{
+func (b *settingsBuilder) class(prefix string, c *cresspass.Class) {
+	b.text(prefix+"name", escapeWord(c.Name))
+	b.duration(prefix+"aim-us", c.LatencyObjective)
+	b.number(prefix+"aim-stretch", c.ObjectiveStretch)
+	b.duration(prefix+"deadline-us", c.Deadline)
+	b.number(prefix+"importance", c.PriorityWeight)
+	b.number(prefix+"late-value", c.LateAnswerValue)
+	b.duration(prefix+"window-us", c.DeduplicationWindow)
+	b.flag(prefix+"in-turn", c.OrderedByKey)
+	b.stringList(prefix+"bound-to", c.AllowedKinds)
+	b.stringList(prefix+"runs-in", c.AllowedZones)
+	b.text(prefix+"semantics", map[cresspass.Effect]string{
 		cresspass.Idempotent: "safe", cresspass.IdempotentWithKey: "keyed", cresspass.NotIdempotent: "unsafe",
 	}[c.Effect])
-	b.text(at+"key-scope", map[cresspass.DeduplicationScope]string{
+	b.text(prefix+"key-scope", map[cresspass.DeduplicationScope]string{
 		cresspass.ScopeAll: "all", cresspass.ScopeZone: "zone", cresspass.ScopeCell: "cell",
 	}[c.DeduplicationScope])
 }
