--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -19,7 +19,7 @@
 	gateway *cresspass.Gateway
 	events  []cresspass.Event
 	actions []cresspass.Action
-	fault   string // why the gateway was not created, or has panicked; "": neither
+	failure string // why the gateway was not created, or has panicked; "": neither
 	queued  bool   // already listed for the current batch
 }
 
@@ -35,7 +35,7 @@
 	r := wire.NewReader(in)
 	w := bufio.NewWriterSize(out, 1<<20)
 	instances := map[int]*instance{}
-	var order []int
+	var pending []int
 	for {
 		batch, err := r.Next()
 		if errors.Is(err, io.EOF) {
@@ -44,13 +44,13 @@
 		if err != nil {
 			return err
 		}
-		order = order[:0]
+		pending = pending[:0]
 		for i := range batch.Messages {
-			order = accept(instances, order, &batch.Messages[i])
+			pending = enqueue(instances, pending, &batch.Messages[i])
 		}
-		for _, id := range order {
-			if it := instances[id]; it != nil {
-				it.answer(w, id, batch.Now)
+		for _, id := range pending {
+			if inst := instances[id]; inst != nil {
+				inst.process(w, id, batch.Now)
 			}
 		}
 		w.WriteString("ready\n")
@@ -60,61 +60,61 @@
 	}
 }
 
-// accept adds one message to its instance, and the instance to order, the list of those to run in this batch.
-// It returns the list. Events for an instance that was never started are ignored.
-func accept(instances map[int]*instance, order []int, m *wire.Message) []int {
-	it := instances[m.Instance]
+// enqueue adds one message to its instance, and the instance to pending, the list of those to run in this
+// batch. It returns the list. Events for an instance that was never started are ignored.
+func enqueue(instances map[int]*instance, pending []int, m *wire.Message) []int {
+	inst := instances[m.Instance]
 	switch m.Type {
 	case wire.StartInstance:
-		queued := it != nil && it.queued
-		it = &instance{queued: queued}
+		queued := inst != nil && inst.queued
+		inst = &instance{queued: queued}
 		g, err := cresspass.New(m.Config)
 		if err != nil {
-			it.fault = err.Error()
+			inst.failure = err.Error()
 		}
-		it.gateway = g
-		instances[m.Instance] = it
+		inst.gateway = g
+		instances[m.Instance] = inst
 	case wire.StopInstance:
-		if it != nil {
-			it.gateway, it.events, it.fault = nil, it.events[:0], ""
+		if inst != nil {
+			inst.gateway, inst.events, inst.failure = nil, inst.events[:0], ""
 		}
-		return order
+		return pending
 	case wire.EventMessage:
-		if it == nil {
-			return order
+		if inst == nil {
+			return pending
 		}
-		it.events = append(it.events, m.Event)
+		inst.events = append(inst.events, m.Event)
 	}
-	if !it.queued {
-		it.queued = true
-		order = append(order, m.Instance)
+	if !inst.queued {
+		inst.queued = true
+		pending = append(pending, m.Instance)
 	}
-	return order
+	return pending
 }
 
-// answer passes the batch's events to the gateway and writes its actions, or the error of a gateway that has
-// failed. After an error the instance has no gateway until it is started again.
-func (it *instance) answer(w *bufio.Writer, id int, now time.Duration) {
-	it.queued = false
-	if it.gateway != nil {
-		it.decide(now)
-		for i := range it.actions {
-			wire.WriteAction(w, id, &it.actions[i])
+// process passes the batch's events to the gateway and writes its actions, and the error of a gateway that
+// has failed. After an error the instance has no gateway until it is started again.
+func (inst *instance) process(w *bufio.Writer, id int, now time.Duration) {
+	inst.queued = false
+	if inst.gateway != nil {
+		inst.handleEvents(now)
+		for i := range inst.actions {
+			wire.WriteAction(w, id, &inst.actions[i])
 		}
 	}
-	if it.fault != "" {
-		wire.WriteError(w, id, it.fault)
-		it.gateway, it.fault = nil, ""
+	if inst.failure != "" {
+		wire.WriteError(w, id, inst.failure)
+		inst.gateway, inst.failure = nil, ""
 	}
-	it.events = it.events[:0]
+	inst.events = inst.events[:0]
 }
 
-// decide passes the events to the gateway; a panic becomes the instance's fault.
-func (it *instance) decide(now time.Duration) {
+// handleEvents passes the events to the gateway; a panic becomes the instance's failure.
+func (inst *instance) handleEvents(now time.Duration) {
 	defer func() {
 		if p := recover(); p != nil {
-			it.actions, it.fault = it.actions[:0], fmt.Sprint(p)
+			inst.actions, inst.failure = inst.actions[:0], fmt.Sprint(p)
 		}
 	}()
-	it.actions = it.gateway.Handle(now, it.events, it.actions[:0])
+	inst.actions = inst.gateway.Handle(now, inst.events, inst.actions[:0])
 }
