--- a/internal/membership/clocksync/clock.go
+++ b/internal/membership/clocksync/clock.go
@@ -16,9 +16,9 @@
 	tolerance = 250 * time.Millisecond
 	// maxClock bounds the clocks that are accepted, so that differences cannot overflow.
 	maxClock = 1 << 62
-	// middleShare sets which samples may be followed in place of the median: on each side of it, one in
-	// middleShare of all samples.
-	middleShare = 16
+	// candidateDivisor sets which samples may be followed in place of the median: on each side of it,
+	// 1/candidateDivisor of all samples.
+	candidateDivisor = 16
 )
 
 // sample is a member's clock, as its offset from ours.
@@ -74,7 +74,7 @@
 		return false
 	}
 	slices.Sort(offsets)
-	target := mostShared(offsets)
+	target := mostSupported(offsets)
 	if c.agrees(target) {
 		return false
 	}
@@ -82,13 +82,13 @@
 	return true
 }
 
-// mostShared returns, of the sorted offsets near the median, the one with which most of all offsets agree. Of
-// several it is the nearest to the median, and of two as near the later. So members that agree on a false
-// clock are followed only if their offsets are at the median or near it.
-func mostShared(offsets []time.Duration) time.Duration {
+// mostSupported returns, of the sorted offsets near the median, the one with which most of all offsets
+// agree. Of several it is the nearest to the median, and of two as near the later. So members that agree on
+// a false clock are followed only if their offsets are at the median or near it.
+func mostSupported(offsets []time.Duration) time.Duration {
 	middle := len(offsets) / 2
 	best, bestAgreeing := offsets[middle], 0
-	for distance := range len(offsets)/middleShare + 1 {
+	for distance := range len(offsets)/candidateDivisor + 1 {
 		for _, i := range [...]int{min(middle+distance, len(offsets)-1), middle - distance} {
 			if agreeing := countAgreeing(offsets, i); agreeing > bestAgreeing {
 				best, bestAgreeing = offsets[i], agreeing
--- a/internal/membership/clocksync/clock_test.go
+++ b/internal/membership/clocksync/clock_test.go
@@ -11,12 +11,12 @@
 
 // testFleet is a number of members whose own clocks begin at different times. The first ones are Byzantine.
 type testFleet struct {
-	now     time.Duration
-	random  *rand.Rand
-	clocks  []*Clock
-	started []time.Duration
-	liars   int
-	claim   time.Duration // the clock that all Byzantine members send; 0: a random one each time
+	now        time.Duration
+	random     *rand.Rand
+	clocks     []*Clock
+	started    []time.Duration
+	byzantine  int
+	falseClock time.Duration // the clock that all Byzantine members send; 0: a random one each time
 }
 
 // newTestFleet returns members that started at times drawn from a seed. Of ten or more a fifth are
@@ -24,7 +24,7 @@
 func newTestFleet(members int, seed uint64) *testFleet {
 	f := &testFleet{now: 100 * time.Hour, random: rand.New(rand.NewPCG(seed, 1))}
 	if members >= 10 {
-		f.liars = members / 5
+		f.byzantine = members / 5
 	}
 	for range members {
 		f.clocks = append(f.clocks, New())
@@ -44,9 +44,9 @@
 			k := f.random.IntN(len(f.clocks))
 			clock := f.fleetClock(k) - time.Duration(f.random.Int64N(int64(100*time.Millisecond)))
 			switch {
-			case k < f.liars && f.claim > 0:
-				clock = f.claim
-			case k < f.liars:
+			case k < f.byzantine && f.falseClock > 0:
+				clock = f.falseClock
+			case k < f.byzantine:
 				clock = time.Duration(f.random.Int64N(int64(1000 * time.Hour)))
 			}
 			if k != i {
@@ -61,8 +61,8 @@
 
 // spread is the greatest difference between the honest members' clocks.
 func (f *testFleet) spread() time.Duration {
-	least, most := f.fleetClock(f.liars), f.fleetClock(f.liars)
-	for i := f.liars; i < len(f.clocks); i++ {
+	least, most := f.fleetClock(f.byzantine), f.fleetClock(f.byzantine)
+	for i := f.byzantine; i < len(f.clocks); i++ {
 		least, most = min(least, f.fleetClock(i)), max(most, f.fleetClock(i))
 	}
 	return most - least
@@ -80,7 +80,7 @@
 			f.round()
 		}
 		if spread := f.spread(); spread > 600*time.Millisecond {
-			t.Fatalf("%d members, %d of them Byzantine: clocks are %v apart", n, f.liars, spread)
+			t.Fatalf("%d members, %d of them Byzantine: clocks are %v apart", n, f.byzantine, spread)
 		}
 		before := f.fleetClock(n-1) - f.now
 		if n > 12 {
@@ -113,11 +113,11 @@
 func TestAgreeingLiarsSetNoClock(t *testing.T) {
 	for seed := range uint64(10) {
 		f := newTestFleet(60, seed)
-		f.claim = 900 * time.Hour // honest members began at 100 h or less
+		f.falseClock = 900 * time.Hour // honest members began at 100 h or less
 		for range 40 {
 			f.round()
 		}
-		if clock := f.fleetClock(f.liars); clock > 200*time.Hour {
+		if clock := f.fleetClock(f.byzantine); clock > 200*time.Hour {
 			t.Errorf("seed %d: the fleet follows its Byzantine members to %v", seed, clock)
 		}
 	}
