--- a/internal/membership/observation/assessment.go
+++ b/internal/membership/observation/assessment.go
@@ -29,17 +29,17 @@
 // reports the weighted median counts: to shift it takes more than half of the weight, however far off a
 // value is.
 func (s *Store) Assess(now time.Duration, key Key) Assessment {
-	terms := &propertyTerms[key.Property]
+	spec := &propertySpecs[key.Property]
 	votes := make([]vote, 0, 8)
 	for _, r := range s.engines[key.Engine][key] {
 		age := max(now-r.ObservedAt, 0)
-		if age > terms.ttl {
+		if age > spec.ttl {
 			continue
 		}
 		if r.Hops == 0 {
 			return Assessment{Value: r.Value, Local: true, Confidence: 1, Known: true}
 		}
-		weight := math.Exp2(-float64(age)/float64(terms.halfLife)) / float64(r.Hops)
+		weight := math.Exp2(-float64(age)/float64(spec.halfLife)) / float64(r.Hops)
 		votes = append(votes, vote{r.Value, weight, r.ReportedBy})
 	}
 	if len(votes) == 0 {
@@ -47,17 +47,17 @@
 	}
 	peers, total := shareWeights(votes)
 	value := weightedMedian(votes, total)
-	agreement := agreeingWeight(votes, value, terms.tolerance) / total
+	agreement := agreeingWeight(votes, value, spec.tolerance) / total
 	return Assessment{
 		Value:      value,
-		Confidence: agreement * min(1, (float64(peers)+1)/peersForFullConfidence) * min(1, total),
+		Confidence: agreement * min(1, (float64(peers)+1)/confidenceDivisor) * min(1, total),
 		Known:      true,
 	}
 }
 
-// peersForFullConfidence limits the confidence by the number n of peers to (n+1)/peersForFullConfidence:
+// confidenceDivisor limits the confidence by the number n of peers to (n+1)/confidenceDivisor:
 // one half for one peer, full confidence for three that agree.
-const peersForFullConfidence = 4
+const confidenceDivisor = 4
 
 // shareWeights divides the weight of each vote by the number of votes that the same peer has reported. It
 // returns the number of peers and the total weight, and sorts the votes by peer.
--- a/internal/membership/observation/digest.go
+++ b/internal/membership/observation/digest.go
@@ -47,7 +47,7 @@
 // currentValues appends the values of the records that have not expired to values.
 func currentValues(values []float64, now time.Duration, property Property, records []Record) []float64 {
 	for i := range records {
-		if now-records[i].ObservedAt <= propertyTerms[property].ttl {
+		if now-records[i].ObservedAt <= propertySpecs[property].ttl {
 			values = append(values, records[i].Value)
 		}
 	}
@@ -59,7 +59,7 @@
 	hash := (hash64(fnvOffset64, key.Engine) ^ uint64(key.Property)) * fnvPrime64
 	hash = (hash ^ uint64(min(len(sorted), maxDigestVotes))) * fnvPrime64
 	hash = hash64(hash, key.Parameter)
-	median := quantize(sorted[len(sorted)/2], propertyTerms[key.Property].tolerance)
+	median := quantize(sorted[len(sorted)/2], propertySpecs[key.Property].tolerance)
 	for i := range 4 { // its low 32 bits
 		hash = (hash ^ uint64(byte(median>>(8*i)))) * fnvPrime64
 	}
--- a/internal/membership/observation/hash.go
+++ b/internal/membership/observation/hash.go
@@ -8,6 +8,10 @@
 	fnvPrime64  = 1099511628211
 )
 
+// knuthMultiplier is the multiplier of Knuth's multiplicative hashing: a prime near 2^32 divided by the
+// golden ratio. Ranks of observers depend on it, so it must not change.
+const knuthMultiplier = 0x9e3779b1
+
 // hash32 continues a hash with a text.
 func hash32(hash uint32, text string) uint32 {
 	for i := range len(text) {
--- a/internal/membership/observation/initial.go
+++ b/internal/membership/observation/initial.go
@@ -37,7 +37,7 @@
 		p.Value = min(p.Value, maxReportedCompletions)
 	}
 	if !assessment.Local && len(records) < 2 {
-		p.Age += propertyTerms[ModelParameter].halfLife
+		p.Age += propertySpecs[ModelParameter].halfLife
 	}
 	return p, true
 }
--- a/internal/membership/observation/property.go
+++ b/internal/membership/observation/property.go
@@ -35,9 +35,9 @@
 // healthThreshold is the value of Health below which an engine counts as unhealthy.
 const healthThreshold = (Unhealthy + Healthy) / 2
 
-// propertyTerms hold, for each property, how long its evidence counts (ttl), in what time the evidence loses
+// propertySpecs hold, for each property, how long its evidence counts (ttl), in what time the evidence loses
 // half of its weight (halfLife), and which values are valid.
-var propertyTerms = [propertyCount]struct {
+var propertySpecs = [propertyCount]struct {
 	ttl, halfLife time.Duration
 	min, max      float64
 	// tolerance is the difference up to which values agree, as a fraction of the value or of 1, whichever
@@ -62,8 +62,8 @@
 	if key.Property >= propertyCount || math.IsNaN(value) {
 		return false
 	}
-	terms := &propertyTerms[key.Property]
-	if value < terms.min || value > terms.max {
+	spec := &propertySpecs[key.Property]
+	if value < spec.min || value > spec.max {
 		return false
 	}
 	isParameter := key.Property == ModelParameter
--- a/internal/membership/observation/record.go
+++ b/internal/membership/observation/record.go
@@ -54,7 +54,7 @@
 }
 
 // observerRank hashes an observer's name. Records of the observers with the lowest ranks are kept.
-func observerRank(observer string) uint32 { return hash32(fnvOffset32, observer) * 0x9e3779b1 }
+func observerRank(observer string) uint32 { return hash32(fnvOffset32, observer) * knuthMultiplier }
 
 // mergeRecord merges a report into the sorted records of a property. It keeps the newest record of each
 // observer, for at most limit observers: those with the lowest ranks. self's record comes first, whatever its
@@ -86,6 +86,6 @@
 
 // dropExpired removes records whose evidence no longer counts, as they would take the place of others.
 func dropExpired(now time.Duration, property Property, records []Record) []Record {
-	ttl := propertyTerms[property].ttl
+	ttl := propertySpecs[property].ttl
 	return slices.DeleteFunc(records, func(r Record) bool { return now-r.ObservedAt > ttl })
 }
--- a/internal/membership/observation/store.go
+++ b/internal/membership/observation/store.go
@@ -125,7 +125,7 @@
 	case report.Observer == s.self:
 		// Reports that a peer echoes or invents in our name would otherwise count as observed here.
 		return &s.rejected.OwnObservation
-	case report.Age < 0 || report.Age > propertyTerms[report.Property].ttl || report.Age > now:
+	case report.Age < 0 || report.Age > propertySpecs[report.Property].ttl || report.Age > now:
 		return &s.rejected.Expired
 	case report.Hops >= s.limits.Hops:
 		return &s.rejected.TooManyHops
@@ -191,7 +191,7 @@
 // observation returns a record as it is sent to peers; false: it has expired, or has too many hops.
 func (s *Store) observation(now time.Duration, key Key, r *Record) (o Observation, ok bool) {
 	age := now - r.ObservedAt
-	if age < 0 || age > propertyTerms[key.Property].ttl || r.Hops >= s.limits.Hops {
+	if age < 0 || age > propertySpecs[key.Property].ttl || r.Hops >= s.limits.Hops {
 		return o, false
 	}
 	o = Observation{Key: key, Observer: r.Observer, Age: age, Seq: r.Seq, Value: r.Value, Hops: r.Hops}
@@ -211,5 +211,5 @@
 
 // staleness is the fraction of an observation's TTL that has passed; each hop counts as much as a whole TTL.
 func staleness(o *Observation) float64 {
-	return float64(o.Age)/float64(propertyTerms[o.Property].ttl) + float64(o.Hops)
+	return float64(o.Age)/float64(propertySpecs[o.Property].ttl) + float64(o.Hops)
 }
