--- a/internal/membership/gossip/golden_test.go
+++ b/internal/membership/gossip/golden_test.go
@@ -56,7 +56,7 @@
 	} {
 		want := header{kind: packetKind(c.kind), incarnation: 1764633600000000001, seq: 0x0102030405060708,
 			clock: 25*time.Hour + 123*time.Millisecond, name: "hall-a-1"}
-		goldentest.Compare(t, c.file, want.append(c.data))
+		goldentest.Compare(t, c.file, want.encode(c.data))
 		stored := goldentest.Read(t, c.file)
 		h, data, ok := readHeader(stored)
 		if !ok || h != want || !bytes.Equal(data, c.data) {
--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -173,7 +173,7 @@
 		seq:         n.seq,
 		clock:       n.clock.At(now),
 		name:        n.config.Name,
-	}.append(data)
+	}.encode(data)
 	if !n.sendLimiter.AllowN(limiterTime(now), len(packet)) {
 		n.stats.PacketsRateLimited++
 		return
--- a/internal/membership/gossip/node_test.go
+++ b/internal/membership/gossip/node_test.go
@@ -62,12 +62,12 @@
 	}
 }
 
-// paired is the time up to which newTestPair has run its nodes; they have their ordinals by then.
-const paired = start + 2*time.Second
+// pairReadyAt is the time up to which newTestPair has run its nodes; they have their ordinals by then.
+const pairReadyAt = start + 2*time.Second
 
 // newTestPair returns two nodes with ordinals that know each other.
 func newTestPair() (a, b *Node) {
-	now := paired
+	now := pairReadyAt
 	a, b = newTestNode("a", 1, 0), newTestNode("b", 5, 0)
 	introduce(start, a, b)
 	a.Tick(now)
@@ -81,7 +81,7 @@
 // A packet is accepted once, from members only, and from a member's latest incarnation only. Malformed
 // packets are counted.
 func TestPacketAcceptance(t *testing.T) {
-	now := paired
+	now := pairReadyAt
 	a, b := newTestPair()
 	a.SendMessage(now, AllPeers, []byte{3, 0, 0, 1})
 	actions := a.Ready()
@@ -111,7 +111,7 @@
 
 // Nothing is sent beyond the rate.
 func TestSendRate(t *testing.T) {
-	now := paired
+	now := pairReadyAt
 	a, _ := newTestPair()
 	for range 200 {
 		a.SendMessage(now, AllPeers, make([]byte, 255))
@@ -124,14 +124,14 @@
 // Reports of a name conflict by two of six members do not stop a node's gossip. A later process with its name
 // does, once and for good.
 func TestYieldName(t *testing.T) {
-	now := paired
+	now := pairReadyAt
 	a, _ := newTestPair()
 	for i := range 5 {
 		m := ordinal.Member{Name: fmt.Sprint("m", i), Incarnation: 1, Claim: ordinal.Unassigned}
 		a.MemberAlive(now, m)
 	}
 	reportConflict := func(from string, incarnation uint64) (yielded bool) {
-		packet := header{kind: kindNameConflict, incarnation: 1, seq: 1, name: from}.append(
+		packet := header{kind: kindNameConflict, incarnation: 1, seq: 1, name: from}.encode(
 			binary.BigEndian.AppendUint64(nil, incarnation))
 		a.HandlePacket(now, packet)
 		return a.Stats().NameYielded
@@ -250,7 +250,7 @@
 		for _, piece := range EncodeObservations(in) {
 			h := header{kind: kindObservations, incarnation: 7, seq: rapid.Uint64().Draw(t, "number"),
 				clock: 5 * time.Second, name: "me"}
-			packet := h.append(piece)
+			packet := h.encode(piece)
 			read, data, ok := readHeader(packet)
 			decoded, err := DecodeObservations(data)
 			if len(packet) > MaxPacketSize || !ok || read != h || err != nil {
@@ -266,7 +266,7 @@
 		raw := rapid.SliceOf(rapid.Byte()).Draw(t, "any")
 		n.HandlePacket(start, raw)
 		kind := packetKind(rapid.IntRange(0, 9).Draw(t, "kind"))
-		n.HandlePacket(start, header{kind: kind, incarnation: 1, seq: 1, name: "p"}.append(raw))
+		n.HandlePacket(start, header{kind: kind, incarnation: 1, seq: 1, name: "p"}.encode(raw))
 	})
 }
 
@@ -378,7 +378,7 @@
 	for i := range observations {
 		observations[i].Value = value
 	}
-	return h.append(append(append([]byte{}, data[:replyPartSize]...), EncodeObservations(observations)[0]...))
+	return h.encode(append(append([]byte{}, data[:replyPartSize]...), EncodeObservations(observations)[0]...))
 }
 
 // A node answers a bounded number of bootstrap requests at a time.
--- a/internal/membership/gossip/packet.go
+++ b/internal/membership/gossip/packet.go
@@ -46,8 +46,8 @@
 	name        string
 }
 
-// append returns a packet of the header and a payload.
-func (h header) append(data []byte) []byte {
+// encode returns a packet of the header and a payload.
+func (h header) encode(data []byte) []byte {
 	b := make([]byte, 0, fixedHeaderSize+len(h.name)+len(data))
 	b = append(b, packetVersion, byte(h.kind))
 	b = binary.BigEndian.AppendUint64(b, h.incarnation)
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -49,8 +49,8 @@
 	leaveTimeout     = 500 * time.Millisecond
 	updateTimeout    = time.Second
 	joinTimeout      = 2 * time.Second
-	// sealingOverhead is the room in a UDP packet, in bytes, for memberlist's headers and encryption.
-	sealingOverhead = 200
+	// packetOverhead is the room in a UDP packet, in bytes, for memberlist's headers and encryption.
+	packetOverhead = 200
 )
 
 // ErrNoKeys is returned by New and SetKeys if there is no key: without one anybody could forge traffic.
@@ -153,7 +153,7 @@
 	c.Keyring = s.keyring
 	c.Delegate, c.Events, c.Conflict = s, s, s
 	c.Transport = s.config.Transport
-	c.UDPBufferSize = gossip.MaxPacketSize + sealingOverhead
+	c.UDPBufferSize = gossip.MaxPacketSize + packetOverhead
 	c.TCPTimeout = joinTimeout
 	// A restarted dispatcher may take its name again at once, also with another port.
 	c.DeadNodeReclaimTime = time.Millisecond
