--- a/internal/membership/clocksync/clock_test.go
+++ b/internal/membership/clocksync/clock_test.go
@@ -9,21 +9,22 @@
 	"pgregory.net/rapid"
 )
 
-// testFleet is a number of members whose own clocks begin at different times. The first are liars.
+// testFleet is a number of members whose own clocks begin at different times. The first ones are Byzantine.
 type testFleet struct {
-	now     time.Duration
-	random  *rand.Rand
-	clocks  []*Clock
-	started []time.Duration
-	liars   int
-	claim   time.Duration // what all liars say; 0: each something else each time
+	now        time.Duration
+	random     *rand.Rand
+	clocks     []*Clock
+	started    []time.Duration
+	byzantine  int
+	falseClock time.Duration // the clock that all Byzantine members send; 0: a random one each time
 }
 
-// newTestFleet returns members that started at times drawn from a seed; of ten or more a fifth are liars.
+// newTestFleet returns members that started at times drawn from a seed. Of ten or more a fifth are
+// Byzantine.
 func newTestFleet(members int, seed uint64) *testFleet {
 	f := &testFleet{now: 100 * time.Hour, random: rand.New(rand.NewPCG(seed, 1))}
 	if members >= 10 {
-		f.liars = members / 5
+		f.byzantine = members / 5
 	}
 	for range members {
 		f.clocks = append(f.clocks, New())
@@ -35,7 +36,7 @@
 // fleetClock is the fleet's clock as member i has it.
 func (f *testFleet) fleetClock(i int) time.Duration { return f.clocks[i].At(f.now - f.started[i]) }
 
-// round has each member hear up to four others by chance, late by up to 100 ms.
+// round lets each member receive the clocks of up to four random others, late by up to 100 ms.
 func (f *testFleet) round() {
 	f.now += time.Second
 	for i, c := range f.clocks {
@@ -43,9 +44,9 @@
 			k := f.random.IntN(len(f.clocks))
 			clock := f.fleetClock(k) - time.Duration(f.random.Int64N(int64(100*time.Millisecond)))
 			switch {
-			case k < f.liars && f.claim > 0:
-				clock = f.claim
-			case k < f.liars:
+			case k < f.byzantine && f.falseClock > 0:
+				clock = f.falseClock
+			case k < f.byzantine:
 				clock = time.Duration(f.random.Int64N(int64(1000 * time.Hour)))
 			}
 			if k != i {
@@ -60,17 +61,17 @@
 
 // spread is the greatest difference between the honest members' clocks.
 func (f *testFleet) spread() time.Duration {
-	least, most := f.fleetClock(f.liars), f.fleetClock(f.liars)
-	for i := f.liars; i < len(f.clocks); i++ {
+	least, most := f.fleetClock(f.byzantine), f.fleetClock(f.byzantine)
+	for i := f.byzantine; i < len(f.clocks); i++ {
 		least, most = min(least, f.fleetClock(i)), max(most, f.fleetClock(i))
 	}
 	return most - least
 }
 
-// However far apart the clocks of up to 60 members begin, with one in five that says what it likes each
-// time and samples late by up to 100 ms: within 40 rounds in which each hears a few by chance, the honest
-// ones differ by less than an aggregator's turn can bear, and one that returns changes nothing for the
-// others.
+// Up to 60 members begin with any clocks, one in five sends random clocks, and samples are late by up to
+// 100 ms. Within 40 rounds, in each of which a member receives a few random samples, the honest members'
+// clocks differ by less than an aggregator's turn tolerates. A member that restarts does not move the clock
+// of the others.
 func TestClocksConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 60).Draw(t, "members")
@@ -79,50 +80,51 @@
 			f.round()
 		}
 		if spread := f.spread(); spread > 600*time.Millisecond {
-			t.Fatalf("%d members, %d of them liars: clocks lie %v apart", n, f.liars, spread)
+			t.Fatalf("%d members, %d of them Byzantine: clocks are %v apart", n, f.byzantine, spread)
 		}
 		before := f.fleetClock(n-1) - f.now
 		if n > 12 {
-			f.clocks[n-2], f.started[n-2] = New(), f.now // one returns
+			f.clocks[n-2], f.started[n-2] = New(), f.now // one restarts
 			for range 40 {
 				f.round()
 			}
 			if moved := f.fleetClock(n-1) - f.now - before; moved > time.Second || moved < -time.Second ||
 				f.spread() > 600*time.Millisecond {
-				t.Fatalf("one that returned moved the fleet's clock by %v, spread %v", moved, f.spread())
+				t.Fatalf("one that restarted moved the fleet's clock by %v, spread %v", moved, f.spread())
 			}
 		}
 	})
 }
 
-// Guards against slow agreement: with this seed the fleet's members took 49 rounds, since they moved to what
-// single liars said.
+// Guards against slow agreement: with this seed the members took 49 rounds, because they moved to the clocks
+// of single Byzantine members.
 func TestClocksConvergeDespiteLoneLiars(t *testing.T) {
 	f := newTestFleet(60, 0xc3)
 	for range 40 {
 		f.round()
 	}
 	if spread := f.spread(); spread > 600*time.Millisecond {
-		t.Errorf("clocks lie %v apart", spread)
+		t.Errorf("clocks are %v apart", spread)
 	}
 }
 
-// Guards against following the largest group alone: a fifth that states one clock from the start is one.
+// Guards against following the largest group that agrees, wherever it is: a fifth of the members that send
+// one false clock from the start would be that group.
 func TestAgreeingLiarsSetNoClock(t *testing.T) {
 	for seed := range uint64(10) {
 		f := newTestFleet(60, seed)
-		f.claim = 900 * time.Hour // honest members began at 100 h or less
+		f.falseClock = 900 * time.Hour // honest members began at 100 h or less
 		for range 40 {
 			f.round()
 		}
-		if clock := f.fleetClock(f.liars); clock > 200*time.Hour {
-			t.Errorf("seed %d: the fleet follows its liars to %v", seed, clock)
+		if clock := f.fleetClock(f.byzantine); clock > 200*time.Hour {
+			t.Errorf("seed %d: the fleet follows its Byzantine members to %v", seed, clock)
 		}
 	}
 }
 
-// Two halves of a healed split, each with its own clock, come to agree: the later clock counts, also in a
-// fleet of two.
+// Two halves of a healed split, each with its own clock, come to agree, as the later clock counts; so do the
+// members of a fleet of two.
 func TestHealedSplit(t *testing.T) {
 	for _, n := range []int{2, 10} {
 		f := &testFleet{now: 100 * time.Hour, random: rand.New(rand.NewPCG(1, 1))}
@@ -134,7 +136,7 @@
 			f.round()
 		}
 		if spread := f.spread(); spread > 600*time.Millisecond {
-			t.Errorf("%d members: clocks lie %v apart", n, spread)
+			t.Errorf("%d members: clocks are %v apart", n, spread)
 		}
 	}
 }
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -12,21 +12,22 @@
 	"cresspass"
 )
 
-// Options of a query's event.
+// Bits of the field opts of a query's event.
 const (
 	optionHasCost = 1
 	optionRetry   = 2
 	optionWrite   = 4
 )
 
-// The note of an ended attempt: milliseconds of cost above the lowest bits, which hold its memory.
+// The field note of an ended attempt: its memory in the lowest bits, its cost in milliseconds above them.
 const (
 	noteMemoryBits = 12
 	noteMemoryUnit = 4 // megabytes
 	noteMemoryMax  = 1<<noteMemoryBits - 1
 )
 
-// eventNames are the wire's names of events. Those of sessions, of membership and of a shutdown have none.
+// eventNames are the protocol's names of events. It has none for the events of sessions, of membership and
+// of a shutdown.
 var eventNames = map[cresspass.EventType]string{
 	cresspass.EngineListReceived:  "sync",
 	cresspass.QueryArrived:        "ask",
@@ -39,7 +40,7 @@
 	cresspass.QueryAbandoned:      "gone",
 }
 
-// eventParsers read an event's fields, by the wire's name of the event.
+// eventParsers read an event's fields, by the protocol's name of the event.
 var eventParsers = map[string]func(*Reader, *parser, *cresspass.Event){
 	"sync":           (*Reader).parseEngineList,
 	"ask":            (*Reader).parseQuery,
@@ -103,31 +104,31 @@
 	e.Engine = cresspass.EngineID(p.text("node"))
 	e.Outcome = cresspass.Outcome(p.unsigned("disposition", true))
 	e.Elapsed = p.duration("duration-us", false)
-	e.LoadReport, e.HasLoadReport = p.row("health-info")
+	e.LoadReport, e.HasLoadReport = p.findNumbers("health-info")
 }
 
 func (r *Reader) parseAttemptDone(p *parser, e *cresspass.Event) {
 	e.Type = cresspass.AttemptDone
-	p.attempt(e)
+	p.attemptID(e)
 	e.Outcome = cresspass.Outcome(p.unsigned("disposition", true))
 	e.Elapsed = p.duration("duration-us", false)
 	e.QueryFinished = p.flag("finished")
 	note := p.unsigned("note", false)
 	e.ActualCost = time.Duration(note>>noteMemoryBits) * time.Millisecond
 	e.ActualMemoryMB = float64(note&noteMemoryMax) * noteMemoryUnit
-	e.LoadReport, e.HasLoadReport = p.row("health-info")
+	e.LoadReport, e.HasLoadReport = p.findNumbers("health-info")
 }
 
 func (r *Reader) parseProgress(p *parser, e *cresspass.Event) {
 	e.Type = cresspass.ProgressReported
-	p.attempt(e)
+	p.attemptID(e)
 	e.Note = cresspass.NoteType(p.unsigned("topic", true))
 	e.Value = p.number("x")
 }
 
 func (r *Reader) parseResponseStarted(p *parser, e *cresspass.Event) {
 	e.Type = cresspass.ResponseStarted
-	p.attempt(e)
+	p.attemptID(e)
 	e.Elapsed = p.duration("duration-us", false)
 }
 
@@ -136,7 +137,8 @@
 	e.Query = cresspass.QueryID(p.unsigned("op-id", true))
 }
 
-// BatchWriter writes batches for one process that hosts instances.
+// BatchWriter writes batches for one process that hosts instances. Write errors are returned by End. It is
+// not safe for concurrent use.
 type BatchWriter struct {
 	w          *bufio.Writer
 	listNumber int
@@ -147,18 +149,18 @@
 	return &BatchWriter{w: bufio.NewWriterSize(w, 1<<16)}
 }
 
-// Begin opens a batch at a time.
+// Begin begins a batch at a time of the simulator's clock.
 func (b *BatchWriter) Begin(now time.Duration) {
 	fmt.Fprintf(b.w, "clock now-us=%d\n", now.Microseconds())
 }
 
-// End closes the batch and sends it.
+// End ends the batch and flushes it.
 func (b *BatchWriter) End() error {
 	b.w.WriteString("eob\n")
 	return b.w.Flush()
 }
 
-// Start has an instance begin.
+// Start writes that an instance starts, with its configuration.
 func (b *BatchWriter) Start(instance int, c *cresspass.Config) {
 	fmt.Fprintf(b.w, "provision dispatcher=%d", instance)
 	for _, s := range SettingsFromConfig(c) {
@@ -167,29 +169,29 @@
 	b.w.WriteByte('\n')
 }
 
-// Stop has an instance end.
+// Stop writes that an instance was killed.
 func (b *BatchWriter) Stop(instance int) { fmt.Fprintf(b.w, "retire dispatcher=%d\n", instance) }
 
 var (
-	scopes = map[cresspass.EngineListType]string{
+	listTypeNames = map[cresspass.EngineListType]string{
 		cresspass.ListIncremental: "delta",
 		cresspass.ListComplete:    "full",
 		cresspass.ListCached:      "cached",
 		cresspass.ListFailed:      "failed",
 	}
-	states = map[cresspass.EngineState]string{
+	engineStateNames = map[cresspass.EngineState]string{
 		cresspass.EngineActive:   "on",
 		cresspass.EngineDraining: "fading",
 		cresspass.EngineRemoved:  "off",
 	}
 )
 
-func float(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
+func formatFloat(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
 
-func floats(values []float64) string {
+func formatFloats(values []float64) string {
 	var out []string
 	for _, v := range values {
-		out = append(out, float(v))
+		out = append(out, formatFloat(v))
 	}
 	return strings.Join(out, ",")
 }
@@ -201,8 +203,8 @@
 	return 0
 }
 
-// Event writes one event of an instance. It returns false where the protocol has no such event: those of
-// sessions, of membership, and of a shutdown.
+// Event writes one event for an instance. It returns false, and writes nothing, if the protocol has no such
+// event: those of sessions, of membership and of a shutdown.
 func (b *BatchWriter) Event(instance int, e *cresspass.Event) bool {
 	name, known := eventNames[e.Type]
 	if !known {
@@ -210,7 +212,7 @@
 	}
 	if e.Type == cresspass.EngineListReceived && e.ListType != cresspass.ListFailed {
 		b.listNumber = (b.listNumber + 1) % listCount
-		b.list(e.Engines)
+		b.engineList(e.Engines)
 	}
 	fmt.Fprintf(b.w, "%s dispatcher=%d", name, instance)
 	b.eventFields(e)
@@ -218,11 +220,11 @@
 	return true
 }
 
-// eventFields writes what the event's type has, each field behind a space.
+// eventFields writes the fields of the event's type, each after a space.
 func (b *BatchWriter) eventFields(e *cresspass.Event) {
 	switch e.Type {
 	case cresspass.EngineListReceived:
-		fmt.Fprintf(b.w, " scope=%s sheet=%d", scopes[e.ListType], b.listNumber)
+		fmt.Fprintf(b.w, " scope=%s sheet=%d", listTypeNames[e.ListType], b.listNumber)
 	case cresspass.QueryArrived:
 		b.queryFields(e)
 	case cresspass.TimerFired:
@@ -232,17 +234,17 @@
 	case cresspass.HealthCheckDone:
 		fmt.Fprintf(b.w, " node=%s disposition=%d duration-us=%d", e.Engine, e.Outcome,
 			e.Elapsed.Microseconds())
-		b.loadReport(e)
+		b.loadReportField(e)
 	case cresspass.AttemptDone:
-		b.attempt(e)
+		b.attemptFields(e)
 		fmt.Fprintf(b.w, " disposition=%d duration-us=%d finished=%d note=%d", e.Outcome,
 			e.Elapsed.Microseconds(), bit(e.QueryFinished, 1), attemptNote(e))
-		b.loadReport(e)
+		b.loadReportField(e)
 	case cresspass.ProgressReported:
-		b.attempt(e)
-		fmt.Fprintf(b.w, " topic=%d x=%s", e.Note, float(e.Value))
+		b.attemptFields(e)
+		fmt.Fprintf(b.w, " topic=%d x=%s", e.Note, formatFloat(e.Value))
 	case cresspass.ResponseStarted:
-		b.attempt(e)
+		b.attemptFields(e)
 		fmt.Fprintf(b.w, " duration-us=%d", e.Elapsed.Microseconds())
 	case cresspass.QueryAbandoned:
 		fmt.Fprintf(b.w, " op-id=%d", e.Query)
@@ -253,41 +255,43 @@
 	options := bit(e.HasCostEstimate, optionHasCost) | bit(e.IsRetry, optionRetry) | bit(e.IsWrite,
 		optionWrite)
 	fmt.Fprintf(b.w, " op-id=%d tables=%s opts=%d budget-us=%d ram-mb=%s cost-us=%d", e.Query,
-		float(e.TableGroup), options, e.RemainingDeadline.Microseconds(), float(e.MemoryEstimateMB),
-		e.CostEstimate.Microseconds())
+		formatFloat(e.TableGroup), options, e.RemainingDeadline.Microseconds(),
+		formatFloat(e.MemoryEstimateMB), e.CostEstimate.Microseconds())
 	b.text("category", escapeWord(e.Class))
 	b.text("object", escapeWord(e.Key))
 	b.text("project", escapeWord(e.Tenant))
 }
 
-// text writes a field, where it is not empty.
+// text writes a field, unless it is empty.
 func (b *BatchWriter) text(name, value string) {
 	if value != "" {
 		fmt.Fprintf(b.w, " %s=%s", name, value)
 	}
 }
 
-func (b *BatchWriter) attempt(e *cresspass.Event) {
+func (b *BatchWriter) attemptFields(e *cresspass.Event) {
 	fmt.Fprintf(b.w, " op-id=%d trial=%d node=%s", e.Query, e.Attempt, e.Engine)
 }
 
-func (b *BatchWriter) loadReport(e *cresspass.Event) {
+func (b *BatchWriter) loadReportField(e *cresspass.Event) {
 	if e.HasLoadReport {
-		b.text("health-info", floats(e.LoadReport))
+		b.text("health-info", formatFloats(e.LoadReport))
 	}
 }
 
-// attemptNote packs what an ended attempt cost.
+// attemptNote packs the cost and the memory of an ended attempt. Memory is rounded up to whole units and
+// limited to noteMemoryMax.
 func attemptNote(e *cresspass.Event) uint64 {
 	memory := uint64(math.Ceil(max(e.ActualMemoryMB, 0) / noteMemoryUnit))
 	return uint64(e.ActualCost.Milliseconds())<<noteMemoryBits | min(memory, noteMemoryMax)
 }
 
-func (b *BatchWriter) list(engines []cresspass.EngineInfo) {
+// engineList writes an engine list under the current list number.
+func (b *BatchWriter) engineList(engines []cresspass.EngineInfo) {
 	fmt.Fprintf(b.w, "roster sheet=%d elements=%d\n", b.listNumber, len(engines))
 	for _, e := range engines {
-		fmt.Fprintf(b.w, "entry node=%s state=%s block=%d size=%s start-time-us=%d", e.ID, states[e.State],
-			e.Cell, float(e.Size), e.StartedAt.Microseconds())
+		fmt.Fprintf(b.w, "entry node=%s state=%s block=%d size=%s start-time-us=%d", e.ID,
+			engineStateNames[e.State], e.Cell, formatFloat(e.Size), e.StartedAt.Microseconds())
 		if e.Kind != "" {
 			fmt.Fprintf(b.w, " flavor=%s", escapeWord(e.Kind))
 		}
@@ -298,5 +302,5 @@
 	}
 }
 
-// escapeWord is a name as the wire has it: spaces and commas are underscores there.
+// escapeWord replaces spaces and commas by underscores: on the wire they separate fields and list items.
 func escapeWord(s string) string { return strings.NewReplacer(" ", "_", ",", "_").Replace(s) }
