--- a/internal/backend/pgbackend/attempt.go
+++ b/internal/backend/pgbackend/attempt.go
@@ -12,41 +12,44 @@
 	"cresspass/internal/dispatch/verdict"
 )
 
-// Attempt is one sending of a query to an engine.
+// Attempt is one try to run a query on an engine, or a health check of the engine.
 type Attempt struct {
 	Query    *enginequery.Query
-	Number   int
+	Number   int                // identifies the attempt to Response
 	Response *response.Response // nil: a health check
 	Priority int                // -1: not set
 	MemoryMB float64            // 0: not set
 
-	// MayStart is called in the moment in which the request is written. Where it returns false nothing is
-	// written, and the attempt ends with its outcome. nil: the attempt may start.
+	// MayStart is called immediately before the request is written. If it returns false, nothing is written
+	// and the attempt ends with the returned outcome. nil: the attempt may start.
 	MayStart func() (cresspass.Outcome, bool)
-	// OnEnded is called once, in any goroutine, whatever happens.
+	// OnEnded is called exactly once, from any goroutine.
 	OnEnded func(Result)
-	// OnProgress is called for each progress notice of the engine.
+	// OnProgress is called with the kind and value of each progress notice of the engine.
 	OnProgress func(cresspass.NoteType, float64)
-	// OnDescribed is called with the engine's response to the Describe of a statement; nil: a cached one must
-	// be dropped.
+	// OnDescribed is called with the engine's response to the Describe of a statement; a nil description
+	// means that a cached one must be dropped.
 	OnDescribed func(key string, description []byte)
-	// FailureVerdict is the verdict for a client whose response broke off.
+	// FailureVerdict returns the verdict for a client whose response is incomplete.
 	FailureVerdict func() *verdict.Verdict
 	// Throttle blocks until the client has capacity for more rows, or until the response ends.
 	Throttle func()
 
-	// StartCopyIn takes the pipe for the data of a COPY that the engine asks for; false: there is none.
+	// StartCopyIn is given the pipe for the data of a COPY that the engine asks for. It returns false if no
+	// data will come.
 	StartCopyIn func(*copyin.Pipe) bool
-	// OnCopyCapacity is called when a full pipe has capacity again.
+	// OnCopyCapacity is called when a full copy pipe has capacity again.
 	OnCopyCapacity func()
 
-	// Lease is the session's hold on an engine connection; nil: none.
+	// Lease ties the session to an engine connection; nil: there is no session.
 	Lease *Lease
-	// Stateful: the query needs its session's state on the connection, or may leave some.
+	// Stateful says that the query needs its session's state on the connection, or may leave state there.
 	Stateful bool
-	// Settle takes the end at the engine of a query that may have left session state.
+	// Settle is called when the engine has ended a query that may have left session state, and returns what
+	// happens to the connection.
 	Settle func(QueryEnd) Disposition
-	// OnConnectionLost ends the session of a stateful query whose connection was lost.
+	// OnConnectionLost ends the session of a query whose leased connection was lost. sent says that the query
+	// had been sent.
 	OnConnectionLost func(sent bool)
 
 	done      atomic.Bool
@@ -57,32 +60,33 @@
 // Result is how an attempt ended.
 type Result struct {
 	Outcome          cresspass.Outcome
-	ServiceTime      time.Duration // for the estimator; 0: the attempt says nothing of the engine's speed
+	ServiceTime      time.Duration // for the estimator; 0: no measure of the engine's speed
 	ResponseFinished bool          // this attempt ended the client's response
-	LoadReport       []float64     // that came with the end, or nil
+	LoadReport       []float64     // the engine's latest since the previous query, or nil
 	SQLState         string        // of an engine's error
 	Message          string
 }
 
-// QueryEnd is the state in which an engine ended a query that may have left session state on its connection.
+// QueryEnd describes the state after an engine has ended a query that may have left session state on its
+// connection.
 type QueryEnd struct {
 	Engine            cresspass.EngineID
-	PID               uint32             // of the connection at the engine
+	PID               uint32             // the engine's process ID of the connection
 	Secret            []byte             // for cancel requests
 	TransactionStatus byte               // of ReadyForQuery
-	CommandTags       []string           // of the statements that were completed
-	SettingReported   bool               // a ParameterStatus came while the query ran
-	Settings          *sessionparams.Set // of the connection before the query
+	CommandTags       []string           // of the completed statements
+	SettingReported   bool               // a ParameterStatus arrived while the query ran
+	Settings          *sessionparams.Set // in force on the connection before the query
 }
 
-// Disposition is what becomes of an engine connection after a query. The zero value closes it.
+// Disposition says what happens to an engine connection after a query. The zero value closes it.
 type Disposition struct {
 	Known    bool               // the state left on the connection is known
-	Keep     bool               // the session stays on the connection
-	Settings *sessionparams.Set // of the connection now
+	Keep     bool               // the session keeps the connection
+	Settings *sessionparams.Set // in force on the connection now
 }
 
-// mayStart asks whether the attempt may be written now, and returns how it ends if not.
+// mayStart reports whether the attempt may be sent now. If not, it returns the outcome with which it ends.
 func (a *Attempt) mayStart() (cresspass.Outcome, bool) {
 	if a.MayStart == nil {
 		return 0, true
@@ -90,14 +94,14 @@
 	return a.MayStart()
 }
 
-// end reports the result, once.
+// end reports the result. Calls after the first have no effect.
 func (a *Attempt) end(r Result) {
 	if a.done.CompareAndSwap(false, true) {
 		a.OnEnded(r)
 	}
 }
 
-// notStarted is the result of an attempt of which nothing was sent.
+// notStarted returns the result of an attempt that ended before anything was sent.
 func notStarted(outcome cresspass.Outcome) Result {
 	return Result{Outcome: outcome, Message: "not begun: what was decided no longer held"}
 }
--- a/internal/backend/pgbackend/cancel.go
+++ b/internal/backend/pgbackend/cancel.go
@@ -10,9 +10,10 @@
 	"cresspass/internal/protocol/pgwire"
 )
 
-// cancelAttempt asks the engine to cancel an attempt that was withdrawn. PostgreSQL's cancel request names a
-// connection, not a query, and is not answered: it cancels whatever runs on the connection when the engine
-// takes it. So the connection is not used again until the engine has closed the request's own connection.
+// cancelAttempt asks the engine to cancel a withdrawn attempt. PostgreSQL's cancel request names a
+// connection, not a query, and gets no reply: it cancels whatever runs on that connection when the engine
+// processes the request. Therefore the connection is not reused until the engine has closed the cancel
+// request's own connection.
 func (c *conn) cancelAttempt(a *Attempt) {
 	c.mu.Lock()
 	if c.current.Load() != a || c.closed || c.pendingCancels > 0 {
@@ -35,13 +36,13 @@
 	}()
 }
 
-// carryOutCancel sends the cancel request and gives the connection back once it may be used again. An engine
-// that took the request and does not end the query within CancelTimeout loses its connection.
+// carryOutCancel sends the cancel request and returns the connection to the pool if it may be reused. If the
+// engine does not end the query within CancelTimeout, the connection is closed.
 func (c *conn) carryOutCancel(a *Attempt) {
 	p := c.pool
 	deadline := time.Now().Add(p.cfg.CancelTimeout)
 	if err := sendCancel(p.dialer(), string(c.engine.id), c.pid, c.secret, deadline); err != nil {
-		c.close() // it is not known whether the request will still be taken
+		c.close() // it is unknown whether the engine will still process the request
 		return
 	}
 	c.mu.Lock()
@@ -64,8 +65,8 @@
 	}
 }
 
-// sendCancel sends a cancel request on a connection of its own and waits until the engine closes that: by
-// then the request has been taken ("Canceling Requests in Progress").
+// sendCancel sends a cancel request on a separate connection and waits until the engine closes it: by then
+// the engine has processed the request ("Canceling Requests in Progress").
 func sendCancel(d *net.Dialer, addr string, pid uint32, secret []byte, deadline time.Time) error {
 	netConn, err := d.Dial("tcp", addr)
 	if err != nil {
--- a/internal/backend/pgbackend/classify.go
+++ b/internal/backend/pgbackend/classify.go
@@ -5,14 +5,14 @@
 	"cresspass/internal/protocol/sqlstate"
 )
 
-// provesNotRun reports whether an engine's error proves that the query did not run: the engine has too many
-// sessions, or accepts no work (it starts, stops or drains).
+// provesNotRun reports whether an engine's SQLSTATE proves that the query did not run: the engine has too
+// many sessions, or accepts no work because it starts, stops or drains.
 func provesNotRun(code string) bool {
 	return code == sqlstate.TooManyConnections || code == sqlstate.CannotConnectNow
 }
 
-// queryErrorClasses are the classes of SQLSTATE by which the query itself is at fault and the engine works.
-// They are those of "PostgreSQL Error Codes" but for 08, 09, 53, 57, 58, F0, HV and XX.
+// queryErrorClasses holds the SQLSTATE classes that mean that the query itself is at fault and the engine
+// works. They are all classes of "PostgreSQL Error Codes" except 08, 09, 53, 57, 58, F0, HV and XX.
 var queryErrorClasses = map[string]bool{
 	"00": true, "01": true, "02": true, "03": true, "0A": true, "0B": true, "0F": true, "0L": true,
 	"0P": true,
@@ -23,8 +23,8 @@
 	"3F": true, "40": true, "42": true, "44": true, "54": true, "55": true, "72": true, "P0": true,
 }
 
-// classifySQLState returns what an engine's error means. queryError: the query itself is at fault, so the
-// error is its response and the engine is healthy.
+// classifySQLState returns the outcome that an engine's error stands for. queryError says that the query
+// itself is at fault: the error is its response, and the engine is healthy.
 func classifySQLState(code string) (outcome cresspass.Outcome, queryError bool) {
 	switch {
 	case provesNotRun(code):
@@ -35,8 +35,8 @@
 	return cresspass.OutcomeFailed, false
 }
 
-// classifyError is classifySQLState in the light of what ran: an engine that cancels a copy because its
-// client asked for that is healthy.
+// classifyError is classifySQLState for the running query: an engine that cancels a COPY because a CopyFail
+// was sent is healthy.
 func (c *conn) classifyError(code string) (outcome cresspass.Outcome, queryError bool) {
 	if c.copyInFailed && code == sqlstate.QueryCanceled {
 		return cresspass.OutcomeOK, true
--- a/internal/backend/pgbackend/conn.go
+++ b/internal/backend/pgbackend/conn.go
@@ -15,69 +15,70 @@
 )
 
 const (
-	// maxInlineWrite is the size up to which a request is written without a goroutine of its own. The send
-	// buffer of an idle connection holds that much, so that the write cannot block.
+	// maxInlineWrite is the size in bytes up to which a request is written without starting a goroutine. The
+	// send buffer of an idle connection holds that much, so the write cannot block.
 	maxInlineWrite = 16 << 10
 	readBufferSize = 16 << 10
-	// maxIdleBatch is the largest batch buffer that is kept for the next read.
+	// maxIdleBatch is the largest batch buffer, in bytes, that is kept for the next read.
 	maxIdleBatch = 256 << 10
 )
 
-// conn is one connection to an engine. Its reading goroutine owns what is not under mu.
+// conn is one connection to an engine. Fields that mu does not guard belong to the reading goroutine, unless
+// noted otherwise.
 type conn struct {
 	pool      *Pool
 	engine    *engine
 	netConn   net.Conn
-	pid       uint32 // for cancel requests, as is secret
+	pid       uint32 // for cancel requests, together with secret
 	secret    []byte
-	idleSince time.Time // under the pool's lock
+	idleSince time.Time // guarded by Pool.mu
 
 	reader pgwire.Reader
-	batch  []byte // messages for the response, gathered from one read
+	batch  []byte // messages for the response, collected from one read
 
 	current atomic.Pointer[Attempt] // stored last by start; cleared by the reading goroutine
-	lease   atomic.Pointer[Lease]   // of the session that is on this connection; nil: none
+	lease   atomic.Pointer[Lease]   // of the session that holds this connection, or nil
 
 	mu             sync.Mutex
-	pendingCancels int  // cancel requests that are not known to have been taken
-	awaitingCancel bool // idle but for a pending cancel request
+	pendingCancels int  // cancel requests not yet known to have been processed
+	awaitingCancel bool // idle, except that a cancel request is pending
 	closed         bool
 
-	// Of the attempt that runs. start resets them before it stores current; from then on they are the
-	// reading goroutine's.
+	// State of the running attempt. start resets it before it stores current; from then on it belongs to the
+	// reading goroutine.
 
-	readyToSkip     int                // ReadyForQuery messages of our own SETs that come before the query's
-	gatedQuery      *enginequery.Query // waits until the engine has taken the session's settings
-	settingReported bool               // a ParameterStatus came while the query ran
-	tainted         bool               // the state on the connection is unknown: it is closed at the end
-	syncPending     bool               // no Sync was sent after the request
+	readyToSkip     int                // ReadyForQuery messages of our own SETs, which precede the query's
+	gatedQuery      *enginequery.Query // waits until the engine has accepted the session's settings
+	settingReported bool               // a ParameterStatus arrived while the query ran
+	tainted         bool               // the connection's state is unknown: it is closed after the query
+	syncPending     bool               // no Sync has been sent yet after the request
 	hadCopyIn       bool               // the query had a copy-in
-	copyInFailed    bool               // its client made the copy fail
-	preparingKey    string             // of the statement that is being parsed; "": none
+	copyInFailed    bool               // a CopyFail was sent to the engine
+	preparingKey    string             // key of the statement that the engine is parsing; "": none
 	commandTags     []string
 
 	activeCopy  *copyWriter // nil: none
-	failed      bool        // an ErrorResponse came
+	failed      bool        // an ErrorResponse arrived
 	engineError pgwire.Fields
 	description []byte // response to a Describe of the statement
 	loadReport  []float64
 
-	// What the connection has in force.
+	// What is in force on the connection.
 
-	settings      *sessionparams.Set // of the settings that are replayed
+	settings      *sessionparams.Set // the replayed settings
 	workMemMB     float64            // 0: the engine's default; -1: unknown
 	priority      int                // -1: unknown
 	preparedByKey map[string]*list.Element
-	preparedLRU   *list.List // of *prepared, the most recently used in front
-	preparedTotal int        // statements ever prepared: names are never used twice
+	preparedLRU   *list.List // of *preparedStatement, the most recently used first
+	preparedTotal int        // number of statements prepared so far: names are never reused
 }
 
-// close closes the network connection; the reading goroutine cleans up. The error of a Close says nothing
-// that the reading goroutine does not see.
+// close closes the network connection; the reading goroutine cleans up. The error is ignored because the
+// reading goroutine sees the same failure.
 func (c *conn) close() { _ = c.netConn.Close() }
 
-// start sends an attempt's request. The connection is the attempt's until its ReadyForQuery. It returns false
-// where the connection has closed, so that nothing was sent.
+// start sends an attempt's request. The connection belongs to the attempt until its ReadyForQuery. start
+// returns false if the connection has closed and nothing was sent.
 func (c *conn) start(a *Attempt) bool {
 	c.mu.Lock()
 	if c.closed {
@@ -89,8 +90,9 @@
 		c.releaseUnused(a)
 		return true
 	}
-	// The attempt may have waited for this connection since the module decided. Without this check, a query
-	// could be sent whose client has disconnected, whose engine drains or whose deadline has passed.
+	// The attempt may have waited for this connection since the decision module chose the engine. Without
+	// this check, a query could be sent whose client has disconnected, whose engine drains or whose deadline
+	// has passed.
 	if outcome, ok := a.mayStart(); !ok {
 		c.mu.Unlock()
 		c.releaseUnused(a)
@@ -103,23 +105,23 @@
 	c.mu.Unlock()
 	a.conn.Store(c)
 	c.write(request)
-	// If the attempt was withdrawn between the first check and here, its withdrawal found no connection, and
-	// so that the engine was not asked to cancel it.
+	// If the attempt was withdrawn between the first check and here, Stop found no connection and did not ask
+	// the engine to cancel it.
 	if a.done.Load() {
 		c.cancelAttempt(a)
 	}
 	return true
 }
 
-// resetAttempt prepares the connection for the next attempt.
+// resetAttempt clears the state of the previous attempt.
 func (c *conn) resetAttempt() {
 	c.readyToSkip, c.preparingKey, c.syncPending = 0, "", false
 	c.hadCopyIn, c.copyInFailed = false, false
 	c.gatedQuery, c.settingReported, c.tainted, c.commandTags = nil, false, false, nil
 }
 
-// recheckMayStart asks once more whether an attempt may start whose request was held back. Where it may not
-// the attempt ends, and the connection, on which nothing of it was sent, is free.
+// recheckMayStart checks again whether an attempt whose query was held back may start. If not, the attempt
+// ends and the connection, on which nothing of the query was sent, is free again.
 func (c *conn) recheckMayStart(a *Attempt) bool {
 	outcome, ok := a.mayStart()
 	if ok {
@@ -138,7 +140,8 @@
 	return false
 }
 
-// releaseUnused gives back a connection on which nothing was sent; that of a session stays with the session.
+// releaseUnused returns a connection on which nothing was sent to the pool. A leased connection stays with
+// its session.
 func (c *conn) releaseUnused(a *Attempt) {
 	if a.Lease == nil || a.Lease.connection() != c {
 		c.pool.putIdle(c)
@@ -153,10 +156,11 @@
 	}
 }
 
-// send writes to the engine. A write that fails has broken the connection, which the reading goroutine sees.
+// send writes to the engine. The error is ignored: a failed write means a broken connection, which the
+// reading goroutine sees.
 func (c *conn) send(b []byte) { _, _ = c.netConn.Write(b) }
 
-// readLoop handles what the engine sends until the connection ends.
+// readLoop reads and handles the engine's messages until the connection ends.
 func (c *conn) readLoop() {
 	buf := make([]byte, readBufferSize)
 	var err error
@@ -177,7 +181,7 @@
 	c.onClosed(err)
 }
 
-// handleMessages handles the complete messages that were read.
+// handleMessages handles the complete messages in the reader.
 func (c *conn) handleMessages() error {
 	for {
 		m, ok, err := c.reader.Next()
@@ -190,7 +194,7 @@
 	}
 }
 
-// onClosed ends what depends on the connection: the attempt that runs and the session that holds it.
+// onClosed ends what depends on the connection: the running attempt and the session that holds the lease.
 func (c *conn) onClosed(err error) {
 	c.mu.Lock()
 	c.closed = true
@@ -199,7 +203,7 @@
 	c.pool.removeConn(c)
 	message := fmt.Sprintf("engine %s: %v", c.engine.id, err)
 	if l := c.lease.Swap(nil); l != nil && l.connection() == c {
-		if a != nil { // nothing of a session is sent twice: the loss of its connection is its end
+		if a != nil { // a session's statements are never resent: losing the connection ends the session
 			a.OnConnectionLost(true)
 			a.end(Result{Outcome: cresspass.OutcomeConnectionReset, ResponseFinished: true, Message: message})
 			a = nil
@@ -213,7 +217,7 @@
 	}
 }
 
-// flushBatch passes gathered messages on, and waits where the client is slow to take them.
+// flushBatch passes the collected messages to the response, and waits if the client is slow to read.
 func (c *conn) flushBatch() {
 	if len(c.batch) == 0 {
 		return
@@ -233,7 +237,7 @@
 	if a.Response != nil {
 		r.ResponseFinished = a.Response.FailAttempt(a.Number, a.FailureVerdict())
 		if r.ResponseFinished && r.Outcome.NeverRan() {
-			r.Outcome = cresspass.OutcomeFailed // rows went out, so it ran, whatever its error says
+			r.Outcome = cresspass.OutcomeFailed // rows were sent, so it did run, whatever the error says
 		}
 	}
 	a.end(r)
--- a/internal/backend/pgbackend/conn_test.go
+++ b/internal/backend/pgbackend/conn_test.go
@@ -17,18 +17,18 @@
 	"cresspass/internal/protocol/pgwire"
 )
 
-// TestUnstartedAttemptLeavesConnectionReusable: a statement that is withdrawn, or may not start any more,
-// leaves its connection idle for others; that of a session stays the session's. If it were given to others,
-// their statements would run inside the session's transaction.
+// TestUnstartedAttemptLeavesConnectionReusable: an attempt that is withdrawn, or may no longer start, leaves
+// its connection idle in the pool, unless a session holds the connection. If a session's connection went to
+// others, their statements would run inside the session's transaction.
 func TestUnstartedAttemptLeavesConnectionReusable(t *testing.T) {
 	for name, c := range map[string]struct {
 		session   bool
 		withdrawn bool
 	}{
-		"withdrawn":                     {false, true},
-		"not to begin":                  {false, false},
-		"of a session, withdrawn":       {true, true},
-		"of a session and not to begin": {true, false},
+		"withdrawn":                   {false, true},
+		"may not start":               {false, false},
+		"of a session, withdrawn":     {true, true},
+		"of a session, may not start": {true, false},
 	} {
 		near, far := net.Pipe()
 		defer near.Close()
@@ -62,9 +62,8 @@
 	}
 }
 
-// TestMayStartRecheckedAfterSettings: a query that waits until its engine has taken the session's settings
-// is not sent where it may not start any more by then, and its connection stays usable with those
-// settings.
+// TestMayStartRecheckedAfterSettings: a query that waits until its engine has accepted the session's settings
+// is not sent if it may no longer start by then, and its connection stays usable with those settings.
 func TestMayStartRecheckedAfterSettings(t *testing.T) {
 	c, written := newPipedConn(t)
 	settings := (&sessionparams.Set{}).With("search_path", "s")
@@ -98,7 +97,7 @@
 	}
 }
 
-// Guards against a statement that is believed to be prepared on a connection to which it was never sent.
+// Guards against a statement that counts as prepared on a connection although its Parse was never sent.
 func TestHeldBackStatementIsNotPrepared(t *testing.T) {
 	c, written := newPipedConn(t)
 	mayStart := false
@@ -130,8 +129,8 @@
 	}
 }
 
-// Guards against a memory grant that is believed to be in force although the engine refused it, or a rollback
-// undid it.
+// Guards against a memory grant that counts as in force although the engine rejected it or a rollback undid
+// it.
 func TestMemoryGrantIsSetAgain(t *testing.T) {
 	ready := pgwire.Message{Type: 'Z', Body: []byte("I")}
 	for name, messages := range map[string][]pgwire.Message{
@@ -164,14 +163,14 @@
 	}
 }
 
-// discardSink is the client of a response that nobody looks at.
+// discardSink discards a response.
 type discardSink struct{}
 
 func (discardSink) WritePartial([]byte)           {}
 func (discardSink) WriteFinal([]byte, bool)       {}
 func (discardSink) WriteVerdict(*verdict.Verdict) {}
 
-// newPipedConn returns a connection to an engine, and what is written to it.
+// newPipedConn returns a connection to an engine, and a channel of what is written to the engine.
 func newPipedConn(t *testing.T) (*conn, <-chan string) {
 	t.Helper()
 	near, far := net.Pipe()
@@ -199,8 +198,8 @@
 	return c, written
 }
 
-// TestLocalDialErrorIsRetried: a connect that fails by this machine's own fault is retried, and counts
-// against no engine.
+// TestLocalDialErrorIsRetried: a dial that fails because of this machine is retried and does not count
+// against the engine.
 func TestLocalDialErrorIsRetried(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENETUNREACH,
 		syscall.ENFILE, syscall.EMFILE} {
--- a/internal/backend/pgbackend/connect.go
+++ b/internal/backend/pgbackend/connect.go
@@ -12,21 +12,21 @@
 	"cresspass/internal/protocol/pgwire"
 )
 
-// How a connection is dialed again where this machine is out of ports, buffers or descriptors for a moment.
+// Pauses between dials that fail because this machine is briefly out of ports, buffers or descriptors.
 const (
-	dialRetryPause = 10 * time.Millisecond // before the first retry, doubled each time...
-	dialRetryLimit = time.Second           // ...until the pauses add up to this
+	dialRetryPause = 10 * time.Millisecond // before the first retry; doubled for each further one
+	dialRetryLimit = time.Second           // no more retries once the pauses add up to this
 )
 
-// startupBufferSize is enough for the messages of a connection's startup.
+// startupBufferSize is the size in bytes of the read buffer during a connection's startup.
 const startupBufferSize = 4096
 
-// errorResponse is an ErrorResponse as an error.
+// errorResponse is an engine's ErrorResponse as a Go error.
 type errorResponse struct{ fields pgwire.Fields }
 
 func (e *errorResponse) Error() string { return e.fields.Message }
 
-// dialWithRetry connects to an engine, and retries where this machine fails.
+// dialWithRetry connects to an engine. It retries errors caused by this machine.
 func (p *Pool) dialWithRetry(addr string) (net.Conn, error) {
 	for pause, waited := dialRetryPause, time.Duration(0); ; pause *= 2 {
 		c, err := p.dialer().Dial("tcp", addr)
@@ -46,11 +46,12 @@
 	return &net.Dialer{Timeout: p.cfg.ConnectTimeout, Control: p.cfg.Control}
 }
 
-// connect opens a connection and goes through its startup. Without a connection the result says why.
+// connect opens a connection and completes its startup. On failure the connection is nil and the result says
+// why.
 func connect(p *Pool, e *engine) (*conn, Result) {
 	netConn, err := p.dialWithRetry(string(e.id))
 	switch {
-	case oserr.IsLocal(err): // it says nothing of the engine, which must not be taken for unreachable
+	case oserr.IsLocal(err): // this machine's fault: the engine must not count as unreachable
 		return nil, Result{Outcome: cresspass.OutcomeRejected, Message: err.Error()}
 	case err != nil:
 		return nil, Result{Outcome: cresspass.OutcomeConnectFailed, Message: err.Error()}
@@ -65,7 +66,7 @@
 	return c, Result{}
 }
 
-// connectResult is the result of an attempt whose connection failed to start.
+// connectResult returns the result of an attempt whose connection failed during startup.
 func connectResult(err error) Result {
 	r := Result{Outcome: cresspass.OutcomeConnectFailed, Message: err.Error()}
 	var refusal *errorResponse
@@ -78,7 +79,7 @@
 	return r
 }
 
-// startUp sends the startup packet and waits until the engine is ready.
+// startUp sends the startup packet and waits until the engine is ready, at most ConnectTimeout.
 func (c *conn) startUp() error {
 	cfg := &c.pool.cfg
 	c.setDeadline(time.Now().Add(cfg.ConnectTimeout))
@@ -95,7 +96,7 @@
 			if string(m.Body) != "\x00\x00\x00\x00" {
 				err = fmt.Errorf("engine %s asks for authentication, which is not served", c.engine.id)
 			}
-		case 'E': // ErrorResponse; of one that is malformed the fields count that could be read
+		case 'E': // ErrorResponse; if it is malformed, the fields read so far are used
 			f, _ := pgwire.ParseFields(m.Body)
 			err = &errorResponse{f}
 		}
@@ -105,8 +106,7 @@
 	return err
 }
 
-// receiveUntilReady reads messages until a ReadyForQuery, and passes all others to handle until that returns
-// an error.
+// receiveUntilReady passes messages to handle until a ReadyForQuery arrives. An error from handle ends it.
 func (c *conn) receiveUntilReady(handle func(pgwire.Message) error) error {
 	buf := make([]byte, startupBufferSize)
 	for {
@@ -135,5 +135,6 @@
 	}
 }
 
-// setDeadline limits reads and writes. It fails on a closed connection only, on which they fail too.
+// setDeadline limits reads and writes. The error is ignored: it only fails on a closed connection, where
+// reads and writes fail too.
 func (c *conn) setDeadline(t time.Time) { _ = c.netConn.SetDeadline(t) }
--- a/internal/backend/pgbackend/copyin.go
+++ b/internal/backend/pgbackend/copyin.go
@@ -7,24 +7,24 @@
 	"cresspass/internal/protocol/pgwire"
 )
 
-// maxIdleCopyBuffer is the largest buffer that a copy keeps for the next data.
+// maxIdleCopyBuffer is the largest buffer, in bytes, that a copy keeps for its next data.
 const maxIdleCopyBuffer = 1 << 20
 
-// copyWriter writes the data of a copy-in to the engine. It has a goroutine of its own, as an engine that is
-// slow to take the data must delay neither its own messages nor other connections.
+// copyWriter writes the data of a copy-in to the engine. It runs in its own goroutine, because an engine that
+// is slow to read the data must not delay the reading of its messages or other connections.
 type copyWriter struct {
 	pipe          *copyin.Pipe
-	statementDone chan struct{} // the engine has ended the statement
-	stopped       chan struct{} // the writer has ended
+	statementDone chan struct{} // closed when the engine has ended the statement
+	stopped       chan struct{} // closed when the writer has ended
 
-	// The writer's; of others only once stopped is closed.
+	// Owned by the writer; others may use them once stopped is closed.
 
-	syncPending bool // a Sync is to be sent after the end of the data
+	syncPending bool // a Sync must be sent after the end of the data
 	failed      bool // a CopyFail was sent
 }
 
-// startCopyIn opens copy-in mode at the engine's CopyInResponse. The client must receive that at once, so the
-// response belongs to this attempt from here on: nothing of it can be attempted elsewhere.
+// startCopyIn starts copy-in mode when the engine sends CopyInResponse. The client must receive that message
+// at once, so from here on the response belongs to this attempt and the query cannot be attempted elsewhere.
 func (c *conn) startCopyIn(a *Attempt, m pgwire.Message) {
 	c.forward(m)
 	batch := c.batch
@@ -46,7 +46,7 @@
 	if a.Response != nil {
 		responseDone = a.Response.Done()
 	}
-	c.pool.background.Add(1) // the reading goroutine is counted too, so the count is not zero here
+	c.pool.background.Add(1) // safe: the reading goroutine is counted too, so the counter is not zero
 	go func() {
 		defer c.pool.background.Done()
 		defer close(w.stopped)
@@ -54,7 +54,7 @@
 	}()
 }
 
-// run writes what comes through the pipe until the data or the statement ends.
+// run writes the data from the pipe to the engine until the data or the statement ends.
 func (w *copyWriter) run(c *conn, responseDone <-chan struct{}) {
 	var spare []byte
 	for {
@@ -64,8 +64,8 @@
 			w.failed = true
 		}
 		if end != copyin.Open && w.syncPending {
-			// No Sync was sent with the request, and an engine does not end a query of the extended protocol
-			// before it reads one.
+			// No Sync was sent with the request, and an engine ends a query of the extended protocol only
+			// after it has read one.
 			b = pgwire.AppendSync(b)
 			w.syncPending = false
 		}
@@ -88,15 +88,15 @@
 		case <-w.statementDone:
 			return
 		case <-responseDone:
-			// Without an end of the data, an engine waits for ever for a client that is gone, with all the
-			// locks it holds.
+			// Without an end of the data, the engine would wait forever for a client that is gone, and keep
+			// all its locks.
 			w.pipe.Abandon()
 			responseDone = nil
 		}
 	}
 }
 
-// finishCopyIn stops the writer at the engine's end of the statement, so that nothing of the copy follows on
+// finishCopyIn stops the writer when the engine has ended the statement, so that no more copy data is sent on
 // the connection. failed says that a CopyFail was sent, by the client or because the client is gone.
 func (c *conn) finishCopyIn() (failed bool) {
 	w := c.activeCopy
@@ -105,9 +105,8 @@
 	}
 	c.activeCopy = nil
 	close(w.statementDone)
-	// An engine that ended the copy early reads on and skips what comes. To one that does not read on, the
-	// writer must not go on writing. The deadline cannot be set on a closed connection only, where writes
-	// fail at once.
+	// An engine that ended the copy early still reads and skips the rest of the data. The deadline stops the
+	// writer if the engine does not. Setting it only fails on a closed connection, where writes fail at once.
 	_ = c.netConn.SetWriteDeadline(time.Now().Add(c.pool.cfg.CancelTimeout))
 	<-w.stopped
 	_ = c.netConn.SetWriteDeadline(time.Time{})
--- a/internal/backend/pgbackend/golden_test.go
+++ b/internal/backend/pgbackend/golden_test.go
@@ -14,8 +14,8 @@
 	"cresspass/internal/protocol/sqlscan"
 )
 
-// TestEngineBytesAreStable compares the requests that an engine is sent, and what its errors are taken for,
-// with what the version that introduced this test gave.
+// TestEngineBytesAreStable compares the requests sent to an engine, and the classification of its errors,
+// with the output of the version that introduced this test.
 func TestEngineBytesAreStable(t *testing.T) {
 	p := NewPool(Config{MaxConnections: 4, MaxPrepared: 2, LoadReportFields: 2})
 	defer p.Close()
--- a/internal/backend/pgbackend/lease.go
+++ b/internal/backend/pgbackend/lease.go
@@ -7,10 +7,11 @@
 	"cresspass"
 )
 
-// Lease is the hold of a client's session on one engine connection. The zero value holds none.
+// Lease ties a client's session to one engine connection. The zero value has no connection. Its methods may
+// be called from several goroutines; OnLost and OnDrain are set before the first use.
 type Lease struct {
-	OnLost  func()                     // the connection was lost while no query of the session ran
-	OnDrain func(within time.Duration) // the engine drains
+	OnLost  func()                     // called when the connection is lost while no query runs
+	OnDrain func(within time.Duration) // called when the engine drains
 
 	mu     sync.Mutex
 	conn   *conn
@@ -18,15 +19,15 @@
 	engine cresspass.EngineID
 }
 
-// Engine returns the engine that the session is on; "": none.
+// Engine returns the engine whose connection the session holds, or "" if it holds none.
 func (l *Lease) Engine() cresspass.EngineID {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.engine
 }
 
-// Close ends the hold of a session that is over, and closes the connection. Only a closed connection is sure
-// to be rolled back by the engine and to leave nothing of the session to the next.
+// Close ends the lease of a session that has ended, and closes the connection. Only closing it ensures that
+// the engine rolls back an open transaction and that no state of this session reaches the next one.
 func (l *Lease) Close() {
 	l.mu.Lock()
 	c := l.conn
@@ -37,7 +38,7 @@
 	}
 }
 
-// acquire makes a connection the session's. It returns false where the session has ended.
+// acquire assigns a connection to the session. It returns false if the session has ended.
 func (l *Lease) acquire(c *conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -48,14 +49,14 @@
 	return true
 }
 
-// release gives the connection up.
+// release detaches the session from its connection, which stays open.
 func (l *Lease) release() {
 	l.mu.Lock()
 	l.conn, l.engine = nil, ""
 	l.mu.Unlock()
 }
 
-// connection returns the connection that the session is on; nil: none.
+// connection returns the connection that the session holds, or nil.
 func (l *Lease) connection() *conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/backend/pgbackend/message.go
+++ b/internal/backend/pgbackend/message.go
@@ -12,7 +12,7 @@
 	"cresspass/internal/protocol/sqlstate"
 )
 
-// loadReportSetting is the ParameterStatus by which engines send load reports.
+// loadReportSetting is the name of the ParameterStatus in which engines send load reports.
 const loadReportSetting = "cresspass.load"
 
 // SQLSTATEs of the progress notices that engines send.
@@ -22,10 +22,10 @@
 	noticeBlocked      = "CP003"
 )
 
-// errCopyInTwice is the error of an engine that opens copy-in mode within copy-in mode.
+// errCopyInTwice says that the engine opened copy-in mode while a copy-in was active.
 var errCopyInTwice = errors.New("CopyInResponse in copy-in mode")
 
-// handleMessage handles one message of the engine. An error closes the connection.
+// handleMessage handles one message of the engine. If it returns an error, the connection is closed.
 func (c *conn) handleMessage(m pgwire.Message) error {
 	a := c.current.Load()
 	switch m.Type {
@@ -61,7 +61,7 @@
 		c.startCopyIn(a, m)
 	case '1': // ParseComplete
 		c.preparingKey = ""
-	case '2', '3': // BindComplete, CloseComplete: the session has answered the client's Bind and Close
+	case '2', '3': // BindComplete, CloseComplete: the session already answered the client's Bind and Close
 	case 't', 'T', 'n': // ParameterDescription, RowDescription, NoData
 		if a.Response != nil && a.Query.Kind == enginequery.DescribeStatement {
 			c.description = pgwire.Append(c.description, m.Type, m.Body)
@@ -106,7 +106,7 @@
 	return err
 }
 
-// handleParameterStatus handles a load report, or a setting that is reported to the client.
+// handleParameterStatus handles a load report, or forwards a setting's new value to the client.
 func (c *conn) handleParameterStatus(a *Attempt, m pgwire.Message) error {
 	name, value, err := pgwire.ParseStatus(m.Body)
 	if err == nil && string(name) == loadReportSetting {
@@ -118,7 +118,7 @@
 	return err
 }
 
-// parseLoadReport reads a load report; nil: it does not have the fields that are expected.
+// parseLoadReport parses a load report. It returns nil unless the text has LoadReportFields numbers.
 func (c *conn) parseLoadReport(text string) []float64 {
 	fields := strings.Split(text, ",")
 	if len(fields) != c.pool.cfg.LoadReportFields {
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// progressNote returns the kind of progress that a notice reports; 0: none.
+// progressNote returns the kind of progress that a notice reports, or 0 if it reports none.
 func progressNote(code string) cresspass.NoteType {
 	switch code {
 	case noticeFractionDone:
@@ -167,7 +167,7 @@
 	return 0
 }
 
-// handleError handles an ErrorResponse: of one of our own SETs, or of the query.
+// handleError handles an ErrorResponse to one of our own SETs or to the query.
 func (c *conn) handleError(a *Attempt, m pgwire.Message) error {
 	f, err := pgwire.ParseFields(m.Body)
 	if err != nil {
@@ -183,7 +183,8 @@
 	c.failed, c.engineError = true, f
 	if c.preparingKey != "" || f.Code == sqlstate.InvalidSQLStatementName ||
 		f.Code == sqlstate.FeatureNotSupported {
-		// The statement was not parsed, the engine lost it, or it is planned for tables that have changed.
+		// The statement was not parsed, the engine no longer has it, or its plan is for tables that have
+		// changed.
 		c.forgetPrepared(a.Query.PrepareKey())
 	}
 	if f.Severity == "FATAL" || f.Severity == "PANIC" {
@@ -196,9 +197,9 @@
 	return c.sendPendingSync()
 }
 
-// handleSettingError handles the error of a SET that was sent before the query. Without work_mem or priority
-// the query runs all the same. Without the session's settings, which are the last to be set, it must not run:
-// their error is its response.
+// handleSettingError handles the error of a SET that was sent before the query. The query also runs without
+// work_mem or priority. Without the session's settings, which are set last, it must not run: their error is
+// the query's response.
 func (c *conn) handleSettingError(f pgwire.Fields, m pgwire.Message) {
 	if c.readyToSkip > 1 || c.gatedQuery == nil {
 		c.forgetResources()
@@ -210,7 +211,7 @@
 	}
 }
 
-// handleReadyForQuery handles the end of one of our own SETs, or of the query.
+// handleReadyForQuery handles a ReadyForQuery after one of our own SETs or after the query.
 func (c *conn) handleReadyForQuery(a *Attempt, m pgwire.Message) error {
 	if len(m.Body) != 1 {
 		return fmt.Errorf("ReadyForQuery of %d bytes", len(m.Body))
@@ -224,9 +225,9 @@
 	return c.endQuery(a, m.Body[0])
 }
 
-// sendGatedQuery sends the query that waited for the session's settings, unless it may not start any more. It
-// returns false where the query is to end without having been sent: the settings were not taken, or the
-// attempt was withdrawn. What is in force on the connection is then unknown.
+// sendGatedQuery sends the query that waited for the session's settings, unless it may no longer start. It
+// returns false if the query must end without having been sent, because the engine rejected the settings or
+// the attempt was withdrawn. The settings in force on the connection are then unknown.
 func (c *conn) sendGatedQuery(a *Attempt) bool {
 	q := c.gatedQuery
 	c.gatedQuery = nil
@@ -234,8 +235,8 @@
 		c.tainted, c.failed = true, true
 		return false
 	}
-	// The engine may have taken long to answer the settings. The request is made only now, as making it marks
-	// statements as prepared, which they are not where it is never sent.
+	// The engine may have taken long to answer the settings. The request is built only now, because building
+	// it marks the statement as prepared, which would be wrong if the request were never sent.
 	if c.recheckMayStart(a) {
 		c.write(c.appendQuery(nil, q))
 	}
--- a/internal/backend/pgbackend/pool.go
+++ b/internal/backend/pgbackend/pool.go
@@ -1,7 +1,7 @@
-// Package pgbackend holds the connections to engines: pools that grow with use, statements prepared under
-// names of its own, cancel requests, and each attempt's way from its request to its result. Rows go from an
-// engine's connection to the response without passing through the dispatcher's event loop. The package
-// decides nothing about where or when a query runs.
+// Package pgbackend manages the connections to engines: pools that grow on demand, statements prepared under
+// names that the package chooses, cancel requests, and each attempt from its request to its result. Rows go
+// from an engine's connection to the response without passing through the dispatcher's event loop. The
+// package does not decide where or when a query runs.
 package pgbackend
 
 import (
@@ -16,27 +16,27 @@
 type Config struct {
 	User, Database   string
 	Application      string // application_name of all connections
-	MaxConnections   int    // to one engine
+	MaxConnections   int    // to each engine
 	MaxPrepared      int    // statements prepared on one connection
-	MaxMessage       int    // bytes
+	MaxMessage       int    // largest message body from an engine, in bytes
 	LoadReportFields int    // values in a load report
-	CopyBufferBytes  int    // of a COPY's data that may wait for the engine before its client is not read
+	CopyBufferBytes  int    // of a COPY's data that may wait for the engine before reading its client pauses
 
 	ConnectTimeout time.Duration
-	IdleTimeout    time.Duration // an idle connection is closed after it; 0: never
-	// CancelTimeout bounds how long an engine may take to take a cancel request, and to end the query by it.
-	// Behind it the connection is closed.
+	IdleTimeout    time.Duration // idle connections are closed after this time; 0: never
+	// CancelTimeout bounds how long an engine may take to accept a cancel request and to end the query. After
+	// that the connection is closed.
 	CancelTimeout time.Duration
 
-	// Control is called before each connect, with the new socket; its error fails the connect. nil: nothing
-	// is called.
+	// Control is called with the new socket before each connect; an error from it fails the connect. It may
+	// be nil.
 	Control func(network, address string, c syscall.RawConn) error
 }
 
-// minIdleCheckInterval bounds how often idle connections are looked at.
+// minIdleCheckInterval is the shortest interval between two checks for expired idle connections.
 const minIdleCheckInterval = 10 * time.Millisecond
 
-// Pool holds the connections to all engines.
+// Pool holds the connections to all engines. Its methods may be called from several goroutines.
 type Pool struct {
 	cfg        Config
 	stop       chan struct{} // closed by Close
@@ -47,15 +47,15 @@
 	closed  bool
 }
 
-// engine is the pool of one engine, under the pool's lock.
+// engine holds the connections to one engine. All fields but id are guarded by Pool.mu.
 type engine struct {
 	id      cresspass.EngineID
-	idle    []*conn // the most recently used is the last
+	idle    []*conn // the most recently used last
 	conns   map[*conn]struct{}
-	dialing int // connections that are being opened
+	dialing int // number of connections being opened
 }
 
-// NewPool returns pools without a connection. Close ends them.
+// NewPool returns a pool without connections. Close must be called to stop it.
 func NewPool(cfg Config) *Pool {
 	p := &Pool{cfg: cfg, engines: map[cresspass.EngineID]*engine{}, stop: make(chan struct{})}
 	if cfg.IdleTimeout > 0 {
@@ -65,8 +65,8 @@
 	return p
 }
 
-// Start sends an attempt to an engine. It does not block: requests are written by goroutines, as a write
-// costs the event loop more than the whole decision does.
+// Start sends an attempt to an engine. It does not block: requests are written by other goroutines, because a
+// write costs the event loop more than the whole decision does.
 func (p *Pool) Start(id cresspass.EngineID, a *Attempt) {
 	a.startedAt = time.Now()
 	p.mu.Lock()
@@ -105,7 +105,7 @@
 	go p.startOnIdle(e, c, a)
 }
 
-// startOnLeased sends an attempt on the connection that its session is on.
+// startOnLeased sends an attempt on its session's own connection.
 func (p *Pool) startOnLeased(c *conn, a *Attempt) {
 	defer p.background.Done()
 	if !c.start(a) {
@@ -113,16 +113,17 @@
 	}
 }
 
-// endLeaseLost ends an attempt whose session lost its connection between the statement's arrival and now. It
-// must not be sent on any other connection: there it would find nothing of its session, and run outside its
-// transaction.
+// endLeaseLost ends an attempt whose session lost its connection after the statement arrived. The attempt
+// must not be sent on another connection: the session's state would be missing there, and the statement would
+// run outside its transaction.
 func endLeaseLost(a *Attempt, outcome cresspass.Outcome) {
 	a.OnConnectionLost(false)
 	a.end(Result{Outcome: outcome, ResponseFinished: true, Message: "the session's connection was lost"})
 }
 
-// startOnIdle sends an attempt on an idle connection; nil: on a new one. An idle connection that has closed
-// meanwhile ran nothing, which is no failure of the engine: the next is used.
+// startOnIdle sends an attempt on the idle connection c, or on a new connection if c is nil. If an idle
+// connection has closed in the meantime, nothing ran on it and this is no failure of the engine: the next
+// idle connection is used.
 func (p *Pool) startOnIdle(e *engine, c *conn, a *Attempt) {
 	defer p.background.Done()
 	for c != nil {
@@ -138,7 +139,7 @@
 	p.dialAndStart(e, a)
 }
 
-// dialAndStart sends an attempt on a new connection.
+// dialAndStart opens a connection and sends an attempt on it.
 func (p *Pool) dialAndStart(e *engine, a *Attempt) {
 	c, r := connect(p, e)
 	p.mu.Lock()
@@ -164,8 +165,8 @@
 	}()
 }
 
-// Stop withdraws an attempt: it ends with the given outcome, and its engine is asked to cancel it. Where rows
-// of it have begun to go out it continues, and false is returned.
+// Stop withdraws an attempt: the attempt ends with the given outcome, and the engine is asked to cancel it.
+// If rows of the attempt have already been sent to the client, the attempt continues and Stop returns false.
 func (p *Pool) Stop(a *Attempt, outcome cresspass.Outcome) bool {
 	if a.Response != nil && !a.Response.Revoke(a.Number) {
 		return false
@@ -177,7 +178,7 @@
 	return true
 }
 
-// engineFor returns the pool of an engine. The caller holds the lock.
+// engineFor returns the entry of an engine and adds it if it is new. The caller holds p.mu.
 func (p *Pool) engineFor(id cresspass.EngineID) *engine {
 	e := p.engines[id]
 	if e == nil {
@@ -187,8 +188,8 @@
 	return e
 }
 
-// takeIdle takes the most recently used idle connection; nil: there is none. The caller holds the pool's
-// lock.
+// takeIdle removes and returns the most recently used idle connection, or nil if there is none. The caller
+// holds Pool.mu.
 func (e *engine) takeIdle() *conn {
 	n := len(e.idle)
 	if n == 0 {
@@ -199,7 +200,7 @@
 	return c
 }
 
-// putIdle gives a connection back for use.
+// putIdle returns a connection to the pool.
 func (p *Pool) putIdle(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -210,7 +211,7 @@
 	c.engine.idle = append(c.engine.idle, c)
 }
 
-// removeConn forgets a connection that is closed.
+// removeConn removes a closed connection from the pool.
 func (p *Pool) removeConn(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -223,7 +224,7 @@
 	}
 }
 
-// Drain notifies the sessions on an engine that it drains, and that they are ended within a time.
+// Drain notifies the sessions on an engine that it drains and that they are ended after the given time.
 func (p *Pool) Drain(id cresspass.EngineID, within time.Duration) {
 	p.mu.Lock()
 	var leases []*Lease
@@ -251,8 +252,8 @@
 	closeAll(idle)
 }
 
-// RetainEngines forgets engines that are not listed and have no connection. Of those that have, the idle
-// connections are closed.
+// RetainEngines removes the engines that are not listed and have no connections. For unlisted engines that
+// still have connections, it closes the idle ones.
 func (p *Pool) RetainEngines(listed map[cresspass.EngineID]bool) {
 	p.mu.Lock()
 	var removed []cresspass.EngineID
@@ -271,7 +272,7 @@
 	}
 }
 
-// ConnectionCounts returns the number of connections, and of those that are idle.
+// ConnectionCounts returns the number of connections to all engines, and how many of them are idle.
 func (p *Pool) ConnectionCounts() (all, idle int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -281,7 +282,8 @@
 	return all, idle
 }
 
-// closeExpiredIdle closes connections that were idle for IdleTimeout, until the pool is closed.
+// closeExpiredIdle closes connections that have been idle for IdleTimeout. It returns when the pool is
+// closed.
 func (p *Pool) closeExpiredIdle() {
 	defer p.background.Done()
 	ticker := time.NewTicker(max(p.cfg.IdleTimeout/4, minIdleCheckInterval))
@@ -296,7 +298,8 @@
 	}
 }
 
-// takeExpired takes the connections that have been idle for too long, which are the first of each engine's.
+// takeExpired removes and returns the connections that have been idle for longer than IdleTimeout. They are
+// the first in each engine's list.
 func (p *Pool) takeExpired(now time.Time) (expired []*conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -311,7 +314,8 @@
 	return expired
 }
 
-// Close closes all connections and waits for their goroutines. Attempts that were under way end as reset.
+// Close closes all connections and waits for their goroutines. Running attempts end with
+// OutcomeConnectionReset.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	if p.closed {
--- a/internal/backend/pgbackend/ready.go
+++ b/internal/backend/pgbackend/ready.go
@@ -12,18 +12,18 @@
 
 var errUnknownState = errors.New("what the query left on the connection is not known")
 
-// queryOutcome is what the connection gathered of a query's response, and what its end means.
+// queryOutcome holds what the connection collected of a query's response, and how the query ended.
 type queryOutcome struct {
-	batch       []byte // the last messages of the response
+	batch       []byte // last messages of the response
 	description []byte
-	failed      bool // by an ErrorResponse
+	failed      bool // an ErrorResponse arrived
 	engineError pgwire.Fields
-	queryError  bool // the query itself is at fault, or nothing is: the engine's word is its response
+	queryError  bool // success, or an error of the query itself: the engine's messages are the response
 	retryable   bool // the decision module may make another attempt
 }
 
-// endQuery ends the attempt at its ReadyForQuery. The connection is put back first, as the client's next
-// query may follow at once. An error closes the connection.
+// endQuery ends the attempt at its ReadyForQuery. The connection is returned to the pool first, because the
+// client's next query may follow at once. If endQuery returns an error, the connection is closed.
 func (c *conn) endQuery(a *Attempt, status byte) error {
 	result, outcome := c.takeOutcome(a)
 	keep, tainted := c.settleSession(a, status, outcome.retryable)
@@ -32,7 +32,7 @@
 	return err
 }
 
-// takeOutcome returns how the query ended and forgets what was gathered of it.
+// takeOutcome returns how the query ended, and clears what was collected of its response.
 func (c *conn) takeOutcome(a *Attempt) (Result, queryOutcome) {
 	r := Result{Outcome: cresspass.OutcomeOK, ServiceTime: max(time.Since(a.startedAt), 1),
 		LoadReport: c.loadReport}
@@ -42,28 +42,28 @@
 		r.SQLState, r.Message = c.engineError.Code, c.engineError.Message
 		r.Outcome, o.queryError = c.classifyError(c.engineError.Code)
 		if o.queryError {
-			// An error comes quickly. As a service time it would make the estimator take the engine for
-			// fast, and as a failure it would make it an outlier.
+			// Errors come quickly. Counted as a service time, they would make the engine look fast to the
+			// estimator; counted as failures, they would make it an outlier.
 			r.ServiceTime = 0
 		}
 	}
 	if c.hadCopyIn {
-		r.ServiceTime = 0 // a COPY lasts as long as its client takes, which says nothing of the engine
+		r.ServiceTime = 0 // a COPY lasts as long as its client sends, which does not measure the engine
 	}
 	o.retryable = o.failed && !o.queryError && a.Query != nil && !a.Query.Sticky
 	c.batch, c.description, c.failed, c.engineError, c.loadReport = nil, nil, false, pgwire.Fields{}, nil
 	return r, o
 }
 
-// settleSession finds out what a query left on the connection, and whether its session stays on it. tainted
-// says that the state is unknown: no other session may use the connection.
+// settleSession determines what state a query left on the connection, and whether its session keeps the
+// connection. tainted says that the state is unknown: no other session may use the connection.
 func (c *conn) settleSession(a *Attempt, status byte, retryable bool) (keep, tainted bool) {
 	if a.Response == nil || !a.Stateful && !c.settingReported {
 		return false, c.tainted
 	}
 	d := Disposition{}
-	// A query whose response others have ended, or that is attempted elsewhere, may have left a table, a lock
-	// or a setting here that no session knows to be its own. Then the disposition stays unknown.
+	// A query whose response has ended otherwise, or that is attempted elsewhere, may have left a table, a
+	// lock or a setting here that belongs to no session. Then the disposition stays unknown.
 	if !retryable && a.Response.Commit(a.Number) {
 		d = a.Settle(QueryEnd{Engine: c.engine.id, PID: c.pid, Secret: c.secret, TransactionStatus: status,
 			CommandTags: c.commandTags, SettingReported: c.settingReported, Settings: c.settings})
@@ -72,13 +72,13 @@
 	tainted = c.tainted || !d.Known
 	keep = d.Keep && !tainted
 	if keep && !a.Lease.acquire(c) {
-		keep, tainted = false, true // its client disconnected meanwhile
+		keep, tainted = false, true // the client disconnected in the meantime
 	}
 	if keep {
 		c.lease.Store(a.Lease)
 		return true, false
 	}
-	// A tainted connection is closed, and its session learns of the loss by that.
+	// A tainted connection is closed, and onClosed then notifies its session.
 	if l := c.lease.Load(); l != nil && !tainted {
 		c.lease.Store(nil)
 		l.release()
@@ -86,8 +86,8 @@
 	return false, tainted
 }
 
-// detach ends the attempt's use of the connection and gives the connection back, if another may have it. An
-// error says that none may.
+// detach ends the attempt's use of the connection and returns the connection to the pool if other sessions
+// may use it. An error says that the connection must be closed.
 func (c *conn) detach(status byte, keep, tainted bool) error {
 	var err error
 	c.mu.Lock()
@@ -97,7 +97,7 @@
 		err = errUnknownState
 	case keep:
 	case status != enginequery.StatusIdle:
-		// The query left a transaction open, in which the next query on this connection would run.
+		// The query left a transaction open. The next query on this connection would run inside it.
 		err = fmt.Errorf("the query left transaction state %q", status)
 	case c.pendingCancels > 0:
 		c.awaitingCancel = true
@@ -111,8 +111,8 @@
 	return err
 }
 
-// respond ends the client's response by the engine's word, or leaves it to another attempt, and reports the
-// attempt's result.
+// respond ends the client's response with the engine's messages or leaves it to another attempt, and reports
+// the attempt's result.
 func (c *conn) respond(a *Attempt, r Result, o queryOutcome) {
 	switch {
 	case a.Response == nil:
@@ -120,11 +120,11 @@
 	case o.queryError:
 		c.cacheDescription(a, o)
 		if r.ResponseFinished = a.Response.Finish(a.Number, o.batch, o.failed); !r.ResponseFinished {
-			r.Outcome = cresspass.OutcomeCancelled // the attempt was revoked, and its end was reported then
+			r.Outcome = cresspass.OutcomeCancelled // the attempt was revoked, which reported its end
 		}
 		a.end(r)
 	case a.Stateful && !o.retryable:
-		// In a session nothing is attempted elsewhere: the engine's error ends the statement.
+		// A stateful query is not attempted elsewhere: the engine's error is its response.
 		last := pgwire.AppendFields(o.batch, 'E', &o.engineError)
 		r.ResponseFinished = a.Response.Finish(a.Number, last, true)
 		a.end(r)
@@ -133,7 +133,7 @@
 	}
 }
 
-// cacheDescription passes on a statement's description, or has it forgotten after an error.
+// cacheDescription passes a statement's description to the cache, or drops the cached one after an error.
 func (c *conn) cacheDescription(a *Attempt, o queryOutcome) {
 	if a.OnDescribed == nil || !o.failed && o.description == nil {
 		return
@@ -148,19 +148,19 @@
 	}
 }
 
-// applyCommandTag updates what is known of the connection after a statement that resets it.
+// applyCommandTag updates the state of the connection after a statement that resets part of it.
 func (c *conn) applyCommandTag(tag string) {
 	if tag == "DISCARD ALL" || tag == "DEALLOCATE ALL" {
 		clear(c.preparedByKey)
 		c.preparedLRU.Init()
 	}
 	switch tag {
-	case "DISCARD ALL", "RESET", "ROLLBACK": // the last undoes what was set before a query of its transaction
+	case "DISCARD ALL", "RESET", "ROLLBACK": // ROLLBACK undoes the SETs sent in its transaction
 		c.forgetResources()
 	}
 }
 
-// forgetResources has work_mem and the priority set again before the next query.
+// forgetResources makes the next request set work_mem and the priority again.
 func (c *conn) forgetResources() {
 	c.workMemMB, c.priority = unknownSetting, unknownSetting
 }
--- a/internal/backend/pgbackend/request.go
+++ b/internal/backend/pgbackend/request.go
@@ -9,16 +9,16 @@
 	"cresspass/internal/protocol/pgwire"
 )
 
-// unknownSetting is the value of work_mem or priority where the connection may have lost it. It differs from
-// every value that is asked for, so that the setting is sent again.
+// unknownSetting stands for a work_mem or priority that may no longer be in force on the connection. It
+// differs from every requested value, so the setting is sent again.
 const unknownSetting = -1
 
-// preparedStatement is a statement that the engine has parsed, under a name that the connection chose.
+// preparedStatement is a statement prepared on the connection, with its PrepareKey and its name there.
 type preparedStatement struct{ key, name string }
 
-// buildRequest returns what goes to the engine: the settings that differ, then the query. Where settings of
-// the session itself differ, the query waits until the engine has accepted them: without them it would
-// silently give other results.
+// buildRequest returns the bytes to send to the engine: the settings that differ, then the query. If replayed
+// settings of the session differ, the query waits in gatedQuery until the engine has accepted them: without
+// them it would silently give different results.
 func (c *conn) buildRequest(a *Attempt) []byte {
 	if a.Response == nil { // a health check
 		return pgwire.AppendText(nil, 'Q', "")
@@ -43,7 +43,8 @@
 	return out
 }
 
-// resourceStatements returns the statements that set the attempt's memory and priority, where they differ.
+// resourceStatements returns the statements that set the attempt's memory and priority if they differ from
+// what is in force.
 func (c *conn) resourceStatements(a *Attempt) (statements []string) {
 	if a.MemoryMB != c.workMemMB {
 		statement := "RESET work_mem"
@@ -69,7 +70,7 @@
 		return pgwire.AppendSync(pgwire.AppendExecute(out, q.Portal, q.MaxRows))
 	}
 	out, name := c.appendPrepare(out, q)
-	if q.Portal != "" { // one of that name may be left; closing none is no error
+	if q.Portal != "" { // a portal of that name may exist; closing a missing one is no error
 		out = pgwire.AppendTarget(out, 'C', 'P', q.Portal)
 	}
 	switch q.Kind {
@@ -91,7 +92,8 @@
 	return pgwire.AppendSync(out)
 }
 
-// appendPrepare returns the name of a statement on this connection, and has it parsed where it is new.
+// appendPrepare returns the name of the query's statement on this connection, and appends a Parse if the
+// statement is new there.
 func (c *conn) appendPrepare(out []byte, q *enginequery.Query) ([]byte, string) {
 	key := q.PrepareKey()
 	if element := c.preparedByKey[key]; element != nil {
@@ -110,7 +112,7 @@
 	return pgwire.AppendParse(out, p.name, q.Text, []byte(q.ParameterTypes)), p.name
 }
 
-// forgetPrepared has a statement parsed again when it is next used.
+// forgetPrepared drops a prepared statement, so that its next use parses it again.
 func (c *conn) forgetPrepared(key string) {
 	if element := c.preparedByKey[key]; element != nil {
 		c.preparedLRU.Remove(element)
--- a/internal/backend/pgbackend/terminate.go
+++ b/internal/backend/pgbackend/terminate.go
@@ -11,14 +11,14 @@
 	"cresspass/internal/protocol/pgwire"
 )
 
-// TerminateSessions ends sessions that a former dispatcher's connections left at an engine. What they run is
-// cancelled by their secrets first. Then those with the recorded PIDs, and any that are idle in a
-// transaction, are ended by application name: a PID alone may have been given to another session by now. It
-// returns how many were ended ("Server Signaling Functions", "pg_stat_activity").
+// TerminateSessions ends sessions that the connections of a former dispatcher left at an engine. It first
+// sends cancel requests with their secrets. Then it terminates those with the recorded PIDs, and any that are
+// idle in a transaction, if their application name matches: a PID alone may belong to another session by now.
+// It returns the number of terminated sessions ("Server Signaling Functions", "pg_stat_activity").
 func (p *Pool) TerminateSessions(r orphanedsession.Request) (ended int, err error) {
 	deadline := time.Now().Add(p.cfg.CancelTimeout + p.cfg.ConnectTimeout)
 	for _, s := range r.Sessions {
-		// A cancel request that is late or refused costs nothing: what follows ends the session all the same.
+		// A failed cancel request does no harm: the session is terminated below in any case.
 		_ = sendCancel(p.dialer(), r.Engine, s.PID, s.Secret, deadline)
 	}
 	c, result := connect(p, &engine{id: cresspass.EngineID(r.Engine)})
@@ -34,7 +34,8 @@
 	return ended, err
 }
 
-// terminateStatement is the query that ends an engine's orphaned sessions, with a row for each.
+// terminateStatement returns the query that terminates an engine's orphaned sessions. Its result has one row
+// for each.
 func terminateStatement(r orphanedsession.Request) string {
 	var pids, names []string
 	for _, s := range r.Sessions {
@@ -51,7 +52,7 @@
 		strings.Join(names, ", ") + ") AND " + which
 }
 
-// countRows runs a statement and returns the number of rows of its result.
+// countRows runs a statement and returns the number of rows in its result.
 func (c *conn) countRows(statement string) (rows int, err error) {
 	if _, err := c.netConn.Write(pgwire.AppendText(nil, 'Q', statement)); err != nil {
 		return 0, err
@@ -61,7 +62,7 @@
 		switch m.Type {
 		case 'D': // DataRow
 			rows++
-		case 'E': // ErrorResponse; of one that is malformed the fields count that could be read
+		case 'E': // ErrorResponse; if it is malformed, the fields read so far are used
 			f, _ := pgwire.ParseFields(m.Body)
 			refusal = fmt.Errorf("%s %s", f.Code, f.Message)
 		}
