--- a/internal/backend/sessionparams/change.go
+++ b/internal/backend/sessionparams/change.go
@@ -6,14 +6,14 @@
 	"cresspass/internal/protocol/sqlscan"
 )
 
-// Change is what one statement does to the settings that are replayed.
+// Change is the effect of one statement on the replayed settings.
 type Change struct {
-	Name      string // "": all settings
-	Statement string // "": back to the default
+	Name      string // of the setting, in lower case; "": all settings
+	Statement string // puts the new value in force; "": back to the default
 }
 
-// ChangeOf returns what a statement changes of the settings that are replayed. ok is false for a statement
-// that changes none of them.
+// ChangeOf returns the effect of a statement on the replayed settings. ok is false if the statement changes
+// none of them.
 func ChangeOf(st *sqlscan.Statement) (ch Change, ok bool) {
 	words := st.Words
 	switch words[0] {
@@ -37,7 +37,7 @@
 	return ch, true
 }
 
-// ChangesAny reports whether one of the statements changes a setting that is replayed.
+// ChangesAny reports whether any of the statements changes a replayed setting.
 func ChangesAny(statements []sqlscan.Statement) bool {
 	for i := range statements {
 		if _, ok := ChangeOf(&statements[i]); ok {
@@ -47,7 +47,7 @@
 	return false
 }
 
-// resetBy returns what a RESET changes.
+// resetBy returns the effect of a RESET with the given first words.
 func resetBy(words *[4]string) (ch Change, ok bool) {
 	if words[1] == "ALL" {
 		return Change{}, true
@@ -59,7 +59,8 @@
 	return ch, replayedSettings[ch.Name]
 }
 
-// ParseAssignment splits a SET into the setting's name in lower case and the text of its value ("SET").
+// ParseAssignment splits a SET statement into the setting's name in lower case and the text of its value. ok
+// is false if the statement is no assignment ("SET").
 func ParseAssignment(st *sqlscan.Statement) (name, value string, ok bool) {
 	rest := withoutScope(strings.TrimSpace(st.Text[len("SET"):]))
 	name, value, ok = strings.Cut(rest, "=")
@@ -70,7 +71,7 @@
 	return name, strings.TrimSpace(value), ok
 }
 
-// withoutScope removes a leading SESSION or LOCAL.
+// withoutScope returns an assignment without a leading SESSION or LOCAL.
 func withoutScope(assignment string) string {
 	for _, word := range []string{"SESSION", "LOCAL"} {
 		n := len(word)
--- a/internal/backend/sessionparams/golden_test.go
+++ b/internal/backend/sessionparams/golden_test.go
@@ -10,8 +10,8 @@
 	"cresspass/internal/protocol/sqlscan"
 )
 
-// TestStatementsAreStable compares what engines are told of a session's settings, and how a SET is read, with
-// what the version that introduced this test gave.
+// TestStatementsAreStable compares the statements that replay a session's settings, and the parsing of SET,
+// with the output of the version that introduced this test.
 func TestStatementsAreStable(t *testing.T) {
 	var got strings.Builder
 	for _, value := range []string{"", "a", "a, b", `it's`, `back\slash`, "ä"} {
--- a/internal/backend/sessionparams/set.go
+++ b/internal/backend/sessionparams/set.go
@@ -6,13 +6,14 @@
 	"strings"
 )
 
-// Param is a setting with the statement that puts it in force.
+// Param is a setting and the statement that puts its value in force.
 type Param struct{ Name, Statement string }
 
-// Set is the settings in force, ordered by name. It is immutable; a nil Set is empty.
+// Set holds the settings in force, ordered by name. It is immutable, so goroutines may share it. A nil *Set
+// is empty.
 type Set struct{ list []Param }
 
-// Statement returns the statement that puts a setting in force; "": the engine's default holds.
+// Statement returns the statement that puts a setting in force, or "" if the engine's default is in force.
 func (s *Set) Statement(name string) string {
 	if s != nil {
 		for _, p := range s.list {
@@ -24,7 +25,7 @@
 	return ""
 }
 
-// Key identifies the settings in force; "": none is set.
+// Key returns a text that is equal for equal sets, and "" for the empty set.
 func (s *Set) Key() string {
 	if s == nil {
 		return ""
@@ -37,7 +38,7 @@
 	return key.String()
 }
 
-// With returns a set in which one setting is changed; an empty statement removes it.
+// With returns a copy of the set with one setting changed. An empty statement removes the setting.
 func (s *Set) With(name, statement string) *Set {
 	if s.Statement(name) == statement {
 		return s
@@ -62,7 +63,7 @@
 	return &Set{list}
 }
 
-// Diff returns the statements that bring a connection from the settings have to the settings want.
+// Diff returns the statements that change a connection's settings from have to want.
 func Diff(have, want *Set) (statements []string) {
 	if have == want {
 		return nil
@@ -84,8 +85,8 @@
 	return statements
 }
 
-// SetConfigStatement returns the statement that sets a setting to a value of a startup packet. Unlike the
-// value of a SET, that of a startup packet may be a list within one text.
+// SetConfigStatement returns the statement that applies a setting from a startup packet. Unlike the value of
+// a SET, a value in a startup packet may be a list within one string.
 func SetConfigStatement(name, value string) string {
 	value = strings.NewReplacer(`\`, `\\`, `'`, `''`).Replace(value)
 	return "SELECT pg_catalog.set_config('" + name + "', E'" + value + "', false)"
--- a/internal/backend/sessionparams/settings.go
+++ b/internal/backend/sessionparams/settings.go
@@ -1,14 +1,15 @@
-// Package sessionparams tracks the settings of a client's session that are replayed on whatever engine
-// connection runs its next statement, so that a SET of them does not tie the session to one engine. It
-// decides which settings those are, when a SET of theirs has come into force, and which statements bring a
-// connection to a session's settings. It does no I/O.
+// Package sessionparams tracks the settings of a client's session that are replayed on whichever engine
+// connection runs the session's next statement, so that setting them does not tie the session to one engine.
+// It decides which settings are replayed, when a SET takes effect, and which statements give a connection the
+// settings of a session. It does no I/O.
 //
-// A SET counts once the engine says so: outside a transaction at its CommandComplete and the ReadyForQuery
-// after it, in one at COMMIT ("SET": "the effects ... disappear when the transaction is rolled back").
+// A SET takes effect when the engine confirms it: outside a transaction at its CommandComplete and the
+// ReadyForQuery after it, inside one at COMMIT ("SET": "the effects ... disappear when the transaction is
+// rolled back").
 package sessionparams
 
-// replayedSettings are the settings that mean the same on every engine and describe no state of one engine.
-// All others tie the session to the engine on which they were set.
+// replayedSettings holds the settings that mean the same on every engine and describe no state of a single
+// engine. All others tie the session to the engine on which they were set.
 var replayedSettings = map[string]bool{
 	"search_path": true, "timezone": true, "datestyle": true,
 	"intervalstyle": true, "extra_float_digits": true, "bytea_output": true, "xmlbinary": true,
@@ -22,16 +23,17 @@
 	"enable_nestloop": true, "enable_indexscan": true, "max_parallel_workers_per_gather": true,
 }
 
-// reportedNames are the names under which clients receive a ParameterStatus when one of these settings
-// changes ("Asynchronous Operations").
+// reportedNames maps settings to the names under which clients receive a ParameterStatus when they change
+// ("Asynchronous Operations").
 var reportedNames = map[string]string{
 	"timezone": "TimeZone", "datestyle": "DateStyle",
 	"intervalstyle": "IntervalStyle", "standard_conforming_strings": "standard_conforming_strings",
 	"default_transaction_read_only": "default_transaction_read_only",
 }
 
-// Replayed reports whether a setting, by its name in lower case, is replayed.
+// Replayed reports whether a setting is replayed. The name is in lower case.
 func Replayed(name string) bool { return replayedSettings[name] }
 
-// Reported returns the name of the ParameterStatus that clients receive for a setting; "": they receive none.
+// Reported returns the name of the ParameterStatus that clients receive when a setting changes, or "" if they
+// receive none. The setting's name is in lower case.
 func Reported(name string) string { return reportedNames[name] }
--- a/internal/backend/sessionparams/tracker.go
+++ b/internal/backend/sessionparams/tracker.go
@@ -6,57 +6,59 @@
 	"cresspass/internal/protocol/sqlscan"
 )
 
-// Tracker follows a session's settings. The zero value has none.
+// Tracker tracks a session's replayed settings. The zero value is ready to use and has none set. It is not
+// safe for concurrent use.
 type Tracker struct {
-	startup      *Set // from the startup packet: what a RESET returns to
+	startup      *Set // from the startup packet; RESET returns to these
 	desired      *Set // in force for the session
 	onConnection *Set // in force on the connection that ran its last statement
 
-	pendingInTx    []Change // of the open transaction
-	pendingInQuery []Change // of the query that is out
+	pendingInTx    []Change // of the open transaction's earlier queries
+	pendingInQuery []Change // of the running query
 	sent           []sqlscan.Statement
-	completed      int  // statements of sent whose CommandComplete has come
+	completed      int  // number of statements of sent whose CommandComplete has arrived
 	uncertain      bool // a ROLLBACK TO may have undone some of the pending changes
 }
 
-// Inherit starts with the settings that another tracker has in force.
+// Inherit makes s, the settings of another session, this session's startup settings.
 func (t *Tracker) Inherit(s *Set) { t.startup, t.desired, t.onConnection = s, s, s }
 
-// SetAtStartup takes a setting of the startup packet.
+// SetAtStartup applies a setting from the startup packet.
 func (t *Tracker) SetAtStartup(name, value string) {
 	t.startup = t.startup.With(name, SetConfigStatement(name, value))
 	t.desired, t.onConnection = t.startup, t.startup
 }
 
-// ChangeSetting takes a setting as SetAtStartup does, in a session under way: other settings stay as they
-// are.
+// ChangeSetting changes a startup setting of a running session and puts it in force. Other settings stay as
+// they are.
 func (t *Tracker) ChangeSetting(name, value string) {
 	t.startup = t.startup.With(name, SetConfigStatement(name, value))
 	t.desired = t.desired.With(name, SetConfigStatement(name, value))
 }
 
-// ResetSetting undoes SetAtStartup or ChangeSetting of a setting.
+// ResetSetting removes a setting that SetAtStartup or ChangeSetting has set.
 func (t *Tracker) ResetSetting(name string) {
 	t.startup = t.startup.With(name, "")
 	t.desired = t.desired.With(name, "")
 }
 
-// Desired returns what is in force for the session.
+// Desired returns the settings in force for the session.
 func (t *Tracker) Desired() *Set { return t.desired }
 
-// OnConnection returns what is in force on the connection of the session's last statement. It differs from
-// Desired after a RESET, which goes back to the engine's own default and not to the startup packet's value.
+// OnConnection returns the settings in force on the connection that ran the session's last statement. They
+// differ from Desired after a RESET, which restores the engine's own default and not the startup packet's
+// value.
 func (t *Tracker) OnConnection() *Set { return t.onConnection }
 
 // Unchanged reports whether the session has exactly the settings of its startup packet.
 func (t *Tracker) Unchanged() bool { return t.desired == t.startup }
 
-// StatementsSent takes the statements of a query that goes out.
+// StatementsSent records that a query with these statements is sent.
 func (t *Tracker) StatementsSent(statements []sqlscan.Statement) {
 	t.sent, t.completed, t.pendingInQuery = statements, 0, nil
 }
 
-// CommandComplete takes the tag of the next statement sent.
+// CommandComplete records the command tag of the next statement of the running query.
 func (t *Tracker) CommandComplete(tag string) {
 	if t.completed >= len(t.sent) {
 		return
@@ -69,8 +71,8 @@
 		t.apply(t.pendingInQuery)
 		t.pendingInTx, t.pendingInQuery = nil, nil
 	case tag == "ROLLBACK" && RollsBackToSavepoint(st):
-		// What was set after the savepoint is undone and what was set before it is not. Which is which is
-		// not tracked.
+		// This undoes what was set after the savepoint, but not what was set before it. Which changes came
+		// after the savepoint is not tracked.
 		t.uncertain = t.uncertain || len(t.pendingInTx)+len(t.pendingInQuery) > 0
 	case tag == "ROLLBACK":
 		t.pendingInTx, t.pendingInQuery, t.uncertain = nil, nil, false
@@ -81,7 +83,7 @@
 	}
 }
 
-// RollsBackToSavepoint reports whether a ROLLBACK goes back to a savepoint only.
+// RollsBackToSavepoint reports whether a ROLLBACK statement is a ROLLBACK TO SAVEPOINT.
 func RollsBackToSavepoint(st *sqlscan.Statement) bool {
 	return st.Words[1] == "TO" || st.Words[2] == "TO"
 }
@@ -102,11 +104,11 @@
 	}
 }
 
-// ConnectionHad reports what was in force on the query's connection before the query.
+// ConnectionHad records the settings that were in force on the query's connection before the query.
 func (t *Tracker) ConnectionHad(settings *Set) { t.onConnection = settings }
 
-// ReadyForQuery takes the end of the query, with its transaction status. uncertain says that it is not known
-// what is in force: the session has to stay on its connection.
+// ReadyForQuery records the end of the query, with its transaction status. uncertain says that the settings
+// in force are not known: the session must keep its connection.
 func (t *Tracker) ReadyForQuery(status byte) (uncertain bool) {
 	switch {
 	case status != 'I':
@@ -115,7 +117,7 @@
 		uncertain = t.uncertain || len(t.pendingInTx) > 0
 		t.apply(t.pendingInQuery)
 		t.pendingInTx, t.uncertain = nil, false
-	default: // an error undid what the text had set outside a transaction
+	default: // an error undid what the query had set outside a transaction
 		uncertain = t.uncertain || len(t.pendingInTx) > 0
 		t.pendingInTx, t.uncertain = nil, false
 	}
@@ -123,7 +125,7 @@
 	return uncertain
 }
 
-// Reset reports that what was sent did not run, and that an open transaction is gone.
+// Reset records that the query did not run, and that there is no open transaction any more.
 func (t *Tracker) Reset() {
 	t.pendingInTx, t.pendingInQuery, t.sent, t.uncertain = nil, nil, nil, false
 }
--- a/internal/backend/sessionparams/tracker_test.go
+++ b/internal/backend/sessionparams/tracker_test.go
@@ -9,7 +9,7 @@
 	"cresspass/internal/protocol/sqlscan"
 )
 
-// TestChangeOf: which statements change a setting that is replayed, and which do not.
+// TestChangeOf checks which statements change a replayed setting and which do not.
 func TestChangeOf(t *testing.T) {
 	for text, want := range map[string]Change{
 		"set search_path = a, b":             {"search_path", "set search_path = a, b"},
@@ -37,8 +37,8 @@
 	}
 }
 
-// modelServer is what a server does with settings by PostgreSQL's documentation, in the simplest way: each
-// transaction and savepoint keeps a copy to roll back to.
+// modelServer models how a server handles settings according to PostgreSQL's documentation. Each transaction
+// and savepoint keeps a copy of the settings to roll back to.
 type modelServer struct {
 	settings map[string]string
 	saved    []map[string]string // at BEGIN, then at each savepoint
@@ -90,9 +90,9 @@
 	return tag
 }
 
-// TestReplayMatchesSingleServer: a session moves over engines between its transactions. Whatever it sets and
-// resets, each statement finds on its engine what one server would have in force, as long as the tracker is
-// certain.
+// TestReplayMatchesSingleServer: a session moves between engines between its transactions. Whatever it sets
+// and resets, each statement runs on its engine with the settings that a single server would have in force,
+// as long as the tracker is certain of them.
 func TestReplayMatchesSingleServer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		single := &modelServer{settings: map[string]string{}}
