--- a/internal/backend/copyin/pipe.go
+++ b/internal/backend/copyin/pipe.go
@@ -1,7 +1,7 @@
-// Package copyin carries the data of a COPY from a client to an engine with back-pressure: a queue bounded in
-// bytes between the goroutine that reads the client and the one that writes to the engine. Nothing is dropped
-// and nothing grows without bound: where the engine is slow the queue fills, and the client is not read until
-// the queue has emptied to half its limit.
+// Package copyin carries the data of a COPY from a client to an engine with back-pressure. It is a queue,
+// bounded in bytes, between the goroutine that reads from the client and the one that writes to the engine.
+// No data is dropped and memory stays bounded: if the engine is slow the queue fills, and the client is not
+// read until the queue has drained to half its limit.
 package copyin
 
 import "sync"
@@ -11,13 +11,13 @@
 
 // The ends of a copy's data.
 const (
-	Open      End = iota // more may come
+	Open      End = iota // more data may come
 	Done                 // CopyDone was the last message
-	Failed               // CopyFail was the last message: the engine is to undo the copy
-	Abandoned            // nobody feeds the pipe any more: its query has ended
+	Failed               // CopyFail was the last message: the engine must undo the copy
+	Abandoned            // no more data is put into the pipe: its query has ended
 )
 
-// Pipe is the queue of one copy. Make one with New.
+// Pipe is the queue of one copy. Make one with New. Its methods may be called from several goroutines.
 type Pipe struct {
 	limit      int
 	onCapacity func()
@@ -29,14 +29,15 @@
 	ready chan struct{}
 }
 
-// New returns a pipe that holds about limit bytes. onCapacity is called, outside the pipe's lock, when a full
-// pipe has emptied to half of that.
+// New returns a pipe that is full at limit bytes. onCapacity is called, without the pipe's lock held, when a
+// full pipe has drained to half of that or was abandoned.
 func New(limit int, onCapacity func()) *Pipe {
 	return &Pipe{limit: limit, onCapacity: onCapacity, ready: make(chan struct{}, 1)}
 }
 
-// Put queues bytes, and how the data ended with them. It does not block, as bytes that were read have to go
-// somewhere. It returns true where no more is to be read until there is capacity.
+// Put queues a copy of b and records whether the data ends with it. It neither blocks nor refuses bytes
+// because of the limit, since they have already been read. It returns true if the client must not be read
+// until the pipe has capacity. After the end of the data, Put drops b.
 func (p *Pipe) Put(b []byte, end End) (full bool) {
 	p.mu.Lock()
 	if p.end == Open {
@@ -50,15 +51,15 @@
 	return full
 }
 
-// Full reports whether no more is to be read until there is capacity.
+// Full reports whether the client must not be read until the pipe has capacity.
 func (p *Pipe) Full() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.full
 }
 
-// Abandon ends the pipe and drops what is queued. A full pipe has capacity by that: the client's bytes belong
-// to no copy any more and are to be read.
+// Abandon ends the pipe and drops the queued data. A full pipe has capacity again then: what the client sends
+// now belongs to no copy and has to be read.
 func (p *Pipe) Abandon() {
 	p.mu.Lock()
 	p.data = nil
@@ -81,10 +82,10 @@
 	}
 }
 
-// Ready is signalled when Take may return something new.
+// Ready returns a channel that receives a value when Take may return something new.
 func (p *Pipe) Ready() <-chan struct{} { return p.ready }
 
-// Take exchanges the queued bytes for a spare buffer, and says how the data ended after them.
+// Take returns the queued bytes and how the data ended after them. The pipe reuses spare as its next buffer.
 func (p *Pipe) Take(spare []byte) ([]byte, End) {
 	p.mu.Lock()
 	b, end := p.data, p.end
@@ -93,8 +94,8 @@
 	return b, end
 }
 
-// MarkSent reports that what was taken has been written to the engine. Capacity is given here and not by
-// Take: otherwise twice the limit would be under way.
+// MarkSent records that the bytes of the last Take have been written to the engine. A full pipe gets its
+// capacity back here and not in Take: otherwise up to twice the limit would be in memory.
 func (p *Pipe) MarkSent() {
 	p.mu.Lock()
 	wasFull := p.full
--- a/internal/backend/copyin/pipe_test.go
+++ b/internal/backend/copyin/pipe_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestPipe: what goes in comes out in order and once, no more is queued than the limit and one read, and a
-// reader that was told to stop is told to resume.
+// TestPipe: all bytes come out once and in order, no more is queued than the limit plus one read, and each
+// time the pipe asks the reader to stop it later signals that there is capacity.
 func TestPipe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1, 300).Draw(t, "limit")
@@ -55,7 +55,7 @@
 			t.Fatalf("stopped %d times, resumed %d times, full %v", stopped, resumed, p.Full())
 		}
 		p.Put([]byte("x"), Done)
-		p.Put([]byte("late"), Open) // after the end nothing counts
+		p.Put([]byte("late"), Open) // dropped, as the data has ended
 		if b, end := p.Take(nil); string(b) != "x" || end != Done {
 			t.Fatalf("%q, %v", b, end)
 		}
