--- a/internal/backend/enginequery/query_test.go
+++ b/internal/backend/enginequery/query_test.go
@@ -6,7 +6,7 @@
 	"cresspass/internal/backend/sessionparams"
 )
 
-// Guards against a description of one session's tables that another session is given.
+// Guards against a session that is given the cached description of another session's tables.
 func TestDescriptionsAreSharedByEqualSettings(t *testing.T) {
 	var none *sessionparams.Set
 	a, b := none.With("search_path", "set search_path = a"), none.With("search_path", "set search_path = b")
--- a/internal/backend/enginequery/status.go
+++ b/internal/backend/enginequery/status.go
@@ -1,6 +1,6 @@
 package enginequery
 
-// Transaction statuses, as engines report them in ReadyForQuery ("Message Formats").
+// Transaction statuses that engines report in ReadyForQuery ("Message Formats").
 const (
 	StatusIdle              byte = 'I' // no transaction is open
 	StatusInTransaction     byte = 'T'
