--- a/internal/frontend/pgfrontend/client.go
+++ b/internal/frontend/pgfrontend/client.go
@@ -25,33 +25,33 @@
 	server       *Server
 	netConn      *nbio.Conn
 	pid          uint32
-	overLimit    bool // beyond the limit of connections
+	overLimit    bool // beyond the connection limit
 	registration registry.Entry
-	lease        pgbackend.Lease // the session's hold on an engine connection
-	done         chan struct{}   // closed with the connection
+	lease        pgbackend.Lease // ties the session to an engine connection
+	done         chan struct{}   // closed when the connection closes
 
-	queuedBytes    atomic.Int64  // given to the network
-	writtenBytes   atomic.Int64  // taken by the network
-	awaitsCapacity atomic.Bool   // awaitCapacity runs
-	capacity       chan struct{} // of one: there may be capacity again
+	queuedBytes    atomic.Int64  // passed to nbio for sending, in total
+	writtenBytes   atomic.Int64  // written to the socket by nbio, in total
+	awaitsCapacity atomic.Bool   // awaitCapacity is waiting
+	capacity       chan struct{} // capacity 1; signals that there may be room again
 
-	readLock sync.Mutex                  // held by the goroutine that reads the client; taken before mu
-	copyPipe atomic.Pointer[copyin.Pipe] // takes the data of a COPY; nil: none runs
+	readLock sync.Mutex                  // held by the goroutine that reads from the client; locked before mu
+	copyPipe atomic.Pointer[copyin.Pipe] // for the data of the running COPY; nil: none
 
 	mu             sync.Mutex
 	session        *pgsession.Session
 	current        *frontend.Query
-	nextQuery      *enginequery.Query // to be submitted once current has ended in the module's books
+	nextQuery      *enginequery.Query // submitted once the decision module knows of current's end
 	closed         bool
-	admitted       bool // AdmitUser let the user in
-	readPaused     bool // too much was sent ahead
+	admitted       bool // AdmitUser has admitted the user
+	readPaused     bool // the client has sent too much ahead
 	connectionLost bool // the engine connection was lost while a query ran
-	closeWhenIdle  bool // the server drains
+	closeWhenIdle  bool // the server is draining
 	startupTimer   *time.Timer
 	drainTimer     *time.Timer // terminates a client that had just connected when a drain began
 }
 
-// onStartupTimeout terminates a connection that has not started in time.
+// onStartupTimeout terminates the connection if the client has not completed its startup.
 func (c *client) onStartupTimeout(timeout time.Duration) {
 	c.mu.Lock()
 	started := c.session.Started()
@@ -61,8 +61,8 @@
 	}
 }
 
-// rejectIfUnservable replaces the welcome of a client that has started by an error, where the client is
-// beyond a limit. The caller holds c.mu.
+// rejectIfUnservable replaces the response to the startup packet by an error if the client is beyond a limit.
+// The caller holds c.mu.
 func (c *client) rejectIfUnservable() {
 	c.registration.User = c.session.User
 	if c.session.Closing() {
@@ -79,12 +79,12 @@
 		c.admitted = ok
 	}
 	if !ok {
-		c.session.Output() // drops the welcome
+		c.session.Output() // drops the response to the startup packet
 		c.session.Terminate(sqlstate.TooManyConnections, "too many clients: "+reason)
 	}
 }
 
-// drain ends the client: at once if it is idle, otherwise after its response.
+// drain terminates the client: at once if it is idle, otherwise after its response.
 func (c *client) drain() {
 	c.mu.Lock()
 	c.closeWhenIdle = true
@@ -94,7 +94,7 @@
 		c.sendWarning("the dispatcher is shutting down, and this session is kept on an engine by " +
 			s.Affinity.Reason().String() + "; it will be ended")
 	}
-	// A client that has only just connected is served once: it came to a listener that was open.
+	// A client that has just connected may still run one query: the listener was open when it connected.
 	if !s.Started() {
 		c.terminateAfterGrace()
 	}
@@ -104,14 +104,15 @@
 	}
 }
 
-// terminateAfterGrace ends a client that connects as the server drains, unless it disconnects before.
+// terminateAfterGrace terminates a client that connected when the server began to drain, after
+// newClientGrace.
 func (c *client) terminateAfterGrace() {
 	c.drainTimer = time.AfterFunc(newClientGrace, func() {
 		c.terminate(sqlstate.AdminShutdown, shutdownMessage)
 	})
 }
 
-// terminate closes a connection from our side with a FATAL error. What runs for it is withdrawn by onClose.
+// terminate sends a FATAL error and closes the connection. onClose withdraws a running query.
 func (c *client) terminate(code, message string) {
 	c.mu.Lock()
 	c.session.Terminate(code, message)
@@ -125,29 +126,30 @@
 
 func terminationText(t affinity.Termination) string { return t.Message + ". " + t.Detail }
 
-// closeConn closes the network connection. It fails on one that has closed only.
+// closeConn closes the network connection. The error is ignored: it only fails if the connection is closed
+// already.
 func (c *client) closeConn() { _ = c.netConn.Close() }
 
-// flushOutput writes what the session has for its client. The caller holds c.mu.
+// flushOutput writes the session's pending output to the client. The caller holds c.mu.
 func (c *client) flushOutput() {
 	if b := c.session.Output(); len(b) > 0 && !c.closed {
 		c.write(b)
 	}
 }
 
-// sendWarning sends a notice. The caller holds c.mu, and no query runs.
+// sendWarning sends a notice of severity WARNING. The caller holds c.mu, and no query runs.
 func (c *client) sendWarning(text string) {
 	c.write(pgwire.AppendFields(nil, 'N',
 		&pgwire.Fields{Severity: "WARNING", Code: sqlstate.Warning, Message: text}))
 }
 
-// write gives bytes to the network. A connection that fails is closed by nbio, which calls onClose.
+// write passes bytes to nbio for sending. If the connection fails, nbio closes it and calls onClose.
 func (c *client) write(b []byte) {
 	c.queuedBytes.Add(int64(len(b)))
 	_, _ = c.netConn.Write(b)
 }
 
-// onWritten is called when the network has taken bytes.
+// onWritten is called by nbio when it has written n bytes to the socket.
 func (c *client) onWritten(n int) {
 	written := c.writtenBytes.Add(int64(n))
 	if c.awaitsCapacity.Load() && c.queuedBytes.Load()-written <= c.maxUntaken()/2 {
@@ -158,17 +160,18 @@
 	}
 }
 
-// untakenBytes returns how much of what was given to the network is not taken.
+// untakenBytes returns the number of bytes that nbio has not yet written to the socket.
 func (c *client) untakenBytes() int64 { return c.queuedBytes.Load() - c.writtenBytes.Load() }
 
 func (c *client) maxUntaken() int64 { return int64(c.server.cfg.Load().ClientBuffer) }
 
-// awaitCapacity blocks until little enough of what was sent is untaken.
+// awaitCapacity blocks until at most maxUntaken bytes wait to be written to the socket, or until the response
+// or the connection ends.
 func (c *client) awaitCapacity(responseDone <-chan struct{}) {
 	limit := c.maxUntaken()
 	for c.untakenBytes() > limit {
 		c.awaitsCapacity.Store(true)
-		if c.untakenBytes() <= limit { // capacity came before onWritten knew that it is awaited
+		if c.untakenBytes() <= limit { // written before onWritten could see awaitsCapacity
 			break
 		}
 		select {
@@ -182,7 +185,7 @@
 	c.awaitsCapacity.Store(false)
 }
 
-// onClose is called once for each connection, after it closed.
+// onClose is called once for each connection, after it has closed.
 func (c *client) onClose() {
 	c.mu.Lock()
 	c.closed = true
--- a/internal/frontend/pgfrontend/query.go
+++ b/internal/frontend/pgfrontend/query.go
@@ -14,8 +14,8 @@
 	"cresspass/internal/frontend/classify"
 )
 
-// newQuery makes the client's current query of what the session has for an engine; nil: it has nothing. The
-// caller holds c.mu.
+// newQuery creates the client's current query from engineQuery. It returns nil if engineQuery is nil or the
+// connection has closed. The caller holds c.mu.
 func (c *client) newQuery(engineQuery *enginequery.Query) *frontend.Query {
 	if engineQuery == nil || c.closed {
 		return nil
@@ -35,7 +35,7 @@
 	return q
 }
 
-// submitNext submits the client's next query, where one came after the query that ended.
+// submitNext submits the client's next query, if one arrived behind the query that has ended.
 func (c *client) submitNext() {
 	c.mu.Lock()
 	pending := c.nextQuery
@@ -47,16 +47,17 @@
 	}
 }
 
-// rejectIfStickyLimit answers a query that would make its session sticky, where no more sessions may be.
-// Nothing of it ran.
+// rejectIfStickyLimit ends a query that would make its session sticky when no more sessions may be, or whose
+// sticky session has lost its connection. It returns true if it has ended the query; nothing of the query
+// ran.
 func (c *client) rejectIfStickyLimit(q *frontend.Query) bool {
 	switch {
 	case !q.EngineQuery.Stateful || q.Lease.Engine() != "":
 		return false
-	case q.EngineQuery.Sticky: // its connection is gone, and the session with it
+	case q.EngineQuery.Sticky: // the session's connection is gone, so the session ends
 		c.onConnectionLost(q, false)
 		return true
-	case !q.EngineQuery.MayBecomeSticky: // it changes settings only
+	case !q.EngineQuery.MayBecomeSticky: // the query only changes settings
 		return false
 	}
 	reason, ok := c.server.cfg.Load().Registry.Allow(c.session.User)
@@ -69,12 +70,13 @@
 	return true
 }
 
-// settleQuery takes the end of a query at its engine.
+// settleQuery updates the session when the engine has ended its query, and decides whether the session keeps
+// the connection.
 func (c *client) settleQuery(q *frontend.Query, end pgbackend.QueryEnd) pgbackend.Disposition {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.current != q {
-		return pgbackend.Disposition{} // others have ended its response
+		return pgbackend.Disposition{} // its response has already been ended otherwise
 	}
 	a := c.session.Affinity
 	a.Params.ConnectionHad(end.Settings)
@@ -94,7 +96,7 @@
 	return pgbackend.Disposition{Known: true, Keep: keep, Settings: a.Params.OnConnection()}
 }
 
-// onConnectionLost ends the session, whose engine connection was lost while its query ran.
+// onConnectionLost ends the session after its engine connection was lost while its query ran.
 func (c *client) onConnectionLost(q *frontend.Query, sent bool) {
 	if !q.Response.Abandon() {
 		return
@@ -105,7 +107,8 @@
 	c.endSession(t)
 }
 
-// onIdleConnectionLost ends the session, whose engine connection was lost. A query that runs is ended first.
+// onIdleConnectionLost ends the session after its engine connection was lost. If a query runs, the session
+// ends with that query's response.
 func (c *client) onIdleConnectionLost() {
 	c.mu.Lock()
 	bound := c.session.Affinity.Bound()
@@ -122,7 +125,7 @@
 	}
 }
 
-// onEngineDraining notifies a session that its engine drains, and has it ended at the limit.
+// onEngineDraining notifies a session that its engine drains, and lets it expire after the given time.
 func (c *client) onEngineDraining(within time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,7 +135,7 @@
 	}
 }
 
-// terminateIfDue ends the session where its time has come.
+// terminateIfDue ends the session if one of its time limits has been reached.
 func (c *client) terminateIfDue(now time.Duration, limits affinity.Limits) {
 	c.mu.Lock()
 	if c.closed {
--- a/internal/frontend/pgfrontend/read.go
+++ b/internal/frontend/pgfrontend/read.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	readBufferSize = 32 << 10
-	// maxReadsPerTurn is how often a client is read in one go. Then another goroutine goes on, so that the
-	// polling one can serve the others.
+	readBufferSize = 32 << 10 // bytes
+	// maxReadsPerTurn is the number of reads from one client before another goroutine continues, so that the
+	// polling goroutine can serve other clients.
 	maxReadsPerTurn = 16
 )
 
-// readBuffers are held for the time of one call only.
+// readBuffers holds the read buffers. A buffer is in use only during one call of readAvailable.
 var readBuffers = sync.Pool{New: func() any { b := make([]byte, readBufferSize); return &b }}
 
-// readAvailable handles what the client has sent. Events tell of new bytes only, so it reads until there are
-// none, or until a copy's pipe is full; whoever empties that calls it again.
+// readAvailable reads and handles what the client has sent. The poller is edge-triggered and reports new
+// bytes only, so readAvailable reads until there are none, or until it pauses because a copy's pipe is full
+// or the client has sent too much ahead. It is called again once there is capacity.
 func (c *client) readAvailable() {
 	c.readLock.Lock()
 	defer c.readLock.Unlock()
@@ -39,7 +40,7 @@
 		case err == nil && n > 0:
 			c.onData((*buf)[:n])
 			if n < len(*buf) {
-				return // what comes later is a new event
+				return // bytes that arrive later cause a new event
 			}
 		case errors.Is(err, syscall.EINTR):
 		case errors.Is(err, syscall.EAGAIN):
@@ -51,8 +52,9 @@
 	}
 }
 
-// pauseIfBacklogged reports whether the client has sent so much ahead that it is left unread until its query
-// ends or asks for a copy's data, which drivers send before they are asked.
+// pauseIfBacklogged pauses reading if the client has sent too much ahead, and reports whether it did. Reading
+// resumes when the running query ends or asks for a COPY's data, which drivers may send before they are
+// asked.
 func (c *client) pauseIfBacklogged() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,7 +62,7 @@
 	return c.readPaused
 }
 
-// resumeReading reads a client on that was left unread. The caller holds c.mu.
+// resumeReading continues reading if pauseIfBacklogged has paused it. The caller holds c.mu.
 func (c *client) resumeReading() {
 	if c.readPaused {
 		c.readPaused = false
@@ -68,7 +70,7 @@
 	}
 }
 
-// onData handles bytes of the client, in whatever goroutine reads it.
+// onData handles bytes from the client. The caller holds c.readLock.
 func (c *client) onData(b []byte) {
 	c.mu.Lock()
 	started := c.session.Started()
@@ -84,7 +86,7 @@
 	pending := c.session.TakeQuery()
 	closing, cancel := c.session.Closing(), c.session.CancelRequest()
 	q := c.newQuery(pending)
-	if q == nil { // otherwise the output goes out with the query's response
+	if q == nil { // otherwise the output is sent with the query's response
 		c.flushOutput()
 	}
 	c.mu.Unlock()
@@ -103,7 +105,8 @@
 	}
 }
 
-// startCopyIn opens a COPY's pipe to the client.
+// startCopyIn starts copy-in mode and feeds the client's data into the pipe. It returns false if q is no
+// longer the client's query.
 func (c *client) startCopyIn(q *frontend.Query, p *copyin.Pipe) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,7 +119,7 @@
 	return true
 }
 
-// feedCopyPipe puts copy data into the pipe. The caller holds c.mu.
+// feedCopyPipe moves the session's copy data into the pipe, if there is one. The caller holds c.mu.
 func (c *client) feedCopyPipe() {
 	if p := c.copyPipe.Load(); p != nil {
 		if b, end := c.session.TakeCopyData(); len(b) > 0 {
--- a/internal/frontend/pgfrontend/server.go
+++ b/internal/frontend/pgfrontend/server.go
@@ -1,6 +1,7 @@
-// Package pgfrontend serves PostgreSQL clients on lesismal/nbio: a few polling goroutines serve any number of
-// connections, and an idle one has no goroutine and no buffer. It owns the client connections and their
-// limits; the protocol is package pgsession's, and queries go to the dispatcher behind package frontend.
+// Package pgfrontend serves PostgreSQL clients. It uses lesismal/nbio: a few polling goroutines serve any
+// number of connections, and an idle connection has neither a goroutine nor a buffer. The package owns the
+// client connections and their limits. Package pgsession implements the protocol, and queries go to a
+// dispatcher through the interface in package frontend.
 package pgfrontend
 
 import (
@@ -26,46 +27,47 @@
 	"cresspass/internal/protocol/sqlstate"
 )
 
-// Name is the front's in the settings of quotas.
+// Name is the front's name in the quota settings.
 const Name = "postgresql"
 
 const (
-	// maxRejectedConnections is how many connections beyond the limit receive an error; further ones are
-	// closed at once.
+	// maxRejectedConnections is the number of connections beyond the limit that receive an error; further
+	// ones are closed without a message.
 	maxRejectedConnections = 256
-	// newClientGrace is how long a client that had just connected when a drain began may take to send a
+	// newClientGrace is the time in which a client that had just connected when a drain began may send a
 	// query.
 	newClientGrace = 2 * time.Second
-	// closeDelay is how long a connection beyond all limits stays open, until the poller has registered it.
+	// closeDelay is the time for which a connection that is closed without a message stays open, so that the
+	// poller can register it first.
 	closeDelay = time.Millisecond
-	secretSize = 32
+	secretSize = 32 // bytes
 )
 
-// shutdownMessage is what clients of a dispatcher that stops are sent.
+// shutdownMessage is the error message for clients of a dispatcher that shuts down.
 const shutdownMessage = "terminating connection: the dispatcher is shutting down"
 
 // Config holds the settings of the front.
 type Config struct {
 	Session        pgsession.Config
-	MaxClients     int // further ones are answered with 53300
+	MaxClients     int // further ones are rejected with SQLSTATE 53300
 	StartupTimeout time.Duration
-	HoldBack       int   // bytes of a response that are buffered before the first goes out
-	HoldBackTotal  int64 // the same over all responses
-	ClientBuffer   int   // bytes that a client may leave untaken before the engine is no longer read
+	HoldBack       int   // bytes of a response that are buffered before any are sent
+	HoldBackTotal  int64 // limit of the bytes buffered in all responses together
+	ClientBuffer   int   // unsent bytes of one client above which its engine is no longer read
 
-	// AcquireConnection reports whether there is capacity for one more connection; ReleaseConnection gives it
-	// back.
+	// AcquireConnection reserves capacity for one more connection and returns false if there is none.
+	// ReleaseConnection frees it.
 	AcquireConnection func() bool
 	ReleaseConnection func()
-	// AdmitUser reports whether a user may have one more connection, and why not; ReleaseUser follows each
-	// that was admitted.
+	// AdmitUser reports whether a user may have one more connection, or the reason why not. ReleaseUser is
+	// called when an admitted connection has closed.
 	AdmitUser   func(user string) (reason string, ok bool)
 	ReleaseUser func(user string)
 
 	Registry *registry.Registry // of sticky sessions
 }
 
-// Server serves clients. Make one with New.
+// Server serves PostgreSQL clients. Make one with New. Its methods may be called from several goroutines.
 type Server struct {
 	cfg        atomic.Pointer[Config]
 	dispatcher frontend.Dispatcher
@@ -80,15 +82,16 @@
 	draining    bool
 	nextPID     uint32
 	acceptLoops sync.WaitGroup
-	opened      atomic.Uint64 // see clientOf
+	opened      atomic.Uint64 // connections opened so far; clientOf says what it orders
 }
 
-// New returns a server that submits queries to dispatcher.
+// New returns a running server that submits queries to dispatcher. It has no listener until Serve; Close
+// stops it.
 func New(cfg Config, dispatcher frontend.Dispatcher, log *slog.Logger) (*Server, error) {
 	logging.SetLevel(logging.LevelNone)
 	s := &Server{dispatcher: dispatcher, log: log, clients: map[uint32]*client{},
 		budget: response.BufferBudget{MaxBytes: cfg.HoldBackTotal},
-		// Edge-triggered, so that a client whose bytes have nowhere to go can be left unread at no cost.
+		// Edge-triggered, so that not reading from a client for a while costs nothing.
 		poller: nbio.NewEngine(nbio.Config{Name: Name, EpollMod: nbio.EPOLLET})}
 	s.cfg.Store(&cfg)
 	s.poller.OnOpen(s.onOpen)
@@ -101,7 +104,7 @@
 	return s, nil
 }
 
-// Serve accepts clients on a listener until Close.
+// Serve accepts clients on a listener until StopListening, Drain or Close. It does not block.
 func (s *Server) Serve(ln net.Listener) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,8 +135,8 @@
 	return len(s.clients)
 }
 
-// Pending returns the number of bytes that are buffered, or given to the network and not yet taken by
-// clients.
+// Pending returns the number of bytes that are buffered in responses or not yet written to the clients'
+// sockets.
 func (s *Server) Pending() int64 {
 	n := s.budget.Used()
 	s.mu.Lock()
@@ -144,16 +147,16 @@
 	return n
 }
 
-// Reload puts other settings in force: limits for what comes from now on.
+// Reload changes the settings. The new limits apply from now on.
 func (s *Server) Reload(change func(cfg *Config)) {
 	cfg := *s.cfg.Load()
 	change(&cfg)
 	s.cfg.Store(&cfg)
 }
 
-// Drain stops listening and terminates idle clients with 57P01; each other client is terminated after its
-// response. A sticky session stays until it is free, or until TerminateAll; one that is sticky by more than a
-// transaction is sent a notice.
+// Drain stops listening and terminates idle clients with SQLSTATE 57P01; busy clients are terminated after
+// their response. A sticky session stays until it is no longer sticky, or until TerminateAll. One that is
+// sticky because of more than a transaction is sent a notice.
 func (s *Server) Drain() {
 	s.StopListening()
 	s.mu.Lock()
@@ -165,7 +168,7 @@
 	}
 }
 
-// TerminateAll terminates all clients that are left.
+// TerminateAll terminates all remaining clients with SQLSTATE 57P01.
 func (s *Server) TerminateAll() {
 	s.mu.Lock()
 	clients := slices.Collect(maps.Values(s.clients))
@@ -175,7 +178,7 @@
 	}
 }
 
-// Close terminates all clients with 57P01 and waits until the front has stopped.
+// Close terminates all clients with SQLSTATE 57P01 and waits until the front has stopped.
 func (s *Server) Close() {
 	s.StopListening()
 	s.mu.Lock()
@@ -186,19 +189,20 @@
 	s.acceptLoops.Wait()
 }
 
-// StopListening closes the listeners; connections stay.
+// StopListening closes the listeners. Connections stay open.
 func (s *Server) StopListening() {
 	s.mu.Lock()
 	listeners := s.listeners
 	s.listeners = nil
 	s.mu.Unlock()
 	for _, ln := range listeners {
-		_ = ln.Close() // it fails on a listener that is closed already only
+		_ = ln.Close() // only fails if the listener is closed already
 	}
 }
 
-// clientOf returns a connection's client. The polling goroutine gets connections from the accepting one by
-// way of epoll, which Go's memory model does not know of; opened orders the two.
+// clientOf returns a connection's client. The polling goroutine receives connections from the accepting
+// goroutine through epoll, which is not synchronization in Go's memory model. The atomic counter opened
+// orders the two.
 func (s *Server) clientOf(nc *nbio.Conn) *client {
 	s.opened.Load()
 	return nc.Session().(*client)
@@ -217,7 +221,7 @@
 	c.lease.OnLost, c.lease.OnDrain = c.onIdleConnectionLost, c.onEngineDraining
 	c.registration.Expire = c.terminateIfDue
 	nc.SetSession(c)
-	_ = nc.SetNoDelay(true) // where it fails responses are slower, or the connection has closed
+	_ = nc.SetNoDelay(true) // on failure responses are slower, or the connection has closed
 	if rejected {
 		time.AfterFunc(closeDelay, c.closeConn)
 		return
@@ -227,7 +231,8 @@
 	c.mu.Unlock()
 }
 
-// register gives a client its PID and counts it. rejected: it must be closed without a message.
+// register assigns a PID to a client and adds it to s.clients. rejected says that the connection must be
+// closed without a message.
 func (s *Server) register(c *client, cfg *Config) (rejected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -242,8 +247,8 @@
 	return rejected
 }
 
-// handleCancel carries out a cancel request ("Canceling Requests in Progress"). A wrong secret is ignored in
-// silence.
+// handleCancel executes a cancel request ("Canceling Requests in Progress"). A request with an unknown PID or
+// a wrong secret is silently ignored.
 func (s *Server) handleCancel(r *pgsession.CancelRequest) {
 	s.mu.Lock()
 	c := s.clients[r.PID]
@@ -261,7 +266,7 @@
 	}
 }
 
-// unregister forgets a client that has closed.
+// unregister removes a client whose connection has closed.
 func (s *Server) unregister(c *client) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/pgfrontend/sink.go
+++ b/internal/frontend/pgfrontend/sink.go
@@ -10,24 +10,24 @@
 	"cresspass/internal/protocol/sqlstate"
 )
 
-// sink passes a response to its client.
+// sink writes a query's response to its client.
 type sink struct {
 	client *client
 	kind   enginequery.Kind
 }
 
-// WritePartial passes on messages of the engine.
+// WritePartial sends messages of the engine that do not end the response.
 func (k *sink) WritePartial(b []byte) {
 	c := k.client
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.flushOutput()
-	if !c.closed && !c.session.Closing() { // nothing goes out after a FATAL error
+	if !c.closed && !c.session.Closing() { // nothing is sent after a FATAL error
 		c.write(b)
 	}
 }
 
-// WriteVerdict ends the response by an ErrorResponse of the dispatcher.
+// WriteVerdict ends the response with an ErrorResponse from the dispatcher.
 func (k *sink) WriteVerdict(v *verdict.Verdict) {
 	f := &pgwire.Fields{Severity: "ERROR", Code: v.Code, Message: v.Message, Detail: v.Detail}
 	if v.RetryAfter > 0 {
@@ -36,14 +36,14 @@
 	k.WriteFinal(pgwire.AppendFields(nil, 'E', f), true)
 }
 
-// WriteFinal ends the response by the engine's last messages.
+// WriteFinal ends the response with its last messages. failed says that the last one is an ErrorResponse.
 func (k *sink) WriteFinal(b []byte, failed bool) {
 	c := k.client
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.current = nil
 	if p := c.copyPipe.Swap(nil); p != nil && p.Full() {
-		go c.readAvailable() // what the client sends now belongs to no copy
+		go c.readAvailable() // what the client sends now no longer belongs to the copy
 	}
 	t, ended := c.affinityAtEnd()
 	c.session.QueryEnded(k.kind, b, failed)
@@ -61,16 +61,16 @@
 	}
 }
 
-// affinityAtEnd updates the session's affinity at the end of a response. ended: the engine connection was
-// lost while the query ran, and the session ends with it. The caller holds c.mu.
+// affinityAtEnd updates the session's affinity at the end of a response. ended says that the session ends
+// with t, because the engine connection was lost while the query ran. The caller holds c.mu.
 func (c *client) affinityAtEnd() (t affinity.Termination, ended bool) {
 	switch {
 	case c.connectionLost:
 		t = c.session.Affinity.ConnectionLost(false)
 		ended = t.Code != ""
 	case c.lease.Engine() == "":
-		// A statement that was rejected before an engine saw it has left nothing. Without this, it would bind
-		// the session to an engine connection that does not exist.
+		// A statement that was rejected before an engine ran it has left no state. Without this reset, it
+		// would bind the session to an engine connection that does not exist.
 		c.session.Affinity.Reset()
 	}
 	return t, ended
