--- a/internal/frontend/pgfrontend/pgsession/description_test.go
+++ b/internal/frontend/pgfrontend/pgsession/description_test.go
@@ -7,7 +7,7 @@
 	"cresspass/internal/backend/enginequery"
 )
 
-// Guards against a description that a session is given of another session's tables.
+// Guards against a session that is given the cached description of another session's tables.
 func TestDescriptionsFollowSettings(t *testing.T) {
 	var asked []string // keys
 	cfg := &Config{CachedDescription: func(key string) []byte {
--- a/internal/frontend/pgfrontend/pgsession/extended.go
+++ b/internal/frontend/pgfrontend/pgsession/extended.go
@@ -10,8 +10,8 @@
 	"cresspass/internal/protocol/sqlstate"
 )
 
-// The extended protocol ("Extended Query"). Parse, Bind and Close are answered here; an engine sees a
-// statement when it is described or executed, and each connection prepares it under a name of its own.
+// The extended protocol ("Extended Query"). Parse, Bind and Close are answered here. A statement is sent to
+// an engine when it is described or executed, and each engine connection prepares it under its own name.
 
 // statement is a prepared statement.
 type statement struct {
@@ -20,12 +20,12 @@
 	parsed         []sqlscan.Statement
 }
 
-// portal is a statement with its parameters.
+// portal is a prepared statement bound to parameter values.
 type portal struct {
 	statement *statement
 	bindBody  []byte
 	executed  bool
-	atEngine  bool // it exists at the engine until the transaction ends
+	atEngine  bool // exists at the engine until the transaction ends
 }
 
 func (s *Session) handleParse(b []byte) error {
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// answersLocally reports whether the dispatcher answers a prepared statement, as the session stands now. It
-// may have been prepared when other settings were in force.
+// answersLocally reports whether the dispatcher answers a prepared statement in the session's present state.
+// The answer may differ from that at Parse, because other settings may have been in force then.
 func (s *Session) answersLocally(st *statement) bool {
 	return len(st.parsed) == 0 || s.allLocal(st.parsed)
 }
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// describePortal waits for the next message: where that executes the portal, both are one query for the
-// engine.
+// describePortal handles the Describe of a portal. Unless it is answered here, it waits for the next message:
+// if that executes the portal, both become one query for the engine.
 func (s *Session) describePortal(name []byte) {
 	switch p := s.portals[string(name)]; {
 	case p == nil:
@@ -113,8 +113,8 @@
 	}
 }
 
-// describeAlone runs a portal's Describe as a query of its own, where the next message m does not execute the
-// portal. m is deferred until the query has ended.
+// describeAlone submits the waiting Describe of a portal as a separate query and returns true, unless the
+// next message m executes that portal. m is deferred until the query has ended.
 func (s *Session) describeAlone(m pgwire.Message) bool {
 	if m.Type == 'E' {
 		name, _, err := pgwire.ParseExecute(m.Body)
@@ -181,7 +181,7 @@
 	return nil
 }
 
-// executePortal executes a portal for the first time. In a transaction it exists at the engine from then on.
+// executePortal executes a portal for the first time. In a transaction, the portal then exists at the engine.
 func (s *Session) executePortal(p *portal, name []byte, maxRows int32, withDescribe bool) {
 	q := &enginequery.Query{Kind: enginequery.Execute, Text: p.statement.text, Parsed: p.statement.parsed,
 		ParameterTypes: p.statement.parameterTypes, BindBody: p.bindBody, WithDescribe: withDescribe,
--- a/internal/frontend/pgfrontend/pgsession/golden_test.go
+++ b/internal/frontend/pgfrontend/pgsession/golden_test.go
@@ -12,13 +12,13 @@
 	"cresspass/internal/protocol/pgwire"
 )
 
-// event is something that happens to a session.
+// event is one input of a session.
 type event func(s *Session)
 
-// send has the client send bytes.
+// send returns the event that the client sends bytes.
 func send(b []byte) event { return func(s *Session) { s.Receive(b) } }
 
-// finish ends the query that is out as an engine's answer does.
+// finish returns the event that an engine ends the running query.
 func finish(kind enginequery.Kind, tag string, status byte, b []byte, failed bool) event {
 	return func(s *Session) {
 		if tag != "" {
@@ -29,7 +29,7 @@
 	}
 }
 
-// copyMode is the engine's CopyInResponse.
+// copyMode is the event that an engine sends CopyInResponse.
 func copyMode(s *Session) { s.StartCopyIn() }
 
 func startup(parameters ...string) event {
@@ -38,7 +38,7 @@
 
 func query(text string) event { return send(pgwire.AppendText(nil, 'Q', text)) }
 
-// extended sends messages of the extended protocol, and a Sync.
+// extended returns the event that the client sends messages of the extended protocol and a Sync.
 func extended(all ...[]byte) event {
 	var b []byte
 	for _, m := range all {
@@ -47,7 +47,7 @@
 	return send(pgwire.AppendSync(b))
 }
 
-// The messages of a client, and the end of a query at an engine.
+// The startup of a client, and the last messages of a successful and of a failed query.
 var (
 	user   = startup("user", "u")
 	done   = pgwire.AppendText(nil, 'C', "SELECT 1")
@@ -67,14 +67,14 @@
 
 func execute(portal string, rows int32) []byte { return pgwire.AppendExecute(nil, portal, rows) }
 
-// conversation is what happens to one session.
+// conversation is a named sequence of events of one session.
 type conversation struct {
 	name   string
 	events []event
 }
 
-// TestClientBytesAreStable plays conversations with clients and compares all that a client is sent, and all
-// that is put to an engine, with what the version that introduced this test gave.
+// TestClientBytesAreStable plays conversations with clients and compares everything sent to the client and
+// every query for an engine with the output of the version that introduced this test.
 func TestClientBytesAreStable(t *testing.T) {
 	var got strings.Builder
 	for _, c := range slices.Concat(startupConversations(), queryConversations(), extendedConversations(),
@@ -204,7 +204,7 @@
 	}
 }
 
-// violationConversations break the protocol, or its limits, or use messages that are ignored.
+// violationConversations violate the protocol or a limit, or use messages that are ignored.
 func violationConversations() []conversation {
 	return []conversation{
 		{"function call", []event{user, send(pgwire.Append(nil, 'F', []byte{1}))}},
@@ -224,7 +224,7 @@
 	}
 }
 
-// copyConversations copy data into the engine, or end.
+// copyConversations copy data into an engine; the last one is terminated by the server.
 func copyConversations() []conversation {
 	return []conversation{
 		{"copy", []event{user, query("copy t from stdin"), copyMode, send(pgwire.Append(nil, 'd',
@@ -243,11 +243,11 @@
 	}
 }
 
-// transcribe writes what a session has to say after an event: one line a message, one for a query.
+// transcribe writes a session's outputs and state after an event: a line for each message, two for a query.
 func transcribe(w *strings.Builder, s *Session) {
 	w.WriteString("--\n")
 	for b := s.Output(); len(b) > 0; {
-		if b[0] == 'N' && len(b) == 1 { // the answer to a request for encryption is no message
+		if b[0] == 'N' && len(b) == 1 { // the answer to a request for encryption has no message format
 			w.WriteString("client N\n")
 			break
 		}
--- a/internal/frontend/pgfrontend/pgsession/local.go
+++ b/internal/frontend/pgfrontend/pgsession/local.go
@@ -13,11 +13,12 @@
 	"cresspass/internal/protocol/sqlstate"
 )
 
-// Statements that the dispatcher answers itself: those that ask for what is in force anyway, or that are
-// about state that is stored here.
+// Statements that the dispatcher answers itself: those about values that are always in force, or about state
+// that the session stores here.
 
-// allLocal reports whether the dispatcher answers a text. While the session is on an engine connection
-// statements go there, as the engine's own settings count; but prepared statements are stored here.
+// allLocal reports whether the dispatcher answers a text. While the session holds an engine connection,
+// statements go there because the engine's own settings count, except for prepared statements, which are
+// stored here.
 func (s *Session) allLocal(parsed []sqlscan.Statement) bool {
 	if len(parsed) == 1 && parsed[0].Words[0] == "DEALLOCATE" &&
 		s.statements[deallocateName(&parsed[0])] != nil {
@@ -34,9 +35,9 @@
 	return len(parsed) > 0
 }
 
-// allShowDispatcherSettings reports whether a text of a session on an engine connection only asks for
-// settings that no engine is sent: the engine would answer with its own. Where a function may have set one,
-// and in a failed transaction, the engine has the word.
+// allShowDispatcherSettings reports whether the dispatcher answers a text of a session that holds an engine
+// connection, because it only asks for the dispatcher's own settings, for which the engine would return its
+// own values. If a function may have set one of them, or in a failed transaction, the engine must answer.
 func (s *Session) allShowDispatcherSettings(parsed []sqlscan.Statement) bool {
 	if s.Affinity.Status() == enginequery.StatusFailedTransaction ||
 		s.Affinity.Holds(affinity.ReasonUnknownEffect) {
@@ -50,8 +51,8 @@
 	return len(parsed) > 0
 }
 
-// isLocal reports whether the dispatcher answers a statement of a session that is on no engine connection.
-// All other statements about settings are an engine's to judge; they are replayed, or make the session
+// isLocal reports whether the dispatcher answers a statement of a session that holds no engine connection.
+// All other statements about settings go to an engine; their settings are replayed, or make the session
 // sticky.
 func (s *Session) isLocal(st *sqlscan.Statement) bool {
 	settings := s.Affinity.Params.Desired()
@@ -66,7 +67,7 @@
 			name = "timezone"
 		}
 		return localSettingNames[name] && settings.Statement(name) == ""
-	case "RESET", "DISCARD": // a session on no connection that has set nothing has nothing at an engine
+	case "RESET", "DISCARD": // without changed settings there is nothing to reset at an engine
 		return s.Affinity.Params.Unchanged()
 	case "DEALLOCATE":
 		return true
@@ -74,7 +75,7 @@
 	return false
 }
 
-// executeLocal answers a statement. It returns false where the statement ended in an error.
+// executeLocal answers a statement. It returns false if the statement failed.
 func (s *Session) executeLocal(st *sqlscan.Statement, withDescription bool) bool {
 	var err *settingError
 	switch st.Words[0] {
@@ -94,13 +95,13 @@
 	}
 	tag := st.Words[0]
 	if tag == "DISCARD" || tag == "DEALLOCATE" && st.Words[1] == "ALL" {
-		tag += " " + st.Words[1] // "Message Formats": CommandComplete names what was discarded
+		tag += " " + st.Words[1] // "Message Formats": the tag names what was discarded
 	}
 	s.out = pgwire.AppendText(s.out, 'C', tag)
 	return true
 }
 
-// resetLocal executes RESET and DISCARD.
+// resetLocal executes RESET or DISCARD.
 func (s *Session) resetLocal(st *sqlscan.Statement) {
 	s.settings.apply(st)
 	if st.Words[0] == "DISCARD" && st.Words[1] == "ALL" {
@@ -108,7 +109,7 @@
 	}
 }
 
-// deallocate executes DEALLOCATE.
+// deallocate executes a DEALLOCATE of the given name.
 func (s *Session) deallocate(name string) *settingError {
 	switch {
 	case strings.EqualFold(name, "all"):
@@ -122,7 +123,7 @@
 	return nil
 }
 
-// deallocateName returns the name in a DEALLOCATE.
+// deallocateName returns the statement name in a DEALLOCATE, without quotes.
 func deallocateName(st *sqlscan.Statement) string {
 	const prepare = "PREPARE "
 	rest := strings.TrimSpace(st.Text[len("DEALLOCATE"):])
@@ -132,7 +133,7 @@
 	return strings.Trim(rest, `"`)
 }
 
-// show executes SHOW.
+// show executes a SHOW.
 func (s *Session) show(st *sqlscan.Statement, withDescription bool) *settingError {
 	name, value, ok := s.showValue(st)
 	if !ok {
@@ -146,7 +147,7 @@
 	return nil
 }
 
-// localDescription describes the result of a statement that the dispatcher answers.
+// localDescription returns the RowDescription or NoData message for a statement that the dispatcher answers.
 func (s *Session) localDescription(st *statement) []byte {
 	if len(st.parsed) == 1 && st.parsed[0].Words[0] == "SHOW" {
 		name, _, _ := s.showValue(&st.parsed[0])
--- a/internal/frontend/pgfrontend/pgsession/localsettings.go
+++ b/internal/frontend/pgfrontend/pgsession/localsettings.go
@@ -10,17 +10,17 @@
 	"cresspass/internal/protocol/sqlstate"
 )
 
-// The settings of the dispatcher itself.
+// Names of the dispatcher's own settings.
 const (
 	settingStatementTimeout = "statement_timeout"
 	settingApplicationName  = "application_name"
 )
 
-// dispatcherSettings are the settings that no engine is sent.
+// dispatcherSettings holds the dispatcher's own settings, which are not replayed on engines.
 var dispatcherSettings = map[string]bool{settingStatementTimeout: true, settingApplicationName: true}
 
-// localSettingNames are the settings that are stored here: those with one value that changes no result, and
-// those of the dispatcher itself.
+// localSettingNames holds the settings whose SHOW the dispatcher answers: those that have a single accepted
+// value, and the dispatcher's own.
 var localSettingNames = map[string]bool{
 	settingStatementTimeout: true, settingApplicationName: true, "client_encoding": true,
 	"datestyle": true, "timezone": true, "standard_conforming_strings": true, "extra_float_digits": true,
@@ -29,14 +29,14 @@
 	"server_encoding": true, "time zone": true, "integer_datetimes": true,
 }
 
-// defaultValues are the values of settings that the client has not set.
+// defaultValues holds the values of settings that the client has not set.
 var defaultValues = map[string]string{
 	"client_encoding": "UTF8", "server_encoding": "UTF8", "datestyle": "ISO, MDY", "timezone": "UTC",
 	"time zone": "UTC", "standard_conforming_strings": "on", "extra_float_digits": "1",
 	"integer_datetimes": "on", "default_transaction_read_only": "off",
 }
 
-// settingError is why a statement about settings fails, in the terms of an ErrorResponse.
+// settingError is the SQLSTATE and message of a failed statement about settings.
 type settingError struct{ code, message string }
 
 // normalizedValue returns a value in lower case and without quotes.
@@ -44,8 +44,8 @@
 
 func unquoted(value string) string { return strings.Trim(strings.TrimSpace(value), "'\"") }
 
-// isFixedValue reports whether a setting asks for what is in force anyway, on engines and here. No other
-// value is accepted here: to accept a setting and then ignore it would silently change results.
+// isFixedValue reports whether the value of a setting is the one that is always in force, at engines and
+// here. No other value is accepted here: accepting a setting and ignoring it would silently change results.
 func isFixedValue(name, value string) bool {
 	value = normalizedValue(value)
 	switch name {
@@ -59,14 +59,14 @@
 	case "standard_conforming_strings":
 		return value == "on" || value == "true"
 	case "extra_float_digits":
-		return value == "1" || value == "2" || value == "3" // all mean the shortest exact form
+		return value == "1" || value == "2" || value == "3" // all mean the shortest exact output
 	case "default_transaction_read_only":
 		return value == "off" || value == "false"
 	}
 	return false
 }
 
-// setLocal accepts a setting that is stored here, or that asks for what is in force anyway.
+// setLocal stores the value of a setting, or resets the setting if the value is DEFAULT.
 func (s *Session) setLocal(name, value string) *settingError {
 	if isDefaultKeyword(value) {
 		s.settings.applyReset(name)
@@ -81,12 +81,12 @@
 	return nil
 }
 
-// shownSetting returns the name in a SHOW.
+// shownSetting returns the name of the setting in a SHOW, in lower case.
 func shownSetting(st *sqlscan.Statement) string {
 	return strings.ToLower(strings.TrimSpace(st.Text[len("SHOW"):]))
 }
 
-// showValue returns the value that a SHOW asks for, and the name of its column.
+// showValue returns the column name and the value of a SHOW. ok is false if the setting is unknown here.
 func (s *Session) showValue(st *sqlscan.Statement) (name, value string, ok bool) {
 	name = shownSetting(st)
 	switch name {
@@ -108,16 +108,16 @@
 	return name, value, ok
 }
 
-// timeoutUnits are the units of time of a setting.
+// timeoutUnits maps the time units that a setting's value may have to their lengths.
 var timeoutUnits = map[string]time.Duration{
 	"us": time.Microsecond, "ms": time.Millisecond, "s": time.Second, "min": time.Minute, "h": time.Hour,
 	"d": 24 * time.Hour,
 }
 
-// maxTimeout is the longest timeout in nanoseconds; a longer one could overflow a Duration.
+// maxTimeout is the longest accepted timeout in nanoseconds; a longer one could overflow a time.Duration.
 const maxTimeout = 1e18
 
-// formatTimeout returns a timeout as SHOW gives it.
+// formatTimeout formats a timeout as SHOW returns it.
 func formatTimeout(timeout time.Duration) string {
 	if timeout == 0 {
 		return "0"
@@ -125,7 +125,8 @@
 	return fmt.Sprintf("%dms", timeout/time.Millisecond)
 }
 
-// parseTimeout parses a timeout as PostgreSQL does: a number of milliseconds, or a number with a unit.
+// parseTimeout parses a timeout as PostgreSQL does: a number of milliseconds, or a number with a unit. It
+// returns false if the value is no valid timeout.
 func parseTimeout(value string) (time.Duration, bool) {
 	value = strings.TrimSpace(value)
 	if n, err := strconv.ParseInt(value, 10, 32); err == nil && n >= 0 {
--- a/internal/frontend/pgfrontend/pgsession/query.go
+++ b/internal/frontend/pgfrontend/pgsession/query.go
@@ -10,7 +10,7 @@
 	"cresspass/internal/protocol/sqlscan"
 )
 
-// handleQuery handles a Query: a text of any number of statements.
+// handleQuery handles a Query message, whose text holds any number of statements.
 func (s *Session) handleQuery(b []byte) error {
 	raw, err := pgwire.ParseQuery(b)
 	if err != nil {
@@ -32,7 +32,8 @@
 	return nil
 }
 
-// executeAllLocal answers the statements of a text. An error ends the text and undoes what it has set.
+// executeAllLocal answers all statements of a text. An error ends the text and undoes the settings it has
+// changed.
 func (s *Session) executeAllLocal(parsed []sqlscan.Statement) {
 	before := s.settings.settingScopes
 	for i := range parsed {
@@ -43,26 +44,26 @@
 	}
 }
 
-// scan parses a text.
+// scan splits a text into its statements.
 func (s *Session) scan(text string) []sqlscan.Statement {
 	return enginequery.ParseStatements(text, s.cfg.StatelessFunction)
 }
 
-// submit makes a query the one that runs. It waits for TakeQuery.
+// submit makes q the running query. TakeQuery returns it.
 func (s *Session) submit(q *enginequery.Query) {
 	s.pendingQuery, s.phase = q, phaseBusy
 	q.Sticky = s.Affinity.Bound()
 	status := s.Affinity.Status()
 	q.OutsideTransaction = status == enginequery.StatusIdle
 	q.Settings = s.Affinity.Params.Desired()
-	var statements []sqlscan.Statement // none run where one is only described
+	var statements []sqlscan.Statement // empty for a Describe, which runs none
 	if q.Kind == enginequery.Simple || q.Kind == enginequery.Execute {
 		statements = q.Parsed
 		s.Affinity.StatementsSent(statements)
 	}
 	s.settings.statementsSent(statements, status)
-	// A query that makes the session sticky may yet be rejected before an engine saw it; QueryEnded then says
-	// that no connection is held.
+	// A query that would make the session sticky may still be rejected before an engine runs it. The session
+	// then holds no connection when the query ends.
 	q.MayBecomeSticky = !q.Sticky && (s.Affinity.Bound() || slices.ContainsFunc(q.Parsed, mayLeaveState))
 	q.Stateful = q.Sticky || q.MayBecomeSticky || sessionparams.ChangesAny(q.Parsed)
 }
--- a/internal/frontend/pgfrontend/pgsession/session.go
+++ b/internal/frontend/pgfrontend/pgsession/session.go
@@ -1,8 +1,8 @@
-// Package pgsession is one client's side of the PostgreSQL protocol, without sockets: bytes of the client and
-// ends of queries go in, bytes for the client and queries for engines come out. It decides what the
-// dispatcher answers itself (startup, Parse, Bind, Sync, a few settings), what is a query for an engine,
-// and what is skipped after an error. It decides nothing about engines, and does no I/O. Sections named are
-// of PostgreSQL's chapter "Frontend/Backend Protocol".
+// Package pgsession implements the server side of the PostgreSQL protocol for one client, without sockets.
+// Its inputs are the client's bytes and the ends of queries; its outputs are bytes for the client and queries
+// for engines. It decides what the dispatcher answers itself (startup, Parse, Bind, Sync, a few settings),
+// what is a query for an engine, and what is skipped after an error. It decides nothing about engines, and
+// does no I/O. Section names in comments refer to PostgreSQL's chapter "Frontend/Backend Protocol".
 package pgsession
 
 import (
@@ -19,46 +19,46 @@
 const (
 	defaultMaxPending  = 1 << 20 // bytes
 	defaultMaxPrepared = 1000    // statements
-	// maxIdleOutput is the largest output buffer that a session keeps while its client is idle.
+	// maxIdleOutput is the largest output buffer, in bytes, that a session keeps while its client is idle.
 	maxIdleOutput = 1 << 12
 )
 
-// Config is what all sessions share.
+// Config holds the settings that all sessions share.
 type Config struct {
 	ServerVersion string // server_version sent to clients
-	MaxMessage    int    // bytes; 0: the default of package pgwire
+	MaxMessage    int    // largest message body in bytes; 0: the default of package pgwire
 	MaxPending    int    // bytes that a client may send ahead while a query runs; 0: 1 MiB
 	MaxPrepared   int    // prepared statements of a client; 0: 1,000
-	// CachedDescription returns an engine's response to the Describe of a statement, by its PrepareKey; nil:
-	// none is cached.
+	// CachedDescription returns an engine's response to the Describe of a statement by the query's
+	// DescriptionKey, or nil if none is cached. A nil function means that nothing is cached.
 	CachedDescription func(key string) []byte
-	// StatelessFunction reports whether a function leaves no state in a session; nil: none is known to.
+	// StatelessFunction reports whether a function leaves no state in a session. It may be nil.
 	StatelessFunction func(name string) bool
 }
 
-// CancelRequest is a client's request to cancel what another connection runs.
+// CancelRequest is a client's request to cancel the query of another connection.
 type CancelRequest struct {
 	PID    uint32
 	Secret string
 }
 
-// phase is where a connection is in the protocol's message flow.
+// phase is the state of a connection in the protocol's message flow.
 type phase int
 
 const (
-	phaseStart   phase = iota // the startup packet has not come
+	phaseStart   phase = iota // the startup packet has not arrived
 	phaseIdle                 // no query runs
 	phaseBusy                 // a query runs
-	phaseClosing              // the connection is to be closed
+	phaseClosing              // the connection must be closed
 )
 
-// Session is the protocol state of one client. It is for one goroutine at a time.
+// Session is the protocol state of one client. It is not safe for concurrent use.
 type Session struct {
 	User, Database string
-	PID            uint32 // names the session in cancel requests, as does Secret
+	PID            uint32 // identifies the session in cancel requests, together with Secret
 	Secret         string
 
-	Affinity *affinity.Session // whether the session has to stay on one engine connection
+	Affinity *affinity.Session // tracks whether the session must keep one engine connection
 
 	cfg    *Config
 	phase  phase
@@ -70,44 +70,45 @@
 
 	statements      map[string]*statement
 	portals         map[string]*portal
-	skipToSync      bool   // an error came: messages are skipped until Sync
-	describedPortal string // name of the portal whose Describe waits for the next message...
-	describePending bool   // ...where one does
+	skipToSync      bool   // after an error: messages are skipped until Sync
+	describedPortal string // name of the portal whose Describe waits, if describePending
+	describePending bool   // the Describe of a portal waits for the next message
 	deferred        pgwire.Message
 	hasDeferred     bool
 	settings        settingTracker
-	startupReports  map[string]string // startup values of replayed settings that are reported, by lower name
+	startupReports  map[string]string // startup values of reported settings, by name in lower case
 
-	bytesAhead int        // bytes of the client that wait
+	bytesAhead int        // bytes received but not yet handled
 	copyIn     bool       // in copy-in mode
-	copyData   []byte     // messages for the engine
-	copyEnd    copyin.End // how they end
+	copyData   []byte     // copy messages for the engine
+	copyEnd    copyin.End // how the data ends after copyData
 }
 
-// New returns a session that waits for its startup packet. The PID and secret name it in cancel requests; a
-// secret is 32 bytes, of which clients before version 3.2 get the first four.
+// New returns a session that waits for its startup packet. The PID and secret identify it in cancel requests.
+// The secret has 32 bytes; clients before protocol version 3.2 get the first four.
 func New(cfg *Config, pid uint32, secret string) *Session {
 	s := &Session{cfg: cfg, PID: pid, Secret: secret, Affinity: affinity.NewSession()}
 	s.reader.Startup, s.reader.Max = true, cfg.MaxMessage
 	return s
 }
 
-// StatementTimeout is the client's limit of a query's time; 0: none.
+// StatementTimeout returns the time limit that the client has set for each query; 0 means none.
 func (s *Session) StatementTimeout() time.Duration { return s.settings.current.statementTimeout }
 
-// Application is the client's application name.
+// Application returns the client's application name.
 func (s *Session) Application() string { return s.settings.current.application }
 
-// Closing reports whether the connection is to be closed once the output is sent.
+// Closing reports whether the connection must be closed once the output is sent.
 func (s *Session) Closing() bool { return s.phase == phaseClosing }
 
-// Started reports whether the startup packet has been accepted.
+// Started reports whether the startup phase is over.
 func (s *Session) Started() bool { return s.phase != phaseStart }
 
 // Busy reports whether a query runs.
 func (s *Session) Busy() bool { return s.phase == phaseBusy }
 
-// Output returns the bytes for the client since the last call, valid until the next call of any method.
+// Output returns the bytes for the client since the last call. They are valid until the next call of any
+// method.
 func (s *Session) Output() []byte {
 	b := s.out
 	s.out = s.out[:0]
@@ -117,17 +118,17 @@
 	return b
 }
 
-// TakeQuery returns the query to be run now, once, or nil. QueryEnded must follow each.
+// TakeQuery returns the query to run now, or nil. It returns each query once; QueryEnded must follow each.
 func (s *Session) TakeQuery() *enginequery.Query {
 	q := s.pendingQuery
 	s.pendingQuery = nil
 	return q
 }
 
-// CancelRequest returns the cancel request that this connection brought, or nil.
+// CancelRequest returns the cancel request that arrived on this connection, or nil.
 func (s *Session) CancelRequest() *CancelRequest { return s.cancelRequest }
 
-// Receive takes bytes of the client. It keeps no reference to them.
+// Receive handles bytes from the client. It keeps no reference to them.
 func (s *Session) Receive(b []byte) {
 	if s.phase == phaseClosing {
 		return
@@ -139,7 +140,7 @@
 	}
 }
 
-// Backlogged reports whether so much was sent ahead of the query that runs that the client should not be read
+// Backlogged reports whether the client has sent so much ahead while a query runs that it should not be read
 // until QueryEnded or StartCopyIn.
 func (s *Session) Backlogged() bool {
 	return s.phase == phaseBusy && !s.copyIn && 2*s.bytesAhead > s.maxPending()
@@ -152,8 +153,8 @@
 	return s.cfg.MaxPending
 }
 
-// QueryEnded reports the end of the query of the last TakeQuery. b are the last messages of its response,
-// without ReadyForQuery; failed says that an ErrorResponse ended it.
+// QueryEnded ends the query of the last TakeQuery. b holds the last messages of its response, without
+// ReadyForQuery; failed says that an ErrorResponse ended it.
 func (s *Session) QueryEnded(kind enginequery.Kind, b []byte, failed bool) {
 	if s.phase != phaseBusy {
 		return
@@ -173,30 +174,31 @@
 	s.processInput(nil)
 }
 
-// CommandComplete takes a CommandComplete of the engine for the query that runs.
+// CommandComplete records a command tag of the engine for the running query.
 func (s *Session) CommandComplete(tag string) {
 	s.Affinity.CommandComplete(tag)
 	s.settings.commandComplete(tag)
 	if tag == "DISCARD ALL" || tag == "DEALLOCATE ALL" {
-		clear(s.statements) // "DISCARD": statements prepared by the protocol are among them
+		clear(s.statements) // "DISCARD": includes statements prepared by the extended protocol
 	}
 }
 
-// ReadyForQuery takes the transaction status of the engine's ReadyForQuery at a time, after the tags of the
-// query. changed says that the session has just become bound to its engine connection, or has ceased to be.
+// ReadyForQuery records the transaction status of the engine's ReadyForQuery at the time now. It is called
+// after the query's command tags. changed says that the session has become bound to its engine connection, or
+// is no longer bound.
 func (s *Session) ReadyForQuery(now time.Duration, status byte) (changed bool) {
 	s.settings.readyForQuery(status)
 	return s.Affinity.ReadyForQuery(now, status)
 }
 
-// Terminate ends the session from our side with a FATAL error.
+// Terminate ends the session with a FATAL error, unless it is closing already.
 func (s *Session) Terminate(code, message string) {
 	if s.phase != phaseClosing {
 		s.failFatal(code, message)
 	}
 }
 
-// processInput handles what the client has sent, b being new, as far as no query runs.
+// processInput adds b to the client's unhandled bytes and handles the messages that can be handled now.
 func (s *Session) processInput(b []byte) {
 	s.reader.Push(b)
 	s.handleMessages()
@@ -225,7 +227,7 @@
 	}
 }
 
-// handleMessage handles one message outside of startup and copy-in mode.
+// handleMessage handles one message outside startup and copy-in mode.
 func (s *Session) handleMessage(m pgwire.Message) {
 	if s.skipToSync && m.Type != 'S' && m.Type != 'X' {
 		return // "Extended Query": after an error all messages are discarded until Sync
@@ -246,8 +248,8 @@
 		err = s.handleClose(m.Body)
 	case 'S': // Sync
 		s.handleSync()
-	case 'H': // Flush: responses are never held back
-	case 'd', 'c', 'f': // CopyData, CopyDone, CopyFail: outside of copy-in mode they are ignored as specified
+	case 'H': // Flush: output is not held back here
+	case 'd', 'c', 'f': // CopyData, CopyDone, CopyFail: ignored outside copy-in mode, as specified
 	case 'F': // FunctionCall
 		s.failStatement(sqlstate.FeatureNotSupported, "function calls by number are not served")
 		s.out = pgwire.AppendReady(s.out, s.Affinity.Status())
@@ -268,13 +270,13 @@
 	s.phase = phaseClosing
 }
 
-// failProtocol ends the session of a client that breaks the protocol.
+// failProtocol ends the session because the client violates the protocol.
 func (s *Session) failProtocol(err error) {
 	s.failFatal(sqlstate.ProtocolViolation, "protocol violation: "+err.Error())
 }
 
-// failStatement answers a message with an ERROR. In the extended protocol all messages up to Sync are skipped
-// then.
+// failStatement answers a message with an ERROR. In the extended protocol, the messages up to Sync are then
+// skipped.
 func (s *Session) failStatement(code, message string) {
 	s.out = pgwire.AppendFields(s.out, 'E', &pgwire.Fields{Severity: "ERROR", Code: code, Message: message})
 	s.skipToSync = true
--- a/internal/frontend/pgfrontend/pgsession/settingscope.go
+++ b/internal/frontend/pgfrontend/pgsession/settingscope.go
@@ -10,14 +10,15 @@
 	"cresspass/internal/protocol/sqlscan"
 )
 
-// settingValues are the values of the settings that are stored here. stored is not changed in place.
+// settingValues holds the values of the settings that the dispatcher stores. It is copied by value; the map
+// stored is never changed in place.
 type settingValues struct {
 	statementTimeout time.Duration // 0: none
 	application      string
 	stored           map[string]string // of other settings, by name
 }
 
-// set returns the values after a SET. false: the value is not one of the setting.
+// set returns the values after a SET, or false if the value is not valid for the setting.
 func (v settingValues) set(name, value string) (settingValues, bool) {
 	switch name {
 	case settingStatementTimeout:
@@ -63,36 +64,36 @@
 	return v
 }
 
-// settingScopes are the values in force, and those that the end of a transaction puts in force.
+// settingScopes holds the values in force now and those in force after the transaction commits.
 type settingScopes struct {
-	current settingValues // with what SET LOCAL has set
+	current settingValues // in force now, including SET LOCAL
 	session settingValues // in force after a COMMIT
 }
 
-// savepoint is the values in force when a savepoint was set.
+// savepoint holds the values at the time of a SAVEPOINT.
 type savepoint struct {
 	name   string
 	scopes settingScopes
 }
 
-// settingTracker follows the settings that are stored here through statements and transactions, those that
-// engines run among them ("SET": "the effects ... disappear when the transaction is rolled back"). The
-// engine's tags tell which statements have run.
+// settingTracker tracks the settings that the dispatcher stores through statements and transactions,
+// including those that engines run ("SET": "the effects ... disappear when the transaction is rolled back").
+// The engine's command tags show which statements have run.
 type settingTracker struct {
 	settingScopes
-	startup       settingValues // what RESET and DISCARD ALL return to
+	startup       settingValues // in force after RESET ALL or DISCARD ALL
 	beforeTx      settingValues // in force after a ROLLBACK
 	inTransaction bool
 	savepoints    []savepoint
 
 	sent      []sqlscan.Statement // of the query that an engine runs
-	completed int                 // statements of sent whose tag has come
+	completed int                 // number of statements of sent whose tag has arrived
 }
 
-// start takes the values of the startup packet.
+// start makes the current values, those of the startup packet, the startup values.
 func (t *settingTracker) start() { t.session, t.startup = t.current, t.current }
 
-// statementsSent takes the statements of a query that goes to an engine.
+// statementsSent records that a query with these statements is sent to an engine.
 func (t *settingTracker) statementsSent(statements []sqlscan.Statement, status byte) {
 	t.sent, t.completed = statements, 0
 	if status == enginequery.StatusIdle {
@@ -100,12 +101,13 @@
 	}
 }
 
-// beginTransaction remembers what a ROLLBACK returns to. A text of several statements is a transaction too.
+// beginTransaction saves the values that a ROLLBACK restores. A text of several statements is a transaction
+// too.
 func (t *settingTracker) beginTransaction() {
 	t.session, t.beforeTx, t.savepoints = t.current, t.current, nil
 }
 
-// commandComplete takes the tag of the next statement sent.
+// commandComplete records the command tag of the next statement of the running query.
 func (t *settingTracker) commandComplete(tag string) {
 	if t.completed >= len(t.sent) {
 		return
@@ -132,13 +134,13 @@
 	}
 }
 
-// readyForQuery takes the end of the query, with its transaction status.
+// readyForQuery records the end of the query, with its transaction status.
 func (t *settingTracker) readyForQuery(status byte) {
 	if status != enginequery.StatusIdle {
 		t.inTransaction = true
 		return
 	}
-	if t.inTransaction || t.completed < len(t.sent) { // an error undid what the text had set
+	if t.inTransaction || t.completed < len(t.sent) { // an error undid what the query had set
 		t.current = t.beforeTx
 	} else {
 		t.current = t.session
@@ -147,7 +149,7 @@
 	t.beginTransaction()
 }
 
-// rollBackTo returns to a savepoint, which stays.
+// rollBackTo restores the values of a savepoint, which stays defined.
 func (t *settingTracker) rollBackTo(name string) {
 	for i, s := range slices.Backward(t.savepoints) {
 		if s.name == name {
@@ -167,7 +169,7 @@
 	return strings.ToLower(name)
 }
 
-// apply takes a SET, RESET or DISCARD that has run.
+// apply applies a SET, RESET or DISCARD that has run.
 func (t *settingTracker) apply(st *sqlscan.Statement) {
 	switch st.Words[0] {
 	case "SET":
@@ -203,7 +205,7 @@
 	}
 }
 
-// allSettings stands for the name of every setting.
+// allSettings, in place of a setting's name, stands for all settings.
 const allSettings = ""
 
 func (t *settingTracker) applyReset(name string) {
@@ -215,7 +217,7 @@
 	t.session = t.session.reset(name, t.startup)
 }
 
-// resetName returns the name of the setting in a RESET, in lower case; allSettings: all of them.
+// resetName returns the name of the setting in a RESET, in lower case, or allSettings for RESET ALL.
 func resetName(st *sqlscan.Statement) string {
 	switch {
 	case st.Words[1] == "ALL":
--- a/internal/frontend/pgfrontend/pgsession/settingscope_test.go
+++ b/internal/frontend/pgfrontend/pgsession/settingscope_test.go
@@ -7,7 +7,7 @@
 	"cresspass/internal/backend/enginequery"
 )
 
-// Guards against a setting that is lost, because an earlier query was rejected before an engine ran it.
+// Guards against a setting that is lost because an earlier query was rejected before an engine ran it.
 func TestRejectedQueryUndoesNoLaterSetting(t *testing.T) {
 	s := New(&Config{}, 7, strings.Repeat("k", 32))
 	rejected := func(s *Session) { s.QueryEnded(enginequery.Simple, failed, true) } // no engine ran it
--- a/internal/frontend/pgfrontend/pgsession/startup.go
+++ b/internal/frontend/pgfrontend/pgsession/startup.go
@@ -10,10 +10,10 @@
 	"cresspass/internal/protocol/sqlstate"
 )
 
-// protocolOption is the prefix of startup parameters that are options of the protocol itself.
+// protocolOption is the name prefix of startup parameters that are protocol options.
 const protocolOption = "_pq_."
 
-// legacySecretSize is the length of the secret that clients before version 3.2 expect.
+// legacySecretSize is the length in bytes of the secret that clients before protocol version 3.2 expect.
 const legacySecretSize = 4
 
 // handleStartup handles a packet of the startup phase.
@@ -23,7 +23,7 @@
 	case err != nil:
 		s.failFatal(sqlstate.ProtocolViolation, err.Error())
 	case p.Code == pgwire.CodeTLS || p.Code == pgwire.CodeGSS:
-		s.out = append(s.out, 'N') // encryption is not served; the client may go on without
+		s.out = append(s.out, 'N') // encryption is not supported; the client may continue without it
 	case p.Code == pgwire.CodeCancel:
 		s.cancelRequest = &CancelRequest{PID: p.PID, Secret: string(p.Secret)}
 		s.phase = phaseClosing
@@ -34,7 +34,7 @@
 	}
 }
 
-// startSession takes the parameters of a StartupMessage and welcomes the client.
+// startSession starts the session with the parameters of a StartupMessage and answers the client.
 func (s *Session) startSession(p *pgwire.Startup) {
 	s.reader.Startup, s.reader.Known = false, pgwire.FrontendType
 	s.negotiate(p)
@@ -61,7 +61,8 @@
 	s.phase = phaseIdle
 }
 
-// negotiate tells a client that asks for a later version or for protocol options what is supported instead.
+// negotiate appends a NegotiateProtocolVersion message if the client asks for a later version or for protocol
+// options, none of which are supported.
 func (s *Session) negotiate(p *pgwire.Startup) {
 	var unknown []string
 	for name := range p.Parameters {
@@ -74,7 +75,8 @@
 	}
 }
 
-// asksForReplication reports whether the value of the parameter replication is true or "database".
+// asksForReplication reports whether the value of the startup parameter replication asks for a replication
+// connection: anything but false or empty.
 func asksForReplication(value string) bool {
 	switch value {
 	case "", "false", "off", "0", "no":
@@ -115,8 +117,8 @@
 	return nil
 }
 
-// applyStartupSetting applies one setting. A setting that is replayed is put in force by the engine that runs
-// the first statement, and refused there where it is wrong.
+// applyStartupSetting applies one setting. A replayed setting takes effect on the engine that runs the first
+// statement, which rejects it if the value is invalid.
 func (s *Session) applyStartupSetting(name, value string) *settingError {
 	name = strings.ToLower(strings.TrimSpace(name))
 	switch {
@@ -133,7 +135,7 @@
 		fmt.Sprintf("setting %s to %s is not served: engines would not hear of it", name, value)}
 }
 
-// storeStartupReport keeps the startup value of a setting that is reported to the client.
+// storeStartupReport stores the startup value of a setting for its ParameterStatus.
 func (s *Session) storeStartupReport(reported, value string) {
 	if s.startupReports == nil {
 		s.startupReports = map[string]string{}
@@ -141,7 +143,7 @@
 	s.startupReports[strings.ToLower(reported)] = value
 }
 
-// reportParameters sends a ParameterStatus for each setting of which a server informs its clients
+// reportParameters sends a ParameterStatus for each setting that servers report to their clients
 // ("Asynchronous Operations").
 func (s *Session) reportParameters() {
 	for _, parameter := range [...]struct{ name, value string }{
@@ -167,8 +169,8 @@
 	}
 }
 
-// parseStartupOptions returns the settings of the parameter options, which has the form of a command line:
-// "-c name=value" or "--name=value", with spaces escaped by a backslash.
+// parseStartupOptions returns the settings in the startup parameter options, which has the form of a command
+// line: "-c name=value" or "--name=value", with spaces escaped by a backslash.
 func parseStartupOptions(options string) (settings []string) {
 	words := splitOptions(options)
 	for i := 0; i < len(words); i++ {
@@ -185,7 +187,7 @@
 	return settings
 }
 
-// splitOptions splits a command line at spaces that are not escaped.
+// splitOptions splits a command line at spaces that no backslash escapes, and removes the backslashes.
 func splitOptions(options string) (words []string) {
 	word := ""
 	for i := 0; i <= len(options); i++ {
