--- a/internal/protocol/pgwire/backend.go
+++ b/internal/protocol/pgwire/backend.go
@@ -2,13 +2,15 @@
 
 import "encoding/binary"
 
-// Lengths of the secret key of a session, in bytes: exactly minSecret before protocol version 3.2.
+// Limits of the length of a session's secret key, in bytes. Before protocol version 3.2 it is always
+// minSecret.
 const (
 	minSecret = 4
 	maxSecret = 256
 )
 
-// ParseKey reads a BackendKeyData message: the process and secret that a CancelRequest must name.
+// ParseKey parses the body of a BackendKeyData message: the process ID and the secret that a CancelRequest
+// must contain.
 func ParseKey(b []byte) (pid uint32, secret []byte, err error) {
 	d := bodyDecoder{b: b}
 	pid = uint32(d.int32())
@@ -19,27 +21,27 @@
 	return pid, secret, d.end("BackendKeyData")
 }
 
-// AppendKey appends BackendKeyData.
+// AppendKey appends a BackendKeyData message.
 func AppendKey(out []byte, pid uint32, secret []byte) []byte {
 	out, at := begin(out, 'K')
 	out = binary.BigEndian.AppendUint32(out, pid)
 	return end(append(out, secret...), at)
 }
 
-// ParseStatus reads a ParameterStatus message: a parameter's name and value.
+// ParseStatus parses the body of a ParameterStatus message: a parameter's name and value.
 func ParseStatus(b []byte) (name, value []byte, err error) {
 	d := bodyDecoder{b: b}
 	name, value = d.text(), d.text()
 	return name, value, d.end("ParameterStatus")
 }
 
-// AppendAuthOK appends AuthenticationOk.
+// AppendAuthOK appends an AuthenticationOk message.
 func AppendAuthOK(out []byte) []byte { return append(out, 'R', 0, 0, 0, 8, 0, 0, 0, 0) }
 
-// AppendReady appends ReadyForQuery; status is 'I', 'T' or 'E'.
+// AppendReady appends a ReadyForQuery message. The transaction status is 'I', 'T' or 'E'.
 func AppendReady(out []byte, status byte) []byte { return append(out, 'Z', 0, 0, 0, 5, status) }
 
-// ParseTag reads a CommandComplete message and returns its command tag.
+// ParseTag parses the body of a CommandComplete message and returns its command tag.
 func ParseTag(b []byte) (tag []byte, err error) {
 	d := bodyDecoder{b: b}
 	tag = d.text()
--- a/internal/protocol/pgwire/codec.go
+++ b/internal/protocol/pgwire/codec.go
@@ -5,13 +5,13 @@
 	"fmt"
 )
 
-// bodyDecoder reads the fields of a message. After a malformed one all reads return zero values.
+// bodyDecoder reads the fields of a message's body. After a malformed field all reads return zero values.
 type bodyDecoder struct {
 	b         []byte // unread
 	malformed bool
 }
 
-// text reads a string that a zero byte ends.
+// text reads a string up to its terminating zero byte.
 func (d *bodyDecoder) text() []byte {
 	for i, c := range d.b {
 		if c == 0 {
@@ -65,7 +65,8 @@
 	return s
 }
 
-// end returns an error unless the message was well formed and read to its end.
+// end returns an error unless the body was well formed and has been read completely. name is the message's
+// name in the error.
 func (d *bodyDecoder) end(name string) error {
 	if d.malformed || len(d.b) > 0 {
 		return fmt.Errorf("%w: %s", ErrFrame, name)
@@ -73,31 +74,34 @@
 	return nil
 }
 
-// begin starts a message; end fills in its length. at is what begin returned.
+// begin appends the type of a message and a placeholder for its length. It returns the position of the
+// length, which end needs.
 func begin(out []byte, kind byte) (b []byte, at int) {
 	return beginUntyped(append(out, kind))
 }
 
-// beginUntyped starts a packet of the startup phase, which has no type.
+// beginUntyped is begin for a packet of the startup phase, which has no type.
 func beginUntyped(out []byte) (b []byte, at int) {
 	return append(out, 0, 0, 0, 0), len(out)
 }
 
+// end fills in the length of the message that begin or beginUntyped started; at is what they returned.
 func end(out []byte, at int) []byte {
 	binary.BigEndian.PutUint32(out[at:], uint32(len(out)-at))
 	return out
 }
 
-// appendText appends a string and the zero byte that ends it.
+// appendText appends a string and its terminating zero byte.
 func appendText(out []byte, s string) []byte { return append(append(out, s...), 0) }
 
-// Append appends a message with the body as it is.
+// Append appends a message of the type kind with the given body.
 func Append(out []byte, kind byte, body []byte) []byte {
 	out, at := begin(out, kind)
 	return end(append(out, body...), at)
 }
 
-// AppendText appends a message whose body is strings, each ended by a zero byte.
+// AppendText appends a message of the type kind whose body consists of strings, each with a terminating zero
+// byte.
 func AppendText(out []byte, kind byte, texts ...string) []byte {
 	out, at := begin(out, kind)
 	for _, s := range texts {
--- a/internal/protocol/pgwire/errorfields.go
+++ b/internal/protocol/pgwire/errorfields.go
@@ -1,15 +1,16 @@
 package pgwire
 
-// otherFields are the types of the other fields, in the order in which they are written.
+// otherFields lists the types of the fields that AppendFields writes from Fields.Others, in this order.
 const otherFields = "PpqWstcdnFLR"
 
-// Fields are those of an ErrorResponse or NoticeResponse ("Error and Notice Message Fields").
+// Fields holds the fields of an ErrorResponse or NoticeResponse ("Error and Notice Message Fields").
 type Fields struct {
 	Severity, Code, Message, Detail, Hint string
-	Others                                map[byte]string // by type; those in otherFields are written
+	Others                                map[byte]string // by type; only those in otherFields are written
 }
 
-// ParseFields reads an ErrorResponse or NoticeResponse.
+// ParseFields parses the body of an ErrorResponse or NoticeResponse. If it is malformed, f holds the fields
+// read before the error.
 func ParseFields(b []byte) (f Fields, err error) {
 	d := bodyDecoder{b: b}
 	for {
@@ -24,7 +25,7 @@
 				f.Severity = v
 			}
 		case 'V':
-			f.Severity = v // not localised, so it goes before S
+			f.Severity = v // not localized, so it takes precedence over S
 		case 'C':
 			f.Code = v
 		case 'M':
@@ -43,7 +44,7 @@
 	return f, d.end("ErrorResponse or NoticeResponse")
 }
 
-// AppendFields appends an ErrorResponse ('E') or NoticeResponse ('N').
+// AppendFields appends an ErrorResponse (kind 'E') or NoticeResponse (kind 'N'). Empty fields are left out.
 func AppendFields(out []byte, kind byte, f *Fields) []byte {
 	out, at := begin(out, kind)
 	add := func(kind byte, v string) {
--- a/internal/protocol/pgwire/frontend.go
+++ b/internal/protocol/pgwire/frontend.go
@@ -2,20 +2,20 @@
 
 import "encoding/binary"
 
-// ParseQuery reads a Query message and returns its text. AppendText writes one.
+// ParseQuery parses the body of a Query message and returns its text. AppendText writes a Query message.
 func ParseQuery(b []byte) (text []byte, err error) {
 	d := bodyDecoder{b: b}
 	text = d.text()
 	return text, d.end("Query")
 }
 
-// Parse is the message that names a statement ("Extended Query").
+// Parse is the body of a Parse message, which creates a prepared statement ("Extended Query").
 type Parse struct {
 	Name, Text []byte
-	Types      []byte // OIDs of parameters as sent, 4 bytes each
+	Types      []byte // type OIDs of the parameters as sent, 4 bytes each
 }
 
-// ParseParse reads a Parse message.
+// ParseParse parses the body of a Parse message.
 func ParseParse(b []byte) (p Parse, err error) {
 	d := bodyDecoder{b: b}
 	p.Name, p.Text = d.text(), d.text()
@@ -23,7 +23,7 @@
 	return p, d.end("Parse")
 }
 
-// AppendParse appends a Parse message; types are OIDs, 4 bytes each.
+// AppendParse appends a Parse message. types holds the type OIDs of the parameters, 4 bytes each.
 func AppendParse(out []byte, name, text string, types []byte) []byte {
 	out, at := begin(out, 'P')
 	out = appendText(out, name)
@@ -32,14 +32,15 @@
 	return end(append(out, types...), at)
 }
 
-// Bind is the message that makes a portal of a statement. Rest is all after the two names, as sent.
+// Bind is the body of a Bind message, which creates a portal from a prepared statement. Rest is everything
+// after the two names, as sent.
 type Bind struct {
 	Portal, Statement []byte
 	Rest              []byte
-	First             []byte // the first parameter's value; nil: none, or null
+	First             []byte // the first parameter's value; nil: no parameter, or NULL
 }
 
-// ParseBind reads a Bind message and checks its shape.
+// ParseBind parses the body of a Bind message and checks that it is well formed.
 func ParseBind(b []byte) (p Bind, err error) {
 	d := bodyDecoder{b: b}
 	p.Portal, p.Statement = d.text(), d.text()
@@ -66,7 +67,7 @@
 	return p, d.end("Bind")
 }
 
-// AppendBind appends a Bind message; rest is as in Bind.
+// AppendBind appends a Bind message. rest is what Bind.Rest holds.
 func AppendBind(out []byte, portal, statement string, rest []byte) []byte {
 	out, at := begin(out, 'B')
 	out = appendText(out, portal)
@@ -74,7 +75,8 @@
 	return end(append(out, rest...), at)
 }
 
-// ParseTarget reads a Describe or Close message: 'S' for a statement or 'P' for a portal, and its name.
+// ParseTarget parses the body of a Describe or Close message: kind 'S' for a statement or 'P' for a portal,
+// and its name.
 func ParseTarget(b []byte) (kind byte, name []byte, err error) {
 	d := bodyDecoder{b: b}
 	kind, name = d.byte(), d.text()
@@ -84,29 +86,30 @@
 	return kind, name, d.end("Describe or Close")
 }
 
-// AppendTarget appends a Describe ('D') or Close ('C') of a statement ('S') or portal ('P').
+// AppendTarget appends a message of kind Describe ('D') or Close ('C') for a statement (of 'S') or a portal
+// (of 'P').
 func AppendTarget(out []byte, kind, of byte, name string) []byte {
 	out, at := begin(out, kind)
 	out = append(out, of)
 	return end(appendText(out, name), at)
 }
 
-// ParseExecute reads an Execute message; rows 0 means all.
+// ParseExecute parses the body of an Execute message. rows is the row limit; 0 means all rows.
 func ParseExecute(b []byte) (portal []byte, rows int32, err error) {
 	d := bodyDecoder{b: b}
 	portal, rows = d.text(), d.int32()
 	return portal, rows, d.end("Execute")
 }
 
-// AppendExecute appends an Execute of at most so many rows; 0: all.
+// AppendExecute appends an Execute message. rows is the row limit; 0 means all rows.
 func AppendExecute(out []byte, portal string, rows int32) []byte {
 	out, at := begin(out, 'E')
 	out = appendText(out, portal)
 	return end(binary.BigEndian.AppendUint32(out, uint32(rows)), at)
 }
 
-// AppendFlush appends a Flush.
+// AppendFlush appends a Flush message.
 func AppendFlush(out []byte) []byte { return append(out, 'H', 0, 0, 0, 4) }
 
-// AppendSync appends a Sync.
+// AppendSync appends a Sync message.
 func AppendSync(out []byte) []byte { return append(out, 'S', 0, 0, 0, 4) }
--- a/internal/protocol/pgwire/pgwire_test.go
+++ b/internal/protocol/pgwire/pgwire_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// readAll cuts a stream given in pieces into messages, up to an error.
+// readAll reads the messages from a stream that is given in pieces, up to an error.
 func readAll(r *Reader, pieces [][]byte) (out []string, err error) {
 	for _, p := range pieces {
 		scratch := append([]byte(nil), p...)
@@ -27,14 +27,14 @@
 			r.Startup = false
 		}
 		r.Rest()
-		for i := range scratch { // the caller reuses the buffer of a push after Rest
+		for i := range scratch { // a caller may reuse the bytes of Push after Rest
 			scratch[i] = 0xee
 		}
 	}
 	return out, nil
 }
 
-// split cuts a stream into pieces of random lengths.
+// split splits a stream into pieces of random lengths.
 func split(t *rapid.T, b []byte) (pieces [][]byte) {
 	for len(b) > 0 {
 		n := rapid.IntRange(1, min(len(b), 40)).Draw(t, "piece")
@@ -44,7 +44,7 @@
 	return pieces
 }
 
-// drawStream draws a client's stream: a startup packet and messages.
+// drawStream draws a client's byte stream: a startup packet and messages.
 func drawStream(t *rapid.T) []byte {
 	b := AppendStartup(nil, Version30, "user", rapid.StringMatching(`[a-z]{1,9}`).Draw(t, "user"))
 	for range rapid.IntRange(0, 12).Draw(t, "messages") {
@@ -67,7 +67,8 @@
 	return b
 }
 
-// TestReaderIndependentOfSplits: however a stream is split, also a malformed one, the same messages come out.
+// TestReaderIndependentOfSplits: the messages read from a stream do not depend on how the stream is split,
+// even if it is malformed.
 func TestReaderIndependentOfSplits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := drawStream(t)
@@ -85,7 +86,7 @@
 	})
 }
 
-// TestAgreesWithPgproto3: pgproto3 reads what is written here with the same meaning, and the other way round.
+// TestAgreesWithPgproto3: pgproto3 reads what this package writes with the same meaning, and vice versa.
 func TestAgreesWithPgproto3(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringMatching(`[ -~]{0,40}`).Draw(t, "text")
@@ -146,7 +147,7 @@
 	})
 }
 
-// TestReaderRejectsMalformedHeads: a length out of bounds or an unexpected type is an error at once.
+// TestReaderRejectsMalformedHeads: a length out of bounds or an unexpected type is an immediate error.
 func TestReaderRejectsMalformedHeads(t *testing.T) {
 	for name, c := range map[string]struct {
 		r Reader
@@ -167,7 +168,7 @@
 	}
 }
 
-// FuzzReader: no stream makes reading panic, and fields that were read are written with the same meaning.
+// FuzzReader: no stream makes reading panic, and fields that were parsed are written with the same meaning.
 func FuzzReader(f *testing.F) {
 	f.Add(AppendText(AppendStartup(nil, Version32, "user", "u"), 'Q', "select 1"), 3)
 	f.Add(AppendCancel(nil, 1, []byte{1, 2, 3, 4}), 1)
--- a/internal/protocol/pgwire/reader.go
+++ b/internal/protocol/pgwire/reader.go
@@ -6,43 +6,45 @@
 	"fmt"
 )
 
-// Limits of the lengths that a reader accepts, in bytes.
+// Limits of the body lengths that a Reader accepts, in bytes.
 const (
-	MaxStartup = 10000   // as PostgreSQL's own MAX_STARTUP_PACKET_LENGTH
-	MaxMessage = 1 << 26 // default for a message's body
+	MaxStartup = 10000   // same as PostgreSQL's MAX_STARTUP_PACKET_LENGTH
+	MaxMessage = 1 << 26 // default limit of a message's body
 )
 
 const (
-	lengthBytes = 4               // a message's length, which counts itself
-	headBytes   = 1 + lengthBytes // a message's type and length
+	lengthBytes = 4               // size of a message's length field, which counts itself
+	headBytes   = 1 + lengthBytes // size of a message's type and length
 
-	minStartup = 4 // a startup packet's code
+	minStartup = 4 // size of a startup packet's code, in bytes
 
-	// maxRetainedBuffer is the size of the buffer that an idle reader may keep, in bytes.
+	// maxRetainedBuffer is the largest buffer that an idle reader keeps, in bytes.
 	maxRetainedBuffer = 1024
 )
 
-// ErrFrame is the kind of every error of a malformed message. After one, a connection cannot be read on.
+// ErrFrame is wrapped by every error about a malformed message. After such an error, nothing more can be read
+// from the connection.
 var ErrFrame = errors.New("pgwire: broken frame")
 
-// Message is one message. Type is 0 for a packet of the startup phase.
+// Message is one message of the protocol. Type is 0 for a packet of the startup phase.
 type Message struct {
 	Type byte
 	Body []byte // without type and length
 }
 
-// Reader cuts a stream of bytes into messages. The zero value reads typed messages of up to MaxMessage bytes.
+// Reader splits a stream of bytes into messages. The zero value reads typed messages of up to MaxMessage
+// bytes. It is not safe for concurrent use.
 type Reader struct {
 	Startup bool                 // the next packet has no type byte
 	Max     int                  // largest body in bytes; 0: MaxMessage
 	Known   func(kind byte) bool // message types that are accepted; nil: all
 
-	pending         []byte // bytes of a message that is not complete
-	unread          []byte // unread bytes of the present Push, or of pending
+	pending         []byte // bytes of an incomplete message
+	unread          []byte // unread bytes of the last Push, or of pending
 	unreadIsPending bool   // unread is a view of pending
 }
 
-// Push gives the reader bytes that arrived. It keeps no reference to them after Rest was called.
+// Push adds received bytes to the stream. The reader keeps no reference to them once Rest has been called.
 func (r *Reader) Push(b []byte) {
 	if len(r.pending) == 0 {
 		r.unread, r.unreadIsPending = b, false
@@ -52,15 +54,15 @@
 	r.unread, r.unreadIsPending = r.pending, true
 }
 
-// Next returns the next complete message, or ok false where bytes are missing.
+// Next returns the next complete message. ok is false if more bytes are needed.
 func (r *Reader) Next() (m Message, ok bool, err error) {
 	head := headBytes
 	if r.Startup {
 		head = lengthBytes
 	}
 	if !r.Startup && len(r.unread) > 0 && r.Known != nil && !r.Known(r.unread[0]) {
-		// The type is judged before the length has come: in a stream that lost its frame, the bytes where the
-		// length should stand may ask for more than ever arrives, and the connection would wait for ever.
+		// The type is checked before the length has arrived. In a stream with broken framing, the bytes in
+		// place of the length may ask for more than ever arrives, and the connection would wait forever.
 		return m, false, fmt.Errorf("%w: message type %q", ErrFrame, r.unread[0])
 	}
 	if len(r.unread) < head {
@@ -81,7 +83,7 @@
 	return m, true, nil
 }
 
-// checkLength returns an error unless a body may have n bytes.
+// checkLength returns an error unless a body of n bytes is allowed.
 func (r *Reader) checkLength(n int) error {
 	limit := r.Max
 	if limit == 0 {
@@ -99,8 +101,8 @@
 	return nil
 }
 
-// Rest copies what is not yet read, so that the caller may use the bytes of Push again, and returns how many
-// bytes that is. An idle reader holds no buffer.
+// Rest copies the unread bytes, so that the caller may reuse the slice passed to Push, and returns their
+// number. If nothing is unread, the reader keeps at most a buffer of maxRetainedBuffer bytes.
 func (r *Reader) Rest() int {
 	n := len(r.unread)
 	switch {
@@ -118,7 +120,7 @@
 	return n
 }
 
-// FrontendType reports whether a client may send messages of this type ("Message Formats", F).
+// FrontendType reports whether a client may send messages of type t ("Message Formats", F).
 func FrontendType(t byte) bool {
 	switch t {
 	case 'B', 'C', 'd', 'c', 'f', 'D', 'E', 'H', 'F', 'p', 'P', 'Q', 'S', 'X':
@@ -127,7 +129,7 @@
 	return false
 }
 
-// BackendType reports whether a server may send messages of this type ("Message Formats", B).
+// BackendType reports whether a server may send messages of type t ("Message Formats", B).
 func BackendType(t byte) bool {
 	switch t {
 	case 'R', 'K', '2', '3', 'C', 'd', 'c', 'G', 'H', 'W', 'D', 'I',
--- a/internal/protocol/pgwire/startup.go
+++ b/internal/protocol/pgwire/startup.go
@@ -5,7 +5,8 @@
 	"fmt"
 )
 
-// Codes that a startup packet carries in place of a version ("Message Formats": StartupMessage and others).
+// Protocol versions, and the codes that other startup packets contain in place of a version ("Message
+// Formats": StartupMessage and others).
 const (
 	Version30  = 3 << 16
 	Version32  = 3<<16 | 2
@@ -14,7 +15,7 @@
 	CodeGSS    = 1234<<16 | 5680
 )
 
-// majorVersion is the protocol's version that is served, in all its minor versions.
+// majorVersion is the major protocol version that is supported, with all its minor versions.
 const majorVersion = 3
 
 // Startup is a packet of the startup phase: a StartupMessage, CancelRequest, SSLRequest or GSSENCRequest.
@@ -22,10 +23,11 @@
 	Code       uint32 // a version, or one of the Code constants
 	Parameters map[string]string
 	PID        uint32 // of a CancelRequest
-	Secret     []byte // of a CancelRequest: 4 bytes, or up to 256 from 3.2 on
+	Secret     []byte // of a CancelRequest: 4 bytes, or up to 256 from protocol version 3.2 on
 }
 
-// ParseStartup reads a packet of the startup phase ("Message Formats", "Cancel Requests in Progress").
+// ParseStartup parses a packet of the startup phase without its length ("Message Formats", "Canceling
+// Requests in Progress").
 func ParseStartup(b []byte) (s Startup, err error) {
 	d := bodyDecoder{b: b}
 	s.Code = uint32(d.int32())
@@ -52,7 +54,8 @@
 	return s, d.end("startup packet")
 }
 
-// AppendStartup appends a StartupMessage of a version; parameters are names, each followed by its value.
+// AppendStartup appends a StartupMessage of the given protocol version. parameters holds names, each followed
+// by its value.
 func AppendStartup(out []byte, version uint32, parameters ...string) []byte {
 	out, at := beginUntyped(out)
 	out = binary.BigEndian.AppendUint32(out, version)
@@ -62,7 +65,7 @@
 	return end(append(out, 0), at)
 }
 
-// AppendCancel appends a CancelRequest.
+// AppendCancel appends a CancelRequest packet.
 func AppendCancel(out []byte, pid uint32, secret []byte) []byte {
 	out, at := beginUntyped(out)
 	out = binary.BigEndian.AppendUint32(out, CodeCancel)
@@ -70,8 +73,8 @@
 	return end(append(out, secret...), at)
 }
 
-// AppendNegotiate appends NegotiateProtocolVersion: the newest minor version served, and the names of options
-// that were not understood ("Message Flow", "Start-up").
+// AppendNegotiate appends a NegotiateProtocolVersion message: the newest supported version, and the names of
+// the unknown protocol options ("Message Flow", "Start-up").
 func AppendNegotiate(out []byte, version uint32, unknown []string) []byte {
 	out, at := begin(out, 'v')
 	out = binary.BigEndian.AppendUint32(out, version)
