--- a/internal/protocol/sqlscan/fingerprint.go
+++ b/internal/protocol/sqlscan/fingerprint.go
@@ -1,8 +1,9 @@
 package sqlscan
 
-// Fingerprint names a text's shape: two texts that differ in literals, parameters, comments, white space,
-// the case of words outside quotes, or in how long a list of literals is, have the same. It says nothing of
-// what the text means: the same words on another search path name other tables and have the same fingerprint.
+// Fingerprint returns a hash of a text's shape. Texts that differ only in literals, parameters, comments,
+// white space, the case of words outside quotes, or the length of a list of literals have the same
+// fingerprint. It does not depend on the text's meaning: with another search path the same words name other
+// tables and have the same fingerprint.
 func Fingerprint(text string) uint64 {
 	all := make(shape, 0, 64)
 	s := scanner{text: text}
@@ -19,27 +20,27 @@
 	return all.sum()
 }
 
-// Parameters of the hash FNV-1a of 64 bits.
+// Parameters of the 64-bit FNV-1a hash.
 const (
 	fnvOffset = 0xcbf29ce484222325
 	fnvPrime  = 0x100000001b3
 )
 
-// anyLiteral stands in a shape for literals and parameters, and for lists of them.
+// anyLiteral is the token in a shape for a literal, a parameter, or a list of them.
 const anyLiteral = 1
 
-// punctuationBase sets punctuation in a shape apart from anyLiteral.
+// punctuationBase is added to punctuation in a shape, to tell it from anyLiteral.
 const punctuationBase = 256
 
-// nameBit sets words and names in a shape apart from punctuation.
+// nameBit is set in words and names in a shape, to tell them from punctuation.
 const nameBit = 1 << 63
 
 var trueWord, falseWord = word("true"), word("false")
 
-// shape is a text's tokens as numbers, without what a fingerprint passes over.
+// shape holds the tokens of a text as numbers, without those that a fingerprint ignores.
 type shape []uint64
 
-// last returns the token so many from the end, 1 being the last; 0: there is none.
+// last returns the token at position back from the end, where 1 is the last token, or 0 if there is none.
 func (s shape) last(back int) uint64 {
 	if back > len(s) {
 		return 0
@@ -47,7 +48,7 @@
 	return s[len(s)-back]
 }
 
-// add adds a token.
+// add appends a token, as far as it counts for the fingerprint.
 func (s shape) add(kind token, text string) shape {
 	switch c := text[0]; {
 	case kind == tokenComment:
@@ -73,7 +74,8 @@
 	}
 }
 
-// addLiteral adds a literal: a list of literals is as one, and a sign before one belongs to it.
+// addLiteral appends a literal. A list of literals counts as one literal, and a sign before a literal is part
+// of it.
 func (s shape) addLiteral() shape {
 	if len(s) > 0 && (s.last(1) == punctuation('-') || s.last(1) == punctuation('+')) &&
 		(len(s) == 1 || signFollows(s.last(2))) {
@@ -85,8 +87,8 @@
 	return append(s, anyLiteral)
 }
 
-// endsInSecondRow reports whether the shape ends in two rows of values, but for the second one's closing
-// parenthesis: rows of values are as one.
+// endsInSecondRow reports whether the shape ends in two rows of values, of which the second one's closing
+// parenthesis is still missing. Several rows of values count as one.
 func (s shape) endsInSecondRow() bool {
 	return s.last(1) == anyLiteral && s.last(2) == punctuation('(') && s.last(3) == punctuation(',') &&
 		s.last(4) == punctuation(')') && s.last(5) == anyLiteral && s.last(6) == punctuation('(')
@@ -103,7 +105,7 @@
 	return false
 }
 
-// sum hashes the shape.
+// sum returns the hash of the shape.
 func (s shape) sum() uint64 {
 	sum := uint64(fnvOffset)
 	for _, token := range s {
@@ -115,13 +117,13 @@
 	return sum
 }
 
-// punctuation is a character's number in a shape.
+// punctuation returns the token for a punctuation character.
 func punctuation(c byte) uint64 { return uint64(c) + punctuationBase }
 
-// word is the number of a word outside quotes, in any case.
+// word returns the token for a word outside quotes, regardless of its case.
 func word(s string) uint64 { return hash(s, true) }
 
-// hash is the number of a word or name; fold: in lower case.
+// hash returns the token for a word or name. fold says that its ASCII letters are hashed in lower case.
 func hash(s string, fold bool) uint64 {
 	sum := uint64(fnvOffset)
 	for i := range len(s) {
--- a/internal/protocol/sqlscan/fingerprint_test.go
+++ b/internal/protocol/sqlscan/fingerprint_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestFingerprint: texts of one shape have the same fingerprint, texts of others have others.
+// TestFingerprint: texts have the same fingerprint exactly if they have the same shape.
 func TestFingerprint(t *testing.T) {
 	shapes := [][]string{
 		{"select a from t where b = 1", "SELECT a\nFROM t -- note\nWHERE b=$1;",
@@ -27,12 +27,12 @@
 	for _, texts := range shapes {
 		want := Fingerprint(texts[0])
 		if other, known := seen[want]; known {
-			t.Errorf("%q and %q have one", texts[0], other)
+			t.Errorf("%q and %q have the same fingerprint", texts[0], other)
 		}
 		seen[want] = texts[0]
 		for _, text := range texts[1:] {
 			if Fingerprint(text) != want {
-				t.Errorf("%q is of another shape than %q", text, texts[0])
+				t.Errorf("%q and %q have different fingerprints", text, texts[0])
 			}
 		}
 	}
--- a/internal/protocol/sqlscan/functions.go
+++ b/internal/protocol/sqlscan/functions.go
@@ -2,9 +2,10 @@
 
 import "strings"
 
-// sessionNeutral are functions, and words that may stand before a parenthesis, that leave nothing in a
-// session. Any other function may leave something at the engine: a temporary table, a session lock, a
-// setting. Nothing in the protocol tells of that, so a statement that calls one counts as if it did.
+// sessionNeutral holds, in upper case, functions that leave no state in a session, and other words that may
+// stand before a parenthesis. Any other function may leave state at the engine: a temporary table, a session
+// lock or a setting. The protocol does not report that, so a statement that calls one counts as leaving
+// state.
 var sessionNeutral = func() map[string]bool {
 	all := map[string]bool{}
 	for _, w := range strings.Fields(`
@@ -66,8 +67,9 @@
 	return all
 }()
 
-// noteCall notes a name before an opening parenthesis; before is the word in front of the name: in some
-// places a name with a list behind it is no call.
+// noteCall records a name before an opening parenthesis as a function call, unless it leaves no state in the
+// session. before is the word in front of the name: after some words, a name with a list behind it is no
+// call.
 func (st *Statement) noteCall(name, before string) {
 	if st.Function != "" || sessionNeutral[strings.ToUpper(name)] {
 		return
--- a/internal/protocol/sqlscan/group.go
+++ b/internal/protocol/sqlscan/group.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// maxGroup bounds the numbers that count as a group's.
+	// maxGroup is the largest number that counts as a group.
 	maxGroup = 1 << 20
 
-	// stagingSchema is the schema, without its number, that is of no group.
+	// stagingSchema is the name, without its number, of schemas that belong to no group.
 	stagingSchema = "staging"
 )
 
-// Group returns the number of the group of tables that a text reads or writes: what stands behind the last
-// underscore in the name of a schema (17 in sales_17.orders), outside comments and quoted texts; 0 where
-// there is none. The schema staging is no group. A name after FROM, JOIN, INTO, UPDATE, TABLE or COPY goes
-// before any other.
+// Group returns the number of the group of tables that a text reads or writes, or 0 if it finds none. The
+// number is the part of a schema's name after its last underscore (17 in sales_17.orders). Comments and
+// quoted strings are ignored, and staging schemas belong to no group. The first name after FROM, JOIN, INTO,
+// UPDATE, TABLE, COPY or ONLY takes precedence over other names.
 func Group(text string) int {
 	s := scanner{text: text}
 	firstGroup, found := 0, false
@@ -52,7 +52,7 @@
 	}
 }
 
-// tableFollows reports whether a table's name follows a word.
+// tableFollows reports whether a table's name follows the given word, which is in upper case.
 func tableFollows(word string) bool {
 	switch word {
 	case "FROM", "JOIN", "INTO", "UPDATE", "TABLE", "COPY", "ONLY":
@@ -61,7 +61,8 @@
 	return false
 }
 
-// groupOfSchema returns the number behind a schema's last underscore, if there is one.
+// groupOfSchema returns the number after the last underscore of a schema's name. ok is false if there is none
+// or the schema belongs to no group.
 func groupOfSchema(schema string) (group int, ok bool) {
 	i := strings.LastIndexByte(schema, '_')
 	group, err := strconv.Atoi(schema[i+1:])
--- a/internal/protocol/sqlscan/group_test.go
+++ b/internal/protocol/sqlscan/group_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestGroup: the group is that of the first table read or written, outside comments and quoted texts.
+// TestGroup: the group is that of the first table read or written, outside comments and quoted strings.
 func TestGroup(t *testing.T) {
 	for text, want := range map[string]int{
 		"SELECT a FROM sales_17.orders WHERE b = 1":                                                       17,
--- a/internal/protocol/sqlscan/scanner.go
+++ b/internal/protocol/sqlscan/scanner.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// token is a kind of token.
+// token is the kind of a token.
 type token int
 
 // The kinds of token.
@@ -11,27 +11,28 @@
 	tokenComment
 	tokenSemicolon
 	tokenWord
-	tokenOther // quotes, numbers, punctuation
+	tokenOther // quoted strings and names, numbers, parameters, punctuation
 )
 
-// scanner cuts a text into tokens.
+// scanner splits a text into tokens.
 type scanner struct {
 	text string
-	at   int // the next token begins here, or white space before it
+	at   int // position of the next token, or of the white space before it
 }
 
-// wordStart reports whether a word or a name without quotes may begin with a byte, wordPart whether it may
-// go on with one.
+// wordStart reports whether a word or an unquoted name may begin with c. wordPart reports whether it may
+// contain c after that.
 func wordStart(c byte) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '_' || c >= 0x80
 }
 
 func wordPart(c byte) bool { return wordStart(c) || c >= '0' && c <= '9' || c == '$' }
 
-// whiteSpace separates tokens.
+// whiteSpace holds the characters that separate tokens.
 const whiteSpace = " \t\r\n\f\v"
 
-// next returns the next token and where it stands. An unclosed quote or comment goes on to the end.
+// next returns the kind of the next token, and its position in the text: from inclusive, to exclusive. An
+// unclosed quote or comment extends to the end of the text.
 func (s *scanner) next() (kind token, from, to int) {
 	t := s.text
 	for s.at < len(t) && strings.IndexByte(whiteSpace, t[s.at]) >= 0 {
@@ -76,7 +77,7 @@
 	return kind, from, s.at
 }
 
-// lineComment passes over a comment that ends with its line.
+// lineComment skips a comment that extends to the end of the line.
 func (s *scanner) lineComment() {
 	if n := strings.IndexAny(s.text[s.at:], "\r\n"); n >= 0 {
 		s.at += n
@@ -85,7 +86,7 @@
 	}
 }
 
-// blockComment passes over a comment between slashes and asterisks; they nest.
+// blockComment skips a comment between /* and */. Such comments nest.
 func (s *scanner) blockComment() {
 	depth := 0
 	for s.at < len(s.text) {
@@ -104,8 +105,8 @@
 	}
 }
 
-// quoted passes over a quoted text or name; a doubled quote stands for one, and so does one after a backslash
-// where escapes are on.
+// quoted skips a quoted string or name. A doubled quote does not end it, and neither does one after a
+// backslash if escapes is true.
 func (s *scanner) quoted(quote byte, escapes bool) {
 	for s.at++; s.at < len(s.text); s.at++ {
 		switch c := s.text[s.at]; {
@@ -121,7 +122,7 @@
 	s.at = len(s.text)
 }
 
-// dollar passes over a dollar-quoted text, or over a single $ (a parameter).
+// dollar skips a dollar-quoted string, or a parameter such as $1.
 func (s *scanner) dollar() {
 	end := s.at + 1
 	for end < len(s.text) && s.text[end] != '$' && wordPart(s.text[end]) {
--- a/internal/protocol/sqlscan/statement.go
+++ b/internal/protocol/sqlscan/statement.go
@@ -2,35 +2,35 @@
 
 import "strings"
 
-// Statement is one statement of a text.
+// Statement describes one statement of a text.
 type Statement struct {
-	Text  string    // without comments around it and without its semicolon
-	Words [4]string // its first words in upper case, punctuation left out; shorter ones end with ""
+	Text  string    // without surrounding comments and without its semicolon
+	Words [4]string // the first words in upper case, without punctuation; "" after the last word
 
-	Writes  bool // it may change data: anything but plain reading, and reading that also writes
+	Writes  bool // it may change data: it does not only read
 	Session bool // it names a function whose effect belongs to a session
-	Temp    bool // it reads INTO a temporary table
-	// Function is the first function it calls of which it is not known that it leaves nothing in the
-	// session, as it is written and without its schema; "": none.
+	Temp    bool // it is a SELECT INTO that creates a temporary table
+	// Function is the first function it calls that is not known to leave no state in the session. It is
+	// written as in the text, without its schema; "": none.
 	Function string
 }
 
-// readingWords are the first words of statements that only read, unless a word of writing follows.
+// readingWords holds the first words of statements that only read, unless a writing word follows.
 var readingWords = map[string]bool{
 	"SELECT": true, "VALUES": true, "TABLE": true, "SHOW": true, "EXPLAIN": true, "WITH": true,
 	"BEGIN": true, "START": true, "ROLLBACK": true, "ABORT": true, "SAVEPOINT": true, "RELEASE": true,
 }
 
-// noteWord notes a word that is not the statement's first; before is the word in front of it. Every word
-// counts, wherever it stands: WITH and EXPLAIN can have writing behind what looks like reading, and SELECT
-// INTO makes a table. A word that may write makes the statement one that writes.
+// noteWord evaluates a word that is not the statement's first; before is the word in front of it. Every word
+// counts, wherever it stands, and a single writing word makes the statement a writing one: WITH and EXPLAIN
+// may contain statements that write, and SELECT INTO creates a table.
 func (st *Statement) noteWord(word, before string) {
 	switch strings.ToUpper(word) {
 	case "TEMP", "TEMPORARY":
 		st.Temp = st.Temp || strings.EqualFold(before, "INTO")
 	case "INSERT", "DELETE", "MERGE", "INTO", "NEXTVAL", "SETVAL":
 		st.Writes = true
-	case "UPDATE": // SELECT FOR UPDATE locks, and changes nothing
+	case "UPDATE": // SELECT FOR UPDATE only locks
 		st.Writes = st.Writes || !strings.EqualFold(before, "FOR") && !strings.EqualFold(before, "KEY")
 	case "PG_ADVISORY_LOCK", "PG_ADVISORY_LOCK_SHARED", "PG_TRY_ADVISORY_LOCK", "PG_TRY_ADVISORY_LOCK_SHARED",
 		"PG_ADVISORY_UNLOCK", "PG_ADVISORY_UNLOCK_SHARED", "PG_ADVISORY_UNLOCK_ALL", "SET_CONFIG":
@@ -38,7 +38,7 @@
 	}
 }
 
-// Statements splits a text. Empty statements are left out.
+// Statements splits a text into its statements. Empty statements are left out.
 func Statements(text string) []Statement {
 	s := scanner{text: text}
 	sp := splitter{text: text}
@@ -60,22 +60,23 @@
 	}
 }
 
-// splitter builds the statements of a text out of its tokens.
+// splitter builds the statements of a text from its tokens.
 type splitter struct {
 	text       string
-	statements []Statement // those that have ended
+	statements []Statement // complete statements
+
+	// State of the current statement.
 
-	// Of the present statement:
 	statement Statement
 	started   bool
 	from, to  int
-	words     int    // noted in statement.Words
-	last      string // word
-	earlier   string // the word before the last, but for names behind a schema's point
-	function  string // the token before this one, where it can be a function's name
+	words     int    // number of words in statement.Words
+	last      string // the last word
+	earlier   string // the word before last, or before the schema that qualifies last
+	function  string // the previous token, if it can be a function's name
 }
 
-// endStatement ends the present statement, if it has any token.
+// endStatement completes the current statement, if it has any token.
 func (sp *splitter) endStatement() {
 	if !sp.started {
 		return
@@ -84,7 +85,7 @@
 	*sp = splitter{text: sp.text, statements: append(sp.statements, sp.statement)}
 }
 
-// extend has the present statement reach over a token.
+// extend extends the current statement over a token, and starts one if there is none.
 func (sp *splitter) extend(from, to int) {
 	if !sp.started {
 		sp.started, sp.from = true, from
@@ -92,7 +93,7 @@
 	sp.to = to
 }
 
-// addWord adds a word outside quotes.
+// addWord adds a word outside quotes to the current statement.
 func (sp *splitter) addWord(from, to int) {
 	word := sp.text[from:to]
 	if sp.words < len(sp.statement.Words) {
@@ -110,7 +111,8 @@
 	sp.last, sp.function = word, word
 }
 
-// addOther adds a token that is no word: a quoted text or name, a number or punctuation.
+// addOther adds a token that is not a word to the current statement: a quoted string or name, a number or
+// punctuation.
 func (sp *splitter) addOther(from, to int) {
 	switch c := sp.text[from]; {
 	case c == '(' && sp.function != "":
@@ -122,7 +124,7 @@
 		sp.function = ""
 	case c == '"' && to-from > 2:
 		sp.function = sp.text[from+1 : to-1]
-	case c != '.': // a schema before a name is passed over
+	case c != '.': // the name after a schema and a period replaces the schema
 		sp.function = ""
 	}
 }
--- a/internal/protocol/sqlscan/statement_test.go
+++ b/internal/protocol/sqlscan/statement_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// FuzzScan: no text makes scanning panic, and a comment in front of it changes nothing.
+// FuzzScan: no text makes scanning panic, and a comment before the text does not change its statements.
 func FuzzScan(f *testing.F) {
 	f.Add("begin; select $a$;$a$ /*class='x'*/ -- e\n;e'\\''")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -45,7 +45,7 @@
 		all := Statements(text)
 		again := Statements("/*c*/ " + text)
 		if len(all) != len(again) {
-			t.Fatalf("%d statements, %d behind a comment", len(all), len(again))
+			t.Fatalf("%d statements, %d after a leading comment", len(all), len(again))
 		}
 		for i := range all {
 			if all[i] != again[i] {
@@ -55,8 +55,8 @@
 	})
 }
 
-// TestUnknownFunctions: names before a parenthesis are calls of functions, but for where a list follows a
-// name; functions known to leave nothing in the session are passed over.
+// TestUnknownFunctions: names before a parenthesis are function calls, except where a list follows a name.
+// Functions that are known to leave no state in the session are ignored.
 func TestUnknownFunctions(t *testing.T) {
 	for text, want := range map[string]string{
 		"select count(*), sum(a) from t where b in (1, 2)":                   "",
--- a/internal/protocol/sqlscan/tags.go
+++ b/internal/protocol/sqlscan/tags.go
@@ -5,8 +5,9 @@
 	"strings"
 )
 
-// Tags returns what the sqlcommenter comments of a text say: pairs of key='value' set apart by commas, with
-// keys and values in URL encoding. A comment that has another form says nothing.
+// Tags returns the tags in the sqlcommenter comments of a text, or nil if there are none. Such a comment
+// consists of pairs key='value' separated by commas, with URL-encoded keys and values. Comments of another
+// form are ignored.
 func Tags(text string) map[string]string {
 	var tags map[string]string
 	if !strings.Contains(text, "/*") {
@@ -30,7 +31,7 @@
 	}
 }
 
-// commentPairs returns the pairs of a comment; none where it is a line comment, not closed, or has another
+// commentPairs returns the pairs of a comment, or nil if it is a line comment, is not closed, or has another
 // form.
 func commentPairs(comment string) map[string]string {
 	const open, end = "/*", "*/"
@@ -40,7 +41,7 @@
 	return pairs(comment[len(open) : len(comment)-len(end)])
 }
 
-// pairs returns the pairs of a comment's text; none where any of it has another form.
+// pairs returns the pairs in a comment's text, or nil if any part of it has another form.
 func pairs(s string) map[string]string {
 	found := map[string]string{}
 	for s = strings.TrimSpace(s); s != ""; {
@@ -69,7 +70,7 @@
 	return found
 }
 
-// closingQuote returns where the first quote without a backslash before it stands, or the text's length.
+// closingQuote returns the position of the first quote without a backslash before it, or the text's length.
 func closingQuote(s string) int {
 	i := 0
 	for i < len(s) && (s[i] != '\'' || i > 0 && s[i-1] == '\\') {
--- a/internal/protocol/sqlscan/tags_test.go
+++ b/internal/protocol/sqlscan/tags_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestTags: pairs of a well formed sqlcommenter comment are read, other comments give none.
+// TestTags: the pairs of a well-formed sqlcommenter comment are returned; other comments give none.
 func TestTags(t *testing.T) {
 	tags := Tags(`select '/*class=''x''*/' /*class='report',key='a%2Fb%20c',traceparent='00-1'*/`)
 	if len(tags) != 3 || tags["class"] != "report" || tags["key"] != "a/b c" {
