--- a/internal/protocol/sqlstate/sqlstate.go
+++ b/internal/protocol/sqlstate/sqlstate.go
@@ -1,8 +1,8 @@
-// Package sqlstate names the SQLSTATE codes that the dispatcher sends to clients or decides by when engines
-// send them. The names and meanings are those of PostgreSQL's appendix "PostgreSQL Error Codes".
+// Package sqlstate names the SQLSTATE codes that the dispatcher sends to clients, or on which its handling of
+// an engine's error depends. Names and meanings follow PostgreSQL's appendix "PostgreSQL Error Codes".
 package sqlstate
 
-// The codes, by class.
+// The codes, ordered by class.
 const (
 	Warning                      = "01000"
 	ConnectionFailure            = "08006"
