--- a/internal/backend/pgbackend/ready.go
+++ b/internal/backend/pgbackend/ready.go
@@ -124,7 +124,7 @@
 		}
 		a.end(r)
 	case a.Stateful && !o.retryable:
-		// A stateful query is not attempted elsewhere: the engine's error is its response.
+		// A sticky query is not attempted elsewhere: the engine's error is its response.
 		last := pgwire.AppendFields(o.batch, 'E', &o.engineError)
 		r.ResponseFinished = a.Response.Finish(a.Number, last, true)
 		a.end(r)
--- a/internal/frontend/pgfrontend/server.go
+++ b/internal/frontend/pgfrontend/server.go
@@ -67,7 +67,8 @@
 	Registry *registry.Registry // of sticky sessions
 }
 
-// Server serves PostgreSQL clients. Make one with New. Its methods may be called from several goroutines.
+// Server serves PostgreSQL clients. Make one with New. Its methods may be called from several goroutines, but
+// Reload only from one at a time.
 type Server struct {
 	cfg        atomic.Pointer[Config]
 	dispatcher frontend.Dispatcher
