--- a/internal/backend/pgbackend/cancel.go
+++ b/internal/backend/pgbackend/cancel.go
@@ -32,13 +32,13 @@
 	p.mu.Unlock()
 	go func() {
 		defer p.background.Done()
-		c.carryOutCancel(a)
+		c.runCancel(a)
 	}()
 }
 
-// carryOutCancel sends the cancel request and returns the connection to the pool if it may be reused. If the
+// runCancel sends the cancel request and returns the connection to the pool if it may be reused. If the
 // engine does not end the query within CancelTimeout, the connection is closed.
-func (c *conn) carryOutCancel(a *Attempt) {
+func (c *conn) runCancel(a *Attempt) {
 	p := c.pool
 	deadline := time.Now().Add(p.cfg.CancelTimeout)
 	if err := sendCancel(p.dialer(), string(c.engine.id), c.pid, c.secret, deadline); err != nil {
--- a/internal/backend/pgbackend/conn_test.go
+++ b/internal/backend/pgbackend/conn_test.go
@@ -30,12 +30,12 @@
 		"of a session, withdrawn":     {true, true},
 		"of a session, may not start": {true, false},
 	} {
-		near, far := net.Pipe()
-		defer near.Close()
-		defer far.Close()
+		poolEnd, engineEnd := net.Pipe()
+		defer poolEnd.Close()
+		defer engineEnd.Close()
 		p := NewPool(Config{MaxConnections: 4})
 		e := p.engineFor("engine")
-		conn := &conn{pool: p, engine: e, netConn: near}
+		conn := &conn{pool: p, engine: e, netConn: poolEnd}
 		e.conns[conn] = struct{}{}
 		ended := 0
 		a := &Attempt{OnEnded: func(Result) { ended++ }}
@@ -173,22 +173,22 @@
 // newPipedConn returns a connection to an engine, and a channel of what is written to the engine.
 func newPipedConn(t *testing.T) (*conn, <-chan string) {
 	t.Helper()
-	near, far := net.Pipe()
+	poolEnd, engineEnd := net.Pipe()
 	p := NewPool(Config{MaxConnections: 4, MaxPrepared: 4})
 	t.Cleanup(func() {
-		near.Close()
-		far.Close()
+		poolEnd.Close()
+		engineEnd.Close()
 		p.Close()
 	})
 	e := p.engineFor("engine")
-	c := &conn{pool: p, engine: e, netConn: near, preparedByKey: map[string]*list.Element{},
+	c := &conn{pool: p, engine: e, netConn: poolEnd, preparedByKey: map[string]*list.Element{},
 		preparedLRU: list.New()}
 	e.conns[c] = struct{}{}
 	written := make(chan string, 8)
 	go func() {
 		b := make([]byte, 4096)
 		for {
-			n, err := far.Read(b)
+			n, err := engineEnd.Read(b)
 			if err != nil {
 				return
 			}
--- a/internal/backend/pgbackend/connect.go
+++ b/internal/backend/pgbackend/connect.go
@@ -69,9 +69,9 @@
 // connectResult returns the result of an attempt whose connection failed during startup.
 func connectResult(err error) Result {
 	r := Result{Outcome: cresspass.OutcomeConnectFailed, Message: err.Error()}
-	var refusal *errorResponse
-	if errors.As(err, &refusal) {
-		r.SQLState = refusal.fields.Code
+	var response *errorResponse
+	if errors.As(err, &response) {
+		r.SQLState = response.fields.Code
 		if provesNotRun(r.SQLState) {
 			r.Outcome = cresspass.OutcomeRejected
 		}
--- a/internal/backend/pgbackend/golden_test.go
+++ b/internal/backend/pgbackend/golden_test.go
@@ -80,11 +80,11 @@
 		"3F000", "40001", "42P01", "44000", "53000", "53100", "53200", "53300", "53400", "54000", "55000",
 		"57000", "57014", "57P01", "57P02", "57P03", "57P05", "58000", "58030", "72000", "F0000", "HV000",
 		"P0001", "XX000", "XX001", "123"} {
-		outcome, own := classifySQLState(code)
+		outcome, queryError := classifySQLState(code)
 		c.copyInFailed = true
-		copyOutcome, copyOwn := c.classifyError(code)
+		copyOutcome, copyQueryError := c.classifyError(code)
 		fmt.Fprintf(&got, "error %q outcome %d own %v never ran %v; of a failed copy %d %v\n", code, outcome,
-			own, provesNotRun(code), copyOutcome, copyOwn)
+			queryError, provesNotRun(code), copyOutcome, copyQueryError)
 	}
 	for _, v := range []string{"", "1", "1,2", "1.5,-2e3", "1,x", "1,2,3", " 1,2"} {
 		fmt.Fprintf(&got, "load %q %v\n", v, c.parseLoadReport(v))
--- a/internal/backend/pgbackend/message.go
+++ b/internal/backend/pgbackend/message.go
@@ -185,7 +185,7 @@
 		f.Code == sqlstate.FeatureNotSupported {
 		// The statement was not parsed, the engine no longer has it, or its plan is for tables that have
 		// changed.
-		c.forgetPrepared(a.Query.PrepareKey())
+		c.dropPrepared(a.Query.PrepareKey())
 	}
 	if f.Severity == "FATAL" || f.Severity == "PANIC" {
 		return fmt.Errorf("%s %s: %s", f.Severity, f.Code, f.Message)
@@ -202,7 +202,7 @@
 // the query's response.
 func (c *conn) handleSettingError(f pgwire.Fields, m pgwire.Message) {
 	if c.readyToSkip > 1 || c.gatedQuery == nil {
-		c.forgetResources()
+		c.invalidateResourceSettings()
 		return
 	}
 	c.failed, c.tainted, c.engineError = true, true, f
--- a/internal/backend/pgbackend/ready.go
+++ b/internal/backend/pgbackend/ready.go
@@ -156,11 +156,11 @@
 	}
 	switch tag {
 	case "DISCARD ALL", "RESET", "ROLLBACK": // ROLLBACK undoes the SETs sent in its transaction
-		c.forgetResources()
+		c.invalidateResourceSettings()
 	}
 }
 
-// forgetResources makes the next request set work_mem and the priority again.
-func (c *conn) forgetResources() {
+// invalidateResourceSettings makes the next request set work_mem and the priority again.
+func (c *conn) invalidateResourceSettings() {
 	c.workMemMB, c.priority = unknownSetting, unknownSetting
 }
--- a/internal/backend/pgbackend/request.go
+++ b/internal/backend/pgbackend/request.go
@@ -112,8 +112,8 @@
 	return pgwire.AppendParse(out, p.name, q.Text, []byte(q.ParameterTypes)), p.name
 }
 
-// forgetPrepared drops a prepared statement, so that its next use parses it again.
-func (c *conn) forgetPrepared(key string) {
+// dropPrepared drops a prepared statement, so that its next use parses it again.
+func (c *conn) dropPrepared(key string) {
 	if element := c.preparedByKey[key]; element != nil {
 		c.preparedLRU.Remove(element)
 		delete(c.preparedByKey, key)
--- a/internal/backend/pgbackend/terminate.go
+++ b/internal/backend/pgbackend/terminate.go
@@ -44,12 +44,12 @@
 	for _, name := range r.IncarnationNames {
 		names = append(names, "'"+strings.ReplaceAll(name, "'", "''")+"'")
 	}
-	which := "state LIKE 'idle in transaction%'"
+	condition := "state LIKE 'idle in transaction%'"
 	if len(pids) > 0 {
-		which = "(" + which + " OR pid IN (" + strings.Join(pids, ", ") + "))"
+		condition = "(" + condition + " OR pid IN (" + strings.Join(pids, ", ") + "))"
 	}
 	return "SELECT pg_terminate_backend(pid) FROM pg_stat_activity WHERE application_name IN (" +
-		strings.Join(names, ", ") + ") AND " + which
+		strings.Join(names, ", ") + ") AND " + condition
 }
 
 // countRows runs a statement and returns the number of rows in its result.
@@ -57,19 +57,19 @@
 	if _, err := c.netConn.Write(pgwire.AppendText(nil, 'Q', statement)); err != nil {
 		return 0, err
 	}
-	var refusal error
+	var statementErr error
 	err = c.receiveUntilReady(func(m pgwire.Message) error {
 		switch m.Type {
 		case 'D': // DataRow
 			rows++
 		case 'E': // ErrorResponse; if it is malformed, the fields read so far are used
 			f, _ := pgwire.ParseFields(m.Body)
-			refusal = fmt.Errorf("%s %s", f.Code, f.Message)
+			statementErr = fmt.Errorf("%s %s", f.Code, f.Message)
 		}
 		return nil
 	})
 	if err == nil {
-		err = refusal
+		err = statementErr
 	}
 	return rows, err
 }
