--- a/internal/backend/sessionparams/change.go
+++ b/internal/backend/sessionparams/change.go
@@ -20,7 +20,7 @@
 	case "DISCARD":
 		return Change{}, words[1] == "ALL"
 	case "RESET":
-		return resetBy(&st.Words)
+		return resetChange(&st.Words)
 	case "SET":
 	default:
 		return ch, false
@@ -47,8 +47,8 @@
 	return false
 }
 
-// resetBy returns the effect of a RESET with the given first words.
-func resetBy(words *[4]string) (ch Change, ok bool) {
+// resetChange returns the effect of a RESET with the given first words.
+func resetChange(words *[4]string) (ch Change, ok bool) {
 	if words[1] == "ALL" {
 		return Change{}, true
 	}
@@ -62,7 +62,7 @@
 // ParseAssignment splits a SET statement into the setting's name in lower case and the text of its value. ok
 // is false if the statement is no assignment ("SET").
 func ParseAssignment(st *sqlscan.Statement) (name, value string, ok bool) {
-	rest := withoutScope(strings.TrimSpace(st.Text[len("SET"):]))
+	rest := trimScope(strings.TrimSpace(st.Text[len("SET"):]))
 	name, value, ok = strings.Cut(rest, "=")
 	if !ok || strings.ContainsAny(strings.TrimSpace(name), " \t\r\n'") {
 		name, value, ok = parseWordAssignment(rest)
@@ -71,8 +71,8 @@
 	return name, strings.TrimSpace(value), ok
 }
 
-// withoutScope returns an assignment without a leading SESSION or LOCAL.
-func withoutScope(assignment string) string {
+// trimScope returns an assignment without a leading SESSION or LOCAL.
+func trimScope(assignment string) string {
 	for _, word := range []string{"SESSION", "LOCAL"} {
 		n := len(word)
 		if len(assignment) > n && strings.EqualFold(assignment[:n], word) &&
