--- a/internal/frontend/pgfrontend/client.go
+++ b/internal/frontend/pgfrontend/client.go
@@ -61,9 +61,9 @@
 	}
 }
 
-// rejectIfUnservable replaces the response to the startup packet by an error if the client is beyond a limit.
+// rejectIfOverLimit replaces the response to the startup packet by an error if the client is beyond a limit.
 // The caller holds c.mu.
-func (c *client) rejectIfUnservable() {
+func (c *client) rejectIfOverLimit() {
 	c.registration.User = c.session.User
 	if c.session.Closing() {
 		return
@@ -152,7 +152,7 @@
 // onWritten is called by nbio when it has written n bytes to the socket.
 func (c *client) onWritten(n int) {
 	written := c.writtenBytes.Add(int64(n))
-	if c.awaitsCapacity.Load() && c.queuedBytes.Load()-written <= c.maxUntaken()/2 {
+	if c.awaitsCapacity.Load() && c.queuedBytes.Load()-written <= c.maxUnsentBytes()/2 {
 		select {
 		case c.capacity <- struct{}{}:
 		default:
@@ -160,18 +160,18 @@
 	}
 }
 
-// untakenBytes returns the number of bytes that nbio has not yet written to the socket.
-func (c *client) untakenBytes() int64 { return c.queuedBytes.Load() - c.writtenBytes.Load() }
+// unsentBytes returns the number of bytes that nbio has not yet written to the socket.
+func (c *client) unsentBytes() int64 { return c.queuedBytes.Load() - c.writtenBytes.Load() }
 
-func (c *client) maxUntaken() int64 { return int64(c.server.cfg.Load().ClientBuffer) }
+func (c *client) maxUnsentBytes() int64 { return int64(c.server.cfg.Load().ClientBuffer) }
 
-// awaitCapacity blocks until at most maxUntaken bytes wait to be written to the socket, or until the response
-// or the connection ends.
+// awaitCapacity blocks until at most maxUnsentBytes bytes wait to be written to the socket, or until the
+// response or the connection ends.
 func (c *client) awaitCapacity(responseDone <-chan struct{}) {
-	limit := c.maxUntaken()
-	for c.untakenBytes() > limit {
+	limit := c.maxUnsentBytes()
+	for c.unsentBytes() > limit {
 		c.awaitsCapacity.Store(true)
-		if c.untakenBytes() <= limit { // written before onWritten could see awaitsCapacity
+		if c.unsentBytes() <= limit { // written before onWritten could see awaitsCapacity
 			break
 		}
 		select {
--- a/internal/frontend/pgfrontend/read.go
+++ b/internal/frontend/pgfrontend/read.go
@@ -80,7 +80,7 @@
 			c.startupTimer.Stop()
 			c.startupTimer = nil
 		}
-		c.rejectIfUnservable()
+		c.rejectIfOverLimit()
 	}
 	c.feedCopyPipe()
 	pending := c.session.TakeQuery()
--- a/internal/frontend/pgfrontend/server.go
+++ b/internal/frontend/pgfrontend/server.go
@@ -143,7 +143,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.clients {
-		n += c.untakenBytes()
+		n += c.unsentBytes()
 	}
 	return n
 }
--- a/internal/frontend/pgfrontend/sink.go
+++ b/internal/frontend/pgfrontend/sink.go
@@ -45,7 +45,7 @@
 	if p := c.copyPipe.Swap(nil); p != nil && p.Full() {
 		go c.readAvailable() // what the client sends now no longer belongs to the copy
 	}
-	t, ended := c.affinityAtEnd()
+	t, ended := c.updateAffinityAtEnd()
 	c.session.QueryEnded(k.kind, b, failed)
 	switch {
 	case ended:
@@ -61,9 +61,9 @@
 	}
 }
 
-// affinityAtEnd updates the session's affinity at the end of a response. ended says that the session ends
-// with t, because the engine connection was lost while the query ran. The caller holds c.mu.
-func (c *client) affinityAtEnd() (t affinity.Termination, ended bool) {
+// updateAffinityAtEnd updates the session's affinity at the end of a response. ended says that the session
+// ends with t, because the engine connection was lost while the query ran. The caller holds c.mu.
+func (c *client) updateAffinityAtEnd() (t affinity.Termination, ended bool) {
 	switch {
 	case c.connectionLost:
 		t = c.session.Affinity.ConnectionLost(false)
