--- a/internal/protocol/pgwire/backend.go
+++ b/internal/protocol/pgwire/backend.go
@@ -3,10 +3,10 @@
 import "encoding/binary"
 
 // Limits of the length of a session's secret key, in bytes. Before protocol version 3.2 it is always
-// minSecret.
+// minSecretSize.
 const (
-	minSecret = 4
-	maxSecret = 256
+	minSecretSize = 4
+	maxSecretSize = 256
 )
 
 // ParseKey parses the body of a BackendKeyData message: the process ID and the secret that a CancelRequest
@@ -14,7 +14,7 @@
 func ParseKey(b []byte) (pid uint32, secret []byte, err error) {
 	d := bodyDecoder{b: b}
 	pid = uint32(d.int32())
-	if len(d.b) < minSecret || len(d.b) > maxSecret {
+	if len(d.b) < minSecretSize || len(d.b) > maxSecretSize {
 		d.malformed = true
 	}
 	secret = append([]byte(nil), d.take(len(d.b))...)
--- a/internal/protocol/pgwire/frontend.go
+++ b/internal/protocol/pgwire/frontend.go
@@ -86,11 +86,11 @@
 	return kind, name, d.end("Describe or Close")
 }
 
-// AppendTarget appends a message of kind Describe ('D') or Close ('C') for a statement (of 'S') or a portal
-// (of 'P').
-func AppendTarget(out []byte, kind, of byte, name string) []byte {
+// AppendTarget appends a message of kind Describe ('D') or Close ('C'). The target is a statement ('S') or a
+// portal ('P').
+func AppendTarget(out []byte, kind, target byte, name string) []byte {
 	out, at := begin(out, kind)
-	out = append(out, of)
+	out = append(out, target)
 	return end(appendText(out, name), at)
 }
 
--- a/internal/protocol/pgwire/reader.go
+++ b/internal/protocol/pgwire/reader.go
@@ -14,9 +14,9 @@
 
 const (
 	lengthBytes = 4               // size of a message's length field, which counts itself
-	headBytes   = 1 + lengthBytes // size of a message's type and length
+	headerBytes = 1 + lengthBytes // size of a message's type and length
 
-	minStartup = 4 // size of a startup packet's code, in bytes
+	minStartupSize = 4 // size of a startup packet's code, in bytes
 
 	// maxRetainedBuffer is the largest buffer that an idle reader keeps, in bytes.
 	maxRetainedBuffer = 1024
@@ -56,30 +56,30 @@
 
 // Next returns the next complete message. ok is false if more bytes are needed.
 func (r *Reader) Next() (m Message, ok bool, err error) {
-	head := headBytes
+	header := headerBytes
 	if r.Startup {
-		head = lengthBytes
+		header = lengthBytes
 	}
 	if !r.Startup && len(r.unread) > 0 && r.Known != nil && !r.Known(r.unread[0]) {
 		// The type is checked before the length has arrived. In a stream with broken framing, the bytes in
 		// place of the length may ask for more than ever arrives, and the connection would wait forever.
 		return m, false, fmt.Errorf("%w: message type %q", ErrFrame, r.unread[0])
 	}
-	if len(r.unread) < head {
+	if len(r.unread) < header {
 		return m, false, nil
 	}
-	n := int(int32(binary.BigEndian.Uint32(r.unread[head-lengthBytes:]))) - lengthBytes
+	n := int(int32(binary.BigEndian.Uint32(r.unread[header-lengthBytes:]))) - lengthBytes
 	if err := r.checkLength(n); err != nil {
 		return m, false, err
 	}
-	if len(r.unread) < head+n {
+	if len(r.unread) < header+n {
 		return m, false, nil
 	}
 	if !r.Startup {
 		m.Type = r.unread[0]
 	}
-	m.Body = r.unread[head : head+n : head+n]
-	r.unread = r.unread[head+n:]
+	m.Body = r.unread[header : header+n : header+n]
+	r.unread = r.unread[header+n:]
 	return m, true, nil
 }
 
@@ -91,7 +91,7 @@
 	}
 	if r.Startup {
 		limit = MaxStartup
-		if n < minStartup {
+		if n < minStartupSize {
 			return fmt.Errorf("%w: startup packet of %d bytes", ErrFrame, n)
 		}
 	}
--- a/internal/protocol/pgwire/startup.go
+++ b/internal/protocol/pgwire/startup.go
@@ -35,7 +35,7 @@
 	case s.Code == CodeTLS || s.Code == CodeGSS:
 	case s.Code == CodeCancel:
 		s.PID = uint32(d.int32())
-		if n := len(d.b); n < minSecret || n > maxSecret {
+		if n := len(d.b); n < minSecretSize || n > maxSecretSize {
 			d.malformed = true
 		}
 		s.Secret = append([]byte(nil), d.take(len(d.b))...)
