--- a/internal/frontend/pgfrontend/pgsession/extended.go
+++ b/internal/frontend/pgfrontend/pgsession/extended.go
@@ -113,9 +113,9 @@
 	}
 }
 
-// describeAlone submits the waiting Describe of a portal as a separate query and returns true, unless the
+// submitDescribe submits the waiting Describe of a portal as a separate query and returns true, unless the
 // next message m executes that portal. m is deferred until the query has ended.
-func (s *Session) describeAlone(m pgwire.Message) bool {
+func (s *Session) submitDescribe(m pgwire.Message) bool {
 	if m.Type == 'E' {
 		name, _, err := pgwire.ParseExecute(m.Body)
 		if err == nil && string(name) == s.describedPortal {
--- a/internal/frontend/pgfrontend/pgsession/golden_test.go
+++ b/internal/frontend/pgfrontend/pgsession/golden_test.go
@@ -63,7 +63,9 @@
 	return pgwire.AppendBind(nil, portal, statement, []byte{0, 0, 0, 0, 0, 0}) // no values
 }
 
-func target(kind, of byte, name string) []byte { return pgwire.AppendTarget(nil, kind, of, name) }
+func target(kind, targetKind byte, name string) []byte {
+	return pgwire.AppendTarget(nil, kind, targetKind, name)
+}
 
 func execute(portal string, rows int32) []byte { return pgwire.AppendExecute(nil, portal, rows) }
 
--- a/internal/frontend/pgfrontend/pgsession/session.go
+++ b/internal/frontend/pgfrontend/pgsession/session.go
@@ -220,7 +220,7 @@
 			s.handleStartup(m.Body)
 		case s.copyIn:
 			s.handleCopyMessage(m)
-		case s.describePending && !s.skipToSync && s.describeAlone(m):
+		case s.describePending && !s.skipToSync && s.submitDescribe(m):
 		default:
 			s.handleMessage(m)
 		}
--- a/internal/frontend/pgfrontend/pgsession/startup.go
+++ b/internal/frontend/pgfrontend/pgsession/startup.go
@@ -47,7 +47,7 @@
 		return
 	}
 	s.settings.start()
-	if asksForReplication(p.Parameters["replication"]) {
+	if requestsReplication(p.Parameters["replication"]) {
 		s.failFatal(sqlstate.FeatureNotSupported, "replication connections are not served")
 		return
 	}
@@ -75,9 +75,9 @@
 	}
 }
 
-// asksForReplication reports whether the value of the startup parameter replication asks for a replication
+// requestsReplication reports whether the value of the startup parameter replication asks for a replication
 // connection: anything but false or empty.
-func asksForReplication(value string) bool {
+func requestsReplication(value string) bool {
 	switch value {
 	case "", "false", "off", "0", "no":
 		return false
