--- a/internal/protocol/sqlscan/fingerprint.go
+++ b/internal/protocol/sqlscan/fingerprint.go
@@ -5,19 +5,19 @@
 // fingerprint. It does not depend on the text's meaning: with another search path the same words name other
 // tables and have the same fingerprint.
 func Fingerprint(text string) uint64 {
-	all := make(shape, 0, 64)
+	tokens := make(shape, 0, 64)
 	s := scanner{text: text}
 	for {
 		kind, from, to := s.next()
 		if kind == tokenEnd {
 			break
 		}
-		all = all.add(kind, text[from:to])
+		tokens = tokens.add(kind, text[from:to])
 	}
-	for len(all) > 0 && all.last(1) == punctuation(';') {
-		all = all[:len(all)-1]
+	for len(tokens) > 0 && tokens.last(1) == punctuation(';') {
+		tokens = tokens[:len(tokens)-1]
 	}
-	return all.sum()
+	return tokens.sum()
 }
 
 // Parameters of the 64-bit FNV-1a hash.
@@ -78,7 +78,7 @@
 // of it.
 func (s shape) addLiteral() shape {
 	if len(s) > 0 && (s.last(1) == punctuation('-') || s.last(1) == punctuation('+')) &&
-		(len(s) == 1 || signFollows(s.last(2))) {
+		(len(s) == 1 || signMayFollow(s.last(2))) {
 		s = s[:len(s)-1]
 	}
 	if s.last(1) == punctuation(',') && s.last(2) == anyLiteral {
@@ -94,9 +94,9 @@
 		s.last(4) == punctuation(')') && s.last(5) == anyLiteral && s.last(6) == punctuation('(')
 }
 
-// signFollows reports whether a plus or minus after a token is the sign of a literal: after an operator, a
+// signMayFollow reports whether a plus or minus after a token is the sign of a literal: after an operator, a
 // comma, or an opening parenthesis or bracket.
-func signFollows(before uint64) bool {
+func signMayFollow(before uint64) bool {
 	for _, c := range "(,=<>*/+-%^|&[" {
 		if before == punctuation(byte(c)) {
 			return true
--- a/internal/protocol/sqlscan/functions.go
+++ b/internal/protocol/sqlscan/functions.go
@@ -2,11 +2,11 @@
 
 import "strings"
 
-// sessionNeutral holds, in upper case, functions that leave no state in a session, and other words that may
+// statelessNames holds, in upper case, functions that leave no state in a session, and other words that may
 // stand before a parenthesis. Any other function may leave state at the engine: a temporary table, a session
 // lock or a setting. The protocol does not report that, so a statement that calls one counts as leaving
 // state.
-var sessionNeutral = func() map[string]bool {
+var statelessNames = func() map[string]bool {
 	all := map[string]bool{}
 	for _, w := range strings.Fields(`
 	SELECT FROM WHERE AND OR NOT IN ANY ALL SOME EXISTS AS ON USING BY HAVING VALUES OVER FILTER WITHIN GROUP
@@ -67,11 +67,11 @@
 	return all
 }()
 
-// noteCall records a name before an opening parenthesis as a function call, unless it leaves no state in the
-// session. before is the word in front of the name: after some words, a name with a list behind it is no
+// recordCall records a name before an opening parenthesis as a function call, unless it leaves no state in
+// the session. before is the word in front of the name: after some words, a name with a list behind it is no
 // call.
-func (st *Statement) noteCall(name, before string) {
-	if st.Function != "" || sessionNeutral[strings.ToUpper(name)] {
+func (st *Statement) recordCall(name, before string) {
+	if st.Function != "" || statelessNames[strings.ToUpper(name)] {
 		return
 	}
 	switch st.Words[0] {
--- a/internal/protocol/sqlscan/scanner.go
+++ b/internal/protocol/sqlscan/scanner.go
@@ -17,7 +17,7 @@
 // scanner splits a text into tokens.
 type scanner struct {
 	text string
-	at   int // position of the next token, or of the white space before it
+	pos  int // position of the next token, or of the white space before it
 }
 
 // wordStart reports whether a word or an unquoted name may begin with c. wordPart reports whether it may
@@ -35,10 +35,10 @@
 // unclosed quote or comment extends to the end of the text.
 func (s *scanner) next() (kind token, from, to int) {
 	t := s.text
-	for s.at < len(t) && strings.IndexByte(whiteSpace, t[s.at]) >= 0 {
-		s.at++
+	for s.pos < len(t) && strings.IndexByte(whiteSpace, t[s.pos]) >= 0 {
+		s.pos++
 	}
-	from = s.at
+	from = s.pos
 	if from >= len(t) {
 		return tokenEnd, from, from
 	}
@@ -46,7 +46,7 @@
 	switch c := t[from]; {
 	case c == ';':
 		kind = tokenSemicolon
-		s.at++
+		s.pos++
 	case strings.HasPrefix(t[from:], "--"):
 		kind = tokenComment
 		s.lineComment()
@@ -58,49 +58,49 @@
 	case c == '"':
 		s.quoted('"', false)
 	case (c == 'e' || c == 'E') && from+1 < len(t) && t[from+1] == '\'':
-		s.at++
+		s.pos++
 		s.quoted('\'', true)
 	case c == '$':
 		s.dollar()
 	case wordStart(c):
 		kind = tokenWord
-		for s.at < len(t) && wordPart(t[s.at]) {
-			s.at++
+		for s.pos < len(t) && wordPart(t[s.pos]) {
+			s.pos++
 		}
 	case c >= '0' && c <= '9':
-		for s.at < len(t) && (wordPart(t[s.at]) || t[s.at] == '.') {
-			s.at++
+		for s.pos < len(t) && (wordPart(t[s.pos]) || t[s.pos] == '.') {
+			s.pos++
 		}
 	default:
-		s.at++
+		s.pos++
 	}
-	return kind, from, s.at
+	return kind, from, s.pos
 }
 
 // lineComment skips a comment that extends to the end of the line.
 func (s *scanner) lineComment() {
-	if n := strings.IndexAny(s.text[s.at:], "\r\n"); n >= 0 {
-		s.at += n
+	if n := strings.IndexAny(s.text[s.pos:], "\r\n"); n >= 0 {
+		s.pos += n
 	} else {
-		s.at = len(s.text)
+		s.pos = len(s.text)
 	}
 }
 
 // blockComment skips a comment between /* and */. Such comments nest.
 func (s *scanner) blockComment() {
 	depth := 0
-	for s.at < len(s.text) {
-		switch rest := s.text[s.at:]; {
+	for s.pos < len(s.text) {
+		switch rest := s.text[s.pos:]; {
 		case strings.HasPrefix(rest, "/*"):
 			depth++
-			s.at += 2
+			s.pos += 2
 		case strings.HasPrefix(rest, "*/"):
-			s.at += 2
+			s.pos += 2
 			if depth--; depth == 0 {
 				return
 			}
 		default:
-			s.at++
+			s.pos++
 		}
 	}
 }
@@ -108,36 +108,36 @@
 // quoted skips a quoted string or name. A doubled quote does not end it, and neither does one after a
 // backslash if escapes is true.
 func (s *scanner) quoted(quote byte, escapes bool) {
-	for s.at++; s.at < len(s.text); s.at++ {
-		switch c := s.text[s.at]; {
+	for s.pos++; s.pos < len(s.text); s.pos++ {
+		switch c := s.text[s.pos]; {
 		case escapes && c == '\\':
-			s.at++
-		case c == quote && s.at+1 < len(s.text) && s.text[s.at+1] == quote:
-			s.at++
+			s.pos++
+		case c == quote && s.pos+1 < len(s.text) && s.text[s.pos+1] == quote:
+			s.pos++
 		case c == quote:
-			s.at++
+			s.pos++
 			return
 		}
 	}
-	s.at = len(s.text)
+	s.pos = len(s.text)
 }
 
 // dollar skips a dollar-quoted string, or a parameter such as $1.
 func (s *scanner) dollar() {
-	end := s.at + 1
+	end := s.pos + 1
 	for end < len(s.text) && s.text[end] != '$' && wordPart(s.text[end]) {
 		end++
 	}
-	tag := s.text[s.at:min(end+1, len(s.text))]
+	tag := s.text[s.pos:min(end+1, len(s.text))]
 	if end >= len(s.text) || s.text[end] != '$' || len(tag) > 2 && !wordStart(tag[1]) {
-		for s.at++; s.at < len(s.text) && s.text[s.at] >= '0' && s.text[s.at] <= '9'; {
-			s.at++
+		for s.pos++; s.pos < len(s.text) && s.text[s.pos] >= '0' && s.text[s.pos] <= '9'; {
+			s.pos++
 		}
 		return
 	}
 	if n := strings.Index(s.text[end+1:], tag); n >= 0 {
-		s.at = end + 1 + n + len(tag)
+		s.pos = end + 1 + n + len(tag)
 	} else {
-		s.at = len(s.text)
+		s.pos = len(s.text)
 	}
 }
--- a/internal/protocol/sqlscan/statement.go
+++ b/internal/protocol/sqlscan/statement.go
@@ -21,10 +21,10 @@
 	"BEGIN": true, "START": true, "ROLLBACK": true, "ABORT": true, "SAVEPOINT": true, "RELEASE": true,
 }
 
-// noteWord evaluates a word that is not the statement's first; before is the word in front of it. Every word
-// counts, wherever it stands, and a single writing word makes the statement a writing one: WITH and EXPLAIN
-// may contain statements that write, and SELECT INTO creates a table.
-func (st *Statement) noteWord(word, before string) {
+// recordWord evaluates a word that is not the statement's first; before is the word in front of it. Every
+// word counts, wherever it stands, and a single writing word makes the statement a writing one: WITH and
+// EXPLAIN may contain statements that write, and SELECT INTO creates a table.
+func (st *Statement) recordWord(word, before string) {
 	switch strings.ToUpper(word) {
 	case "TEMP", "TEMPORARY":
 		st.Temp = st.Temp || strings.EqualFold(before, "INTO")
@@ -67,13 +67,13 @@
 
 	// State of the current statement.
 
-	statement Statement
-	started   bool
-	from, to  int
-	words     int    // number of words in statement.Words
-	last      string // the last word
-	earlier   string // the word before last, or before the schema that qualifies last
-	function  string // the previous token, if it can be a function's name
+	statement  Statement
+	started    bool
+	from, to   int
+	wordCount  int    // number of words in statement.Words
+	lastWord   string // the last word
+	wordBefore string // the word before last, or before the schema that qualifies last
+	function   string // the previous token, if it can be a function's name
 }
 
 // endStatement completes the current statement, if it has any token.
@@ -96,19 +96,19 @@
 // addWord adds a word outside quotes to the current statement.
 func (sp *splitter) addWord(from, to int) {
 	word := sp.text[from:to]
-	if sp.words < len(sp.statement.Words) {
-		sp.statement.Words[sp.words] = strings.ToUpper(word)
-		sp.words++
+	if sp.wordCount < len(sp.statement.Words) {
+		sp.statement.Words[sp.wordCount] = strings.ToUpper(word)
+		sp.wordCount++
 	}
-	if sp.words == 1 && sp.last == "" {
+	if sp.wordCount == 1 && sp.lastWord == "" {
 		sp.statement.Writes = !readingWords[sp.statement.Words[0]]
 	} else {
-		sp.statement.noteWord(word, sp.last)
+		sp.statement.recordWord(word, sp.lastWord)
 	}
 	if sp.function == "" || sp.text[from-1] != '.' {
-		sp.earlier = sp.last
+		sp.wordBefore = sp.lastWord
 	}
-	sp.last, sp.function = word, word
+	sp.lastWord, sp.function = word, word
 }
 
 // addOther adds a token that is not a word to the current statement: a quoted string or name, a number or
@@ -116,11 +116,11 @@
 func (sp *splitter) addOther(from, to int) {
 	switch c := sp.text[from]; {
 	case c == '(' && sp.function != "":
-		before := sp.last
-		if sp.function == sp.last {
-			before = sp.earlier
+		before := sp.lastWord
+		if sp.function == sp.lastWord {
+			before = sp.wordBefore
 		}
-		sp.statement.noteCall(sp.function, before)
+		sp.statement.recordCall(sp.function, before)
 		sp.function = ""
 	case c == '"' && to-from > 2:
 		sp.function = sp.text[from+1 : to-1]
