--- a/internal/backend/enginequery/query.go
+++ b/internal/backend/enginequery/query.go
@@ -1,5 +1,5 @@
 // Package enginequery describes a query in terms of the PostgreSQL protocol, which all engines speak,
-// whichever frontend the query came from. It holds data only: other packages decide where and when the query
+// whichever front the query came from. It holds data only: other packages decide where and when the query
 // runs.
 package enginequery
 
--- a/internal/backend/pgbackend/conn.go
+++ b/internal/backend/pgbackend/conn.go
@@ -18,7 +18,7 @@
 	// maxInlineWrite is the size in bytes up to which a request is written without starting a goroutine. The
 	// send buffer of an idle connection holds that much, so the write cannot block.
 	maxInlineWrite = 16 << 10
-	readBufferSize = 16 << 10
+	readBufferSize = 16 << 10 // bytes
 	// maxIdleBatch is the largest batch buffer, in bytes, that is kept for the next read.
 	maxIdleBatch = 256 << 10
 )
@@ -140,7 +140,7 @@
 	return false
 }
 
-// releaseUnused returns a connection on which nothing was sent to the pool. A leased connection stays with
+// releaseUnused puts a connection on which nothing was sent back into the pool. A leased connection stays with
 // its session.
 func (c *conn) releaseUnused(a *Attempt) {
 	if a.Lease == nil || a.Lease.connection() != c {
--- a/internal/backend/pgbackend/pool.go
+++ b/internal/backend/pgbackend/pool.go
@@ -33,8 +33,11 @@
 	Control func(network, address string, c syscall.RawConn) error
 }
 
-// minIdleCheckInterval is the shortest interval between two checks for expired idle connections.
-const minIdleCheckInterval = 10 * time.Millisecond
+// How often the pool checks for expired idle connections.
+const (
+	idleChecksPerTimeout = 4                     // checks within each IdleTimeout
+	minIdleCheckInterval = 10 * time.Millisecond // lower bound of the interval between two checks
+)
 
 // Pool holds the connections to all engines. Its methods may be called from several goroutines.
 type Pool struct {
@@ -286,7 +289,7 @@
 // closed.
 func (p *Pool) closeExpiredIdle() {
 	defer p.background.Done()
-	ticker := time.NewTicker(max(p.cfg.IdleTimeout/4, minIdleCheckInterval))
+	ticker := time.NewTicker(max(p.cfg.IdleTimeout/idleChecksPerTimeout, minIdleCheckInterval))
 	defer ticker.Stop()
 	for {
 		select {
