--- a/internal/backend/pgbackend/conn.go
+++ b/internal/backend/pgbackend/conn.go
@@ -140,8 +140,8 @@
 	return false
 }
 
-// releaseUnused puts a connection on which nothing was sent back into the pool. A leased connection stays with
-// its session.
+// releaseUnused puts a connection on which nothing was sent back into the pool. A leased connection stays
+// with its session.
 func (c *conn) releaseUnused(a *Attempt) {
 	if a.Lease == nil || a.Lease.connection() != c {
 		c.pool.putIdle(c)
