--- a/internal/protocol/sqlscan/scanner.go
+++ b/internal/protocol/sqlscan/scanner.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// token is a kind of token.
+// token is the kind of a token.
 type token int
 
 // The kinds of token.
@@ -11,33 +11,34 @@
 	tokenComment
 	tokenSemicolon
 	tokenWord
-	tokenOther // quotes, numbers, punctuation
+	tokenOther // quoted strings and names, numbers, parameters, punctuation
 )
 
-// scanner cuts a text into tokens.
+// scanner splits a text into tokens.
 type scanner struct {
 	text string
-	at   int // the next token begins here, or white space before it
+	pos  int // position of the next token, or of the white space before it
 }
 
-// wordStart reports whether a word or a name without quotes may begin with a byte, wordPart whether it may
-// go on with one.
+// wordStart reports whether a word or an unquoted name may begin with c. wordPart reports whether it may
+// contain c after that.
 func wordStart(c byte) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '_' || c >= 0x80
 }
 
 func wordPart(c byte) bool { return wordStart(c) || c >= '0' && c <= '9' || c == '$' }
 
-// whiteSpace separates tokens.
+// whiteSpace holds the characters that separate tokens.
 const whiteSpace = " \t\r\n\f\v"
 
-// next returns the next token and where it stands. An unclosed quote or comment goes on to the end.
+// next returns the kind of the next token, and its position in the text: from inclusive, to exclusive. An
+// unclosed quote or comment extends to the end of the text.
 func (s *scanner) next() (kind token, from, to int) {
 	t := s.text
-	for s.at < len(t) && strings.IndexByte(whiteSpace, t[s.at]) >= 0 {
-		s.at++
+	for s.pos < len(t) && strings.IndexByte(whiteSpace, t[s.pos]) >= 0 {
+		s.pos++
 	}
-	from = s.at
+	from = s.pos
 	if from >= len(t) {
 		return tokenEnd, from, from
 	}
@@ -45,7 +46,7 @@
 	switch c := t[from]; {
 	case c == ';':
 		kind = tokenSemicolon
-		s.at++
+		s.pos++
 	case strings.HasPrefix(t[from:], "--"):
 		kind = tokenComment
 		s.lineComment()
@@ -57,86 +58,86 @@
 	case c == '"':
 		s.quoted('"', false)
 	case (c == 'e' || c == 'E') && from+1 < len(t) && t[from+1] == '\'':
-		s.at++
+		s.pos++
 		s.quoted('\'', true)
 	case c == '$':
 		s.dollar()
 	case wordStart(c):
 		kind = tokenWord
-		for s.at < len(t) && wordPart(t[s.at]) {
-			s.at++
+		for s.pos < len(t) && wordPart(t[s.pos]) {
+			s.pos++
 		}
 	case c >= '0' && c <= '9':
-		for s.at < len(t) && (wordPart(t[s.at]) || t[s.at] == '.') {
-			s.at++
+		for s.pos < len(t) && (wordPart(t[s.pos]) || t[s.pos] == '.') {
+			s.pos++
 		}
 	default:
-		s.at++
+		s.pos++
 	}
-	return kind, from, s.at
+	return kind, from, s.pos
 }
 
-// lineComment passes over a comment that ends with its line.
+// lineComment skips a comment that extends to the end of the line.
 func (s *scanner) lineComment() {
-	if n := strings.IndexAny(s.text[s.at:], "\r\n"); n >= 0 {
-		s.at += n
+	if n := strings.IndexAny(s.text[s.pos:], "\r\n"); n >= 0 {
+		s.pos += n
 	} else {
-		s.at = len(s.text)
+		s.pos = len(s.text)
 	}
 }
 
-// blockComment passes over a comment between slashes and asterisks; they nest.
+// blockComment skips a comment between /* and */. Such comments nest.
 func (s *scanner) blockComment() {
 	depth := 0
-	for s.at < len(s.text) {
-		switch rest := s.text[s.at:]; {
+	for s.pos < len(s.text) {
+		switch rest := s.text[s.pos:]; {
 		case strings.HasPrefix(rest, "/*"):
 			depth++
-			s.at += 2
+			s.pos += 2
 		case strings.HasPrefix(rest, "*/"):
-			s.at += 2
+			s.pos += 2
 			if depth--; depth == 0 {
 				return
 			}
 		default:
-			s.at++
+			s.pos++
 		}
 	}
 }
 
-// quoted passes over a quoted text or name; a doubled quote stands for one, and so does one after a backslash
-// where escapes are on.
+// quoted skips a quoted string or name. A doubled quote does not end it, and neither does one after a
+// backslash if escapes is true.
 func (s *scanner) quoted(quote byte, escapes bool) {
-	for s.at++; s.at < len(s.text); s.at++ {
-		switch c := s.text[s.at]; {
+	for s.pos++; s.pos < len(s.text); s.pos++ {
+		switch c := s.text[s.pos]; {
 		case escapes && c == '\\':
-			s.at++
-		case c == quote && s.at+1 < len(s.text) && s.text[s.at+1] == quote:
-			s.at++
+			s.pos++
+		case c == quote && s.pos+1 < len(s.text) && s.text[s.pos+1] == quote:
+			s.pos++
 		case c == quote:
-			s.at++
+			s.pos++
 			return
 		}
 	}
-	s.at = len(s.text)
+	s.pos = len(s.text)
 }
 
-// dollar passes over a dollar-quoted text, or over a single $ (a parameter).
+// dollar skips a dollar-quoted string, or a parameter such as $1.
 func (s *scanner) dollar() {
-	end := s.at + 1
+	end := s.pos + 1
 	for end < len(s.text) && s.text[end] != '$' && wordPart(s.text[end]) {
 		end++
 	}
-	tag := s.text[s.at:min(end+1, len(s.text))]
+	tag := s.text[s.pos:min(end+1, len(s.text))]
 	if end >= len(s.text) || s.text[end] != '$' || len(tag) > 2 && !wordStart(tag[1]) {
-		for s.at++; s.at < len(s.text) && s.text[s.at] >= '0' && s.text[s.at] <= '9'; {
-			s.at++
+		for s.pos++; s.pos < len(s.text) && s.text[s.pos] >= '0' && s.text[s.pos] <= '9'; {
+			s.pos++
 		}
 		return
 	}
 	if n := strings.Index(s.text[end+1:], tag); n >= 0 {
-		s.at = end + 1 + n + len(tag)
+		s.pos = end + 1 + n + len(tag)
 	} else {
-		s.at = len(s.text)
+		s.pos = len(s.text)
 	}
 }
