--- a/internal/backend/computenode/machine.go
+++ b/internal/backend/computenode/machine.go
@@ -49,12 +49,12 @@
 	reachedAt time.Duration // the last time at which a Start or a Poll may have reached the compute node
 	calledAt  time.Duration // when the last call was made
 
-	posted        bool // the compute node may have the query
-	startBroken   bool // the response to Start was lost or invalid
-	startLost     bool // Start was not answered, although the compute node's process did not die then
-	confirmed     bool // a response showed that the compute node has the query
-	responseLost  bool // a response was lost, so the compute node may never have received the query
-	lastCallReset bool // the last call that was written ended with a connection reset
+	posted            bool // the compute node may have the query
+	startUnanswered   bool // the response to Start was lost or invalid
+	nodeOutlivedStart bool // Start was not answered, although the compute node's process did not die then
+	confirmed         bool // a response showed that the compute node has the query
+	responseLost      bool // a response was lost, so the compute node may never have received the query
+	lastCallReset     bool // the last call that was written ended with a connection reset
 
 	cancelling    bool
 	cancelOutcome cresspass.Outcome
@@ -82,7 +82,7 @@
 	case ev.Type == Stop:
 		return m.cancel(ev.Outcome)
 	case m.cancelling:
-		return m.afterDelete(now, ev)
+		return m.handleDeleteOutcome(now, ev)
 	case ev.Type == ResponseReceived:
 		return m.handleResponse(now, took, ev.Response)
 	case !m.posted:
@@ -102,9 +102,9 @@
 	switch {
 	case !m.posted && (ev.Type == ResponseLost || classify(ev.Response, 0) == kindInvalid):
 		// An invalid response may be a late duplicate of an earlier one: it shows no more than a lost one.
-		m.startBroken, m.startLost = true, !ev.Reset
+		m.startUnanswered, m.nodeOutlivedStart = true, !ev.Reset
 	case ev.Type == ResponseReceived:
-		m.startLost = m.startLost || m.startBroken
+		m.nodeOutlivedStart = m.nodeOutlivedStart || m.startUnanswered
 		m.confirmed = m.confirmed || !m.posted || confirmsQuery(ev.Response, len(m.pages))
 	}
 	if !m.posted {
@@ -130,7 +130,7 @@
 // concurrently with it. A process that dies resets its connections, so a refusal shows its death only after
 // a reset. Where Start was never answered although the process lived on, even that does not end the attempt
 // for the platform: it stays in flight until the query has not been polled for abandonAfter.
-func (m *Machine) processDead() bool { return m.lastCallReset && !m.startLost }
+func (m *Machine) processDead() bool { return m.lastCallReset && !m.nodeOutlivedStart }
 
 // handleResponse handles a response to Start or Poll.
 func (m *Machine) handleResponse(now, took time.Duration, resp *nodehttp.Response) Step {
@@ -146,9 +146,9 @@
 		}
 		return Step{Type: End, Outcome: cresspass.OutcomeRejected}
 	case kindFailed:
-		if m.mayStillArrive(now) {
+		if m.startMayArrive(now) {
 			m.failures++
-			delay := min(backoff(m.failures), m.arrivedBy()-now)
+			delay := min(backoff(m.failures), m.startArrivedBy()-now)
 			return m.poll(resp.Close, delay, Progress{})
 		}
 		if m.responseLost {
@@ -161,14 +161,14 @@
 	return m.retry(now, true)
 }
 
-// arrivedBy returns the time from which a Start that was written is no longer in transit.
-func (m *Machine) arrivedBy() time.Duration { return m.postedAt + maxTransitTimeout }
+// startArrivedBy returns the time from which a Start that was written is no longer in transit.
+func (m *Machine) startArrivedBy() time.Duration { return m.postedAt + maxTransitTimeout }
 
-// mayStillArrive reports whether an unconfirmed Start may reach its compute node after a poll on another
+// startMayArrive reports whether an unconfirmed Start may reach its compute node after a poll on another
 // connection did. An exclusive query that the compute node does not know is not over then: if it counted as
 // over, it would run concurrently with its next attempt or with the next query of its key.
-func (m *Machine) mayStillArrive(now time.Duration) bool {
-	return m.Exclusive && m.responseLost && !m.confirmed && now < m.arrivedBy()
+func (m *Machine) startMayArrive(now time.Duration) bool {
+	return m.Exclusive && m.responseLost && !m.confirmed && now < m.startArrivedBy()
 }
 
 // addPage adds a page of the result, and polls for the next page or ends the attempt.
@@ -243,8 +243,8 @@
 // abandonedAt returns the time by which the compute node has dropped the query by itself for lack of polls.
 func (m *Machine) abandonedAt() time.Duration { return m.reachedAt + abandonAfter + abandonSlack }
 
-// afterDelete handles the outcome of a Delete, which is repeated until the query is known to be over.
-func (m *Machine) afterDelete(now time.Duration, ev Event) Step {
+// handleDeleteOutcome handles the outcome of a Delete, which is repeated until the query is known to be over.
+func (m *Machine) handleDeleteOutcome(now time.Duration, ev Event) Step {
 	over := ev.Type == ConnRefused && m.processDead() ||
 		ev.Type == ResponseReceived && confirmsDelete(ev.Response)
 	// An unconfirmed Start may still be in transit on its own connection and arrive after the Delete. Only a
--- a/internal/backend/computenode/machine_test.go
+++ b/internal/backend/computenode/machine_test.go
@@ -35,7 +35,7 @@
 
 func pageRows(n int) []byte { return []byte(fmt.Sprintf("r%d\tx\ty\n", n)) }
 
-func (w *fakeNode) headers(pairs ...string) map[string]string {
+func (node *fakeNode) headers(pairs ...string) map[string]string {
 	h := map[string]string{}
 	for i := 0; i < len(pairs); i += 2 {
 		h[pairs[i]] = pairs[i+1]
@@ -44,108 +44,108 @@
 }
 
 // handle performs a complete request on the compute node and returns its response.
-func (w *fakeNode) handle(s Step) *nodehttp.Response {
-	if w.running && w.now-w.lastPoll > abandonAfter {
-		w.running = false // dropped, because it was not polled
+func (node *fakeNode) handle(s Step) *nodehttp.Response {
+	if node.running && node.now-node.lastPoll > abandonAfter {
+		node.running = false // dropped, because it was not polled
 	}
-	w.lastPoll = w.now
+	node.lastPoll = node.now
 	switch {
 	case s.Type == Start:
-		w.posts++
-		if w.shed {
-			return &nodehttp.Response{Status: 503, Header: w.headers("x-shed", "1")}
+		node.posts++
+		if node.shed {
+			return &nodehttp.Response{Status: 503, Header: node.headers("x-shed", "1")}
 		}
-		w.running = true
+		node.running = true
 	case s.Type == Delete:
-		w.running, w.ended = false, false
+		node.running, node.ended = false, false
 		return &nodehttp.Response{Status: 204}
-	case !w.running && !w.ended:
+	case !node.running && !node.ended:
 		return &nodehttp.Response{Status: 500}
 	}
-	if w.running {
-		if w.pollsLeft--; w.pollsLeft > 0 {
-			w.now += longPollTimeout
-			return &nodehttp.Response{Status: 202, Header: w.headers("x-remark", "frac", "figure", "0.5")}
+	if node.running {
+		if node.pollsLeft--; node.pollsLeft > 0 {
+			node.now += longPollTimeout
+			return &nodehttp.Response{Status: 202, Header: node.headers("x-remark", "frac", "figure", "0.5")}
 		}
-		w.running = false
-		if w.failed {
+		node.running = false
+		if node.failed {
 			return &nodehttp.Response{Status: 500}
 		}
-		w.ended = true
+		node.ended = true
 	}
-	if s.Page >= w.pages {
+	if s.Page >= node.pages {
 		return &nodehttp.Response{Status: 500}
 	}
 	if s.Type == Start || s.Page == 0 {
-		h := w.headers("page-count", strconv.Itoa(w.pages))
+		h := node.headers("page-count", strconv.Itoa(node.pages))
 		return &nodehttp.Response{Status: 200, Header: h, Body: pageRows(0)}
 	}
 	return &nodehttp.Response{
 		Status: 200,
-		Header: w.headers("page-no", strconv.Itoa(s.Page)),
+		Header: node.headers("page-no", strconv.Itoa(s.Page)),
 		Body:   pageRows(s.Page),
 	}
 }
 
 // perform carries out a step, with a randomly drawn fault, and returns the resulting event.
-func (w *fakeNode) perform(s Step) Event {
-	w.now += s.Delay + ms
+func (node *fakeNode) perform(s Step) Event {
+	node.now += s.Delay + ms
 	fault := "none"
-	if w.faults > 0 {
+	if node.faults > 0 {
 		fault = rapid.SampledFrom([]string{"none", "none", "request lost", "response lost", "malformed",
-			"unreachable", "no descriptor", "dies", "drains", "reset", "other page"}).Draw(w.t, "fault")
-		w.faults--
+			"unreachable", "no descriptor", "dies", "drains", "reset", "other page"}).Draw(node.t, "fault")
+		node.faults--
 	}
-	reused := w.connOpen && !s.FreshConn
-	w.connOpen = false
+	reused := node.connOpen && !s.FreshConn
+	node.connOpen = false
 	switch fault {
 	case "dies":
-		was := w.dead
-		w.dead, w.running, w.ended = true, false, false
-		if reused && !was {
+		wasDead := node.dead
+		node.dead, node.running, node.ended = true, false, false
+		if reused && !wasDead {
 			return Event{Type: ResponseLost, Reset: true}
 		}
 	case "drains":
-		w.draining = true
+		node.draining = true
 	}
 	switch {
-	case w.draining && !w.dead && !reused && w.reset:
+	case node.draining && !node.dead && !reused && node.reset:
 		// After a reset, only a reported drain distinguishes this from a death.
 		return Event{Type: Unreachable}
-	case w.dead || w.draining && !reused:
+	case node.dead || node.draining && !reused:
 		return Event{Type: ConnRefused}
 	case fault == "unreachable":
-		w.now += maxTransitTimeout
+		node.now += maxTransitTimeout
 		return Event{Type: Unreachable}
 	case fault == "no descriptor":
 		return Event{Type: NoDescriptor}
 	case fault == "request lost":
-		w.now += s.Timeout
+		node.now += s.Timeout
 		return Event{Type: ResponseLost}
 	}
-	a := w.handle(s)
-	w.connOpen = fault == "none"
+	resp := node.handle(s)
+	node.connOpen = fault == "none"
 	switch fault {
 	case "reset":
-		w.reset = true
+		node.reset = true
 		return Event{Type: ResponseLost, Reset: true}
 	case "response lost":
-		w.now += s.Timeout
+		node.now += s.Timeout
 		return Event{Type: ResponseLost}
 	case "malformed":
 		return Event{
 			Type: ResponseReceived,
-			Response: &nodehttp.Response{Status: 200, Header: w.headers("page-count", "1"),
+			Response: &nodehttp.Response{Status: 200, Header: node.headers("page-count", "1"),
 				Body: []byte("no row")},
 		}
 	case "other page":
 		return Event{
 			Type: ResponseReceived,
-			Response: &nodehttp.Response{Status: 200, Header: w.headers("page-no", "77"),
+			Response: &nodehttp.Response{Status: 200, Header: node.headers("page-no", "77"),
 				Body: pageRows(77)},
 		}
 	}
-	return Event{Type: ResponseReceived, Response: a}
+	return Event{Type: ResponseReceived, Response: resp}
 }
 
 // TestAttempt checks that an attempt, whatever faults its calls meet, posts once, ends within 200 calls, does
@@ -153,13 +153,13 @@
 // query's pages, in order.
 func TestAttempt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &fakeNode{t: t, now: time.Hour, pollsLeft: rapid.IntRange(1, 6).Draw(t, "polls"),
+		node := &fakeNode{t: t, now: time.Hour, pollsLeft: rapid.IntRange(1, 6).Draw(t, "polls"),
 			pages: rapid.IntRange(1, 9).Draw(t, "pages"), failed: rapid.IntRange(0, 5).Draw(t, "failed") == 0,
 			shed:   rapid.IntRange(0, 5).Draw(t, "shed") == 0,
 			faults: rapid.IntRange(0, 30).Draw(t, "faults")}
 		stopAt := rapid.IntRange(-20, 12).Draw(t, "stop")
 		m := &Machine{}
-		s := m.Next(w.now, Event{Type: Begin})
+		s := m.Next(node.now, Event{Type: Begin})
 		for n := 0; s.Type != End; n++ {
 			if n > 200 {
 				t.Fatal("the attempt has not ended after 200 calls")
@@ -167,23 +167,23 @@
 			if s.Type == Start && n > 0 {
 				t.Fatal("the query was posted twice")
 			}
-			ev := w.perform(s)
+			ev := node.perform(s)
 			if n != stopAt || ev.Type == ResponseReceived || ev.Type == ResponseLost {
-				s = m.Next(w.now, ev)
+				s = m.Next(node.now, ev)
 			}
 			if n == stopAt && s.Type != End {
-				s = m.Next(w.now, Event{Type: Stop, Outcome: cresspass.OutcomeCancelled})
+				s = m.Next(node.now, Event{Type: Stop, Outcome: cresspass.OutcomeCancelled})
 			}
 		}
-		if w.running && w.now-w.lastPoll <= abandonAfter {
+		if node.running && node.now-node.lastPoll <= abandonAfter {
 			t.Fatalf("the attempt ended with outcome %d while its query still runs", s.Outcome)
 		}
-		if s.Outcome.NeverRan() && w.posts > 0 && !w.shed {
+		if s.Outcome.NeverRan() && node.posts > 0 && !node.shed {
 			t.Fatalf("outcome %d means that the query never ran, but it reached the compute node", s.Outcome)
 		}
 		if s.Outcome == cresspass.OutcomeOK {
-			if len(s.Pages) != w.pages {
-				t.Fatalf("got %d pages, want %d", len(s.Pages), w.pages)
+			if len(s.Pages) != node.pages {
+				t.Fatalf("got %d pages, want %d", len(s.Pages), node.pages)
 			}
 			for i, p := range s.Pages {
 				if string(p) != string(pageRows(i)) {
@@ -191,8 +191,8 @@
 				}
 			}
 		}
-		if stopAt < 0 && w.faults >= 0 && w.posts == 1 && !w.dead && !w.shed && !w.failed && s.Outcome ==
-			cresspass.OutcomeFailed {
+		if stopAt < 0 && node.faults >= 0 && node.posts == 1 && !node.dead && !node.shed && !node.failed &&
+			s.Outcome == cresspass.OutcomeFailed {
 			t.Fatal("the attempt failed, but its query did not")
 		}
 	})
--- a/internal/backend/connpool/pool.go
+++ b/internal/backend/connpool/pool.go
@@ -15,9 +15,9 @@
 const (
 	// sweepInterval is the delay of a scheduled sweep; it limits how often the whole queue is scanned.
 	sweepInterval = 5 * time.Millisecond
-	// pressingBefore is how long before its due time a queued request may have idle connections to other
+	// nearDueMargin is how long before its due time a queued request may have idle connections to other
 	// compute nodes closed for it. A call that holds a connection ends within this time.
-	pressingBefore = 300 * time.Millisecond
+	nearDueMargin = 300 * time.Millisecond
 )
 
 // Pool keeps track of open and idle connections and of the requests that wait for one. It is not safe for
@@ -124,16 +124,16 @@
 // node has no idle connection would wait forever, and its query would be dropped there for lack of polls. A
 // request that is close to its due time therefore has any idle connection closed for it.
 func (p *Pool) serveQueue(now time.Duration, limits Limits) {
-	left := p.queue[:0]
+	remaining := p.queue[:0]
 	for i, req := range p.queue {
-		pressing := now >= req.Due-pressingBefore
-		if p.grantReuse(now, req) || pressing && p.evictOldest(now) && p.grantDial(req, limits) {
+		nearDue := now >= req.Due-nearDueMargin
+		if p.grantReuse(now, req) || nearDue && p.evictOldest(now) && p.grantDial(req, limits) {
 			continue
 		}
-		left = append(left, p.queue[i])
+		remaining = append(remaining, p.queue[i])
 	}
-	clear(p.queue[len(left):])
-	p.queue = left
+	clear(p.queue[len(remaining):])
+	p.queue = remaining
 }
 
 func (p *Pool) scheduleSweep(now time.Duration) {
--- a/internal/backend/connpool/pool_test.go
+++ b/internal/backend/connpool/pool_test.go
@@ -126,7 +126,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		h := newPoolHarness(t, Limits{Capacity: rapid.IntRange(1, 6).Draw(t, "capacity"), UrgentReserve: 1})
 		id := uint64(0)
-		some := func(m map[uint64]uint64) uint64 {
+		pick := func(m map[uint64]uint64) uint64 {
 			for n := rapid.Uint64Range(1, id+1).Draw(t, "which"); n > 0; n-- {
 				if _, ok := m[n]; ok {
 					return n
@@ -147,7 +147,7 @@
 					Due:    h.now + time.Duration(rapid.IntRange(0, 2000).Draw(t, "due"))*ms,
 				})
 			case 3:
-				if n := some(h.held); n > 0 {
+				if n := pick(h.held); n > 0 {
 					h.finish(n, rapid.Bool().Draw(t, "reusable"))
 				}
 			case 4:
@@ -202,15 +202,15 @@
 		// A connection makes three calls a second; each of them keeps its query from being dropped for 2 s.
 		running := rapid.IntRange(capacity, 4*capacity).Draw(rt, "running")
 		nodes := rapid.IntRange(1, 40).Draw(rt, "nodes")
-		busy := rapid.IntRange(0, 100).Draw(rt, "busy")
+		quickPercent := rapid.IntRange(0, 100).Draw(rt, "quick percent")
 		type event struct {
 			at      time.Duration // when the call of the request ends
 			request uint64
 		}
-		var due []event
+		var callEnds []event
 		query, polledAt := map[uint64]int{}, make([]time.Duration, running)
 		id := uint64(0)
-		next := func(q int) {
+		startCall := func(q int) {
 			id++
 			query[id] = q
 			if q < 0 {
@@ -222,20 +222,20 @@
 				Due: min(h.now+time.Second, polledAt[q]+abandonAfter-350*ms)})
 		}
 		h.granted = func(request, conn uint64) {
-			lasts := call
+			duration := call
 			if query[request] < 0 {
-				lasts = 5 * ms
+				duration = 5 * ms
 			}
-			due = append(due, event{h.now + lasts, request})
+			callEnds = append(callEnds, event{h.now + duration, request})
 		}
 		for q := range polledAt {
-			next(q)
+			startCall(q)
 		}
 		for h.now < 12*time.Second {
 			h.advance(h.now + 5*ms)
-			for len(due) > 0 { // end the calls that are due; their order within the step does not matter
+			for len(callEnds) > 0 { // end the calls that are due; their order within the step does not matter
 				at := -1
-				for i, e := range due {
+				for i, e := range callEnds {
 					if e.at <= h.now {
 						at = i
 						break
@@ -244,12 +244,12 @@
 				if at < 0 {
 					break
 				}
-				e := due[at]
-				due = append(due[:at], due[at+1:]...)
+				e := callEnds[at]
+				callEnds = append(callEnds[:at], callEnds[at+1:]...)
 				h.finish(e.request, true)
 				if q := query[e.request]; q >= 0 {
 					polledAt[q] = h.now
-					next(q)
+					startCall(q)
 				}
 				delete(query, e.request)
 			}
@@ -259,8 +259,8 @@
 						h.now-polledAt[q])
 				}
 			}
-			if int(h.now/ms)%100 < busy && len(h.waiting) < 4*capacity+running {
-				next(-1)
+			if int(h.now/ms)%100 < quickPercent && len(h.waiting) < 4*capacity+running {
+				startCall(-1)
 			}
 		}
 	})
--- a/internal/backend/duplicateresponse/detector_test.go
+++ b/internal/backend/duplicateresponse/detector_test.go
@@ -9,11 +9,11 @@
 )
 
 func response(status int, body string, headers ...string) *nodehttp.Response {
-	a := &nodehttp.Response{Status: status, Header: map[string]string{}, Body: []byte(body)}
+	resp := &nodehttp.Response{Status: status, Header: map[string]string{}, Body: []byte(body)}
 	for i := 0; i+1 < len(headers); i += 2 {
-		a.Header[headers[i]] = headers[i+1]
+		resp.Header[headers[i]] = headers[i+1]
 	}
-	return a
+	return resp
 }
 
 // TestSuspect checks that a repeated response on a connection is suspected only if a compute node is unlikely
@@ -46,14 +46,14 @@
 		"deleted":                   {deleted, deleted, quick, true, false},
 		"error, after duplicate":    {failed, failed, quick, true, true},
 	} {
-		d, m := NewDetector(), &History{}
+		d, history := NewDetector(), &History{}
 		if c.duplicateSeen {
 			d.RecordDuplicate(0)
 		}
-		if _, suspect := d.Suspect(time.Second, c.took, m, c.first); suspect {
+		if _, suspect := d.Suspect(time.Second, c.took, history, c.first); suspect {
 			t.Errorf("%s: the first response on the connection is suspected", name)
 		}
-		if _, suspect := d.Suspect(2*time.Second, c.took, m, c.second); suspect != c.want {
+		if _, suspect := d.Suspect(2*time.Second, c.took, history, c.second); suspect != c.want {
 			t.Errorf("%s: suspected %v, want %v", name, suspect, c.want)
 		}
 		if _, suspect := d.Suspect(2*time.Second, c.took, &History{}, c.second); suspect {
@@ -65,11 +65,11 @@
 // TestConstantResult checks that a result that a compute node repeats is suspected only once, and that after
 // a duplicate rejections are suspected for suspicionPeriod.
 func TestConstantResult(t *testing.T) {
-	d, m := NewDetector(), &History{}
+	d, history := NewDetector(), &History{}
 	done, rejected := response(200, "", "page-count", "0"), response(503, "", "x-shed", "1")
 	suspected := 0
 	for range 20 {
-		f, suspect := d.Suspect(0, 0, m, done)
+		f, suspect := d.Suspect(0, 0, history, done)
 		if suspect {
 			suspected++
 			d.Recheck(0, f, done)
@@ -82,7 +82,7 @@
 	for range 20 {
 		for _, page := range []string{"1", "2", "3"} {
 			numbered := response(200, "", "page-no", page)
-			if f, suspect := d.Suspect(0, 0, m, numbered); suspect {
+			if f, suspect := d.Suspect(0, 0, history, numbered); suspect {
 				suspected++
 				d.Recheck(0, f, numbered)
 			}
@@ -91,15 +91,15 @@
 	if suspected != 3 {
 		t.Errorf("three constant pages were suspected %d times, want once each", suspected)
 	}
-	d.Suspect(0, 0, m, rejected)
-	if _, suspect := d.Suspect(0, 0, m, rejected); suspect {
+	d.Suspect(0, 0, history, rejected)
+	if _, suspect := d.Suspect(0, 0, history, rejected); suspect {
 		t.Error("a rejection is suspected although no duplicate was seen")
 	}
 	d.Recheck(time.Second, 1, rejected)
-	if _, suspect := d.Suspect(2*time.Second, 0, m, rejected); !suspect {
+	if _, suspect := d.Suspect(2*time.Second, 0, history, rejected); !suspect {
 		t.Error("a rejection is not suspected after a duplicate")
 	}
-	if _, suspect := d.Suspect(2*time.Second+suspicionPeriod, 0, m, rejected); suspect {
+	if _, suspect := d.Suspect(2*time.Second+suspicionPeriod, 0, history, rejected); suspect {
 		t.Error("a rejection is suspected suspicionPeriod after a duplicate")
 	}
 }
@@ -107,10 +107,10 @@
 // TestConstantResultAfterDuplicate guards against answering a query with another query's rows: a result that
 // a compute node is known to repeat was never suspected again, so a duplicate of it was accepted.
 func TestConstantResultAfterDuplicate(t *testing.T) {
-	d, m := NewDetector(), &History{}
+	d, history := NewDetector(), &History{}
 	empty := response(200, "", "page-count", "0")
 	suspect := func(now time.Duration) bool {
-		f, suspected := d.Suspect(now, 0, m, empty)
+		f, suspected := d.Suspect(now, 0, history, empty)
 		if suspected {
 			d.Recheck(now, f, empty) // the compute node sends the same result again
 		}
@@ -136,13 +136,13 @@
 // pages of a result of the maximum length.
 func TestCopyAfterLongResult(t *testing.T) {
 	const pages = 64
-	d, m := NewDetector(), &History{}
+	d, history := NewDetector(), &History{}
 	first := response(200, "a", "page-count", strconv.Itoa(pages))
-	d.Suspect(0, 0, m, first)
+	d.Suspect(0, 0, history, first)
 	for page := 1; page < pages; page++ {
-		d.Suspect(0, 0, m, response(200, "a", "page-no", strconv.Itoa(page)))
+		d.Suspect(0, 0, history, response(200, "a", "page-no", strconv.Itoa(page)))
 	}
-	if _, suspect := d.Suspect(time.Second, 0, m, first); !suspect {
+	if _, suspect := d.Suspect(time.Second, 0, history, first); !suspect {
 		t.Error("the duplicate of the first page is not suspected")
 	}
 }
--- a/internal/discovery/eds/client.go
+++ b/internal/discovery/eds/client.go
@@ -19,9 +19,9 @@
 
 // Source delivers engine lists.
 type Source interface {
-	// Run calls list with each list that it receives, and failed with the error of each subscription that
-	// ends, until the context ends.
-	Run(ctx context.Context, list func(*List), failed func(error))
+	// Run calls onList with each list that it receives, and onFailure with the error of each subscription
+	// that ends, until the context ends.
+	Run(ctx context.Context, onList func(*List), onFailure func(error))
 	// Refresh requests the complete list again.
 	Refresh()
 }
@@ -83,19 +83,19 @@
 // errRefresh is the error of a subscription that Refresh has ended.
 var errRefresh = errors.New("eds: subscription ended to request the complete list again")
 
-// Run subscribes, and subscribes again after each failure, until the context ends. It calls list and failed
-// one at a time.
-func (c *Client) Run(ctx context.Context, list func(*List), failed func(error)) {
+// Run subscribes, and subscribes again after each failure, until the context ends. It calls onList and
+// onFailure one at a time.
+func (c *Client) Run(ctx context.Context, onList func(*List), onFailure func(error)) {
 	backoff := minBackoff
 	for ctx.Err() == nil {
-		accepted, err := c.subscribe(ctx, list)
+		accepted, err := c.subscribe(ctx, onList)
 		if ctx.Err() != nil {
 			return
 		}
 		if strings.Contains(err.Error(), tooManyPings) {
 			c.pingInterval *= 2
 		}
-		failed(err)
+		onFailure(err)
 		if accepted {
 			backoff = minBackoff
 		}
@@ -113,7 +113,7 @@
 
 // subscribe runs one subscription until it ends and returns the reason. accepted tells whether a list was
 // accepted.
-func (c *Client) subscribe(ctx context.Context, list func(*List)) (accepted bool, err error) {
+func (c *Client) subscribe(ctx context.Context, onList func(*List)) (accepted bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	conn, err := grpc.NewClient(c.Address, grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -144,7 +144,7 @@
 				c.Log.Warn("engine list rejected", "version", response.VersionInfo, "error", rejection)
 			} else {
 				acceptedVersion, accepted = response.VersionInfo, true
-				list(l)
+				onList(l)
 			}
 			// The protocol rejects a response by a request with the last accepted version and an error.
 			if err := c.request(stream, acceptedVersion, response.Nonce, rejection); err != nil {
--- a/internal/discovery/eds/silent_test.go
+++ b/internal/discovery/eds/silent_test.go
@@ -52,15 +52,15 @@
 	endpointservice.RegisterEndpointDiscoveryServiceServer(server, silentService{})
 	go func() { _ = server.Serve(service) }() // ended by Stop
 	defer server.Stop()
-	link, err := net.Listen("tcp", "127.0.0.1:0")
+	proxy, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer link.Close()
+	defer proxy.Close()
 	var silent atomic.Bool
 	go func() {
 		for {
-			near, err := link.Accept()
+			near, err := proxy.Accept()
 			if err != nil {
 				return
 			}
@@ -73,20 +73,20 @@
 			go forwardUntil(&silent, near, far)
 		}
 	}()
-	c := NewClient(link.Addr().String(), "engines", "node", slog.New(slog.NewTextHandler(io.Discard, nil)))
+	c := NewClient(proxy.Addr().String(), "engines", "node", slog.New(slog.NewTextHandler(io.Discard, nil)))
 	c.pingInterval, c.pingTimeout = 10*time.Second, 200*time.Millisecond // 10 s is the library's minimum
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	noticed := make(chan error, 1)
+	failures := make(chan error, 1)
 	time.AfterFunc(time.Second, func() { silent.Store(true) })
 	c.Run(ctx, func(*List) {}, func(err error) {
 		select {
-		case noticed <- err:
+		case failures <- err:
 		default:
 		}
 		cancel()
 	})
-	if ctx.Err() == context.DeadlineExceeded || len(noticed) == 0 {
+	if ctx.Err() == context.DeadlineExceeded || len(failures) == 0 {
 		t.Error("no failure was reported within a minute of a silent service")
 	}
 }
--- a/internal/discovery/sse/follower.go
+++ b/internal/discovery/sse/follower.go
@@ -89,7 +89,7 @@
 		return cresspass.Event{}, Gap, err
 	}
 	if fresh && we.Revision == f.lastRevision+1 {
-		f.eachStart(we, f.startTimes.ObserveFresh)
+		f.forEachStart(we, f.startTimes.ObserveFresh)
 	}
 	return f.ApplyWatchEvent(we)
 }
@@ -97,10 +97,10 @@
 // ObserveStarts passes the start times in a watch event to the converter, which estimates the error of the
 // wall clock from them, and changes nothing else. If there are several watch events, observe all of them
 // before applying the first.
-func (f *Follower) ObserveStarts(we WatchEvent) { f.eachStart(we, f.startTimes.Observe) }
+func (f *Follower) ObserveStarts(we WatchEvent) { f.forEachStart(we, f.startTimes.Observe) }
 
-// eachStart calls observe for each start time in a watch event.
-func (f *Follower) eachStart(we WatchEvent,
+// forEachStart calls observe for each start time in a watch event.
+func (f *Follower) forEachStart(we WatchEvent,
 	observe func(now time.Duration, id cresspass.EngineID, started time.Time)) {
 	if we.List == nil {
 		return
@@ -134,14 +134,14 @@
 	now := f.now()
 	for i := range we.List.Endpoints {
 		e := &we.List.Endpoints[i]
-		if err := e.check(we.Revision); err != nil {
+		if err := e.validate(we.Revision); err != nil {
 			return list, Gap, err
 		}
 		list.Engines = append(list.Engines, f.engineInfo(now, e))
 	}
 	f.lastRevision = we.Revision
 	if full {
-		f.clearUnlisted(we.List.Endpoints)
+		f.clearForFullList(we.List.Endpoints)
 	}
 	for i := range we.List.Endpoints {
 		f.update(&we.List.Endpoints[i])
@@ -159,9 +159,9 @@
 	return info
 }
 
-// clearUnlisted forgets all endpoints before a full list is applied. Those that the list leaves out count as
-// removed.
-func (f *Follower) clearUnlisted(endpoints []Endpoint) {
+// clearForFullList forgets all endpoints before a full list is applied. Those that the list leaves out count
+// as removed.
+func (f *Follower) clearForFullList(endpoints []Endpoint) {
 	listed := make(map[cresspass.EngineID]bool, len(endpoints))
 	for i := range endpoints {
 		listed[endpoints[i].engineID()] = true
--- a/internal/discovery/sse/watchevent.go
+++ b/internal/discovery/sse/watchevent.go
@@ -59,9 +59,9 @@
 	return we, nil
 }
 
-// check returns an error if an endpoint has no id, an unknown state, a negative weight, or is up without an
-// address.
-func (e *Endpoint) check(revision uint64) error {
+// validate returns an error if an endpoint has no id, an unknown state, a negative weight, or is up without
+// an address.
+func (e *Endpoint) validate(revision uint64) error {
 	state, known := engineStates[e.State]
 	if e.ID == "" || !known || state == cresspass.EngineActive && e.Addr == "" || e.Weight < 0 {
 		return fmt.Errorf("discovery: watch event %d: invalid compute node %q at %q in state %q", revision,
--- a/internal/discovery/starttime/converter.go
+++ b/internal/discovery/starttime/converter.go
@@ -69,7 +69,7 @@
 // Observe uses a reported start time to estimate the error of the wall clock, without converting it. If all
 // start times of a list are observed before the first is converted, the order of the list does not matter.
 func (c *Converter) Observe(now time.Duration, id cresspass.EngineID, started time.Time) {
-	if c.known(id, started) {
+	if c.converted(id, started) {
 		return
 	}
 	if age := c.age(now, started); age > -maxFutureStart && (!c.hasMinAge || age < c.minAge) {
@@ -79,7 +79,7 @@
 
 // ObserveFresh is like Observe for a report that was received as it was sent.
 func (c *Converter) ObserveFresh(now time.Duration, id cresspass.EngineID, started time.Time) {
-	if c.known(id, started) {
+	if c.converted(id, started) {
 		return
 	}
 	if age := c.age(now, started); age > -maxFutureStart && (!c.hasMinFreshAge || age < c.minFreshAge) {
@@ -87,9 +87,9 @@
 	}
 }
 
-// known reports whether a start time was converted before. Its age is then no evidence about the clock any
-// more.
-func (c *Converter) known(id cresspass.EngineID, started time.Time) bool {
+// converted reports whether a start time was converted before. Its age is then no evidence about the clock
+// any more.
+func (c *Converter) converted(id cresspass.EngineID, started time.Time) bool {
 	return c.starts[id].wall.Equal(started)
 }
 
--- a/internal/discovery/starttime/converter_test.go
+++ b/internal/discovery/starttime/converter_test.go
@@ -22,7 +22,7 @@
 				Draw(t, "ahead"),
 		}).Draw(t, "error of the wall clock"))
 		c := New(RecentStarts, truth.Add(clockError), time.Hour)
-		prompt := clockError == 0
+		exact := clockError == 0
 		for i := range 20 {
 			now := time.Hour + time.Duration(i)*time.Second
 			delay := time.Duration(rapid.Int64Range(0, 3).Draw(t, "delay")) * 5 * time.Second
@@ -31,11 +31,11 @@
 			_, known := c.starts[id]
 			got := c.Convert(now, id, started)
 			want := now - delay
-			prompt = prompt || delay == 0
+			exact = exact || delay == 0
 			if got < want || got > now {
 				t.Fatalf("a node that started %v ago has the age %v", delay, now-got)
 			}
-			if prompt && !known && got != want {
+			if exact && !known && got != want {
 				t.Fatalf("after a report without delay, a node that started %v ago has the age %v", delay,
 					now-got)
 			}
--- a/internal/invariant/golden_test.go
+++ b/internal/invariant/golden_test.go
@@ -31,23 +31,23 @@
 		ClosedInFlight,
 		AcceptedWhileNotServing,
 	}
-	var now strings.Builder
+	var current strings.Builder
 	for _, name := range names {
-		now.WriteString(string(name) + "\n")
+		current.WriteString(string(name) + "\n")
 	}
-	goldentest.Compare(t, "names.txt", []byte(now.String()))
+	goldentest.Compare(t, "names.txt", []byte(current.String()))
 }
 
 // TestGoldenViolationLines checks that violations are logged as recorded in the golden files, in both formats
 // of the dispatcher's log, and that ReadViolations finds these lines and those of a crash, and no others.
 func TestGoldenViolationLines(t *testing.T) {
-	noTime := func(_ []string, a slog.Attr) slog.Attr {
+	fixedTime := func(_ []string, a slog.Attr) slog.Attr {
 		if a.Key == slog.TimeKey {
 			return slog.Time(slog.TimeKey, time.Unix(1764640000, 0).UTC())
 		}
 		return a
 	}
-	options := &slog.HandlerOptions{ReplaceAttr: noTime}
+	options := &slog.HandlerOptions{ReplaceAttr: fixedTime}
 	for _, format := range []string{"text", "json"} {
 		var log bytes.Buffer
 		var handler slog.Handler = slog.NewTextHandler(&log, options)
@@ -62,9 +62,9 @@
 		goldentest.Compare(t, "violations."+format+".log", log.Bytes())
 		lines := strings.Split(strings.TrimSuffix(written, "\n"), "\n")
 		lines = append(lines, "panic: runtime error", "fatal error: all goroutines are asleep")
-		others := "time=2026-12-02 level=INFO msg=figures violations=\"\"\ngoroutine 1 [running]:\n"
+		otherLines := "time=2026-12-02 level=INFO msg=figures violations=\"\"\ngoroutine 1 [running]:\n"
 		path := filepath.Join(t.TempDir(), "log")
-		whole := others + strings.Join(lines, "\n") + "\n" + others
+		whole := otherLines + strings.Join(lines, "\n") + "\n" + otherLines
 		if err := os.WriteFile(path, []byte(whole), 0o600); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/invariant/ledger.go
+++ b/internal/invariant/ledger.go
@@ -43,7 +43,7 @@
 	classes    map[string]*cresspass.Class
 	requests   map[cresspass.QueryID]*requestState
 	keyHolders map[string]cresspass.QueryID // the request in flight with each ordering key
-	retries    retryCount
+	retryUsage retryUsage
 	serving    bool
 }
 
@@ -54,7 +54,7 @@
 		classes:    map[string]*cresspass.Class{},
 		requests:   map[cresspass.QueryID]*requestState{},
 		keyHolders: map[string]cresspass.QueryID{},
-		retries:    retryCount{budget: rules.RetryBudget},
+		retryUsage: retryUsage{budget: rules.RetryBudget},
 	}
 	for i := range rules.Classes {
 		l.classes[rules.Classes[i].Name] = &rules.Classes[i]
@@ -92,7 +92,7 @@
 	}
 	r.ended = true
 	if served {
-		l.retries.addServed(r.acceptedAt)
+		l.retryUsage.addServed(r.acceptedAt)
 	}
 	l.removeIfFinished(r)
 	return Result{}
@@ -124,7 +124,7 @@
 		l.keyHolders[r.OrderingKey] = id
 	}
 	if r.attemptsBegun > 0 {
-		l.retries.addRetry(now)
+		l.retryUsage.addRetry(now)
 	}
 	r.attemptsBegun++
 	r.inFlight++
@@ -160,9 +160,9 @@
 	case r.mayHaveRun > 0 && effect == cresspass.IdempotentWithKey &&
 		now.Sub(r.firstRunAt) > r.class.DeduplicationWindow:
 		return stale(RetriedAfterWindow, "%v after the first attempt", now.Sub(r.firstRunAt))
-	case r.attemptsBegun > 0 && !l.retries.allowsRetry(now):
-		return stale(RetriedOverBudget, "%d retries, %d requests served", len(l.retries.retries),
-			len(l.retries.served))
+	case r.attemptsBegun > 0 && !l.retryUsage.allowsRetry(now):
+		return stale(RetriedOverBudget, "%d retries, %d requests served", len(l.retryUsage.retries),
+			len(l.retryUsage.served))
 	}
 	return Result{}
 }
--- a/internal/invariant/ledger_test.go
+++ b/internal/invariant/ledger_test.go
@@ -29,10 +29,10 @@
 	draining := openTarget
 	draining.Accepting = false
 	for name, c := range map[string]struct {
-		class string
-		act   func(l *Ledger) Result
-		want  Name
-		kind  Kind
+		class  string
+		action func(l *Ledger) Result
+		want   Name
+		kind   Kind
 	}{
 		"first attempt": {"not idempotent", func(l *Ledger) Result {
 			return l.BeginAttempt(t0, 1, 0, openTarget)
@@ -87,7 +87,7 @@
 		l.SetServing(true)
 		l.Accept(t0, Request{ID: 1, Class: c.class, OrderingKey: "x", Deadline: t0.Add(5 * time.Second)})
 		counter := NewCounter(slog.New(slog.DiscardHandler))
-		result := c.act(l)
+		result := c.action(l)
 		allowed := counter.Record(result, "r")
 		if result.Name != c.want || result.Kind != c.kind || allowed != (c.kind == Allowed) ||
 			len(counter.Violations()) > 0 != (c.kind == Violated) ||
--- a/internal/invariant/retry_budget_test.go
+++ b/internal/invariant/retry_budget_test.go
@@ -74,7 +74,7 @@
 		l.Accept(now, Request{ID: id, Class: "idempotent", Deadline: now.Add(time.Second)})
 		l.Complete(id, true)
 	}
-	if n := len(l.retries.served); n > 1000 {
+	if n := len(l.retryUsage.served); n > 1000 {
 		t.Errorf("%d served requests are kept, but only 100 are in the window", n)
 	}
 }
--- a/internal/protocol/nodehttp/response.go
+++ b/internal/protocol/nodehttp/response.go
@@ -134,7 +134,7 @@
 		return malformed("invalid header line %.40q", line)
 	}
 	name, value := strings.ToLower(string(rawName)), strings.TrimSpace(string(rawValue))
-	if earlier, twice := resp.Header[name]; twice && earlier != value {
+	if earlier, repeated := resp.Header[name]; repeated && earlier != value {
 		return malformed("header %s has two values, %.20q and %.20q", name, earlier, value)
 	}
 	resp.Header[name] = value
--- a/internal/protocol/nodehttp/response_test.go
+++ b/internal/protocol/nodehttp/response_test.go
@@ -34,15 +34,15 @@
 		"cut in head":   {"HTTP/1.1 200 OK\r\nConte", 0, "", io.ErrUnexpectedEOF},
 		"nothing":       {"", 0, "", io.EOF},
 	} {
-		a, err := ReadResponse(bufio.NewReader(strings.NewReader(c.in)))
+		resp, err := ReadResponse(bufio.NewReader(strings.NewReader(c.in)))
 		if c.err != nil {
 			if !errors.Is(err, c.err) {
 				t.Errorf("%s: error %v, want %v", name, err, c.err)
 			}
 			continue
 		}
-		if err != nil || a.Status != c.status || string(a.Body) != c.body {
-			t.Errorf("%s: got %+v, error %v", name, a, err)
+		if err != nil || resp.Status != c.status || string(resp.Body) != c.body {
+			t.Errorf("%s: got %+v, error %v", name, resp, err)
 		}
 	}
 }
@@ -53,9 +53,9 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		a, err := ReadResponse(bufio.NewReaderSize(strings.NewReader(string(b)), 4096))
-		if err == nil && (len(a.Body) > MaxBodyBytes || len(a.Body) > len(b)) {
-			t.Errorf("body has %d bytes, more than allowed or more than the input", len(a.Body))
+		resp, err := ReadResponse(bufio.NewReaderSize(strings.NewReader(string(b)), 4096))
+		if err == nil && (len(resp.Body) > MaxBodyBytes || len(resp.Body) > len(b)) {
+			t.Errorf("body has %d bytes, more than allowed or more than the input", len(resp.Body))
 		}
 	})
 }
