--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -6,7 +6,7 @@
 	"cresspass"
 )
 
-// applyAction carries out an action of the decision module, or puts it out for the shell.
+// applyAction executes an action of the decision module, or adds it to the outputs for the shell.
 func (c *Core) applyAction(action *cresspass.Action) {
 	q := c.queries[action.Query]
 	switch action.Type {
@@ -39,7 +39,7 @@
 	}
 }
 
-// endUnserved ends a query that the decision module rejects or fails.
+// endUnserved ends a query that the decision module rejects or fails. It does nothing if the query has ended.
 func (c *Core) endUnserved(action *cresspass.Action, q *query) {
 	if q == nil || q.ended {
 		return
@@ -56,7 +56,8 @@
 	c.removeIfFinished(q)
 }
 
-// startAttempt puts out the start of an attempt, and the timer of its time-out.
+// startAttempt adds the start of an attempt to the outputs, and schedules the attempt's timeout if it comes
+// before the query's deadline.
 func (c *Core) startAttempt(action *cresspass.Action, q *query) {
 	if q == nil || q.ended {
 		c.declineStart(action, q)
@@ -78,8 +79,8 @@
 		StartWithin: startWithin})
 }
 
-// declineStart reports an attempt that must not start, as its query has ended (rule 1). The end of a query
-// and the decision to start an attempt of it can cross.
+// declineStart reports to the decision module that an attempt was not started, because its query has ended
+// (rule 1). A query may end while the module decides to start an attempt of it.
 func (c *Core) declineStart(action *cresspass.Action, q *query) {
 	c.stats.NotStarted++
 	if q == nil {
@@ -91,10 +92,10 @@
 	q.nextAttempt++
 }
 
-// startWithin returns how long an attempt may take to reach its engine: until the deadline, for as long as
-// the decision holds, and inside the deduplication window of what may have run before. Between the decision
-// and the engine lie a wait for a connection and a dial; a retry that was inside the window when it was
-// decided on but comes after it would run twice.
+// startWithin returns how long an attempt may take to reach its engine. The time is bounded by the query's
+// deadline, by how long the decision is valid, and by the deduplication window of earlier attempts that may
+// have run. After the decision the attempt may still wait for a connection and a dial. A retry that was
+// decided on within the window but reaches the engine after it would have its effect twice.
 func (c *Core) startWithin(action *cresspass.Action, q *query) time.Duration {
 	within := q.deadline - c.now
 	if action.StartWithin > 0 {
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -1,10 +1,10 @@
-// Package dispatch joins the decision module to a front end and its engines. Core turns what clients,
-// engines and discovery report into events of the decision module, and the module's actions into outputs that
-// a shell carries out. It has no I/O, no clock and no goroutine. Loop is the goroutine that owns a Core.
+// Package dispatch connects the decision module with the frontends and the engines. Core passes the events of
+// clients, engines and discovery to the decision module, and turns the module's actions into outputs that a
+// shell executes. Core has no I/O, no clock and no goroutine. Loop runs a Core in a goroutine.
 //
 // The decision module decides when and where an attempt starts, whether it is retried, and when a query is
-// rejected. Core keeps the bookkeeping that the protocols ask for: each attempt has one outcome, each query
-// has one end, and no attempt starts for a query that has ended. Nothing here may decide by load or by an
+// rejected. Core does the bookkeeping that the protocols require: each attempt has one outcome, each query
+// ends once, and no attempt starts for a query that has ended. Nothing here may decide by load or by an
 // engine's state.
 package dispatch
 
@@ -18,38 +18,39 @@
 // TimerResolution is the resolution of a Core's timers.
 const TimerResolution = time.Millisecond
 
-// Decider takes events and returns actions. The program's is cresspass.Gateway; the rehearsal kit puts others
-// in its place, for comparison and to see that its judge notices the rules that they break.
+// Decider is the decision module: it handles events and returns actions. The program uses cresspass.Gateway.
+// The rehearsal replaces it by other deciders, to compare their results and to test that the rule checker
+// finds the rules that they break.
 type Decider interface {
 	Handle(now time.Duration, events []cresspass.Event, actions []cresspass.Action) []cresspass.Action
 	Snapshot() []byte
 	Restore(data []byte, age time.Duration) error
 }
 
-// Core is a dispatcher without its sockets. It is for one goroutine at a time.
+// Core is the dispatcher's state and logic without I/O. Its methods must not be called concurrently.
 type Core struct {
 	decider              Decider
 	idempotentClasses    map[string]bool
 	deduplicationWindows map[string]time.Duration // of classes with an idempotency key
 	answerGrace          time.Duration
-	windowMargin         time.Duration // a deduplication window counts as this much shorter
+	windowMargin         time.Duration // by which every deduplication window is shortened
 	timers               *timingwheel.Wheel[timerTarget]
 	queries              map[cresspass.QueryID]*query
 	now                  time.Duration
 	stats                Stats
 
-	// Buffers of one step, used again by the next.
+	// Buffers that each step reuses.
 	events         []cresspass.Event
 	actions        []cresspass.Action
 	outputs        []Output
 	overdueQueries []cresspass.QueryID // whose answer grace ended in this step
 }
 
-// noAttempt stands in a timerTarget for the query as a whole.
+// noAttempt is the attempt of a timerTarget that is about the query as a whole.
 const noAttempt = -1
 
-// timerTarget is what a timer is for: a timer of the decision module, by its label; else the time-out of an
-// attempt, or the deadline of a query if attempt is noAttempt.
+// timerTarget tells what a timer is for: a timer of the decision module, by its label; otherwise the timeout
+// of an attempt, or the deadline of a query if attempt is noAttempt.
 type timerTarget struct {
 	ofModule bool
 	label    uint64
@@ -57,7 +58,8 @@
 	attempt  int
 }
 
-// NewCore returns a Core around a new decision module, with its clock at now.
+// NewCore returns a Core with a new cresspass.Gateway, its time starting at now. It returns the gateway's
+// error if the configuration is invalid.
 func NewCore(cfg cresspass.Config, now time.Duration) (*Core, error) {
 	gateway, err := cresspass.New(cfg)
 	if err != nil {
@@ -66,10 +68,11 @@
 	return NewCoreWithDecider(gateway, cfg, now), nil
 }
 
-// windowMarginTicks is by how many ticks a deduplication window counts as shorter than it is.
+// windowMarginTicks is the number of ticks by which every deduplication window is shortened. A tick is the
+// batch interval, but no less than TimerResolution.
 const windowMarginTicks = 2
 
-// NewCoreWithDecider returns a Core around a decider, with its clock at now.
+// NewCoreWithDecider returns a Core with a decider, its time starting at now.
 func NewCoreWithDecider(decider Decider, cfg cresspass.Config, now time.Duration) *Core {
 	c := &Core{
 		decider:              decider,
@@ -90,18 +93,19 @@
 	return c
 }
 
-// Snapshot returns what the decision module has learned.
+// Snapshot returns the decision module's learned state.
 func (c *Core) Snapshot() []byte { return c.decider.Snapshot() }
 
-// Restore has the decision module take over a snapshot of the given age.
+// Restore makes the decision module adopt a snapshot of the given age.
 func (c *Core) Restore(data []byte, age time.Duration) error { return c.decider.Restore(data, age) }
 
-// NextWakeup returns the time at which Step must be called at the latest, and whether there is one.
+// NextWakeup returns the latest time for the next call of Step, and false if no timer is pending.
 func (c *Core) NextWakeup() (time.Duration, bool) { return c.timers.NextExpiry() }
 
-// Step takes the time and the events since the last call, in order, and returns what is to be done, valid
-// until the next call. Times never go back. Events that name an unknown query or attempt are dropped. A
-// QueryAbandoned event with OutcomeCancelled stands for a client that asked for a cancel.
+// Step handles the events since the last call, in order, and the timers that are due at now. It returns the
+// outputs to execute, which are valid until the next call. An earlier time than that of the last call counts
+// as that time. Events that name an unknown query or attempt are dropped. A QueryAbandoned event with
+// OutcomeCancelled means that the client asked for a cancel.
 func (c *Core) Step(now time.Duration, events []cresspass.Event) []Output {
 	c.now = max(now, c.now)
 	c.outputs, c.events, c.overdueQueries = c.outputs[:0], c.events[:0], c.overdueQueries[:0]
@@ -110,7 +114,7 @@
 	}
 	c.timers.Advance(c.now, c.fireTimer)
 	c.decide()
-	// An attempt that was decided on but could not start is reported to the decision module at once: it did
+	// Attempts that were decided on but not started are reported to the decision module at once: they did
 	// not run.
 	for len(c.events) > 0 {
 		c.decide()
@@ -121,7 +125,7 @@
 	return c.outputs
 }
 
-// decide has the decider handle the pending events, and applies its actions.
+// decide lets the decider handle the pending events and applies its actions.
 func (c *Core) decide() {
 	events := c.events
 	c.actions = c.decider.Handle(c.now, events, c.actions[:0])
@@ -131,11 +135,12 @@
 	}
 }
 
+// fireTimer handles a timer that has expired.
 func (c *Core) fireTimer(target timerTarget) {
 	switch q := c.queries[target.query]; {
 	case target.ofModule:
 		c.events = append(c.events, cresspass.Event{Type: cresspass.TimerFired, Label: target.label})
-	case q == nil: // it has ended
+	case q == nil: // the query has ended
 	case target.attempt != noAttempt:
 		c.stopAttempt(q, target.attempt, cresspass.OutcomeTimedOut)
 	case !q.ended:
@@ -143,9 +148,9 @@
 	}
 }
 
-// failOverdue ends a query whose deadline and answer grace have passed. Without it, the client of a query
-// that the decision module lost would wait forever. It runs after the decision module's own timers, which
-// come due in the same step after a long pause of the process; that a query is ended here at all is a defect.
+// failOverdue fails a query whose deadline and answer grace have passed. Without it, the client of a query
+// that the decision module lost would wait forever. It runs after the decision module's own timers, which are
+// due in the same step if the process was paused for long. Each query that ends here is a defect.
 func (c *Core) failOverdue(id cresspass.QueryID) {
 	q := c.queries[id]
 	if q == nil || q.ended {
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -12,7 +12,7 @@
 
 const ms = time.Millisecond
 
-// The classes of testConfig, and the deduplication window of the second.
+// Classes of testConfig, and the deduplication window of keyedClass.
 const (
 	idempotentClass    = "safe"
 	keyedClass         = "keyed"
@@ -44,22 +44,22 @@
 	return event
 }
 
-// observedQuery is what a shell sees of a query, whatever events come in whatever order.
+// observedQuery is the state of a query as a shell sees it, independent of the order of events.
 type observedQuery struct {
 	class          string
 	deadline       time.Duration
-	ends           int // rejections, failures, and attempts that finished it
+	ends           int // rejections, failures, and attempts that finished the query
 	clientGone     bool
 	nextAttempt    int
-	running        map[int]cresspass.EngineID // started, no outcome reported
+	running        map[int]cresspass.EngineID // attempts that were started and have no reported outcome
 	stopped        map[int]bool
 	mayHaveRun     bool
-	startedAt      map[int]time.Duration // of each attempt
-	firstRunAt     time.Duration         // when the first was started of those that may have run
-	endedThisBatch int                   // attempt whose outcome came in this batch, plus 1
+	startedAt      map[int]time.Duration // start times of attempts
+	firstRunAt     time.Duration         // start time of the first attempt that may have run
+	endedThisBatch int                   // number of the attempt whose outcome came in this batch, plus 1
 }
 
-// contractChecker drives a Core with drawn events, and checks each output against what a shell may see.
+// contractChecker drives a Core with random events and checks each output against the contract of Core.
 type contractChecker struct {
 	*rapid.T
 	core    *Core
@@ -68,9 +68,9 @@
 	ids     []cresspass.QueryID
 }
 
-// TestCoreContract: the contract of Core under any events. Attempts are numbered in turn; each query has one
-// end, by its deadline, and nothing is started after it; an attempt is stopped only while it runs, and once;
-// a query that is not idempotent is not started again once it may have run.
+// TestCoreContract checks the contract of Core under random events. Attempts are numbered consecutively. Each
+// query ends once, by its deadline, and no attempt of it starts afterwards. An attempt is stopped only while
+// it runs, and at most once. A query that is not idempotent is not retried once it may have run.
 func TestCoreContract(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		core, err := NewCore(testConfig(), time.Hour)
@@ -91,7 +91,7 @@
 				q.endedThisBatch = 0
 			}
 		}
-		for range 200 { // let all timers fire
+		for range 200 { // until all timers have fired
 			c.now += 20 * ms
 			c.step(nil)
 		}
@@ -99,7 +99,7 @@
 	})
 }
 
-// step has the core take events, and checks its outputs.
+// step lets the core handle events and checks its outputs.
 func (c *contractChecker) step(events []cresspass.Event) {
 	for _, o := range c.core.Step(c.now, events) {
 		q := c.queries[o.Query]
@@ -107,48 +107,49 @@
 		case StartAttempt:
 			c.checkStart(o, q)
 		case StopAttempt:
-			// One whose outcome came later in the same batch may still be named.
+			// The stop may name an attempt whose outcome comes later in the same batch.
 			_, running := q.running[o.Attempt]
 			if !running && q.endedThisBatch != o.Attempt+1 || q.stopped[o.Attempt] {
-				c.Fatalf("query %d: stop of attempt %d, which does not run or was stopped", o.Query,
+				c.Fatalf("query %d: stopped attempt %d, which is not running or already stopped", o.Query,
 					o.Attempt)
 			}
 			q.stopped[o.Attempt] = true
 		case RejectQuery, FailQuery:
 			if q.ends++; q.ends > 1 || q.clientGone {
-				c.Fatalf("query %d: a second end, or one for a client that is gone: %+v", o.Query, q)
+				c.Fatalf("query %d: ended a second time, or after its client was gone: %+v", o.Query, q)
 			}
 			mayHaveRun := q.mayHaveRun || len(q.running) > 0
 			if o.Type == RejectQuery && q.class == notIdempotentClass && mayHaveRun {
-				c.Fatalf("query %d, not idempotent, rejected though it may have run", o.Query)
+				c.Fatalf("query %d, not idempotent: rejected though it may have run", o.Query)
 			}
 		}
 	}
 }
 
+// checkStart checks that an attempt may start now, and records it.
 func (c *contractChecker) checkStart(o Output, q *observedQuery) {
 	if q.ends > 0 || q.clientGone || o.Attempt != q.nextAttempt {
-		c.Fatalf("query %d (%+v): started attempt %d", o.Query, q, o.Attempt)
+		c.Fatalf("query %d (%+v): started attempt %d after its end or out of sequence", o.Query, q, o.Attempt)
 	}
 	if q.class == notIdempotentClass && q.mayHaveRun {
 		c.Fatalf("query %d, not idempotent: retried though it may have run", o.Query)
 	}
-	// What is sent within StartWithin comes before the deadline, and inside the deduplication window of what
-	// may have run before.
+	// An attempt that is sent within StartWithin is sent before the query's deadline, and within the
+	// deduplication window of earlier attempts that may have run.
 	if o.StartWithin <= 0 || c.now+o.StartWithin > q.deadline {
-		c.Fatalf("query %d, deadline %v: to start within %v from %v", o.Query, q.deadline, o.StartWithin,
-			c.now)
+		c.Fatalf("query %d, deadline %v: attempt may start within %v from %v", o.Query, q.deadline,
+			o.StartWithin, c.now)
 	}
 	if q.class == keyedClass && q.mayHaveRun && c.now+o.StartWithin >= q.firstRunAt+keyedWindow {
-		c.Fatalf("query %d, with a key, first ran at %v: retried within %v from %v", o.Query, q.firstRunAt,
+		c.Fatalf("query %d, keyed, first ran at %v: retry may start within %v from %v", o.Query, q.firstRunAt,
 			o.StartWithin, c.now)
 	}
 	q.nextAttempt++
 	q.running[o.Attempt], q.startedAt[o.Attempt] = o.Engine, c.now
 }
 
-// drawEvents draws what happens next: four times in ten an arrival, once a client that goes, once events
-// of what is unknown, and else an outcome.
+// drawEvents draws the next events. Of ten draws four are an arrival, one is a client that leaves, one is
+// events of an unknown attempt and an unknown query, and the others are the outcome of an attempt.
 func (c *contractChecker) drawEvents() []cresspass.Event {
 	kind := rapid.IntRange(0, 9).Draw(c.T, "kind")
 	if kind < 4 || len(c.ids) == 0 {
@@ -175,6 +176,7 @@
 	return nil
 }
 
+// drawArrival draws the class and the deadline of a new query.
 func (c *contractChecker) drawArrival() cresspass.Event {
 	id := cresspass.QueryID(len(c.ids) + 1)
 	classes := []string{idempotentClass, keyedClass, notIdempotentClass}
@@ -187,7 +189,7 @@
 		RemainingDeadline: left}
 }
 
-// drawOutcome ends one of a query's running attempts.
+// drawOutcome draws the outcome of one of a query's running attempts.
 func (c *contractChecker) drawOutcome(id cresspass.QueryID, q *observedQuery) cresspass.Event {
 	number := 0
 	for number = range q.running {
@@ -213,13 +215,13 @@
 	return event
 }
 
-// checkEnd checks that all queries have ended and nothing is left of them.
+// checkEnd checks that all queries have ended and that the core has no state of them left.
 func (c *contractChecker) checkEnd() {
 	for id, q := range c.queries {
 		if q.ends == 0 && !q.clientGone {
-			c.Fatalf("query %d, deadline long past, has no end: %+v", id, q)
+			c.Fatalf("query %d has not ended though its deadline is long past: %+v", id, q)
 		}
-		for number, engine := range q.running { // late outcomes of what was never reported
+		for number, engine := range q.running { // late outcomes of attempts without a reported outcome
 			c.core.Step(c.now, []cresspass.Event{{Type: cresspass.AttemptDone, Query: id, Attempt: number,
 				Engine: engine, Outcome: cresspass.OutcomeConnectionReset}})
 		}
@@ -230,8 +232,8 @@
 	}
 }
 
-// TestOverdueQueryEnds: a query that the decision module lost still ends, as a failure that is counted as a
-// defect.
+// TestOverdueQueryEnds checks that a query that the decision module has lost still ends: it fails and is
+// counted as overdue.
 func TestOverdueQueryEnds(t *testing.T) {
 	core, err := NewCore(testConfig(), time.Hour)
 	if err != nil {
@@ -239,7 +241,7 @@
 	}
 	core.Step(time.Hour, []cresspass.Event{{Type: cresspass.QueryArrived, Query: 1, Class: idempotentClass,
 		RemainingDeadline: time.Second}})
-	core.decider, err = cresspass.New(testConfig()) // one that knows nothing of it
+	core.decider, err = cresspass.New(testConfig()) // does not know the query
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -2,8 +2,8 @@
 
 import "cresspass"
 
-// applyEvent enters an event into the queries' state and passes it on to the decision module, unless it names
-// a query or an attempt that is not known.
+// applyEvent updates the state of the event's query and queues the event for the decision module. An event
+// that names an unknown query or attempt is dropped.
 func (c *Core) applyEvent(event *cresspass.Event) {
 	known := true
 	switch event.Type {
@@ -21,6 +21,7 @@
 	}
 }
 
+// queryArrived adds a query and schedules its deadline. It returns false if the query's ID is already in use.
 func (c *Core) queryArrived(event *cresspass.Event) bool {
 	if c.queries[event.Query] != nil {
 		return false
@@ -38,6 +39,8 @@
 	return true
 }
 
+// queryAbandoned ends a query whose client is gone or has cancelled it. It returns false if the query is
+// unknown or has ended.
 func (c *Core) queryAbandoned(event *cresspass.Event) bool {
 	q := c.queries[event.Query]
 	if q == nil || q.ended {
@@ -48,7 +51,9 @@
 	return true
 }
 
-// attemptDone takes an attempt's outcome. It completes the event by what the shell does not know.
+// attemptDone records an attempt's outcome. It adds to the event what the shell does not know: the elapsed
+// time of a failed attempt, and whether the query has ended. It returns false if the attempt is not running
+// on the event's engine.
 func (c *Core) attemptDone(event *cresspass.Event) bool {
 	q := c.queries[event.Query]
 	i := q.attemptIndex(event.Attempt)
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -8,30 +8,32 @@
 	"cresspass"
 )
 
-// Clock returns the time since some zero, in which the decision module counts. It only advances.
+// Clock returns the time since an arbitrary origin. It never goes back. The decision module's times are
+// readings of it.
 type Clock func() time.Duration
 
-// clockOffset is the reading of a new monotonic clock.
+// clockOffset is the first reading of a monotonic clock.
 const clockOffset = 24 * time.Hour
 
-// NewMonotonicClock returns a clock that starts at one day, so that the start times of engines lie after its
-// zero.
+// NewMonotonicClock returns a clock that starts at 24 hours, so that the start times of engines that are
+// older than this process come after the clock's origin.
 func NewMonotonicClock() Clock {
 	zero := time.Now().Add(-clockOffset)
 	return func() time.Duration { return time.Since(zero) }
 }
 
-// Loop is the goroutine that owns a Core. Events may be posted from any goroutine and are handled in batches.
-// The shell's execute function is called in the loop's goroutine for each output, and must not block.
+// Loop owns a Core and steps it in one goroutine, that of Run. Events may be posted from any goroutine and
+// are handled in batches. The shell's execute function is called in the loop's goroutine for each output and
+// must not block.
 type Loop struct {
 	core            *Core
 	clock           Clock
 	execute         func(*Output)
 	minStepInterval time.Duration // 0: steps are not paced
 
-	mu          sync.Mutex
+	mu          sync.Mutex // guards the fields up to closed
 	queue       []cresspass.Event
-	postedAt    []time.Duration // of the events in queue
+	postedAt    []time.Duration // of the events in queue, by index
 	inspections []func(*Core)
 	closed      bool
 
@@ -40,29 +42,31 @@
 	longestStep atomic.Int64 // nanoseconds, since TakeLongestStep was last called
 }
 
-// NewLoop returns a loop that is not yet running.
+// NewLoop returns a loop around a core. It handles events once Run is called.
 func NewLoop(core *Core, clock Clock, execute func(*Output)) *Loop {
 	return &Loop{core: core, clock: clock, execute: execute, wake: make(chan struct{}, 1),
 		done: make(chan struct{})}
 }
 
-// SetMinStepInterval paces the loop: steps start no more often than an interval, and less often while each
-// takes long. The decision module looks at every queued query in each step, so that one step for each event
-// would fill the core as queries pile up, and answers would come too late. It must be called before Run.
+// SetMinStepInterval paces the loop: consecutive steps start at least an interval apart, and further apart
+// while steps take long. The decision module looks at every queued query in each step. One step per event
+// would therefore use up a CPU core as the queue grows, and answers would come too late. It must be called
+// before Run.
 func (l *Loop) SetMinStepInterval(interval time.Duration) { l.minStepInterval = interval }
 
 const (
-	stepCostFactor  = 3                     // steps of a paced loop take at most a third of a core
-	maxStepInterval = 10 * time.Millisecond // between the starts of two steps, whatever they take
+	stepCostFactor  = 3                     // steps of a paced loop use at most a third of a CPU core
+	maxStepInterval = 10 * time.Millisecond // between the starts of two steps, unless one takes longer
 )
 
-// stepInterval returns the least time from the start of a step, which took so long, to the next one's.
+// stepInterval returns the minimum time between the start of a step that took the given time and the start of
+// the next step.
 func stepInterval(minInterval, took time.Duration) time.Duration {
 	return max(minInterval, min(stepCostFactor*took, maxStepInterval))
 }
 
-// Post hands events to the loop, in order. A RemainingDeadline counts from now. After Close they are dropped,
-// and Post returns false.
+// Post queues events for the loop, in order. A RemainingDeadline counts from the call. After Close the events
+// are dropped and Post returns false. It may be called from any goroutine.
 func (l *Loop) Post(events ...cresspass.Event) bool {
 	now := l.clock()
 	l.mu.Lock()
@@ -79,8 +83,8 @@
 	return true
 }
 
-// Inspect calls a function with the Core between two steps and waits for it. It returns false if the loop is
-// closed.
+// Inspect calls a function with the Core in the loop's goroutine, after a step, and waits until it returns.
+// Inspect returns false if the loop is closed. It may be called from any goroutine but the loop's own.
 func (l *Loop) Inspect(inspect func(*Core)) bool {
 	inspected := make(chan struct{})
 	l.mu.Lock()
@@ -99,7 +103,7 @@
 	}
 }
 
-// signal wakes the loop, unless a signal is pending already.
+// signal wakes the loop. It does nothing if a signal is already pending.
 func (l *Loop) signal() {
 	select {
 	case l.wake <- struct{}{}:
@@ -107,10 +111,11 @@
 	}
 }
 
-// TakeLongestStep returns the longest time that a step took since the last call.
+// TakeLongestStep returns the duration of the longest step since the last call, 0 if there was none. It may
+// be called from any goroutine.
 func (l *Loop) TakeLongestStep() time.Duration { return time.Duration(l.longestStep.Swap(0)) }
 
-// Close ends the loop and waits for it. Run must have been called.
+// Close ends the loop and waits until Run returns. Run must have been called, or Close does not return.
 func (l *Loop) Close() {
 	l.mu.Lock()
 	l.closed = true
@@ -119,7 +124,7 @@
 	<-l.done
 }
 
-// Run steps the core until Close.
+// Run steps the core when events arrive and when timers are due, until Close.
 func (l *Loop) Run() {
 	defer close(l.done)
 	var batch pendingBatch
@@ -151,14 +156,14 @@
 	}
 }
 
-// pendingBatch is what was posted between two steps.
+// pendingBatch holds the events and inspections that were queued between two steps.
 type pendingBatch struct {
 	events      []cresspass.Event
-	postedAt    []time.Duration // of events
+	postedAt    []time.Duration // of events, by index
 	inspections []func(*Core)
 }
 
-// chargeWait counts the time that events waited for a step against their deadlines.
+// chargeWait deducts the time that events waited in the queue from their remaining deadlines.
 func (b *pendingBatch) chargeWait(now time.Duration) {
 	for i := range b.events {
 		if event := &b.events[i]; event.RemainingDeadline > 0 {
@@ -167,8 +172,8 @@
 	}
 }
 
-// takePending fills a batch with what was posted since the last call, and reports whether the loop is closed.
-// The queue goes on in the memory of what was in the batch, which has been handled.
+// takePending replaces a batch, which has been handled, by what was queued since the last call. It reports
+// whether the loop is closed. The queue reuses the memory of the old batch.
 func (l *Loop) takePending(batch *pendingBatch) (closed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -178,12 +183,13 @@
 	return l.closed
 }
 
-// step has the core handle a batch, carries out its outputs, and returns how long that took.
+// step lets the core handle a batch, executes the outputs, runs the inspections and returns how long that
+// took.
 func (l *Loop) step(now time.Duration, batch *pendingBatch) time.Duration {
 	for _, output := range l.core.Step(now, batch.events) {
 		l.execute(&output)
 	}
-	clear(batch.events) // so that it keeps nothing alive while its memory waits for the next batch
+	clear(batch.events) // the memory is reused: what the events refer to can be collected meanwhile
 	for _, inspect := range batch.inspections {
 		inspect(l.core)
 	}
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -8,18 +8,18 @@
 	"cresspass"
 )
 
-// TestStepInterval: a loop steps once in the least interval while steps are short, takes a third of the core
-// while they are long, and never pauses for long.
+// TestStepInterval checks the pacing: at the minimum interval while steps are short, at a third of a CPU core
+// while they take longer, and never beyond maxStepInterval.
 func TestStepInterval(t *testing.T) {
 	for took, want := range map[time.Duration]time.Duration{0: ms, ms / 10: ms, 2 * ms: 6 * ms,
 		time.Second: maxStepInterval} {
 		if got := stepInterval(ms, took); got != want {
-			t.Errorf("a step of %v: %v, want %v", took, got, want)
+			t.Errorf("interval after a step of %v: %v, want %v", took, got, want)
 		}
 	}
 }
 
-// TestLoopStepsOncePerInterval: however many events come one by one, a paced loop takes them in few steps.
+// TestLoopStepsOncePerInterval checks that a paced loop handles many events, posted one by one, in few steps.
 func TestLoopStepsOncePerInterval(t *testing.T) {
 	decider := &countingDecider{}
 	core := NewCoreWithDecider(decider, testConfig(), 0)
@@ -35,12 +35,12 @@
 	maxSteps := int64(time.Since(startedAt)/(5*time.Millisecond)) + 3
 	l.Close()
 	if decider.events != 200 || decider.steps > maxSteps {
-		t.Errorf("%d events in %d steps, at most %d", decider.events, decider.steps, maxSteps)
+		t.Errorf("%d events in %d steps, want 200 in at most %d", decider.events, decider.steps, maxSteps)
 	}
 }
 
-// TestDeadlineCountsFromPost guards against a late answer: a process that did not run between the arrival of
-// a request and the step that takes it gave the request that time once more.
+// TestDeadlineCountsFromPost guards against late answers: when the process was stalled between a request's
+// arrival and the step that handled it, the deadline was extended by the stall.
 func TestDeadlineCountsFromPost(t *testing.T) {
 	const limit, stalled = 500 * ms, 300 * ms
 	var now atomic.Int64
@@ -57,7 +57,7 @@
 	l.Inspect(func(*Core) {})
 	l.Close()
 	if decider.deadline != limit {
-		t.Errorf("the deadline is %v after the arrival, want %v", decider.deadline, limit)
+		t.Errorf("deadline %v after the arrival, want %v", decider.deadline, limit)
 	}
 }
 
@@ -75,7 +75,7 @@
 	return actions
 }
 
-// countingDecider only counts.
+// countingDecider counts its steps and events and decides nothing.
 type countingDecider struct{ steps, events int64 }
 
 func (d *countingDecider) Handle(_ time.Duration, events []cresspass.Event,
--- a/internal/dispatch/output.go
+++ b/internal/dispatch/output.go
@@ -6,26 +6,26 @@
 	"cresspass"
 )
 
-// OutputType tells which fields of an Output count.
+// OutputType is the type of an Output. It determines which of the fields are used.
 type OutputType int
 
-// The outputs of a Core, each with the fields that count.
+// The types of outputs, each with the fields that it uses.
 const (
-	// StartAttempt begins an attempt: Query, Attempt, Engine, Priority, MemoryGrantMB and StartWithin. The
-	// shell owes one AttemptDone event for it.
+	// StartAttempt starts an attempt: Query, Attempt, Engine, Priority, MemoryGrantMB and StartWithin. The
+	// shell must post exactly one AttemptDone event for it.
 	StartAttempt OutputType = iota
-	// StopAttempt disowns an attempt, whose AttemptDone event is to carry the given outcome: Query, Attempt,
-	// Engine and Outcome.
+	// StopAttempt stops an attempt, whose response no longer counts and whose AttemptDone event is to carry
+	// the given outcome: Query, Attempt, Engine and Outcome.
 	StopAttempt
 	// RejectQuery ends a query that may be sent again: Query, RetryAfter, MayHaveRun and Reason.
 	RejectQuery
 	// FailQuery ends a query whose outcome is not known: Query and Reason.
 	FailQuery
-	// CheckHealth checks the health of Engine. The shell owes one HealthCheckDone event for it.
+	// CheckHealth checks the health of Engine. The shell must post exactly one HealthCheckDone event for it.
 	CheckHealth
 	// FetchEngineList polls for the complete engine list once.
 	FetchEngineList
-	// SubscribeEngineList has the engine list pushed while Enabled is set.
+	// SubscribeEngineList turns the push of engine lists on or off: Enabled.
 	SubscribeEngineList
 	// CloseIdleConnections closes the idle connections to Engine.
 	CloseIdleConnections
@@ -48,7 +48,7 @@
 	WriteLog:             "write log",
 }
 
-// unknownOutput is the name of what is no output.
+// unknownOutput is the name of an OutputType that is not defined.
 const unknownOutput = "unknown output"
 
 func (t OutputType) String() string {
@@ -58,15 +58,15 @@
 	return outputTypeNames[t]
 }
 
-// Output is one thing that the shell has to do. Outputs are carried out in order.
+// Output is an operation that the shell has to execute. The shell executes outputs in order.
 type Output struct {
 	Type          OutputType
 	Query         cresspass.QueryID
 	Attempt       int
 	Engine        cresspass.EngineID
 	Outcome       cresspass.Outcome
-	RetryAfter    time.Duration // 0: the client is not told when to send the query again
-	StartWithin   time.Duration // the attempt reaches its engine within this time, or must not start
+	RetryAfter    time.Duration // 0: the client is not told when to retry
+	StartWithin   time.Duration // an attempt that takes longer to reach its engine must not start
 	Priority      int           // -1: not set
 	MemoryGrantMB float64
 	MayHaveRun    bool // an attempt of the query may have run
@@ -77,5 +77,5 @@
 	Reason        cresspass.Reason
 }
 
-// ReasonDeadlinePassed is the reason given for a query that the decision module did not end in time.
+// ReasonDeadlinePassed is the reason of the failure of a query that the decision module did not end in time.
 const ReasonDeadlinePassed cresspass.Reason = "its client's time is over"
--- a/internal/dispatch/query.go
+++ b/internal/dispatch/query.go
@@ -6,22 +6,22 @@
 	"cresspass"
 )
 
-// query is one query from its arrival until it has an end and each of its attempts has an outcome.
+// query is the state of a query from its arrival until it has ended and each of its attempts has an outcome.
 type query struct {
 	id                  cresspass.QueryID
 	deadline            time.Duration
 	idempotent          bool
 	deduplicationWindow time.Duration // 0: its class has no idempotency key
 	ended               bool
-	mayHaveRun          bool          // an attempt that has ended may have run
-	firstRunAt          time.Duration // when the first of these was started
+	mayHaveRun          bool          // one or more attempts that have ended may have run
+	firstRunAt          time.Duration // when the first of them was started, if mayHaveRun
 	nextAttempt         int           // number of the next attempt
 	priority            int
 	memoryGrantMB       float64
-	running             []attempt // started, without an outcome
+	running             []attempt // that were started and have no outcome yet
 }
 
-// attempt is one sending of a query to an engine.
+// attempt is an attempt to run a query on an engine.
 type attempt struct {
 	number        int
 	engine        cresspass.EngineID
@@ -29,7 +29,7 @@
 	stopRequested bool
 }
 
-// attemptIndex returns the index of a running attempt, or -1. A nil query has none.
+// attemptIndex returns the index in running of the attempt with a number, or -1. A nil query has no attempts.
 func (q *query) attemptIndex(number int) int {
 	if q == nil {
 		return -1
@@ -42,7 +42,7 @@
 	return -1
 }
 
-// firstPossibleRun returns when the first attempt was started that has run, may have run, or may run yet.
+// firstPossibleRun returns the start time of the first attempt that has run, may have run or may still run.
 func (q *query) firstPossibleRun() (startedAt time.Duration, ok bool) {
 	startedAt, ok = q.firstRunAt, q.mayHaveRun
 	for _, running := range q.running {
@@ -53,9 +53,9 @@
 	return startedAt, ok
 }
 
-// endQuery ends a query that has its answer or whose client is gone. Its attempts are stopped where the query
-// is idempotent, as nobody waits for their rows. A query that changes data runs to its end, as in PostgreSQL
-// itself, unless its client asked for a cancel.
+// endQuery ends a query that has its answer or whose client is gone. If the query is idempotent, its running
+// attempts are stopped, as nobody waits for their rows. A query that changes data runs to completion, as in
+// PostgreSQL itself, unless its client cancelled it.
 func (c *Core) endQuery(q *query, cancelled bool) {
 	q.ended = true
 	for _, running := range q.running {
@@ -66,7 +66,7 @@
 	c.removeIfFinished(q)
 }
 
-// stopAttempt has the shell disown a running attempt, once.
+// stopAttempt tells the shell to stop a running attempt, at most once, and which outcome to report.
 func (c *Core) stopAttempt(q *query, number int, outcome cresspass.Outcome) {
 	i := q.attemptIndex(number)
 	if i < 0 || q.running[i].stopRequested {
@@ -78,7 +78,7 @@
 		Engine: q.running[i].engine, Outcome: outcome})
 }
 
-// removeIfFinished drops a query that has ended and has no running attempt.
+// removeIfFinished deletes a query that has ended and has no running attempt.
 func (c *Core) removeIfFinished(q *query) {
 	if q.ended && len(q.running) == 0 {
 		delete(c.queries, q.id)
--- a/internal/dispatch/response/buffer_budget.go
+++ b/internal/dispatch/response/buffer_budget.go
@@ -2,16 +2,17 @@
 
 import "sync/atomic"
 
-// BufferBudget bounds the bytes that all responses together hold back. The zero value allows nothing.
+// BufferBudget limits the bytes that the responses that share it buffer together. The zero value allows none.
+// It is safe for concurrent use.
 type BufferBudget struct {
-	MaxBytes int64
+	MaxBytes int64 // must not change once responses use the budget
 	used     atomic.Int64
 }
 
-// Used returns the number of bytes held back now.
+// Used returns the number of bytes that are buffered now.
 func (b *BufferBudget) Used() int64 { return b.used.Load() }
 
-// reserve takes n bytes from the budget, if there are as many left.
+// reserve takes n bytes from the budget. It returns false and takes none if fewer than n are left.
 func (b *BufferBudget) reserve(n int) bool {
 	if b.used.Add(int64(n)) > b.MaxBytes {
 		b.used.Add(-int64(n))
@@ -20,5 +21,5 @@
 	return true
 }
 
-// release gives back n reserved bytes.
+// release returns n reserved bytes to the budget.
 func (b *BufferBudget) release(n int) { b.used.Add(-int64(n)) }
--- a/internal/dispatch/response/response.go
+++ b/internal/dispatch/response/response.go
@@ -1,9 +1,10 @@
-// Package response holds one query's response on its way from an engine to its client. It sees to it that
-// there is exactly one final answer, whichever comes first: the engine's last byte, the decision module's
-// rejection, or the client's going away. It does no I/O: bytes leave through a Sink.
+// Package response passes a query's response from an engine to its client. It ensures that there is exactly
+// one final answer, whichever comes first: the engine's last byte, a verdict of the dispatcher, or the
+// client's departure. It does no I/O: bytes leave through a Sink.
 //
-// A response is buffering (bytes are held back, so that another attempt may still take its place), streaming
-// (bytes went out, so it belongs to its attempt) or finished.
+// A response is buffering (no byte was passed on, so another attempt can still replace the current one),
+// streaming (bytes were passed on or Commit was called, so the response belongs to its attempt for good) or
+// finished.
 package response
 
 import (
@@ -12,35 +13,36 @@
 	"cresspass/internal/dispatch/verdict"
 )
 
-// Sink takes a response's bytes. Its methods are called in order, under the response's lock; none may block
-// or call the response.
+// Sink receives a response's bytes. Its methods are called in order and under the response's lock. They must
+// not block or call the response's methods.
 type Sink interface {
-	// WritePartial passes on messages of an engine that do not yet end the response.
+	// WritePartial writes messages of an engine that do not end the response.
 	WritePartial(b []byte)
-	// WriteFinal passes on the last of them; failed tells that they end in an ErrorResponse.
+	// WriteFinal writes an engine's last messages. failed means that they end with an ErrorResponse.
 	WriteFinal(b []byte, failed bool)
-	// WriteVerdict ends the response by a verdict of the dispatcher, whatever was written before.
+	// WriteVerdict ends the response with a verdict of the dispatcher, whatever was written before.
 	WriteVerdict(v *verdict.Verdict)
 }
 
 // noAttempt is the owner of a response that belongs to no attempt.
 const noAttempt = -1
 
-// Response is one query's response. Make one with New.
+// Response is the response to one query. Use New to create one. Its methods may be called from several
+// goroutines.
 type Response struct {
 	mu          sync.Mutex
 	sink        Sink
 	budget      *BufferBudget
-	maxBuffered int
-	owner       int // the attempt whose bytes count
+	maxBuffered int // bytes
+	owner       int // the attempt whose bytes are accepted, or noAttempt
 	buffered    []byte
-	reserved    int // bytes of the budget
+	reserved    int // bytes reserved from the budget
 	streaming   bool
 	finished    bool
-	doneSignal  chan struct{}
+	doneSignal  chan struct{} // closed once the response is finished
 }
 
-// New returns a response that holds back up to maxBuffered bytes, within a budget shared with others.
+// New returns a response that buffers up to maxBuffered bytes, within a budget shared by several responses.
 func New(sink Sink, budget *BufferBudget, maxBuffered int) *Response {
 	return &Response{sink: sink, budget: budget, maxBuffered: maxBuffered, owner: noAttempt,
 		doneSignal: make(chan struct{})}
@@ -49,7 +51,8 @@
 // Done returns a channel that is closed once the response is finished.
 func (r *Response) Done() <-chan struct{} { return r.doneSignal }
 
-// BeginAttempt makes an attempt the one whose bytes count. It returns false if the response is streaming or
+// BeginAttempt makes an attempt the response's owner: from now on only its bytes are accepted. What was
+// buffered for the previous owner is discarded. BeginAttempt returns false if the response is streaming or
 // finished.
 func (r *Response) BeginAttempt(attempt int) bool {
 	r.mu.Lock()
@@ -62,8 +65,8 @@
 	return true
 }
 
-// Write takes bytes from an attempt, and buffers them as far as the limits allow. It returns false if the
-// response no longer belongs to the attempt.
+// Write accepts bytes from an attempt. It buffers them as long as the limits allow, and passes them on once
+// the limits are reached. It returns false if the response does not belong to the attempt.
 func (r *Response) Write(attempt int, b []byte) (owner bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -86,8 +89,8 @@
 	return true
 }
 
-// WriteThrough takes bytes from an attempt and passes them on at once, so that the response belongs to the
-// attempt for good. It returns false if the response no longer belongs to the attempt.
+// WriteThrough accepts bytes from an attempt and passes them on at once, so that the response belongs to the
+// attempt for good. It returns false if the response does not belong to the attempt.
 func (r *Response) WriteThrough(attempt int, b []byte) (owner bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,8 +104,9 @@
 	return true
 }
 
-// Commit makes the response an attempt's for good, before its last bytes: from here on it is not revoked, and
-// no other attempt begins. It returns false if the response no longer belongs to the attempt.
+// Commit makes the response belong to an attempt for good, before the attempt's last bytes: from now on it
+// cannot be revoked and no other attempt can begin. It returns false if the response does not belong to the
+// attempt.
 func (r *Response) Commit(attempt int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -113,8 +117,8 @@
 	return true
 }
 
-// Finish ends the response with an attempt's last bytes. It returns false if the response no longer belonged
-// to the attempt.
+// Finish ends the response with an attempt's last bytes. failed means that they end with an ErrorResponse.
+// Finish returns false if the response does not belong to the attempt.
 func (r *Response) Finish(attempt int, b []byte, failed bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -132,8 +136,9 @@
 	return true
 }
 
-// FailAttempt tells that an attempt ended without a complete response. If its bytes had begun to go out, the
-// client gets the verdict and the response is finished. Otherwise what was held back is discarded.
+// FailAttempt records that an attempt ended without a complete response. If the response is streaming, the
+// client gets the verdict and the response is finished. Otherwise what was buffered is discarded and another
+// attempt may begin. FailAttempt returns whether it has finished the response.
 func (r *Response) FailAttempt(attempt int, failure *verdict.Verdict) (finished bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -148,8 +153,8 @@
 	return r.finished
 }
 
-// Revoke takes the response from an attempt. It returns false if the attempt's bytes have begun to go out, so
-// that it can no longer be replaced, and true if nothing of it will count any more.
+// Revoke takes the response away from an attempt, whose bytes are no longer accepted. It returns false if the
+// response is streaming and belongs to the attempt, which can then no longer be replaced, and true otherwise.
 func (r *Response) Revoke(attempt int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -164,7 +169,8 @@
 	return true
 }
 
-// FinishWithVerdict ends the response with a verdict of the dispatcher. It returns false if it was finished.
+// FinishWithVerdict ends the response with a verdict of the dispatcher. It returns false if the response was
+// already finished.
 func (r *Response) FinishWithVerdict(v *verdict.Verdict) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -177,7 +183,7 @@
 }
 
 // Abandon ends the response to a client that is gone: nothing more is written. It returns false if the
-// response was finished.
+// response was already finished.
 func (r *Response) Abandon() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -190,17 +196,17 @@
 	return true
 }
 
-// belongsTo reports whether an attempt's bytes count. The lock is held.
+// belongsTo reports whether an attempt owns the response. The caller holds the lock.
 func (r *Response) belongsTo(attempt int) bool { return !r.finished && r.owner == attempt }
 
-// writeVerdict ends the response with a verdict. The lock is held.
+// writeVerdict ends the response with a verdict. The caller holds the lock.
 func (r *Response) writeVerdict(v *verdict.Verdict) {
 	r.finished, r.owner = true, noAttempt
 	r.sink.WriteVerdict(v)
 	close(r.doneSignal)
 }
 
-// discardBuffer forgets what is held back. The lock is held.
+// discardBuffer discards the buffered bytes and releases their part of the budget. The caller holds the lock.
 func (r *Response) discardBuffer() {
 	r.budget.release(r.reserved)
 	r.reserved, r.buffered = 0, nil
--- a/internal/dispatch/response/response_test.go
+++ b/internal/dispatch/response/response_test.go
@@ -8,7 +8,7 @@
 	"cresspass/internal/dispatch/verdict"
 )
 
-// recordingSink keeps what a response writes, in order.
+// recordingSink records a response's writes, in order.
 type recordingSink []string
 
 func (s *recordingSink) WritePartial(b []byte) { *s = append(*s, "partial "+string(b)) }
@@ -23,15 +23,15 @@
 
 const maxBuffered = 4
 
-// TestOneFinalAnswer: whatever comes in whatever order, what counts is written once, and the budget has all
-// its bytes back once the response is finished.
+// TestOneFinalAnswer checks that a response writes exactly the expected bytes and verdicts for different
+// orders of calls, and that a finished response has released all of its budget.
 func TestOneFinalAnswer(t *testing.T) {
 	rejection := verdict.Reject(time.Second, false, "")
 	for name, c := range map[string]struct {
 		act  func(t *testing.T, r *Response)
 		want []string
 	}{
-		"held back, then complete": {func(t *testing.T, r *Response) {
+		"buffered, then complete": {func(t *testing.T, r *Response) {
 			expect(t, "begin", r.BeginAttempt(0), true)
 			expect(t, "write", r.Write(0, []byte("ab")), true)
 			expect(t, "finish", r.Finish(0, []byte("c"), false), true)
@@ -39,7 +39,7 @@
 			expect(t, "verdict", r.FinishWithVerdict(rejection), false)
 			expect(t, "abandon", r.Abandon(), false)
 		}, []string{"final abc"}},
-		"retried while held back": {func(t *testing.T, r *Response) {
+		"retried while buffered": {func(t *testing.T, r *Response) {
 			r.BeginAttempt(0)
 			r.Write(0, []byte("ab"))
 			expect(t, "failure", r.FailAttempt(0, verdict.Fail("")), false)
@@ -48,13 +48,13 @@
 			r.Write(1, []byte("cd"))
 			expect(t, "finish", r.Finish(1, nil, true), true)
 		}, []string{"failed cd"}},
-		"hedged: the first that finishes counts": {func(t *testing.T, r *Response) {
+		"hedged: the attempt that began last owns the response": {func(t *testing.T, r *Response) {
 			r.BeginAttempt(0)
 			expect(t, "begin", r.BeginAttempt(1), true)
 			expect(t, "finish of the first", r.Finish(0, []byte("a"), false), false)
 			expect(t, "finish of the second", r.Finish(1, []byte("b"), false), true)
 		}, []string{"final b"}},
-		"streams once too much is held back": {func(t *testing.T, r *Response) {
+		"streams once the buffer is full": {func(t *testing.T, r *Response) {
 			r.BeginAttempt(0)
 			r.Write(0, []byte("abc"))
 			r.Write(0, []byte("de"))
@@ -91,12 +91,12 @@
 			r := New(sink, budget, maxBuffered)
 			c.act(t, r)
 			if !slices.Equal(*sink, c.want) {
-				t.Errorf("written %q, want %q", *sink, c.want)
+				t.Errorf("wrote %q, want %q", *sink, c.want)
 			}
 			select {
 			case <-r.Done():
 			default:
-				t.Error("not done")
+				t.Error("Done is not closed")
 			}
 			if n := budget.Used(); n != 0 {
 				t.Errorf("%d bytes of the budget are still in use", n)
@@ -105,7 +105,7 @@
 	}
 }
 
-// TestBudgetIsShared: a response that finds the budget used up by others holds nothing back.
+// TestBudgetIsShared checks that a response does not buffer what exceeds the budget left by other responses.
 func TestBudgetIsShared(t *testing.T) {
 	budget := &BufferBudget{MaxBytes: 3}
 	first, second := New(&recordingSink{}, budget, maxBuffered), &recordingSink{}
@@ -115,7 +115,7 @@
 	r.BeginAttempt(0)
 	r.Write(0, []byte("cd"))
 	if !slices.Equal(*second, []string{"partial cd"}) || budget.Used() != 2 {
-		t.Errorf("written %q, %d bytes in use", *second, budget.Used())
+		t.Errorf("wrote %q, %d bytes in use; want the bytes as partial, 2 in use", *second, budget.Used())
 	}
 }
 
--- a/internal/dispatch/stats.go
+++ b/internal/dispatch/stats.go
@@ -1,22 +1,23 @@
 package dispatch
 
-// Stats counts what a Core has seen since it was made.
+// Stats holds a Core's counts since its creation, and its current numbers of open queries, running attempts
+// and pending timers.
 type Stats struct {
-	// Queries by their end: Arrived = Served + Rejected + Failed + Abandoned + Open.
+	// Queries by how they ended: Arrived = Served + Rejected + Failed + Abandoned + Open.
 	Arrived, Served, Rejected, Failed, Abandoned uint64
 
 	Attempts   uint64 // attempts that were started
-	Retries    uint64 // of these, those after the first of their query, hedged requests included
-	Stopped    uint64 // attempts that were disowned
-	NotStarted uint64 // attempts decided on for a query that had ended meanwhile
+	Retries    uint64 // of these, all but the first of each query; includes hedged requests
+	Stopped    uint64 // attempts that the shell was told to stop
+	NotStarted uint64 // attempts that were decided on after their query had ended
 	Overdue    uint64 // queries that the decision module did not end in time: each is a defect
 
-	Open    int // queries without an end
+	Open    int // queries that have not ended
 	Running int // attempts without an outcome
-	Timers  int // timers that wait
+	Timers  int // pending timers
 }
 
-// Stats returns the counts so far.
+// Stats returns the current statistics.
 func (c *Core) Stats() Stats {
 	s := c.stats
 	s.Open, s.Timers = 0, c.timers.Len()
--- a/internal/dispatch/verdict/golden_test.go
+++ b/internal/dispatch/verdict/golden_test.go
@@ -9,8 +9,8 @@
 	"cresspass/internal/goldentest"
 )
 
-// TestGoldenTexts: clients receive the code and the texts of a verdict, so they outlive every rename in the
-// code.
+// TestGoldenTexts checks that the codes and texts of verdicts are those of the golden file: clients receive
+// them, so a rename in the code must not change them.
 func TestGoldenTexts(t *testing.T) {
 	var now strings.Builder
 	for _, c := range []struct {
--- a/internal/dispatch/verdict/verdict.go
+++ b/internal/dispatch/verdict/verdict.go
@@ -1,6 +1,7 @@
-// Package verdict is the final answer that the dispatcher itself gives to a query: what it says of the query
-// and what it promises, in no protocol's terms. Each front end puts it into the terms of its protocol;
-// clients receive the codes and the texts as they stand here. It does no I/O and decides nothing.
+// Package verdict holds the final answers that the dispatcher itself gives to queries, independently of any
+// protocol: an SQLSTATE code, texts, and what they promise about the query. Each frontend encodes a verdict
+// in its protocol; clients receive the codes and texts unchanged. The package does no I/O and decides
+// nothing.
 package verdict
 
 import (
@@ -8,15 +9,15 @@
 	"time"
 )
 
-// Kind is what a verdict promises.
+// Kind tells what a verdict promises about its query.
 type Kind int
 
 // The kinds of verdict.
 const (
-	Rejected       Kind = iota // the query did not run, or is idempotent: a retry does no harm
-	Failed                     // nothing is promised: the query may have run, or run still
+	Rejected       Kind = iota // the query did not run, or is idempotent: a retry is harmless
+	Failed                     // nothing is promised: the query may have run, or may still be running
 	Cancelled                  // the client cancelled the query
-	InvalidRequest             // the query did not run, for what it says: a retry would end the same
+	InvalidRequest             // the query is invalid and did not run: a retry would get the same verdict
 )
 
 func (k Kind) String() string {
@@ -33,7 +34,7 @@
 	return fmt.Sprintf("Kind(%d)", int(k))
 }
 
-// The codes of verdicts, as in "PostgreSQL Error Codes".
+// SQLSTATE codes of verdicts, from "PostgreSQL Error Codes".
 const (
 	codeInsufficientResources   = "53000"
 	codeTransactionStateUnknown = "08007"
@@ -47,17 +48,17 @@
 	detailUnknown = "It may have run, or be running still."
 )
 
-// Verdict ends a query without an engine's word.
+// Verdict is the dispatcher's final answer to a query that no engine's response ends.
 type Verdict struct {
 	Kind            Kind
 	Code            string // SQLSTATE
 	Message, Detail string
-	RetryAfter      time.Duration // 0: the client is not told
+	RetryAfter      time.Duration // 0: the client is not told when to retry
 	MayHaveRun      bool          // an attempt may have run
 }
 
-// Reject is the decision module's rejection. mayHaveRun tells that an attempt may have run, and that a retry
-// does no harm. lastError is the last error seen; "": none.
+// Reject returns the verdict on a query that the decision module rejects. mayHaveRun says that an attempt may
+// have run and that a retry is harmless. lastError is the last error of an attempt, "" if there was none.
 func Reject(retryAfter time.Duration, mayHaveRun bool, lastError string) *Verdict {
 	v := &Verdict{Kind: Rejected, Code: codeInsufficientResources,
 		Message: "query refused: no engine would answer it in time", Detail: detailNotRun,
@@ -68,27 +69,31 @@
 	return v.withLastError(lastError)
 }
 
-// Fail is the decision module's failure.
+// Fail returns the verdict on a query that the decision module fails because its outcome is not known.
+// lastError is the last error of an attempt, "" if there was none.
 func Fail(lastError string) *Verdict {
 	v := &Verdict{Kind: Failed, Code: codeTransactionStateUnknown,
 		Message: "query failed: its outcome is not known", Detail: detailUnknown, MayHaveRun: true}
 	return v.withLastError(lastError)
 }
 
-// RejectOverLimit rejects a query that is over a limit of the dispatcher.
+// RejectOverLimit returns the verdict on a query that would exceed a limit of the dispatcher. The reason
+// becomes part of the message.
 func RejectOverLimit(reason string) *Verdict {
 	return &Verdict{Kind: Rejected, Code: codeInsufficientResources, Message: "query refused: " + reason,
 		Detail: detailNotRun}
 }
 
-// RejectAfterRestart rejects a query of which an earlier attempt, under a former dispatcher, may have run.
+// RejectAfterRestart returns the verdict on a query of which an attempt may have run before the dispatcher
+// restarted.
 func RejectAfterRestart(retryAfter time.Duration) *Verdict {
 	v := Reject(retryAfter, false, "")
 	v.Detail = "An earlier try may have run before the dispatcher restarted; this one did not."
 	return v
 }
 
-// ShuttingDown ends a query of a dispatcher that shuts down. started tells that an attempt was made.
+// ShuttingDown returns the verdict on a query that the dispatcher's shutdown ends. started says whether an
+// attempt was started: if so the query may have run, and the verdict is Failed instead of Rejected.
 func ShuttingDown(started bool) *Verdict {
 	v := &Verdict{Kind: Rejected, Code: codeAdminShutdown, Message: "the dispatcher is shutting down",
 		Detail: "The query did not run."}
@@ -99,22 +104,24 @@
 	return v
 }
 
-// Invalid rejects a query for what it says.
+// Invalid returns the verdict on a query that is invalid, with an SQLSTATE code and a message.
 func Invalid(code, message string) *Verdict {
 	return &Verdict{Kind: InvalidRequest, Code: code, Message: message}
 }
 
-// CancelledByClient ends a query that its client cancelled.
+// CancelledByClient returns the verdict on a query that its client cancelled.
 func CancelledByClient() *Verdict {
 	return &Verdict{Kind: Cancelled, Code: codeQueryCanceled,
 		Message: "canceling statement due to user request", MayHaveRun: true}
 }
 
-// ConnectionLost ends a query whose session lost its engine connection. Package affinity words it.
+// ConnectionLost returns the verdict on a query whose session lost its engine connection. Package affinity
+// supplies the code and the texts.
 func ConnectionLost(code, message, detail string) *Verdict {
 	return &Verdict{Kind: Failed, Code: code, Message: message, Detail: detail, MayHaveRun: true}
 }
 
+// withLastError appends an attempt's error to the detail, unless it is empty, and returns the verdict.
 func (v *Verdict) withLastError(lastError string) *Verdict {
 	if lastError != "" {
 		v.Detail += " Last seen: " + lastError
