--- a/internal/server/attempt.go
+++ b/internal/server/attempt.go
@@ -12,7 +12,7 @@
 	"cresspass/internal/recording"
 )
 
-// handleOutput carries out one output of the core, in the loop's goroutine.
+// handleOutput executes one output of the core. It runs in the loop's goroutine.
 func (s *Server) handleOutput(o *dispatch.Output) {
 	switch o.Type {
 	case dispatch.StartAttempt:
@@ -46,11 +46,12 @@
 	}
 }
 
-// startAttempt sends a query to an engine, once the record of a write is durable.
+// startAttempt starts an attempt to run a query on an engine. For a write it waits for the write's record to
+// be durable, but no longer than maxDurableWait.
 func (s *Server) startAttempt(o *dispatch.Output) {
 	q := s.lookup(o.Query)
 	if q == nil || !q.Response.BeginAttempt(o.Attempt) {
-		// The query ended while the module decided: its client is gone, or cancelled it.
+		// The query ended while the module decided: its client is gone or has cancelled it.
 		s.loop.Post(cresspass.Event{
 			Type:          cresspass.AttemptDone,
 			Query:         o.Query,
@@ -101,7 +102,7 @@
 	s.afterDurable(writeID, durable, func() { s.pool.Start(engine, a) })
 }
 
-// attemptEnded takes the result of an attempt.
+// attemptEnded handles the result of an attempt.
 func (s *Server) attemptEnded(q *query, attempt int, engine cresspass.EngineID, writeID uint64,
 	r pgbackend.Result) {
 	s.recordSentOutcome(writeID, r)
@@ -136,7 +137,7 @@
 	}
 }
 
-// stopAttempt cancels an attempt that has no outcome yet.
+// stopAttempt cancels an attempt, unless it already has its outcome.
 func (s *Server) stopAttempt(o *dispatch.Output) {
 	q := s.lookup(o.Query)
 	if q == nil {
@@ -150,9 +151,10 @@
 	}
 }
 
-// checkBeforeSend checks once more, in the moment in which an attempt is written to its connection: whether
-// the client still waits, whether the time to start is over, and what the invariants say, as the engine may
-// drain by now. It returns the attempt's outcome where it must not be sent.
+// checkBeforeSend checks whether an attempt may still be sent, right before it is written to its connection:
+// the client must still wait, the time to start must not have passed, and no invariant may be violated, as
+// the engine may be draining by now. It returns true if the attempt may be sent, and otherwise the attempt's
+// outcome and false.
 func (s *Server) checkBeforeSend(q *query, attempt int, engine cresspass.EngineID,
 	startBy time.Time) (cresspass.Outcome, bool) {
 	stale := func(name invariant.Name) bool {
@@ -172,13 +174,13 @@
 	}
 	switch result.Name {
 	case invariant.SentAfterDeadline, invariant.SentToDraining, invariant.RetriedAfterWindow:
-		return cresspass.OutcomeRejected, false // the module may choose another engine, or reject the query
+		return cresspass.OutcomeRejected, false // the module may choose another engine or reject the query
 	}
-	return cresspass.OutcomeNotStarted, false // it is forbidden on any engine
+	return cresspass.OutcomeNotStarted, false // forbidden on every engine
 }
 
-// invariantTarget is an engine as the invariants see it. A sticky session's statements are accepted by its
-// engine while it drains.
+// invariantTarget returns what the invariant guard needs to know about an engine. An engine that drains still
+// accepts the statements of its sticky sessions.
 func (s *Server) invariantTarget(q *query, engine cresspass.EngineID) invariant.Target {
 	target := invariant.Target{Engine: engine, Accepting: q.EngineQuery.Sticky}
 	if e := s.listedEngine(string(engine)); e != nil {
@@ -188,7 +190,7 @@
 	return target
 }
 
-// startHealthCheck checks an engine by an empty query, whose end may bring a load report.
+// startHealthCheck checks an engine with an empty query. The engine's response may include a load report.
 func (s *Server) startHealthCheck(engine cresspass.EngineID) {
 	startedAt := s.clock()
 	a := &pgbackend.Attempt{Priority: noPriority}
@@ -202,11 +204,11 @@
 			HasLoadReport: r.LoadReport != nil,
 		})
 	}
-	// Without a limit the check of a hung engine would never end, and the module, which waits for the end,
+	// Without a timeout the check of a hung engine would never end, and the module, which waits for the end,
 	// would not check that engine again.
 	time.AfterFunc(s.cfg.ConnectTimeout, func() { s.pool.Stop(a, cresspass.OutcomeTimedOut) })
 	s.pool.Start(engine, a)
 }
 
-// noPriority is the priority of an attempt that sets none.
+// noPriority is the priority of an attempt whose priority is not set.
 const noPriority = -1
--- a/internal/server/describe_cache.go
+++ b/internal/server/describe_cache.go
@@ -5,15 +5,16 @@
 	"sync"
 )
 
-// describeCache keeps engines' responses to the Describe of a statement, by its text and parameter types.
-// It drops the least recently used one beyond its capacity. It is safe for concurrent use.
+// describeCache caches engines' responses to the Describe of a statement, by its text and parameter types.
+// When it exceeds its capacity, it drops the least recently used response. It is safe for concurrent use.
 type describeCache struct {
 	mu       sync.Mutex
-	capacity int
-	entries  map[string]*list.Element // of *describeEntry
-	recent   *list.List               // the most recently used first
+	capacity int                      // entries
+	entries  map[string]*list.Element // elements of recent, whose values are *describeEntry
+	recent   *list.List               // the most recently used entry first
 }
 
+// describeEntry is a cached response and its key.
 type describeEntry struct {
 	key      string
 	response []byte
@@ -23,7 +24,7 @@
 	return &describeCache{capacity: capacity, entries: map[string]*list.Element{}, recent: list.New()}
 }
 
-// get returns the cached response, or nil.
+// get returns the cached response for a key, or nil.
 func (c *describeCache) get(key string) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -35,8 +36,8 @@
 	return element.Value.(*describeEntry).response
 }
 
-// put caches a response. Nil removes the key: the statement has failed, so its description may be out of
-// date.
+// put caches a response. A nil response removes the key: the statement has failed, so its description may be
+// out of date.
 func (c *describeCache) put(key string, response []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/server/engine_list.go
+++ b/internal/server/engine_list.go
@@ -9,17 +9,17 @@
 	"cresspass/internal/discovery/eds"
 )
 
-// Sticky sessions on a draining engine end after this part, in tenths, of the grace, so that no statement
-// is sent to the engine after the grace.
+// sessionDrainTenths is the part of the drain grace, in tenths, after which the sticky sessions on a draining
+// engine are ended. The rest ensures that no statement is sent to the engine after the grace.
 const sessionDrainTenths = 8
 
-// EngineActive reports whether an engine accepts new queries by the last list.
+// EngineActive reports whether an engine accepts new queries according to the last engine list.
 func (s *Server) EngineActive(address string) bool {
 	e := s.listedEngine(address)
 	return e != nil && e.State == eds.StateActive
 }
 
-// listedEngine returns an engine's entry of the last list, or nil.
+// listedEngine returns an engine's entry in the last engine list, or nil.
 func (s *Server) listedEngine(address string) *eds.Engine {
 	l := s.engineList.Load()
 	if l == nil {
@@ -28,7 +28,8 @@
 	return l.Lookup(address)
 }
 
-// loadCachedList has the module start with the list of an earlier process, as one that may be out of date.
+// loadCachedList passes the cached engine list of an earlier process to the module, marked as cached because
+// it may be out of date.
 func (s *Server) loadCachedList() {
 	if s.cfg.EndpointCacheFile == "" {
 		return
@@ -47,7 +48,7 @@
 	s.postEngineList(cresspass.ListCached, l)
 }
 
-// postEngineList hands a list to the module.
+// postEngineList passes an engine list to the module.
 func (s *Server) postEngineList(listType cresspass.EngineListType, l *eds.List) {
 	s.startClockLock.Lock()
 	infos := l.EngineInfos(s.clock(), s.startClock)
@@ -56,7 +57,7 @@
 	s.listReadyOnce.Do(func() { close(s.listReady) })
 }
 
-// handleEngineList takes a list that endpoint discovery has delivered.
+// handleEngineList handles an engine list that endpoint discovery has delivered.
 func (s *Server) handleEngineList(l *eds.List) {
 	s.postEngineList(cresspass.ListComplete, l)
 	listed := map[cresspass.EngineID]bool{}
@@ -81,7 +82,7 @@
 	}
 }
 
-// handleListFailure takes the end of a subscription to endpoint discovery.
+// handleListFailure handles the end of a subscription to endpoint discovery.
 func (s *Server) handleListFailure(err error) {
 	s.log.Warn("endpoint discovery unavailable", "error", err)
 	s.loop.Post(cresspass.Event{Type: cresspass.EngineListReceived, ListType: cresspass.ListFailed})
--- a/internal/server/flight_frontend.go
+++ b/internal/server/flight_frontend.go
@@ -9,7 +9,7 @@
 	"cresspass/internal/netlisten"
 )
 
-// openFlightFrontend opens the Flight SQL frontend, where the settings have one.
+// openFlightFrontend opens the Flight SQL frontend if the settings have one.
 func (s *Server) openFlightFrontend() error {
 	if s.cfg.Flight.Listen == "" {
 		return nil
--- a/internal/server/learned_state.go
+++ b/internal/server/learned_state.go
@@ -11,8 +11,8 @@
 	"cresspass/internal/storage"
 )
 
-// What the module learns of costs and engines: kept among the observations, stored in the state folder,
-// exchanged with peers, and what a new process starts with.
+// This file handles what the module learns about costs and engines. It is kept with the observations, stored
+// in the state folder and exchanged with peers, and a new process starts with it.
 
 // withObservations calls f with the observations, under the lock that guards them.
 func (s *Server) withObservations(f func(now time.Duration, observations *observation.Store)) {
@@ -25,8 +25,8 @@
 	f(s.clock(), s.observations)
 }
 
-// initializeEstimates waits for what peers have learned, no longer than the settings' bound, and has the
-// module start with that and what an earlier incarnation had learned.
+// initializeEstimates waits for what peers have learned, no longer than the settings allow. It restores the
+// module's state from that and from what an earlier incarnation had learned.
 func (s *Server) initializeEstimates(core *dispatch.Core) {
 	reportingPeers := 0
 	if p := s.membership.Load(); p != nil {
@@ -51,14 +51,14 @@
 		return
 	}
 	if err := core.Restore(snapshot, oldest); err != nil {
-		s.log.Warn("learned state not used", "error", err)
+		s.log.Warn("learned state not restored", "error", err)
 		return
 	}
 	s.log.Info("learned state restored", "age", oldest.Round(time.Second), "reporting_peers", reportingPeers)
 }
 
-// restoreLearned adds what an earlier incarnation had learned to the observations, as one observer among
-// others. age is how long ago it was stored.
+// restoreLearned adds what an earlier incarnation had learned to the observations, as those of one observer
+// among others. age is the time since it was stored.
 func (s *Server) restoreLearned(data []byte, age time.Duration) error {
 	learned, err := decodeLearned(data)
 	if err != nil {
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// decodeLearned reads stored learned state: observations, or the module's snapshot, a JSON object, which
-// earlier versions stored.
+// decodeLearned decodes stored learned state: observations or, as stored by earlier versions, the module's
+// snapshot, which is a JSON object.
 func decodeLearned(data []byte) ([]observation.Observation, error) {
 	if len(data) == 0 || data[0] != '{' {
 		return gossip.DecodeObservations(data)
@@ -94,7 +94,7 @@
 	return learned, nil
 }
 
-// saveLearned stores what the module has learned, and makes it available to peers.
+// saveLearned stores what the module has learned and makes it available to peers.
 func (s *Server) saveLearned() {
 	store := s.store.Load()
 	if store == nil && s.membership.Load() == nil {
@@ -106,7 +106,7 @@
 	}
 	parameters, err := modelstate.Flatten(snapshot)
 	if err != nil {
-		return // of another decider than the module, in a rehearsal
+		return // the snapshot of another decider than the module, in a rehearsal
 	}
 	var learned []observation.Observation
 	s.withObservations(func(now time.Duration, observations *observation.Store) {
--- a/internal/server/maintenance.go
+++ b/internal/server/maintenance.go
@@ -8,10 +8,10 @@
 	"cresspass/internal/frontend/pgfrontend"
 )
 
-// maintenanceInterval is how often the dispatcher looks after itself.
+// maintenanceInterval is the interval of the periodic tasks.
 const maintenanceInterval = 100 * time.Millisecond
 
-// runMaintenance does what is due at intervals, until the context ends.
+// runMaintenance runs the periodic tasks until the context ends.
 func (s *Server) runMaintenance(ctx context.Context) {
 	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
@@ -32,7 +32,7 @@
 	}
 }
 
-// observeLoad tells the overload limiter how the event loop keeps up and what is buffered for clients.
+// observeLoad passes the event loop's lag and the bytes buffered for clients to the overload limiter.
 func (s *Server) observeLoad() {
 	s.overloadLock.Lock()
 	lagging, changed := s.overloadLimiter.ObserveLag(s.loop.TakeLongestStep())
@@ -47,13 +47,13 @@
 	}
 }
 
-// takeOver takes the state folder and the membership's address over once the process that had them has let
-// go.
+// takeOver opens the state folder and joins membership once the predecessor has released the folder and the
+// address. It does nothing if that is done already.
 func (s *Server) takeOver(ctx context.Context) {
 	if s.cfg.StateDir != "" && s.store.Load() == nil {
 		s.takeOverState()
 	}
 	if s.cfg.TakingOver && s.cfg.Peers.Listen != "" && s.membership.Load() == nil && ctx.Err() == nil {
-		s.logMembershipError(s.joinMembership()) // tried again after the next interval
+		s.logMembershipError(s.joinMembership()) // retried after the next interval
 	}
 }
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -15,24 +15,24 @@
 	"cresspass/internal/membership/validation"
 )
 
-// The dispatcher among its peers. What is sent to them and what is believed of what they send is decided in
-// the packages below membership; what follows from it, in the module.
+// This file connects the dispatcher to its peers. The packages below membership decide what is sent to peers
+// and which of their reports are trusted; the module decides what follows from them.
 
-// Limits of how an ordinal is agreed on.
+// Limits of the agreement on ordinals among peers.
 const (
 	ordinalSettleTime = 2 * time.Second
 	ordinalLossGrace  = 30 * time.Second
 	minLeaveGrace     = time.Second
 )
 
-// loadReportThreads is the field of engines' load reports that has the number of running threads, and
-// unknownThreads stands where a report has none.
+// loadReportThreads is the field of engines' load reports with the number of running threads. unknownThreads
+// takes its place if there is no report or the report has no such field.
 const (
 	loadReportThreads = "concurrent"
 	unknownThreads    = -1.0
 )
 
-// memberName is the dispatcher's name among its peers.
+// memberName returns the dispatcher's name among its peers.
 func (s *Server) memberName() string {
 	if s.cfg.Peers.Name != "" {
 		return s.cfg.Peers.Name
@@ -40,14 +40,14 @@
 	return s.incarnationName
 }
 
-// joinMembership joins the fleet, where the settings have one. A process that takes over joins later, once
-// the one before has let go of the address.
+// joinMembership joins the fleet if the settings name one. A process that takes over joins later, once its
+// predecessor has released the address.
 func (s *Server) joinMembership() error {
 	if s.cfg.Peers.Listen == "" {
 		return nil
 	}
 	p, err := membership.New(s.membershipConfig(), s.observations, s.log)
-	// The membership library wraps the system's error as text only.
+	// The membership library includes the system's error only as text.
 	if s.cfg.TakingOver && err != nil && strings.Contains(err.Error(), syscall.EADDRINUSE.Error()) {
 		return nil
 	}
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// logMembershipError logs why membership was not joined, once for each reason.
+// logMembershipError logs why membership was not joined, unless the last error logged has the same text.
 func (s *Server) logMembershipError(err error) {
 	if err == nil {
 		return
@@ -103,7 +103,7 @@
 	}
 }
 
-// handleGossip hands the module what peers have for it.
+// handleGossip passes to the module what peers have reported or sent to it.
 func (s *Server) handleGossip(action gossip.Action) {
 	switch action.Type {
 	case gossip.DeliverMessage:
@@ -129,7 +129,7 @@
 	}
 }
 
-// publishEngineList keeps the last list and tells membership which engines there are, with their cores.
+// publishEngineList stores the last engine list and passes the engines and their cores to membership.
 func (s *Server) publishEngineList(l *eds.List) {
 	s.engineList.Store(l)
 	p := s.membership.Load()
@@ -148,7 +148,7 @@
 	p.SetEngines(cores)
 }
 
-// observeOutcome tells membership what an attempt has shown of its engine.
+// observeOutcome reports to membership what an attempt's result shows about its engine.
 func (s *Server) observeOutcome(engine cresspass.EngineID, r *pgbackend.Result) {
 	p := s.membership.Load()
 	if p == nil {
--- a/internal/server/orphan_cleanup.go
+++ b/internal/server/orphan_cleanup.go
@@ -6,10 +6,10 @@
 	"cresspass/internal/storage"
 )
 
-// Sessions that earlier incarnations left open at engines. Package orphanedsession decides which requests
-// end them.
+// This file terminates the sessions that earlier incarnations left open on engines. Package orphanedsession
+// decides which requests are sent for that.
 
-// startOrphanCleanup starts the cleanup for earlier incarnations and records this one's name.
+// startOrphanCleanup starts the cleanup of earlier incarnations' sessions and records this one's name.
 func (s *Server) startOrphanCleanup(state *storage.State) {
 	incarnations, sessions := state.IncarnationNames(), state.StickySessions()
 	s.store.Load().Put(storage.IncarnationNameRecord(s.incarnationName))
@@ -23,7 +23,7 @@
 	s.mu.Unlock()
 }
 
-// updateOrphanCleanup tells the cleanup which engines there are.
+// updateOrphanCleanup passes the listed engines to the cleanup.
 func (s *Server) updateOrphanCleanup(l *eds.List) {
 	var addresses []string
 	for _, e := range l.Engines {
@@ -36,7 +36,8 @@
 	}
 }
 
-// runOrphanCleanup sends the requests that are due, each in a goroutine of its own.
+// runOrphanCleanup sends the requests that are due, each in its own goroutine, and ends the cleanup once it
+// is finished.
 func (s *Server) runOrphanCleanup() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,7 +59,7 @@
 	}
 }
 
-// terminateOrphans carries out one request, and removes the records of the sessions that it has ended.
+// terminateOrphans executes one request and removes the records of the sessions that it has terminated.
 func (s *Server) terminateOrphans(request orphanedsession.Request) {
 	terminated, err := s.pool.TerminateSessions(request)
 	if err != nil {
--- a/internal/server/overload.go
+++ b/internal/server/overload.go
@@ -11,19 +11,21 @@
 	"cresspass/internal/overload"
 )
 
-// The dispatcher's own limits: this file is the lock around the limiter of package overload, which decides.
+// This file applies the dispatcher's own limits. Package overload decides; this file locks its limiter.
 
 const (
-	// reservedDescriptors are kept free of clients, for engines, the engine list and the log.
+	// reservedDescriptors is the number of file descriptors that clients cannot use. They are kept for engine
+	// connections, the engine list and the log.
 	reservedDescriptors = 64
-	// otherDescriptors is a bound on the open files that are no connection: listeners, the state, the log.
+	// otherDescriptors is an upper bound on the open files that are not connections: listeners, the state
+	// folder, the log.
 	otherDescriptors = 16
 )
 
-// overloadLimits returns the limits of the settings.
+// overloadLimits returns the limits of the settings and of the process.
 func overloadLimits(cfg *config.Config) overload.Limits {
 	var quotas map[string]float64
-	if cfg.Flight.Listen != "" { // else there is one frontend, which has all
+	if cfg.Flight.Listen != "" { // otherwise the only frontend may use everything
 		quotas = map[string]float64{
 			pgfrontend.Name: cfg.FrontQuotas.PostgreSQL,
 			flightsql.Name:  cfg.FrontQuotas.Flight,
@@ -41,7 +43,8 @@
 	}
 }
 
-// openFileLimit is how many files the process may have open; 0: not known.
+// openFileLimit returns the maximum number of files that the process may have open, 0 if it is not known or
+// unlimited.
 func openFileLimit() int {
 	limits, err := os.ReadFile("/proc/self/limits")
 	if err != nil {
@@ -50,8 +53,8 @@
 	return parseOpenFileLimit(limits)
 }
 
-// parseOpenFileLimit returns the soft limit of open files from the text of a process's limits (proc(5)); 0:
-// it has none, or it is unlimited.
+// parseOpenFileLimit returns the soft limit of open files from the text of /proc/PID/limits (proc(5)). It
+// returns 0 if the text has no such limit or the limit is "unlimited".
 func parseOpenFileLimit(limits []byte) int {
 	for _, line := range bytes.Split(limits, []byte("\n")) {
 		columns, found := bytes.CutPrefix(line, []byte("Max open files"))
@@ -69,7 +72,8 @@
 	return 0
 }
 
-// admitQuery admits a query, until releaseQuery, or says why not.
+// admitQuery counts a query towards the limits until releaseQuery. If the query is over a limit, it returns
+// the reason and false.
 func (s *Server) admitQuery(q *query) (reason string, ok bool) {
 	s.overloadLock.Lock()
 	defer s.overloadLock.Unlock()
@@ -77,14 +81,15 @@
 	return reason, q.admitted
 }
 
-// releaseQuery takes back one admitQuery.
+// releaseQuery reverses one successful admitQuery.
 func (s *Server) releaseQuery(q *query) {
 	s.overloadLock.Lock()
 	defer s.overloadLock.Unlock()
 	s.overloadLimiter.ReleaseQuery(q.Frontend)
 }
 
-// admitUser admits one more connection of a user, until releaseUser, or says why not.
+// admitUser counts one more connection of a user until releaseUser. If the connection is over a limit, it
+// returns the reason and false.
 func (s *Server) admitUser(user string) (reason string, ok bool) {
 	s.overloadLock.Lock()
 	defer s.overloadLock.Unlock()
@@ -92,21 +97,22 @@
 	return s.overloadLimiter.AcquireUserConnection(user, s.Clients()+engineConnections+otherDescriptors)
 }
 
-// releaseUser takes back one admitUser.
+// releaseUser reverses one successful admitUser.
 func (s *Server) releaseUser(user string) {
 	s.overloadLock.Lock()
 	defer s.overloadLock.Unlock()
 	s.overloadLimiter.ReleaseUserConnection(user)
 }
 
-// acquireConnection admits one more connection to a frontend, until releaseConnection.
+// acquireConnection counts one more connection to a frontend until releaseConnection. It returns false if the
+// connection is over a limit.
 func (s *Server) acquireConnection(frontend string) bool {
 	s.overloadLock.Lock()
 	defer s.overloadLock.Unlock()
 	return s.overloadLimiter.AcquireConnection(frontend)
 }
 
-// releaseConnection takes back one acquireConnection.
+// releaseConnection reverses one successful acquireConnection.
 func (s *Server) releaseConnection(frontend string) {
 	s.overloadLock.Lock()
 	defer s.overloadLock.Unlock()
--- a/internal/server/query.go
+++ b/internal/server/query.go
@@ -12,28 +12,29 @@
 	"cresspass/internal/recording"
 )
 
-// query is a query in flight with its attempts.
+// query is a query in flight and its attempts.
 type query struct {
 	*frontend.Query
 	id       cresspass.QueryID
 	class    string
-	key      string // by which queries are ordered; "": none
-	admitted bool   // it counts against the limit of open queries
+	key      string // queries with the same key are ordered; "": none
+	admitted bool   // the query counts towards the limit of open queries
 
-	arrivedAt time.Time // set where the query is recorded
+	arrivedAt time.Time // set if the query is recorded
 
 	// Guarded by the server's mu.
-	attempts    map[int]*pgbackend.Attempt // that have no outcome yet
+	attempts    map[int]*pgbackend.Attempt // attempts without an outcome, by number
 	attempted   bool                       // an attempt was started
-	finished    bool                       // its response has ended
-	lastError   string                     // of its attempts
-	recordEntry *recording.Entry           // nil: not recorded, or written
+	finished    bool                       // the response has ended
+	lastError   string                     // last error of an attempt
+	recordEntry *recording.Entry           // nil: not recorded, or already written
 }
 
-// logName names the query in the log.
+// logName returns the name of the query in the log.
 func (q *query) logName() string { return strconv.FormatUint(uint64(q.id), 10) }
 
-// Submit accepts a query of a frontend. It responds at once or hands the query to the module.
+// Submit accepts a query from a frontend. It responds at once if the query is invalid or rejected, and passes
+// it to the module otherwise. It may be called from several goroutines.
 func (s *Server) Submit(clientQuery *frontend.Query) {
 	q := &query{
 		Query:    clientQuery,
@@ -69,14 +70,15 @@
 	}
 	select {
 	case <-clientQuery.Response.Done():
-		// The client went before its query had an ID, so its frontend could not withdraw it. Without this
-		// the module would keep the query.
+		// The client left before its query had an ID, so its frontend could not withdraw the query. Without
+		// this the module would keep the query.
 		s.Withdraw(clientQuery, false)
 	default:
 	}
 }
 
-// Withdraw abandons a query: its client cancelled it, or is gone.
+// Withdraw abandons a query whose client is gone or, if cancelled is set, has cancelled it. It may be called
+// from several goroutines.
 func (s *Server) Withdraw(clientQuery *frontend.Query, cancelled bool) {
 	ev := cresspass.Event{
 		Type:  cresspass.QueryAbandoned,
@@ -102,8 +104,9 @@
 // forget finishes a query that was not served.
 func (s *Server) forget(q *query) { s.finishQuery(q, true, false) }
 
-// finishQuery drops a query that has finished and has no attempt without an outcome; it is called at each
-// of its ends. finished says that the response has ended, served that it was the result.
+// finishQuery is called when a query's response ends and when an attempt has its outcome. It deletes the
+// query once the response has ended and no attempt is without an outcome. finished says that the response has
+// ended, and served that it was the query's result.
 func (s *Server) finishQuery(q *query, finished, served bool) {
 	s.mu.Lock()
 	first := finished && !q.finished
@@ -121,14 +124,14 @@
 	}
 }
 
-// respond ends a query with the dispatcher's own verdict, unless its response has ended.
+// respond ends a query with a verdict of the dispatcher, unless its response has already ended.
 func (s *Server) respond(q *query, v *verdict.Verdict) {
 	if q.Response.FinishWithVerdict(v) {
 		q.OnResponseEnded()
 	}
 }
 
-// lastError is the last error of a query's attempts.
+// lastError returns the last error of a query's attempts, "" if there was none.
 func (s *Server) lastError(q *query) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/server/recording.go
+++ b/internal/server/recording.go
@@ -10,10 +10,10 @@
 	"cresspass/internal/recording"
 )
 
-// Recordings of queries. A recording has no text, no parameter, no ordering key and no row.
+// This file records queries. A recording has no texts, parameters, ordering keys or rows.
 
-// beginRecording prepares the entry of a query, where queries are recorded. One that the dispatcher itself
-// needs on the way to a client's query is not recorded.
+// beginRecording prepares the recording's entry for a query, if queries are recorded. A query that the
+// dispatcher itself issues on behalf of a client's query is not recorded.
 func (s *Server) beginRecording(q *query, ev *cresspass.Event) {
 	if s.recorder == nil || ev.AddsNoRetryBudget {
 		return
@@ -39,7 +39,7 @@
 	}
 }
 
-// finishRecording writes a query's entry with its outcome; only the first call for a query does.
+// finishRecording writes a query's entry with its outcome. Only the first call for a query has an effect.
 func (s *Server) finishRecording(q *query, outcome recording.Outcome) {
 	s.mu.Lock()
 	entry := q.recordEntry
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -8,8 +8,9 @@
 	"cresspass/internal/frontend/pgfrontend"
 )
 
-// Reload puts other settings in force and returns the names of those that changed. Where one needs a
-// restart, or a hand-over, the error names it and nothing changes.
+// Reload applies new settings and returns the names of those that changed. If a change needs a restart or a
+// hand-over to a new process, the error names the setting and nothing changes. Nothing changes either if the
+// peers' keys cannot be set.
 func (s *Server) Reload(cfg *config.Config) ([]string, error) {
 	s.overloadLock.Lock()
 	defer s.overloadLock.Unlock()
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,8 +1,8 @@
-// Package server puts the dispatcher of `cresspass serve` together: the frontends that clients connect to,
-// the loop that owns the decision module, the pool of engine connections, session affinity, membership and
-// the state folder. It owns their start, their end and the queries in flight. It carries out what others
-// decide: which engine gets a query is the module's decision, what survives a restart that of package
-// storage, and whether the dispatcher is overloaded that of package overload.
+// Package server assembles the dispatcher of `cresspass serve`: the frontends that clients connect to, the
+// loop that owns the decision module, the pool of engine connections, session affinity, membership and the
+// state folder. It starts and stops these parts and keeps the queries in flight. It executes decisions that
+// are made elsewhere: the module decides which engine gets a query, package storage what survives a restart,
+// and package overload whether the dispatcher is overloaded.
 package server
 
 import (
@@ -39,36 +39,37 @@
 
 // Server is a running dispatcher.
 type Server struct {
-	cfg             *config.Config // of the start; activeConfig has the settings in force
+	cfg             *config.Config // the settings at the start; activeConfig has those in force
 	log             *slog.Logger
 	clock           dispatch.Clock
 	address         string
-	incarnation     uint64 // greater than that of every earlier process on the same state
+	incarnation     uint64 // greater than that of every earlier process with the same state folder
 	incarnationName string // application_name of the connections to engines
 
-	// The parts of the dispatcher. Each has locks of its own; the pointers do not change after the start.
+	// The parts of the dispatcher. Each does its own locking; the pointers do not change after the start.
 	loop             *dispatch.Loop
 	pool             *pgbackend.Pool
 	affinity         *registry.Registry
 	pgFrontend       *pgfrontend.Server
-	flightFrontend   *flightsql.Server // nil: not served
-	flightListener   net.Listener      // nil: not served
+	flightFrontend   *flightsql.Server // nil: Flight SQL is not served
+	flightListener   net.Listener      // nil: Flight SQL is not served
 	discovery        eds.Source
-	recorder         *recording.Recorder // nil: nothing is recorded
+	recorder         *recording.Recorder // nil: queries are not recorded
 	describeCache    *describeCache
-	invariantGuard   *invariant.Guard // every query, attempt, retry and response passes it
+	invariantGuard   *invariant.Guard // checks every query, attempt, retry and response
 	invariantCounter *invariant.Counter
 	nextID           atomic.Uint64 // of queries, write attempts and persisted sessions
 
-	// Parts that are replaced while the dispatcher runs.
+	// Parts that may be set or replaced while the dispatcher runs.
 	classifier  atomic.Pointer[classify.Classifier]
-	membership  atomic.Pointer[membership.Service] // nil: not a member (yet)
-	store       atomic.Pointer[storage.Store]      // nil: no state is stored (yet)
-	engineList  atomic.Pointer[eds.List]           // the last; nil: none yet
+	membership  atomic.Pointer[membership.Service] // nil: not a member, or not yet
+	store       atomic.Pointer[storage.Store]      // nil: no state is stored, or not yet
+	engineList  atomic.Pointer[eds.List]           // the last list; nil: none yet
 	loopLagging atomic.Bool
-	// lastMembershipError is the last reason why membership was not joined, of the maintenance goroutine.
+	// lastMembershipError is the last error of joining membership that was logged. Only the maintenance
+	// goroutine uses it.
 	lastMembershipError string
-	// unrecordedWrites counts attempts that were sent before their record was durable.
+	// unrecordedWrites counts attempts at writes that were sent before their record was durable.
 	unrecordedWrites atomic.Uint64
 
 	startClockLock sync.Mutex
@@ -80,10 +81,10 @@
 
 	mu            sync.Mutex
 	queries       map[cresspass.QueryID]*query // guarded by mu
-	observations  *observation.Store           // guarded by mu, or by membership's lock where there is one
+	observations  *observation.Store           // guarded by membership's lock if there is one, else by mu
 	orphanCleanup *orphanedsession.Cleanup     // guarded by mu; nil: finished, or nothing to clean up
-	recovery      *storage.RecoveryGuard       // guarded by mu; nil: no state
-	recoveredAt   time.Time                    // guarded by mu; when recovery was read
+	recovery      *storage.RecoveryGuard       // guarded by mu; nil: no state folder, or not open yet
+	recoveredAt   time.Time                    // guarded by mu; when recovery was created
 
 	cancel        context.CancelFunc // of the background goroutines
 	background    sync.WaitGroup
@@ -92,17 +93,18 @@
 	listReadyOnce sync.Once
 }
 
-// serverVersion is what clients are told as server_version: the release whose protocol documentation was
-// followed.
+// serverVersion is the server_version that clients receive: the PostgreSQL release whose protocol
+// documentation the frontends follow.
 const serverVersion = "16.0 (cresspass)"
 
-// describeCacheEntries is how many statements' descriptions are cached.
+// describeCacheEntries is the maximum number of statements whose descriptions are cached.
 const describeCacheEntries = 4096
 
-// firstIDRange is the range of the random first ID, so that IDs of two incarnations differ.
+// firstIDRange is the range of the random first ID. The range makes it unlikely that two incarnations use the
+// same IDs.
 const firstIDRange = 1 << 40
 
-// Start starts a dispatcher and returns once it listens.
+// Start starts a dispatcher that listens at the settings' address, and returns once it accepts clients.
 func Start(cfg *config.Config, log *slog.Logger) (*Server, error) {
 	ln, err := netlisten.Open(cfg.Listen)
 	if err != nil {
@@ -115,13 +117,14 @@
 	return s, err
 }
 
-// StartOnListener starts a dispatcher that accepts clients from a listener.
+// StartOnListener starts a dispatcher that accepts PostgreSQL clients from a listener. If it fails, the
+// listener stays open.
 func StartOnListener(cfg *config.Config, log *slog.Logger, ln net.Listener) (*Server, error) {
 	newDecider := func(m cresspass.Config) (dispatch.Decider, error) { return cresspass.New(m) }
 	return StartWithDecider(cfg, log, ln, newDecider)
 }
 
-// StartWithDecider starts a dispatcher whose decisions are made by what newDecider returns.
+// StartWithDecider is StartOnListener with the decider that newDecider returns in place of the module.
 func StartWithDecider(cfg *config.Config, log *slog.Logger, ln net.Listener,
 	newDecider func(cresspass.Config) (dispatch.Decider, error)) (*Server, error) {
 	s := newServer(cfg, log, ln.Addr().String())
@@ -157,7 +160,7 @@
 	return s, nil
 }
 
-// newServer returns a server that has no parts that need an end.
+// newServer returns a server without the parts that have to be closed.
 func newServer(cfg *config.Config, log *slog.Logger, address string) *Server {
 	s := &Server{
 		cfg:              cfg,
@@ -196,8 +199,9 @@
 	}
 }
 
-// openFrontends opens what can fail: the Flight SQL frontend, membership, the recorder, and then the
-// PostgreSQL frontend. That one comes last: its event loop hangs where it is closed just after its start.
+// openFrontends opens the parts whose start can fail: the Flight SQL frontend, membership, the recorder and
+// the PostgreSQL frontend. The PostgreSQL frontend comes last, so that no later failure closes it: its event
+// loop hangs if it is closed right after its start.
 func (s *Server) openFrontends(core *dispatch.Core) (err error) {
 	if err := errors.Join(s.openFlightFrontend(), s.joinMembership()); err != nil {
 		return err
@@ -236,7 +240,7 @@
 	}
 }
 
-// abortStart closes what a start that failed has opened, and returns its error.
+// abortStart closes the parts that a failed start has opened, and returns the start's error.
 func (s *Server) abortStart(err error) error {
 	if s.flightFrontend != nil {
 		s.flightFrontend.Close()
@@ -272,16 +276,16 @@
 	}()
 }
 
-// Addr is the address that PostgreSQL clients connect to.
+// Addr returns the address that PostgreSQL clients connect to.
 func (s *Server) Addr() string { return s.address }
 
-// ListReady is closed once an engine list is known, received or cached.
+// ListReady returns a channel that is closed once an engine list is known, received or cached.
 func (s *Server) ListReady() <-chan struct{} { return s.listReady }
 
-// FlightListener is the listener of Flight SQL clients; nil: Flight SQL is not served.
+// FlightListener returns the listener for Flight SQL clients, or nil if Flight SQL is not served.
 func (s *Server) FlightListener() net.Listener { return s.flightListener }
 
-// FlightAddr is the address that Flight SQL clients connect to; "": Flight SQL is not served.
+// FlightAddr returns the address that Flight SQL clients connect to, or "" if Flight SQL is not served.
 func (s *Server) FlightAddr() string {
 	if s.flightListener == nil {
 		return ""
@@ -289,10 +293,10 @@
 	return s.flightListener.Addr().String()
 }
 
-// Membership is the dispatcher's membership in a fleet; nil: it is not a member.
+// Membership returns the dispatcher's membership in a fleet, or nil if it is not a member.
 func (s *Server) Membership() *membership.Service { return s.membership.Load() }
 
-// Clients is the number of client connections.
+// Clients returns the number of client connections.
 func (s *Server) Clients() int {
 	n := s.pgFrontend.Clients()
 	if s.flightFrontend != nil {
@@ -301,10 +305,11 @@
 	return n
 }
 
-// StickySessions is the number of sessions that are bound to an engine.
+// StickySessions returns the number of sessions that are bound to an engine.
 func (s *Server) StickySessions() int { return s.affinity.Total() }
 
-// PendingBytes is the number of response bytes that are buffered for clients, held back ones included.
+// PendingBytes returns the number of response bytes that are buffered for clients, including those of
+// responses that are not yet passed on.
 func (s *Server) PendingBytes() int64 {
 	n := s.pgFrontend.Pending()
 	if s.flightFrontend != nil {
@@ -313,14 +318,14 @@
 	return n
 }
 
-// Stats returns the counts of queries.
+// Stats returns the statistics of the queries and attempts. They are zero once the server is closed.
 func (s *Server) Stats() (stats dispatch.Stats) {
 	s.loop.Inspect(func(c *dispatch.Core) { stats = c.Stats() })
 	return stats
 }
 
-// Invariants returns how often each invariant was violated, and how often an act was withheld because it
-// was no longer allowed.
+// Invariants returns how often each invariant was violated, and how often an operation was withheld because
+// it was no longer allowed.
 func (s *Server) Invariants() (violated, withheld map[invariant.Name]uint64) {
 	return s.invariantCounter.Violations(), s.invariantCounter.Withheld()
 }
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -2,8 +2,8 @@
 
 import "cresspass/internal/dispatch/verdict"
 
-// Drain starts the graceful shutdown: no more clients are accepted, idle ones are told to leave, and
-// queries in flight run to their end. Idle returns true once nothing is left.
+// Drain starts the graceful shutdown: no more clients are accepted, idle clients are told to leave, and
+// queries in flight run to completion. Idle returns true once no client or query is left.
 func (s *Server) Drain() {
 	s.pgFrontend.Drain()
 	if s.flightFrontend != nil {
@@ -18,7 +18,8 @@
 	return s.Clients() == 0 && len(s.queries) == 0
 }
 
-// TerminateAll ends what a drain has left, each query by one response, so that Idle becomes true.
+// TerminateAll ends the queries and clients that a drain has left, each query with one response, so that Idle
+// returns true.
 func (s *Server) TerminateAll() {
 	s.mu.Lock()
 	var left []*query
@@ -39,7 +40,8 @@
 	}
 }
 
-// Close stops accepting clients, ends what is in flight, and returns once nothing runs any more.
+// Close stops accepting clients, ends the queries in flight, and returns once all parts have stopped. Further
+// calls do nothing.
 func (s *Server) Close() {
 	s.closeOnce.Do(func() {
 		s.pgFrontend.Close()
@@ -55,12 +57,13 @@
 		if s.recorder != nil {
 			s.recorder.Close()
 		}
-		// After the background goroutines: the maintenance of a successor process may join until they end.
+		// Closed after the background goroutines, as the maintenance goroutine of a process that takes over
+		// may join membership until it ends.
 		if p := s.membership.Load(); p != nil {
 			p.Close()
 		}
 		if err := s.closeState(); err != nil {
-			s.log.Error("closing the state failed", "error", err)
+			s.log.Error("state folder not closed", "error", err)
 		}
 	})
 }
--- a/internal/server/state.go
+++ b/internal/server/state.go
@@ -7,10 +7,10 @@
 	"cresspass/internal/storage"
 )
 
-// What survives the process, in the state folder. Package storage decides what becomes of it after a
-// restart.
+// This file opens and closes the state folder, which survives the process. Package storage decides how its
+// contents are used after a restart.
 
-// openState opens the state folder and restores what the previous incarnation has left there.
+// openState opens the state folder and restores the state of the previous incarnation.
 func (s *Server) openState() error {
 	s.incarnation = uint64(time.Now().UnixNano())
 	if s.cfg.StateDir == "" {
@@ -18,8 +18,8 @@
 	}
 	store, state, err := storage.OpenStore(s.cfg.StateDir, s.log)
 	if errors.Is(err, storage.ErrLocked) && s.cfg.TakingOver {
-		// The process that hands over still drains. What it has learned is read without the lock;
-		// takeOverState opens the folder when that process has ended.
+		// The predecessor still drains and holds the lock. What it has learned is read without the lock;
+		// takeOverState opens the folder once the predecessor has released it.
 		state = storage.NewState()
 		if records, err := storage.ReadUnlocked(s.cfg.StateDir); err == nil {
 			state.Apply(records)
@@ -28,12 +28,12 @@
 		return err
 	}
 	s.store.Store(store)
-	// Where the wall clock was set back since the last start, the time alone would be a smaller number, and
+	// If the wall clock was set back since the last start, the time alone would be a smaller number, and
 	// peers would ignore this process as an older one.
 	s.incarnation = max(s.incarnation, state.LastIncarnation()+1)
 	if data, age := state.ModelState(time.Now()); data != nil {
 		if err := s.restoreLearned(data, age); err != nil {
-			s.log.Warn("learned state not used", "error", err)
+			s.log.Warn("learned state not restored", "error", err)
 		}
 	}
 	if store != nil {
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// recoverFrom has new writes respect those that the previous incarnation may have sent, and starts the
-// cleanup of its sessions.
+// recoverFrom sets up the check of new writes against those that the previous incarnation may have sent, and
+// starts the cleanup of its sessions.
 func (s *Server) recoverFrom(state *storage.State) {
 	s.store.Load().Put(storage.IncarnationNumberRecord(s.incarnation))
 	recovery := storage.NewRecoveryGuard(state, storage.Now(), s.cfg.Module.Rules.OrderSettleDelay)
@@ -56,13 +56,13 @@
 	}
 }
 
-// takeOverState opens the state folder, if the process that had it has let go of it.
+// takeOverState opens the state folder if the predecessor has released it.
 func (s *Server) takeOverState() {
 	store, state, err := storage.OpenStore(s.cfg.StateDir, s.log)
 	switch {
 	case errors.Is(err, storage.ErrLocked):
 	case err != nil:
-		s.log.Error("taking the state over failed", "error", err)
+		s.log.Error("state folder of the predecessor not opened", "error", err)
 	default:
 		s.store.Store(store)
 		s.recoverFrom(state)
--- a/internal/server/sticky_session.go
+++ b/internal/server/sticky_session.go
@@ -9,7 +9,8 @@
 	"cresspass/internal/storage"
 )
 
-// Sessions that are bound to an engine. Package affinity decides which are; the module places them.
+// This file handles sticky sessions, which are bound to an engine. Package affinity decides which sessions
+// are sticky; the module places them.
 
 // stickySessionChanged tells the module that a session has become sticky on an engine, or no longer is.
 func (s *Server) stickySessionChanged(engine cresspass.EngineID, sticky bool) {
@@ -34,8 +35,8 @@
 	store.Put(storage.StickySessionRecord(*session))
 }
 
-// functionMatcher returns a function that reports whether a function's name fits one of the patterns, whose
-// syntax the settings have checked; nil where there are none.
+// functionMatcher returns a function that reports whether an SQL function's name, in any case, matches one of
+// the patterns. It returns nil if there are no patterns. Their syntax was checked with the settings.
 func functionMatcher(patterns []string) func(name string) bool {
 	if len(patterns) == 0 {
 		return nil
--- a/internal/server/write_recovery.go
+++ b/internal/server/write_recovery.go
@@ -13,14 +13,16 @@
 	"cresspass/internal/storage"
 )
 
-// Writes across a restart: each attempt that must not run twice is recorded before it is sent, and after a
-// restart new writes wait for, or are rejected because of, those whose end is not known.
+// This file protects writes across a restart. Each attempt that must not run twice is recorded before it is
+// sent. After a restart, new writes are delayed or rejected because of recorded writes whose outcome is
+// unknown.
 
-// noWriteRecord says that an attempt has no record.
+// noWriteRecord is the record ID of an attempt that has no record.
 const noWriteRecord = 0
 
-// recordSent records an attempt that must not run twice, before it is sent. It returns the record's ID, or
-// noWriteRecord, and a channel that is closed once the record is durable; nil: it was dropped.
+// recordSent records an attempt that must not run twice, before it is sent. It returns the record's ID and a
+// channel that is closed once the record is durable. The channel is nil if the record was dropped. The ID is
+// noWriteRecord if the attempt needs no record or no state is stored.
 func (s *Server) recordSent(q *query, engine cresspass.EngineID) (id uint64, durable <-chan struct{}) {
 	class := s.classByName(q.class)
 	store := s.store.Load()
@@ -42,12 +44,13 @@
 	}))
 }
 
-// maxDurableWait is how long an attempt waits for its record. One that is sent before its record is durable
-// is not known after a crash, and would be sent again within its deduplication window; but a disk that
-// fails must not stop queries. They are counted instead.
+// maxDurableWait is the longest time that an attempt waits for its record to be durable. An attempt that is
+// sent earlier is not known after a crash, and could be sent again within its deduplication window. But a
+// failing disk must not stop queries, so these attempts are sent and counted.
 const maxDurableWait = 100 * time.Millisecond
 
-// afterDurable calls start once the record with an ID is durable, or after maxDurableWait.
+// afterDurable calls start once the record with an ID is durable, or after maxDurableWait. It calls start at
+// once if there is no record or the record was dropped.
 func (s *Server) afterDurable(id uint64, durable <-chan struct{}, start func()) {
 	if id == noWriteRecord {
 		start()
@@ -58,7 +61,7 @@
 		start()
 		return
 	}
-	s.background.Add(1) // in the loop's goroutine, which Close ends before it waits
+	s.background.Add(1) // runs in the loop's goroutine, which Close stops before it waits for background
 	go func() {
 		defer s.background.Done()
 		limit := time.NewTimer(maxDurableWait)
@@ -80,11 +83,11 @@
 	}
 }
 
-// UnrecordedWrites is how many attempts at writes were sent before their record was durable.
+// UnrecordedWrites returns the number of attempts at writes that were sent before their record was durable.
 func (s *Server) UnrecordedWrites() uint64 { return s.unrecordedWrites.Load() }
 
-// recordSentOutcome records the end of an attempt whose outcome is known. One whose outcome is unknown
-// stays on record until its window is over.
+// recordSentOutcome records the end of an attempt that has succeeded or never ran. The record of any other
+// attempt, which may have run, stays in force until its window is over.
 func (s *Server) recordSentOutcome(id uint64, r pgbackend.Result) {
 	store := s.store.Load()
 	if id == noWriteRecord || store == nil {
@@ -95,7 +98,7 @@
 	}
 }
 
-// classByName returns a class of the settings, or nil.
+// classByName returns the class of the settings with a name, or nil.
 func (s *Server) classByName(name string) *cresspass.Class {
 	for i := range s.cfg.Module.Classes {
 		if s.cfg.Module.Classes[i].Name == name {
@@ -105,8 +108,8 @@
 	return nil
 }
 
-// contentHash identifies what a query does: the text of its statements without the comments around them,
-// and its parameters. It is stored; it must not change.
+// contentHash returns a hash that identifies what a query does: the text of its statements without the
+// comments around them, and its parameters. Hashes are stored, so the function must not change.
 func (q *query) contentHash() uint64 {
 	digest := xxhash.New()
 	for i := range q.EngineQuery.Parsed {
@@ -120,8 +123,8 @@
 	return digest.Sum64()
 }
 
-// delayForRecovery checks a write against those that the previous incarnation may have sent. It returns
-// true where the query is not to be posted now: it is posted after a delay, or was rejected.
+// delayForRecovery checks a write against those that the previous incarnation may have sent. It returns true
+// if the caller must not post the query, because the query is rejected or is posted after a delay.
 func (s *Server) delayForRecovery(q *query, ev *cresspass.Event) bool {
 	q.class, q.key = ev.Class, ev.Key
 	if !ev.IsWrite {
@@ -149,7 +152,7 @@
 	return false
 }
 
-// postDelayed hands a query to the module after a delay, unless it has ended by then.
+// postDelayed passes a query to the module after a delay, unless the query has ended by then.
 func (s *Server) postDelayed(q *query, ev cresspass.Event, delay time.Duration) {
 	ev.RemainingDeadline -= delay
 	time.AfterFunc(delay, func() {
