--- a/internal/server/accept_test.go
+++ b/internal/server/accept_test.go
@@ -15,11 +15,11 @@
 	"cresspass/internal/server"
 )
 
-// failingListener has its first accepts fail with an error of the system.
+// failingListener fails its first accepts with a system error.
 type failingListener struct {
 	net.Listener
 	errno syscall.Errno
-	fails atomic.Int32
+	fails atomic.Int32 // number of accepts that are still to fail
 }
 
 func (l *failingListener) Accept() (net.Conn, error) {
@@ -29,8 +29,8 @@
 	return l.Listener.Accept()
 }
 
-// An accept that fails because of the machine, or of the connection that it was to accept, ends no
-// frontend.
+// TestFrontendsSurviveFailedAccepts checks that a frontend still serves after accepts that failed because of
+// the machine or of the accepted connection.
 func TestFrontendsSurviveFailedAccepts(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS,
 		syscall.EPROTO, syscall.ENOMEM} {
--- a/internal/server/benchmark_test.go
+++ b/internal/server/benchmark_test.go
@@ -27,13 +27,13 @@
 	"cresspass/internal/standin"
 )
 
-// benchSettings admit all: the path is measured, not the decision to reject.
+// benchSettings admits all clients, so that benchmarks measure the path of statements and no rejections.
 const benchSettings = baseSettings + `
 max_clients = 20000
 `
 
-// BenchmarkStatementPath measures statements through the dispatcher and straight to an engine, the same
-// client, in one run. The engine answers at once. One iteration is one statement.
+// BenchmarkStatementPath measures statements through the dispatcher and directly to an engine, with the same
+// client and in one run. The engine answers at once. One iteration is one statement.
 func BenchmarkStatementPath(b *testing.B) {
 	r, err := testbed.New(
 		standin.EngineConfig{Kind: testbed.EngineKind(64, 4096)},
@@ -72,12 +72,12 @@
 	}
 }
 
-// benchmarkStatement reports a cost of a fiftieth of the latency objective, the least that the module
-// accepts: what it learns of 30,000 statements a second of a tenth of a millisecond each is not measured
-// here.
+// benchmarkStatement states a cost of a fiftieth of the latency objective, the least that the module accepts.
+// Without it, the benchmark would also measure what the module learns from 30,000 statements a second that
+// take a tenth of a millisecond each.
 const benchmarkStatement = "select $1::text /*work_ms='0',cost_ms='200'*/"
 
-// benchmarkStatements runs statements over connections, after a second of warming up.
+// benchmarkStatements runs b.N statements over several connections, after a second of warm-up.
 func benchmarkStatements(b *testing.B, addr string, conns int) {
 	ctx := context.Background()
 	var wg sync.WaitGroup
@@ -141,11 +141,12 @@
 	b.ReportMetric(float64(rejected.Load())/float64(b.N), "refused")
 }
 
-// idleClientsEnv has the child process of BenchmarkIdleClient hold clients, by an address and a number.
+// idleClientsEnv is the environment variable that makes the test program the child process of
+// BenchmarkIdleClient. Its value is an address and the number of clients to connect.
 const idleClientsEnv = "CRESSPASS_IDLE"
 
-// BenchmarkIdleClient measures what an idle client holds in the dispatcher: 10,000 of them, in kB each. The
-// clients are in a process of their own, as one process may not have so many files.
+// BenchmarkIdleClient measures the dispatcher's memory per idle client, in kB, with 10,000 clients. The
+// clients are in a process of their own, as one process may not open enough files for both sides.
 func BenchmarkIdleClient(b *testing.B) {
 	r, err := testbed.New(standin.EngineConfig{Kind: testbed.EngineKind(8, 4096)})
 	if err != nil {
@@ -184,7 +185,8 @@
 	}
 }
 
-// holdIdleClients is the process of BenchmarkIdleClient that holds the clients.
+// holdIdleClients is the child process of BenchmarkIdleClient. It connects the clients, reports "ready" and
+// keeps them open until its standard input ends.
 func holdIdleClients(target string) error {
 	var addr string
 	var n int
@@ -207,7 +209,7 @@
 			return err
 		}
 		defer c.Close()
-		for _, m := range [][]byte{hello, query} { // idle, but it has been at work
+		for _, m := range [][]byte{hello, query} { // the client is idle after one query
 			if _, err := c.Write(m); err != nil {
 				return err
 			}
@@ -221,8 +223,8 @@
 	return nil
 }
 
-// BenchmarkCore measures the core alone: a query taken, sent and answered, with 40 engines and 200
-// gateways.
+// BenchmarkCore measures the core alone, with 40 engines and 200 gateways. One iteration is a query that
+// arrives, is sent and is answered.
 func BenchmarkCore(b *testing.B) {
 	cfg := cresspass.Config{Seed: 1, GatewayCount: 200, BatchInterval: 5 * time.Millisecond, MayCancel: true,
 		KindNames: []string{"std"},
--- a/internal/server/client_fault_test.go
+++ b/internal/server/client_fault_test.go
@@ -15,8 +15,9 @@
 	"cresspass/internal/standin"
 )
 
-// A client that disconnects, or cancels, while its query runs or waits: the engine stops working on it, and
-// the next query on that engine connection gets its own response.
+// TestClientDisconnects checks clients that disconnect or cancel while their query runs or waits. The engine
+// stops working on the query, and the next query on that engine connection gets its own response. A query
+// that still waits is not sent.
 func TestClientDisconnects(t *testing.T) {
 	r, s := startDispatcher(
 		t,
@@ -24,7 +25,7 @@
 		strings.Replace(baseSettings, `connect_timeout = "500ms"`, `connect_timeout = "500ms"
   max_connections = 2`, 1),
 	)
-	// Cancelled late, so that on a connection reused too early the next query would be cancelled.
+	// The engine cancels late. If its connection were reused too early, the next query would be cancelled.
 	r.Engines[0].SetFaults(standin.Faults{SlowCancel: 100 * time.Millisecond})
 	runs := func() (running, cancelled int) {
 		for _, v := range r.Engines[0].Runs() {
@@ -46,17 +47,17 @@
 		c.send(&pgproto3.Query{String: "select 1 /*work_ms='60000'*/"})
 		eventually(t, "query runs", func() bool { n, _ := runs(); return n == 1 })
 		disconnect(c)
-		other := dialServer(t, s) // at once, while the cancel is still on its way
+		other := dialServer(t, s) // at once, while the cancel is still in flight
 		for n := range 5 {
 			text := fmt.Sprintf("own-%d-%d", i, n)
 			seen := other.query("select 1 /*work_ms='30',echo='" + text + "'*/")
 			if countPrefix(seen, "D:"+text) != 1 || countPrefix(seen, "E") != 0 {
-				t.Fatalf("disconnect %d: next query got %v", i, seen)
+				t.Fatalf("disconnect %d: next query got %v, want its own row", i, seen)
 			}
 		}
 		eventually(t, "work stops", func() bool { n, k := runs(); return n == 0 && k == i+1 })
 	}
-	// A cancel request: the client gets 57014 and goes on.
+	// After a cancel request the client gets 57014 and its connection stays usable.
 	c := connect(t, s, "")
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
@@ -70,12 +71,12 @@
 		t.Fatal(err)
 	}
 	if _, err := res.ReadAll(); sqlState(err) != "57014" {
-		t.Fatalf("cancelled query: %v", err)
+		t.Fatalf("cancelled query: %v, want 57014", err)
 	}
 	if n, err := queryRowCount(t, c, "select 1 /*rows='2'*/"); n != 2 || err != nil {
-		t.Fatalf("after the cancel: %d rows, %v", n, err)
+		t.Fatalf("query after the cancel: %d rows, %v", n, err)
 	}
-	// A client that disconnects while its query is queued: it is never sent.
+	// A query whose client disconnects while it is queued is never sent.
 	c2 := dialServer(t, s)
 	c2.send(&pgproto3.Query{String: "select 1 /*class='nowhere',id='held'*/"})
 	time.Sleep(30 * time.Millisecond)
@@ -83,13 +84,13 @@
 	eventually(t, "all ended", func() bool { return s.Stats().Open == 0 })
 	for _, v := range r.Engines[0].Runs() {
 		if v.ID == "held" {
-			t.Error("a query was sent whose client had gone")
+			t.Error("a query was sent after its client had left")
 		}
 	}
 }
 
-// A pipeline of ten whose third query is rejected: two responses, one error, the rest skipped up to Sync,
-// and the next query works.
+// TestPipelineSkipsAfterRejection checks a pipeline of ten queries whose third one is rejected. The client
+// gets two responses and one error, the rest is skipped up to Sync, and the next query is served.
 func TestPipelineSkipsAfterRejection(t *testing.T) {
 	r, s := startDispatcher(t, 1, baseSettings)
 	c := dialServer(t, s)
@@ -107,17 +108,18 @@
 	if got := strings.Join(c.readUntil("Z"), " "); got != "1 2 D:"+strings.Repeat("v",
 		20)+" C 1 2 D:"+strings.Repeat("v", 20)+
 		" C 1 2 E:53000 Z" {
-		t.Errorf("the pipeline's response is %s", got)
+		t.Errorf("the pipeline got %s", got)
 	}
 	if n := len(r.Engines[0].Runs()); n != 2 {
-		t.Errorf("%d queries came to the engine, want 2", n)
+		t.Errorf("the engine got %d queries, want 2", n)
 	}
 	if seen := c.query("select 1 /*echo='x'*/"); countPrefix(seen, "D:x") != 1 {
-		t.Errorf("after the pipeline: %v", seen)
+		t.Errorf("query after the pipeline: %v", seen)
 	}
 }
 
-// Malformed messages from clients: each ends its own connection with FATAL 08P01 and nothing else.
+// TestMalformedClientMessages checks that a malformed message ends its own connection with FATAL 08P01 and
+// affects no other connection.
 func TestMalformedClientMessages(t *testing.T) {
 	_, s := startDispatcher(t, 1, strings.Replace(baseSettings, "hold_back",
 		"startup_timeout = \"3s\"\nhold_back", 1))
@@ -144,11 +146,11 @@
 		got, err := io.ReadAll(c)
 		if err != nil && !errors.Is(err, io.EOF) || !strings.Contains(string(got), "FATAL") ||
 			!strings.Contains(string(got), "08P01") {
-			t.Errorf("%s: %q, %v", name, got, err)
+			t.Errorf("%s: got %q, %v, want FATAL 08P01", name, got, err)
 		}
 		c.Close()
 	}
-	// Half a startup packet is waited for no longer than the limit.
+	// The rest of an incomplete startup packet is awaited no longer than startup_timeout.
 	c, err := net.Dial("tcp", s.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -157,17 +159,17 @@
 	c.Write(start[:7])
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if got, _ := io.ReadAll(c); !strings.Contains(string(got), "no startup packet") {
-		t.Errorf("half a startup packet: %q", got)
+		t.Errorf("incomplete startup packet: %q", got)
 	}
 	if seen := good.query("select 1 /*echo='still'*/"); countPrefix(seen, "D:still") != 1 {
-		t.Errorf("a client that was there all along: %v", seen)
+		t.Errorf("query of the client that connected first: %v", seen)
 	}
-	eventually(t, "all have gone", func() bool { return s.Clients() == 1 })
+	eventually(t, "all other clients are gone", func() bool { return s.Clients() == 1 })
 }
 
-// A thousand connections opened and left: no more than the limit are admitted, and those beyond it get
-// 53300 or are closed. A client that was there all along is served. The startup timeout is long here: on a
-// busy machine a late startup packet would get the error of the timeout and not that of the limit.
+// TestClientLimit opens a thousand connections. It checks that no more than the limit are admitted, that
+// those beyond it get 53300 or are closed, and that a client that connected before is served. The startup
+// timeout is long, as on a busy machine a late startup packet would get the error of the timeout instead.
 func TestClientLimit(t *testing.T) {
 	_, s := startDispatcher(t, 1, strings.Replace(baseSettings, "hold_back",
 		"startup_timeout = \"1m\"\nmax_clients = 500\nhold_back", 1))
@@ -199,16 +201,16 @@
 		c.Close()
 	}
 	if admitted != 500 || unexpected > 0 {
-		t.Errorf("%d admitted at a limit of 500, %d got another error", admitted, unexpected)
+		t.Errorf("%d clients admitted with a limit of 500, %d got another error", admitted, unexpected)
 	}
 	if seen := good.query("select 1 /*echo='still'*/"); countPrefix(seen, "D:still") != 1 {
-		t.Errorf("a client that was there all along: %v", seen)
+		t.Errorf("query of the client that connected first: %v", seen)
 	}
-	eventually(t, "all have gone", func() bool { return s.Clients() == 1 })
+	eventually(t, "all other clients are gone", func() bool { return s.Clients() == 1 })
 }
 
-// A client that does not read stops the reading of its own response; others are not delayed, and memory
-// stays bounded.
+// TestSlowReader checks that the dispatcher stops reading the response of a client that does not read it,
+// that other clients are served meanwhile, and that the buffered bytes are bounded.
 func TestSlowReader(t *testing.T) {
 	r, s := startDispatcher(
 		t,
@@ -226,10 +228,10 @@
 		}
 	}
 	if p := s.PendingBytes(); p > 2<<20 {
-		t.Errorf("%d bytes wait for clients; a client's limit is 64 kB and a message", p)
+		t.Errorf("%d bytes buffered, want at most 2 MB: a client's limit is 64 kB and a message", p)
 	}
 	if n := r.Engines[0].Runs()[0]; n.Outcome != "" {
-		t.Errorf("the engine has sent 200 MB to a client that does not read: %s", n.Outcome)
+		t.Errorf("the engine has sent 200 MB for a client that does not read: %s", n.Outcome)
 	}
 	slow.conn.Close()
 	eventually(t, "all ended", func() bool { return s.Stats().Open == 0 && s.Stats().Running == 0 })
--- a/internal/server/copy_in_test.go
+++ b/internal/server/copy_in_test.go
@@ -14,7 +14,7 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// COPY FROM STDIN by ordinary drivers, alone and in transactions.
+// TestCopyInThroughDrivers checks COPY FROM STDIN with the drivers pgx and lib/pq, alone and in transactions.
 func TestCopyInThroughDrivers(t *testing.T) {
 	_, s := startDispatcher(t, 3, baseSettings)
 	ctx := context.Background()
@@ -37,10 +37,10 @@
 	}
 	bad := &failingReader{strings.NewReader("a\n")}
 	if _, err = c.PgConn().CopyFrom(ctx, bad, "copy t from stdin"); sqlState(err) != "57014" {
-		t.Errorf("a copy that its client fails: %v", err)
+		t.Errorf("a copy that its client fails: %v, want 57014", err)
 	}
 	if err := c.QueryRow(ctx, "select 1 /*echo='on'*/").Scan(new(string), new(string)); err != nil {
-		t.Error("after a failed copy: ", err)
+		t.Error("query after a failed copy: ", err)
 	}
 	db, err := sql.Open("postgres", connectionString(s, ""))
 	if err != nil {
@@ -63,7 +63,7 @@
 	if r, err := st.Exec(); err != nil {
 		t.Error("lib/pq COPY: ", err)
 	} else if n, _ := r.RowsAffected(); n != 5000 {
-		t.Errorf("lib/pq copied %d rows", n)
+		t.Errorf("lib/pq copied %d rows, want 5000", n)
 	}
 	st.Close()
 	if err := tx.Commit(); err != nil {
@@ -71,18 +71,19 @@
 	}
 }
 
-// failingReader fails at the end of its text.
+// failingReader reads a text and then fails.
 type failingReader struct{ r *strings.Reader }
 
 func (b *failingReader) Read(p []byte) (int, error) {
 	if b.r.Len() == 0 {
-		return 0, errors.New("the source broke")
+		return 0, errors.New("read of the source failed")
 	}
 	return b.r.Read(p)
 }
 
-// A client sends a copy as fast as it can to an engine that takes 64 kB in 20 ms: what is in flight stays
-// bounded, others are served, and when the client disconnects the engine rolls the copy back.
+// TestCopyInAppliesBackPressure checks a client that sends a copy as fast as it can to an engine that takes
+// 64 kB in 20 ms. The bytes in flight are bounded, other clients are served, and the engine rolls the copy
+// back when the client disconnects.
 func TestCopyInAppliesBackPressure(t *testing.T) {
 	r, s := startDispatcher(t, 1, baseSettings)
 	c := dialServer(t, s)
@@ -109,26 +110,27 @@
 		}
 	}()
 	other := dialServer(t, s)
-	odd := dialServer(t, s) // a query in the middle of a copy fails the copy, and is not run
+	odd := dialServer(t, s) // sends a query during its copy, which fails the copy and does not run
 	odd.send(&pgproto3.Query{String: "copy t from stdin"}, &pgproto3.CopyData{Data: []byte("a\n")},
 		&pgproto3.Query{String: "insert into t values (1) /*id='odd'*/"}, &pgproto3.Query{String: "select 1"})
 	if seen := append(odd.readUntil("Z"), odd.readUntil("Z")...); countPrefix(seen, "E:57014") != 1 ||
 		countPrefix(seen, "C") != 2 { // CopyInResponse and CommandComplete
-		t.Errorf("a query in a copy: %v", seen)
+		t.Errorf("a query during a copy: %v", seen)
 	}
 	for range 20 {
 		if seen := other.query("select 1 /*echo='served'*/"); countPrefix(seen, "D:served") != 1 {
-			t.Errorf("beside a copy: %v", seen)
+			t.Errorf("another client's query during a copy: %v", seen)
 		}
 	}
 	<-done
 	took := r.Engines[0].Copied()
-	// The network of both connections buffers up to some MB each; without back-pressure it were 1 GB.
+	// The socket buffers of both connections hold up to a few MB each. Without back-pressure 1 GB would be in
+	// flight.
 	if ahead := written.Load() - int64(took); ahead > 32<<20 || took < 1<<20 {
-		t.Errorf("%d bytes in flight, %d taken by the engine", ahead, took)
+		t.Errorf("%d bytes in flight, want at most 32 MB; engine took %d, want at least 1 MB", ahead, took)
 	}
 	if n := s.PendingBytes(); n > 1<<20 {
-		t.Errorf("%d bytes wait for clients", n)
+		t.Errorf("%d bytes are buffered for clients, want at most 1 MB", n)
 	}
 	c.conn.Close()
 	eventually(t, "the engine has rolled the copy back", func() bool {
--- a/internal/server/dispatcher_setting_test.go
+++ b/internal/server/dispatcher_setting_test.go
@@ -9,8 +9,8 @@
 	"github.com/jackc/pgx/v5/pgxpool"
 )
 
-// Guards against settings of the dispatcher that outlive the RESET, DISCARD ALL, ROLLBACK or transaction that
-// ends them, or are lost with one that does not.
+// TestDispatcherSettingsEnd guards against settings kept by the dispatcher that stay in force after the
+// RESET, DISCARD ALL, ROLLBACK or end of transaction that ends them, or that are lost at one that does not.
 func TestDispatcherSettingsEnd(t *testing.T) {
 	_, s := startDispatcher(t, 2, baseSettings)
 	const options = "&application_name=started&statement_timeout=9s"
@@ -44,20 +44,21 @@
 	} {
 		conn := connect(t, s, options)
 		for _, text := range strings.Split(c.statements, ";;") {
-			// An error is part of some cases; what is in force after it counts.
+			// Some cases include an error. Only the settings in force afterwards are checked.
 			_, _ = conn.PgConn().Exec(context.Background(), text).ReadAll()
 		}
 		timeout, timeoutErr := showSetting(context.Background(), conn, "statement_timeout")
 		application, applicationErr := showSetting(context.Background(), conn, "application_name")
 		if timeout != c.timeout || application != c.application ||
 			timeoutErr != nil || applicationErr != nil {
-			t.Errorf("%s: %q %q (%v %v), want %q %q", c.statements, timeout, application, timeoutErr,
-				applicationErr, c.timeout, c.application)
+			t.Errorf("%s: timeout %q, application %q (%v, %v), want %q and %q", c.statements, timeout,
+				application, timeoutErr, applicationErr, c.timeout, c.application)
 		}
 	}
 }
 
-// Guards against limits and settings of one user of a connection pool that hold for the next.
+// TestPoolUsersDoNotShareSettings guards against timeouts and settings of one user of a connection pool that
+// stay in force for the next user.
 func TestPoolUsersDoNotShareSettings(t *testing.T) {
 	_, s := startDispatcher(t, 2, baseSettings)
 	ctx := context.Background()
@@ -94,7 +95,8 @@
 	}
 }
 
-// Guards against a prepared statement that is answered as the session stood when it was prepared.
+// TestPreparedDiscardSeesLaterSettings guards against a prepared RESET ALL that resets only the settings in
+// force when it was prepared.
 func TestPreparedDiscardSeesLaterSettings(t *testing.T) {
 	_, s := startDispatcher(t, 2, baseSettings)
 	c := connect(t, s, "")
--- a/internal/server/fault_test.go
+++ b/internal/server/fault_test.go
@@ -10,22 +10,22 @@
 	"cresspass/internal/standin"
 )
 
-// An engine that dies before a byte of its response was sent on costs the client nothing; after, exactly
-// one error.
+// TestEngineDiesMidResponse checks that the client does not notice an engine's death before any byte of the
+// response was passed on, and gets exactly one error if the engine dies later.
 func TestEngineDiesMidResponse(t *testing.T) {
 	r, s := startDispatcher(t, 2, baseSettings)
 	for _, e := range r.Engines {
 		e.SetFaults(standin.Faults{DieAfterRows: 5})
 	}
 	c := dialServer(t, s)
-	// 5 rows of 20 bytes are held back, so the second engine gets an attempt, and dies too: then none is
-	// left.
+	// An engine that dies after 5 rows of 20 bytes, which are still buffered, is replaced by another attempt.
+	// One engine has to survive: if both died, none would be left.
 	r.Engines[0].SetFaults(standin.Faults{})
 	seen := c.query("select 1 /*rows='20'*/")
 	if countPrefix(seen, "D") != 20 || countPrefix(seen, "E") != 0 {
-		t.Fatalf("response in spite of a death: %v", seen)
+		t.Fatalf("response after an engine's death: got %v, want 20 rows and no error", seen)
 	}
-	// Rows beyond what is held back have gone out when the engine dies.
+	// More rows than are buffered have been passed on when the engine dies.
 	r.Engines[0].SetFaults(standin.Faults{DieAfterRows: 50})
 	if up, _ := r.Engines[1].Up(); up {
 		r.Engines[1].SetFaults(standin.Faults{DieAfterRows: 50})
@@ -35,17 +35,18 @@
 	if n := countPrefix(seen, "D"); n == 0 || n > 50 || countPrefix(seen, "E") != 1 || countPrefix(seen,
 		"E:08007") != 1 ||
 		seen[len(seen)-2] != "E:08007" || countPrefix(seen, "C") != 0 {
-		t.Fatalf("%d rows, then %v", n, seen[max(0, len(seen)-4):])
+		t.Fatalf("%d rows, then %v; want 1 to 50 rows, then one error 08007", n, seen[max(0, len(seen)-4):])
 	}
-	// The client has its response a moment before the loop has the attempt's end.
+	// The client has its response shortly before the loop handles the end of the attempt.
 	eventually(t, "the attempt's end", func() bool { return s.Stats().Open == 0 })
 	if after := s.Stats(); after.Attempts != before.Attempts+1 || after.Failed != before.Failed+1 {
-		t.Errorf("want one failed attempt more: %+v, then %+v", before, after)
+		t.Errorf("stats %+v, then %+v; want one more attempt and one more failed query", before, after)
 	}
 }
 
-// A late response meets that of a second attempt: the client gets one. It also gets the response of an
-// engine that has left the list, and an engine that restarts under its old address serves.
+// TestLateResponses checks that the client gets one response if the late response of a first attempt arrives
+// together with that of a second one. It also checks that the client gets the response of an engine that has
+// left the list, and that an engine that restarts at its old address serves queries.
 func TestLateResponses(t *testing.T) {
 	r, s := startDispatcher(t, 2, baseSettings)
 	c := connect(t, s, "")
@@ -90,10 +91,10 @@
 	}()
 	eventually(t, "it runs", func() bool { return s.Stats().Running == 1 })
 	for i := range r.Engines {
-		r.UpdateEngine(i, func(e *eds.Engine) { e.State = "" }) // off the list, still running
+		r.UpdateEngine(i, func(e *eds.Engine) { e.State = "" }) // removed from the list, but still running
 	}
 	if err := <-done; err != nil {
-		t.Fatalf("response of an engine that left the list: %v", err)
+		t.Fatalf("response of an engine that has left the list: %v", err)
 	}
 	r.Engines[0].Crash()
 	if err := r.Engines[0].Restart(); err != nil {
@@ -106,8 +107,8 @@
 	})
 }
 
-// Engines whose responses are malformed, are cut off, or reject every query: each query still has one final
-// response, that of the good engine.
+// TestFaultyEngines checks that each query has one final response, with few exceptions that of the only good
+// engine, while the other engines send malformed responses, cut them off or reject every query.
 func TestFaultyEngines(t *testing.T) {
 	r, s := startDispatcher(t, 4, baseSettings)
 	r.Engines[0].SetFaults(standin.Faults{Garbage: true})
@@ -125,9 +126,9 @@
 		}
 	}
 	if served < 50 {
-		t.Errorf("served %d of 60 with one good engine of four", served)
+		t.Errorf("served %d of 60 queries with one good engine of four, want at least 50", served)
 	}
-	// A write is sent once, whatever its outcome, unless it did not run.
+	// A write is sent at most once, whatever its outcome, unless the engine rejected it and it did not run.
 	for i := range 20 {
 		_, _ = c.Exec(context.Background(), // any outcome is allowed
 			fmt.Sprintf("insert into t values (1) /*id='w%d'*/", i))
--- a/internal/server/flight_benchmark_test.go
+++ b/internal/server/flight_benchmark_test.go
@@ -12,11 +12,11 @@
 	"cresspass/internal/standin"
 )
 
-// millionRowsStatement asks for a million rows of four columns, about 50 bytes each.
+// millionRowsStatement returns a million rows of four columns, about 50 bytes each.
 const millionRowsStatement = "select 1 /*columns='int8,float8,text,timestamp',rows='1000000',work_ms='0'*/"
 
-// BenchmarkMillionRows measures a million rows straight from an engine, through the PostgreSQL front and
-// through Flight SQL, in one run. One iteration is one query.
+// BenchmarkMillionRows measures a million rows directly from an engine, through the PostgreSQL frontend and
+// through the Flight SQL frontend, in one run. One iteration is one query.
 func BenchmarkMillionRows(b *testing.B) {
 	r, err := testbed.New(standin.EngineConfig{Kind: testbed.EngineKind(64, 4096)})
 	if err != nil {
--- a/internal/server/flight_client_test.go
+++ b/internal/server/flight_client_test.go
@@ -16,16 +16,16 @@
 	"cresspass/internal/server"
 )
 
-// flightSettings are baseSettings with a Flight SQL frontend, whose tickets expire soon.
+// flightSettings are baseSettings with a Flight SQL frontend whose tickets expire after 2 s.
 const flightSettings = baseSettings + "flight {\n  listen = \"127.0.0.1:0\"\n  ticket_life = \"2s\"\n}\n"
 
-// flightClient is a client of the Flight SQL protocol itself; its context carries the session.
+// flightClient is a client of the Flight SQL protocol. Its context carries the session's token.
 type flightClient struct {
 	*flightsql.Client
 	ctx context.Context
 }
 
-// dialFlight connects a client; with a user it starts a session.
+// dialFlight connects a client and, if a user is named, starts a session.
 func dialFlight(t testing.TB, s *server.Server, user string, opts ...grpc.DialOption) *flightClient {
 	t.Helper()
 	c, err := flightsql.NewClient(s.FlightAddr(), nil, nil, append(opts,
@@ -44,7 +44,7 @@
 	return &flightClient{c, ctx}
 }
 
-// rows fetches all rows of a FlightInfo, each value as PostgreSQL's text; `\N` is null.
+// rows fetches all rows of a FlightInfo. Values are in PostgreSQL's text format, null is `\N`.
 func (c *flightClient) rows(ctx context.Context, info *flight.FlightInfo) (out [][]string, err error) {
 	r, err := c.DoGet(ctx, info.Endpoint[0].Ticket)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return err
 }
 
-// errorInfo is the ErrorInfo of a call's error, or nil.
+// errorInfo returns the ErrorInfo of a call's error, or nil.
 func errorInfo(err error) *errdetails.ErrorInfo {
 	for _, d := range status.Convert(err).Details() {
 		if i, ok := d.(*errdetails.ErrorInfo); ok {
@@ -91,7 +91,8 @@
 	return nil
 }
 
-// flightSQLState is the SQLSTATE of a call's error, "aborted" where a commit rolled back, or its text.
+// flightSQLState returns the SQLSTATE of a call's error, "aborted" if a commit rolled back, "" for no error,
+// or else the error's text.
 func flightSQLState(err error) string {
 	if err == nil {
 		return ""
--- a/internal/server/flight_fault_test.go
+++ b/internal/server/flight_fault_test.go
@@ -25,8 +25,8 @@
 	"cresspass/internal/standin"
 )
 
-// reportedRun is the reason of an error's ErrorInfo and whether it says that the statement ran; else its
-// text.
+// reportedRun returns the reason of an error's ErrorInfo and what it says about whether the statement ran, or
+// the error's message if there is no ErrorInfo.
 func reportedRun(err error) string {
 	if i := errorInfo(err); i != nil {
 		return i.Reason + " " + i.Metadata["ran"]
@@ -34,10 +34,11 @@
 	return status.Convert(err).Message()
 }
 
-// An engine that dies after three batches of rows: the client has some of those rows, as far as the error
-// did not overtake them, none that the engine did not send, and one error, which no retry policy repeats and
-// which leaves open whether the statement ran. Rows are counted, not batches: a pause between rows ends a
-// batch early.
+// TestFlightEngineDiesAfterThreeBatches checks the response of an engine that dies after three batches of
+// rows. The client gets some of those rows, because the error may overtake the last ones, and no row that the
+// engine did not send. It gets one error, whose code no retry policy retries, and which says that it is
+// unknown whether the statement ran. The test counts rows instead of batches, because a pause between rows
+// ends a batch early.
 func TestFlightEngineDiesAfterThreeBatches(t *testing.T) {
 	r, s := startDispatcher(t, 2, flightSettings)
 	const sent = 15
@@ -60,15 +61,15 @@
 	}
 	if err := rd.Err(); rows < 1 || rows > sent || status.Code(err) != codes.Unknown ||
 		reportedRun(err) != "FAILED unknown" {
-		t.Errorf("%d rows and %v (%s)", rows, err, reportedRun(err))
+		t.Errorf("got %d rows and %v (%s), want 1 to 15 rows and Unknown", rows, err, reportedRun(err))
 	}
 	if n := countRuns(r, "dies"); n != 1 {
-		t.Errorf("it ran %d times", n)
+		t.Errorf("the statement ran %d times, want once", n)
 	}
 }
 
-// Tickets: forged, of another session, expired, cancelled before they are fetched, fetched concurrently and
-// again.
+// TestFlightTickets checks tickets that are forged, belong to another session, are expired, are cancelled
+// before or during their fetch, are fetched concurrently, or are fetched again.
 func TestFlightTickets(t *testing.T) {
 	r, s := startDispatcher(t, 2, flightSettings)
 	a, b := dialFlight(t, s, "a"), dialFlight(t, s, "b")
@@ -114,32 +115,32 @@
 	if err := get(a, write); status.Code(err) != codes.FailedPrecondition || countRuns(r, "once") != 1 {
 		t.Errorf("fetched again: %v", err)
 	}
-	read := issue("select 1 /*id='twice'*/") // what changes nothing may be fetched again
+	read := issue("select 1 /*id='twice'*/") // a statement that changes nothing may be fetched again
 	if err := errors.Join(get(a, read), get(a, read)); err != nil || countRuns(r, "twice") != 2 {
 		t.Errorf("a read fetched twice: %v", err)
 	}
 	cancelled := issue("insert into t values (1) /*id='never'*/")
 	res, err := a.CancelFlightInfo(a.ctx, &flight.CancelFlightInfoRequest{Info: cancelled})
 	if err != nil || res.Status != flight.CancelStatusCancelled {
-		t.Errorf("cancel between: %v %v", res, err)
+		t.Errorf("cancel before the fetch: %v %v", res, err)
 	}
 	if err := get(a, cancelled); status.Code(err) != codes.FailedPrecondition || countRuns(r, "never") != 0 {
-		t.Errorf("fetched after its cancel: %v", err)
+		t.Errorf("fetch after the cancel: %v", err)
 	}
 	long := issue("insert into t values (1) /*id='long',work_ms='4000'*/")
 	go func() { ends <- get(a, long) }()
 	eventually(t, "it runs", func() bool { return countRuns(r, "long") == 1 })
 	if res, err := a.CancelFlightInfo(a.ctx, &flight.CancelFlightInfoRequest{Info: long}); err != nil ||
 		res.Status != flight.CancelStatusCancelled {
-		t.Errorf("cancel of what runs: %v %v", res, err)
+		t.Errorf("cancel of a running statement: %v %v", res, err)
 	}
 	if err := <-ends; status.Code(err) != codes.Canceled {
-		t.Errorf("cancelled: %v", err)
+		t.Errorf("fetch of a cancelled statement: %v", err)
 	}
 	old := issue("select 1")
 	time.Sleep(2100 * time.Millisecond)
 	if err := get(a, old); status.Code(err) != codes.NotFound {
-		t.Errorf("an old ticket: %v", err)
+		t.Errorf("an expired ticket: %v", err)
 	}
 	// A ticket whose statement was rejected may be fetched again.
 	rejectedTicket := issue("insert into t values (1) /*id='refused'*/")
@@ -151,12 +152,13 @@
 		case full && (status.Code(err) != codes.ResourceExhausted || reportedRun(err) != "REFUSED false"):
 			t.Errorf("rejected: %v (%s)", err, reportedRun(err))
 		case !full && err != nil:
-			t.Errorf("a ticket whose statement was rejected: %v", err)
+			t.Errorf("second fetch of a ticket whose statement was rejected: %v", err)
 		}
 	}
 }
 
-// The deadline is that of grpc-timeout; a call that is cancelled ends its query at the engine.
+// TestFlightDeadlineAndCancel checks that grpc-timeout sets a query's deadline, and that a cancelled call
+// ends its query on the engine and frees its buffers.
 func TestFlightDeadlineAndCancel(t *testing.T) {
 	r, s := startDispatcher(t, 1, flightSettings)
 	c := dialFlight(t, s, "u")
@@ -174,14 +176,15 @@
 		_, err = c.rows(ctx, fi)
 		cancel()
 		if err == nil {
-			t.Errorf("%v: served", end)
+			t.Errorf("%v: the query was served", end)
 		}
 		eventually(t, "nothing runs", func() bool { st := s.Stats(); return st.Open == 0 && st.Running == 0 })
 		if n := countRuns(r, id); n > 1 {
-			t.Errorf("%s ran %d times", id, n)
+			t.Errorf("%s ran %d times, want at most once", id, n)
 		}
 	}
-	// answers that are complete here and not taken by their clients, whose windows are small
+	// The dispatcher has received these responses completely, and the clients' small windows keep it from
+	// sending them.
 	c = dialFlight(t, s, "u", grpc.WithInitialWindowSize(65535), grpc.WithInitialConnWindowSize(65535))
 	for range 20 {
 		fi, err := c.Execute(c.ctx, "select 1 /*rows='17000',row_bytes='90',work_ms='0'*/")
@@ -204,8 +207,9 @@
 	}
 }
 
-// A transaction whose session expires is rolled back, and its client's next call says so; one whose engine
-// drains gets a notice, may commit within the grace, and is ended after it.
+// TestFlightTransactionsExpireAndDrain checks that a transaction whose session expires is rolled back and
+// that the client's next call reports it. A transaction whose engine drains gets a notice, may commit within
+// the grace, and is ended after it.
 func TestFlightTransactionsExpireAndDrain(t *testing.T) {
 	r, s := startDispatcher(
 		t,
@@ -248,7 +252,7 @@
 		})
 		if wait {
 			eventually(t, "it is ended", func() bool {
-				// The call keeps the session from expiring; the condition is what matters.
+				// The call keeps the session from expiring; its result does not matter.
 				_, _ = c.GetSessionOptions(c.ctx, &flight.GetSessionOptionsRequest{})
 				return s.StickySessions() == 0
 			})
@@ -266,8 +270,8 @@
 	}
 }
 
-// A stream that its client does not read stops the reading from its engine, buffers bounded memory, and
-// delays no other client.
+// TestFlightUnreadStream checks that the dispatcher stops reading from the engine if the client does not read
+// a stream, that the memory buffered for the stream is bounded, and that other clients are served.
 func TestFlightUnreadStream(t *testing.T) {
 	_, s := startDispatcher(t, 1, strings.Replace(flightSettings, `deadline = "5s"`, `deadline = "120s"`, 1))
 	slow, other := dialFlight(t, s, "slow"), dialFlight(t, s, "other")
@@ -282,7 +286,7 @@
 	defer rd.Release()
 	rd.Next()
 	most := int64(0)
-	unread := time.Second // CRESSPASS_UNREAD=1m is the measured one
+	unread := time.Second // CRESSPASS_UNREAD sets another time, such as 1m
 	if d, err := time.ParseDuration(os.Getenv("CRESSPASS_UNREAD")); err == nil {
 		unread = d
 	}
@@ -293,9 +297,9 @@
 			t.Fatal(err)
 		}
 	}
-	t.Logf("unread for %v, %d bytes held at most", unread, most)
+	t.Logf("unread for %v, at most %d bytes buffered", unread, most)
 	if most > 1<<20 {
-		t.Errorf("%d bytes wait for a client that does not read", most)
+		t.Errorf("%d bytes were buffered for a client that does not read, want at most 1 MB", most)
 	}
 	rows := rd.RecordBatch().NumRows()
 	for rd.Next() {
@@ -306,10 +310,10 @@
 	}
 }
 
-// Ten thousand streams over ten connections: each has one end, served or rejected, and none is left.
+// TestFlightTenThousandStreams checks that each of ten thousand streams over ten connections ends once,
+// served or rejected, and that none is left.
 func TestFlightTenThousandStreams(t *testing.T) {
-	// Tickets that outlive the calls: on a busy machine 10,000 calls take longer than the 2 s of
-	// flightSettings.
+	// On a busy machine 10,000 calls take longer than the ticket lifetime of flightSettings, 2 s.
 	settings := strings.Replace(flightSettings, `ticket_life = "2s"`, `ticket_life = "1m"`, 1)
 	_, s := startDispatcher(t, 3, settings)
 	var mu sync.Mutex
@@ -343,7 +347,7 @@
 	for end, n := range ends {
 		if total += n; end != "served" && end != "ResourceExhausted REFUSED false" &&
 			end != "ResourceExhausted REFUSED harmless" {
-			t.Errorf("%d ended as %s", n, end)
+			t.Errorf("%d streams ended as %s", n, end)
 		}
 	}
 	if total != 10000 || ends["served"] < 500 {
@@ -353,7 +357,8 @@
 	eventually(t, "nothing is left", func() bool { st := s.Stats(); return st.Open == 0 && st.Running == 0 })
 }
 
-// A client that opens calls only to reset them is disconnected, and others are served meanwhile.
+// TestFlightRapidReset checks that a client that opens calls only to reset them is disconnected, and that
+// others are served meanwhile.
 func TestFlightRapidReset(t *testing.T) {
 	_, s := startDispatcher(t, 1, flightSettings)
 	other := dialFlight(t, s, "other")
--- a/internal/server/flight_test.go
+++ b/internal/server/flight_test.go
@@ -23,7 +23,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// equalValues reports whether two texts are the same value of a type.
+// equalValues reports whether two texts represent the same value of a type.
 func equalValues(m *pgtype.Map, oid uint32, a, b string) bool {
 	decode := func(v string) any {
 		if v == `\N` {
@@ -54,8 +54,8 @@
 	"_text", "_int8", "_float4", "_float8", "_timestamp", "_date", "_timestamptz", "_numeric", "_uuid",
 	"point"}
 
-// The suite is written once and run over both frontends: the same statements give the same values, counts
-// and errors.
+// TestSuiteOverBothFrontends runs one suite over both frontends and checks that the same statements give the
+// same values, counts and errors.
 func TestSuiteOverBothFrontends(t *testing.T) {
 	_, s := startDispatcher(t, 3, flightSettings)
 	m := pgtype.NewMap()
@@ -67,7 +67,7 @@
 			t.Errorf("PostgreSQL gives %v, Flight SQL %v", a, b)
 		}
 	}
-	for _, name := range suiteTypes { // each type, nulls and edges among its values
+	for _, name := range suiteTypes { // the values of each type include null and edge cases
 		text := "select 1 /*columns='" + name + ",text',rows='64',work_ms='0'*/"
 		a, code := pg.query(t, text)
 		b, code2 := fl.query(t, text)
@@ -86,11 +86,11 @@
 			}
 		}
 		v := a[7][0]
-		text = "select $1::" + name + " /*echo_params='1'*/" // and back as a parameter
+		text = "select $1::" + name + " /*echo_params='1'*/" // sends the value back as a parameter
 		for _, c := range []suiteClient{pg, fl} {
 			if got, code := c.query(t, text, v); code != "" || len(got) != 1 ||
 				!equalValues(m, oid, got[0][0], v) {
-				t.Errorf("%s: %q comes back as %q %s from %T", name, v, got, code, c)
+				t.Errorf("%s: parameter %q is echoed as %q %s by %T", name, v, got, code, c)
 			}
 		}
 	}
@@ -110,7 +110,7 @@
 		return end{n,
 			code}
 	})
-	both(func(c suiteClient) any { // a transaction finds what it left; the next does not
+	both(func(c suiteClient) any { // a transaction sees its temporary table; the next one does not
 		finish := c.begin(t)
 		_, a := c.exec(t, "create temp table tmp_s (a int)")
 		_, b := c.query(t, "select 1 from tmp_s")
@@ -120,7 +120,7 @@
 		_, g := c.query(t, "select 1 from tmp_s")
 		return []string{a, b, d, e, f, g}
 	})
-	both(func(c suiteClient) any { // settings follow the session to any engine
+	both(func(c suiteClient) any { // a session's settings are in force on every engine
 		c.set(t, "search_path", "mine")
 		var out []any
 		for range 6 {
@@ -133,8 +133,8 @@
 	eventually(t, "all sessions are free", func() bool { return s.StickySessions() == 0 })
 }
 
-// The same over database/sql, with pgx's driver and Arrow's: both frontends give the same to the same
-// program.
+// TestDatabaseSQLOverBothFrontends checks that both frontends give the same results to the same program over
+// database/sql, with the drivers of pgx and Arrow.
 func TestDatabaseSQLOverBothFrontends(t *testing.T) {
 	_, s := startDispatcher(t, 2, flightSettings)
 	program := func(db *sql.DB) (out []string) {
@@ -182,7 +182,7 @@
 		}
 		for _, q := range []string{"select 1 /*class='none'*/", "select 1 from tmp_none"} {
 			r, err := db.QueryContext(ctx, q)
-			if err == nil { // one of the drivers tells it with the rows
+			if err == nil { // one of the drivers reports the error with the rows
 				for r.Next() {
 				}
 				err = r.Err()
@@ -221,7 +221,8 @@
 	}
 }
 
-// The metadata calls of drivers at connect, savepoints, and the session's end.
+// TestFlightCatalogsAndSavepoints checks the metadata calls that drivers make when they connect, savepoints
+// and the end of the session.
 func TestFlightCatalogsAndSavepoints(t *testing.T) {
 	_, s := startDispatcher(t, 2, flightSettings)
 	c := dialFlight(t, s, "u")
@@ -305,10 +306,10 @@
 		t.Fatal(err)
 	}
 	if _, err := c.rows(c.ctx, fi); flightSQLState(err) != "42P01" {
-		t.Errorf("a table that is not there: %v", err)
+		t.Errorf("query of a table that does not exist: %v, want 42P01", err)
 	}
 	if err := tx.RollbackSavepoint(c.ctx, p); err != nil {
-		t.Errorf("back to the savepoint of a failed transaction: %v", err)
+		t.Errorf("rollback to the savepoint of a failed transaction: %v", err)
 	}
 	if err := tx.Commit(c.ctx); err != nil {
 		t.Error(err)
@@ -318,6 +319,6 @@
 		t.Errorf("close: %v %v", res, err)
 	}
 	if err := c.query("select 1"); status.Code(err) != codes.Unauthenticated {
-		t.Errorf("after the close: %v", err)
+		t.Errorf("query after the session was closed: %v, want Unauthenticated", err)
 	}
 }
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -27,12 +27,12 @@
 		}
 		return
 	}
-	// memberlist does not wait for a probe in flight; it ends by itself within its interval.
+	// memberlist does not wait for a probe in flight when it closes; the probe ends within its interval.
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("github.com/hashicorp/memberlist.(*Memberlist).probe"))
 }
 
-// baseSettings has a class of each effect and one that no engine serves. Deadlines are short so that tests
-// are.
+// baseSettings has a class of each effect and one class that no engine serves. The deadlines are short to
+// keep the tests short.
 const baseSettings = `
 default_class = "lookup"
 write_class   = "write"
@@ -74,7 +74,7 @@
 }
 `
 
-// startEngines starts stand-in engines and a discovery service that lists them.
+// startEngines starts n stand-in engines and a discovery service that lists them.
 func startEngines(t *testing.T, n int) *testbed.Testbed {
 	t.Helper()
 	cfg := make([]standin.EngineConfig, n)
@@ -101,12 +101,12 @@
 	return r, s
 }
 
-// connectionString is that of a client of the dispatcher; options begin with "&".
+// connectionString returns the connection string for a client of the dispatcher. Options begin with "&".
 func connectionString(s *server.Server, options string) string {
 	return "postgres://u:p@" + s.Addr() + "/db?sslmode=disable" + options
 }
 
-// connect opens a connection that lasts as long as the test.
+// connect opens a connection that is closed when the test ends.
 func connect(t *testing.T, s *server.Server, options string) *pgx.Conn {
 	t.Helper()
 	c, err := pgx.Connect(context.Background(), connectionString(s, options))
@@ -117,7 +117,7 @@
 	return c
 }
 
-// sqlState is the SQLSTATE of an error, or its text.
+// sqlState returns the SQLSTATE of an error, or its text if it has none.
 func sqlState(err error) string {
 	var e *pgconn.PgError
 	if errors.As(err, &e) {
@@ -136,7 +136,7 @@
 	}
 }
 
-// queryRowCount runs a query by the simple protocol and counts its rows.
+// queryRowCount runs a query over the simple protocol and counts its rows.
 func queryRowCount(t *testing.T, c *pgx.Conn, text string) (rows int, err error) {
 	t.Helper()
 	r, err := c.Query(context.Background(), text, pgx.QueryExecModeSimpleProtocol)
@@ -150,8 +150,8 @@
 	return rows, r.Err()
 }
 
-// runsByEngine counts a session's statements on each engine that ran some, by the session's name in their
-// ids.
+// runsByEngine returns the number of a session's statements by the index of the engine that ran them. The
+// statements' IDs are the session's name, or begin with it and a hyphen.
 func runsByEngine(r *testbed.Testbed, session string) map[int]int {
 	counts := map[int]int{}
 	for i, e := range r.Engines {
@@ -164,7 +164,7 @@
 	return counts
 }
 
-// countRuns counts the runs of a statement's id over all engines.
+// countRuns returns how often the statement with an ID ran on all engines together.
 func countRuns(r *testbed.Testbed, id string) (n int) {
 	for _, e := range r.Engines {
 		for _, run := range e.Runs() {
@@ -176,7 +176,7 @@
 	return n
 }
 
-// lockedBuffer collects a log that several goroutines write.
+// lockedBuffer collects the log of several goroutines. It is safe for concurrent use.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  strings.Builder
--- a/internal/server/invariant_test.go
+++ b/internal/server/invariant_test.go
@@ -13,10 +13,10 @@
 	"cresspass/internal/standin"
 )
 
-// Where the module would break a rule, the invariant guard prevents it: a statement that changes data and
-// may have run is not sent again, and the violation is counted.
+// TestInvariantGuardBlocksUnsafeRetry checks that the invariant guard enforces rule 2 if the decider breaks
+// it: a statement that changes data and may have run is not sent again, and the violation is counted.
 func TestInvariantGuardBlocksUnsafeRetry(t *testing.T) {
-	const mayRepeatUnsafe = 2 // the rule that the decider has no guard for
+	const mayRepeatUnsafe = 2 // the rule that the decider does not keep
 	r := startEngines(t, 3)
 	for _, e := range r.Engines {
 		e.SetFaults(standin.Faults{ErrorShare: 1})
@@ -31,7 +31,7 @@
 	c := dialServer(t, s)
 	c.send(&pgproto3.Query{String: "insert into t select 1 /*id='once'*/"})
 	if seen := strings.Join(c.readUntil("Z"), " "); !strings.Contains(seen, "E") {
-		t.Errorf("the client got %q", seen)
+		t.Errorf("the client got %q, want an error", seen)
 	}
 	ran := 0
 	for _, e := range r.Engines {
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -13,8 +13,9 @@
 	"cresspass/internal/standin"
 )
 
-// Three dispatchers of a fleet: the module's messages arrive, and what one has observed of an engine
-// reaches the others.
+// TestDispatchersGossip checks that messages of the module arrive among three dispatchers of a fleet, and
+// that what one has observed of an engine reaches the others. A dispatcher whose gossip address is in use
+// does not start.
 func TestDispatchersGossip(t *testing.T) {
 	r := startEngines(t, 2)
 	seeds := ""
@@ -39,9 +40,9 @@
 		all = append(all, s)
 	}
 	if _, err := r.StartDispatcher(baseSettings+fmt.Sprintf("peers {\n  listen = %q\n  keys = [%q]\n}\n",
-		// nothing of it is left: goleak looks
+		// The failed start must leave no goroutine behind, which goleak checks.
 		all[0].Membership().Addr(), strings.Repeat("07", 32)), nil); err == nil {
-		t.Fatal("an address in use, and it started")
+		t.Fatal("a dispatcher started though its gossip address is in use")
 	}
 	eventually(t, "all are members", func() bool {
 		for _, s := range all {
@@ -65,7 +66,7 @@
 	}
 	eventually(t, "messages and observations arrive", func() bool {
 		for range 20 {
-			// Any outcome is an observation.
+			// Any outcome of the query is an observation.
 			_, _ = c.Exec(context.Background(), "select 1 /*work_ms='20',cost_ms='400'*/")
 		}
 		return observationArrived() && all[0].Membership().Stats().PacketsSent > 0 &&
@@ -73,8 +74,8 @@
 	})
 }
 
-// A new dispatcher starts with what a peer has learned. Where a name is taken, the later process has it,
-// and the earlier one stops gossiping and serves on.
+// TestNewMemberLearnsFromPeers checks that a new dispatcher starts with what a peer has learned. If two
+// processes have the same name, the later one keeps it, and the earlier one stops gossiping but still serves.
 func TestNewMemberLearnsFromPeers(t *testing.T) {
 	r := startEngines(t, 2)
 	log := &lockedBuffer{}
@@ -118,13 +119,13 @@
 		return strings.Count(log.String(), "count=2") == 2
 	})
 	duplicate := start("young", seeds)
-	eventually(t, "the earlier process of the name is silent", func() bool {
+	eventually(t, "the earlier process has yielded the name", func() bool {
 		return newMember.Membership().Stats().NameYielded
 	})
 	if _, err := connect(t, newMember, "").Exec(context.Background(), "select 1"); err != nil {
-		t.Errorf("silent, and it does not serve: %v", err)
+		t.Errorf("the process that has yielded the name does not serve: %v", err)
 	}
 	if duplicate.Membership().Stats().NameYielded {
-		t.Error("both are silent")
+		t.Error("both processes have yielded the name")
 	}
 }
--- a/internal/server/mixed_load_test.go
+++ b/internal/server/mixed_load_test.go
@@ -18,8 +18,9 @@
 	"cresspass/internal/standin"
 )
 
-// Thousands of mixed requests over both query protocols, with engines that fail: relays on both sides count
-// exactly one final response for each, every rule is kept, and no write has its effect twice.
+// TestThousandsOfRequests sends thousands of mixed requests over both query protocols while engines fail. It
+// checks, by relays on both sides of the dispatcher, that each request has exactly one final response, that
+// every rule is kept, and that no write has its effect twice.
 func TestThousandsOfRequests(t *testing.T) {
 	total := 6000
 	if testing.Short() {
@@ -82,15 +83,15 @@
 			t.Error(v)
 		}
 	}
-	timeouts := 0 // of clients; some gave up before their request was sent
+	timeouts := 0 // clients that gave up, some of them before their request was sent
 	for outcome, n := range outcomes {
 		if strings.HasPrefix(outcome, "timeout") {
 			timeouts += n
 		}
 	}
 	if len(log.Requests) > total || len(log.Requests) < total-timeouts || st.Overdue != 0 {
-		t.Errorf("%d requests seen of %d, %d clients gave up; stats %+v", len(log.Requests), total, timeouts,
-			st)
+		t.Errorf("relays saw %d of %d requests, %d clients gave up; stats %+v", len(log.Requests), total,
+			timeouts, st)
 	}
 	if outcomes["<nil>"] < total*8/10 {
 		t.Errorf("served %d of %d: %v", outcomes["<nil>"], total, outcomes)
@@ -103,8 +104,8 @@
 	t.Logf("outcomes %v, stats %+v", outcomes, st)
 }
 
-// runMixedRequests sends requests by concurrent clients, each after a call of before with its number, and
-// counts their outcomes by SQLSTATE.
+// runMixedRequests sends requests from concurrent clients. It calls before with a request's number before the
+// request is sent. It returns the number of requests by SQLSTATE or error text.
 func runMixedRequests(t *testing.T, addr string, total int, before func(i int)) map[string]int {
 	t.Helper()
 	var wg sync.WaitGroup
@@ -147,7 +148,7 @@
 }
 
 // runMixedRequest sends request i: a lookup, a report, a load or a write, over the simple or the extended
-// protocol; some clients give up early.
+// protocol. Some of the requests have a timeout of a few milliseconds.
 func runMixedRequest(c *pgx.Conn, i int) error {
 	ctx := context.Background()
 	class, head, more := "lookup", "select n, value from t where id = ", ",rows='3',work_ms='5'"
--- a/internal/server/orphan_cleanup_test.go
+++ b/internal/server/orphan_cleanup_test.go
@@ -17,9 +17,9 @@
 	"cresspass/internal/standin"
 )
 
-// partitionProxy stands between a dispatcher and an engine. After Partition the dispatcher's side is
-// closed and new connections are forwarded, but the engine's side of the old ones stays open and silent, as
-// when the dispatcher's machine is lost.
+// partitionProxy forwards connections between a dispatcher and an engine. Partition closes the dispatcher's
+// side of the open connections and leaves the engine's side open and silent, as when the dispatcher's machine
+// is lost. New connections are forwarded.
 type partitionProxy struct {
 	ln          net.Listener
 	target      string
@@ -29,6 +29,7 @@
 	wait        sync.WaitGroup
 }
 
+// newPartitionProxy returns a proxy for an engine's address that runs until the test ends.
 func newPartitionProxy(t *testing.T, target string) *partitionProxy {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -88,9 +89,10 @@
 	}
 }
 
-// A dispatcher is lost with sessions open: one is idle in a transaction, one has a session-level lock, one
-// runs a long statement. The engine does not notice. The next incarnation on the same state finds and
-// terminates them, so that their locks are released; other programs' sessions stay.
+// TestOrphanedSessionsAreTerminated checks that the next incarnation with the same state terminates the
+// sessions of a dispatcher that was lost, so that their locks are released, and no other program's session.
+// One session is idle in a transaction, one holds a session-level lock and one runs a long statement. The
+// engine does not notice the loss.
 func TestOrphanedSessionsAreTerminated(t *testing.T) {
 	r, err := testbed.New(
 		standin.EngineConfig{Kind: testbed.EngineKind(8, 4096)},
@@ -120,12 +122,12 @@
 	runs.send(&pgproto3.Query{String: "insert into t values (1) /*work_ms='60000'*/"})
 	other := dialAddress(t, r.Engines[0].Addr()) // another program's session on the same engine
 	other.query("begin")
-	time.Sleep(250 * time.Millisecond) // they are recorded
+	time.Sleep(250 * time.Millisecond) // until the sessions are recorded
 	files, err := filepath.Glob(filepath.Join(first, "*"))
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
 	}
-	for _, f := range files { // the state at the moment of the loss
+	for _, f := range files { // copies the state at the time of the loss
 		b, err := os.ReadFile(f)
 		if err == nil && !strings.HasSuffix(f, "lock") {
 			err = os.WriteFile(filepath.Join(second, filepath.Base(f)), b, 0o600)
@@ -144,8 +146,8 @@
 		}
 		return n
 	}
-	if n := open(); n < 3 { // two transactions of the lost dispatcher's, one of the other program's
-		t.Fatalf("%d sessions are open at the engines: nothing to clean up", n)
+	if n := open(); n < 3 { // two transactions of the lost dispatcher, one of the other program
+		t.Fatalf("%d sessions are open on the engines, want at least 3: nothing to clean up", n)
 	}
 	for _, w := range proxies {
 		w.mu.Lock()
@@ -161,15 +163,15 @@
 	eventually(t, "the orphaned sessions are terminated", func() bool { return open() == 1 })
 	t.Logf("terminated %v after the restart", time.Since(began).Round(time.Millisecond))
 	for _, key := range []string{"1", "2", "3"} {
-		for i := range r.Engines { // directly at the engines, as a lock belongs to one engine
+		for i := range r.Engines { // asks each engine directly, as a lock is held on one engine
 			c := dialAddress(t, r.Engines[i].Addr())
 			if seen := c.query("select pg_advisory_lock(" + key + ")"); countPrefix(seen, "E") != 0 {
-				t.Errorf("lock %s: %v", key, seen)
+				t.Errorf("lock %s is not released: %v", key, seen)
 			}
 			c.conn.Close()
 		}
 	}
 	if seen := other.query("select 1"); countPrefix(seen, "E") != 0 {
-		t.Errorf("another program's session: %v", seen)
+		t.Errorf("another program's session was ended: %v", seen)
 	}
 }
--- a/internal/server/overload_test.go
+++ b/internal/server/overload_test.go
@@ -13,8 +13,8 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// Responses that clients do not read use up the memory for responses; new queries are rejected until it is
-// free again.
+// TestResponseMemoryLimit checks that new queries are rejected while responses that clients do not read use
+// up the memory for responses, and are served again once it is free.
 func TestResponseMemoryLimit(t *testing.T) {
 	_, s := startDispatcher(
 		t,
@@ -36,8 +36,8 @@
 	})
 }
 
-// At a limit of its own the dispatcher rejects new queries and clients at once, with the reason, and serves
-// those that it has.
+// TestOverloadLimits checks that the dispatcher, at its own limits, rejects new queries and clients at once
+// and with the reason, and serves those that it has already admitted.
 func TestOverloadLimits(t *testing.T) {
 	_, s := startDispatcher(
 		t,
@@ -62,11 +62,11 @@
 	}
 	for _, c := range running {
 		if seen := c.readUntil("Z"); countPrefix(seen, "C") != 1 {
-			t.Errorf("what was taken before got %v", seen)
+			t.Errorf("a query admitted before got %v", seen)
 		}
 	}
 	if _, err := third.Exec(context.Background(), "select 1", pgx.QueryExecModeSimpleProtocol); err != nil {
-		t.Errorf("after it: %v", err)
+		t.Errorf("a query after the admitted ones have ended: %v", err)
 	}
 	dialServer(t, s)
 	if _, err := pgx.Connect(context.Background(), connectionString(s, "")); sqlState(err) != "53300" ||
--- a/internal/server/recording_test.go
+++ b/internal/server/recording_test.go
@@ -12,8 +12,8 @@
 	"cresspass/internal/standin"
 )
 
-// The queries of a dispatcher are in its recording once it has closed: an entry for each query with its
-// outcome, one fingerprint for texts that differ in literals, and no text.
+// TestQueriesAreRecorded checks the recording of a dispatcher that has closed. It has an entry with the
+// outcome of each query, one fingerprint for texts that differ only in literals, and no text.
 func TestQueriesAreRecorded(t *testing.T) {
 	r := startEngines(t, 1)
 	dir := t.TempDir()
@@ -30,7 +30,7 @@
 	}
 	r.Engines[0].SetFaults(standin.Faults{ErrorShare: 1})
 	if _, err := c.Exec(context.Background(), "select 'secret-text'"); err == nil {
-		t.Error("served by an engine that fails each query")
+		t.Error("a query was served by an engine that fails each query")
 	}
 	s.Close()
 	files, err := os.ReadDir(dir)
@@ -40,18 +40,18 @@
 	path := filepath.Join(dir, files[0].Name())
 	_, all, skipped, err := recording.Load(path)
 	if err != nil || skipped > 0 || len(all) != 21 {
-		t.Fatalf("%d entries, %v", len(all), err)
+		t.Fatalf("%d entries, %v, want 21", len(all), err)
 	}
 	outcomes, fingerprints := map[recording.Outcome]int{}, map[uint64]bool{}
 	for _, e := range all {
 		outcomes[e.Outcome]++
 		fingerprints[e.Fingerprint] = true
 		if e.Elapsed <= 0 || e.Class == "" || e.Dispatcher == "" {
-			t.Errorf("%+v", e)
+			t.Errorf("entry without elapsed time, class or dispatcher: %+v", e)
 		}
 	}
 	if outcomes[recording.Served] != 20 || len(fingerprints) != 1 {
-		t.Errorf("outcomes %v, %d fingerprints", outcomes, len(fingerprints))
+		t.Errorf("outcomes %v, %d fingerprints, want 20 served and 1", outcomes, len(fingerprints))
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/server/replayed_setting_test.go
+++ b/internal/server/replayed_setting_test.go
@@ -9,9 +9,10 @@
 	"github.com/jackc/pgx/v5"
 )
 
-// Settings that are replayed do not make a session sticky: each of its statements finds them on any engine,
-// and nobody else's does. What was rolled back, or failed, is not in force; a wrong value of the startup
-// packet is the engine's error at each statement, and no query runs without its session's settings.
+// TestSettingsAreReplayed checks that settings that the dispatcher replays do not make a session sticky. They
+// are in force for each of the session's statements, on any engine, and for no other session. Settings that
+// were rolled back or failed are not in force. After an invalid value in the startup packet each statement
+// gets the engine's error, and no query runs without its session's settings.
 func TestSettingsAreReplayed(t *testing.T) {
 	r, s := startDispatcher(t, 3, baseSettings)
 	sessions := []*wireClient{dialServer(t, s), dialServer(t, s), dialServer(t, s)}
@@ -27,12 +28,12 @@
 	sessions[2].query("set search_path = e; select 'syntax error'")
 	sessions[2].query("set datestyle = wrong")
 	if n := s.StickySessions(); n != 0 {
-		t.Errorf("%d sessions are sticky by settings that are replayed", n)
+		t.Errorf("%d sessions are sticky because of settings that are replayed, want 0", n)
 	}
 	want := [][]string{{"D:a, b"}, {"D:c", "D:Asia/Tokyo"}, {"D:"}}
 	for i := range 40 {
 		var wg sync.WaitGroup
-		for n, c := range sessions { // concurrently, so that they meet on all engines
+		for n, c := range sessions { // concurrently, so that the sessions share all engines
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
@@ -48,13 +49,13 @@
 	}
 	for n := range sessions {
 		if got := runsByEngine(r, fmt.Sprint("s", n)); len(got) < 2 {
-			t.Errorf("session %d ran on engines %v only", n, got)
+			t.Errorf("session %d: statements by engine %v, want several engines", n, got)
 		}
 	}
 	ctx := context.Background()
 	c := connect(t, s, "&timezone=Europe/Paris&search_path=x,y")
 	if got := c.PgConn().ParameterStatus("TimeZone"); got != "Europe/Paris" {
-		t.Errorf("time zone %q reported at the start", got)
+		t.Errorf("time zone %q reported at the start, want Europe/Paris", got)
 	}
 	for range 5 {
 		if got, err := showSetting(ctx, c, "search_path"); got != "x,y" || err != nil {
@@ -67,23 +68,23 @@
 		}
 	}
 	if got, err := showSetting(ctx, c, "search_path"); got != "x,y" || err != nil {
-		t.Errorf("after RESET: %q, %v", got, err)
+		t.Errorf("search_path after RESET: %q, %v", got, err)
 	}
 	bad := connect(t, s, "&datestyle=wrong")
 	for range 3 {
 		if _, err := bad.Exec(ctx, "select 1 /*id='without'*/"); sqlState(err) != "22023" {
-			t.Errorf("with a wrong setting of the startup packet: %v", err)
+			t.Errorf("query after an invalid setting in the startup packet: %v, want 22023", err)
 		}
 	}
 	if got := runsByEngine(r, "without"); len(got) > 0 {
-		t.Errorf("run without its settings on %v", got)
+		t.Errorf("the query ran without its session's settings on engines %v", got)
 	}
 	if _, err := c.Exec(ctx, "select 1"); err != nil {
 		t.Error(err)
 	}
 }
 
-// showSetting runs SHOW by the simple protocol.
+// showSetting returns the value of a setting, by SHOW over the simple protocol.
 func showSetting(ctx context.Context, c *pgx.Conn, name string) (string, error) {
 	all, err := c.PgConn().Exec(ctx, "show "+name).ReadAll()
 	if err != nil {
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -10,7 +10,8 @@
 	_ "github.com/lib/pq"
 )
 
-// Each client library and query mode gets rows from an engine.
+// TestClientsAreServed checks that each client library and query mode gets rows, command tags and errors from
+// an engine.
 func TestClientsAreServed(t *testing.T) {
 	_, s := startDispatcher(t, 2, baseSettings)
 	ctx := context.Background()
--- a/internal/server/session_balance_test.go
+++ b/internal/server/session_balance_test.go
@@ -9,9 +9,10 @@
 	"cresspass/internal/dispatch"
 )
 
-// sessionBlindDecider hides sticky sessions from the module.
+// sessionBlindDecider hides sticky sessions from its decider.
 type sessionBlindDecider struct{ dispatch.Decider }
 
+// Handle passes on the events without the openings and counts of sticky sessions.
 func (d sessionBlindDecider) Handle(now time.Duration, events []cresspass.Event,
 	actions []cresspass.Action) []cresspass.Action {
 	visible := events[:0]
@@ -23,9 +24,9 @@
 	return d.Decider.Handle(now, visible, actions)
 }
 
-// A third of the engines restart; their clients open sessions again, and so do new ones. As the module
-// counts idle sessions, they become balanced; without the counts they would pile up on engines where
-// nothing runs.
+// TestStickySessionsAreBalanced restarts a third of the engines; their clients and new ones open sessions
+// again. As the module counts idle sessions, these are balanced. Without the counts they would accumulate on
+// engines where no query runs.
 func TestStickySessionsAreBalanced(t *testing.T) {
 	spread := func(reportSessions bool) (maxSessions, minSessions int) {
 		r := startEngines(t, 6)
@@ -58,7 +59,7 @@
 			}
 		}
 		r.Publish()
-		time.Sleep(300 * time.Millisecond) // the lost sessions' clients see their ends
+		time.Sleep(300 * time.Millisecond) // until the clients of the lost sessions are told
 		lost := 0
 		for c := range open {
 			c.conn.SetReadDeadline(time.Now().Add(time.Millisecond))
@@ -82,7 +83,7 @@
 	}
 	maxSessions, minSessions := spread(true)
 	if maxSessions > 2*minSessions || minSessions == 0 {
-		t.Errorf("from %d to %d sessions on an engine", minSessions, maxSessions)
+		t.Errorf("%d to %d sessions on an engine, want at most twice the minimum", minSessions, maxSessions)
 	}
-	spread(false) // for the figures
+	spread(false) // logs the sessions without the counts, for comparison
 }
--- a/internal/server/stale_statement_test.go
+++ b/internal/server/stale_statement_test.go
@@ -12,13 +12,14 @@
 	"cresspass/internal/discovery/eds"
 )
 
-// gatedProxy stands in front of an engine and forwards connections only once it is opened.
+// gatedProxy accepts connections for an engine and forwards them only once opened is closed.
 type gatedProxy struct {
 	net.Listener
-	arrivals chan struct{} // one for each connection
-	opened   chan struct{} // closed: connections are forwarded
+	arrivals chan struct{} // receives one value for each connection
+	opened   chan struct{} // connections are forwarded once it is closed
 }
 
+// newGatedProxy returns a proxy for an engine's address, with its gate shut.
 func newGatedProxy(t *testing.T, engine string) *gatedProxy {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,6 +41,7 @@
 	return g
 }
 
+// forward connects a connection with the engine once the proxy is opened.
 func (g *gatedProxy) forward(c net.Conn, engine string) {
 	defer c.Close()
 	<-g.opened
@@ -48,13 +50,13 @@
 		return
 	}
 	defer upstream.Close()
-	go func() { _, _ = io.Copy(c, upstream) }() // its end is the connection's
+	go func() { _, _ = io.Copy(c, upstream) }() // ends with the connection
 	_, _ = io.Copy(upstream, c)
 }
 
-// A statement that waits for its engine's connection is not sent when meanwhile its client has gone, or its
-// engine drains and the grace is over; neither is one that changes data, which runs to its end once it is
-// sent.
+// TestStaleStatementIsNotSent checks that a statement that waits for an engine connection is not sent if
+// meanwhile its client has left, or its engine drains and the grace is over. The statement changes data: once
+// sent, it would run to completion.
 func TestStaleStatementIsNotSent(t *testing.T) {
 	for name, invalidate := range map[string]func(t *testing.T, w *pendingStatement){
 		"its client has gone": func(t *testing.T, w *pendingStatement) { w.client.conn.Close() },
@@ -87,7 +89,7 @@
 	}
 }
 
-// pendingStatement is a statement whose engine connection is not open yet.
+// pendingStatement is a statement that waits for its engine connection.
 type pendingStatement struct {
 	client *wireClient
 	drain  func()
--- a/internal/server/sticky_session_benchmark_test.go
+++ b/internal/server/sticky_session_benchmark_test.go
@@ -12,8 +12,8 @@
 	"cresspass/internal/standin"
 )
 
-// BenchmarkStickyStatement measures a statement of a session in a transaction against one of a free
-// session, the same client.
+// BenchmarkStickyStatement compares a statement of a session in a transaction with one of a free session. The
+// client is the same.
 func BenchmarkStickyStatement(b *testing.B) {
 	r, err := testbed.New(
 		standin.EngineConfig{Kind: testbed.EngineKind(64, 4096)},
@@ -51,8 +51,8 @@
 	}
 }
 
-// BenchmarkIdleStickySession measures what an idle session in a transaction holds, client, dispatcher and
-// stand-in together, in kB each: the three share this process.
+// BenchmarkIdleStickySession measures the memory per idle session in a transaction, in kB. The client, the
+// dispatcher and the stand-in engine share the process, so it is the memory of all three.
 func BenchmarkIdleStickySession(b *testing.B) {
 	r, err := testbed.New(standin.EngineConfig{Kind: testbed.EngineKind(64, 4096)})
 	if err != nil {
--- a/internal/server/sticky_session_fault_test.go
+++ b/internal/server/sticky_session_fault_test.go
@@ -17,16 +17,16 @@
 	"cresspass/internal/rehearsal/testbed"
 )
 
-// openSessionOn begins a transaction on one of the engines and returns its session.
+// openSessionOn begins a transaction on the engine with an index and returns its session.
 func openSessionOn(t *testing.T, r *testbed.Testbed, addr string, at int) *wireClient {
 	t.Helper()
-	for i := range r.Engines { // the module chooses: for the moment there is no other engine
+	for i := range r.Engines { // the module chooses the engine, so the others are unlisted until the return
 		if i != at && r.State(i) == eds.StateActive {
 			r.UpdateEngine(i, func(e *eds.Engine) { e.State = "" })
 			defer r.UpdateEngine(i, func(e *eds.Engine) { e.State = eds.StateActive })
 		}
 	}
-	for n := range 1000 { // an engine that died is ejected for a while
+	for n := range 1000 { // retries, as an engine that has died is ejected for a while
 		c := dialAddress(t, addr)
 		id := fmt.Sprintf("open-%p-%d", c, n)
 		c.query("begin /*id='" + id + "'*/")
@@ -38,12 +38,13 @@
 		c.conn.Close()
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatal("no session came to the engine")
+	t.Fatal("no session was opened on the engine")
 	return nil
 }
 
-// Hundreds of sessions with drains, engine deaths and clients that disconnect: no session's statements run
-// on two engines, and no connection goes to another session with an open transaction or a temporary table.
+// TestSessionsUnderFaults runs 2000 sessions while engines drain and die and clients disconnect. It checks
+// that no session's statements run on two engines, and that no session gets a connection with another
+// session's open transaction or temporary table.
 func TestSessionsUnderFaults(t *testing.T) {
 	r, s := startDispatcher(t, 4, baseSettings)
 	stop := make(chan struct{})
@@ -57,7 +58,7 @@
 				return
 			case <-time.After(150 * time.Millisecond):
 			}
-			n := i % 3 // the fourth is left alone
+			n := i % 3 // the fourth engine has no faults
 			if i%2 == 0 {
 				r.UpdateEngine(n, func(e *eds.Engine) { e.State = eds.StateDraining })
 				time.Sleep(500 * time.Millisecond)
@@ -94,7 +95,7 @@
 	close(stop)
 	faults.Wait()
 	for i := range sessions {
-		// A BEGIN whose engine died may get an attempt on another: no session is open yet.
+		// A BEGIN whose engine has died may be retried on another engine, as the session is not open yet.
 		open := runsByEngine(r, fmt.Sprintf("u%d", i))
 		begun := runsByEngine(r, fmt.Sprintf("u%d-0", i))
 		for at := range open {
@@ -103,18 +104,18 @@
 			}
 		}
 		if len(open) > 1 {
-			t.Errorf("session %d ran on engines %v", i, open)
+			t.Errorf("session %d: statements by engine %v, want one engine", i, open)
 		}
 	}
 	if ends["leak"] > 0 || ends["done"] < sessions/2 {
-		t.Errorf("ends %v", ends)
+		t.Errorf("ends %v, want no leak and at least half of the sessions done", ends)
 	}
 	t.Logf("ends %v", ends)
 	eventually(t, "all ended", func() bool { st := s.Stats(); return st.Open == 0 && st.Running == 0 })
 }
 
-// runSession is a session: it checks that it finds nothing of another's, then runs a transaction that uses
-// a temporary table. It returns how it ended.
+// runSession opens a session, checks that it does not see another session's temporary table, and runs a
+// transaction that uses one. It returns how the session ended.
 func runSession(addr, name string, i int) string {
 	ctx := context.Background()
 	c, err := pgx.Connect(ctx,
@@ -129,7 +130,7 @@
 	for n, text := range []string{"begin", "create temp table tmp_mine (a int)", "select 1 from tmp_mine",
 		"insert into t values (1)", "select 1 from tmp_mine", "commit"} {
 		if i%11 == 0 && n == 3 {
-			c.PgConn().Conn().Close() // disconnects in the middle
+			c.PgConn().Conn().Close() // disconnects within the transaction
 			return "disconnected"
 		}
 		time.Sleep(time.Duration(rand.IntN(20)) * time.Millisecond)
@@ -140,8 +141,9 @@
 	return "done"
 }
 
-// A drain between Parse and Execute: a free session moves to another engine unnoticed, one in a transaction
-// stays. The grace is long, as the test is of what happens within it.
+// TestDrainBetweenParseAndExecute checks an engine's drain between Parse and Execute. A free session
+// continues on another engine and its client does not notice; a session in a transaction stays. The grace is
+// long, as the test is about what happens within it.
 func TestDrainBetweenParseAndExecute(t *testing.T) {
 	const short, long = `drain_grace = "500ms"`, `drain_grace = "10s"`
 	r, s := startDispatcher(t, 2, strings.Replace(baseSettings, short, long, 1))
@@ -157,7 +159,7 @@
 		c.send(&pgproto3.Bind{PreparedStatement: "p", Parameters: [][]byte{[]byte(fmt.Sprint("x", i,
 			";rows=2"))}}, &pgproto3.Execute{}, &pgproto3.Sync{})
 		if seen := c.readUntil("Z"); countPrefix(seen, "D") != 2 {
-			t.Errorf("session %d: %v", i, seen)
+			t.Errorf("session %d got %v, want two rows", i, seen)
 		}
 	}
 	for i, want := range []string{"x0", "x1"} {
@@ -170,12 +172,12 @@
 		}
 	}
 	if seen := inTx.query("commit"); countPrefix(seen, "C") != 1 {
-		t.Errorf("commit inside the grace: %v", seen)
+		t.Errorf("commit within the grace: %v", seen)
 	}
 }
 
-// A drain while a COMMIT is in flight, and the engine's death: the client gets what the engine did, or that
-// it is not known.
+// TestDrainAndEngineLossAtCommit checks a COMMIT that is in flight while its engine drains or dies. The
+// client gets the engine's result, or an error that says that the outcome is not known.
 func TestDrainAndEngineLossAtCommit(t *testing.T) {
 	r, s := startDispatcher(t, 1, baseSettings)
 	ends := map[string]int{}
@@ -205,7 +207,7 @@
 			reported == "E:08007" && engineLost,
 			reported == "CE:57P02" && engineLost:
 		case reported == "E:08006" && engineLost && !committed:
-			// The COMMIT was not sent: rolled back, as the error says.
+			// The COMMIT was not sent and the transaction was rolled back, as the error says.
 		default:
 			t.Errorf(
 				"%d: the client got %q, the engine committed: %v, engine lost: %v",
@@ -229,8 +231,8 @@
 	t.Logf("reported %v", ends)
 }
 
-// A transaction whose client stops reading in the middle of a response ends with the client's deadline, so
-// that it does not hold its locks at the engine for as long as the client likes.
+// TestClientStopsReadingInATransaction guards against a transaction that holds its locks on the engine for as
+// long as its client does not read a response. It has to end at the query's deadline.
 func TestClientStopsReadingInATransaction(t *testing.T) {
 	r, s := startDispatcher(t, 1, strings.Replace(baseSettings, `deadline = "5s"`, `deadline = "1s"`, 1))
 	c := dialServer(t, s)
@@ -241,15 +243,15 @@
 	if n := r.Engines[0].Sessions(); n != 1 {
 		t.Fatalf("%d sessions", n)
 	}
-	eventually(t, "its session has ended at the engine", func() bool { return r.Engines[0].Sessions() == 0 })
+	eventually(t, "its session has ended on the engine", func() bool { return r.Engines[0].Sessions() == 0 })
 	other := dialServer(t, s)
 	if seen := other.query("select pg_advisory_lock(7)"); countPrefix(seen, "E") != 0 {
-		t.Errorf("the lock: %v", seen)
+		t.Errorf("the lock is not released: %v", seen)
 	}
 }
 
-// A cancel request that arrives as the transaction ends and its connection goes to another client never
-// cancels that client's statement.
+// TestCancelDuringConnectionHandOver guards against a cancel request that cancels another client's statement,
+// because it arrives when the transaction ends and its engine connection passes to that client.
 func TestCancelDuringConnectionHandOver(t *testing.T) {
 	r, s := startDispatcher(t, 1, baseSettings)
 	b := dialServer(t, s)
@@ -279,13 +281,13 @@
 	}
 	for _, v := range r.Engines[0].Runs() {
 		if v.Outcome == "cancelled" {
-			t.Errorf("%+v was cancelled by a request that was not for it", v)
+			t.Errorf("%+v was cancelled by a request for another statement", v)
 		}
 	}
 }
 
-// A thousand sessions on a draining engine: those in transactions may finish, and all have ended within the
-// grace. No new session goes there.
+// TestThousandSessionsDrain checks a thousand sessions on a draining engine. Those in transactions may
+// finish, all have ended by the end of the grace, and no new session is opened on the engine.
 func TestThousandSessionsDrain(t *testing.T) {
 	r, s := startDispatcher(
 		t,
@@ -314,7 +316,7 @@
 		if i%2 == 0 {
 			text = "begin"
 		}
-		for range 50 { // a thousand at once are more than are admitted; a rejected one retries
+		for range 50 { // a thousand at once are more than are admitted, so a rejected one is retried
 			c.send(&pgproto3.Query{String: text})
 			if seen := c.readToEnd(); seen[0] == "C" {
 				break
@@ -323,7 +325,7 @@
 		}
 	})
 	if got := r.Engines[0].Sessions(); got != n || s.StickySessions() != n {
-		t.Fatalf("%d sessions at the engine, %d sticky", got, s.StickySessions())
+		t.Fatalf("%d sessions on the engine, %d sticky ones, want 1000 each", got, s.StickySessions())
 	}
 	r.UpdateEngine(1, func(e *eds.Engine) { e.State = eds.StateActive })
 	r.UpdateEngine(0, func(e *eds.Engine) { e.State = eds.StateDraining })
@@ -332,7 +334,7 @@
 	var mu sync.Mutex
 	ends := map[string]int{}
 	each(func(i int, c *wireClient) {
-		if i%4 == 0 { // in a transaction, and done in time
+		if i%4 == 0 { // in a transaction, and commits in time
 			c.send(&pgproto3.Query{String: "commit"})
 		}
 		end := fmt.Sprint(c.readToEnd())
@@ -340,11 +342,11 @@
 		ends[end]++
 		mu.Unlock()
 	})
-	eventually(t, "no session is left at the engine", func() bool { return r.Engines[0].Sessions() == 0 })
+	eventually(t, "no session is left on the engine", func() bool { return r.Engines[0].Sessions() == 0 })
 	took := time.Since(drainedAt)
 	t.Logf("%v; all sessions had ended after %v", ends, took.Round(time.Millisecond))
 	if ends["[C Z]"] != n/4 || ends["[E:57P01]"] != 3*n/4 {
-		t.Errorf("ends %v", ends)
+		t.Errorf("ends %v, want a quarter committed and the others ended by 57P01", ends)
 	}
 	for _, v := range r.Engines[0].Runs() {
 		if v.Class == "BEGIN" && v.Begun.After(drainedAt.Add(400*time.Millisecond)) {
--- a/internal/server/sticky_session_test.go
+++ b/internal/server/sticky_session_test.go
@@ -13,8 +13,8 @@
 	"cresspass/internal/standin"
 )
 
-// Transactions of ordinary drivers, temporary tables and settings find what the session left, on one
-// engine; the next session finds nothing of it.
+// TestSessionsAreSticky checks that a session's transactions, temporary tables and settings are on one engine
+// and visible to its later statements, with several query modes and drivers, and not to other sessions.
 func TestSessionsAreSticky(t *testing.T) {
 	r, s := startDispatcher(t, 3, baseSettings)
 	ctx := context.Background()
@@ -36,7 +36,7 @@
 			t.Fatal(mode, err)
 		}
 		if got := runsByEngine(r, name); len(got) != 1 {
-			t.Errorf("%s: a transaction ran on engines %v", mode, got)
+			t.Errorf("%s: a transaction's statements by engine %v, want one engine", mode, got)
 		}
 		// A failed transaction stays failed until its end.
 		if tx, err = c.Begin(ctx); err != nil {
@@ -62,7 +62,7 @@
 		if _, err := other.Exec(ctx, "select 1 from tmp_a"); sqlState(err) != "42P01" {
 			t.Errorf("%s: another session sees the table: %v", mode, err)
 		}
-		if i%2 == 0 { // released by its statement, else by its client's disconnect
+		if i%2 == 0 { // released by DISCARD ALL, otherwise by the client's disconnect
 			if _, err := c.Exec(ctx, "discard all"); err != nil {
 				t.Error(mode, err)
 			}
@@ -93,9 +93,10 @@
 	}
 }
 
-// A transaction on a draining engine may finish within the grace; one that does not ends with 57P01. A
-// session that is sticky by state gets a notice at once and ends at the deadline. New sessions go
-// elsewhere. An engine's death after COMMIT was sent leaves the outcome unknown, and the error says so.
+// TestSessionsEndOnDrainAndEngineLoss checks sessions on a draining engine. A transaction may finish within
+// the grace, and otherwise ends with 57P01. A session that is sticky because of its state gets a notice at
+// once and ends at the end of the grace. New sessions are opened on other engines. The test also checks that
+// the error says that the outcome is unknown if an engine dies after COMMIT was sent.
 func TestSessionsEndOnDrainAndEngineLoss(t *testing.T) {
 	r, s := startDispatcher(t, 2, baseSettings)
 	on := func(c *wireClient, id string) int {
@@ -138,7 +139,7 @@
 		t.Errorf("a sticky session got %v", seen)
 	}
 	if seen := quick.query("insert into t values (1); commit"); countPrefix(seen, "C") < 2 {
-		t.Errorf("a commit inside the grace got %v", seen)
+		t.Errorf("a commit within the grace got %v", seen)
 	}
 	for name, c := range map[string]*wireClient{"in a transaction": slow, "sticky": sticky} {
 		if seen := c.readUntil("E:57P01"); len(seen) != 1 {
@@ -148,79 +149,80 @@
 	for i := range 10 {
 		c := dialServer(t, s)
 		if got := on(c, fmt.Sprint("n", i)); got == at {
-			t.Fatal("a new session went to a draining engine")
+			t.Fatal("a new session was opened on a draining engine")
 		}
 		c.conn.Close()
 	}
-	// The engine's death after COMMIT.
+	// The engine cuts its response off after it got the COMMIT.
 	other := 1 - at
 	c := dialServer(t, s)
 	on(c, "last")
 	r.Engines[other].SetFaults(standin.Faults{Cut: 1})
 	c.send(&pgproto3.Query{String: "insert into t values (1); commit"})
 	if seen := c.readUntil("E:08007"); len(seen) == 0 {
-		t.Errorf("lost after commit: %v", seen)
+		t.Errorf("engine lost after COMMIT was sent: %v", seen)
 	}
 	eventually(t, "all ended", func() bool { st := s.Stats(); return st.Open == 0 && st.Running == 0 })
 }
 
-// A function that makes a temporary table makes its session sticky, which finds the table again and nobody
-// else does; so does one that changes a setting. A query that was answered without its result leaves
-// nothing to the next one on its connection.
+// TestUnknownEffectsMakeSessionSticky checks that a function that creates a temporary table makes its session
+// sticky, and that only this session sees the table. The same holds for a function that changes a setting. It
+// also checks that a query that was answered before its result leaves no state on its engine connection.
 func TestUnknownEffectsMakeSessionSticky(t *testing.T) {
 	_, s := startDispatcher(t, 2, baseSettings+"sessions {\n  harmless = [\"geo_*\"]\n}\n")
 	a, b := dialServer(t, s), dialServer(t, s)
 	a.query("select geo_area(1)")
 	if n := s.StickySessions(); n != 0 {
-		t.Error("a function that the settings call harmless makes its session sticky")
+		t.Error("a function that the settings list as harmless made its session sticky")
 	}
 	a.query("select make_temp(1)")
 	for range 10 {
 		if seen := a.query("select 1 from tmp_made"); countPrefix(seen, "E") != 0 ||
 			s.StickySessions() != 1 {
-			t.Fatalf("a table made by a function: %v, %d sticky sessions", seen, s.StickySessions())
+			t.Fatalf("query of a function's table: %v, %d sticky sessions", seen, s.StickySessions())
 		}
 		if seen := b.query("select 1 from tmp_made"); countPrefix(seen, "E:42P01") != 1 {
-			t.Fatalf("another's table: %v", seen)
+			t.Fatalf("query of another session's table: %v, want 42P01", seen)
 		}
 	}
 	a.query("discard all")
 	if n := s.StickySessions(); n != 0 {
-		t.Error("DISCARD ALL does not release")
+		t.Error("DISCARD ALL did not release the session")
 	}
-	// It is harmless by the settings, and is not: the engine reports the setting.
+	// The settings list the function as harmless, but it is not: the engine reports a changed setting.
 	a.query("select geo_sneaky_set(1)")
 	if n := s.StickySessions(); n != 1 {
-		t.Error("a setting changed by a function is not noticed")
+		t.Error("a setting changed by a function did not make its session sticky")
 	}
 	for range 10 {
 		if seen := b.query("select 1; show timezone"); countPrefix(seen, "D:Mars") != 0 {
-			t.Fatalf("another's setting: %v", seen)
+			t.Fatalf("another session's setting is in force: %v", seen)
 		}
 	}
-	// The statement runs longer than its client's deadline; nobody may find what it leaves.
+	// The statement runs longer than its client's deadline. No session may see the table that it creates.
 	c := dialServer(t, s)
 	c.query("set statement_timeout = 150")
 	for range 4 {
 		seen := c.query("create temp table tmp_late (a int) /*state_ms='400'*/")
 		if countPrefix(seen, "E") != 1 {
-			t.Fatalf("a statement that takes longer than its client's deadline: %v", seen)
+			t.Fatalf("a statement that runs longer than its client's deadline: %v, want one error", seen)
 		}
 		c.query("set statement_timeout = 0")
 		c.query("set statement_timeout = 150")
 	}
 	time.Sleep(600 * time.Millisecond)
-	for range 16 { // each stays on its connection, so that all open ones are used
+	for range 16 { // each session keeps its connection, so that all open connections are used
 		d := dialServer(t, s)
 		d.query("begin")
 		if seen := d.query("select 1 from tmp_late"); countPrefix(seen, "E:42P01") != 1 {
-			t.Errorf("a table left by a query that was answered: %v", seen)
+			t.Errorf("query of a table that an answered query has left: %v, want 42P01", seen)
 		}
 	}
 }
 
-// Limits of sticky sessions: one too many is rejected before anything ran, an idle transaction is ended,
-// and a statement that was rejected leaves its session free.
+// TestSessionLimits checks the limits of sticky sessions. A session beyond the maximum is rejected before any
+// statement of it runs, an idle transaction is ended, and a rejected statement does not make its session
+// sticky.
 func TestSessionLimits(t *testing.T) {
 	_, s := startDispatcher(
 		t,
@@ -232,14 +234,14 @@
 		x.query("begin")
 	}
 	if seen := c.query("begin"); countPrefix(seen, "E:53000") != 1 {
-		t.Errorf("a third session of two: %v", seen)
+		t.Errorf("a third session with a maximum of two: %v, want 53000", seen)
 	}
 	if seen := c.query("select 1 /*echo='free'*/"); countPrefix(seen, "D:free") != 1 {
 		t.Errorf("after the rejection: %v", seen)
 	}
 	for _, x := range []*wireClient{a, b} {
 		if seen := x.readUntil("E:25P03"); len(seen) != 1 {
-			t.Errorf("an idle transaction: %v", seen)
+			t.Errorf("an idle transaction: %v, want 25P03", seen)
 		}
 	}
 	eventually(t, "capacity again", func() bool {
@@ -247,9 +249,9 @@
 	})
 	c.query("rollback")
 	if seen := c.query("select pg_advisory_lock(1) /*class='nowhere'*/"); countPrefix(seen, "E:53000") != 1 {
-		t.Errorf("a statement that no engine takes: %v", seen)
+		t.Errorf("a statement whose class no engine serves: %v, want 53000", seen)
 	}
 	if n := s.StickySessions(); n != 0 {
-		t.Errorf("%d sessions are sticky", n)
+		t.Errorf("%d sessions are sticky, want 0", n)
 	}
 }
--- a/internal/server/suite_client_test.go
+++ b/internal/server/suite_client_test.go
@@ -13,19 +13,23 @@
 	"github.com/jackc/pgx/v5"
 )
 
-// suiteClient is a front's client as the suite sees it: rows as text, errors as SQLSTATE and what they
-// promise.
+// suiteClient is a client of a frontend as the test suite uses it. Errors are returned as their SQLSTATE, ""
+// for none.
 type suiteClient interface {
+	// query returns a statement's rows, with their values as text; null is `\N`.
 	query(t *testing.T, text string, params ...string) ([][]string, string)
+	// exec returns the number of rows that a statement has changed.
 	exec(t *testing.T, text string, params ...string) (int64, string)
+	// begin begins a transaction and returns the function that ends it.
 	begin(t *testing.T) (end func(commit bool) string)
+	// set sets a setting of the session.
 	set(t *testing.T, name, value string)
 }
 
 // pgSuiteClient is a client of the PostgreSQL frontend.
 type pgSuiteClient struct{ conn *pgx.Conn }
 
-// pgSQLState is the SQLSTATE of an error, "" for none, or its text.
+// pgSQLState returns the SQLSTATE of an error, "" for no error, or the error's text if it has no SQLSTATE.
 func pgSQLState(err error) string {
 	if err == nil {
 		return ""
@@ -33,7 +37,8 @@
 	return sqlState(err)
 }
 
-// run runs a statement by the extended protocol.
+// run runs a statement over the extended protocol. It returns the rows, the SQLSTATE and the number of rows
+// in the command tag.
 func (p pgSuiteClient) run(text string, params []string) ([][]string, string, int64) {
 	args := make([][]byte, len(params))
 	for i, v := range params {
@@ -88,13 +93,14 @@
 	}
 }
 
-// flightSuiteClient is a client of the Flight SQL frontend; in a transaction its statements carry its id.
+// flightSuiteClient is a client of the Flight SQL frontend. Its statements carry the ID of the open
+// transaction.
 type flightSuiteClient struct {
 	client *flightClient
-	tx     *flightsql.Txn
+	tx     *flightsql.Txn // nil: no transaction is open
 }
 
-// prepare prepares a statement with its parameters, in the transaction if there is one.
+// prepare prepares a statement with its parameters, in the transaction if one is open.
 func (f *flightSuiteClient) prepare(text string, params []string) (*flightsql.PreparedStatement, error) {
 	var p *flightsql.PreparedStatement
 	var err error
@@ -119,7 +125,7 @@
 	return p, nil
 }
 
-// textSchema has n text columns.
+// textSchema returns a schema of n text columns.
 func textSchema(n int) *arrow.Schema {
 	var fields []arrow.Field
 	for i := range n {
--- a/internal/server/transparency_test.go
+++ b/internal/server/transparency_test.go
@@ -20,8 +20,9 @@
 	"cresspass/internal/standin"
 )
 
-// A script of statements gets the same messages, to the byte, from one engine directly and through the
-// dispatcher with three, but for what names the server or the moment.
+// TestScriptMatchesDirectConnection checks that a script of statements gets the same messages, byte for byte,
+// from one engine directly and through the dispatcher with three engines. Parameters, error texts and the
+// messages of the startup are not compared.
 func TestScriptMatchesDirectConnection(t *testing.T) {
 	_, s := startDispatcher(t, 3, baseSettings)
 	direct, err := standin.NewEngine(standin.EngineConfig{Kind: testbed.EngineKind(8, 4096)})
@@ -58,7 +59,7 @@
 	extended("", "copy t from stdin /*bad_line='1',extended='1'*/", "")
 	extended("", "copy t to stdout /*rows='3'*/", "")
 	extended("", "begin", "")
-	// at Parse it comes behind ParseComplete
+	// Sent as a simple query: at Parse the error would come after ParseComplete.
 	script = append(script, &pgproto3.Query{String: "select 'syntax error'"})
 	extended("s4", "select $1::text", "in a failed transaction")
 	extended("s5", "rollback", "")
@@ -75,8 +76,8 @@
 	}
 }
 
-// Random sessions: whatever a client sends in whatever order, through the dispatcher with three engines it
-// gets the bytes that one engine sends.
+// TestRandomSessionsMatchDirectConnection checks that random sessions get the same messages, byte for byte,
+// from one engine directly and through the dispatcher with three engines.
 func TestRandomSessionsMatchDirectConnection(t *testing.T) {
 	_, s := startDispatcher(t, 3, baseSettings)
 	direct, err := standin.NewEngine(standin.EngineConfig{Kind: testbed.EngineKind(8, 4096)})
@@ -120,9 +121,9 @@
 	eventually(t, "all sessions are free", func() bool { return s.StickySessions() == 0 })
 }
 
-// A transaction that sets a setting, overrides it by SET LOCAL and resets it leaves the default, in which the
-// next client finds the engine connection. Random sessions found it only where the next one happened to be on
-// that connection.
+// TestResetAfterSetLocalLeavesDefault guards against a setting that stays on an engine connection for the
+// next client. A transaction sets the setting, overrides it by SET LOCAL and resets it, which must leave the
+// default. Random sessions find the fault only if the next session happens to get the same connection.
 func TestResetAfterSetLocalLeavesDefault(t *testing.T) {
 	_, s := startDispatcher(t, 1, baseSettings)
 	for _, reset := range []string{"reset search_path", "reset all"} {
@@ -135,12 +136,13 @@
 		}
 		next := dialServer(t, s)
 		if seen := next.query("show search_path"); !slices.Contains(seen, "D:") {
-			t.Errorf("after %s another client finds %v", reset, seen)
+			t.Errorf("after %s another client gets %v, want an empty search_path", reset, seen)
 		}
 	}
 }
 
-// The connection pool and the batches of pgx.
+// TestPoolsAndBatches checks that each transaction of a pgx connection pool, with a batch of statements, runs
+// on one engine.
 func TestPoolsAndBatches(t *testing.T) {
 	r, s := startDispatcher(t, 3, baseSettings)
 	ctx := context.Background()
@@ -175,15 +177,15 @@
 		got := runsByEngine(r, fmt.Sprintf("p%d", i))
 		for _, n := range got {
 			if len(got) != 1 || n != 6 {
-				t.Errorf("transaction %d ran on %v", i, got)
+				t.Errorf("transaction %d: statements by engine %v, want 6 on one engine", i, got)
 			}
 		}
 	}
 	eventually(t, "all sessions are free", func() bool { return s.StickySessions() == 0 })
 }
 
-// Portals that are fetched in parts within a transaction, two of them alternately, and COPY TO, which
-// streams.
+// TestPortalsAndCopyOut checks two portals of a transaction that are fetched alternately, a few rows at a
+// time, and COPY TO, whose response is streamed.
 func TestPortalsAndCopyOut(t *testing.T) {
 	_, s := startDispatcher(t, 2, baseSettings)
 	c := dialServer(t, s)
@@ -210,7 +212,7 @@
 	}
 	c.query("commit")
 	if got := fetch("a"); got != "0 0 0 1" {
-		t.Errorf("a portal after its transaction: %s", got)
+		t.Errorf("fetch from a portal after its transaction: %s, want one error", got)
 	}
 	conn := connect(t, s, "")
 	var out bytes.Buffer
@@ -221,7 +223,8 @@
 	}
 }
 
-// transcript sends a script and returns the messages of its response, each as its bytes.
+// transcript sends a script on a connection of its own and returns the received messages, each encoded. It
+// omits the messages of the startup and ParameterStatus, and keeps only the severity and code of errors.
 func transcript(t *testing.T, addr string, script []pgproto3.FrontendMessage) (out []string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -242,7 +245,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if e, ok := m.(*pgproto3.ErrorResponse); ok { // texts are each server's own, codes are not
+			if e, ok := m.(*pgproto3.ErrorResponse); ok { // error texts differ between servers, codes do not
 				m = &pgproto3.ErrorResponse{Severity: e.Severity, Code: e.Code}
 			}
 			if _, ok := m.(*pgproto3.ParameterStatus); !ok && keep {
@@ -250,7 +253,7 @@
 				out = append(out, fmt.Sprintf("%q", b))
 			}
 			switch m.(type) {
-			case *pgproto3.CopyInResponse: // one line in three messages; then the end, or its failure
+			case *pgproto3.CopyInResponse: // sends one line in three messages, then ends or fails the copy
 				for _, s := range []string{"1\ta", "", "\n"} {
 					f.Send(&pgproto3.CopyData{Data: []byte(s)})
 				}
--- a/internal/server/unrecorded_write_test.go
+++ b/internal/server/unrecorded_write_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Guards against writes that are sent before their record is durable, and told nowhere.
+// TestUnrecordedWritesAreCounted guards against writes that are sent before their record is durable without
+// being counted.
 func TestUnrecordedWritesAreCounted(t *testing.T) {
 	s := &Server{log: slog.New(slog.DiscardHandler)}
 	durable := make(chan struct{})
@@ -16,12 +17,12 @@
 	s.afterDurable(1, durable, start)
 	s.background.Wait()
 	if got := s.UnrecordedWrites(); got != 0 {
-		t.Errorf("%d writes counted, none was sent before its record", got)
+		t.Errorf("%d writes counted, want 0: none was sent before its record", got)
 	}
-	s.afterDurable(2, nil, start)                 // dropped
-	s.afterDurable(3, make(chan struct{}), start) // the disk does not take it
+	s.afterDurable(2, nil, start)                 // the record is dropped
+	s.afterDurable(3, make(chan struct{}), start) // the record does not become durable
 	s.background.Wait()
 	if got := s.UnrecordedWrites(); got != 2 || len(started) != 4 {
-		t.Errorf("%d writes counted, want 2; %d of 4 started", got, len(started))
+		t.Errorf("%d writes counted, want 2; %d of 4 attempts started", got, len(started))
 	}
 }
--- a/internal/server/wire_client_test.go
+++ b/internal/server/wire_client_test.go
@@ -12,13 +12,13 @@
 	"cresspass/internal/server"
 )
 
-// wireClient is a PostgreSQL client that shows each message that it receives.
+// wireClient is a PostgreSQL client that returns each message that it receives.
 type wireClient struct {
 	t        *testing.T
 	conn     net.Conn
 	frontend *pgproto3.Frontend
 
-	pid    uint32 // of cancel requests, as secret
+	pid    uint32 // for cancel requests, like secret
 	secret []byte
 }
 
@@ -28,7 +28,7 @@
 	return dialAddress(t, s.Addr())
 }
 
-// dialAddress connects to any server and starts a session.
+// dialAddress connects to any PostgreSQL server and starts a session.
 func dialAddress(t *testing.T, addr string) *wireClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -42,7 +42,7 @@
 	return c
 }
 
-// send sends messages at once.
+// send sends and flushes messages.
 func (c *wireClient) send(messages ...pgproto3.FrontendMessage) {
 	c.t.Helper()
 	for _, m := range messages {
@@ -53,16 +53,16 @@
 	}
 }
 
-// query sends a query of the simple protocol and reads up to its ReadyForQuery.
+// query sends a query over the simple protocol and reads up to its ReadyForQuery.
 func (c *wireClient) query(text string) []string {
 	c.t.Helper()
 	c.send(&pgproto3.Query{String: text})
 	return c.readUntil("Z")
 }
 
-// readUntil reads up to a message of a kind and returns all kinds in order: Z, K, C, 1 and 2 as in the
-// protocol, D with the value of a row's second column, E with an error's code, others by the name of their
-// type.
+// readUntil reads up to a message of a kind and returns the kinds of all messages in order. Z, K, C, 1 and 2
+// are message types of the protocol, "D:" is followed by the value of a row's second column and "E:" by an
+// error's code. Other messages are named by their Go type.
 func (c *wireClient) readUntil(kind string) (seen []string) {
 	c.t.Helper()
 	c.conn.SetReadDeadline(time.Now().Add(15 * time.Second))
@@ -97,8 +97,8 @@
 	}
 }
 
-// readToEnd reads up to ReadyForQuery, a FATAL error or the end of the connection, and returns the ends of
-// commands and the errors.
+// readToEnd reads up to ReadyForQuery, a FATAL error or the end of the connection. It returns "C" for each
+// completed command, the errors, and the end: "Z", the FATAL error or "closed".
 func (c *wireClient) readToEnd() (seen []string) {
 	c.conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 	defer c.conn.SetReadDeadline(time.Time{})
@@ -120,7 +120,7 @@
 	}
 }
 
-// countPrefix counts the kinds of messages that begin with a prefix.
+// countPrefix returns the number of message kinds that begin with a prefix.
 func countPrefix(seen []string, prefix string) (n int) {
 	for _, kind := range seen {
 		if strings.HasPrefix(kind, prefix) {
