--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -13,9 +13,9 @@
 	case cresspass.Send:
 		c.startAttempt(action, q)
 	case cresspass.SetTimer:
-		c.timers.Schedule(c.now+action.Wait, timerTarget{ofModule: true, label: action.Label})
+		c.timers.Schedule(c.now+action.Wait, timerTarget{isModuleTimer: true, label: action.Label})
 	case cresspass.Reject, cresspass.Fail:
-		c.endUnserved(action, q)
+		c.rejectOrFail(action, q)
 	case cresspass.SetResources:
 		if q != nil {
 			q.priority, q.memoryGrantMB = action.Priority, action.MemoryGrantMB
@@ -39,8 +39,9 @@
 	}
 }
 
-// endUnserved ends a query that the decision module rejects or fails. It does nothing if the query has ended.
-func (c *Core) endUnserved(action *cresspass.Action, q *query) {
+// rejectOrFail ends a query that the decision module rejects or fails. It does nothing if the query has
+// already ended.
+func (c *Core) rejectOrFail(action *cresspass.Action, q *query) {
 	if q == nil || q.ended {
 		return
 	}
@@ -60,7 +61,7 @@
 // before the query's deadline.
 func (c *Core) startAttempt(action *cresspass.Action, q *query) {
 	if q == nil || q.ended {
-		c.declineStart(action, q)
+		c.reportNotStarted(action, q)
 		return
 	}
 	startWithin := c.startWithin(action, q)
@@ -79,9 +80,9 @@
 		StartWithin: startWithin})
 }
 
-// declineStart reports to the decision module that an attempt was not started, because its query has ended
-// (rule 1). A query may end while the module decides to start an attempt of it.
-func (c *Core) declineStart(action *cresspass.Action, q *query) {
+// reportNotStarted reports to the decision module that an attempt was not started because its query has
+// ended (rule 1). A query may end while the module decides to start an attempt of it.
+func (c *Core) reportNotStarted(action *cresspass.Action, q *query) {
 	c.stats.NotStarted++
 	if q == nil {
 		return
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -52,10 +52,10 @@
 // timerTarget tells what a timer is for: a timer of the decision module, by its label; otherwise the timeout
 // of an attempt, or the deadline of a query if attempt is noAttempt.
 type timerTarget struct {
-	ofModule bool
-	label    uint64
-	query    cresspass.QueryID
-	attempt  int
+	isModuleTimer bool
+	label         uint64
+	query         cresspass.QueryID
+	attempt       int
 }
 
 // NewCore returns a Core with a new cresspass.Gateway, its time starting at now. It returns the gateway's
@@ -138,7 +138,7 @@
 // fireTimer handles a timer that has expired.
 func (c *Core) fireTimer(target timerTarget) {
 	switch q := c.queries[target.query]; {
-	case target.ofModule:
+	case target.isModuleTimer:
 		c.events = append(c.events, cresspass.Event{Type: cresspass.TimerFired, Label: target.label})
 	case q == nil: // the query has ended
 	case target.attempt != noAttempt:
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -181,12 +181,12 @@
 	id := cresspass.QueryID(len(c.ids) + 1)
 	classes := []string{idempotentClass, keyedClass, notIdempotentClass}
 	class := rapid.SampledFrom(classes).Draw(c.T, "class")
-	left := time.Duration(rapid.SampledFrom([]int{3, 100, 1000, 2000}).Draw(c.T, "left")) * ms
+	remaining := time.Duration(rapid.SampledFrom([]int{3, 100, 1000, 2000}).Draw(c.T, "left")) * ms
 	c.ids = append(c.ids, id)
-	c.queries[id] = &observedQuery{class: class, deadline: c.now + left,
+	c.queries[id] = &observedQuery{class: class, deadline: c.now + remaining,
 		running: map[int]cresspass.EngineID{}, stopped: map[int]bool{}, startedAt: map[int]time.Duration{}}
 	return cresspass.Event{Type: cresspass.QueryArrived, Query: id, Class: class, Key: "k",
-		RemainingDeadline: left}
+		RemainingDeadline: remaining}
 }
 
 // drawOutcome draws the outcome of one of a query's running attempts.
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -136,7 +136,7 @@
 			return
 		}
 		startedAt := l.clock()
-		batch.chargeWait(startedAt)
+		batch.deductQueueTime(startedAt)
 		took := l.step(startedAt, &batch)
 		if next, scheduled := l.core.NextWakeup(); scheduled {
 			timer.Reset(max(next-l.clock(), 0))
@@ -163,8 +163,8 @@
 	inspections []func(*Core)
 }
 
-// chargeWait deducts the time that events waited in the queue from their remaining deadlines.
-func (b *pendingBatch) chargeWait(now time.Duration) {
+// deductQueueTime deducts the time that events waited in the queue from their remaining deadlines.
+func (b *pendingBatch) deductQueueTime(now time.Duration) {
 	for i := range b.events {
 		if event := &b.events[i]; event.RemainingDeadline > 0 {
 			event.RemainingDeadline -= now - b.postedAt[i]
--- a/internal/dispatch/query.go
+++ b/internal/dispatch/query.go
@@ -21,7 +21,7 @@
 	running             []attempt // that were started and have no outcome yet
 }
 
-// attempt is an attempt to run a query on an engine.
+// attempt is a running attempt of a query.
 type attempt struct {
 	number        int
 	engine        cresspass.EngineID
