--- a/internal/server/accept_test.go
+++ b/internal/server/accept_test.go
@@ -61,9 +61,9 @@
 			c := dialServer(t, s)
 			c.query("select 1")
 			f := dialFlight(t, s, "")
-			limit, cancel := context.WithTimeout(f.ctx, 5*time.Second)
+			ctx, cancel := context.WithTimeout(f.ctx, 5*time.Second)
 			defer cancel()
-			if _, err := f.Execute(limit, "select 1"); err != nil {
+			if _, err := f.Execute(ctx, "select 1"); err != nil {
 				t.Error(err)
 			}
 		})
--- a/internal/server/attempt.go
+++ b/internal/server/attempt.go
@@ -22,13 +22,13 @@
 	case dispatch.RejectQuery:
 		if q := s.lookup(o.Query); q != nil {
 			s.finishRecording(q, recording.Rejected)
-			s.forget(q)
+			s.finishUnserved(q)
 			s.respond(q, verdict.Reject(o.RetryAfter, o.MayHaveRun, s.lastError(q)))
 		}
 	case dispatch.FailQuery:
 		if q := s.lookup(o.Query); q != nil {
 			s.finishRecording(q, recording.Failed)
-			s.forget(q)
+			s.finishUnserved(q)
 			s.respond(q, verdict.Fail(s.lastError(q)))
 		}
 	case dispatch.CheckHealth:
@@ -157,16 +157,16 @@
 // outcome and false.
 func (s *Server) checkBeforeSend(q *query, attempt int, engine cresspass.EngineID,
 	startBy time.Time) (cresspass.Outcome, bool) {
-	stale := func(name invariant.Name) bool {
+	recordStale := func(name invariant.Name) bool {
 		return s.invariantGuard.Record(invariant.Result{Kind: invariant.Stale, Name: name}, q.logName())
 	}
 	select {
 	case <-q.Response.Done():
-		return cresspass.OutcomeNotStarted, stale(invariant.SentAfterEnd)
+		return cresspass.OutcomeNotStarted, recordStale(invariant.SentAfterEnd)
 	default:
 	}
 	if !time.Now().Before(startBy) {
-		return cresspass.OutcomeRejected, stale(invariant.SentAfterDeadline)
+		return cresspass.OutcomeRejected, recordStale(invariant.SentAfterDeadline)
 	}
 	result := s.invariantGuard.BeginAttempt(q.id, attempt, s.invariantTarget(q, engine), q.logName())
 	if result.OK() || s.cfg.AllowViolations {
--- a/internal/server/benchmark_test.go
+++ b/internal/server/benchmark_test.go
@@ -81,12 +81,12 @@
 func benchmarkStatements(b *testing.B, addr string, conns int) {
 	ctx := context.Background()
 	var wg sync.WaitGroup
-	var left, rejected atomic.Int64
+	var remaining, rejected atomic.Int64
 	var mu sync.Mutex
 	all := hdrhistogram.New(1, 60_000_000, 3)
-	warm, ready := make(chan struct{}), make(chan struct{})
-	var warmed sync.WaitGroup
-	left.Store(int64(b.N))
+	startWarmUp, startMeasuring := make(chan struct{}), make(chan struct{})
+	var warmUps sync.WaitGroup
+	remaining.Store(int64(b.N))
 	for range conns {
 		c, err := pgx.Connect(ctx, "postgres://u@"+addr+"/db?sslmode=disable")
 		if err != nil {
@@ -104,19 +104,19 @@
 			return err == nil
 		}
 		wg.Add(1)
-		warmed.Add(1)
+		warmUps.Add(1)
 		go func() {
 			defer wg.Done()
 			h := hdrhistogram.New(1, 60_000_000, 3)
-			<-warm
+			<-startWarmUp
 			for at := time.Now(); time.Since(at) < time.Second; {
 				if !run() {
 					time.Sleep(10 * time.Millisecond)
 				}
 			}
-			warmed.Done()
-			<-ready
-			for left.Add(-1) >= 0 {
+			warmUps.Done()
+			<-startMeasuring
+			for remaining.Add(-1) >= 0 {
 				if at := time.Now(); run() {
 					if err := h.RecordValue(time.Since(at).Microseconds()); err != nil {
 						b.Error(err)
@@ -128,11 +128,11 @@
 			mu.Unlock()
 		}()
 	}
-	close(warm)
-	warmed.Wait()
+	close(startWarmUp)
+	warmUps.Wait()
 	rejected.Store(0)
 	b.ResetTimer()
-	close(ready)
+	close(startMeasuring)
 	wg.Wait()
 	b.StopTimer()
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "stmt/s")
@@ -193,7 +193,7 @@
 	if _, err := fmt.Sscan(target, &addr, &n); err != nil {
 		return err
 	}
-	hello, err := (&pgproto3.StartupMessage{ProtocolVersion: 3 << 16,
+	startup, err := (&pgproto3.StartupMessage{ProtocolVersion: 3 << 16,
 		Parameters: map[string]string{"user": "u"}}).Encode(nil)
 	if err != nil {
 		return err
@@ -209,7 +209,7 @@
 			return err
 		}
 		defer c.Close()
-		for _, m := range [][]byte{hello, query} { // the client is idle after one query
+		for _, m := range [][]byte{startup, query} { // the client is idle after one query
 			if _, err := c.Write(m); err != nil {
 				return err
 			}
--- a/internal/server/copy_in_test.go
+++ b/internal/server/copy_in_test.go
@@ -101,8 +101,8 @@
 			n, err := c.conn.Write(chunk)
 			written.Add(int64(n))
 			if err != nil {
-				var late net.Error
-				if !errors.As(err, &late) || !late.Timeout() {
+				var netErr net.Error
+				if !errors.As(err, &netErr) || !netErr.Timeout() {
 					t.Error(err)
 				}
 				return
@@ -110,11 +110,11 @@
 		}
 	}()
 	other := dialServer(t, s)
-	odd := dialServer(t, s) // sends a query during its copy, which fails the copy and does not run
-	odd.send(&pgproto3.Query{String: "copy t from stdin"}, &pgproto3.CopyData{Data: []byte("a\n")},
+	midCopyClient := dialServer(t, s) // sends a query during its copy, which fails the copy and does not run
+	midCopyClient.send(&pgproto3.Query{String: "copy t from stdin"}, &pgproto3.CopyData{Data: []byte("a\n")},
 		&pgproto3.Query{String: "insert into t values (1) /*id='odd'*/"}, &pgproto3.Query{String: "select 1"})
-	if seen := append(odd.readUntil("Z"), odd.readUntil("Z")...); countPrefix(seen, "E:57014") != 1 ||
-		countPrefix(seen, "C") != 2 { // CopyInResponse and CommandComplete
+	if seen := append(midCopyClient.readUntil("Z"), midCopyClient.readUntil("Z")...); countPrefix(seen,
+		"E:57014") != 1 || countPrefix(seen, "C") != 2 { // CopyInResponse and CommandComplete
 		t.Errorf("a query during a copy: %v", seen)
 	}
 	for range 20 {
@@ -123,11 +123,11 @@
 		}
 	}
 	<-done
-	took := r.Engines[0].Copied()
+	copied := r.Engines[0].Copied()
 	// The socket buffers of both connections hold up to a few MB each. Without back-pressure 1 GB would be in
 	// flight.
-	if ahead := written.Load() - int64(took); ahead > 32<<20 || took < 1<<20 {
-		t.Errorf("%d bytes in flight, want at most 32 MB; engine took %d, want at least 1 MB", ahead, took)
+	if ahead := written.Load() - int64(copied); ahead > 32<<20 || copied < 1<<20 {
+		t.Errorf("%d bytes in flight, want at most 32 MB; engine took %d, want at least 1 MB", ahead, copied)
 	}
 	if n := s.PendingBytes(); n > 1<<20 {
 		t.Errorf("%d bytes are buffered for clients, want at most 1 MB", n)
--- a/internal/server/flight_fault_test.go
+++ b/internal/server/flight_fault_test.go
@@ -285,21 +285,21 @@
 	}
 	defer rd.Release()
 	rd.Next()
-	most := int64(0)
+	maxPending := int64(0)
 	unread := time.Second // CRESSPASS_UNREAD sets another time, such as 1m
 	if d, err := time.ParseDuration(os.Getenv("CRESSPASS_UNREAD")); err == nil {
 		unread = d
 	}
 	for begin := time.Now(); time.Since(begin) < unread; {
 		time.Sleep(10 * time.Millisecond)
-		most = max(most, s.PendingBytes())
+		maxPending = max(maxPending, s.PendingBytes())
 		if err := other.query("select 1 /*work_ms='0'*/"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	t.Logf("unread for %v, at most %d bytes buffered", unread, most)
-	if most > 1<<20 {
-		t.Errorf("%d bytes were buffered for a client that does not read, want at most 1 MB", most)
+	t.Logf("unread for %v, at most %d bytes buffered", unread, maxPending)
+	if maxPending > 1<<20 {
+		t.Errorf("%d bytes were buffered for a client that does not read, want at most 1 MB", maxPending)
 	}
 	rows := rd.RecordBatch().NumRows()
 	for rd.Next() {
--- a/internal/server/flight_test.go
+++ b/internal/server/flight_test.go
@@ -61,7 +61,7 @@
 	m := pgtype.NewMap()
 	pg := pgSuiteClient{connect(t, s, "")}
 	fl := &flightSuiteClient{client: dialFlight(t, s, "u")}
-	both := func(f func(c suiteClient) any) {
+	compareFrontends := func(f func(c suiteClient) any) {
 		t.Helper()
 		if a, b := f(pg), f(fl); !reflect.DeepEqual(a, b) {
 			t.Errorf("PostgreSQL gives %v, Flight SQL %v", a, b)
@@ -94,7 +94,7 @@
 			}
 		}
 	}
-	type end struct {
+	type outcome struct {
 		rows any
 		code string
 	}
@@ -102,15 +102,20 @@
 		"select 'syntax error'", "select 1 from tmp_none", "insert into t values (1) returning a",
 		"show search_path",
 		"select 1 /*class='none'*/", "select 1 /*wait_ms='1',work_ms='50',cost_ms='5000'*/", ""} {
-		both(func(c suiteClient) any { rows, code := c.query(t, q); return end{fmt.Sprint(rows), code} })
+		compareFrontends(func(c suiteClient) any {
+			rows, code := c.query(t, q)
+			return outcome{fmt.Sprint(rows), code}
+		})
 	}
-	both(func(c suiteClient) any { n, code := c.exec(t, "insert into t values (1)"); return end{n, code} })
-	both(func(c suiteClient) any {
+	compareFrontends(func(c suiteClient) any {
+		n, code := c.exec(t, "insert into t values (1)")
+		return outcome{n, code}
+	})
+	compareFrontends(func(c suiteClient) any {
 		n, code := c.exec(t, "insert into t select $1::text", "x")
-		return end{n,
-			code}
+		return outcome{n, code}
 	})
-	both(func(c suiteClient) any { // a transaction sees its temporary table; the next one does not
+	compareFrontends(func(c suiteClient) any { // only the transaction itself sees its temporary table
 		finish := c.begin(t)
 		_, a := c.exec(t, "create temp table tmp_s (a int)")
 		_, b := c.query(t, "select 1 from tmp_s")
@@ -120,7 +125,7 @@
 		_, g := c.query(t, "select 1 from tmp_s")
 		return []string{a, b, d, e, f, g}
 	})
-	both(func(c suiteClient) any { // a session's settings are in force on every engine
+	compareFrontends(func(c suiteClient) any { // a session's settings are in force on every engine
 		c.set(t, "search_path", "mine")
 		var out []any
 		for range 6 {
@@ -290,9 +295,9 @@
 		t.Fatal(err)
 	}
 	defer cc.Close()
-	well, err := healthpb.NewHealthClient(cc).Check(c.ctx, &healthpb.HealthCheckRequest{})
-	if err != nil || well.Status != healthpb.HealthCheckResponse_SERVING {
-		t.Errorf("health: %v %v", well, err)
+	health, err := healthpb.NewHealthClient(cc).Check(c.ctx, &healthpb.HealthCheckRequest{})
+	if err != nil || health.Status != healthpb.HealthCheckResponse_SERVING {
+		t.Errorf("health: %v %v", health, err)
 	}
 	tx, err := c.BeginTransaction(c.ctx)
 	if err != nil {
--- a/internal/server/invariant_test.go
+++ b/internal/server/invariant_test.go
@@ -16,13 +16,13 @@
 // TestInvariantGuardBlocksUnsafeRetry checks that the invariant guard enforces rule 2 if the decider breaks
 // it: a statement that changes data and may have run is not sent again, and the violation is counted.
 func TestInvariantGuardBlocksUnsafeRetry(t *testing.T) {
-	const mayRepeatUnsafe = 2 // the rule that the decider does not keep
+	const unguardedRule = 2 // the rule that the decider does not keep
 	r := startEngines(t, 3)
 	for _, e := range r.Engines {
 		e.SetFaults(standin.Faults{ErrorShare: 1})
 	}
 	s, err := r.StartDispatcherWith(baseSettings, nil, func(m cresspass.Config) (dispatch.Decider, error) {
-		return baseline.New("", mayRepeatUnsafe, m)
+		return baseline.New("", unguardedRule, m)
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/server/mixed_load_test.go
+++ b/internal/server/mixed_load_test.go
@@ -53,14 +53,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	front, err := recorder.NewRelay(rulecheck.Clients, "d0", s.Addr())
+	clientRelay, err := recorder.NewRelay(rulecheck.Clients, "d0", s.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	listedAt := time.Now()
 	r.Engines[1].SetFaults(standin.Faults{Cut: 0.05, ErrorShare: 0.05})
 	r.Engines[2].SetFaults(standin.Faults{LoseShare: 0.02, SlowCancel: 30 * time.Millisecond})
-	outcomes := runMixedRequests(t, front.Addr(), total, func(i int) {
+	outcomes := runMixedRequests(t, clientRelay.Addr(), total, func(i int) {
 		if i == total/2 {
 			r.Engines[3].Crash()
 		}
@@ -68,7 +68,7 @@
 	eventually(t, "all ended", func() bool { return s.Stats().Open == 0 })
 	st := s.Stats()
 	s.Close()
-	front.Close()
+	clientRelay.Close()
 	for _, relay := range relays {
 		relay.Close()
 	}
--- a/internal/server/query.go
+++ b/internal/server/query.go
@@ -64,7 +64,7 @@
 		return
 	}
 	if !s.loop.Post(ev) {
-		s.forget(q)
+		s.finishUnserved(q)
 		s.respond(q, verdict.ShuttingDown(false))
 		return
 	}
@@ -89,7 +89,7 @@
 	}
 	if q := s.lookup(ev.Query); q != nil {
 		s.finishRecording(q, recording.Abandoned)
-		s.forget(q)
+		s.finishUnserved(q)
 	}
 	s.loop.Post(ev)
 }
@@ -101,8 +101,8 @@
 	return s.queries[id]
 }
 
-// forget finishes a query that was not served.
-func (s *Server) forget(q *query) { s.finishQuery(q, true, false) }
+// finishUnserved finishes a query that was not served.
+func (s *Server) finishUnserved(q *query) { s.finishQuery(q, true, false) }
 
 // finishQuery is called when a query's response ends and when an attempt has its outcome. It deletes the
 // query once the response has ended and no attempt is without an outcome. finished says that the response has
--- a/internal/server/session_balance_test.go
+++ b/internal/server/session_balance_test.go
@@ -28,7 +28,7 @@
 // again. As the module counts idle sessions, these are balanced. Without the counts they would accumulate on
 // engines where no query runs.
 func TestStickySessionsAreBalanced(t *testing.T) {
-	spread := func(reportSessions bool) (maxSessions, minSessions int) {
+	sessionRange := func(reportSessions bool) (maxSessions, minSessions int) {
 		r := startEngines(t, 6)
 		newDecider := func(m cresspass.Config) (dispatch.Decider, error) {
 			g, err := cresspass.New(m)
@@ -43,14 +43,14 @@
 		}
 		defer s.Close()
 		open := map[*wireClient]bool{}
-		session := func() {
+		openSession := func() {
 			c := dialServer(t, s)
 			if seen := c.query("create temp table tmp_level (a int)"); countPrefix(seen, "E") == 0 {
 				open[c] = true
 			}
 		}
 		for range 120 {
-			session()
+			openSession()
 		}
 		for i := range 2 {
 			r.Engines[i].Crash()
@@ -71,7 +71,7 @@
 			c.conn.SetReadDeadline(time.Time{})
 		}
 		for range lost + 60 {
-			session()
+			openSession()
 		}
 		var all []int
 		for _, e := range r.Engines {
@@ -81,9 +81,9 @@
 		t.Logf("sessions reported: %v; %d lost; sessions on engines %v", reportSessions, lost, all)
 		return maxSessions, minSessions
 	}
-	maxSessions, minSessions := spread(true)
+	maxSessions, minSessions := sessionRange(true)
 	if maxSessions > 2*minSessions || minSessions == 0 {
 		t.Errorf("%d to %d sessions on an engine, want at most twice the minimum", minSessions, maxSessions)
 	}
-	spread(false) // logs the sessions without the counts, for comparison
+	sessionRange(false) // logs the sessions without the counts, for comparison
 }
--- a/internal/server/sticky_session_fault_test.go
+++ b/internal/server/sticky_session_fault_test.go
@@ -18,10 +18,10 @@
 )
 
 // openSessionOn begins a transaction on the engine with an index and returns its session.
-func openSessionOn(t *testing.T, r *testbed.Testbed, addr string, at int) *wireClient {
+func openSessionOn(t *testing.T, r *testbed.Testbed, addr string, index int) *wireClient {
 	t.Helper()
 	for i := range r.Engines { // the module chooses the engine, so the others are unlisted until the return
-		if i != at && r.State(i) == eds.StateActive {
+		if i != index && r.State(i) == eds.StateActive {
 			r.UpdateEngine(i, func(e *eds.Engine) { e.State = "" })
 			defer r.UpdateEngine(i, func(e *eds.Engine) { e.State = eds.StateActive })
 		}
@@ -30,7 +30,7 @@
 		c := dialAddress(t, addr)
 		id := fmt.Sprintf("open-%p-%d", c, n)
 		c.query("begin /*id='" + id + "'*/")
-		for _, v := range r.Engines[at].Runs() {
+		for _, v := range r.Engines[index].Runs() {
 			if v.ID == id {
 				return c
 			}
@@ -78,13 +78,13 @@
 	var mu sync.Mutex
 	ends := map[string]int{}
 	const sessions = 2000
-	gate := make(chan struct{}, 120)
+	semaphore := make(chan struct{}, 120)
 	for i := range sessions {
 		wg.Add(1)
-		gate <- struct{}{}
+		semaphore <- struct{}{}
 		go func() {
 			defer wg.Done()
-			defer func() { <-gate }()
+			defer func() { <-semaphore }()
 			end := runSession(s.Addr(), fmt.Sprintf("u%d", i), i)
 			mu.Lock()
 			ends[end]++
@@ -299,12 +299,12 @@
 	const n = 1000
 	all := make([]*wireClient, n)
 	var wg sync.WaitGroup
-	gate := make(chan struct{}, 50)
+	semaphore := make(chan struct{}, 50)
 	each := func(do func(i int, c *wireClient)) {
 		for i := range all {
 			wg.Add(1)
-			gate <- struct{}{}
-			go func() { defer wg.Done(); do(i, all[i]); <-gate }()
+			semaphore <- struct{}{}
+			go func() { defer wg.Done(); do(i, all[i]); <-semaphore }()
 		}
 		wg.Wait()
 	}
@@ -330,7 +330,7 @@
 	r.UpdateEngine(1, func(e *eds.Engine) { e.State = eds.StateActive })
 	r.UpdateEngine(0, func(e *eds.Engine) { e.State = eds.StateDraining })
 	drainedAt := time.Now()
-	gate = make(chan struct{}, n)
+	semaphore = make(chan struct{}, n)
 	var mu sync.Mutex
 	ends := map[string]int{}
 	each(func(i int, c *wireClient) {
--- a/internal/server/sticky_session_test.go
+++ b/internal/server/sticky_session_test.go
@@ -99,7 +99,7 @@
 // the error says that the outcome is unknown if an engine dies after COMMIT was sent.
 func TestSessionsEndOnDrainAndEngineLoss(t *testing.T) {
 	r, s := startDispatcher(t, 2, baseSettings)
-	on := func(c *wireClient, id string) int {
+	beginAndLocate := func(c *wireClient, id string) int {
 		c.query("begin /*id='" + id + "'*/")
 		for i, e := range r.Engines {
 			for _, v := range e.Runs() {
@@ -111,30 +111,30 @@
 		t.Fatal("no engine has ", id)
 		return 0
 	}
-	at := 0
+	drained := 0
 	quick, slow, sticky := openSessionOn(
 		t,
 		r,
 		s.Addr(),
-		at,
+		drained,
 	), openSessionOn(
 		t,
 		r,
 		s.Addr(),
-		at,
+		drained,
 	), openSessionOn(
 		t,
 		r,
 		s.Addr(),
-		at,
+		drained,
 	)
 	eventually(t, "both engines are known again", func() bool {
 		c := dialServer(t, s)
 		defer c.conn.Close()
-		return on(c, fmt.Sprintf("%p", c)) != at
+		return beginAndLocate(c, fmt.Sprintf("%p", c)) != drained
 	})
 	sticky.query("create temp table tmp_x (a int); commit")
-	r.UpdateEngine(at, func(e *eds.Engine) { e.State = eds.StateDraining })
+	r.UpdateEngine(drained, func(e *eds.Engine) { e.State = eds.StateDraining })
 	if seen := sticky.readUntil("NoticeResponse"); len(seen) != 1 {
 		t.Errorf("a sticky session got %v", seen)
 	}
@@ -148,15 +148,15 @@
 	}
 	for i := range 10 {
 		c := dialServer(t, s)
-		if got := on(c, fmt.Sprint("n", i)); got == at {
+		if got := beginAndLocate(c, fmt.Sprint("n", i)); got == drained {
 			t.Fatal("a new session was opened on a draining engine")
 		}
 		c.conn.Close()
 	}
 	// The engine cuts its response off after it got the COMMIT.
-	other := 1 - at
+	other := 1 - drained
 	c := dialServer(t, s)
-	on(c, "last")
+	beginAndLocate(c, "last")
 	r.Engines[other].SetFaults(standin.Faults{Cut: 1})
 	c.send(&pgproto3.Query{String: "insert into t values (1); commit"})
 	if seen := c.readUntil("E:08007"); len(seen) == 0 {
--- a/internal/server/transparency_test.go
+++ b/internal/server/transparency_test.go
@@ -235,8 +235,8 @@
 	c.SetDeadline(time.Now().Add(20 * time.Second))
 	f := pgproto3.NewFrontend(c, c)
 	f.Send(&pgproto3.StartupMessage{ProtocolVersion: 3 << 16, Parameters: map[string]string{"user": "u"}})
-	asked := ""
-	ready := func(keep bool) {
+	lastQuery := ""
+	receiveUntilReady := func(keep bool) {
 		if err := f.Flush(); err != nil {
 			t.Fatal(err)
 		}
@@ -258,13 +258,13 @@
 					f.Send(&pgproto3.CopyData{Data: []byte(s)})
 				}
 				switch {
-				case strings.Contains(asked, "give_up"):
+				case strings.Contains(lastQuery, "give_up"):
 					f.Send(&pgproto3.CopyFail{Message: "the script gives up"})
 
 				default:
 					f.Send(&pgproto3.CopyDone{})
 				}
-				if strings.Contains(asked, "extended") {
+				if strings.Contains(lastQuery, "extended") {
 					f.Send(&pgproto3.Sync{})
 				}
 				if err := f.Flush(); err != nil {
@@ -275,17 +275,17 @@
 			}
 		}
 	}
-	ready(false)
+	receiveUntilReady(false)
 	for _, m := range script {
 		f.Send(m)
 		switch m := m.(type) {
 		case *pgproto3.Parse:
-			asked = m.Query
+			lastQuery = m.Query
 		case *pgproto3.Query:
-			asked = m.String
-			ready(true)
+			lastQuery = m.String
+			receiveUntilReady(true)
 		case *pgproto3.Sync:
-			ready(true)
+			receiveUntilReady(true)
 		}
 	}
 	return out
--- a/internal/server/write_recovery.go
+++ b/internal/server/write_recovery.go
@@ -64,11 +64,11 @@
 	s.background.Add(1) // runs in the loop's goroutine, which Close stops before it waits for background
 	go func() {
 		defer s.background.Done()
-		limit := time.NewTimer(maxDurableWait)
-		defer limit.Stop()
+		timer := time.NewTimer(maxDurableWait)
+		defer timer.Stop()
 		select {
 		case <-durable:
-		case <-limit.C:
+		case <-timer.C:
 			s.countUnrecordedWrite()
 		}
 		start()
@@ -145,7 +145,7 @@
 		return true
 	case storage.Reject:
 		s.finishRecording(q, recording.Rejected)
-		s.forget(q)
+		s.finishUnserved(q)
 		s.respond(q, verdict.RejectAfterRestart(delay))
 		return true
 	}
