--- a/internal/server/accept_test.go
+++ b/internal/server/accept_test.go
@@ -15,11 +15,11 @@
 	"cresspass/internal/server"
 )
 
-// failingListener has its first accepts fail with an error of the system.
+// failingListener fails its first accepts with a system error.
 type failingListener struct {
 	net.Listener
 	errno syscall.Errno
-	fails atomic.Int32
+	fails atomic.Int32 // number of accepts that are still to fail
 }
 
 func (l *failingListener) Accept() (net.Conn, error) {
@@ -29,8 +29,8 @@
 	return l.Listener.Accept()
 }
 
-// An accept that fails because of the machine, or of the connection that it was to accept, ends no
-// frontend.
+// TestFrontendsSurviveFailedAccepts checks that a frontend still serves after accepts that failed because of
+// the machine or of the accepted connection.
 func TestFrontendsSurviveFailedAccepts(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS,
 		syscall.EPROTO, syscall.ENOMEM} {
@@ -61,9 +61,9 @@
 			c := dialServer(t, s)
 			c.query("select 1")
 			f := dialFlight(t, s, "")
-			limit, cancel := context.WithTimeout(f.ctx, 5*time.Second)
+			ctx, cancel := context.WithTimeout(f.ctx, 5*time.Second)
 			defer cancel()
-			if _, err := f.Execute(limit, "select 1"); err != nil {
+			if _, err := f.Execute(ctx, "select 1"); err != nil {
 				t.Error(err)
 			}
 		})
--- a/internal/server/session_balance_test.go
+++ b/internal/server/session_balance_test.go
@@ -9,9 +9,10 @@
 	"cresspass/internal/dispatch"
 )
 
-// sessionBlindDecider hides sticky sessions from the module.
+// sessionBlindDecider hides sticky sessions from its decider.
 type sessionBlindDecider struct{ dispatch.Decider }
 
+// Handle passes on the events without the openings and counts of sticky sessions.
 func (d sessionBlindDecider) Handle(now time.Duration, events []cresspass.Event,
 	actions []cresspass.Action) []cresspass.Action {
 	visible := events[:0]
@@ -23,11 +24,11 @@
 	return d.Decider.Handle(now, visible, actions)
 }
 
-// A third of the engines restart; their clients open sessions again, and so do new ones. As the module
-// counts idle sessions, they become balanced; without the counts they would pile up on engines where
-// nothing runs.
+// TestStickySessionsAreBalanced restarts a third of the engines; their clients and new ones open sessions
+// again. As the module counts idle sessions, these are balanced. Without the counts they would accumulate on
+// engines where no query runs.
 func TestStickySessionsAreBalanced(t *testing.T) {
-	spread := func(reportSessions bool) (maxSessions, minSessions int) {
+	sessionRange := func(reportSessions bool) (maxSessions, minSessions int) {
 		r := startEngines(t, 6)
 		newDecider := func(m cresspass.Config) (dispatch.Decider, error) {
 			g, err := cresspass.New(m)
@@ -42,14 +43,14 @@
 		}
 		defer s.Close()
 		open := map[*wireClient]bool{}
-		session := func() {
+		openSession := func() {
 			c := dialServer(t, s)
 			if seen := c.query("create temp table tmp_level (a int)"); countPrefix(seen, "E") == 0 {
 				open[c] = true
 			}
 		}
 		for range 120 {
-			session()
+			openSession()
 		}
 		for i := range 2 {
 			r.Engines[i].Crash()
@@ -58,7 +59,7 @@
 			}
 		}
 		r.Publish()
-		time.Sleep(300 * time.Millisecond) // the lost sessions' clients see their ends
+		time.Sleep(300 * time.Millisecond) // until the clients of the lost sessions are told
 		lost := 0
 		for c := range open {
 			c.conn.SetReadDeadline(time.Now().Add(time.Millisecond))
@@ -70,7 +71,7 @@
 			c.conn.SetReadDeadline(time.Time{})
 		}
 		for range lost + 60 {
-			session()
+			openSession()
 		}
 		var all []int
 		for _, e := range r.Engines {
@@ -80,9 +81,9 @@
 		t.Logf("sessions reported: %v; %d lost; sessions on engines %v", reportSessions, lost, all)
 		return maxSessions, minSessions
 	}
-	maxSessions, minSessions := spread(true)
+	maxSessions, minSessions := sessionRange(true)
 	if maxSessions > 2*minSessions || minSessions == 0 {
-		t.Errorf("from %d to %d sessions on an engine", minSessions, maxSessions)
+		t.Errorf("%d to %d sessions on an engine, want at most twice the minimum", minSessions, maxSessions)
 	}
-	spread(false) // for the figures
+	sessionRange(false) // logs the sessions without the counts, for comparison
 }
