--- a/action.go
+++ b/action.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// ActionType says which fields of an Action count.
+// ActionType determines which fields of an Action are valid.
 type ActionType int
 
-// The actions a gateway can ask for.
+// The action types. Each comment lists the valid fields.
 const (
-	Send                 ActionType = iota // Query to Engine, StartWithin; Wait: time-out, 0: the deadline
+	Send                 ActionType = iota // Query to Engine, StartWithin; Wait: timeout, 0: the deadline
 	SetTimer                               // Wait, Label
 	FetchEngineList                        // poll the complete list once
 	CloseIdleConnections                   // Engine
@@ -21,7 +21,7 @@
 	SubscribeEngineList                    // Enabled
 )
 
-// Reason says why a gateway ended a query without a result. It is for the log alone.
+// Reason is why a gateway ended a query without a result. It is only logged.
 type Reason string
 
 // The reasons.
@@ -32,7 +32,7 @@
 	ReasonNotStarted     Reason = "it could not be started"
 )
 
-// Action is one thing a gateway wants done; Type says which fields count.
+// Action is one operation that a gateway requests. Type determines which fields are valid.
 type Action struct {
 	Type          ActionType
 	Query         QueryID
@@ -47,5 +47,5 @@
 	Text          string
 	Enabled       bool
 	Reason        Reason        // with Reject and Fail
-	StartWithin   time.Duration // with Send: the attempt must start within it; 0: before the deadline
+	StartWithin   time.Duration // with Send: the attempt must start within this; 0: before the deadline
 }
--- a/event.go
+++ b/event.go
@@ -2,47 +2,48 @@
 
 import "time"
 
-// QueryID names one attempt of a client to have a query run. The gateway returns it unaltered.
+// QueryID identifies one request of a client to run a query. Actions return it unchanged. A client's retry
+// has a new ID.
 type QueryID uint64
 
-// EngineID is the address of an engine. It says nothing of its place, kind or age.
+// EngineID is the address of an engine. Its text carries no zone, kind or age.
 type EngineID string
 
-// EventType says which fields of an Event count.
+// EventType determines which fields of an Event are valid.
 type EventType int
 
-// The events a gateway takes.
+// The event types. Each comment lists the valid fields.
 const (
 	EngineListReceived  EventType = iota // ListType, Engines
-	QueryArrived                         // Query and what is known of it
+	QueryArrived                         // Query, Class and the fields that describe the query
 	TimerFired                           // Label
 	PeerMessageReceived                  // Peer, Data
 	HealthCheckDone                      // Engine, Outcome, Elapsed, LoadReport
 	AttemptDone                          // Query, Attempt, Engine, Outcome, Elapsed, QueryFinished, costs
 	ProgressReported                     // Query, Attempt, Engine, Note, Value
 	ResponseStarted                      // Query, Attempt, Engine, Elapsed
-	QueryAbandoned                       // Query: its client left or cancelled it
-	SessionCountChanged                  // Engine, Value: 1, one more sticky session there; -1, one less
-	MembershipChanged                    // Peer: our ordinal; Value: gateways; Elapsed: their common clock
-	EngineReportedDown                   // Engine: other gateways report that it does not answer
-	ShutdownScheduled                    // RemainingDeadline: all queries, newcomers too, must end in it
+	QueryAbandoned                       // Query: its client disconnected or cancelled it
+	SessionCountChanged                  // Engine, Value: 1: a sticky session was opened there; -1: closed
+	MembershipChanged                    // Peer: our ordinal; Value: gateways; Elapsed: their shared clock
+	EngineReportedDown                   // Engine: other gateways report that it does not respond
+	ShutdownScheduled                    // RemainingDeadline: all queries, new ones too, must end within it
 )
 
-// EngineListType says how an EngineListReceived event is to be read.
+// EngineListType is the type of the list in an EngineListReceived event.
 type EngineListType int
 
-// The types of engine list.
+// The engine list types.
 const (
-	ListIncremental EngineListType = iota // changed engines only
+	ListIncremental EngineListType = iota // only the engines that changed
 	ListComplete                          // the complete list
-	ListCached                            // the complete list, perhaps out of date
-	ListFailed                            // a call failed or the subscription broke
+	ListCached                            // the complete list, possibly out of date
+	ListFailed                            // no list: a call failed or the subscription broke
 )
 
-// EngineState is what discovery knows of an engine.
+// EngineState is the state of an engine according to discovery.
 type EngineState int
 
-// The states of an engine.
+// The engine states.
 const (
 	EngineActive EngineState = iota
 	EngineDraining
@@ -60,7 +61,7 @@
 	StartedAt time.Duration // on the gateway's clock; 0: long ago
 }
 
-// Outcome says how an attempt or a health check ended. The numbers are those of the simulator's protocol.
+// Outcome is how an attempt or a health check ended. The values are those of the simulator's protocol.
 type Outcome int
 
 // The outcomes.
@@ -71,26 +72,26 @@
 	OutcomeConnectionReset Outcome = 104
 	OutcomeTimedOut        Outcome = 110
 	OutcomeConnectFailed   Outcome = 111
-	OutcomeNotStarted      Outcome = 114 // the attempt was given up before it began
+	OutcomeNotStarted      Outcome = 114 // the attempt was abandoned before it began
 	OutcomeCancelled       Outcome = 125
 )
 
-// NeverRan reports whether the outcome proves that the attempt never ran.
+// NeverRan reports whether the outcome proves that the attempt did not run.
 func (o Outcome) NeverRan() bool {
 	return o == OutcomeRejected || o == OutcomeConnectFailed || o == OutcomeNotStarted
 }
 
-// NoteType is the topic of a progress note.
+// NoteType is the subject of a progress note.
 type NoteType int
 
-// The topics of progress notes.
+// The progress note types.
 const (
 	NoteFractionDone NoteType = 1 // Value: fraction of the work done
-	NoteSpilled      NoteType = 2 // Value: megabytes missing
-	NoteBlocked      NoteType = 3 // Value: 1 by memory, 2 by a bulk load
+	NoteSpilled      NoteType = 2 // Value: memory short, in MB
+	NoteBlocked      NoteType = 3 // Value: 1: waits for memory; 2: waits for a bulk load
 )
 
-// Event is one thing that happened to a gateway; Type says which fields count.
+// Event is one input to a gateway. Type determines which fields are valid.
 type Event struct {
 	Type    EventType
 	Query   QueryID
@@ -103,18 +104,18 @@
 	Engines  []EngineInfo
 
 	Class             string
-	TableGroup        float64       // the group of tables the query reads
-	RemainingDeadline time.Duration // until the client gives up this attempt
+	TableGroup        float64       // the group of tables the query uses
+	RemainingDeadline time.Duration // until the client gives up this request
 	Key               string
-	StickyEngine      EngineID // the one engine that may run it, where its session is; "": any
-	OpensSession      bool     // its session is to stay where it runs
+	StickyEngine      EngineID // the only engine that may run it: it holds its session; "": any
+	OpensSession      bool     // its session will stay on the engine that runs it
 	Tenant            string
 	HasCostEstimate   bool // CostEstimate is valid
 	CostEstimate      time.Duration
-	MemoryEstimateMB  float64 // 0: none
+	MemoryEstimateMB  float64 // 0: unknown
 	IsRetry           bool
 	IsWrite           bool
-	AddsNoRetryBudget bool          // no request of a client's own: it allows no further retries
+	AddsNoRetryBudget bool          // not a request of a client's own: it adds no retries to the budget
 	QueryFinished     bool          // the query has its final answer
 	ActualCost        time.Duration // with OutcomeOK, where answers carry costs
 	ActualMemoryMB    float64       // with OutcomeOK, where answers carry costs
--- a/peer_message.go
+++ b/peer_message.go
@@ -2,24 +2,25 @@
 
 import "hash/fnv"
 
-// The bytes of messages between gateways: a first byte for the type, then entries of an engine's tag in two
-// bytes, its load in threads and, in a load report, a byte of two counts. A fleet may run two versions at
-// once, so they do not change. What is sent when, and what is made of it, is decided in gossip.go.
+// Encoding of messages between gateways. The first byte is the type. Entries follow: an engine's tag (two
+// bytes, big-endian), its load in threads (one byte) and, in a load report, two 4-bit counts (one byte). The
+// encoding must not change, as a fleet may run two versions at once. gossip.go decides when messages are
+// sent and how they are used.
 
-// PeerMessageType is the type of a message between gateways.
+// PeerMessageType is the type of a message between gateways: its first byte.
 type PeerMessageType byte
 
-// The types of message.
+// The peer message types.
 const (
 	PeerMessageUnknown PeerMessageType = 0
-	PeerLoadReport     PeerMessageType = 1 // a gateway to the aggregator: what it runs, how attempts ended
-	PeerAggregate      PeerMessageType = 2 // the aggregator to all: the load of every engine
-	PeerSendNotice     PeerMessageType = 3 // a gateway to the aggregator: a query just sent
-	PeerForwardedSends PeerMessageType = 4 // the aggregator to all: queries just sent
+	PeerLoadReport     PeerMessageType = 1 // gateway to aggregator: what it runs, how attempts ended
+	PeerAggregate      PeerMessageType = 2 // aggregator to all: the load of every active engine
+	PeerSendNotice     PeerMessageType = 3 // gateway to aggregator: a query it just sent
+	PeerForwardedSends PeerMessageType = 4 // aggregator to all: queries just sent
 )
 
 const (
-	// PeerLoadEjected is the load by which an aggregate says that an engine is to be ejected.
+	// PeerLoadEjected is the load that an aggregate gives an engine that fails and should be ejected.
 	PeerLoadEjected = maxPeerLoad
 
 	maxPeerMessageBytes = 255
@@ -27,21 +28,21 @@
 	maxPeerCount        = 15  // largest count an entry can hold
 )
 
-// PeerLoad is what a message says of one engine.
+// PeerLoad is one entry of a peer message: the load of one engine.
 type PeerLoad struct {
 	Tag               uint16
 	Threads           float64
-	Succeeded, Failed int // in load reports: answers, and failures or lost answers
+	Succeeded, Failed int // in load reports only: answers; failures and lost answers
 }
 
-// EngineTag stands for an engine's ID in messages.
+// EngineTag returns the hash that identifies an engine in peer messages. Two engines may share a tag.
 func EngineTag(id EngineID) uint16 {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	return uint16(h.Sum32() ^ h.Sum32()>>16)
 }
 
-// entryBytes is the length of one entry.
+// entryBytes returns the encoded length of one entry, in bytes.
 func (m PeerMessageType) entryBytes() int {
 	if m == PeerLoadReport {
 		return 4
@@ -49,8 +50,8 @@
 	return 3
 }
 
-// encodePeerMessage returns messages that together hold the loads, at least one message. Values are
-// clipped.
+// encodePeerMessage encodes the loads as one or more messages, each within maxPeerMessageBytes. Values
+// beyond the range of the encoding are clipped.
 func encodePeerMessage(m PeerMessageType, loads []PeerLoad) [][]byte {
 	messages := [][]byte{{byte(m)}}
 	last := &messages[0]
@@ -68,8 +69,9 @@
 	return messages
 }
 
-// DecodePeerMessage reads a message of any bytes, as a gateway does, for who validates it first. A message
-// of a type it does not know is PeerMessageUnknown; an entry cut short is left out.
+// DecodePeerMessage decodes a peer message from untrusted bytes. Gateways use it, and so does code that
+// validates messages first. It returns PeerMessageUnknown for a message of an unknown type and drops an
+// entry that is cut short.
 func DecodePeerMessage(data []byte) (m PeerMessageType, loads []PeerLoad) {
 	if len(data) == 0 || data[0] < byte(PeerLoadReport) || data[0] > byte(PeerForwardedSends) {
 		return PeerMessageUnknown, nil
--- a/settings.go
+++ b/settings.go
@@ -8,115 +8,115 @@
 	"time"
 )
 
-// Effect says what running a query of a class more than once does.
+// Effect classifies what happens when a query of a class runs more than once.
 type Effect int
 
-// The effects a class can have.
+// The effects of a class.
 const (
-	Idempotent        Effect = iota // repeats do no harm
+	Idempotent        Effect = iota // repeats are harmless
 	IdempotentWithKey               // a group of engines drops repeats of a key for a while
 	NotIdempotent                   // must never run twice
 )
 
-// DeduplicationScope is the group of engines that drops repeats of a query with an idempotency key.
+// DeduplicationScope is the group of engines within which repeats of an idempotency key are dropped.
 type DeduplicationScope int
 
-// The scopes of deduplication.
+// The deduplication scopes.
 const (
 	ScopeAll DeduplicationScope = iota
 	ScopeZone
 	ScopeCell
 )
 
-// MemoryShortage says what an engine does when grants exceed its memory.
+// MemoryShortage is how an engine behaves when memory grants exceed its memory.
 type MemoryShortage int
 
-// The behaviours of an engine short of memory.
+// The behaviours of an engine that is short of memory.
 const (
 	ShortageUnknown      MemoryShortage = iota
-	ShortageQueues                      // a query waits in the engine's queue
-	ShortageShrinksGrant                // a query gets what is left
-	ShortagePages                       // all queries slow down once memory in use exceeds what there is
+	ShortageQueues                      // the query waits in the engine's queue
+	ShortageShrinksGrant                // the query is granted the memory that is left
+	ShortagePages                       // all queries slow down once memory in use exceeds the engine's
 )
 
-// Class describes one class of query.
+// Class holds the settings of one query class.
 type Class struct {
 	Name                string
-	LatencyObjective    time.Duration // answers inside this time earn the full priority weight
-	ObjectiveStretch    float64       // the objective grows by this times work over threads
-	Deadline            time.Duration // the client's whole wait
+	LatencyObjective    time.Duration // answers within this time earn the full priority weight
+	ObjectiveStretch    float64       // the objective grows by this times the query's work over its threads
+	Deadline            time.Duration // how long the client waits in total
 	PriorityWeight      float64
 	LateAnswerValue     float64 // share of the priority weight that an answer after the objective still earns
 	Effect              Effect
 	DeduplicationScope  DeduplicationScope
 	DeduplicationWindow time.Duration // how long repeats of an idempotency key are dropped
-	OrderedByKey        bool          // queries with one key run one at a time, in the order of arrival
-	AllowedKinds        []string      // the only kinds of machine allowed; empty: any
-	AllowedZones        []string      // the only zones allowed; empty: any
+	OrderedByKey        bool          // queries with the same key run one at a time, in order of arrival
+	AllowedKinds        []string      // machine kinds its queries may run on; empty: any
+	AllowedZones        []string      // zones its queries may run in; empty: any
 }
 
-// Tenant is a client with a quota of the service.
+// Tenant is a client that has a quota of the service.
 type Tenant struct {
 	Name           string
-	QuotaPerSecond float64 // queries a second within its quota, over all gateways
+	QuotaPerSecond float64 // queries per second within its quota, over all gateways
 	Share          float64
 }
 
-// Rules holds the figures of the safety rules. A zero optional figure switches its rule off.
+// Rules holds the parameters of the safety rules. An optional parameter that is zero disables its rule.
 type Rules struct {
-	AnswerGrace             time.Duration // slack after the deadline for a final answer
-	DrainGrace              time.Duration // sends to a draining engine must cease within this
-	SlowStartFrom           float64       // share of its capacity an engine starts with
-	SlowStartDuration       time.Duration // time until it is warm
-	SlowStartOverloadFactor float64       // sent more than this multiple of its present capacity...
-	SlowStartWindow         time.Duration // ...for this long, it falls over
-	EngineListPollInterval  time.Duration // where the engine list must be polled: how often
-	OrderSettleDelay        time.Duration // pause of a key after an outcome that leaves open what ran
-	HasRetryBudget          bool          // whether retries are limited to a budget
-	RetryBudgetFree         float64       // retries a window that need no queries
-	RetryBudgetRatio        float64       // retries a window for each query of the window
+	AnswerGrace             time.Duration // a final answer this long after the deadline is still in time
+	DrainGrace              time.Duration // sends to a draining engine must stop within this time
+	SlowStartFrom           float64       // share of its full capacity that an engine starts with
+	SlowStartDuration       time.Duration // time from its start until it has full capacity
+	SlowStartOverloadFactor float64       // an engine sent more than this multiple of its current capacity...
+	SlowStartWindow         time.Duration // ...over this time fails
+	EngineListPollInterval  time.Duration // longest time between polls, if the engine list must be polled
+	OrderSettleDelay        time.Duration // pause of a key after an attempt that may still be running
+	HasRetryBudget          bool          // whether a budget limits retries
+	RetryBudgetFree         float64       // retries per window that are allowed without any query
+	RetryBudgetRatio        float64       // further retries allowed per query of the window
 	RetryBudgetWindow       time.Duration
 }
 
-// Config holds the settings of a gateway at its start.
+// Config holds the settings with which a gateway starts.
 type Config struct {
 	Seed           uint64
 	Ordinal        int
-	GatewayCount   int // gateways sending to these engines, this one included
+	GatewayCount   int // gateways that send to these engines, including this one
 	Zone           string
-	BatchInterval  time.Duration // pace at which the caller delivers events
+	BatchInterval  time.Duration // interval at which the caller delivers events
 	PollEngineList bool          // the engine list must be polled
 
 	Classes               []Class
-	ClassThreads          []float64 // for each class; empty: one
-	ClassIsBulkLoad       []bool    // for each class: it holds its table group while it runs
-	ClassWaitsForBulkLoad []bool    // for each class: it stands still while a bulk load holds its group
+	ClassThreads          []float64 // per class; empty: 1 each
+	ClassIsBulkLoad       []bool    // per class: it locks its table group while it runs
+	ClassWaitsForBulkLoad []bool    // per class: it blocks while a bulk load locks its table group
 	KindNames             []string
-	KindCores             []float64 // for each kind; empty: unknown
-	KindMemoryMB          []float64 // for each kind; empty: unknown
+	KindCores             []float64 // per kind; empty: unknown
+	KindMemoryMB          []float64 // per kind; empty: unknown
 
 	Tenants                 []Tenant
 	OverQuotaPriorityWeight float64
 	Rules                   Rules
 
 	MaxAttempts          int // 0: no limit
-	MaxSessionsPerEngine int // sessions of this gateway on one engine; 0: no limit
+	MaxSessionsPerEngine int // sticky sessions of this gateway on one engine; 0: no limit
 	MaxRetryAfter        time.Duration
 	MayCancel            bool
 	MayHedge             bool
 	MayCheckHealth       bool
 	MayGossip            bool
 	MaySendRetryAfter    bool     // rejections may carry a Retry-After time
-	LoadReportFields     []string // names of the values in a load report; concurrent and x0 are used
+	LoadReportFields     []string // names of the values in a load report; only concurrent and x0 are used
 	AcceptsMemoryGrants  bool
 	AcceptsPriority      bool
 	MaxGrantShare        float64
 	OnMemoryShortage     MemoryShortage
-	ProgressInterval     time.Duration // 0: no progress notes
-	ReportsCost          bool          // answers carry the cost of their query
+	ProgressInterval     time.Duration // between progress notes of an attempt; 0: no notes are sent
+	ReportsCost          bool          // answers carry the measured cost of their query
 }
 
-// valueOr returns value i of a list of settings, or the fallback where the list is empty.
+// valueOr returns element i of a list of settings, or fallback if the list is empty.
 func valueOr[T any](list []T, i int, fallback T) T {
 	if len(list) == 0 {
 		return fallback
@@ -124,7 +124,8 @@
 	return list[i]
 }
 
-// Validate returns an error naming the first setting that contradicts itself.
+// Validate checks the settings for missing, inconsistent or out-of-range values. The error names the first
+// invalid setting found.
 func (c *Config) Validate() error {
 	if len(c.Classes) == 0 {
 		return errors.New("cresspass: Classes: none given")
@@ -140,13 +141,14 @@
 	}
 	for i, v := range append(append([]float64{}, c.KindCores...), c.ClassThreads...) {
 		if v <= 0 {
-			return fmt.Errorf("cresspass: KindCores or ClassThreads: value %d is %v", i, v)
+			return fmt.Errorf("cresspass: KindCores or ClassThreads: value %d is %v, want above 0", i, v)
 		}
 	}
 	return nil
 }
 
-// validateLengths checks that lists by class and by kind have one value for each, or none.
+// validateLengths checks that each per-class and per-kind list is empty or has one value for each class or
+// kind.
 func (c *Config) validateLengths() error {
 	for _, list := range []struct {
 		name      string
@@ -165,12 +167,13 @@
 	return nil
 }
 
-// validateClasses checks the times and names of classes.
+// validateClasses checks that the durations of classes are in range and that their names are unique.
 func (c *Config) validateClasses() error {
 	names := map[string]bool{}
 	for i, k := range c.Classes {
 		if k.Deadline <= 0 || k.LatencyObjective < 0 || k.DeduplicationWindow < 0 {
-			return fmt.Errorf("cresspass: Classes[%d]: deadline %v, aim %v, window %v",
+			return fmt.Errorf(
+				"cresspass: Classes[%d]: deadline %v, latency objective %v, deduplication window %v",
 				i, k.Deadline, k.LatencyObjective, k.DeduplicationWindow)
 		}
 		if names[k.Name] {
@@ -181,7 +184,7 @@
 	return nil
 }
 
-// validateNumbers checks that no figure is negative, infinite or not a number.
+// validateNumbers checks that no number is negative, infinite or NaN.
 func (c *Config) validateNumbers() error {
 	r := &c.Rules
 	values := map[string][]float64{
@@ -204,13 +207,14 @@
 	for name, list := range values {
 		for i, v := range list {
 			if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
-				invalid = append(invalid, fmt.Sprintf("cresspass: %s: value %d is %v", name, i, v))
+				invalid = append(invalid,
+					fmt.Sprintf("cresspass: %s: value %d is %v, want finite and at least 0", name, i, v))
 			}
 		}
 	}
 	if len(invalid) == 0 {
 		return nil
 	}
-	sort.Strings(invalid) // the map's order is random; the error is to be the same each time
+	sort.Strings(invalid) // map order is random, but the error must be the same each time
 	return errors.New(invalid[0])
 }
