--- a/admission.go
+++ b/admission.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// deadlineQueue holds queries that wait for an engine, earliest deadline first.
+// deadlineQueue holds the queries that wait for an engine, earliest deadline first.
 type deadlineQueue []*query
 
 func (w *deadlineQueue) push(q *query) {
@@ -24,13 +24,13 @@
 	q.queued = false
 }
 
-// handleArrival queues a client's query; dequeue decides in the same call of Handle.
+// handleArrival queues a new query. dequeue decides on it in the same call of Handle.
 func (g *Gateway) handleArrival(ev *Event) {
 	if g.queries[ev.Query] != nil {
 		return
 	}
 	c := g.classes[ev.Class]
-	if c == nil { // a class that the settings do not have: nothing is known of what repeats may do
+	if c == nil { // not in the settings: whether it may be repeated is unknown
 		g.emit(Action{Type: Fail, Query: ev.Query})
 		return
 	}
@@ -57,8 +57,8 @@
 	}
 }
 
-// remainingTime is the time an estimate must fit in, in seconds: until the client gives up, or until the
-// latency objective, where that comes first.
+// remainingTime returns the time within which a query should end, in seconds: until its client gives up or
+// until its latency objective, whichever is earlier. It may be negative.
 func (g *Gateway) remainingTime(q *query) float64 {
 	deadline := (q.deadline - g.now - g.replyMargin()).Seconds()
 	waited := (g.now - q.arrivedAt + q.priorWait).Seconds()
@@ -66,7 +66,7 @@
 	return math.Min(deadline, objective)
 }
 
-// dequeue lets queued queries and newcomers go, earliest deadline first, and rejects what no longer fits.
+// dequeue decides on all queued queries, earliest deadline first: each is sent, stays queued or is ended.
 func (g *Gateway) dequeue() {
 	if len(g.queue) == 0 {
 		return
@@ -88,8 +88,8 @@
 	}
 }
 
-// decide returns the engine that a query is to go to now; or, without one, whether it waits on, and else
-// why not.
+// decide returns the engine to send a query to now. Without one, wait reports whether the query stays
+// queued, and reason is why it is ended otherwise.
 func (g *Gateway) decide(q *query, blocked map[*engine]bool) (e *engine, wait bool, reason Reason) {
 	switch {
 	case !g.mayAttempt(q):
@@ -103,8 +103,8 @@
 	return e, wait, ReasonNoEngineFits
 }
 
-// rejectOrFail is the one place where this gateway ends queries (rules 1 and 2): rejected where trying
-// again is known to be harmless, else failed.
+// rejectOrFail ends a query without a result (rules 1 and 2): with Reject if a repeat is known to be
+// harmless, else with Fail. Only handleArrival ends queries elsewhere, those of an unknown class.
 func (g *Gateway) rejectOrFail(q *query, reason Reason) {
 	if q.done {
 		return
@@ -113,7 +113,7 @@
 	if g.mayReject(q) {
 		answer.Type = Reject
 		if g.cfg.MaySendRetryAfter {
-			answer.Wait = g.cfg.MaxRetryAfter // rejected work that comes back soon keeps an overload alive
+			answer.Wait = g.cfg.MaxRetryAfter // an early retry of rejected work prolongs an overload
 		}
 	}
 	g.emit(answer)
@@ -123,7 +123,7 @@
 	g.removeQuery(q)
 }
 
-// mayReject reports whether a client that repeats a query does no harm.
+// mayReject reports whether it is harmless if the client repeats the query.
 func (g *Gateway) mayReject(q *query) bool {
 	maybeRan := q.firstMaybeRan != nil || len(q.inFlight) > 0
 	switch q.class.Effect {
@@ -136,7 +136,8 @@
 	}
 }
 
-// handleShutdown brings all deadlines forward to a time after which this gateway answers nobody.
+// handleShutdown moves all later deadlines to the time of the shutdown, after which the gateway answers no
+// query.
 func (g *Gateway) handleShutdown(left time.Duration) {
 	g.shutdownAt = g.now + max(left, 1)
 	ids := make([]QueryID, 0, len(g.queries))
--- a/attempt.go
+++ b/attempt.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// attempt is one sending of a query to an engine.
+// attempt is one send of a query to an engine.
 type attempt struct {
 	query          *query
 	engine         *engine
 	number         int
 	sentAt         time.Duration
-	notedAt        time.Duration // last progress note
-	base, estimate float64       // seconds
+	notedAt        time.Duration // time of the last progress note
+	base, estimate float64       // seconds, both as of sentAt
 	grantMB        float64
-	runningSeconds []float64 // the engine's integral of its mix at the time of sending
+	runningSeconds []float64 // copy of the engine's runningSeconds as of sentAt
 	overdueRatio   float64   // next multiple of the estimate at which it counts as overdue
 
 	cancelled, spilled, presumedLost bool
 }
 
-// attemptKey names an attempt as events do.
+// attemptKey identifies an attempt, as events do.
 type attemptKey struct {
 	query  QueryID
 	number int
 }
 
-// send is the one place where queries are sent.
+// send sends a query to an engine if the safety rules allow it. No other code sends queries.
 func (g *Gateway) send(q *query, e *engine) {
 	hedged := len(q.inFlight) > 0
 	if !g.mayAttempt(q) || !g.isNextForKey(q) || !g.mayUse(q, e) || hedged && !g.cfg.MayHedge {
@@ -46,7 +46,8 @@
 	g.attemptStarted(a)
 }
 
-// attemptStarted counts an attempt that is being sent, attemptEnded one that got its outcome.
+// attemptStarted adds an attempt that is being sent to the state; attemptEnded removes one that got its
+// outcome.
 func (g *Gateway) attemptStarted(a *attempt) {
 	q, e := a.query, a.engine
 	if q.attemptCount > 0 {
@@ -75,7 +76,8 @@
 	e.running, q.inFlight = slices.DeleteFunc(e.running, same), slices.DeleteFunc(q.inFlight, same)
 }
 
-// releaseThreads takes an attempt from what counts as running, unless it was presumed lost before.
+// releaseThreads removes an attempt from the running counts, unless that happened when it was presumed
+// lost.
 func (g *Gateway) releaseThreads(a *attempt) {
 	if a.presumedLost {
 		return
@@ -117,7 +119,7 @@
 	g.afterAttempt(q, ev.Outcome)
 }
 
-// learnOutcome takes in what an outcome shows of its engine, and of its class.
+// learnOutcome updates the attempt's engine and class from its outcome.
 func (g *Gateway) learnOutcome(a *attempt, ev *Event) {
 	e := a.engine
 	switch ev.Outcome {
@@ -126,7 +128,7 @@
 		e.lastSeenAt = g.now
 		e.outlier.recordSuccess()
 		g.learn(a, ev.Elapsed.Seconds())
-		if c := a.query.class; ev.ActualCost > 0 && !a.query.hasCostEstimate { // its objective was a guess
+		if c := a.query.class; ev.ActualCost > 0 && !a.query.hasCostEstimate { // meanWork was a guess
 			c.meanWork += meanWorkGain * (ev.ActualCost.Seconds() - c.meanWork)
 		}
 		g.adaptGrant(a, ev.ActualMemoryMB)
@@ -141,7 +143,7 @@
 	}
 }
 
-// afterAttempt queues a query again, or ends it, once none of its attempts runs.
+// afterAttempt queues a query again, or ends it, once none of its attempts is running.
 func (g *Gateway) afterAttempt(q *query, outcome Outcome) {
 	switch {
 	case q.done || len(q.inFlight) > 0 || q.queued:
@@ -154,8 +156,8 @@
 	}
 }
 
-// handleProgress reads a note on a running attempt. A bad plan is drawn anew for each attempt, so one that
-// is far behind is cancelled where a fresh run should end well before it.
+// handleProgress handles a progress note on a running attempt. Each attempt gets a new query plan, so an
+// attempt with a bad plan is cancelled if a new one is expected to end well before it.
 func (g *Gateway) handleProgress(ev *Event) {
 	a := g.attempts[attemptKey{ev.Query, ev.Attempt}]
 	if a == nil {
@@ -171,6 +173,6 @@
 		if g.hasBadPlan(a, ran, total) {
 			g.cancelForRetry(a)
 		}
-	case NoteBlocked: // nothing is decided on it
+	case NoteBlocked: // not used in decisions
 	}
 }
--- a/engine.go
+++ b/engine.go
@@ -6,46 +6,46 @@
 	"time"
 )
 
-// kind is what engines of one kind of machine have in common.
+// kind holds what all engines of one machine kind share.
 type kind struct {
 	cores, memoryMB float64
-	reportedLoad    float64     // threads a core, as peers or engines report
-	grantedMemory   float64     // over memory, as engines report
+	reportedLoad    float64     // threads per core, as peers or engines report
+	grantedMemory   float64     // granted memory over memory, as engines report
 	weights         [][]float64 // per class: time a running query of each class adds, over base, per core
 }
 
-// engine is what a gateway knows of an engine.
+// engine holds what a gateway knows about one engine.
 type engine struct {
 	EngineInfo
 	kind          *kind
-	tag           uint16        // stands for its ID in messages
-	active        bool          // on the present list and neither draining nor removed
-	inactiveSince time.Duration // when it was first listed as draining or removed
-	lastSeenAt    time.Duration // last sign of life
-	knownSince    time.Duration
+	tag           uint16        // identifies it in peer messages
+	active        bool          // on the current list, neither draining nor removed
+	inactiveSince time.Duration // when its current draining or removed period began
+	lastSeenAt    time.Duration // when it last responded
+	knownSince    time.Duration // when it was added or last reset
 
 	running        []*attempt
-	runningCount   []float64     // this gateway's running queries per class; last: threads of other gateways
-	runningSeconds []float64     // its integral, in seconds
-	integratedAt   time.Duration // when runningCount was last added to runningSeconds
+	runningCount   []float64     // own running queries per class; last: threads of other gateways
+	runningSeconds []float64     // integral of runningCount over time, in seconds
+	integratedAt   time.Duration // until when runningSeconds includes runningCount
 	ownThreads     float64       // threads of this gateway's running attempts
-	sessions       float64       // sticky sessions of this gateway
+	sessions       float64       // open sticky sessions of this gateway
 
-	ownWeights        [][]float64 // deviation from the kind's weights
-	logSlowness       float64     // logarithm of the fast-moving slowness
-	excessLogSlowness float64     // beyond the median at the last tick
+	ownWeights        [][]float64 // its deviation from the kind's weights
+	logSlowness       float64     // logarithm of its slowness: recent times over Est
+	excessLogSlowness float64     // logSlowness less the median, at the last tick
 
 	limiter   threadLimiter
 	outlier   outlierState
 	slowStart slowStartState
 
-	loadKnownAt   time.Duration // when others' threads were last reported
-	recentSends   float64       // threads of others announced as just sent; they fade into sums
-	grantedMemory float64       // over memory, as reported
+	loadKnownAt   time.Duration // when other gateways' threads were last reported
+	recentSends   float64       // threads others announced as just sent; decays as sums include them
+	grantedMemory float64       // granted memory over memory, as reported
 
-	succeeded, failed           int     // answers, and failures or lost answers, since the last peer report
-	aggregateLoad               float64 // threads of all gateways, while this one aggregates
-	succeededTotal, failedTotal float64 // of all gateways, decaying, while it is
+	succeeded, failed           int     // answers; failures and lost answers; since the last peer report
+	aggregateLoad               float64 // threads of all gateways, while this gateway is aggregator
+	succeededTotal, failedTotal float64 // of all gateways, decaying, while it is aggregator
 }
 
 func (g *Gateway) handleEngineList(ev *Event) {
@@ -70,13 +70,13 @@
 	}
 }
 
-// updateEngine takes in one entry of an engine list.
+// updateEngine applies one entry of an engine list.
 func (g *Gateway) updateEngine(info *EngineInfo) {
 	e := g.engines[info.ID]
 	if e == nil {
 		e = g.addEngine(info)
 	} else if info.StartedAt > e.StartedAt || info.Kind != e.Kind {
-		g.resetEngine(e, info) // its process or machine is new: nothing learnt of the old one holds
+		g.resetEngine(e, info) // new process or machine: what was learnt does not apply
 	}
 	if info.State != EngineActive && (e.State == EngineActive || e.inactiveSince == 0) {
 		e.inactiveSince = g.now
@@ -85,7 +85,7 @@
 	e.active = info.State == EngineActive
 }
 
-// addEngine enters an engine never seen before.
+// addEngine adds an engine that is not known yet.
 func (g *Gateway) addEngine(info *EngineInfo) *engine {
 	classes := len(g.classList)
 	e := &engine{
@@ -99,7 +99,7 @@
 	return e
 }
 
-// resetEngine makes an engine as good as new: its own weights are zero, so that its kind's average stands.
+// resetEngine sets an engine to its initial state. Its own weights become zero, so its kind's weights apply.
 func (g *Gateway) resetEngine(e *engine, info *EngineInfo) {
 	k := g.kinds[info.Kind]
 	if k == nil {
@@ -114,8 +114,8 @@
 	e.lastSeenAt, e.knownSince = g.now, g.now
 }
 
-// pruneEngines drops engines that left the list and run nothing. One in slow start stays, with what it was
-// sent.
+// pruneEngines drops engines that left the list and run no attempts. An engine in slow start is kept, because
+// its record of what it was sent still counts.
 func (g *Gateway) pruneEngines() {
 	g.engineList = slices.DeleteFunc(g.engineList, func(e *engine) bool {
 		if e.active || e.State == EngineDraining || len(e.running) > 0 || g.rampFraction(e) < 1 {
@@ -129,7 +129,7 @@
 	})
 }
 
-// integrateMix brings the integral of an engine's running queries up to the present.
+// integrateMix updates runningSeconds to the current time. It must run before runningCount changes.
 func (g *Gateway) integrateMix(e *engine) {
 	for j, n := range e.runningCount {
 		e.runningSeconds[j] += n * (g.now - e.integratedAt).Seconds()
@@ -137,10 +137,10 @@
 	e.integratedAt = g.now
 }
 
-// othersThreads is the place where an engine's mix counts the threads of other gateways.
+// othersThreads returns the entry of runningCount that holds the threads of other gateways.
 func (e *engine) othersThreads() *float64 { return &e.runningCount[len(e.runningCount)-1] }
 
-// queryCount is the number of our queries that run on an engine.
+// queryCount returns the number of this gateway's queries that run on the engine.
 func (e *engine) queryCount() (sum float64) {
 	for _, n := range e.runningCount[:len(e.runningCount)-1] {
 		sum += n
@@ -148,7 +148,7 @@
 	return sum
 }
 
-// sessionCount is how many sticky sessions an engine has, those that are being opened counted in.
+// sessionCount returns this gateway's sticky sessions on the engine, including those being opened.
 func (e *engine) sessionCount() float64 {
 	n := e.sessions
 	for _, a := range e.running {
--- a/estimator.go
+++ b/estimator.go
@@ -2,23 +2,24 @@
 
 import "math"
 
-// Gains are the part of an error that is taken up per outcome.
+// A gain is the share of an error that one outcome corrects.
 const (
-	baseGain            = 0.04 // least gain of a class's base; higher while it has seen few outcomes
+	baseGain            = 0.04 // least gain of a class's base; it is higher after few outcomes
 	kindGain            = 0.10 // gain of a kind's average weights
 	engineGain          = 0.05 // gain of an engine's own deviation from its kind
-	minBaseShare        = 0.02 // least base, in parts of the objective: below, the network rules the time
-	maxErrorRatio       = 4.0  // an outcome counts as at most this many times its estimate
-	maxWeight           = 4.0  // a query adds at most this many times its own threads' share of an engine
-	initialOthersWeight = 0.25 // weight of a thread of others, over base and per core, before any outcome
-	slownessGain        = 0.12 // gain of an engine's slowness, much faster than the weights
-	fleetSlownessGain   = 0.08 // gain of the fleet's slowness, fed by every outcome
+	minBaseShare        = 0.02 // least base, as a share of the objective: below, network time dominates
+	maxErrorRatio       = 4.0  // an outcome counts as at most this many times its estimate, or 1/this
+	maxWeight           = 4.0  // a query adds at most this many times its threads' share of an engine
+	initialOthersWeight = 0.25 // initial weight of other gateways' threads, over base and per core
+	slownessGain        = 0.12 // gain of an engine's slowness; it adapts faster than the weights
+	fleetSlownessGain   = 0.08 // gain of the fleet's slowness, which every outcome updates
 )
 
 var maxLogError = math.Log(maxErrorRatio)
 
-// newWeights returns zero weights. The last column is for the threads of other gateways, all classes
-// together: no gateway sees them run, so where they are reported their weight does not start at zero.
+// newWeights returns weights of zero, except in the last column, which is set to others. That column is for
+// the threads of other gateways, all classes together. No gateway sees these run, so where they are reported
+// their weight does not start at zero.
 func (g *Gateway) newWeights(others float64) [][]float64 {
 	w := make([][]float64, len(g.classList))
 	for i := range w {
@@ -28,7 +29,7 @@
 	return w
 }
 
-// interference is what running queries add to the time of a query of class i, over its base.
+// interference returns the time that running queries add to a query of class i, over its base.
 func (e *engine) interference(i int, counts []float64) float64 {
 	sum := 0.0
 	for j, n := range counts {
@@ -37,10 +38,10 @@
 	return sum
 }
 
-// baseTime is a query's time on an unloaded engine, in seconds.
+// baseTime returns a query's expected time on an unloaded engine, in seconds.
 func (g *Gateway) baseTime(q *query) float64 { return q.rawBase * q.class.baseScale }
 
-// estimate is Est(i) in seconds for a newcomer, itself counted in.
+// estimate returns Est(i) of a query on an engine, in seconds, with the query itself counted as running.
 func (g *Gateway) estimate(q *query, e *engine) float64 {
 	i := q.class.index
 	e.runningCount[i]++
@@ -53,7 +54,7 @@
 	return est
 }
 
-// addBulkLoadWait adds to an estimate how long a bulk load stands still while others hold its tables there.
+// addBulkLoadWait adds to an estimate how long a bulk load waits for others that lock its tables there.
 func (g *Gateway) addBulkLoadWait(est float64, q *query, e *engine) float64 {
 	for _, a := range e.running {
 		if a.query.class.bulkLoad && a.query.tableGroup == q.tableGroup {
@@ -63,7 +64,8 @@
 	return est
 }
 
-// averageMix returns the average mix that an attempt met, and its length over cores, squared, plus one.
+// averageMix returns the average mix of running queries during an attempt, and as norm one plus the squared
+// length of that mix over cores. mix is valid until the next call.
 func (g *Gateway) averageMix(a *attempt, took float64) (mix []float64, norm float64) {
 	mix, norm = g.mixBuffer[:0], 1
 	for j := range a.engine.runningSeconds {
@@ -75,38 +77,38 @@
 	return mix, norm
 }
 
-// learn corrects the fit by an answered attempt: the class's base, the weights by the mix it met, and,
-// faster, the engine's slowness. Only slowness beyond the fleet's median is kept from the weights.
+// learn updates the model from an answered attempt: the class's base, the weights of the mix it ran in and,
+// faster, the engine's slowness. Only slowness beyond the fleet's median is kept out of the weights.
 func (g *Gateway) learn(a *attempt, took float64) {
 	c, e := a.query.class, a.engine
 	if took <= 0 || a.base <= 0 {
 		return
 	}
 	mix, norm := g.averageMix(a, took)
-	// With a base of a millisecond every pause of the network would look like a lost answer or a bad plan.
+	// With a base of a millisecond, every network delay would look like a lost answer or a bad plan.
 	took = math.Max(took, minBaseShare*c.LatencyObjective.Seconds())
 	expected := 1 + e.interference(c.index, mix)
 	observed := took * g.rampFraction(e) / a.base
 	logRatio := math.Log(observed / expected)
-	// Errors are taken in logarithms and clipped: queries are widely spread, and one runaway must not
-	// move the weights. Base and weights share the error, else they drift apart.
+	// Errors are logarithmic and clipped: the times of queries vary widely, and one runaway query must not
+	// move the weights. Base and weights share one error, else they drift apart.
 	miss := clipError(logRatio - e.excessLogSlowness)
 	ownThreads := g.learnWeights(e, c, mix, miss*expected/norm)
-	// The base is the unloaded time, so only outcomes that met little of ours correct it.
+	// The base is the unloaded time, so only outcomes with few other queries of ours running correct it.
 	if light := 1 - (ownThreads-c.threads)/g.initialThreadLimit(e); light > 0 {
 		c.outcomesSeen += light
 		c.baseScale *= math.Exp(light * math.Max(baseGain, 1/(c.outcomesSeen+2)) * miss)
 	}
 	ownRatio := clipError(logRatio - g.unobservedShare(e)*g.fleetLogSlowness)
 	e.logSlowness += slownessGain * (ownRatio - e.logSlowness)
-	if a.overdueRatio == firstOverdueRatio { // else its slowness was learnt while it ran
+	if a.overdueRatio == firstOverdueRatio { // else learnOverdue has counted it already
 		g.learnFleetSlowness(logRatio - e.logSlowness)
 	}
 	g.adaptThreadLimit(e, c, min(max(math.Log(observed), -maxLogError), 2*maxLogError), took)
 }
 
-// learnWeights moves the weights of a class on an engine, and on its kind, along the mix that an attempt
-// met. It returns the threads of ours in that mix.
+// learnWeights moves the weights of a class, for an engine and for its kind, along the mix that an attempt
+// ran in. It returns the number of our threads in that mix.
 func (g *Gateway) learnWeights(e *engine, c *class, mix []float64, step float64) (ownThreads float64) {
 	for j, n := range mix {
 		threads := 1.0
@@ -123,43 +125,43 @@
 	return ownThreads
 }
 
-// learnOverdue takes in that a running attempt has come so far over its estimate. A slow engine answers
-// nothing for long, so without this its slowness would go unseen.
+// learnOverdue updates the model from a running attempt that has reached its overdueRatio. A slow engine
+// answers nothing for a long time, so its slowness would otherwise go unnoticed.
 func (g *Gateway) learnOverdue(a *attempt) {
 	e := a.engine
 	observed := math.Log(a.overdueRatio * a.estimate / a.base)
 	clipped := math.Min(observed, 2*maxLogError)
 	e.logSlowness += slownessGain * math.Max(0, clipped-g.logSlowness(e))
-	// Load reports show load by themselves, and what is overdue then may be lost.
+	// Load reports show load directly. Where engines send them, an overdue attempt may be a lost answer.
 	if g.now-g.pressure.loadReportAt > peerLoadHalfLife {
 		g.learnFleetSlowness(observed - e.logSlowness)
 	}
 	e.limiter.logLatency += latencyGain * math.Max(0, clipped-e.limiter.logLatency)
 }
 
-// learnFleetSlowness takes in what an attempt shows of the fleet's slowness: when it ends in good time,
-// else each time it becomes overdue.
+// learnFleetSlowness updates the fleet's slowness from an attempt: once if it ends before it is overdue, else
+// each time it reaches its overdueRatio.
 func (g *Gateway) learnFleetSlowness(logRatio float64) {
 	g.fleetLogSlowness += fleetSlownessGain * clipError(logRatio-g.fleetLogSlowness)
 }
 
-// unobservedShare is how much of an engine our own queries do not show: near 1 where our part of its cores
-// is small.
+// unobservedShare returns how much of an engine's load our own queries do not show. It is near 1 if our share
+// of its cores is small.
 func (g *Gateway) unobservedShare(e *engine) float64 {
 	return math.Pow(1+e.kind.cores/g.gatewayCount, -2)
 }
 
-// logSlowness is the logarithm by which an engine, and as far as that is unobserved the fleet, is slower
-// than Est.
+// logSlowness returns the logarithm of how much slower an engine is than its weights predict. The fleet's
+// slowness counts as far as the engine is unobserved.
 func (g *Gateway) logSlowness(e *engine) float64 {
 	return e.logSlowness + g.unobservedShare(e)*g.fleetLogSlowness
 }
 
-// clipError limits an error, in logarithms, to what one outcome may count for.
+// clipError limits a logarithmic error to what one outcome may count for.
 func clipError(miss float64) float64 { return min(max(miss, -maxLogError), maxLogError) }
 
-// expectedWork is what a query is taken to need, in thread seconds: its class's mean, or more where it is
-// known.
+// expectedWork returns the work that slow start counts for a query, in thread seconds: the mean of its class
+// or, if that is higher, the work by its cost estimate.
 func (g *Gateway) expectedWork(q *query) float64 {
 	if q.hasCostEstimate {
 		return math.Max(q.class.meanWork, g.baseTime(q)*q.class.threads)
@@ -167,7 +169,7 @@
 	return q.class.meanWork
 }
 
-// smallestMeanWork is the least mean work of a class.
+// smallestMeanWork returns the smallest mean work of all classes, in thread seconds.
 func (g *Gateway) smallestMeanWork() float64 {
 	work := math.Inf(1)
 	for _, c := range g.classList {
--- a/gateway.go
+++ b/gateway.go
@@ -7,29 +7,29 @@
 )
 
 const (
-	tickInterval       = 50 * time.Millisecond  // pace of the periodic look at what is running
-	tickLabel          = 0                      // of the tick's timer; queries have their ID plus one
+	tickInterval       = 50 * time.Millisecond  // interval of the review of engines and attempts
+	tickLabel          = 0                      // timer label of the tick; a query's is its ID plus 1
 	replyMarginBatches = 2                      // final answers leave this many batches before the deadline
-	listPollRetryDelay = 500 * time.Millisecond // after a failed poll; and the least pace of polls
+	listPollRetryDelay = 500 * time.Millisecond // after a failed poll; also the least poll interval
 )
 
-// Gateway decides for one gateway. It is not safe for concurrent use.
+// Gateway makes the decisions of one gateway. It is not safe for concurrent use.
 type Gateway struct {
 	cfg        Config
 	now        time.Duration
-	actions    []Action // of the present call of Handle
+	actions    []Action // of the current call of Handle
 	random     *rand.Rand
-	mixBuffer  []float64 // reused by averageMix, to allocate nothing for an outcome
+	mixBuffer  []float64 // reused by averageMix, so that an outcome allocates nothing
 	started    bool
 	listPollAt time.Duration
-	shutdownAt time.Duration // no answer may be given later; 0: no shutdown is scheduled
+	shutdownAt time.Duration // no answer may be sent later; 0: no shutdown is scheduled
 
 	classes      map[string]*class
 	classList    []*class // in the order of the settings
 	kinds        map[string]*kind
 	engines      map[EngineID]*engine
 	enginesByTag map[uint16]*engine
-	engineList   []*engine // all engines known, by ID
+	engineList   []*engine // all known engines, sorted by ID
 	queries      map[QueryID]*query
 	attempts     map[attemptKey]*attempt
 	queue        deadlineQueue
@@ -41,15 +41,15 @@
 
 	gatewayCount      float64
 	cores             float64   // of all active engines
-	ownThreads        float64   // of this gateway's running attempts, on all engines
-	sessionActivity   float64   // share of their time in which sticky sessions run something
-	fleetLogSlowness  float64   // of which an engine's own slowness is a deviation
-	slownesses        []float64 // logarithms, of the active engines that are not ejected, at the last tick
-	medianLogSlowness float64   // of these
-	mostEjected       bool      // so many engines look ejected that the fault is the fleet's
+	ownThreads        float64   // threads of this gateway's running attempts, on all engines
+	sessionActivity   float64   // share of sticky sessions that run a query, averaged over time
+	fleetLogSlowness  float64   // an engine's own logSlowness is a deviation from it
+	slownesses        []float64 // logSlowness of active engines that are not ejected, at the last tick
+	medianLogSlowness float64   // median of slownesses
+	mostEjected       bool      // over half of the active engines are ejected: a fault of the fleet
 }
 
-// New returns a gateway with the given settings, or an error naming the setting that contradicts itself.
+// New returns a gateway with the given settings. The error is that of Config.Validate.
 func New(cfg Config) (*Gateway, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -81,8 +81,9 @@
 	return g, nil
 }
 
-// Handle takes the clock and what has happened since the last call, in order, and appends to actions
-// what is to be done. The gateway keeps neither slice.
+// Handle processes the events since the last call, in order, and appends the resulting actions to actions.
+// now is the gateway's clock: a value before that of the last call counts as that one. The gateway keeps
+// neither slice.
 func (g *Gateway) Handle(now time.Duration, events []Event, actions []Action) []Action {
 	g.now, g.actions = max(now, g.now), actions
 	if !g.started {
@@ -129,7 +130,7 @@
 		if q := g.queries[ev.Query]; q != nil {
 			g.removeQuery(q)
 		}
-	case ResponseStarted: // no decision rests on it
+	case ResponseStarted: // not used in decisions
 	}
 }
 
@@ -143,29 +144,30 @@
 	}
 }
 
-// tick is the periodic look at what is running. Its steps draw on one another, so their order counts.
+// tick is the periodic review of engines and attempts. Its steps use each other's results, so their order
+// matters.
 func (g *Gateway) tick() {
 	g.setTimer(tickInterval, tickLabel)
 	g.fleetLogSlowness *= decayFactor(slownessHalfLife)
-	g.hasRetryBudget() // drops what has left its window, also while nothing is retried
+	g.hasRetryBudget() // drops entries outside the window, also while nothing is retried
 	g.pollEngineList()
 	g.gossipRound()
 	g.decayKindLoads()
 	census := g.reviewEngines()
 	g.updateSessionActivity(census)
 	g.updateExcessSlowness()
-	// All engines failing together is no outlier among them; ejecting them all would serve nobody.
+	// If most engines fail at once, none of them is an outlier, and ejecting them all would serve nobody.
 	g.mostEjected = census.ejected*2 > census.active
 	g.pressure.update(g.now, g.fleetLogSlowness, census)
 }
 
-// fleetCensus is what a tick counts over the engines.
+// fleetCensus holds what a tick counts over all engines.
 type fleetCensus struct {
-	active, ejected, underPressure int     // engines
-	sessions, busySessions         float64 // sticky sessions, and attempts that run for them
+	active, ejected, underPressure int     // numbers of active engines
+	sessions, busySessions         float64 // sticky sessions; attempts that run in one
 }
 
-// reviewEngines brings each engine's state up to the present and looks for overdue attempts and outliers.
+// reviewEngines updates each engine's state to the current time and detects overdue attempts and outliers.
 func (g *Gateway) reviewEngines() (census fleetCensus) {
 	g.slownesses = g.slownesses[:0]
 	decay := g.newLoadDecay()
@@ -203,8 +205,9 @@
 	}
 }
 
-// pollEngineList subscribes to the engine list where it must be polled. It renews well inside the rule's
-// time: otherwise a list that this gateway has not seen would count as known to it.
+// pollEngineList renews the engine list subscription where the list must be polled. It does so well within
+// EngineListPollInterval: after that time the rules count a list as known even if the gateway has not seen
+// it.
 func (g *Gateway) pollEngineList() {
 	if !g.cfg.PollEngineList || g.now < g.listPollAt {
 		return
@@ -219,17 +222,17 @@
 	g.emit(Action{Type: SetTimer, Wait: max(in, time.Microsecond), Label: label})
 }
 
-// replyMargin is how long before its deadline a query gets its final answer.
+// replyMargin is how long before its deadline a query gets its final answer at the latest.
 func (g *Gateway) replyMargin() time.Duration {
 	return replyMarginBatches * max(g.cfg.BatchInterval, time.Millisecond)
 }
 
-// queryLabel is the label of a query's timers; queryOfLabel is its reverse.
+// queryLabel returns the label of a query's timers; queryOfLabel is its inverse.
 func queryLabel(id QueryID) uint64 { return uint64(id) + 1 }
 
 func queryOfLabel(label uint64) QueryID { return QueryID(label - 1) }
 
-// decayFactor is the share of a value that is left after a tick, given its half-life.
+// decayFactor returns the share of a value that remains after one tick, given its half-life.
 func decayFactor(halfLife time.Duration) float64 {
 	return math.Exp2(-tickInterval.Seconds() / halfLife.Seconds())
 }
--- a/placement.go
+++ b/placement.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	maxIdleMargin         = 2.0                   // a query of a wider margin has no claim to an idle engine
-	quietEngineRetry      = baseEjectionTime      // while nothing runs, one unheard of for so long is tried
-	fairSizeRatio         = 0.7                   // part of the mean work from which a margin grows
-	largeQueryPower       = 2.0                   // of the size over it
-	balanceWeight         = 1.0                   // an estimate counts as so much more where our part is full
-	tieBreakSpread        = 1.0                   // estimates so close, as a share, are alike: chance decides
-	minIdleSessionThreads = 0.05                  // threads that an idle session counts as at least
-	sessionBalancePower   = 2.0                   // of the excess of sessions by which a cost grows
+	maxIdleMargin         = 2.0                   // above this sizeMargin idle engines must fit too
+	quietEngineRetry      = baseEjectionTime      // while nothing runs, an engine unseen so long is tried
+	fairSizeRatio         = 0.7                   // share of the mean work from which sizeMargin grows
+	largeQueryPower       = 2.0                   // power of the size over that share
+	balanceWeight         = 1.0                   // added to the cost factor when our share is full
+	tieBreakSpread        = 1.0                   // random share of a cost, which decides near-ties
+	minIdleSessionThreads = 0.05                  // least share of its threads that an idle session counts
+	sessionBalancePower   = 2.0                   // power of the excess of sessions that a cost grows with
 	failureCostWeight     = 4.0                   // a cost grows by this times the failure rate...
-	finalFailureWeight    = 16.0                  // ...or by this, where a failure would be the last
-	previousEngineCost    = 16.0                  // times that the engine of the last attempt costs more
-	loadProbeCount        = 3                     // engines probed before a long query is placed...
-	loadProbeWait         = 25 * time.Millisecond // ...which waits so long for their reports
+	finalFailureWeight    = 16.0                  // ...or by this, if the query must not be repeated
+	previousEngineCost    = 16.0                  // cost factor of the engine of the previous attempt
+	loadProbeCount        = 3                     // engines probed before a long query is placed
+	loadProbeWait         = 25 * time.Millisecond // how long the query waits for their load reports
 )
 
-// mayUse checks what concerns a query on one engine: drains (rule 3), placement (rule 6), the group that
-// drops repeats (rule 2) and slow start (rule 4).
+// mayUse reports whether the rules allow a query on an engine: drains (rule 3), placement (rule 6), the
+// group that drops repeats (rule 2) and slow start (rule 4).
 func (g *Gateway) mayUse(q *query, e *engine) bool {
 	if q.stickyEngine != "" {
-		// A session's statements go where it is, on a draining engine within the grace.
+		// A session's queries go to its engine, to a draining one only within the drain grace.
 		graceOver := g.now >= e.inactiveSince+g.cfg.Rules.DrainGrace-g.replyMargin()
 		if e.ID != q.stickyEngine || !e.active && graceOver {
 			return false
@@ -43,8 +43,8 @@
 	return q.isDeduplicatedBy(e) && g.hasSlowStartCapacity(e, q)
 }
 
-// isDeduplicatedBy reports whether an engine drops a repeat of what may have run already, as far as it
-// must.
+// isDeduplicatedBy reports whether the query may be sent to an engine as far as deduplication goes: if an
+// attempt may have run and repeats must be dropped, the engine has to be in the group that drops them.
 func (q *query) isDeduplicatedBy(e *engine) bool {
 	first, c := q.firstMaybeRan, q.class
 	if first == nil || first.engine == e {
@@ -57,9 +57,9 @@
 	return sameZone && (c.DeduplicationScope != ScopeCell || first.engine.Cell == e.Cell)
 }
 
-// probeLoad asks a few engines that a long query may use for a load report, where neither peers nor our own
-// queries show how full they are; the query waits for the reports. Without it a jammed engine, which
-// answers no query and so reports nothing, looks as free as it was when last heard of.
+// probeLoad requests load reports from a few engines that a long query may use, if neither peers nor our own
+// queries show their load. The query waits for the reports. Without the probes an overloaded engine, which
+// answers no query and so reports nothing, would look as free as in its last report.
 func (g *Gateway) probeLoad(q *query) {
 	reports := g.cfg.MayCheckHealth && slices.Contains(g.cfg.LoadReportFields, loadReportConcurrent)
 	if !reports || g.pressure.peersReport(g.now) || g.baseTime(q)*q.class.threads < minAnnouncedWork {
@@ -80,14 +80,14 @@
 	}
 }
 
-// placement is one choice of an engine for a query.
+// placement holds the values that one choice of an engine for a query is based on.
 type placement struct {
 	query        *query
-	remaining    float64 // seconds that the estimate must fit in
-	loadMargin   float64 // by which a time that grows with load must fit
-	sizeMargin   float64 // by which the estimate of a large query must fit
-	chance       float64 // drawn once, for all engines
-	openSessions float64 // sticky sessions of the active engines, where the query opens one
+	remaining    float64 // time that the estimate must fit in, in seconds
+	loadMargin   float64 // safety factor on the time that grows with load
+	sizeMargin   float64 // safety factor on the estimate of a large query
+	chance       float64 // random number, drawn once for all engines
+	openSessions float64 // sticky sessions on active engines, if the query opens one
 }
 
 func (g *Gateway) newPlacement(q *query) placement {
@@ -101,18 +101,17 @@
 		}
 	}
 	if g.pressure.overloaded && q.hasCostEstimate {
-		// In an overload a few very long queries would take the capacity of many; each earns no more than
-		// one.
+		// In an overload a few very long queries would take the capacity of many others. Each of them
+		// earns no more than one of these.
 		size := g.baseTime(q) * q.class.threads / q.class.meanWork
 		p.sizeMargin = math.Pow(math.Max(1, size/fairSizeRatio), largeQueryPower)
 	}
 	return p
 }
 
-// chooseEngine picks the engine with the lowest cost among those whose estimate fits the remaining time; an
-// engine that runs none of ours comes first. Engines in blocked keep their capacity for queries with
-// earlier deadlines. Where there is no engine, wait says whether the query may be queued or is to be
-// rejected.
+// chooseEngine returns the engine with the lowest cost among those on which the query fits its remaining
+// time. Engines that run none of our queries come first. Engines in blocked keep their capacity for queries
+// with earlier deadlines. If there is no engine, wait reports whether the query stays queued or is rejected.
 func (g *Gateway) chooseEngine(q *query, blocked map[*engine]bool) (best *engine, wait bool) {
 	p := g.newPlacement(q)
 	var bestCost float64
@@ -139,41 +138,40 @@
 			best, bestCost, bestIdle = e, cost, idle
 		}
 	}
-	// Where clients are spread unevenly over gateways our part of a quota is a guess, so it counts in an
-	// overload only.
+	// If clients are spread unevenly over gateways, our share of a quota is a guess. So quotas are enforced
+	// only in an overload.
 	overQuota := q.overQuota && g.pressure.overloaded
 	return best, wait && !overQuota || !usable && g.baseTime(q) <= p.remaining
 }
 
-// sessionsFull reports whether a query would open a session on an engine that has as many as it may have.
+// sessionsFull reports whether a query would open a session on an engine that has the maximum already.
 func (g *Gateway) sessionsFull(q *query, e *engine) bool {
 	most := g.cfg.MaxSessionsPerEngine
 	return q.opensSession && most > 0 && e.sessionCount() >= float64(most)
 }
 
-// fits reports whether a query of some estimate on an engine is expected to end in its remaining time, or
-// may go there all the same.
+// fits reports whether a query with estimate est on an engine is expected to end in its remaining time, or
+// may be sent there anyway.
 func (g *Gateway) fits(p *placement, e *engine, est float64) bool {
 	late := est*p.sizeMargin*g.loadGuard(p, e) > p.remaining
 	return !late || g.mayTryIdle(p, e)
 }
 
-// mayTryIdle reports whether a query that does not fit may still go to an engine that runs none of ours:
-// always where our part of its cores holds the query, else by that part's chance.
+// mayTryIdle reports whether a query that does not fit may still go to an engine that runs none of ours. It
+// may if our share of the engine's cores holds its threads, else with a probability of share over threads.
 func (g *Gateway) mayTryIdle(p *placement, e *engine) bool {
 	q := p.query
-	// A gateway that runs nothing learns nothing, and what it last believed of an engine would hold for
-	// ever.
+	// A gateway that runs nothing learns nothing, so a wrong estimate of an engine would never be corrected.
 	quiet := g.ownThreads == 0 && g.now-e.lastSeenAt > quietEngineRetry
 	idle := e.ownThreads == 0 && (p.sizeMargin <= maxIdleMargin || quiet)
 	return idle && p.chance < e.kind.cores/g.gatewayCount/q.class.threads &&
 		(p.remaining > 0 || q.class.LateAnswerValue > 0)
 }
 
-// loadGuard is the factor by which a query's time on an engine is taken to grow with the threads a core
-// there. Weights learn of load late, and never while nothing ends, so a query is admitted by this time. It
-// does not choose by it: reported loads are old, and by a steep choice all gateways would take the same
-// engine. Slow start limits what an engine gets by itself and needs no guard.
+// loadGuard returns the factor by which a query's time on an engine is assumed to grow with the threads per
+// core there. Weights learn of load late, and not at all while nothing ends, so admission uses this factor.
+// The choice among engines does not: reported loads are old, and a cost that grows steeply with them would
+// make all gateways choose the same engine. Slow start limits what an engine gets and needs no guard.
 func (g *Gateway) loadGuard(p *placement, e *engine) float64 {
 	if g.rampFraction(e) < 1 {
 		return 1
@@ -183,14 +181,14 @@
 	return p.loadMargin * math.Pow(math.Max(1, load/expected), g.unobservedShare(e))
 }
 
-// placementCost is what decides among the engines on which a query fits; idle ones come first.
+// placementCost returns the cost by which engines that a query fits on are compared. idle ones are preferred.
 func (g *Gateway) placementCost(p *placement, e *engine, est float64) (cost float64, idle bool) {
 	q := p.query
 	idle = e.ownThreads == 0
 	sessionThreads := 0.0
 	if q.opensSession {
-		// An engine full of idle sessions looks free, and would draw those that come as well. A session
-		// runs again, as often as others do, and it cannot move.
+		// An engine full of idle sessions looks free and would attract new sessions too. A session cannot
+		// move, and it will run queries again, as often as others do.
 		sessions := e.sessionCount()
 		sessionThreads = sessions * math.Max(minIdleSessionThreads, g.sessionActivity) * q.class.threads
 		idle = idle && sessionThreads == 0
@@ -201,15 +199,15 @@
 	if q.class.Effect == NotIdempotent {
 		failureWeight = finalFailureWeight
 	}
-	// While weights are small the engine that looks fastest would draw everything, so threads of ours over
-	// our part of the cores keep near-ties apart.
+	// While weights are small, the engine that looks slightly faster would get all queries. So our threads
+	// there over our share of its cores raise the cost.
 	threads := e.ownThreads + q.class.threads + sessionThreads
 	balance := 1 + balanceWeight*threads/g.initialThreadLimit(e)
 	cost = est * (1 + failureWeight*e.outlier.failureRate) * balance
-	if e == q.previousEngine { // only where there is no other
+	if e == q.previousEngine { // used only if no other engine fits
 		cost, idle = cost*previousEngineCost, false
 	}
-	// Without chance many gateways with like views would all pick the same engine.
+	// Without randomness, gateways with similar information would all choose the same engine.
 	cost *= 1 + g.unobservedShare(e)*tieBreakSpread/q.class.threads*g.random.Float64()
 	return cost, idle
 }
--- a/query.go
+++ b/query.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	meanWorkGain      = 0.05 // gain of a class's mean work
-	firstAttemptShare = 0.98 // an attempt that may last less than this share of the longest seen is a retry
+	meanWorkGain      = 0.05 // gain of a class's mean work, per query or answer
+	firstAttemptShare = 0.98 // a retry with less than this share of the longest deadline seen has waited
 )
 
-// class is a class of the settings with what was learnt of it.
+// class is a query class of the settings with the values learnt about it.
 type class struct {
 	Class
 	index           int
 	threads         float64
 	bulkLoad        bool
-	baseScale       float64       // unloaded time over a query's own estimate (or over the objective)
-	outcomesSeen    float64       // outcomes that have corrected baseScale
-	meanWork        float64       // of a query, in thread seconds
-	grantFactor     float64       // memory granted over the estimate that came with a query
-	longestDeadline time.Duration // longest remaining deadline of an attempt seen
+	baseScale       float64       // unloaded time over a query's cost estimate (or over the objective)
+	outcomesSeen    float64       // outcomes that have corrected baseScale, weighted
+	meanWork        float64       // mean work of a query, in thread seconds
+	grantFactor     float64       // memory granted over a query's memory estimate
+	longestDeadline time.Duration // longest remaining deadline seen at an arrival
 }
 
 func newClass(cfg *Config, i int) *class {
@@ -34,16 +34,16 @@
 	return c
 }
 
-// query is a client's query that has no final answer yet.
+// query is a client's query. It has a final answer, or needs none, once done is set.
 type query struct {
 	id              QueryID
 	class           *class
 	tableGroup      float64
 	orderKey        *orderKey
 	inFlight        []*attempt
-	previousEngine  *engine  // where its last attempt ended
-	firstMaybeRan   *attempt // earliest attempt that may have run
-	stickyEngine    EngineID // the one engine that may run it; "": any
+	previousEngine  *engine  // engine of the attempt that ended last
+	firstMaybeRan   *attempt // ended attempt, sent first, that may have run
+	stickyEngine    EngineID // the only engine that may run it; "": any
 	opensSession    bool
 	hasCostEstimate bool
 	overQuota       bool
@@ -51,16 +51,16 @@
 	done            bool
 
 	arrivedAt, deadline time.Duration
-	priorWait           time.Duration // what the client had waited in earlier attempts
-	awaitReportsUntil   time.Duration // queued until then for load reports that were asked for
+	priorWait           time.Duration // how long the client waited in its earlier requests
+	awaitReportsUntil   time.Duration // queued until then: it waits for requested load reports
 	rawBase             float64       // cost estimate over threads, or the objective, in seconds
-	estimateSpread      float64       // how much further over its estimate it may be than one of known cost
-	memoryMB            float64       // estimate that came with it
+	estimateSpread      float64       // factor by which its overrun limits are wider than with a known cost
+	memoryMB            float64       // memory estimate of its arrival
 	attemptCount        int
-	earlyCancels        int // attempts cancelled to be retried
+	earlyCancels        int // attempts cancelled in order to retry
 }
 
-// newQuery returns the query of an arrival and takes in what the arrival shows of its class.
+// newQuery creates the query of an arrival and updates what its class learns from arrivals.
 func (g *Gateway) newQuery(c *class, ev *Event) *query {
 	q := &query{
 		id: ev.Query, class: c, stickyEngine: ev.StickyEngine, opensSession: ev.OpensSession,
@@ -71,10 +71,10 @@
 	if ev.HasCostEstimate && ev.CostEstimate > 0 {
 		q.rawBase, q.hasCostEstimate, q.estimateSpread = ev.CostEstimate.Seconds()/c.threads, true, 1
 	}
-	// A rejected client comes again. Its objective counts from its first attempt, and work for answers that
-	// can earn nothing keeps an overload alive. The deadline that remains tells how long it has waited, but
-	// only on what is marked as a retry: hurried clients give first attempts short deadlines too, and
-	// rejecting them for that would be wrong.
+	// A rejected client retries. Its latency objective counts from its first request, and work for answers
+	// that can earn nothing prolongs an overload. The remaining deadline shows how long the client has
+	// waited, but only on a request marked as a retry: some clients set short deadlines on first requests
+	// too, and must not be rejected for that.
 	c.longestDeadline = max(c.longestDeadline, ev.RemainingDeadline)
 	if ev.IsRetry && float64(ev.RemainingDeadline) < firstAttemptShare*float64(c.longestDeadline) {
 		q.priorWait = max(0, c.Deadline-ev.RemainingDeadline)
@@ -86,7 +86,7 @@
 	return q
 }
 
-// removeQuery drops a query that has its final answer, or needs none. Its attempts run on.
+// removeQuery drops a query that has its final answer, or needs none. Its attempts keep running.
 func (g *Gateway) removeQuery(q *query) {
 	q.done = true
 	delete(g.queries, q.id)
