--- a/gossip.go
+++ b/gossip.go
@@ -7,53 +7,54 @@
 	"time"
 )
 
-// At full size one gateway's queries show nearly nothing of an engine, so gateways report to an aggregator,
-// a duty that goes round, what they run where and how it ended; the aggregator broadcasts the sums. What is
-// lost or stale decays, and decisions then rest on what a gateway sees itself.
+// In a full-size fleet, one gateway's own queries show almost nothing of an engine's load. So gateways report
+// what they run on which engine, and how attempts ended, to an aggregator, a role that rotates among them.
+// The aggregator broadcasts the sums. If messages are lost or stale, the values decay and decisions rest on
+// what the gateway sees itself.
 
 const (
-	peerReportInterval     = 500 * time.Millisecond // pace of reports to the aggregator
+	peerReportInterval     = 500 * time.Millisecond // interval of reports to the aggregator
 	minAnnouncedWork       = 1.0                    // thread seconds from which a send is announced
-	aggregatorTermLength   = 5 * time.Second        // how long a gateway is the aggregator
+	aggregatorTermLength   = 5 * time.Second        // how long a gateway remains aggregator
 	aggregatorWarmUpRounds = 2                      // rounds of reports before it broadcasts...
-	roundsPerBroadcast     = 2                      // ...in one round of so many
+	roundsPerBroadcast     = 2                      // ...then it broadcasts in one round of this many
 	peerReportLifetime     = 2 * peerReportInterval
-	peerLoadHalfLife       = 2 * time.Second  // of what peers report
-	minPeerFailuresToEject = 3.0              // failures and lost answers that may call for an ejection
-	peerOutcomeRetention   = 0.8              // part of the outcomes kept with each broadcast
+	peerLoadHalfLife       = 2 * time.Second  // of load that peers report
+	minPeerFailuresToEject = 3.0              // an engine with more failures may be broadcast as failing
+	peerOutcomeRetention   = 0.8              // share of the outcome counts kept at each broadcast
 	kindLoadHalfLife       = 10 * time.Second // of a kind's load while nothing is reported
 )
 
-// gossipState is a gateway's part in gossip.
+// gossipState is a gateway's state of the gossip protocol.
 type gossipState struct {
-	nextAt      time.Duration // of the next round
-	clockOffset time.Duration // how far the gateways' common clock is ahead of ours
-	toForward   []PeerLoad    // announced sends to pass on with the next tick
+	nextAt      time.Duration // when the next round is due
+	clockOffset time.Duration // the gateways' shared clock minus ours
+	toForward   []PeerLoad    // announced sends to forward at the next tick
 	reports     map[int]receivedReport
-	rounds      int // since this gateway last became aggregator; 0: it is none
+	rounds      int // rounds since this gateway became aggregator; 0: it is not aggregator
 }
 
-// receivedReport is what a peer reported of what it runs.
+// receivedReport is a peer's latest report.
 type receivedReport struct {
 	at      time.Duration
 	entries []PeerLoad
 }
 
-// aggregatorTerm is the number of the present term, by the clock that all gateways share.
+// aggregatorTerm returns the number of the current term, by the clock that all gateways share.
 func (g *Gateway) aggregatorTerm() time.Duration {
 	return (g.now + g.gossip.clockOffset) / aggregatorTermLength
 }
 
-// aggregator returns the gateway that aggregates in a term.
+// aggregator returns the ordinal of the aggregator in a term.
 func (g *Gateway) aggregator(term time.Duration) int { return aggregatorOf(term, g.cfg.GatewayCount) }
 
 func aggregatorOf(term time.Duration, gateways int) int {
-	const multiplier = 0x9e3779b97f4a7c15 // of Fibonacci hashing
+	const multiplier = 0x9e3779b97f4a7c15 // of Fibonacci hashing: 2^64 over the golden ratio
 	return int(uint64(term) * multiplier >> 33 % uint64(gateways))
 }
 
-// MayAggregate reports whether a gateway may broadcast what it aggregated, at a time of their common clock,
-// where clocks differ by less than the pace of reports.
+// MayAggregate reports whether the gateway with this ordinal may broadcast aggregates at a time of the
+// gateways' shared clock. It allows for clocks that differ by up to the report interval.
 func MayAggregate(ordinal, gateways int, clock time.Duration) bool {
 	last := (clock+peerReportInterval)/aggregatorTermLength + 1
 	for term := (clock - peerReportInterval) / aggregatorTermLength; term <= last; term++ {
@@ -64,11 +65,11 @@
 	return false
 }
 
-// gossipRound forwards announced sends at each tick and, at its pace, reports what this gateway runs. The
-// aggregator broadcasts what was reported to it.
+// gossipRound forwards announced sends at each tick. Every peerReportInterval it reports what this gateway
+// runs and, on the aggregator, broadcasts the sums.
 func (g *Gateway) gossipRound() {
 	s := &g.gossip
-	if len(s.toForward) > 0 { // a batch of a tick costs far less than a message to all for each query
+	if len(s.toForward) > 0 { // a batch per tick costs far less than one broadcast per query
 		g.sendToPeer(allPeers, PeerForwardedSends, s.toForward)
 		s.toForward = s.toForward[:0]
 	}
@@ -77,7 +78,7 @@
 	}
 	s.nextAt = g.now + peerReportInterval
 	own := g.ownReport()
-	// An aggregator may be dead, so the one of the next term aggregates and broadcasts as well.
+	// The aggregator may be down, so the one of the next term aggregates and broadcasts too.
 	rounds := 0
 	for term := g.aggregatorTerm(); term <= g.aggregatorTerm()+1; term++ {
 		if to := g.aggregator(term); to == g.cfg.Ordinal {
@@ -91,13 +92,14 @@
 		return
 	}
 	g.collectReport(g.cfg.Ordinal, own)
-	// One that has only begun knows few of its peers, and would broadcast a calm that is none.
+	// A new aggregator has reports of few peers, and would broadcast loads that are too low.
 	if rounds > aggregatorWarmUpRounds && rounds%roundsPerBroadcast == 0 {
 		g.broadcastAggregate()
 	}
 }
 
-// ownReport is what this gateway runs on each engine, and how attempts ended since the last report.
+// ownReport returns the threads that this gateway runs on each engine and how attempts ended since the last
+// report. It resets the counts of these.
 func (g *Gateway) ownReport() (own []PeerLoad) {
 	for _, e := range g.engineList {
 		if e.ownThreads > 0 || e.succeeded+e.failed > 0 {
@@ -108,8 +110,8 @@
 	return own
 }
 
-// announceSend reports a sent query of much work at once: sums come too late for what outlasts them, and
-// gateways would fill the same engines.
+// announceSend reports the send of a large query at once. Sums would show it too late, and meanwhile other
+// gateways would fill the same engine.
 func (g *Gateway) announceSend(a *attempt) {
 	threads := a.query.class.threads
 	if !g.cfg.MayGossip || g.gatewayCount <= 1 || a.base*threads < minAnnouncedWork {
@@ -123,7 +125,7 @@
 	}
 }
 
-// allPeers is the recipient of a broadcast.
+// allPeers as Action.Peer addresses all other gateways.
 const allPeers = -1
 
 func (g *Gateway) sendToPeer(peer int, m PeerMessageType, entries []PeerLoad) {
@@ -150,7 +152,7 @@
 	}
 }
 
-// collectReport takes in a peer's report, or our own.
+// collectReport stores a report, of a peer or our own, and adds its outcomes to the totals.
 func (g *Gateway) collectReport(peer int, entries []PeerLoad) {
 	g.gossip.reports[peer] = receivedReport{g.now, entries}
 	for _, entry := range entries {
@@ -161,7 +163,7 @@
 	}
 }
 
-// broadcastAggregate passes on the sums of the reports, to this gateway too.
+// broadcastAggregate sends the sums of the reports to all peers and applies them to this gateway.
 func (g *Gateway) broadcastAggregate() {
 	fleetSucceeded, fleetFailed := 0.0, 0.0
 	for _, e := range g.engineList {
@@ -181,8 +183,8 @@
 	g.applyAggregate(sums)
 }
 
-// sumReports adds up the loads of the reports that are not too old. Their order is fixed, as the sum of
-// fractions depends on it in its last bit, and the same events have to give the same actions.
+// sumReports adds up the loads of the reports that are not too old. The order is fixed: the last bit of a
+// floating-point sum depends on it, and the same events must yield the same actions.
 func (g *Gateway) sumReports() {
 	for _, peer := range slices.Sorted(maps.Keys(g.gossip.reports)) {
 		r := g.gossip.reports[peer]
@@ -197,10 +199,10 @@
 	}
 }
 
-// loadToBroadcast is the load of an engine as others are to see it. One that fails at once, or whose
-// attempts are presumed lost, looks empty and would draw all, so its load counts for more, and as the most
-// where few attempts succeed. What affects all engines alike, as answers lost on the way, is no engine's
-// fault, and would pass for an overload, so only failures beyond the fleet's count.
+// loadToBroadcast returns an engine's load as the aggregate reports it. An engine that fails at once, or
+// whose attempts are presumed lost, looks empty and would attract all queries. So failures raise its load, to
+// maxPeerLoad if most attempts fail. Failures that affect all engines alike, such as answers lost in the
+// network, are no engine's fault and would look like an overload, so only those above the fleet's rate count.
 func (e *engine) loadToBroadcast(fleetSucceeded, fleetFailed float64) float64 {
 	own := e.failedTotal / (e.failedTotal + e.succeededTotal + 1)
 	excess := math.Max(0, own-fleetFailed/(fleetFailed+fleetSucceeded+1))
@@ -210,7 +212,7 @@
 	return math.Min(e.aggregateLoad*(1+failureCostWeight*excess), maxPeerLoad-1)
 }
 
-// applySends takes in announced sends: they add to an engine's known load until the sums hold them.
+// applySends adds announced sends to the known load of their engines until the sums include them.
 func (g *Gateway) applySends(entries []PeerLoad) {
 	for _, entry := range entries {
 		e := g.enginesByTag[entry.Tag]
@@ -224,7 +226,7 @@
 	}
 }
 
-// applyAggregate takes in sums: they replace what was known of others' load.
+// applyAggregate replaces the known load of other gateways by the sums of an aggregate.
 func (g *Gateway) applyAggregate(entries []PeerLoad) {
 	threads, cores := 0.0, 0.0
 	for _, entry := range entries {
--- a/load_report.go
+++ b/load_report.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	loadReportGain     = 0.2                    // gain of a kind's load, fed by every report
-	loadReportHalfLife = 500 * time.Millisecond // of a report, towards what the kind reports on average
-	maxReportedLoad    = 16.0                   // a report counts as at most so many threads a core
+	loadReportGain     = 0.2                    // gain of a kind's load, per report
+	loadReportHalfLife = 500 * time.Millisecond // of a report, decaying towards the kind's average
+	maxReportedLoad    = 16.0                   // a report counts as at most this many threads per core
 )
 
-// The names of the values in a load report that are used.
+// The names of the load report values that are used.
 const (
-	loadReportConcurrent = "concurrent" // queries that the engine runs
-	loadReportMemory     = "x0"         // memory granted over its memory
+	loadReportConcurrent = "concurrent" // queries that run on the engine
+	loadReportMemory     = "x0"         // granted memory over the engine's memory
 )
 
-// applyLoadReport takes in what an engine reports of the queries it runs, where no peer reports them: the
-// place of unseen threads in the estimate is filled from it, and like engines of which little is heard are
-// taken to be alike. Reports are late, noisy and perhaps wrong, so they are clipped, and decay.
+// applyLoadReport applies an engine's report of the queries it runs, unless peers report load. It sets the
+// threads of other gateways in the engine's mix. Engines of one kind that report seldom are assumed to have
+// the same load. Reports are late, noisy and possibly wrong, so they are clipped and decay.
 func (g *Gateway) applyLoadReport(e *engine, values []float64) {
 	if g.pressure.peersReport(g.now) || len(values) != len(g.cfg.LoadReportFields) {
 		return
@@ -28,7 +28,7 @@
 	for i, name := range g.cfg.LoadReportFields {
 		switch v := values[i]; {
 		case math.IsNaN(v) || v < 0:
-		case name == loadReportConcurrent: // ours show how many threads a query has
+		case name == loadReportConcurrent: // our queries show how many threads one has
 			threads = math.Max(0, v-e.queryCount()) * g.meanThreadsPerQuery(e.kind)
 		case name == loadReportMemory:
 			e.grantedMemory = math.Min(v, maxReportedLoad)
@@ -45,7 +45,7 @@
 	*e.othersThreads(), e.loadKnownAt = threads*g.unobservedShare(e), g.now
 }
 
-// meanThreadsPerQuery is the mean number of threads of our queries that ran on engines of a kind.
+// meanThreadsPerQuery returns the mean threads of our queries that ran on engines of a kind.
 func (g *Gateway) meanThreadsPerQuery(k *kind) float64 {
 	queries, threads := 1.0, 1.0
 	for _, e := range g.engineList {
@@ -59,7 +59,8 @@
 	return threads / queries
 }
 
-// meanKindLoad is the kinds' load over all active engines, by their cores.
+// meanKindLoad returns the mean reported load of the active engines' kinds, weighted by cores, in threads per
+// core.
 func (g *Gateway) meanKindLoad() float64 {
 	if g.cores == 0 {
 		return 0
@@ -73,10 +74,10 @@
 	return sum / g.cores
 }
 
-// loadDecay is how what is known of engines decays in a tick.
+// loadDecay holds the factors by which values of engines decay in one tick.
 type loadDecay struct {
 	slowness, latency, recentSends, others float64
-	freshFor                               time.Duration // others' load stands for so long
+	freshFor                               time.Duration // how long others' load does not decay
 }
 
 func (g *Gateway) newLoadDecay() loadDecay {
@@ -85,23 +86,23 @@
 		recentSends: decayFactor(peerReportInterval), others: decayFactor(peerLoadHalfLife),
 		freshFor: peerLoadHalfLife,
 	}
-	if g.pressure.loadReportAt > g.pressure.peerLoadAt { // others act on it too, so it soon ceases to hold
+	if g.pressure.loadReportAt > g.pressure.peerLoadAt { // others act on it too, so it is soon out of date
 		d.freshFor, d.others = 0, decayFactor(loadReportHalfLife)
 	}
 	return d
 }
 
-// decayKindLoads lets what is known of the fleet and its kinds decay.
+// decayKindLoads decays the load of the fleet and of its kinds by one tick.
 func (g *Gateway) decayKindLoads() {
 	g.pressure.threadsACore *= decayFactor(peerLoadHalfLife)
 	keep := decayFactor(kindLoadHalfLife)
-	for _, k := range g.kinds { // in any order: they are independent
+	for _, k := range g.kinds { // in any order, as kinds are independent
 		k.reportedLoad, k.grantedMemory = k.reportedLoad*keep, k.grantedMemory*keep
 	}
 }
 
-// decayLoad lets what is known of an engine decay. One of which nothing is reported would come to look
-// free, so its load drifts to that of its kind instead.
+// decayLoad decays the values of an engine by one tick. Without reports its load moves to that of its kind,
+// not to zero, as the engine would otherwise come to look free.
 func (g *Gateway) decayLoad(e *engine, d loadDecay) {
 	e.logSlowness, e.limiter.logLatency = e.logSlowness*d.slowness, e.limiter.logLatency*d.latency
 	others := e.othersThreads()
--- a/membership.go
+++ b/membership.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// handleMembership has all shares follow the number of gateways. Limits that were widened as one of few
-// gateways would together be far too wide for many, and would shrink only as engines fill, so they are cut
-// at once.
+// handleMembership adapts all shares to the number of gateways. Thread limits that were raised when there
+// were few gateways would together be far too high for many. They would fall only as engines fill, so they
+// are cut at once.
 func (g *Gateway) handleMembership(ordinal int, count float64) {
 	if !(count >= 1 && count < math.MaxInt32) || ordinal < 0 || float64(ordinal) >= count {
 		return
 	}
-	if ordinal != g.cfg.Ordinal || count != g.gatewayCount { // an ordinal may be another's now
+	if ordinal != g.cfg.Ordinal || count != g.gatewayCount { // the ordinal may be another's now
 		clear(g.gossip.reports)
 		g.gossip.rounds = 0
 	}
--- a/memory.go
+++ b/memory.go
@@ -3,15 +3,16 @@
 import "math"
 
 const (
-	initialGrantFactor = 1.25 // memory granted over the estimate, adapted by class
-	grantIncrease      = 0.06 // part by which a spill raises it
-	grantDecrease      = 0.01 // part by which an answer without one lowers it
-	topPriority        = 3    // engines take priorities from 1 to this
-	pagingPower        = 2.5  // at twice its memory a paging engine is some six times slower
+	initialGrantFactor = 1.25 // memory granted over the estimate; adapted per class
+	grantIncrease      = 0.06 // share by which a spill raises it
+	grantDecrease      = 0.01 // share by which an answer without a spill lowers it
+	topPriority        = 3    // engines accept priorities from 1 to this
+	pagingPower        = 2.5  // at twice its memory a paging engine is about six times slower
 )
 
-// pagingFactor is how many times slower a query is for want of memory, where engines report what they
-// granted. In an engine that pages nothing ends, so no outcome shows it, and all it holds keeps its memory.
+// pagingFactor returns how many times slower a query is because the engine pages. Engines report the memory
+// they granted. On an engine that pages no query ends, so no outcome shows it, and its queries keep their
+// memory. Without reports the factor is 1.
 func (g *Gateway) pagingFactor(q *query, e *engine) float64 {
 	if e.kind.memoryMB <= 0 || e.grantedMemory <= 0 || g.cfg.OnMemoryShortage != ShortagePages {
 		return 1
@@ -19,7 +20,7 @@
 	return math.Pow(math.Max(1, e.grantedMemory+q.memoryMB/e.kind.memoryMB), pagingPower)
 }
 
-// setResources names memory and priority for the attempt about to be sent, where engines accept them.
+// setResources emits memory grant and priority for the attempt about to be sent, if engines accept them.
 func (g *Gateway) setResources(a *attempt) {
 	if !g.cfg.AcceptsMemoryGrants && !g.cfg.AcceptsPriority {
 		return
@@ -35,7 +36,7 @@
 	g.emit(action)
 }
 
-// priority ranks classes by priority weight for each second of work.
+// priority returns the priority of a class, by the rank of its priority weight per second of work.
 func (g *Gateway) priority(of *class) int {
 	rank := topPriority
 	for _, c := range g.classList {
@@ -50,7 +51,7 @@
 	q := a.query
 	most := g.cfg.MaxGrantShare * a.engine.kind.memoryMB
 	if g.cfg.OnMemoryShortage == ShortagePages {
-		return most // only memory in use counts there, so a generous grant costs nothing
+		return most // only memory in use counts there, so a large grant costs nothing
 	}
 	if q.memoryMB <= 0 {
 		return 0
@@ -62,8 +63,9 @@
 	return grant
 }
 
-// adaptGrant steers a class's grant so that few of its queries spill. Where neither notes nor costs are
-// reported nothing ever raises a grant; were it cut there, all of its class would spill more and more.
+// adaptGrant adapts a class's grantFactor so that few of its queries spill. If neither notes nor costs are
+// reported, nothing would ever raise a grant, so it is not lowered either: the queries of the class would
+// spill more and more.
 func (g *Gateway) adaptGrant(a *attempt, neededMB float64) {
 	c := a.query.class
 	switch {
--- a/ordering.go
+++ b/ordering.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// orderKey is a key whose queries run one at a time, in the order of arrival (rule 5).
+// orderKey is a key whose queries run one at a time, in order of arrival (rule 5).
 type orderKey struct {
 	waiting   []*query
 	running   int
-	settlesAt time.Duration // nothing is sent before: an earlier attempt may still run
+	settlesAt time.Duration // nothing is sent before, as an earlier attempt may still run
 }
 
-// keyOrder holds the order keys in use.
+// keyOrder holds the order keys in use, by name.
 type keyOrder struct {
 	keys    map[string]*orderKey
-	sweepAt int // number of keys at which those that are idle are dropped
+	sweepAt int // number of keys at which idle keys are dropped
 }
 
 const minKeysToSweep = 64
 
-// enqueue puts a query at the end of its key's queue.
+// enqueue appends a query to the queue of its key.
 func (o *keyOrder) enqueue(q *query, name string, now time.Duration) {
 	k := o.keys[name]
 	if k == nil {
@@ -29,7 +29,7 @@
 	q.orderKey = k
 }
 
-// sweep drops idle keys once there are many, at a cost for each new key that does not grow.
+// sweep drops idle keys once there are many. Its amortized cost per new key is constant.
 func (o *keyOrder) sweep(now time.Duration) {
 	if len(o.keys) < o.sweepAt {
 		return
@@ -42,8 +42,8 @@
 	o.sweepAt = 2*len(o.keys) + minKeysToSweep
 }
 
-// isNextForKey is rule 5: only the first query of a key, with nothing of the key running and the key
-// settled.
+// isNextForKey enforces rule 5: it reports whether a query is the first of its key, no other query of the key
+// runs and the key has settled.
 func (g *Gateway) isNextForKey(q *query) bool {
 	k := q.orderKey
 	if k == nil {
@@ -53,7 +53,7 @@
 	return k.waiting[0] == q && g.now >= k.settlesAt && !othersRun
 }
 
-// leavesOrderOpen reports whether an attempt of such an outcome may still run.
+// leavesOrderOpen reports whether an attempt with this outcome may still be running.
 func leavesOrderOpen(o Outcome) bool {
 	return o == OutcomeTimedOut || o == OutcomeConnectionReset || o == OutcomeCancelled
 }
--- a/outlier.go
+++ b/outlier.go
@@ -4,31 +4,31 @@
 
 const (
 	failureRateGain          = 0.2                    // gain of an engine's share of failed attempts
-	ejectFailureRate         = 0.4                    // share of failures from which an engine is ejected
-	ejectConsecutiveFailures = 3                      // failures in a row from which it is ejected
-	silenceEstimateRatio     = 3.0                    // an unheard attempt so far over its estimate
-	minSilence               = 700 * time.Millisecond // a shorter pause is no silence
-	silentAttemptsToEject    = 2                      // attempts that must show silence
-	probationSuccessesNeeded = 2                      // answers after which an ejected engine is back
+	ejectFailureRate         = 0.4                    // an engine is ejected from this share of failures
+	ejectConsecutiveFailures = 3                      // ...or from this many consecutive failures
+	silenceEstimateRatio     = 3.0                    // beyond this multiple an attempt may show silence
+	minSilence               = 700 * time.Millisecond // a shorter pause of the engine is not silence
+	silentAttemptsToEject    = 2                      // attempts that must show silence for an ejection
+	probationSuccessesNeeded = 2                      // answers on probation that end an ejection
 	baseEjectionTime         = time.Second            // doubled with each ejection in a row...
 	maxEjectionTime          = 5 * time.Second        // ...up to this
 )
 
-// outlierState detects an engine that fails, ejects it for a while, and lets it back by way of a probation,
-// during which it gets one attempt at a time.
+// outlierState detects an engine that fails and ejects it for a while. The engine returns after a probation,
+// in which it gets one attempt at a time.
 type outlierState struct {
 	failureRate         float64 // recent share of failed attempts
 	consecutiveFailures int
 	ejected             bool
-	checkingHealth      bool // a health check is under way
+	checkingHealth      bool // a health check is in progress
 	onProbation         bool
 	probationSuccesses  int
 	ejectedUntil        time.Duration
-	ejectionTime        time.Duration // doubles with each ejection in a row
+	ejectionTime        time.Duration // of the last ejection; doubles with each in a row
 }
 
-// recordSuccess and recordFailure take in whether an attempt was answered. Failures are evidence about the
-// engine, never about interference, so they stay out of the fit.
+// recordSuccess and recordFailure record the result of an attempt. Failures are evidence about the engine,
+// not about interference, so they do not update the weights.
 func (o *outlierState) recordSuccess() {
 	o.failureRate -= failureRateGain * o.failureRate
 	o.consecutiveFailures = 0
@@ -49,15 +49,16 @@
 	}
 }
 
-// eject keeps queries from an engine for a while, longer each time it fails its probation.
+// eject keeps queries from an engine for a while. The time doubles with each ejection in a row.
 func (o *outlierState) eject(now time.Duration) {
 	o.ejected, o.onProbation, o.checkingHealth, o.probationSuccesses = true, false, false, 0
 	o.ejectionTime = min(max(baseEjectionTime, o.ejectionTime*2), maxEjectionTime)
 	o.ejectedUntil = now + o.ejectionTime
 }
 
-// avoidsOutlier reports whether a query is kept from an ejected engine: unless so many are that it is no
-// outlier, or the query is the one attempt of its probation.
+// avoidsOutlier reports whether a query must not go to an engine because it is ejected. If most engines are
+// ejected, none is an outlier and all may be used. An engine on probation may get one attempt at a time, of a
+// query that can be repeated.
 func (g *Gateway) avoidsOutlier(q *query, e *engine) bool {
 	if !e.outlier.ejected || g.mostEjected {
 		return false
@@ -65,7 +66,7 @@
 	return !e.outlier.onProbation || len(e.running) > 0 || q.class.Effect == NotIdempotent
 }
 
-// ejectSilent ejects an engine that answers nothing, and cancels what may run elsewhere.
+// ejectSilent ejects an engine that does not respond, and cancels its attempts whose queries can be retried.
 func (g *Gateway) ejectSilent(e *engine) {
 	e.outlier.eject(g.now)
 	for _, a := range e.running {
@@ -75,8 +76,8 @@
 	}
 }
 
-// retryEjected checks the health of an engine whose ejection is over, or puts it on probation at once where
-// no health checks are possible.
+// retryEjected starts a health check of an engine whose ejection time is over. If health checks are not
+// allowed it puts the engine on probation at once.
 func (g *Gateway) retryEjected(e *engine) {
 	o := &e.outlier
 	if g.now < o.ejectedUntil || o.onProbation || o.checkingHealth {
@@ -106,8 +107,9 @@
 	}
 }
 
-// handleReportedDown takes other gateways' report that an engine is dead, where nothing was seen of it
-// here. The report may be old or a lie, so it costs the engine one health check, no more.
+// handleReportedDown handles other gateways' report that an engine is down. It counts only if this gateway
+// has not seen the engine respond. The report may be old or false, so it causes one ejection, which a
+// health check ends, and no more.
 func (g *Gateway) handleReportedDown(e *engine) {
 	if e != nil && e.lastSeenAt == e.knownSince && !e.outlier.ejected && len(e.running) == 0 {
 		e.outlier.eject(g.now)
--- a/pressure.go
+++ b/pressure.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	slownessHalfLife     = 40 * time.Second // at full size an engine gives an outcome every 10 s or so
-	calmSlowness         = 2.0              // of the fleet, that is no pressure, where load is not reported
-	targetThreadsPerCore = 1.3              // over the fleet, that the margin aims at
-	marginGain           = 0.5              // part of the level's logarithm that the margin takes up a second
-	minPressure          = 0.25             // less pressure lets the margin fall no faster
+	slownessHalfLife     = 40 * time.Second // a full-size fleet has an outcome per engine every 10 s or so
+	calmSlowness         = 2.0              // fleet slowness at which level is 1, without load reports
+	targetThreadsPerCore = 1.3              // reported fleet load at which level is 1: the margin's target
+	marginGain           = 0.5              // share of log(level) added to log(margin) per second
+	minPressure          = 0.25             // lower levels do not make the margin fall faster
 	maxMargin            = 8.0              // more would reject all but the shortest queries
-	overloadedOneIn      = 3                // one engine in so many under pressure is an overload
+	overloadedOneIn      = 3                // more than one engine in this many under pressure: an overload
 )
 
-// loadPressure says how the fleet's load compares to what it bears, and how wide a margin estimates need
-// for it.
+// loadPressure holds how the fleet's load compares to its capacity, and the safety factor that estimates
+// need because of it.
 type loadPressure struct {
-	level        float64       // over 1: more than it bears
-	margin       float64       // by which estimates must fit; grows while the level stays over 1
-	overloaded   bool          // the level is over 1, or many engines are under pressure
-	threadsACore float64       // over the whole fleet, as reported
+	level        float64       // load over capacity; above 1: too much
+	margin       float64       // factor by which estimates must fit; grows while level is above 1
+	overloaded   bool          // level is above 1, or many engines are under pressure
+	threadsACore float64       // of the whole fleet, as reported
 	peerLoadAt   time.Duration // when peers last reported load
 	loadReportAt time.Duration // when engines last reported load
 }
@@ -31,19 +31,19 @@
 	return loadPressure{margin: 1, peerLoadAt: -peerLoadHalfLife, loadReportAt: -peerLoadHalfLife}
 }
 
-// peersReport reports whether peers have reported load of late.
+// peersReport reports whether peers have reported load recently.
 func (p *loadPressure) peersReport(now time.Duration) bool {
 	return now-p.peerLoadAt < peerLoadHalfLife
 }
 
-// update computes level, margin and overload from the fleet's slowness, reported load and the engines'
+// update computes level, margin and overloaded from the fleet's slowness, reported load and the engines'
 // state.
 func (p *loadPressure) update(now time.Duration, fleetLogSlowness float64, census fleetCensus) {
 	p.level = math.Exp(fleetLogSlowness) / calmSlowness
 	if now-max(p.peerLoadAt, p.loadReportAt) < peerLoadHalfLife {
 		p.level = p.threadsACore / targetThreadsPerCore
 	}
-	step := -1.0 // without reports the margin falls back: slowness alone may be no overload, and stay
+	step := -1.0 // without peers' reports it falls: lasting slowness may be no overload
 	if p.peersReport(now) {
 		step = math.Log(math.Max(p.level, minPressure))
 	}
@@ -51,8 +51,8 @@
 	p.overloaded = p.level > 1 || census.underPressure*overloadedOneIn > census.active
 }
 
-// updateExcessSlowness sets what each engine is slower than the median. Median and slowness are of the same
-// tick: with many outcomes a tick, slowness as it is now and a median of before would chase one another.
+// updateExcessSlowness sets how much slower each engine is than the median. Median and slowness are of the
+// same tick: with many outcomes per tick, current slowness against an earlier median would be unstable.
 func (g *Gateway) updateExcessSlowness() {
 	if sort.Float64s(g.slownesses); len(g.slownesses) > 0 {
 		g.medianLogSlowness = g.slownesses[len(g.slownesses)/2]
--- a/quota.go
+++ b/quota.go
@@ -3,17 +3,17 @@
 import "time"
 
 const (
-	quotaBurstSeconds = 2.0 // seconds of a tenant's quota that may come at once...
-	quotaMinBurst     = 8.0 // ...and this many queries more: a small part of a quota comes in clumps
+	quotaBurstSeconds = 2.0 // seconds of a tenant's quota that may arrive at once...
+	quotaMinBurst     = 8.0 // ...plus this many queries, as a small share of a quota arrives in bursts
 )
 
-// tokenBucket is this gateway's part of a tenant's quota.
+// tokenBucket limits a tenant to this gateway's share of its quota. rate is in tokens per second.
 type tokenBucket struct {
 	tokens, rate float64
 	updatedAt    time.Duration
 }
 
-// take reports whether a bucket that holds at most burst had a token left, and takes it.
+// take refills the bucket up to burst, takes one token and reports whether there was one.
 func (b *tokenBucket) take(now time.Duration, burst float64) bool {
 	b.tokens = min(burst, b.tokens+b.rate*(now-b.updatedAt).Seconds())
 	b.updatedAt = now
--- a/retry.go
+++ b/retry.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	firstOverdueRatio  = 2.0  // a running query this many times over its estimate counts as a lower bound
-	presumedLostRatio  = 4.0  // one so many times over, its answer is presumed lost
-	overdueStep        = 2.0  // each time it counts, its next ratio is so many times higher
-	badPlanRatio       = 2.5  // a projected run this many times over its estimate is a bad plan
-	overdueCancelRatio = 3.0  // so is one so far over it of which nothing is heard; or its answer is lost
-	retryAdvantage     = 1.3  // what is left must exceed a fresh run's estimate by this ratio
-	maxEarlyCancels    = 2    // a query that is long every time is just long
-	unknownCostSpread  = 2.0  // limits of bad plans are so much wider without a cost estimate
-	minFractionDone    = 1e-3 // a smaller one counts as this
+	firstOverdueRatio  = 2.0  // a running query is overdue from this multiple of its estimate
+	presumedLostRatio  = 4.0  // beyond this multiple its answer is presumed lost
+	overdueStep        = 2.0  // each time it is overdue, its next ratio is this times higher
+	badPlanRatio       = 2.5  // a projected run of this multiple of its estimate is a bad plan
+	overdueCancelRatio = 3.0  // without notes, so is a run of this multiple, or its answer is lost
+	retryAdvantage     = 1.3  // the remaining run must exceed the estimate of a new one by this
+	maxEarlyCancels    = 2    // per query: one that is slow every time is simply long
+	unknownCostSpread  = 2.0  // factor on the limits of a bad plan without a cost estimate
+	minFractionDone    = 1e-3 // a smaller fraction counts as this
 )
 
-// retryBudget is rule 7: retries are limited by the queries that arrived in the same window.
+// retryBudget enforces rule 7: the queries that arrive in a window limit the retries in it.
 type retryBudget struct {
 	arrivals, retries []time.Duration
 }
@@ -27,8 +27,8 @@
 
 func (b *retryBudget) retried(now time.Duration) { b.retries = append(b.retries, now) }
 
-// allowsOneMore reports whether a retry is within the budget. Queries are counted over a little less than
-// the window and retries over a little more, so that no reading of its edges breaks the rule.
+// allowsOneMore reports whether one more retry is within the budget. Arrivals are counted over the window
+// less a margin and retries over the window plus a margin, so the rule holds however its edges are read.
 func (b *retryBudget) allowsOneMore(r *Rules, now, margin time.Duration) bool {
 	if !r.HasRetryBudget {
 		b.arrivals, b.retries = b.arrivals[:0], b.retries[:0]
@@ -44,8 +44,8 @@
 	return g.retryBudget.allowsOneMore(&g.cfg.Rules, g.now, g.replyMargin())
 }
 
-// mayAttempt checks, for every send, what concerns the query alone: rule 1 (nothing after its end), the
-// effects of a repeat (rule 2) and the retry budget (rule 7).
+// mayAttempt reports whether a query may be sent, as far as the query alone decides: rule 1 (nothing after
+// its end), the effects of a repeat (rule 2) and the retry budget (rule 7). Every send checks it.
 func (g *Gateway) mayAttempt(q *query) bool {
 	if q.done || g.now >= q.deadline {
 		return false
@@ -62,7 +62,7 @@
 	return q.attemptCount == 0 || g.hasRetryBudget()
 }
 
-// mayRepeat reports whether a query may run again after the attempts that may have run.
+// mayRepeat reports whether a query may run again, given that earlier attempts may have run.
 func (g *Gateway) mayRepeat(q *query) bool {
 	if q.firstMaybeRan == nil {
 		return true
@@ -77,7 +77,7 @@
 	}
 }
 
-// mayCancelForRetry reports whether an attempt may be cancelled so that its query is sent again.
+// mayCancelForRetry reports whether an attempt may be cancelled in order to retry its query.
 func (g *Gateway) mayCancelForRetry(a *attempt) bool {
 	return !a.query.done && !a.cancelled && a.query.earlyCancels < maxEarlyCancels && g.mayAttempt(a.query)
 }
@@ -87,8 +87,8 @@
 	g.cancelAttempt(a)
 }
 
-// hasBadPlan reports whether an attempt that ran for some time, of some projected total, is to be cancelled
-// and its query sent again.
+// hasBadPlan reports whether an attempt should be cancelled and its query retried, because its projected
+// total time shows a bad plan. ran and total are in seconds.
 func (g *Gateway) hasBadPlan(a *attempt, ran, total float64) bool {
 	q := a.query
 	return g.mayCancelForRetry(a) && q.class.Effect == Idempotent &&
@@ -96,8 +96,8 @@
 		total-ran > retryAdvantage*q.estimateSpread*a.estimate
 }
 
-// reviewAttempts looks at the attempts that run on an engine: overdue ones show its slowness, some are
-// cancelled to be retried. It returns how many show that the engine is silent.
+// reviewAttempts reviews the attempts that run on an engine: overdue ones update its slowness, and some are
+// cancelled in order to retry their queries. It returns how many show that the engine does not respond.
 func (g *Gateway) reviewAttempts(e *engine, census *fleetCensus) (silent int) {
 	for _, a := range e.running {
 		if a.query.stickyEngine != "" {
@@ -116,8 +116,9 @@
 	return silent
 }
 
-// reviewOverdue takes in that an attempt has come to another multiple of its estimate. A lost answer shows
-// nothing of slowness; where progress notes show what runs, no answer is presumed lost for that.
+// reviewOverdue updates the model if an attempt has reached its next overdue ratio. An attempt presumed lost
+// no longer counts, as a lost answer says nothing about slowness; where engines send progress notes it still
+// counts.
 func (g *Gateway) reviewOverdue(a *attempt, age float64) {
 	lost := a.presumedLost && g.cfg.ProgressInterval == 0
 	if age <= a.overdueRatio*a.estimate || a.cancelled || lost {
@@ -126,17 +127,17 @@
 	g.learnOverdue(a)
 	a.overdueRatio *= overdueStep
 	if a.overdueRatio > presumedLostRatio && !a.presumedLost {
-		// A lost answer would hold its capacity until the client gives up.
+		// Otherwise a lost answer would occupy its threads until the client gives up.
 		g.releaseThreads(a)
 		a.presumedLost = true
 		a.engine.failed++
 	}
 }
 
-// isOverdueForRetry reports whether an attempt is to be cancelled and its query sent again: it is far past
-// what the estimate is now, and no note shows that it runs. Its answer was lost, or it has a bad plan;
-// either way a fresh attempt should end first, as long as one fits. Where engines are only slow this
-// doubles the work.
+// isOverdueForRetry reports whether an attempt should be cancelled and its query retried: it is far over its
+// current estimate, and no progress note shows that it runs. Its answer was lost, or it has a bad plan.
+// Either way a new attempt should end first, provided that one fits the remaining time. If engines are only
+// slow, this doubles the work.
 func (g *Gateway) isOverdueForRetry(a *attempt, age float64) bool {
 	q := a.query
 	switch {
@@ -151,7 +152,7 @@
 	return age > overdueCancelRatio*q.estimateSpread*est && est < g.remainingTime(q)
 }
 
-// leavesTimeToRepeat reports whether repeats of an attempt are still dropped once its query may be sent
+// leavesTimeToRepeat reports whether repeats of an attempt will still be dropped when its query can be sent
 // again.
 func (g *Gateway) leavesTimeToRepeat(a *attempt) bool {
 	window := a.query.class.DeduplicationWindow - g.cfg.Rules.OrderSettleDelay - tickInterval
--- a/slowstart.go
+++ b/slowstart.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	slowStartBudgetShare = 0.5  // part of the budget used, for chance and mistaken work
-	slowStartSigmas      = 5.0  // between the mean of what goes by slots and the budget
-	slowStartMaxSize     = 3.0  // of the smallest class's mean work: no larger query goes by a slot
-	capacityCPUShare     = 0.85 // a capacity is the rate at which cores are this busy
+	slowStartBudgetShare = 0.5  // share of the budget used: reserve for chance and wrong work estimates
+	slowStartSigmas      = 5.0  // standard deviations between the mean sent by slots and the budget
+	slowStartMaxSize     = 3.0  // most work of a query sent by a slot, over the smallest mean work
+	capacityCPUShare     = 0.85 // at full capacity this share of the cores is busy
 )
 
-// slowStartState is what one engine in slow start (rule 4) was sent, and the slots by which small queries
-// go to it.
+// slowStartState holds the work that one engine in slow start (rule 4) was sent, and the slots in which small
+// queries may be sent to it.
 type slowStartState struct {
-	sends        []slowStartSend // inside the window
-	slotProgress float64         // part of a slot's period that has passed
-	slotEndsAt   time.Duration   // a query may go by a slot until then
+	sends        []slowStartSend // within the window
+	slotProgress float64         // share of the current slot period that has passed
+	slotEndsAt   time.Duration   // one query may be sent by the slot until then
 }
 
 type slowStartSend struct {
@@ -26,10 +26,10 @@
 	work float64
 }
 
-// resetSlots begins a period at some part of it. What was sent stays counted.
+// resetSlots starts a slot period at the given share of it. Earlier sends stay counted.
 func (s *slowStartState) resetSlots(progress float64) { s.slotProgress, s.slotEndsAt = progress, 0 }
 
-// workSince drops what was sent earlier and returns the work sent since.
+// workSince drops sends before from and returns the work of the others plus work, in thread seconds.
 func (s *slowStartState) workSince(from time.Duration, work float64) float64 {
 	s.sends = slices.DeleteFunc(s.sends, func(sent slowStartSend) bool { return sent.at < from })
 	for _, sent := range s.sends {
@@ -38,7 +38,7 @@
 	return work
 }
 
-// rampFraction is the share of its capacity a started engine has at least.
+// rampFraction returns the least share of its full capacity that an engine has. It is 1 outside slow start.
 func (g *Gateway) rampFraction(e *engine) float64 {
 	age, r := g.now-e.StartedAt, &g.cfg.Rules
 	if e.StartedAt <= 0 || r.SlowStartDuration <= 0 || age >= r.SlowStartDuration || r.SlowStartFrom <= 0 {
@@ -47,10 +47,11 @@
 	return r.SlowStartFrom + (1-r.SlowStartFrom)*math.Max(0, age.Seconds())/r.SlowStartDuration.Seconds()
 }
 
-// hasSlowStartCapacity is rule 4: this gateway's part of what an engine in slow start may be sent in any
-// window. Where many gateways share it, the part is under one query, and an engine would idle until it is
-// warm. Small queries then go by slots: each gateway may send one a period, so long that all together send
-// what is allowed. Slots start at random and lapse unused, so that they neither add up nor meet.
+// hasSlowStartCapacity enforces rule 4: it reports whether a query is within this gateway's share of the work
+// that an engine in slow start may be sent in any window. With many gateways the share is less than one
+// query, and the engine would idle until it is warm. Small queries are then sent by slots: each gateway may
+// send one per period, and periods are so long that all gateways together send what is allowed. Slots start
+// at random times and expire unused, so they neither accumulate nor coincide.
 func (g *Gateway) hasSlowStartCapacity(e *engine, q *query) bool {
 	r, s := &g.cfg.Rules, &e.slowStart
 	if g.rampFraction(e) >= 1 || r.SlowStartOverloadFactor <= 0 || r.SlowStartWindow <= 0 {
@@ -62,21 +63,23 @@
 	return sum <= g.slowStartShare(e) || g.now < s.slotEndsAt && work <= slowStartMaxSize*g.smallestMeanWork()
 }
 
-// slowStartBudget is what all gateways together may send an engine in a window at a share of its capacity.
+// slowStartBudget returns the work, in thread seconds, that all gateways together may send an engine per
+// window while it has the given share of its capacity.
 func (g *Gateway) slowStartBudget(e *engine, capacity float64) float64 {
 	r := &g.cfg.Rules
 	window := r.SlowStartWindow.Seconds()
 	return r.SlowStartOverloadFactor * e.kind.cores * capacityCPUShare * capacity * window
 }
 
-// slowStartShare is what this gateway may send an engine in a window without slots.
+// slowStartShare returns the work, in thread seconds, that this gateway may send an engine per window without
+// slots.
 func (g *Gateway) slowStartShare(e *engine) float64 {
 	return slowStartBudgetShare * g.slowStartBudget(e, g.cfg.Rules.SlowStartFrom) / g.gatewayCount
 }
 
-// advanceSlowStartSlot counts the periods of an engine's slots. They are so long that the mean of what is
-// sent in a window stays under the budget by slowStartSigmas standard deviations, sizes spreading as widely
-// as their mean.
+// advanceSlowStartSlot advances an engine's slot period by one tick. Periods are so long that the mean work
+// sent per window stays slowStartSigmas standard deviations below the budget. The standard deviation of
+// query sizes is assumed to equal their mean.
 func (g *Gateway) advanceSlowStartSlot(e *engine) {
 	r := &g.cfg.Rules
 	if g.rampFraction(e) >= 1 || r.SlowStartOverloadFactor <= 0 {
@@ -86,7 +89,7 @@
 	if work <= g.slowStartShare(e) {
 		return
 	}
-	// How capacity grows is unknown, so it is taken to grow late.
+	// How capacity grows is unknown, so it is assumed to grow late.
 	grown := math.Pow((g.rampFraction(e)-r.SlowStartFrom)/(1-r.SlowStartFrom), 2)
 	budget := g.slowStartBudget(e, r.SlowStartFrom+(1-r.SlowStartFrom)*grown)
 	k := slowStartSigmas * math.Sqrt(2*work/budget)
@@ -100,9 +103,9 @@
 	}
 }
 
-// slowStartSendLimit is the time within which a send to an engine must start; 0: before the query's
-// deadline. What slow start allows holds for a moment: sends that wait for a connection would come together
-// with later ones.
+// slowStartSendLimit returns the time within which a send to an engine must start; 0: before the query's
+// deadline. What slow start allows is valid only for a short time: sends that wait for a connection would
+// otherwise start together with later ones.
 func (g *Gateway) slowStartSendLimit(e *engine) time.Duration {
 	if g.rampFraction(e) < 1 && g.cfg.Rules.SlowStartOverloadFactor > 0 {
 		return g.cfg.Rules.SlowStartWindow / 2
@@ -110,7 +113,7 @@
 	return 0
 }
 
-// chargeSlowStart counts what is sent to an engine in slow start.
+// chargeSlowStart records a send to an engine in slow start and uses up its slot.
 func (g *Gateway) chargeSlowStart(q *query, e *engine) {
 	if g.rampFraction(e) < 1 {
 		e.slowStart.sends = append(e.slowStart.sends, slowStartSend{g.now, g.expectedWork(q)})
--- a/snapshot.go
+++ b/snapshot.go
@@ -10,10 +10,10 @@
 
 const (
 	snapshotVersion  = 1
-	snapshotHalfLife = 10 * time.Minute // of what an earlier gateway had learnt
+	snapshotHalfLife = 10 * time.Minute // of values that an earlier gateway has learnt
 )
 
-// snapshot is the stored form of what a gateway has learnt of classes and kinds.
+// snapshot is the stored form of what a gateway has learnt about classes and kinds.
 type snapshot struct {
 	Version int                    `json:"version"`
 	Classes []snapshotClass        `json:"classes"`
@@ -28,7 +28,7 @@
 	GrantFactor  float64 `json:"grant"`
 }
 
-// Snapshot returns what the gateway has learnt, for Restore of a later one.
+// Snapshot returns what the gateway has learnt, as JSON for Restore of a later gateway.
 func (g *Gateway) Snapshot() []byte {
 	s := snapshot{Version: snapshotVersion, Kinds: map[string][][]float64{}}
 	for _, c := range g.classList {
@@ -38,13 +38,14 @@
 	for name, k := range g.kinds {
 		s.Kinds[name] = k.weights
 	}
-	data, _ := json.Marshal(s) // finite numbers and names cannot fail
+	data, _ := json.Marshal(s) // encoding finite numbers and names cannot fail
 	return data
 }
 
-// Restore takes over what an earlier gateway had learnt, as Snapshot gave it, the less the older it is:
-// bases and weights decay towards their starting values. What does not fit is left out; an error takes
-// nothing.
+// Restore loads what an earlier gateway has learnt from the result of Snapshot. The older the snapshot, the
+// less it counts: bases and weights decay towards their initial values. Classes and kinds that the gateway
+// does not have are left out, and all weights if its classes differ. An error means that the snapshot is
+// invalid and nothing was loaded.
 func (g *Gateway) Restore(data []byte, age time.Duration) error {
 	s, err := decodeSnapshot(data)
 	if err != nil {
@@ -76,11 +77,11 @@
 	return nil
 }
 
-// decodeSnapshot reads a snapshot, or says why it is none.
+// decodeSnapshot decodes and validates a snapshot.
 func decodeSnapshot(data []byte) (*snapshot, error) {
 	var s snapshot
 	if err := json.Unmarshal(data, &s); err != nil {
-		return nil, fmt.Errorf("cresspass: snapshot: %w", err)
+		return nil, fmt.Errorf("cresspass: decode snapshot: %w", err)
 	}
 	if s.Version != snapshotVersion {
 		return nil, fmt.Errorf("cresspass: snapshot: version %d, want %d", s.Version, snapshotVersion)
@@ -92,7 +93,7 @@
 	}
 	for name, rows := range s.Kinds {
 		if !s.areWeights(rows) {
-			return nil, fmt.Errorf("cresspass: snapshot: kind %q: weights", name)
+			return nil, fmt.Errorf("cresspass: snapshot: kind %q: weights out of range or wrong size", name)
 		}
 	}
 	return &s, nil
@@ -101,16 +102,16 @@
 func (c *snapshotClass) validate() error {
 	for _, v := range []float64{c.BaseScale, c.MeanWork, c.GrantFactor} {
 		if !(v > 0 && v < math.MaxFloat32) {
-			return fmt.Errorf("cresspass: snapshot: class %q: value %v", c.Name, v)
+			return fmt.Errorf("cresspass: snapshot: class %q: value %v is out of range", c.Name, v)
 		}
 	}
 	if !(c.OutcomesSeen >= 0 && c.OutcomesSeen < math.MaxFloat32) {
-		return fmt.Errorf("cresspass: snapshot: class %q: seen %v", c.Name, c.OutcomesSeen)
+		return fmt.Errorf("cresspass: snapshot: class %q: seen %v is out of range", c.Name, c.OutcomesSeen)
 	}
 	return nil
 }
 
-// areWeights reports whether rows are weights of all classes of the snapshot, or none.
+// areWeights reports whether rows are valid weights of all classes of the snapshot, or empty.
 func (s *snapshot) areWeights(rows [][]float64) bool {
 	for _, row := range rows {
 		for _, v := range row {
@@ -123,8 +124,8 @@
 	return true
 }
 
-// matchesClasses reports whether a snapshot's classes are the gateway's, in their order: weights are by
-// number.
+// matchesClasses reports whether a snapshot has the gateway's classes in the same order. Weights are stored
+// by class index.
 func (s *snapshot) matchesClasses(classes []*class) bool {
 	sameName := func(a snapshotClass, c *class) bool { return a.Name == c.Name }
 	return slices.EqualFunc(s.Classes, classes, sameName)
