--- a/admission_test.go
+++ b/admission_test.go
@@ -20,12 +20,12 @@
 	)
 	wantActions(t, got, Send, Send)
 	if got[0].Query != 2 {
-		t.Errorf("query %d left first", got[0].Query)
+		t.Errorf("query %d was sent first, want query 2", got[0].Query)
 	}
 }
 
-// TestLateRetriesAreRejected: a client's retry whose latency objective has passed only keeps an overload
-// alive.
+// TestLateRetriesAreRejected: a client's retry whose latency objective has passed would only prolong an
+// overload.
 func TestLateRetriesAreRejected(t *testing.T) {
 	b := newHarness(t, singleClassConfig(), standardEngine("e1"))
 	wantActions(t, b.submit(1, "short", ""), Send)
@@ -41,7 +41,8 @@
 	wantActions(t, b.advance(ms, late), Reject)
 }
 
-// TestShortFirstAttemptsAreServed: a short wait alone is no sign of a repeat (incident id68ae1).
+// TestShortFirstAttemptsAreServed: a short deadline alone does not show that a request is a retry (incident
+// id68ae1).
 func TestShortFirstAttemptsAreServed(t *testing.T) {
 	b := newHarness(t, singleClassConfig(), standardEngine("e1"))
 	wantActions(t, b.submit(1, "short", ""), Send)
@@ -53,11 +54,12 @@
 	)
 }
 
-// TestLongQueriesYieldInAnOverload: one very long query earns no more than one of the many it displaces.
+// TestLongQueriesYieldInAnOverload: a very long query earns no more than each of the many that it displaces,
+// so an overload rejects it.
 func TestLongQueriesYieldInAnOverload(t *testing.T) {
 	for _, overload := range []bool{false, true} {
 		b := newHarness(t, singleClassConfig(), standardEngine("e1"))
-		for id := range QueryID(60) { // settles the class's mean work
+		for id := range QueryID(60) { // lets the class's mean work converge
 			b.submit(id+1, "short", "")
 			b.advance(0, attemptDoneEvent(b.lastActions[0], 0, OutcomeOK, 200*ms))
 		}
@@ -75,15 +77,15 @@
 	}
 }
 
-// TestOverQuotaQueuesUnlessOverloaded: this gateway's part of a quota is a guess where clients are spread
-// unevenly, so a query beyond it is rejected only in an overload, else queued like any other (Quebec, a
-// rolling restart).
+// TestOverQuotaQueuesUnlessOverloaded: if clients are spread unevenly, this gateway's share of a quota is a
+// guess. So a query over quota is rejected only in an overload and otherwise queued like any other (Quebec,
+// a rolling restart).
 func TestOverQuotaQueuesUnlessOverloaded(t *testing.T) {
 	for _, overload := range []bool{false, true} {
 		cfg := singleClassConfig()
 		cfg.Tenants = []Tenant{{Name: "t", QuotaPerSecond: 0.1}}
 		b := newHarness(t, cfg, standardEngine("e1"))
-		for id := range QueryID(10) { // fills the engine up to the bound's cap
+		for id := range QueryID(10) { // fills the engine up to its thread limit
 			b.submit(id+1, "short", "")
 		}
 		b.g.pressure.overloaded = overload
@@ -105,8 +107,8 @@
 	}
 }
 
-// TestCrowdedEngineAdmitsByItsThreads: weights start small and learn nothing where nothing ends (Tallinn,
-// big-1).
+// TestCrowdedEngineAdmitsByItsThreads: weights start small and learn nothing while no query ends, so a full
+// engine must be recognised by the number of other gateways' threads (Tallinn, big-1).
 func TestCrowdedEngineAdmitsByItsThreads(t *testing.T) {
 	for _, c := range []struct {
 		threads float64
@@ -138,6 +140,6 @@
 		}
 	}
 	if rejected < 15 {
-		t.Errorf("%d of 20 queries that cannot fit were rejected", rejected)
+		t.Errorf("%d of 20 queries that cannot fit were rejected, want at least 15", rejected)
 	}
 }
--- a/decision_trace_test.go
+++ b/decision_trace_test.go
@@ -15,16 +15,16 @@
 	"cresspass/internal/goldentest"
 )
 
-// The decision trace: scripted runs of gateways against simulated engines, with every action written bit
-// for bit. A change that is to keep behaviour keeps the trace.
+// The decision trace holds every action of scripted runs of gateways against simulated engines, bit for bit.
+// A change that must not alter behaviour must not alter the trace.
 
 // traceScenario is one scripted run.
 type traceScenario struct {
 	name      string
 	cfg       Config
-	instances int // gateways that are played; the settings may count more
+	instances int // gateways that run; GatewayCount may be higher
 	engines   []EngineInfo
-	perSecond float64 // queries a second at each gateway
+	perSecond float64 // queries per second at each gateway
 	seconds   int
 	lost      float64 // share of answers that never arrive
 	restore   bool    // the first gateway starts from the golden snapshot
@@ -134,7 +134,8 @@
 	}
 }
 
-// write adds one action to the trace: the number of the step and gateway, and all fields that are not zero.
+// write adds one action to the trace: its fields that are not zero. The first action of a Handle call is
+// preceded by the time in ms and the gateway.
 func (r *traceRun) write(i, j int, a *Action) {
 	w := r.out
 	if j == 0 {
@@ -162,8 +163,8 @@
 	fmt.Fprintln(w)
 }
 
-// TestGoldenDecisionTrace: the scripted runs give the same actions, bit for bit, as when the trace was
-// written.
+// TestGoldenDecisionTrace: the scripted runs yield the same actions, bit for bit, as when the golden trace
+// was written.
 func TestGoldenDecisionTrace(t *testing.T) {
 	goldentest.Compare(t, "snapshot.json", trainedGateway(t).Snapshot())
 	stored := goldentest.Read(t, "snapshot.json")
@@ -179,7 +180,7 @@
 	if err := z.Close(); err != nil {
 		t.Fatal(err)
 	}
-	// Compared unpacked: another version of Go may compress the same trace to other bytes.
+	// Traces are compared uncompressed, as another Go version may compress the same trace differently.
 	const trace = "decision_trace.txt.gz"
 	goldentest.Update(t, trace, packed.Bytes())
 	unpack, err := gzip.NewReader(bytes.NewReader(goldentest.Read(t, trace)))
@@ -197,13 +198,13 @@
 	got, old := strings.Split(current.String(), "\n"), strings.Split(string(want), "\n")
 	for i := range min(len(got), len(old)) {
 		if got[i] != old[i] {
-			t.Fatalf("line %d of the trace:\n%s\nwant\n%s", i+1, got[i], old[i])
+			t.Fatalf("line %d of the trace is\n%s\nwant\n%s", i+1, got[i], old[i])
 		}
 	}
 	t.Fatalf("the trace has %d lines, want %d", len(got), len(old))
 }
 
-// checkTraceCoverage: each scenario shows the actions that it is for, so that the trace proves something.
+// checkTraceCoverage checks that each scenario has at least three of each action that it is meant to cover.
 func checkTraceCoverage(t *testing.T, trace string) {
 	t.Helper()
 	counts := map[string]int{}
@@ -227,7 +228,7 @@
 	} {
 		for _, a := range c.types {
 			if n := counts[fmt.Sprint(c.scenario, " ", int(a))]; n < 3 {
-				t.Errorf("scenario %s: action type %d occurs %d times", c.scenario, int(a), n)
+				t.Errorf("scenario %s: action type %d occurs %d times, want 3 or more", c.scenario, int(a), n)
 			}
 		}
 	}
--- a/gateway_test.go
+++ b/gateway_test.go
@@ -44,12 +44,12 @@
 	}
 	first, second := play(), play()
 	if len(first) != len(second) {
-		t.Fatalf("%d actions, then %d", len(first), len(second))
+		t.Fatalf("first run has %d actions, second %d", len(first), len(second))
 	}
 	for i := range first {
 		if first[i].Query != second[i].Query || first[i].Engine != second[i].Engine ||
 			first[i].Type != second[i].Type {
-			t.Fatalf("action %d: %+v, then %+v", i, first[i], second[i])
+			t.Fatalf("action %d: first run %+v, second %+v", i, first[i], second[i])
 		}
 	}
 }
--- a/golden_test.go
+++ b/golden_test.go
@@ -12,10 +12,10 @@
 	"cresspass/internal/goldentest"
 )
 
-// Snapshots are stored and peer messages are sent between processes of different versions, so bytes that
-// an earlier version wrote stand under testdata and must be read, and written, as they were.
+// Snapshots are stored, and peer messages are sent between processes of different versions. So testdata holds
+// bytes that an earlier version wrote. They must be read with the same values and written identically.
 
-// trainedGateway has learnt from a fixed sequence of outcomes.
+// trainedGateway returns a gateway that has learnt from a fixed sequence of outcomes.
 func trainedGateway(t *testing.T) *Gateway {
 	t.Helper()
 	cfg := allRulesConfig()
@@ -51,8 +51,8 @@
 	return b.g
 }
 
-// TestGoldenSnapshot: a snapshot written by an earlier version is read with its values, and the same
-// outcomes are written as the same bytes.
+// TestGoldenSnapshot: a snapshot of an earlier version is read with its values, and the same outcomes yield
+// the same bytes.
 func TestGoldenSnapshot(t *testing.T) {
 	trained := trainedGateway(t)
 	goldentest.Compare(t, "snapshot.json", trained.Snapshot())
@@ -84,11 +84,11 @@
 		}
 	}
 	if trained.kinds["std"].weights[0][0] == 0 || trained.classList[0].baseScale == 1 {
-		t.Error("the golden snapshot holds nothing that was learnt")
+		t.Error("the golden snapshot holds no learnt values")
 	}
 }
 
-// goldenPeerMessages are the four types of message with entries at, between and beyond their limits.
+// goldenPeerMessages returns the four message types with entries at, between and beyond their limits.
 func goldenPeerMessages() (all []struct {
 	m       PeerMessageType
 	entries []PeerLoad
@@ -118,7 +118,7 @@
 	return all
 }
 
-// TestGoldenPeerMessages: what gateways of an earlier version send is read, and written, byte for byte.
+// TestGoldenPeerMessages: messages of gateways of an earlier version are read and written byte for byte.
 func TestGoldenPeerMessages(t *testing.T) {
 	var current bytes.Buffer
 	var read []string
@@ -155,12 +155,12 @@
 		}
 	}
 	if fmt.Sprint(got) != fmt.Sprint(read) {
-		t.Errorf("messages are read as\n%v\nwant\n%v", got, read)
+		t.Errorf("messages decoded as\n%v\nwant\n%v", got, read)
 	}
 	if got := EngineTag("10.0.0.1:7000"); got != goldenTag {
 		t.Errorf("tag of an engine is %#x, want %#x", got, goldenTag)
 	}
 }
 
-// goldenTag stands for the engine 10.0.0.1:7000 in messages.
+// goldenTag is the tag of the engine 10.0.0.1:7000.
 const goldenTag = 0x53fa
--- a/gossip_test.go
+++ b/gossip_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestFleetWideFailuresAddNoLoad: lost answers on all engines were broadcast as four times their load
-// (Wellington, big-2).
+// TestFleetWideFailuresAddNoLoad: answers lost on all engines alike are no engine's fault, but were broadcast
+// as four times the load (Wellington, big-2).
 func TestFleetWideFailuresAddNoLoad(t *testing.T) {
 	b := newHarness(t, largeFleetConfig(), standardEngines(4)...)
 	for _, e := range b.g.engineList {
@@ -16,12 +16,12 @@
 	b.g.broadcastAggregate()
 	for _, e := range b.g.engineList {
 		if load := e.runningCount[len(b.g.classList)] / b.g.unobservedShare(e); load > 9 {
-			t.Errorf("8 threads on %s are broadcast as %.1f", e.ID, load)
+			t.Errorf("8 threads on %s are broadcast as %.1f, want at most 9", e.ID, load)
 		}
 	}
 }
 
-// TestFailingEngineIsReportedAsFuller: what befalls one engine alone still counts against it.
+// TestFailingEngineIsReportedAsFuller: failures of one engine alone still raise its broadcast load.
 func TestFailingEngineIsReportedAsFuller(t *testing.T) {
 	b := newHarness(t, largeFleetConfig(), standardEngines(4)...)
 	for _, e := range b.g.engineList {
@@ -32,11 +32,12 @@
 	b.g.gossip.reports[1] = uniformPeerReport(b, 8)
 	b.g.broadcastAggregate()
 	if load := bad.runningCount[len(b.g.classList)] / b.g.unobservedShare(bad); load < 12 {
-		t.Errorf("8 threads on an engine that fails two in five are broadcast as %.1f", load)
+		t.Errorf("8 threads on an engine that fails two in five are broadcast as %.1f, want 12 or more", load)
 	}
 }
 
-// Guards against sums that differ from run to run by the order in which reports are added.
+// TestSumsDoNotDependOnMapOrder: the order in which reports are added must not depend on map order, because
+// floating-point sums would then differ from run to run.
 func TestSumsDoNotDependOnMapOrder(t *testing.T) {
 	b := newHarness(t, largeFleetConfig(), standardEngines(1)...)
 	for peer := range 40 {
@@ -48,12 +49,12 @@
 	for range 200 {
 		e.aggregateLoad = 0
 		if b.g.sumReports(); e.aggregateLoad != first {
-			t.Fatalf("sums %v and %v of the same reports", first, e.aggregateLoad)
+			t.Fatalf("sums %v and %v of the same reports, want equal", first, e.aggregateLoad)
 		}
 	}
 }
 
-// uniformPeerReport is a peer's report of the same load on all engines.
+// uniformPeerReport returns a peer's report of the same load on all engines.
 func uniformPeerReport(b *harness, load float64) receivedReport {
 	r := receivedReport{at: b.now}
 	for _, e := range b.g.engineList {
@@ -62,7 +63,7 @@
 	return r
 }
 
-// deliverAggregate sends a gateway the loads of engines, as an aggregator would.
+// deliverAggregate delivers an aggregator's broadcast with the given loads; engines without one have load 0.
 func deliverAggregate(b *harness, loads map[EngineID]float64) {
 	var entries []PeerLoad
 	for _, e := range b.g.engineList {
@@ -94,7 +95,7 @@
 		b.advance(50*ms, Event{Type: TimerFired})
 	}
 	if got := b.g.estimate(&query{class: b.g.classList[0], rawBase: 0.1}, b.g.engineList[0]); got > 0.2 {
-		t.Errorf("two minutes after the last report Est is still %.2f s for a base of 0.1 s", got)
+		t.Errorf("two minutes after the last report Est is %.2f s for a base of 0.1 s, want up to 0.2 s", got)
 	}
 }
 
@@ -102,7 +103,7 @@
 	cfg := largeFleetConfig()
 	b := newHarness(t, cfg, standardEngines(4)...)
 	turn := b.now / aggregatorTermLength
-	for b.g.aggregator(turn) != cfg.Ordinal { // until its turn comes
+	for b.g.aggregator(turn) != cfg.Ordinal { // until a term in which it is aggregator
 		turn++
 	}
 	b.now = turn * aggregatorTermLength
@@ -126,13 +127,13 @@
 	for _, e := range broadcast {
 		switch {
 		case e.Tag == bad && e.Threads != maxPeerLoad:
-			t.Errorf("an engine that only fails is broadcast with load %v", e.Threads)
+			t.Errorf("an engine that only fails is broadcast with load %v, want 255", e.Threads)
 		case e.Tag == fine && (e.Threads < 10 || e.Threads == maxPeerLoad):
-			t.Errorf("five gateways with two threads each are broadcast as %v", e.Threads)
+			t.Errorf("five gateways with two threads each are broadcast as %v, want 10 to 254", e.Threads)
 		}
 	}
 	if len(broadcast) != 4 {
-		t.Errorf("sums of %d engines, want 4", len(broadcast))
+		t.Errorf("aggregate of %d engines, want 4", len(broadcast))
 	}
 }
 
@@ -145,6 +146,6 @@
 		}
 	}
 	if got := b.submit(1, "short", ""); len(got) == 0 || got[0].Type != Send {
-		t.Errorf("after odd messages a query gets %v", got)
+		t.Errorf("after forged messages a query gets %v, want it sent", got)
 	}
 }
--- a/harness_test.go
+++ b/harness_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// singleClassConfig has one idempotent class with estimates and one kind, and no optional rule.
+// singleClassConfig returns settings with one idempotent class, one kind and no optional rule.
 func singleClassConfig() Config {
 	return Config{
 		GatewayCount:     2,
@@ -30,7 +30,7 @@
 
 const ms = time.Millisecond
 
-// allRulesConfig has a class of each effect, two kinds, two zones and all rules switched on.
+// allRulesConfig returns settings with a class of each effect, two kinds and all rules enabled.
 func allRulesConfig() Config {
 	return Config{
 		Seed: 1, GatewayCount: 2, Zone: "a", BatchInterval: 5 * ms,
@@ -100,7 +100,7 @@
 	}
 }
 
-// harness drives a gateway by hand and keeps its actions.
+// harness runs a gateway step by step and keeps its last actions.
 type harness struct {
 	t           *testing.T
 	g           *Gateway
@@ -119,7 +119,8 @@
 	return b
 }
 
-// advance lets time pass, delivers events and returns the actions other than timers.
+// advance moves the clock, delivers events and returns the actions other than SetTimer and SetResources. The
+// next call overwrites the result.
 func (b *harness) advance(pass time.Duration, events ...Event) []Action {
 	b.now += pass
 	b.lastActions = b.lastActions[:0]
@@ -174,7 +175,7 @@
 	}
 }
 
-// largeFleetConfig is one of many gateways on few engines, with peers.
+// largeFleetConfig returns the settings of one of 200 gateways with gossip.
 func largeFleetConfig() Config {
 	cfg := singleClassConfig()
 	cfg.GatewayCount, cfg.MayGossip, cfg.Seed = 200, true, 7
--- a/load_report_test.go
+++ b/load_report_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// loadReportConfig is one of many gateways without gossip; engines report in answers and health checks.
+// loadReportConfig returns the settings of one of 200 gateways without gossip, with health checks and load
+// reports of the given fields.
 func loadReportConfig(fields ...string) Config {
 	cfg := largeFleetConfig()
 	cfg.MayGossip, cfg.MayCheckHealth, cfg.LoadReportFields = false, true, fields
@@ -27,17 +28,18 @@
 	return b.g.estimate(&query{class: b.g.classList[0], rawBase: 0.1, memoryMB: 400}, b.g.engines[id])
 }
 
-// TestReportedQueriesCountInEst: without gossip, queries that an engine reports were not seen
+// TestReportedQueriesCountInEst: without gossip, queries that an engine reported were not counted in Est
 // (register).
 func TestReportedQueriesCountInEst(t *testing.T) {
 	b := newHarness(t, loadReportConfig("concurrent"), standardEngines(2)...)
 	free := estimateOn(b, "e00")
 	b.advance(ms, healthCheckWithReport("e00", 50))
 	if got := estimateOn(b, "e00"); got < 2*free {
-		t.Errorf("Est %.3f s with 50 queries reported on 8 cores, %.3f s before", got, free)
+		t.Errorf("Est %.3f s with 50 queries reported on 8 cores, %.3f s before, want at least twice that",
+			got, free)
 	}
 	if got := estimateOn(b, "e01"); got > 1.01*free {
-		t.Errorf("Est %.3f s on an engine that reported nothing, %.3f s before", got, free)
+		t.Errorf("Est %.3f s on an engine without a report, %.3f s before, want no change", got, free)
 	}
 }
 
@@ -47,18 +49,19 @@
 	for _, values := range [][]float64{nil, {1}, {1, 2, 3}, {math.NaN(), math.NaN()}, {-4, -1}} {
 		b.advance(ms, healthCheckWithReport("e00", values...))
 		if got := estimateOn(b, "e00"); got != free {
-			t.Errorf("report %v moved Est from %v to %v", values, free, got)
+			t.Errorf("invalid report %v changed Est from %v to %v", values, free, got)
 		}
 	}
 	b.advance(ms, healthCheckWithReport("e00", 1e300, 1e300), healthCheckWithReport("nobody", 3, 1))
 	if got := estimateOn(b, "e00"); math.IsInf(got, 0) || math.IsNaN(got) ||
 		b.g.engines["e00"].grantedMemory > maxReportedLoad {
-		t.Errorf("a huge report makes Est %v, memory %v", got, b.g.engines["e00"].grantedMemory)
+		t.Errorf("after a huge report Est is %v and granted memory %v, want both clipped",
+			got, b.g.engines["e00"].grantedMemory)
 	}
 }
 
-// TestLoadReportDecaysToKindMean: many gateways act on one report, so an engine that looked free a second
-// ago is taken to be as full as its kind (incident id9c0b3).
+// TestLoadReportDecaysToKindMean: many gateways act on the same report, so an engine that reported no load a
+// second ago is assumed to be as full as its kind (incident id9c0b3).
 func TestLoadReportDecaysToKindMean(t *testing.T) {
 	b := newHarness(t, loadReportConfig("concurrent"), standardEngines(5)...)
 	b.advance(ms, healthCheckWithReport("e00", 0))
@@ -73,6 +76,7 @@
 	free, full := b.g.engines["e00"].runningCount[len(b.g.classList)],
 		b.g.engines["e01"].runningCount[len(b.g.classList)]
 	if free < full/2 {
-		t.Errorf("%.1f threads counted on an engine free 1.5 s ago, %.1f on the others", free, full)
+		t.Errorf("%.1f threads counted on an engine free 1.5 s ago, %.1f on the others, want at least half",
+			free, full)
 	}
 }
--- a/membership_test.go
+++ b/membership_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// As the count changes in service all shares follow at once: what an engine in slow start may be sent,
-// limits that were widened as one of few, tenants' quotas; and gateways whose clocks began apart agree on
-// one aggregator.
+// TestSharesFollowMembership: when the number of gateways changes, all shares follow at once: slow start,
+// thread limits that were raised among few gateways, tenants' quotas. Gateways whose clocks started at
+// different times agree on one aggregator.
 func TestSharesFollowMembership(t *testing.T) {
 	cfg := singleClassConfig()
 	cfg.MayGossip, cfg.GatewayCount, cfg.Tenants = true, 2, []Tenant{{Name: "t", QuotaPerSecond: 100}}
@@ -20,20 +20,20 @@
 	e.limiter.limit = 12
 	if count(1, 6, 0); e.limiter.limit != 4 || b.g.tenants["t"].rate != 100.0/6 || b.g.cfg.Ordinal != 1 {
 		t.Errorf(
-			"of 2 to 6: bound %g, quota %g, ordinal %d",
+			"from 2 to 6 gateways: limit %g, quota %g, ordinal %d",
 			e.limiter.limit,
 			b.g.tenants["t"].rate,
 			b.g.cfg.Ordinal,
 		)
 	}
 	if count(0, 2, 0); e.limiter.limit != 4 || b.g.tenants["t"].rate != 50 || b.g.gatewayCount != 2 {
-		t.Errorf("of 6 to 2: bound %g, quota %g", e.limiter.limit, b.g.tenants["t"].rate)
+		t.Errorf("from 6 to 2 gateways: limit %g, quota %g", e.limiter.limit, b.g.tenants["t"].rate)
 	}
 	for _, bad := range []Event{{Peer: 2, Value: 2}, {Peer: -1, Value: 3}, {Value: 0.5},
 		{Value: math.NaN()}} {
 		bad.Type = MembershipChanged
 		if b.advance(ms, bad); b.g.gatewayCount != 2 || b.g.cfg.Ordinal != 0 {
-			t.Errorf("%+v was accepted", bad)
+			t.Errorf("invalid membership %+v was accepted", bad)
 		}
 	}
 	cfg.GatewayCount = 50
@@ -49,6 +49,6 @@
 		}
 	}
 	if apart > 0 {
-		t.Errorf("%d of 40 terms had two aggregators", apart)
+		t.Errorf("%d of 40 terms had two aggregators, want none", apart)
 	}
 }
--- a/memory_test.go
+++ b/memory_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// TestGrantShrinksOnlyOnEvidence: a class's grant is cut only where the settings or the answers have
-// something report spills; short queries are cut too, as the longer ones of their class report.
+// TestGrantShrinksOnlyOnEvidence: a class's grant is lowered only if progress notes or costs report spills,
+// as nothing else would raise it again. Queries too short for a note lower it too, because longer ones of
+// their class report.
 func TestGrantShrinksOnlyOnEvidence(t *testing.T) {
 	for name, c := range map[string]struct {
 		notes  time.Duration
@@ -41,24 +42,25 @@
 		}
 		if got := b.g.classes["short"].grantFactor; (got < initialGrantFactor) != c.cut ||
 			got > initialGrantFactor {
-			t.Errorf("%s: grant %v, started at %v", name, got, initialGrantFactor)
+			t.Errorf("%s: grant factor %v, started at %v", name, got, initialGrantFactor)
 		}
 	}
 }
 
-// TestPagingEngineIsSlow: an engine with twice its memory granted pages to a standstill and shows no
-// outcome (register, big-2).
+// TestPagingEngineIsSlow: an engine that granted twice its memory pages so much that no query ends, so only
+// its report shows it (register, big-2).
 func TestPagingEngineIsSlow(t *testing.T) {
 	b := newHarness(t, loadReportConfig("x0"), standardEngines(2)...)
 	free := estimateOn(b, "e00")
 	b.advance(ms, healthCheckWithReport("e00", 2))
 	if got := estimateOn(b, "e00"); got < 5*free {
-		t.Errorf("Est %.3f s at twice the memory, %.3f s with none granted", got, free)
+		t.Errorf("Est %.3f s at twice the memory, %.3f s with none granted, want at least five times that",
+			got, free)
 	}
 	for range 2400 {
 		b.advance(50*ms, Event{Type: TimerFired})
 	}
 	if got := estimateOn(b, "e00"); got > 1.1*free {
-		t.Errorf("Est still %.3f s two minutes after the report", got)
+		t.Errorf("Est still %.3f s two minutes after the report, want a decay", got)
 	}
 }
--- a/ordering_test.go
+++ b/ordering_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestKeyOrderSweepsIdleKeys: keys in use, or not settled yet, stay; idle ones are dropped once there are
-// many.
+// TestKeyOrderSweepsIdleKeys: keys that are in use or not settled yet are kept; idle ones are dropped once
+// there are many.
 func TestKeyOrderSweepsIdleKeys(t *testing.T) {
 	o := keyOrder{keys: map[string]*orderKey{}}
 	running, settling := &query{}, &query{}
@@ -21,7 +21,7 @@
 		q.orderKey.waiting = nil
 	}
 	if len(o.keys) > 3*minKeysToSweep {
-		t.Errorf("%d keys, two of them in use", len(o.keys))
+		t.Errorf("%d keys held, two of them in use: idle keys were not dropped", len(o.keys))
 	}
 	if o.keys["running"] != running.orderKey || o.keys["settling"] != settling.orderKey {
 		t.Error("a key in use was dropped")
--- a/outlier_test.go
+++ b/outlier_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestSilentEngineIsEjected: an engine that takes work and answers nothing gets no more, and its queries
-// move.
+// TestSilentEngineIsEjected: an engine that accepts queries and never answers is ejected, and its attempts
+// are cancelled so that their queries can run elsewhere.
 func TestSilentEngineIsEjected(t *testing.T) {
 	b := newHarness(t, singleClassConfig(), standardEngine("e1"), standardEngine("e2"))
 	for id := range QueryID(4) {
@@ -24,11 +24,13 @@
 		}
 	}
 	if !b.g.engines["e1"].outlier.ejected || cancels < 2 {
-		t.Errorf("ejected %v, %d attempts cancelled", b.g.engines["e1"].outlier.ejected, cancels)
+		t.Errorf("ejected %v, %d attempts cancelled, want true and at least 2",
+			b.g.engines["e1"].outlier.ejected, cancels)
 	}
 }
 
-// An engine that others report as dead gets no query before a health check; one that was heard here does.
+// TestEngineReportedDown: an engine that other gateways report down gets no query before a health check,
+// unless this gateway has seen it respond.
 func TestEngineReportedDown(t *testing.T) {
 	cfg := singleClassConfig()
 	cfg.MayCheckHealth, cfg.MayGossip = true, true
@@ -39,7 +41,7 @@
 		Event{Type: EngineReportedDown, Engine: "nobody"},
 	)
 	if !b.g.engines["e00"].outlier.ejected || b.g.engines["e01"].outlier.ejected {
-		t.Error("others' report was not taken")
+		t.Error("the reported engine was not ejected, or another one was")
 	}
 	probed := false
 	for range 30 {
@@ -48,22 +50,22 @@
 		}
 	}
 	if !probed {
-		t.Error("its health was never checked")
+		t.Error("the health of the ejected engine was never checked")
 	}
 	b.g.engines["e01"].lastSeenAt = b.now
 	if b.advance(ms, Event{Type: EngineReportedDown, Engine: "e01"}); b.g.engines["e01"].outlier.ejected {
-		t.Error("others' report stands against what was seen here")
+		t.Error("an engine that this gateway has seen respond was ejected by a report")
 	}
 }
 
-// TestOutlierState: an engine is ejected by failures in a row, longer each time it fails its probation, and
-// is back after two answers of it.
+// TestOutlierState: consecutive failures eject an engine, for longer after each failed probation. Two answers
+// on probation end the ejection.
 func TestOutlierState(t *testing.T) {
 	var o outlierState
 	now := time.Hour
 	for i := range ejectConsecutiveFailures {
 		if o.ejected {
-			t.Fatalf("ejected after %d failures", i)
+			t.Fatalf("ejected after only %d failures", i)
 		}
 		o.recordFailure(now)
 	}
@@ -84,7 +86,7 @@
 	o.onProbation = true
 	o.recordSuccess()
 	if !o.ejected {
-		t.Error("back after one answer")
+		t.Error("the ejection ended after one answer on probation")
 	}
 	if o.recordSuccess(); o.ejected || o.failureRate != 0 || o.ejectionTime != 0 {
 		t.Errorf("after %d answers on probation: %+v", probationSuccessesNeeded, o)
--- a/peer_message_test.go
+++ b/peer_message_test.go
@@ -17,11 +17,11 @@
 		var got []PeerLoad
 		for _, data := range encodePeerMessage(m, entries) {
 			if len(data) > maxPeerMessageBytes {
-				t.Errorf("type %d: message of %d bytes", m, len(data))
+				t.Errorf("type %d: message of %d bytes is too long", m, len(data))
 			}
 			kind, part := DecodePeerMessage(data)
 			if kind != m {
-				t.Errorf("type %d read as %d", m, kind)
+				t.Errorf("type %d decoded as %d", m, kind)
 			}
 			got = append(got, part...)
 		}
@@ -46,12 +46,12 @@
 		for _, e := range entries {
 			if e.Threads < 0 || e.Threads > maxPeerLoad || e.Succeeded > maxPeerCount ||
 				e.Failed > maxPeerCount {
-				t.Errorf("entry out of its clip: %v", e)
+				t.Errorf("decoded entry out of range: %v", e)
 			}
 		}
 		if m != 0 && len(encodePeerMessage(m, entries)) == 1 &&
 			!bytes.HasPrefix(data, encodePeerMessage(m, entries)[0]) {
-			t.Errorf("%v does not write back", data)
+			t.Errorf("message %v is not re-encoded as it was", data)
 		}
 	})
 }
--- a/placement_test.go
+++ b/placement_test.go
@@ -13,11 +13,12 @@
 		used[b.lastActions[0].Engine] = true
 	}
 	if len(used) != 3 {
-		t.Errorf("three queries went to %d engines", len(used))
+		t.Errorf("three queries went to %d engines, want 3", len(used))
 	}
 }
 
-// TestNearTiesSpread: while all weights are zero, estimates are alike; queries must spread all the same.
+// TestNearTiesSpread: while all weights are zero, estimates are nearly equal. Queries must spread evenly
+// nevertheless.
 func TestNearTiesSpread(t *testing.T) {
 	b := newHarness(t, singleClassConfig(), standardEngine("e1"), standardEngine("e2"))
 	b.g.engines["e2"].logSlowness = 0.1
@@ -29,8 +30,8 @@
 	}
 }
 
-// A query whose session is on one engine goes there or nowhere, once, and on a draining engine only
-// within the grace.
+// TestStickyEngine: a query of a session is sent only to the engine of that session and only once; to a
+// draining engine only within the grace.
 func TestStickyEngine(t *testing.T) {
 	cfg := singleClassConfig()
 	cfg.Rules.DrainGrace = time.Second
@@ -49,13 +50,13 @@
 	for id := range QueryID(6) {
 		wantActions(t, b.advance(ms, only(id+1, "e2")), Send)
 		if b.lastActions[0].Engine != "e2" {
-			t.Fatalf("sent to %s", b.lastActions[0].Engine)
+			t.Fatalf("sent to %s, want e2", b.lastActions[0].Engine)
 		}
 	}
 	sent := b.lastActions[0]
 	if got := b.advance(10*ms, attemptDoneEvent(sent, 0, OutcomeConnectionReset, 10*ms)); len(got) != 1 ||
 		got[0].Type == Send {
-		t.Errorf("after a reset: %+v", got)
+		t.Errorf("after a connection reset: %+v, want one action that is no Send", got)
 	}
 	drain := Event{
 		Type:     EngineListReceived,
@@ -66,13 +67,13 @@
 	wantActions(t, b.advance(500*ms, only(11, "e2")), Send)
 	for _, a := range b.advance(600*ms, only(12, "e2")) {
 		if a.Type == Send {
-			t.Error("sent to a draining engine past the grace")
+			t.Error("sent to a draining engine after the grace")
 		}
 	}
 }
 
-// TestLongQueryProbesLoadFirst: a jammed engine answers no query, so only a load probe shows it (register,
-// big-2).
+// TestLongQueryProbesLoadFirst: an overloaded engine answers no query, so only a load probe shows its load
+// (register, big-2).
 func TestLongQueryProbesLoadFirst(t *testing.T) {
 	b := newHarness(t, loadReportConfig("concurrent"), standardEngines(5)...)
 	long := Event{
@@ -92,12 +93,12 @@
 		answers = append(
 			answers,
 			healthCheckWithReport(a.Engine, float64(100*min(i, 1))),
-		) // the first alone is free
+		) // only the first has no load
 	}
 	b.advance(2*ms, answers...)
 	got = b.advance(loadProbeWait, Event{Type: TimerFired, Label: 2})
 	if len(got) != 1 || got[0].Type != Send || len(probed) != 3 {
-		t.Fatalf("after the reports of %d engines: %+v", len(probed), got)
+		t.Fatalf("after the reports of %d engines, want 3: %+v, want one Send", len(probed), got)
 	}
 	for i, ev := range answers {
 		if i > 0 && ev.Engine == got[0].Engine {
@@ -128,6 +129,6 @@
 		}
 	}
 	if len(used) < 8 {
-		t.Errorf("50 gateways with like views used %d of 10 engines: %v", len(used), used)
+		t.Errorf("50 gateways with the same view used %d of 10 engines, want at least 8: %v", len(used), used)
 	}
 }
--- a/pressure_test.go
+++ b/pressure_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestRestartedGatewayDoesNotFlood: an empty fit thinks everything fits; the capped bound must hold it.
+// TestRestartedGatewayDoesNotFlood: without learnt weights every query seems to fit, so only the thread limit
+// holds a restarted gateway back.
 func TestRestartedGatewayDoesNotFlood(t *testing.T) {
 	b := newHarness(t, singleClassConfig(), standardEngine("e1"))
 	for id := range QueryID(100) {
@@ -16,8 +17,8 @@
 	}
 }
 
-// A moment of very slow answers must not leave a gateway that rejects all for ever: it runs nothing then,
-// so no outcome would ever correct what it believes.
+// TestRecoversFromPessimisticEstimates: after a short period of very slow answers a gateway must not reject
+// everything forever. It would run nothing then, so no outcome would correct its estimates.
 func TestRecoversFromPessimisticEstimates(t *testing.T) {
 	cfg := Config{
 		Seed:          1,
@@ -63,7 +64,7 @@
 		}
 	}
 	served, submitted := 0, 0
-	for i := range 2000 { // then the engines are as quick as ever
+	for i := range 2000 { // then the engines are fast again
 		if i%5 == 0 {
 			b.advance(10*ms, Event{Type: TimerFired})
 		} else {
@@ -78,13 +79,13 @@
 		submitted++
 	}
 	if served < submitted/2 {
-		t.Errorf("served %d of %d submitted over 20 s after the jam", served, submitted)
+		t.Errorf("served %d of %d submitted in 20 s after the slow period, want half", served, submitted)
 	}
 }
 
-// Engines that looked slow once, and then got nothing, are no overload of the fleet: what is seen of them
-// fades, and an engine of whose cores we use little is not under our pressure (a recorded day of
-// montreal-est rejected a tenth).
+// TestNoOverloadOfIdleEngines: engines that were slow once and then got no queries must not count as an
+// overload of the fleet. Their latency decays, and an engine whose cores this gateway hardly uses is not
+// under pressure (a recorded day of montreal-est rejected a tenth).
 func TestNoOverloadOfIdleEngines(t *testing.T) {
 	cfg := Config{
 		Seed:          1,
@@ -113,22 +114,22 @@
 		e.ownThreads = 6
 	}
 	if b.advance(50*ms, Event{Type: TimerFired}); !b.g.pressure.overloaded {
-		t.Error("slow engines with most of their cores in use count as none")
+		t.Error("slow engines with most of their cores in use do not count as an overload")
 	}
 	for range 400 {
 		b.advance(50*ms, Event{Type: TimerFired})
 	}
 	if b.g.pressure.overloaded || b.g.engineList[0].limiter.logLatency > 0.4 {
 		t.Errorf(
-			"20 s without an answer: latency %.2f, pressed %v",
+			"after 20 s without an answer: log latency %.2f, overloaded %v",
 			b.g.engineList[0].limiter.logLatency,
 			b.g.pressure.overloaded,
 		)
 	}
 }
 
-// TestLostAnswersAreNoPressureWhereEnginesReport: overdue attempts read as an overload of half-used engines
-// (register, big-1).
+// TestLostAnswersAreNoPressureWhereEnginesReport: attempts overdue because their answers were lost counted as
+// an overload, though the engines were half used (register, big-1).
 func TestLostAnswersAreNoPressureWhereEnginesReport(t *testing.T) {
 	b := newHarness(t, loadReportConfig("concurrent"), standardEngines(3)...)
 	for id := range QueryID(30) {
@@ -145,15 +146,15 @@
 	}
 	if b.g.pressure.level > 1 || b.g.fleetLogSlowness > 0.5 {
 		t.Errorf(
-			"pressure %.2f, slowness %.2f though engines report half a thread a core",
+			"level %.2f, slowness %.2f though engines report half a thread per core",
 			b.g.pressure.level,
 			b.g.fleetLogSlowness,
 		)
 	}
 }
 
-// TestUseOfCoresGivesNoPressure: it ends at one, so load beyond the cores never shows in it (Montreal
-// grown).
+// TestUseOfCoresGivesNoPressure: load_share, the cores in use, never exceeds one, so it does not show load
+// beyond the cores and must not replace the level that follows from slowness (Montreal grown).
 func TestUseOfCoresGivesNoPressure(t *testing.T) {
 	b := newHarness(t, loadReportConfig("load_share"), standardEngines(3)...)
 	b.g.fleetLogSlowness = 3 // outcomes show a fleet twenty times slower than its bases
@@ -165,6 +166,6 @@
 		Event{Type: TimerFired},
 	)
 	if b.g.pressure.level < 1 {
-		t.Errorf("pressure %.2f: cores in full use read as calm", b.g.pressure.level)
+		t.Errorf("level %.2f with all cores in use, want at least 1", b.g.pressure.level)
 	}
 }
--- a/retry_test.go
+++ b/retry_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestBadPlanIsCancelledAndRetried: a note shows an attempt far behind, and a fresh one draws its plan
-// anew.
+// TestBadPlanIsCancelledAndRetried: an attempt that a progress note shows far behind is cancelled, as a new
+// attempt gets a new query plan.
 func TestBadPlanIsCancelledAndRetried(t *testing.T) {
 	b := newHarness(t, singleClassConfig(), standardEngine("e1"), standardEngine("e2"))
 	b.submit(1, "short", "")
@@ -16,7 +16,8 @@
 	wantActions(t, b.advance(ms, attemptDoneEvent(first, 0, OutcomeCancelled, 2*time.Second)), Send)
 }
 
-// TestLostAnswerIsRetried: a tenth to a third of answers never arrive (Wellington, big-2).
+// TestLostAnswerIsRetried: a query whose answer never arrives must be retried on another engine. A tenth to a
+// third of answers were lost (Wellington, big-2).
 func TestLostAnswerIsRetried(t *testing.T) {
 	cfg := singleClassConfig()
 	cfg.ProgressInterval = 0
@@ -25,7 +26,7 @@
 	first := b.lastActions[0]
 	var got []Action
 	for range 20 {
-		b.g.engines[first.Engine].lastSeenAt = b.now // others' answers arrive
+		b.g.engines[first.Engine].lastSeenAt = b.now // answers of other queries arrive
 		if got = b.advance(50*ms, Event{Type: TimerFired}); len(got) > 0 {
 			break
 		}
@@ -33,12 +34,12 @@
 	wantActions(t, got, Cancel)
 	wantActions(t, b.advance(0, attemptDoneEvent(first, 0, OutcomeCancelled, 700*ms)), Send)
 	if b.lastActions[0].Engine == first.Engine {
-		t.Errorf("sent to %s again", first.Engine)
+		t.Errorf("retried on %s, where the answer was lost", first.Engine)
 	}
 }
 
-// TestLongQueryOfUnknownCostIsNoBadPlan: calling off what is only long did its work thrice (Tallinn,
-// big-1).
+// TestLongQueryOfUnknownCostIsNoBadPlan: queries that were only long were cancelled as bad plans, so their
+// work was done three times (Tallinn, big-1).
 func TestLongQueryOfUnknownCostIsNoBadPlan(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		b := newHarness(t, singleClassConfig(), standardEngine("e1"), standardEngine("e2"))
@@ -68,18 +69,19 @@
 	b.submit(1, "short", "")
 	e := b.g.engineList[0]
 	if e.ownThreads != 1 {
-		t.Fatalf("%v threads running after a send", e.ownThreads)
+		t.Fatalf("%v threads running after a send, want 1", e.ownThreads)
 	}
-	for range 180 { // nine seconds, with others' answers arriving
+	for range 180 { // nine seconds in which other answers arrive
 		e.lastSeenAt = b.now
 		b.advance(50*ms, Event{Type: TimerFired})
 	}
 	if e.ownThreads != 0 || b.g.ownThreads != 0 {
-		t.Errorf("an attempt long overdue still holds %v threads", e.ownThreads)
+		t.Errorf("an attempt long overdue still counts %v threads", e.ownThreads)
 	}
 }
 
-// TestRetryBudgetWindow: arrivals count a little shorter and retries a little longer than the window.
+// TestRetryBudgetWindow: arrivals count for the window less the margin, retries for the window plus the
+// margin.
 func TestRetryBudgetWindow(t *testing.T) {
 	rules := &Rules{
 		HasRetryBudget: true, RetryBudgetFree: 1, RetryBudgetRatio: 0.5, RetryBudgetWindow: time.Second,
--- a/rule_checker_test.go
+++ b/rule_checker_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// TestRulesHoldOnRandomEvents feeds long random but legal sequences and checks every action by itself.
+// TestRulesHoldOnRandomEvents delivers long random sequences of valid and stray events. Its checker tracks
+// queries and engines by itself and checks every action against rules 1 to 7.
 func TestRulesHoldOnRandomEvents(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { newRuleChecker(t, seed).play(1500) })
@@ -22,7 +23,7 @@
 	done         bool
 	attemptCount int
 	inFlight     map[int]Action
-	maybeRanAt   time.Duration // sending of the first attempt that may have run
+	maybeRanAt   time.Duration // when the first attempt that may have run was sent
 	maybeRanOn   EngineInfo
 	maybeRan     bool
 	sentAt       map[int]time.Duration
@@ -51,7 +52,8 @@
 func newRuleChecker(t *testing.T, seed uint64) *ruleChecker {
 	c := &ruleChecker{t: t, r: rand.New(rand.NewPCG(seed, 7)), cfg: allRulesConfig(), now: time.Hour, next: 1}
 	c.cfg.PollEngineList = seed%2 == 1
-	// health checks and reports, no Retry-After, a shorter grace; many gateways, no slow start
+	// Half of the seeds: health checks and load reports, no Retry-After, a shorter drain grace, 20 gateways,
+	// no slow start.
 	if seed%4 > 1 {
 		c.cfg.MayCheckHealth, c.cfg.LoadReportFields = true, []string{
 			"concurrent",
@@ -75,7 +77,7 @@
 	return c
 }
 
-// restart kills the gateway: all it held is void, and a new one knows the last list only.
+// restart replaces the gateway by a new one, which knows only the latest engine list.
 func (c *ruleChecker) restart() {
 	g, err := New(c.cfg)
 	if err != nil {
@@ -121,7 +123,7 @@
 		}
 		c.deliver(events...)
 	}
-	c.passTicks(6000) // nothing more comes: every query must end in time
+	c.passTicks(6000) // no more events: every query must end in time
 	for id, q := range c.queries {
 		if !q.done {
 			c.t.Errorf("query %d was never answered", id)
@@ -129,7 +131,7 @@
 	}
 }
 
-// passTicks lets so many ticks pass and rings the timers that fall due.
+// passTicks lets the given number of batch intervals pass and fires the timers that are due.
 func (c *ruleChecker) passTicks(ticks int) {
 	for range ticks {
 		c.now += c.cfg.BatchInterval
@@ -184,7 +186,7 @@
 	return ev
 }
 
-// outcome ends one running attempt in some way, now and then twice.
+// outcome ends a random running attempt with a random outcome. One in ten outcomes is delivered twice.
 func (c *ruleChecker) outcome() []Event {
 	for range 20 {
 		if len(c.ids) == 0 {
@@ -233,7 +235,7 @@
 	return []Event{ev}
 }
 
-// loadReport is what an engine reports of itself, at times odd, where the settings have reports.
+// loadReport returns a random load report, sometimes an invalid one, if the settings have load reports.
 func (c *ruleChecker) loadReport() ([]float64, bool) {
 	if len(c.cfg.LoadReportFields) == 0 {
 		return nil, false
@@ -282,7 +284,7 @@
 	}[c.r.IntN(12)]
 }
 
-// deliver hands events over and checks what the gateway does.
+// deliver passes events to the gateway and checks its actions. It repeats that with the events these cause.
 func (c *ruleChecker) deliver(events ...Event) {
 	for len(events) > 0 || c.g != nil {
 		actions := c.g.Handle(c.now, events, nil)
@@ -313,7 +315,7 @@
 		q.attemptCount++
 	case CheckHealth:
 		if !c.cfg.MayCheckHealth {
-			c.t.Errorf("a health check where none is allowed")
+			c.t.Errorf("health check, though the settings do not allow any")
 		}
 		ev := Event{
 			Type:    HealthCheckDone,
@@ -324,7 +326,7 @@
 		return []Event{ev}
 	case Reject, Fail:
 		if a.Wait > 0 && !c.cfg.MaySendRetryAfter {
-			c.t.Errorf("query %d rejected with a Retry-After time where none is allowed", a.Query)
+			c.t.Errorf("query %d rejected with a Retry-After time, which the settings do not allow", a.Query)
 		}
 		if q.done {
 			c.t.Errorf("rule 1: query %d answered twice", a.Query)
@@ -353,7 +355,7 @@
 		c.t.Errorf("rule 1: query %d sent after its end", a.Query)
 	}
 	if len(q.inFlight) > 0 {
-		c.t.Errorf("rule 2: query %d has two attempts out", a.Query)
+		c.t.Errorf("rule 2: query %d sent while an attempt of it is in flight", a.Query)
 	}
 	if q.maybeRan && q.class.Effect == NotIdempotent {
 		c.t.Errorf("rule 2: query %d, not idempotent, sent again", a.Query)
@@ -381,18 +383,18 @@
 		if sum > r.SlowStartOverloadFactor*r.SlowStartFrom*cores*0.85*r.SlowStartWindow.Seconds()/float64(
 			c.cfg.GatewayCount,
 		) {
-			c.t.Errorf("rule 4: %.1f s of work sent to an engine in slow start", sum)
+			c.t.Errorf("rule 4: %.1f s of work in a window sent to an engine in slow start", sum)
 		}
 	}
 	if q.key != "" {
 		for _, id := range c.order[q.key] {
 			o := c.queries[id]
 			if id < a.Query && (!o.done || len(o.inFlight) > 0) {
-				c.t.Errorf("rule 5: query %d overtakes %d", a.Query, id)
+				c.t.Errorf("rule 5: query %d sent before query %d of its key ended", a.Query, id)
 			}
 		}
 		if c.now < c.settlesAt[q.key] && q.attemptCount == 0 {
-			c.t.Errorf("rule 5: query %d sent while its key rests", a.Query)
+			c.t.Errorf("rule 5: query %d sent before its key settled", a.Query)
 		}
 	}
 	if len(q.class.AllowedKinds) > 0 &&
@@ -414,7 +416,7 @@
 			}
 		}
 		if float64(made) > r.RetryBudgetFree+r.RetryBudgetRatio*float64(taken) {
-			c.t.Errorf("rule 7: %d retries for %d queries", made, taken)
+			c.t.Errorf("rule 7: %d retries for %d queries in a window", made, taken)
 		}
 	}
 }
--- a/rules_test.go
+++ b/rules_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestRule1FinalAnswerBeforeDeadline(t *testing.T) {
-	b := newHarness(t, allRulesConfig()) // no engine known: the query is held
+	b := newHarness(t, allRulesConfig()) // no engine is known, so the query is queued
 	wantActions(t, b.submit(1, "short", ""))
 	wantActions(t, b.advance(5*time.Second-10*ms, Event{Type: TimerFired, Label: 2}), Reject)
 	wantActions(t, b.advance(ms, Event{Type: TimerFired, Label: 2}))
@@ -24,15 +24,15 @@
 	)
 }
 
-// TestRule1AnswersBeforeShutdown: a gateway with a scheduled shutdown answers all before it, those it takes
-// meanwhile as well.
+// TestRule1AnswersBeforeShutdown: a gateway with a scheduled shutdown answers all queries before it, also
+// those that arrive in the meantime.
 func TestRule1AnswersBeforeShutdown(t *testing.T) {
 	b := newHarness(t, allRulesConfig(), standardEngine("e1"))
 	wantActions(t, b.submit(1, "short", ""), Send)
 	sent := b.lastActions[0]
 	b.advance(ms, Event{Type: ShutdownScheduled, RemainingDeadline: time.Second})
 	wantActions(t, b.advance(400*ms, Event{Type: EngineListReceived, ListType: ListComplete}))
-	wantActions(t, b.submit(2, "short", "")) // no engine is left: it is held while it may yet fit
+	wantActions(t, b.submit(2, "short", "")) // no engine is left: it is queued while it can still fit
 	wantActions(
 		t,
 		b.advance(590*ms, Event{Type: TimerFired, Label: 2}, Event{Type: TimerFired, Label: 3}),
@@ -118,7 +118,7 @@
 	first := b.lastActions[0]
 	wantActions(t, b.advance(ms, attemptDoneEvent(first, 0, OutcomeConnectionReset, ms)), Send)
 	if cell := b.g.engines[b.lastActions[0].Engine].Cell; cell != b.g.engines[first.Engine].Cell {
-		t.Errorf("sent again to cell %d", cell)
+		t.Errorf("retried in cell %d, outside the cell of the first attempt", cell)
 	}
 }
 
@@ -145,19 +145,19 @@
 				b.advance(
 					0,
 					attemptDoneEvent(a, 0, OutcomeOK, 10*ms),
-				) // idle again at once: the idle rule must not go round
+				) // idle again at once: mayTryIdle must not bypass slow start
 			}
 		}
 	}
 	window := cfg.Rules.SlowStartWindow.Seconds()
 	budget := cfg.Rules.SlowStartOverloadFactor * cfg.Rules.SlowStartFrom * 8 * capacityCPUShare * window / 2
 	if work := float64(sent) * 0.2; sent == 0 || work > budget {
-		t.Errorf("sent %d queries, %.1f s of work, budget %.1f s", sent, work, budget)
+		t.Errorf("sent %d queries, %.1f s of work, want some within a budget of %.1f s", sent, work, budget)
 	}
 }
 
-// TestRule4SlowStartSendExpires: a send to an engine in slow start must begin within half of the
-// window, one to a warm engine within its client's deadline only.
+// TestRule4SlowStartSendExpires: a send to an engine in slow start must start within half of the window; a
+// send to a warm engine has no limit but its query's deadline.
 func TestRule4SlowStartSendExpires(t *testing.T) {
 	cfg := allRulesConfig()
 	cold, warm := standardEngine("e1"), standardEngine("e2")
@@ -175,12 +175,12 @@
 				want = cfg.Rules.SlowStartWindow / 2
 			}
 			if a.StartWithin != want {
-				t.Fatalf("a send to %s holds for %v, want %v", a.Engine, a.StartWithin, want)
+				t.Fatalf("send to %s has StartWithin %v, want %v", a.Engine, a.StartWithin, want)
 			}
 		}
 	}
 	if len(seen) != 2 {
-		t.Errorf("sends went to %v alone", seen)
+		t.Errorf("queries were sent to %v only, want both engines", seen)
 	}
 }
 
@@ -193,7 +193,7 @@
 	wantActions(
 		t,
 		b.advance(ms, Event{Type: QueryAbandoned, Query: 1}),
-	) // over, but its attempt has no outcome yet
+	) // the query has ended, but its attempt has no outcome yet
 	wantActions(t, b.advance(ms, attemptDoneEvent(first, 0, OutcomeConnectionReset, ms)))
 	wantActions(t, b.advance(499*ms, Event{Type: TimerFired}))
 	wantActions(t, b.advance(2*ms, Event{Type: TimerFired}), Send)
@@ -205,7 +205,7 @@
 		EngineInfo{ID: "e4", Kind: "std", Zone: "b"}, big)
 	wantActions(t, b.submit(1, "bound", ""), Send)
 	if b.lastActions[0].Engine != "e2" {
-		t.Errorf("sent to %s", b.lastActions[0].Engine)
+		t.Errorf("sent to %s, want e2", b.lastActions[0].Engine)
 	}
 	big.State = EngineRemoved
 	b.advance(ms, Event{Type: EngineListReceived, ListType: ListIncremental, Engines: []EngineInfo{big}})
@@ -213,7 +213,7 @@
 }
 
 func TestRule7RetryBudget(t *testing.T) {
-	var engines []EngineInfo // one that turned work away rests for a while
+	var engines []EngineInfo // many, as one that rejected work is under pressure for a while
 	for i := range 20 {
 		engines = append(engines, standardEngine(fmt.Sprintf("e%02d", i)))
 	}
@@ -230,6 +230,6 @@
 		}
 	}
 	if retries == 0 || retries > 2+10/5 {
-		t.Errorf("%d retries for 10 queries", retries)
+		t.Errorf("%d retries for 10 queries, want 1 to 4", retries)
 	}
 }
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// TestSlowStartSlotsStayInBudget plays 1 to 300 gateways on one engine in slow start, with even and uneven
-// traffic and with gateways that restart: together they use it from the start, and no window of what they
-// send passes the rule.
+// TestSlowStartSlotsStayInBudget: 1 to 300 gateways send to one engine in slow start, with even and uneven
+// traffic and with gateways that restart. Together they must use the engine within its first 4 s and must not
+// exceed the budget of rule 4 in any window.
 func TestSlowStartSlotsStayInBudget(t *testing.T) {
 	for _, c := range []struct {
 		gateways int
-		busy     int // one gateway in so many has traffic
+		busy     int // one gateway in this many has traffic
 		restart  bool
 	}{{1, 1, false}, {30, 1, false}, {300, 1, false}, {300, 5, false}, {300, 1, true}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
@@ -89,7 +89,7 @@
 				t.Errorf("a window reached %.0f%% of the budget", 100*worst)
 			}
 			if first := sent[0] - time.Hour; first > 4*time.Second {
-				t.Errorf("first sent after %v", first)
+				t.Errorf("first query sent after %v, want at most 4 s", first)
 			}
 		})
 	}
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A successor starts from what was learnt, the less the older it is, and takes nothing of a broken
-// snapshot.
+// TestSnapshotDecaysWithAge: a later gateway starts from the snapshot, which counts less the older it is. It
+// loads nothing from an invalid snapshot.
 func TestSnapshotDecaysWithAge(t *testing.T) {
 	b := newHarness(t, allRulesConfig(), standardEngine("e1"))
 	for id := range QueryID(200) {
@@ -17,7 +17,7 @@
 	}
 	was := b.g.classes["short"].baseScale
 	if was < 1.5 {
-		t.Fatalf("scale %v: nothing was learnt", was)
+		t.Fatalf("scale %v: nothing was learnt, want at least 1.5", was)
 	}
 	data := b.g.Snapshot()
 	last := math.Inf(1)
@@ -41,14 +41,14 @@
 		`{"version":1,"classes":[{"name":"short","scale":-1,"work":1,"grant":1}]}`,
 		`{"version":1,"classes":[{"name":"short","scale":1,"work":1,"grant":1}],"kinds":{"std":[[1]]}}`} {
 		if g.Restore([]byte(bad), 0) == nil {
-			t.Errorf("snapshot %q was accepted", bad)
+			t.Errorf("invalid snapshot %q was accepted", bad)
 		}
 	}
-	other := allRulesConfig() // other classes: bases by name, weights not at all
+	other := allRulesConfig() // with other classes, bases are restored by name and weights not at all
 	other.Classes = other.Classes[1:]
 	other.ClassThreads, other.ClassIsBulkLoad = nil, nil
 	if g, err := New(other); err != nil || g.Restore(data, 0) != nil || g.kinds["std"].weights[0][0] != 0 {
-		t.Error("a snapshot of other classes")
+		t.Error("a snapshot of other classes was refused, or its weights were restored")
 	}
 }
 
--- a/trace_simulation_test.go
+++ b/trace_simulation_test.go
@@ -32,7 +32,7 @@
 	outcome  Outcome
 }
 
-// traceEngine is a simulated engine: it slows down by what runs on it.
+// traceEngine is a simulated engine. It slows down as more queries run on it.
 type traceEngine struct {
 	info                   EngineInfo
 	running                float64
@@ -54,7 +54,7 @@
 	timers   [][]traceTimer
 	engines  []*traceEngine
 	running  []*traceAttempt
-	queries  map[QueryID]*traceQuery // for look-up alone: its order is not used
+	queries  map[QueryID]*traceQuery // only for lookups: its order is not used
 	sessions []traceSession
 	next     QueryID
 	rate     float64
@@ -76,7 +76,7 @@
 	}
 }
 
-// script is the same list of faults in each run, by the tenth of a second.
+// script applies the faults of a run, the same ones at the same tenths of a second in each run.
 func (r *traceRun) script(step int) {
 	tenth := step / 20
 	if step%20 != 0 {
@@ -172,7 +172,7 @@
 	}
 }
 
-// fireTimers delivers the timers that are due.
+// fireTimers delivers the due timers of gateway i.
 func (r *traceRun) fireTimers(i int) {
 	var later []traceTimer
 	for _, timer := range r.timers[i] {
@@ -311,7 +311,7 @@
 	}
 }
 
-// strayEvents adds events of all kinds: forged messages, sessions that end, what no gateway knows.
+// strayEvents randomly adds forged messages, ends of sessions, and events about unknown queries and engines.
 func (r *traceRun) strayEvents(i int) {
 	switch r.random.IntN(400) {
 	case 0:
@@ -349,7 +349,7 @@
 	return 0
 }
 
-// act carries out one action of a gateway.
+// act executes one action of gateway i.
 func (r *traceRun) act(i int, a *Action) {
 	switch a.Type {
 	case SetTimer:
