--- a/concurrency.go
+++ b/concurrency.go
@@ -13,7 +13,7 @@
 	rejectionPressureTime    = time.Second      // how long an engine that rejected work is under pressure
 	threadLimitStep          = 1.0              // threads added per limit's worth of outcomes near best
 	threadLimitEnforcedRatio = 2.0              // at this multiple of our share of cores it is enforced
-	maxThreadLimitPerCore    = 1.5              // highest limit, in threads per core
+	maxThreadLimitPerCore    = 1.5              // low latency raises the limit to at most this per core
 	threadLimitUsedShare     = 0.5              // the limit is raised only while this share of it is in use
 	threadLimitCutFactor     = 0.9              // a cut is to this share, at most once per answer time
 	fleetThreadLimitRatio    = 8.0              // under pressure: most threads of ours, in fair shares
