--- a/admission.go
+++ b/admission.go
@@ -37,7 +37,7 @@
 	q := g.newQuery(c, ev)
 	g.queries[q.id] = q
 	if !ev.AddsNoRetryBudget {
-		g.retryBudget.arrived(g.now)
+		g.retryBudget.recordArrival(g.now)
 	}
 	if b := g.tenants[ev.Tenant]; b != nil && b.rate > 0 {
 		q.overQuota = !b.take(g.now, quotaMinBurst+b.rate*quotaBurstSeconds)
--- a/attempt.go
+++ b/attempt.go
@@ -51,7 +51,7 @@
 func (g *Gateway) attemptStarted(a *attempt) {
 	q, e := a.query, a.engine
 	if q.attemptCount > 0 {
-		g.retryBudget.retried(g.now)
+		g.retryBudget.recordRetry(g.now)
 	}
 	q.attemptCount++
 	q.inFlight = append(q.inFlight, a)
@@ -102,7 +102,7 @@
 	}
 	g.attemptEnded(a)
 	q := a.query
-	if q.orderKey != nil && leavesOrderOpen(ev.Outcome) {
+	if q.orderKey != nil && mayStillRun(ev.Outcome) {
 		q.orderKey.settlesAt = max(q.orderKey.settlesAt, g.now+g.cfg.Rules.OrderSettleDelay)
 	}
 	if !ev.Outcome.NeverRan() && (q.firstMaybeRan == nil || a.sentAt < q.firstMaybeRan.sentAt) {
--- a/concurrency.go
+++ b/concurrency.go
@@ -7,7 +7,7 @@
 
 const (
 	pressureLatencyRatio     = 2.0              // latency over best above which the thread limit is enforced
-	calmLatencyRatio         = 1.5              // latency over best below which the limit is raised
+	lowLatencyRatio          = 1.5              // latency over best below which the limit is raised
 	latencyGain              = 0.15             // gain of an engine's latency, per answer
 	latencyHalfLife          = kindLoadHalfLife // of latency, decaying towards the best
 	rejectionPressureTime    = time.Second      // how long an engine that rejected work is under pressure
@@ -65,9 +65,9 @@
 func (g *Gateway) atThreadLimit(e *engine) bool {
 	l := &e.limiter
 	rejecting := g.now < l.rejectingUntil
-	pressed := l.logLatency > math.Log(pressureLatencyRatio) || rejecting ||
+	enforced := l.logLatency > math.Log(pressureLatencyRatio) || rejecting ||
 		e.ownThreads >= threadLimitEnforcedRatio*g.initialThreadLimit(e)
-	return pressed && e.ownThreads >= l.limit || rejecting && e.ownThreads == 0
+	return enforced && e.ownThreads >= l.limit || rejecting && e.ownThreads == 0
 }
 
 // adaptThreadLimit raises the limit near the best latency and cuts it as latency grows. took is the time of
@@ -77,10 +77,10 @@
 	l.logLatency += latencyGain * (logLatency - l.logLatency)
 	latency := math.Exp(l.logLatency)
 	switch {
-	case latency < calmLatencyRatio && !g.pressure.overloaded:
+	case latency < lowLatencyRatio && !g.pressure.overloaded:
 		if e.ownThreads >= threadLimitUsedShare*l.limit { // an unused limit is not raised
-			most := math.Max(maxThreadLimitPerCore*e.kind.cores, 1)
-			l.limit = math.Min(l.limit+threadLimitStep*c.threads/l.limit, most)
+			maxLimit := math.Max(maxThreadLimitPerCore*e.kind.cores, 1)
+			l.limit = math.Min(l.limit+threadLimitStep*c.threads/l.limit, maxLimit)
 		}
 	case latency > pressureLatencyRatio && g.now > l.cutAt:
 		used := math.Min(l.limit, e.ownThreads+c.threads)
--- a/estimator.go
+++ b/estimator.go
@@ -92,12 +92,12 @@
 	logRatio := math.Log(observed / expected)
 	// Errors are logarithmic and clipped: the times of queries vary widely, and one runaway query must not
 	// move the weights. Base and weights share one error, else they drift apart.
-	miss := clipError(logRatio - e.excessLogSlowness)
-	ownThreads := g.learnWeights(e, c, mix, miss*expected/norm)
+	logError := clipError(logRatio - e.excessLogSlowness)
+	ownThreads := g.learnWeights(e, c, mix, logError*expected/norm)
 	// The base is the unloaded time, so only outcomes with few other queries of ours running correct it.
-	if light := 1 - (ownThreads-c.threads)/g.initialThreadLimit(e); light > 0 {
-		c.outcomesSeen += light
-		c.baseScale *= math.Exp(light * math.Max(baseGain, 1/(c.outcomesSeen+2)) * miss)
+	if lowLoadShare := 1 - (ownThreads-c.threads)/g.initialThreadLimit(e); lowLoadShare > 0 {
+		c.outcomesSeen += lowLoadShare
+		c.baseScale *= math.Exp(lowLoadShare * math.Max(baseGain, 1/(c.outcomesSeen+2)) * logError)
 	}
 	ownRatio := clipError(logRatio - g.unobservedShare(e)*g.fleetLogSlowness)
 	e.logSlowness += slownessGain * (ownRatio - e.logSlowness)
@@ -117,10 +117,10 @@
 			ownThreads += n * threads
 		}
 		change := step * n / e.kind.cores
-		most := maxWeight * threads
+		maxAbs := maxWeight * threads
 		kindWeight, ownWeight := &e.kind.weights[c.index][j], &e.ownWeights[c.index][j]
-		*kindWeight = min(max(*kindWeight+kindGain*change, 0), most)
-		*ownWeight = min(max(*ownWeight+engineGain*change, -most), most)
+		*kindWeight = min(max(*kindWeight+kindGain*change, 0), maxAbs)
+		*ownWeight = min(max(*ownWeight+engineGain*change, -maxAbs), maxAbs)
 	}
 	return ownThreads
 }
@@ -158,7 +158,7 @@
 }
 
 // clipError limits a logarithmic error to what one outcome may count for.
-func clipError(miss float64) float64 { return min(max(miss, -maxLogError), maxLogError) }
+func clipError(logError float64) float64 { return min(max(logError, -maxLogError), maxLogError) }
 
 // expectedWork returns the work that slow start counts for a query, in thread seconds: the mean of its class
 // or, if that is higher, the work by its cost estimate.
--- a/gateway.go
+++ b/gateway.go
@@ -153,55 +153,55 @@
 	g.pollEngineList()
 	g.gossipRound()
 	g.decayKindLoads()
-	census := g.reviewEngines()
-	g.updateSessionActivity(census)
+	counts := g.reviewEngines()
+	g.updateSessionActivity(counts)
 	g.updateExcessSlowness()
 	// If most engines fail at once, none of them is an outlier, and ejecting them all would serve nobody.
-	g.mostEjected = census.ejected*2 > census.active
-	g.pressure.update(g.now, g.fleetLogSlowness, census)
+	g.mostEjected = counts.ejected*2 > counts.active
+	g.pressure.update(g.now, g.fleetLogSlowness, counts)
 }
 
-// fleetCensus holds what a tick counts over all engines.
-type fleetCensus struct {
+// fleetCounts holds what a tick counts over all engines.
+type fleetCounts struct {
 	active, ejected, underPressure int     // numbers of active engines
 	sessions, busySessions         float64 // sticky sessions; attempts that run in one
 }
 
 // reviewEngines updates each engine's state to the current time and detects overdue attempts and outliers.
-func (g *Gateway) reviewEngines() (census fleetCensus) {
+func (g *Gateway) reviewEngines() (counts fleetCounts) {
 	g.slownesses = g.slownesses[:0]
 	decay := g.newLoadDecay()
 	for _, e := range g.engineList {
-		census.sessions += e.sessions
+		counts.sessions += e.sessions
 		g.integrateMix(e)
 		g.advanceSlowStartSlot(e)
 		g.decayLoad(e, decay)
-		silent := g.reviewAttempts(e, &census)
+		silent := g.reviewAttempts(e, &counts)
 		if !e.active {
 			continue
 		}
-		census.active++
+		counts.active++
 		if !e.outlier.ejected {
 			g.slownesses = append(g.slownesses, e.logSlowness)
 		}
 		if g.isUnderPressure(e) {
-			census.underPressure++
+			counts.underPressure++
 		}
 		if silent >= silentAttemptsToEject && !e.outlier.ejected {
 			g.ejectSilent(e)
 		}
 		if e.outlier.ejected {
-			census.ejected++
+			counts.ejected++
 			g.retryEjected(e)
 		}
 	}
-	return census
+	return counts
 }
 
-func (g *Gateway) updateSessionActivity(census fleetCensus) {
-	if census.sessions > 0 {
+func (g *Gateway) updateSessionActivity(counts fleetCounts) {
+	if counts.sessions > 0 {
 		gain := 1 - decayFactor(kindLoadHalfLife)
-		g.sessionActivity += gain * (census.busySessions/census.sessions - g.sessionActivity)
+		g.sessionActivity += gain * (counts.busySessions/counts.sessions - g.sessionActivity)
 	}
 }
 
--- a/gossip.go
+++ b/gossip.go
@@ -244,8 +244,8 @@
 	if cores <= 0 {
 		return
 	}
-	g.pressure.threadsACore, g.pressure.peerLoadAt = threads/cores, g.now
+	g.pressure.threadsPerCore, g.pressure.peerLoadAt = threads/cores, g.now
 	for _, k := range g.kinds {
-		k.reportedLoad = g.pressure.threadsACore
+		k.reportedLoad = g.pressure.threadsPerCore
 	}
 }
--- a/load_report.go
+++ b/load_report.go
@@ -40,7 +40,7 @@
 	}
 	threads = math.Min(threads, maxReportedLoad*e.kind.cores)
 	e.kind.reportedLoad += loadReportGain * (threads/e.kind.cores - e.kind.reportedLoad)
-	g.pressure.threadsACore, g.pressure.loadReportAt = g.meanKindLoad(), g.now
+	g.pressure.threadsPerCore, g.pressure.loadReportAt = g.meanKindLoad(), g.now
 	g.integrateMix(e)
 	*e.othersThreads(), e.loadKnownAt = threads*g.unobservedShare(e), g.now
 }
@@ -94,7 +94,7 @@
 
 // decayKindLoads decays the load of the fleet and of its kinds by one tick.
 func (g *Gateway) decayKindLoads() {
-	g.pressure.threadsACore *= decayFactor(peerLoadHalfLife)
+	g.pressure.threadsPerCore *= decayFactor(peerLoadHalfLife)
 	keep := decayFactor(kindLoadHalfLife)
 	for _, k := range g.kinds { // in any order, as kinds are independent
 		k.reportedLoad, k.grantedMemory = k.reportedLoad*keep, k.grantedMemory*keep
@@ -106,8 +106,8 @@
 func (g *Gateway) decayLoad(e *engine, d loadDecay) {
 	e.logSlowness, e.limiter.logLatency = e.logSlowness*d.slowness, e.limiter.logLatency*d.latency
 	others := e.othersThreads()
-	faded := e.recentSends * (1 - d.recentSends)
-	e.recentSends, *others = e.recentSends-faded, math.Max(0, *others-faded)
+	decayed := e.recentSends * (1 - d.recentSends)
+	e.recentSends, *others = e.recentSends-decayed, math.Max(0, *others-decayed)
 	if g.now-e.loadKnownAt > d.freshFor {
 		*others += (1 - d.others) * (e.kind.reportedLoad*g.unobservedShare(e)*e.kind.cores - *others)
 		e.grantedMemory += (1 - d.others) * (e.kind.grantedMemory - e.grantedMemory)
--- a/membership.go
+++ b/membership.go
@@ -13,10 +13,10 @@
 		clear(g.gossip.reports)
 		g.gossip.rounds = 0
 	}
-	fewer := math.Min(1, g.gatewayCount/count)
+	shrinkFactor := math.Min(1, g.gatewayCount/count)
 	g.cfg.Ordinal, g.cfg.GatewayCount, g.gatewayCount = ordinal, int(count), count
 	for _, e := range g.engineList {
-		e.limiter.limit = math.Max(e.limiter.limit*fewer, g.initialThreadLimit(e))
+		e.limiter.limit = math.Max(e.limiter.limit*shrinkFactor, g.initialThreadLimit(e))
 	}
 	for _, t := range g.cfg.Tenants {
 		g.tenants[t.Name].rate = t.QuotaPerSecond / count
--- a/memory.go
+++ b/memory.go
@@ -37,10 +37,10 @@
 }
 
 // priority returns the priority of a class, by the rank of its priority weight per second of work.
-func (g *Gateway) priority(of *class) int {
+func (g *Gateway) priority(ranked *class) int {
 	rank := topPriority
 	for _, c := range g.classList {
-		if c.PriorityWeight/c.meanWork > of.PriorityWeight/of.meanWork {
+		if c.PriorityWeight/c.meanWork > ranked.PriorityWeight/ranked.meanWork {
 			rank = max(rank-1, 1)
 		}
 	}
@@ -49,16 +49,16 @@
 
 func (g *Gateway) memoryGrant(a *attempt) float64 {
 	q := a.query
-	most := g.cfg.MaxGrantShare * a.engine.kind.memoryMB
+	maxGrant := g.cfg.MaxGrantShare * a.engine.kind.memoryMB
 	if g.cfg.OnMemoryShortage == ShortagePages {
-		return most // only memory in use counts there, so a large grant costs nothing
+		return maxGrant // only memory in use counts there, so a large grant costs nothing
 	}
 	if q.memoryMB <= 0 {
 		return 0
 	}
 	grant := q.memoryMB * q.class.grantFactor
-	if most > 0 {
-		grant = math.Min(grant, most)
+	if maxGrant > 0 {
+		grant = math.Min(grant, maxGrant)
 	}
 	return grant
 }
--- a/ordering.go
+++ b/ordering.go
@@ -53,7 +53,7 @@
 	return k.waiting[0] == q && g.now >= k.settlesAt && !othersRun
 }
 
-// leavesOrderOpen reports whether an attempt with this outcome may still be running.
-func leavesOrderOpen(o Outcome) bool {
+// mayStillRun reports whether an attempt with this outcome may still be running.
+func mayStillRun(o Outcome) bool {
 	return o == OutcomeTimedOut || o == OutcomeConnectionReset || o == OutcomeCancelled
 }
--- a/placement.go
+++ b/placement.go
@@ -8,7 +8,7 @@
 
 const (
 	maxIdleMargin         = 2.0                   // above this sizeMargin idle engines must fit too
-	quietEngineRetry      = baseEjectionTime      // while nothing runs, an engine unseen so long is tried
+	unseenEngineRetryTime = baseEjectionTime      // while nothing runs, one unseen this long is tried
 	fairSizeRatio         = 0.7                   // share of the mean work from which sizeMargin grows
 	largeQueryPower       = 2.0                   // power of the size over that share
 	balanceWeight         = 1.0                   // added to the cost factor when our share is full
@@ -68,8 +68,8 @@
 	probed := 0
 	for _, i := range g.random.Perm(len(g.engineList)) {
 		e := g.engineList[i]
-		hidden := e.kind.cores/g.gatewayCount < q.class.threads
-		if probed < loadProbeCount && g.mayUse(q, e) && !e.outlier.ejected && hidden {
+		mostlyUnobserved := e.kind.cores/g.gatewayCount < q.class.threads
+		if probed < loadProbeCount && g.mayUse(q, e) && !e.outlier.ejected && mostlyUnobserved {
 			g.emit(Action{Type: CheckHealth, Engine: e.ID})
 			probed++
 		}
@@ -146,8 +146,8 @@
 
 // sessionsFull reports whether a query would open a session on an engine that has the maximum already.
 func (g *Gateway) sessionsFull(q *query, e *engine) bool {
-	most := g.cfg.MaxSessionsPerEngine
-	return q.opensSession && most > 0 && e.sessionCount() >= float64(most)
+	maxSessions := g.cfg.MaxSessionsPerEngine
+	return q.opensSession && maxSessions > 0 && e.sessionCount() >= float64(maxSessions)
 }
 
 // fits reports whether a query with estimate est on an engine is expected to end in its remaining time, or
@@ -162,8 +162,8 @@
 func (g *Gateway) mayTryIdle(p *placement, e *engine) bool {
 	q := p.query
 	// A gateway that runs nothing learns nothing, so a wrong estimate of an engine would never be corrected.
-	quiet := g.ownThreads == 0 && g.now-e.lastSeenAt > quietEngineRetry
-	idle := e.ownThreads == 0 && (p.sizeMargin <= maxIdleMargin || quiet)
+	retryUnseen := g.ownThreads == 0 && g.now-e.lastSeenAt > unseenEngineRetryTime
+	idle := e.ownThreads == 0 && (p.sizeMargin <= maxIdleMargin || retryUnseen)
 	return idle && p.chance < e.kind.cores/g.gatewayCount/q.class.threads &&
 		(p.remaining > 0 || q.class.LateAnswerValue > 0)
 }
@@ -192,8 +192,8 @@
 		sessions := e.sessionCount()
 		sessionThreads = sessions * math.Max(minIdleSessionThreads, g.sessionActivity) * q.class.threads
 		idle = idle && sessionThreads == 0
-		fair := p.openSessions*e.kind.cores/g.cores + 1
-		est *= math.Pow(math.Max(1, (sessions+1)/fair), sessionBalancePower)
+		fairSessions := p.openSessions*e.kind.cores/g.cores + 1
+		est *= math.Pow(math.Max(1, (sessions+1)/fairSessions), sessionBalancePower)
 	}
 	failureWeight := failureCostWeight
 	if q.class.Effect == NotIdempotent {
--- a/retry.go
+++ b/retry.go
@@ -23,13 +23,13 @@
 	arrivals, retries []time.Duration
 }
 
-func (b *retryBudget) arrived(now time.Duration) { b.arrivals = append(b.arrivals, now) }
+func (b *retryBudget) recordArrival(now time.Duration) { b.arrivals = append(b.arrivals, now) }
 
-func (b *retryBudget) retried(now time.Duration) { b.retries = append(b.retries, now) }
+func (b *retryBudget) recordRetry(now time.Duration) { b.retries = append(b.retries, now) }
 
-// allowsOneMore reports whether one more retry is within the budget. Arrivals are counted over the window
+// allowsRetry reports whether one more retry is within the budget. Arrivals are counted over the window
 // less a margin and retries over the window plus a margin, so the rule holds however its edges are read.
-func (b *retryBudget) allowsOneMore(r *Rules, now, margin time.Duration) bool {
+func (b *retryBudget) allowsRetry(r *Rules, now, margin time.Duration) bool {
 	if !r.HasRetryBudget {
 		b.arrivals, b.retries = b.arrivals[:0], b.retries[:0]
 		return true
@@ -41,7 +41,7 @@
 }
 
 func (g *Gateway) hasRetryBudget() bool {
-	return g.retryBudget.allowsOneMore(&g.cfg.Rules, g.now, g.replyMargin())
+	return g.retryBudget.allowsRetry(&g.cfg.Rules, g.now, g.replyMargin())
 }
 
 // mayAttempt reports whether a query may be sent, as far as the query alone decides: rule 1 (nothing after
@@ -98,18 +98,18 @@
 
 // reviewAttempts reviews the attempts that run on an engine: overdue ones update its slowness, and some are
 // cancelled in order to retry their queries. It returns how many show that the engine does not respond.
-func (g *Gateway) reviewAttempts(e *engine, census *fleetCensus) (silent int) {
+func (g *Gateway) reviewAttempts(e *engine, counts *fleetCounts) (silent int) {
 	for _, a := range e.running {
 		if a.query.stickyEngine != "" {
-			census.busySessions++
+			counts.busySessions++
 		}
 		age := (g.now - a.sentAt).Seconds()
 		g.reviewOverdue(a, age)
 		if g.isOverdueForRetry(a, age) {
 			g.cancelForRetry(a)
 		}
-		unheard := e.lastSeenAt < a.sentAt+g.cfg.ProgressInterval && g.now-e.lastSeenAt > minSilence
-		if age > silenceEstimateRatio*a.estimate && unheard {
+		engineSilent := e.lastSeenAt < a.sentAt+g.cfg.ProgressInterval && g.now-e.lastSeenAt > minSilence
+		if age > silenceEstimateRatio*a.estimate && engineSilent {
 			silent++
 		}
 	}
--- a/retry_test.go
+++ b/retry_test.go
@@ -87,20 +87,20 @@
 		HasRetryBudget: true, RetryBudgetFree: 1, RetryBudgetRatio: 0.5, RetryBudgetWindow: time.Second,
 	}
 	var b retryBudget
-	if !b.allowsOneMore(rules, time.Hour, 10*ms) {
+	if !b.allowsRetry(rules, time.Hour, 10*ms) {
 		t.Error("the free retry is not allowed")
 	}
-	b.retried(time.Hour)
-	if b.allowsOneMore(rules, time.Hour, 10*ms) {
+	b.recordRetry(time.Hour)
+	if b.allowsRetry(rules, time.Hour, 10*ms) {
 		t.Error("a second retry without queries is allowed")
 	}
-	b.arrived(time.Hour)
-	b.arrived(time.Hour)
+	b.recordArrival(time.Hour)
+	b.recordArrival(time.Hour)
 	for _, c := range []struct {
 		after time.Duration
 		want  bool
 	}{{0, true}, {980 * ms, true}, {995 * ms, false}, {1005 * ms, false}, {1015 * ms, true}} {
-		if got := b.allowsOneMore(rules, time.Hour+c.after, 10*ms); got != c.want {
+		if got := b.allowsRetry(rules, time.Hour+c.after, 10*ms); got != c.want {
 			t.Errorf("%v later: allowed %v, want %v", c.after, got, c.want)
 		}
 	}
--- a/snapshot.go
+++ b/snapshot.go
@@ -52,24 +52,24 @@
 		return err
 	}
 	keep := math.Exp2(-max(0, age).Seconds() / snapshotHalfLife.Seconds())
-	toward := func(start, was float64) float64 { return start + keep*(was-start) }
-	for _, was := range s.Classes {
-		if c := g.classes[was.Name]; c != nil {
-			c.baseScale = math.Exp(keep * math.Log(was.BaseScale))
-			c.outcomesSeen = keep * was.OutcomesSeen
-			c.meanWork = toward(c.meanWork, was.MeanWork)
-			c.grantFactor = toward(c.grantFactor, was.GrantFactor)
+	decayToward := func(start, stored float64) float64 { return start + keep*(stored-start) }
+	for _, stored := range s.Classes {
+		if c := g.classes[stored.Name]; c != nil {
+			c.baseScale = math.Exp(keep * math.Log(stored.BaseScale))
+			c.outcomesSeen = keep * stored.OutcomesSeen
+			c.meanWork = decayToward(c.meanWork, stored.MeanWork)
+			c.grantFactor = decayToward(c.grantFactor, stored.GrantFactor)
 		}
 	}
 	if !s.matchesClasses(g.classList) {
 		return nil
 	}
-	for name, was := range s.Kinds {
+	for name, stored := range s.Kinds {
 		k := g.kinds[name]
-		for i := range was {
-			for j := range was[i] {
+		for i := range stored {
+			for j := range stored[i] {
 				if k != nil && j < len(k.weights[i]) {
-					k.weights[i][j] = toward(k.weights[i][j], was[i][j])
+					k.weights[i][j] = decayToward(k.weights[i][j], stored[i][j])
 				}
 			}
 		}
@@ -92,7 +92,7 @@
 		}
 	}
 	for name, rows := range s.Kinds {
-		if !s.areWeights(rows) {
+		if !s.validWeights(rows) {
 			return nil, fmt.Errorf("cresspass: snapshot: kind %q: weights out of range or wrong size", name)
 		}
 	}
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// areWeights reports whether rows are valid weights of all classes of the snapshot, or empty.
-func (s *snapshot) areWeights(rows [][]float64) bool {
+// validWeights reports whether rows are valid weights of all classes of the snapshot, or empty.
+func (s *snapshot) validWeights(rows [][]float64) bool {
 	for _, row := range rows {
 		for _, v := range row {
 			inRange := v >= 0 && v < math.MaxFloat32
