--- a/admission_test.go
+++ b/admission_test.go
@@ -11,10 +11,10 @@
 		cfg.Classes,
 		Class{Name: "long", LatencyObjective: 9 * time.Second, Deadline: 30 * time.Second},
 	)
-	b := newHarness(t, cfg)
-	b.submit(1, "long", "")
-	b.submit(2, "short", "")
-	got := b.advance(
+	h := newHarness(t, cfg)
+	h.submit(1, "long", "")
+	h.submit(2, "short", "")
+	got := h.advance(
 		ms,
 		Event{Type: EngineListReceived, ListType: ListComplete, Engines: []EngineInfo{standardEngine("e1")}},
 	)
@@ -27,8 +27,8 @@
 // TestLateRetriesAreRejected: a client's retry whose latency objective has passed would only prolong an
 // overload.
 func TestLateRetriesAreRejected(t *testing.T) {
-	b := newHarness(t, singleClassConfig(), standardEngine("e1"))
-	wantActions(t, b.submit(1, "short", ""), Send)
+	h := newHarness(t, singleClassConfig(), standardEngine("e1"))
+	wantActions(t, h.submit(1, "short", ""), Send)
 	late := Event{
 		Type:              QueryArrived,
 		Query:             2,
@@ -38,17 +38,17 @@
 		CostEstimate:      200 * ms,
 	}
 	late.IsRetry = true
-	wantActions(t, b.advance(ms, late), Reject)
+	wantActions(t, h.advance(ms, late), Reject)
 }
 
 // TestShortFirstAttemptsAreServed: a short deadline alone does not show that a request is a retry (incident
 // id68ae1).
 func TestShortFirstAttemptsAreServed(t *testing.T) {
-	b := newHarness(t, singleClassConfig(), standardEngine("e1"))
-	wantActions(t, b.submit(1, "short", ""), Send)
+	h := newHarness(t, singleClassConfig(), standardEngine("e1"))
+	wantActions(t, h.submit(1, "short", ""), Send)
 	wantActions(
 		t,
-		b.advance(ms, Event{Type: QueryArrived, Query: 2, Class: "short", RemainingDeadline: 5 * time.Second,
+		h.advance(ms, Event{Type: QueryArrived, Query: 2, Class: "short", RemainingDeadline: 5 * time.Second,
 			HasCostEstimate: true, CostEstimate: 200 * ms}),
 		Send,
 	)
@@ -58,13 +58,13 @@
 // so an overload rejects it.
 func TestLongQueriesYieldInAnOverload(t *testing.T) {
 	for _, overload := range []bool{false, true} {
-		b := newHarness(t, singleClassConfig(), standardEngine("e1"))
+		h := newHarness(t, singleClassConfig(), standardEngine("e1"))
 		for id := range QueryID(60) { // lets the class's mean work converge
-			b.submit(id+1, "short", "")
-			b.advance(0, attemptDoneEvent(b.lastActions[0], 0, OutcomeOK, 200*ms))
+			h.submit(id+1, "short", "")
+			h.advance(0, attemptDoneEvent(h.lastActions[0], 0, OutcomeOK, 200*ms))
 		}
-		b.g.pressure.overloaded = overload
-		got := b.advance(
+		h.g.pressure.overloaded = overload
+		got := h.advance(
 			ms,
 			Event{Type: QueryArrived, Query: 99, Class: "short", RemainingDeadline: 10 * time.Second,
 				HasCostEstimate: true, CostEstimate: 3 * time.Second},
@@ -84,12 +84,12 @@
 	for _, overload := range []bool{false, true} {
 		cfg := singleClassConfig()
 		cfg.Tenants = []Tenant{{Name: "t", QuotaPerSecond: 0.1}}
-		b := newHarness(t, cfg, standardEngine("e1"))
+		h := newHarness(t, cfg, standardEngine("e1"))
 		for id := range QueryID(10) { // fills the engine up to its thread limit
-			b.submit(id+1, "short", "")
+			h.submit(id+1, "short", "")
 		}
-		b.g.pressure.overloaded = overload
-		*b.g.tenants["t"] = tokenBucket{rate: 0.05, updatedAt: b.now} // used up
+		h.g.pressure.overloaded = overload
+		*h.g.tenants["t"] = tokenBucket{rate: 0.05, updatedAt: h.now} // used up
 		ev := Event{
 			Type:              QueryArrived,
 			Query:             99,
@@ -99,7 +99,7 @@
 			HasCostEstimate:   true,
 			CostEstimate:      100 * ms,
 		}
-		if got := b.advance(0, ev); overload {
+		if got := h.advance(0, ev); overload {
 			wantActions(t, got, Reject)
 		} else {
 			wantActions(t, got)
@@ -114,10 +114,10 @@
 		threads float64
 		want    ActionType
 	}{{0, Send}, {160, Reject}} {
-		b := newHarness(t, largeFleetConfig(), standardEngines(1)...)
-		e := b.g.engineList[0]
-		e.runningCount[len(b.g.classList)], e.loadKnownAt = c.threads, b.now
-		got := b.advance(
+		h := newHarness(t, largeFleetConfig(), standardEngines(1)...)
+		e := h.g.engineList[0]
+		e.runningCount[len(h.g.classList)], e.loadKnownAt = c.threads, h.now
+		got := h.advance(
 			0,
 			Event{Type: QueryArrived, Query: 1, Class: "short", RemainingDeadline: 10 * time.Second,
 				HasCostEstimate: true, CostEstimate: 250 * ms},
@@ -131,9 +131,9 @@
 	for i := range 20 {
 		cfg := largeFleetConfig()
 		cfg.Ordinal = i
-		b := newHarness(t, cfg, standardEngines(10)...)
-		b.g.fleetLogSlowness = 3 // twenty times slower than the base
-		for _, a := range b.submit(1, "short", "") {
+		h := newHarness(t, cfg, standardEngines(10)...)
+		h.g.fleetLogSlowness = 3 // twenty times slower than the base
+		for _, a := range h.submit(1, "short", "") {
 			if a.Type == Reject {
 				rejected++
 			}
--- a/decision_trace_test.go
+++ b/decision_trace_test.go
@@ -20,14 +20,14 @@
 
 // traceScenario is one scripted run.
 type traceScenario struct {
-	name      string
-	cfg       Config
-	instances int // gateways that run; GatewayCount may be higher
-	engines   []EngineInfo
-	perSecond float64 // queries per second at each gateway
-	seconds   int
-	lost      float64 // share of answers that never arrive
-	restore   bool    // the first gateway starts from the golden snapshot
+	name             string
+	cfg              Config
+	instances        int // gateways that run; GatewayCount may be higher
+	engines          []EngineInfo
+	queriesPerSecond float64 // queries per second at each gateway
+	seconds          int
+	lostShare        float64 // share of answers that never arrive
+	restore          bool    // the first gateway starts from the golden snapshot
 }
 
 func traceScenarios() []traceScenario {
@@ -72,33 +72,34 @@
 		many = append(many, e)
 	}
 	return []traceScenario{
-		{name: "peers", cfg: peers, instances: 6, engines: five, perSecond: 11, seconds: 22},
+		{name: "peers", cfg: peers, instances: 6, engines: five, queriesPerSecond: 11, seconds: 22},
 		{
-			name:      "reports",
-			cfg:       reporting,
-			instances: 2,
-			engines:   five,
-			perSecond: 14,
-			seconds:   22,
-			lost:      0.05,
+			name:             "reports",
+			cfg:              reporting,
+			instances:        2,
+			engines:          five,
+			queriesPerSecond: 14,
+			seconds:          22,
+			lostShare:        0.05,
 		},
 		{
-			name:      "single",
-			cfg:       single,
-			instances: 1,
-			engines:   []EngineInfo{standardEngine("e1"), standardEngine("e2"), standardEngine("e3")},
-			perSecond: 40,
-			seconds:   22,
-			lost:      0.1,
+			name:             "single",
+			cfg:              single,
+			instances:        1,
+			engines:          []EngineInfo{standardEngine("e1"), standardEngine("e2"), standardEngine("e3")},
+			queriesPerSecond: 40,
+			seconds:          22,
+			lostShare:        0.1,
 		},
-		{name: "large", cfg: large, instances: 4, engines: many, perSecond: 9, seconds: 22, restore: true},
+		{name: "large", cfg: large, instances: 4, engines: many, queriesPerSecond: 9, seconds: 22,
+			restore: true},
 	}
 }
 
 func playTrace(t *testing.T, s traceScenario, stored []byte, out *bytes.Buffer) {
 	t.Helper()
 	r := &traceRun{t: t, s: s, random: rand.New(rand.NewPCG(21, s.cfg.Seed)), now: time.Hour,
-		queries: map[QueryID]*traceQuery{}, next: 1, rate: s.perSecond, out: out}
+		queries: map[QueryID]*traceQuery{}, next: 1, rate: s.queriesPerSecond, out: out}
 	fmt.Fprintf(out, "scenario %s\n", s.name)
 	for _, info := range s.engines {
 		r.engines = append(r.engines, &traceEngine{info: info, slowness: 1})
@@ -118,7 +119,7 @@
 		r.gateways = append(r.gateways, g)
 		r.inbox = append(
 			r.inbox,
-			[]Event{{Type: EngineListReceived, ListType: ListCached, Engines: r.list()}},
+			[]Event{{Type: EngineListReceived, ListType: ListCached, Engines: r.listedEngines()}},
 		)
 		r.timers = append(r.timers, nil)
 	}
@@ -195,13 +196,13 @@
 	if bytes.Equal(current.Bytes(), want) {
 		return
 	}
-	got, old := strings.Split(current.String(), "\n"), strings.Split(string(want), "\n")
-	for i := range min(len(got), len(old)) {
-		if got[i] != old[i] {
-			t.Fatalf("line %d of the trace is\n%s\nwant\n%s", i+1, got[i], old[i])
+	gotLines, wantLines := strings.Split(current.String(), "\n"), strings.Split(string(want), "\n")
+	for i := range min(len(gotLines), len(wantLines)) {
+		if gotLines[i] != wantLines[i] {
+			t.Fatalf("line %d of the trace is\n%s\nwant\n%s", i+1, gotLines[i], wantLines[i])
 		}
 	}
-	t.Fatalf("the trace has %d lines, want %d", len(got), len(old))
+	t.Fatalf("the trace has %d lines, want %d", len(gotLines), len(wantLines))
 }
 
 // checkTraceCoverage checks that each scenario has at least three of each action that it is meant to cover.
--- a/gateway_test.go
+++ b/gateway_test.go
@@ -9,8 +9,8 @@
 
 func TestNewRejectsInvalidSettings(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		spoil func(*Config)
+		name       string
+		invalidate func(*Config)
 	}{
 		{"no class", func(c *Config) { c.Classes = nil }},
 		{"zero deadline", func(c *Config) { c.Classes[0].Deadline = 0 }},
@@ -19,7 +19,7 @@
 		{"no cores", func(c *Config) { c.KindCores[0] = 0 }},
 	} {
 		cfg := singleClassConfig()
-		c.spoil(&cfg)
+		c.invalidate(&cfg)
 		if _, err := New(cfg); err == nil {
 			t.Errorf("%s: no error", c.name)
 		}
@@ -28,7 +28,7 @@
 
 func TestSameEventsSameActions(t *testing.T) {
 	play := func() []Action {
-		b := newHarness(
+		h := newHarness(
 			t,
 			singleClassConfig(),
 			standardEngine("e1"),
@@ -37,8 +37,8 @@
 		)
 		var all []Action
 		for id := range QueryID(50) {
-			all = append(all, b.submit(id+1, "short", "")...)
-			all = append(all, b.advance(20*ms, Event{Type: TimerFired})...)
+			all = append(all, h.submit(id+1, "short", "")...)
+			all = append(all, h.advance(20*ms, Event{Type: TimerFired})...)
 		}
 		return all
 	}
@@ -56,23 +56,23 @@
 
 func TestStateStaysBounded(t *testing.T) {
 	cfg := allRulesConfig()
-	b := newHarness(t, cfg, standardEngine("e0"))
+	h := newHarness(t, cfg, standardEngine("e0"))
 	id := QueryID(0)
 	for i := range 3000 {
 		old, fresh := standardEngine(fmt.Sprintf("e%d", i)), standardEngine(fmt.Sprintf("e%d", i+1))
 		old.State = EngineRemoved
-		b.advance(
+		h.advance(
 			100*ms,
 			Event{Type: EngineListReceived, ListType: ListIncremental, Engines: []EngineInfo{fresh, old}},
 		)
 		id++
-		for _, a := range b.submit(id, "load", fmt.Sprintf("key%d", i)) {
+		for _, a := range h.submit(id, "load", fmt.Sprintf("key%d", i)) {
 			if a.Type == Send {
-				b.advance(100*ms, attemptDoneEvent(a, 0, OutcomeOK, 100*ms))
+				h.advance(100*ms, attemptDoneEvent(a, 0, OutcomeOK, 100*ms))
 			}
 		}
 	}
-	g := b.g
+	g := h.g
 	if len(g.engineList) > 2 || len(g.engines) > 2 || len(g.enginesByTag) > 2 {
 		t.Errorf(
 			"%d engines held, %d by name, %d by tag",
--- a/golden_test.go
+++ b/golden_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	cfg := allRulesConfig()
 	cfg.AcceptsMemoryGrants, cfg.KindMemoryMB, cfg.ReportsCost = true, []float64{8192, 16384}, true
-	b := newHarness(
+	h := newHarness(
 		t,
 		cfg,
 		standardEngine("e1"),
@@ -34,21 +34,21 @@
 			Type:              QueryArrived,
 			Query:             id + 1,
 			Class:             class,
-			RemainingDeadline: b.g.classes[class].Deadline,
+			RemainingDeadline: h.g.classes[class].Deadline,
 			HasCostEstimate:   random.IntN(3) > 0,
 			CostEstimate:      time.Duration(50+random.IntN(400)) * ms,
 			MemoryEstimateMB:  float64(100 + random.IntN(300)),
 		}
-		for _, a := range append([]Action(nil), b.advance(20*ms, ev)...) {
+		for _, a := range append([]Action(nil), h.advance(20*ms, ev)...) {
 			if a.Type == Send {
 				took := time.Duration(100+random.IntN(900)) * ms
 				done := attemptDoneEvent(a, 0, OutcomeOK, took)
 				done.ActualCost, done.ActualMemoryMB = took, float64(random.IntN(500))
-				b.advance(20*ms, done)
+				h.advance(20*ms, done)
 			}
 		}
 	}
-	return b.g
+	return h.g
 }
 
 // TestGoldenSnapshot: a snapshot of an earlier version is read with its values, and the same outcomes yield
@@ -64,22 +64,23 @@
 	if err := g.Restore(data, 0); err != nil {
 		t.Fatal(err)
 	}
-	near := func(what string, got, want float64) {
+	checkNear := func(what string, got, want float64) {
 		if math.Abs(got-want) > 1e-12*math.Max(1, math.Abs(want)) {
 			t.Errorf("%s: %v restored, want %v", what, got, want)
 		}
 	}
 	for i, c := range g.classList {
 		was := trained.classList[i]
-		near(c.Name+" scale", c.baseScale, was.baseScale)
-		near(c.Name+" seen", c.outcomesSeen, was.outcomesSeen)
-		near(c.Name+" work", c.meanWork, was.meanWork)
-		near(c.Name+" grant", c.grantFactor, was.grantFactor)
+		checkNear(c.Name+" scale", c.baseScale, was.baseScale)
+		checkNear(c.Name+" seen", c.outcomesSeen, was.outcomesSeen)
+		checkNear(c.Name+" work", c.meanWork, was.meanWork)
+		checkNear(c.Name+" grant", c.grantFactor, was.grantFactor)
 	}
 	for name, k := range g.kinds {
 		for i, row := range k.weights {
 			for j, v := range row {
-				near(fmt.Sprintf("kind %s weight %d,%d", name, i, j), v, trained.kinds[name].weights[i][j])
+				checkNear(fmt.Sprintf("kind %s weight %d,%d", name, i, j), v,
+					trained.kinds[name].weights[i][j])
 			}
 		}
 	}
@@ -121,21 +122,21 @@
 // TestGoldenPeerMessages: messages of gateways of an earlier version are read and written byte for byte.
 func TestGoldenPeerMessages(t *testing.T) {
 	var current bytes.Buffer
-	var read []string
+	var want []string
 	for _, c := range goldenPeerMessages() {
 		for _, data := range encodePeerMessage(c.m, c.entries) {
 			fmt.Fprintln(&current, hex.EncodeToString(data))
 		}
 		if len(c.entries) == 0 {
-			read = append(read, fmt.Sprint(int(c.m)))
+			want = append(want, fmt.Sprint(int(c.m)))
 		}
 		for _, e := range c.entries {
-			good, bad := min(e.Succeeded, 15), min(e.Failed, 15)
+			succeeded, failed := min(e.Succeeded, 15), min(e.Failed, 15)
 			if c.m != 1 {
-				good, bad = 0, 0
+				succeeded, failed = 0, 0
 			}
 			load := math.Floor(math.Min(math.Max(e.Threads, 0), 255))
-			read = append(read, fmt.Sprint(int(c.m), " ", e.Tag, " ", load, " ", good, " ", bad))
+			want = append(want, fmt.Sprint(int(c.m), " ", e.Tag, " ", load, " ", succeeded, " ", failed))
 		}
 	}
 	goldentest.Compare(t, "peer_messages.txt", current.Bytes())
@@ -154,8 +155,8 @@
 			got = append(got, fmt.Sprint(int(m), " ", e.Tag, " ", e.Threads, " ", e.Succeeded, " ", e.Failed))
 		}
 	}
-	if fmt.Sprint(got) != fmt.Sprint(read) {
-		t.Errorf("messages decoded as\n%v\nwant\n%v", got, read)
+	if fmt.Sprint(got) != fmt.Sprint(want) {
+		t.Errorf("messages decoded as\n%v\nwant\n%v", got, want)
 	}
 	if got := EngineTag("10.0.0.1:7000"); got != goldenTag {
 		t.Errorf("tag of an engine is %#x, want %#x", got, goldenTag)
--- a/harness_test.go
+++ b/harness_test.go
@@ -114,27 +114,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &harness{t: t, g: g, now: time.Hour}
-	b.advance(0, Event{Type: EngineListReceived, ListType: ListCached, Engines: engines})
-	return b
+	h := &harness{t: t, g: g, now: time.Hour}
+	h.advance(0, Event{Type: EngineListReceived, ListType: ListCached, Engines: engines})
+	return h
 }
 
 // advance moves the clock, delivers events and returns the actions other than SetTimer and SetResources. The
 // next call overwrites the result.
-func (b *harness) advance(pass time.Duration, events ...Event) []Action {
-	b.now += pass
-	b.lastActions = b.lastActions[:0]
-	for _, a := range b.g.Handle(b.now, events, nil) {
+func (h *harness) advance(pass time.Duration, events ...Event) []Action {
+	h.now += pass
+	h.lastActions = h.lastActions[:0]
+	for _, a := range h.g.Handle(h.now, events, nil) {
 		if a.Type != SetTimer && a.Type != SetResources {
-			b.lastActions = append(b.lastActions, a)
+			h.lastActions = append(h.lastActions, a)
 		}
 	}
-	return b.lastActions
+	return h.lastActions
 }
 
-func (b *harness) submit(id QueryID, class, key string) []Action {
-	left := b.g.classes[class].Deadline
-	return b.advance(
+func (h *harness) submit(id QueryID, class, key string) []Action {
+	left := h.g.classes[class].Deadline
+	return h.advance(
 		0,
 		Event{
 			Type:              QueryArrived,
--- a/outlier_test.go
+++ b/outlier_test.go
@@ -8,24 +8,24 @@
 // TestSilentEngineIsEjected: an engine that accepts queries and never answers is ejected, and its attempts
 // are cancelled so that their queries can run elsewhere.
 func TestSilentEngineIsEjected(t *testing.T) {
-	b := newHarness(t, singleClassConfig(), standardEngine("e1"), standardEngine("e2"))
+	h := newHarness(t, singleClassConfig(), standardEngine("e1"), standardEngine("e2"))
 	for id := range QueryID(4) {
-		b.submit(id+1, "short", "")
+		h.submit(id+1, "short", "")
 	}
 	cancels := 0
 	for range 60 {
-		for _, a := range b.advance(50*ms, Event{Type: TimerFired}) {
+		for _, a := range h.advance(50*ms, Event{Type: TimerFired}) {
 			if a.Type == Cancel {
 				cancels++
 			}
 		}
-		if e := b.g.engines["e1"]; e.outlier.ejected {
+		if e := h.g.engines["e1"]; e.outlier.ejected {
 			break
 		}
 	}
-	if !b.g.engines["e1"].outlier.ejected || cancels < 2 {
+	if !h.g.engines["e1"].outlier.ejected || cancels < 2 {
 		t.Errorf("ejected %v, %d attempts cancelled, want true and at least 2",
-			b.g.engines["e1"].outlier.ejected, cancels)
+			h.g.engines["e1"].outlier.ejected, cancels)
 	}
 }
 
@@ -34,26 +34,26 @@
 func TestEngineReportedDown(t *testing.T) {
 	cfg := singleClassConfig()
 	cfg.MayCheckHealth, cfg.MayGossip = true, true
-	b := newHarness(t, cfg, standardEngines(2)...)
-	b.advance(
+	h := newHarness(t, cfg, standardEngines(2)...)
+	h.advance(
 		ms,
 		Event{Type: EngineReportedDown, Engine: "e00"},
 		Event{Type: EngineReportedDown, Engine: "nobody"},
 	)
-	if !b.g.engines["e00"].outlier.ejected || b.g.engines["e01"].outlier.ejected {
+	if !h.g.engines["e00"].outlier.ejected || h.g.engines["e01"].outlier.ejected {
 		t.Error("the reported engine was not ejected, or another one was")
 	}
 	probed := false
 	for range 30 {
-		for _, a := range b.advance(50*ms, Event{Type: TimerFired}) {
+		for _, a := range h.advance(50*ms, Event{Type: TimerFired}) {
 			probed = probed || a.Type == CheckHealth && a.Engine == "e00"
 		}
 	}
 	if !probed {
 		t.Error("the health of the ejected engine was never checked")
 	}
-	b.g.engines["e01"].lastSeenAt = b.now
-	if b.advance(ms, Event{Type: EngineReportedDown, Engine: "e01"}); b.g.engines["e01"].outlier.ejected {
+	h.g.engines["e01"].lastSeenAt = h.now
+	if h.advance(ms, Event{Type: EngineReportedDown, Engine: "e01"}); h.g.engines["e01"].outlier.ejected {
 		t.Error("an engine that this gateway has seen respond was ejected by a report")
 	}
 }
--- a/placement_test.go
+++ b/placement_test.go
@@ -6,11 +6,11 @@
 )
 
 func TestIdleEnginePreferred(t *testing.T) {
-	b := newHarness(t, singleClassConfig(), standardEngine("e1"), standardEngine("e2"), standardEngine("e3"))
+	h := newHarness(t, singleClassConfig(), standardEngine("e1"), standardEngine("e2"), standardEngine("e3"))
 	used := map[EngineID]bool{}
 	for id := range QueryID(3) {
-		wantActions(t, b.submit(id+1, "short", ""), Send)
-		used[b.lastActions[0].Engine] = true
+		wantActions(t, h.submit(id+1, "short", ""), Send)
+		used[h.lastActions[0].Engine] = true
 	}
 	if len(used) != 3 {
 		t.Errorf("three queries went to %d engines, want 3", len(used))
@@ -20,12 +20,12 @@
 // TestNearTiesSpread: while all weights are zero, estimates are nearly equal. Queries must spread evenly
 // nevertheless.
 func TestNearTiesSpread(t *testing.T) {
-	b := newHarness(t, singleClassConfig(), standardEngine("e1"), standardEngine("e2"))
-	b.g.engines["e2"].logSlowness = 0.1
+	h := newHarness(t, singleClassConfig(), standardEngine("e1"), standardEngine("e2"))
+	h.g.engines["e2"].logSlowness = 0.1
 	for id := range QueryID(6) {
-		b.submit(id+1, "short", "")
+		h.submit(id+1, "short", "")
 	}
-	if n1, n2 := b.g.engines["e1"].ownThreads, b.g.engines["e2"].ownThreads; n1 != 3 || n2 != 3 {
+	if n1, n2 := h.g.engines["e1"].ownThreads, h.g.engines["e2"].ownThreads; n1 != 3 || n2 != 3 {
 		t.Errorf("threads %v and %v, want 3 and 3", n1, n2)
 	}
 }
@@ -35,7 +35,7 @@
 func TestStickyEngine(t *testing.T) {
 	cfg := singleClassConfig()
 	cfg.Rules.DrainGrace = time.Second
-	only := func(id QueryID, e EngineID) Event {
+	stickyQuery := func(id QueryID, e EngineID) Event {
 		return Event{
 			Type:              QueryArrived,
 			Query:             id,
@@ -46,15 +46,15 @@
 			StickyEngine:      e,
 		}
 	}
-	b := newHarness(t, cfg, standardEngine("e1"), standardEngine("e2"))
+	h := newHarness(t, cfg, standardEngine("e1"), standardEngine("e2"))
 	for id := range QueryID(6) {
-		wantActions(t, b.advance(ms, only(id+1, "e2")), Send)
-		if b.lastActions[0].Engine != "e2" {
-			t.Fatalf("sent to %s, want e2", b.lastActions[0].Engine)
+		wantActions(t, h.advance(ms, stickyQuery(id+1, "e2")), Send)
+		if h.lastActions[0].Engine != "e2" {
+			t.Fatalf("sent to %s, want e2", h.lastActions[0].Engine)
 		}
 	}
-	sent := b.lastActions[0]
-	if got := b.advance(10*ms, attemptDoneEvent(sent, 0, OutcomeConnectionReset, 10*ms)); len(got) != 1 ||
+	sent := h.lastActions[0]
+	if got := h.advance(10*ms, attemptDoneEvent(sent, 0, OutcomeConnectionReset, 10*ms)); len(got) != 1 ||
 		got[0].Type == Send {
 		t.Errorf("after a connection reset: %+v, want one action that is no Send", got)
 	}
@@ -63,9 +63,9 @@
 		ListType: ListIncremental,
 		Engines:  []EngineInfo{{ID: "e2", Kind: "std", State: EngineDraining}},
 	}
-	b.advance(ms, drain)
-	wantActions(t, b.advance(500*ms, only(11, "e2")), Send)
-	for _, a := range b.advance(600*ms, only(12, "e2")) {
+	h.advance(ms, drain)
+	wantActions(t, h.advance(500*ms, stickyQuery(11, "e2")), Send)
+	for _, a := range h.advance(600*ms, stickyQuery(12, "e2")) {
 		if a.Type == Send {
 			t.Error("sent to a draining engine after the grace")
 		}
@@ -75,7 +75,7 @@
 // TestLongQueryProbesLoadFirst: an overloaded engine answers no query, so only a load probe shows its load
 // (register, big-2).
 func TestLongQueryProbesLoadFirst(t *testing.T) {
-	b := newHarness(t, loadReportConfig("concurrent"), standardEngines(5)...)
+	h := newHarness(t, loadReportConfig("concurrent"), standardEngines(5)...)
 	long := Event{
 		Type:              QueryArrived,
 		Query:             1,
@@ -84,7 +84,7 @@
 		HasCostEstimate:   true,
 		CostEstimate:      1500 * ms,
 	}
-	got := append([]Action(nil), b.advance(0, long)...)
+	got := append([]Action(nil), h.advance(0, long)...)
 	wantActions(t, got, CheckHealth, CheckHealth, CheckHealth)
 	probed := map[EngineID]bool{}
 	var answers []Event
@@ -95,8 +95,8 @@
 			healthCheckWithReport(a.Engine, float64(100*min(i, 1))),
 		) // only the first has no load
 	}
-	b.advance(2*ms, answers...)
-	got = b.advance(loadProbeWait, Event{Type: TimerFired, Label: 2})
+	h.advance(2*ms, answers...)
+	got = h.advance(loadProbeWait, Event{Type: TimerFired, Label: 2})
 	if len(got) != 1 || got[0].Type != Send || len(probed) != 3 {
 		t.Fatalf("after the reports of %d engines, want 3: %+v, want one Send", len(probed), got)
 	}
@@ -113,7 +113,7 @@
 		HasCostEstimate:   true,
 		CostEstimate:      100 * ms,
 	}
-	wantActions(t, b.advance(ms, short), Send)
+	wantActions(t, h.advance(ms, short), Send)
 }
 
 func TestManyGatewaysSpreadLikeViews(t *testing.T) {
@@ -121,8 +121,8 @@
 	for i := range 50 {
 		cfg := largeFleetConfig()
 		cfg.Ordinal = i
-		b := newHarness(t, cfg, standardEngines(10)...)
-		for _, a := range b.submit(1, "short", "") {
+		h := newHarness(t, cfg, standardEngines(10)...)
+		for _, a := range h.submit(1, "short", "") {
 			if a.Type == Send {
 				used[a.Engine]++
 			}
--- a/pressure_test.go
+++ b/pressure_test.go
@@ -8,11 +8,11 @@
 // TestRestartedGatewayDoesNotFlood: without learnt weights every query seems to fit, so only the thread limit
 // holds a restarted gateway back.
 func TestRestartedGatewayDoesNotFlood(t *testing.T) {
-	b := newHarness(t, singleClassConfig(), standardEngine("e1"))
+	h := newHarness(t, singleClassConfig(), standardEngine("e1"))
 	for id := range QueryID(100) {
-		b.submit(id+1, "short", "")
+		h.submit(id+1, "short", "")
 	}
-	if n, most := b.g.engines["e1"].ownThreads, threadLimitEnforcedRatio*8/2; n > most {
+	if n, most := h.g.engines["e1"].ownThreads, threadLimitEnforcedRatio*8/2; n > most {
 		t.Errorf("%v threads at once, want at most %v", n, most)
 	}
 }
@@ -31,11 +31,11 @@
 			{Name: "q", LatencyObjective: time.Second, Deadline: 30 * time.Second, PriorityWeight: 1},
 		},
 	}
-	b := newHarness(t, cfg, standardEngine("e1"), standardEngine("e2"))
+	h := newHarness(t, cfg, standardEngine("e1"), standardEngine("e2"))
 	id := QueryID(0)
 	submit := func() []Action {
 		id++
-		return b.advance(
+		return h.advance(
 			0,
 			Event{
 				Type:              QueryArrived,
@@ -57,22 +57,22 @@
 			}
 		}
 		for range 8 {
-			b.advance(50*ms, Event{Type: TimerFired})
+			h.advance(50*ms, Event{Type: TimerFired})
 		}
 		for _, a := range sent {
-			b.advance(0, attemptDoneEvent(a, 0, OutcomeOK, 400*ms))
+			h.advance(0, attemptDoneEvent(a, 0, OutcomeOK, 400*ms))
 		}
 	}
 	served, submitted := 0, 0
 	for i := range 2000 { // then the engines are fast again
 		if i%5 == 0 {
-			b.advance(10*ms, Event{Type: TimerFired})
+			h.advance(10*ms, Event{Type: TimerFired})
 		} else {
-			b.advance(10 * ms)
+			h.advance(10 * ms)
 		}
 		for _, a := range submit() {
 			if a.Type == Send {
-				b.advance(ms, attemptDoneEvent(a, 0, OutcomeOK, ms))
+				h.advance(ms, attemptDoneEvent(a, 0, OutcomeOK, ms))
 				served++
 			}
 		}
@@ -103,27 +103,27 @@
 			},
 		},
 	}
-	b := newHarness(t, cfg, standardEngine("e1"), standardEngine("e2"), standardEngine("e3"))
-	for _, e := range b.g.engineList {
+	h := newHarness(t, cfg, standardEngine("e1"), standardEngine("e2"), standardEngine("e3"))
+	for _, e := range h.g.engineList {
 		e.limiter.logLatency = 1.4 // four times the best
 	}
-	if b.advance(50*ms, Event{Type: TimerFired}); b.g.pressure.overloaded {
+	if h.advance(50*ms, Event{Type: TimerFired}); h.g.pressure.overloaded {
 		t.Error("idle engines count as an overload")
 	}
-	for _, e := range b.g.engineList {
+	for _, e := range h.g.engineList {
 		e.ownThreads = 6
 	}
-	if b.advance(50*ms, Event{Type: TimerFired}); !b.g.pressure.overloaded {
+	if h.advance(50*ms, Event{Type: TimerFired}); !h.g.pressure.overloaded {
 		t.Error("slow engines with most of their cores in use do not count as an overload")
 	}
 	for range 400 {
-		b.advance(50*ms, Event{Type: TimerFired})
+		h.advance(50*ms, Event{Type: TimerFired})
 	}
-	if b.g.pressure.overloaded || b.g.engineList[0].limiter.logLatency > 0.4 {
+	if h.g.pressure.overloaded || h.g.engineList[0].limiter.logLatency > 0.4 {
 		t.Errorf(
 			"after 20 s without an answer: log latency %.2f, overloaded %v",
-			b.g.engineList[0].limiter.logLatency,
-			b.g.pressure.overloaded,
+			h.g.engineList[0].limiter.logLatency,
+			h.g.pressure.overloaded,
 		)
 	}
 }
@@ -131,11 +131,11 @@
 // TestLostAnswersAreNoPressureWhereEnginesReport: attempts overdue because their answers were lost counted as
 // an overload, though the engines were half used (register, big-1).
 func TestLostAnswersAreNoPressureWhereEnginesReport(t *testing.T) {
-	b := newHarness(t, loadReportConfig("concurrent"), standardEngines(3)...)
+	h := newHarness(t, loadReportConfig("concurrent"), standardEngines(3)...)
 	for id := range QueryID(30) {
-		b.submit(id+1, "short", "") // none of them is ever answered
+		h.submit(id+1, "short", "") // none of them is ever answered
 		for range 10 {
-			b.advance(
+			h.advance(
 				50*ms,
 				Event{Type: TimerFired},
 				healthCheckWithReport("e00", 4),
@@ -144,11 +144,11 @@
 			)
 		}
 	}
-	if b.g.pressure.level > 1 || b.g.fleetLogSlowness > 0.5 {
+	if h.g.pressure.level > 1 || h.g.fleetLogSlowness > 0.5 {
 		t.Errorf(
 			"level %.2f, slowness %.2f though engines report half a thread per core",
-			b.g.pressure.level,
-			b.g.fleetLogSlowness,
+			h.g.pressure.level,
+			h.g.fleetLogSlowness,
 		)
 	}
 }
@@ -156,16 +156,16 @@
 // TestUseOfCoresGivesNoPressure: load_share, the cores in use, never exceeds one, so it does not show load
 // beyond the cores and must not replace the level that follows from slowness (Montreal grown).
 func TestUseOfCoresGivesNoPressure(t *testing.T) {
-	b := newHarness(t, loadReportConfig("load_share"), standardEngines(3)...)
-	b.g.fleetLogSlowness = 3 // outcomes show a fleet twenty times slower than its bases
-	b.advance(
+	h := newHarness(t, loadReportConfig("load_share"), standardEngines(3)...)
+	h.g.fleetLogSlowness = 3 // outcomes show a fleet twenty times slower than its bases
+	h.advance(
 		50*ms,
 		healthCheckWithReport("e00", 1),
 		healthCheckWithReport("e01", 1),
 		healthCheckWithReport("e02", 1),
 		Event{Type: TimerFired},
 	)
-	if b.g.pressure.level < 1 {
-		t.Errorf("level %.2f with all cores in use, want at least 1", b.g.pressure.level)
+	if h.g.pressure.level < 1 {
+		t.Errorf("level %.2f with all cores in use, want at least 1", h.g.pressure.level)
 	}
 }
--- a/retry_test.go
+++ b/retry_test.go
@@ -8,12 +8,12 @@
 // TestBadPlanIsCancelledAndRetried: an attempt that a progress note shows far behind is cancelled, as a new
 // attempt gets a new query plan.
 func TestBadPlanIsCancelledAndRetried(t *testing.T) {
-	b := newHarness(t, singleClassConfig(), standardEngine("e1"), standardEngine("e2"))
-	b.submit(1, "short", "")
-	first := b.lastActions[0]
+	h := newHarness(t, singleClassConfig(), standardEngine("e1"), standardEngine("e2"))
+	h.submit(1, "short", "")
+	first := h.lastActions[0]
 	note := Event{Type: ProgressReported, Query: 1, Engine: first.Engine, Note: NoteFractionDone, Value: 0.1}
-	wantActions(t, b.advance(2*time.Second, note), Cancel)
-	wantActions(t, b.advance(ms, attemptDoneEvent(first, 0, OutcomeCancelled, 2*time.Second)), Send)
+	wantActions(t, h.advance(2*time.Second, note), Cancel)
+	wantActions(t, h.advance(ms, attemptDoneEvent(first, 0, OutcomeCancelled, 2*time.Second)), Send)
 }
 
 // TestLostAnswerIsRetried: a query whose answer never arrives must be retried on another engine. A tenth to a
@@ -21,19 +21,19 @@
 func TestLostAnswerIsRetried(t *testing.T) {
 	cfg := singleClassConfig()
 	cfg.ProgressInterval = 0
-	b := newHarness(t, cfg, standardEngine("e1"), standardEngine("e2"))
-	b.submit(1, "short", "")
-	first := b.lastActions[0]
+	h := newHarness(t, cfg, standardEngine("e1"), standardEngine("e2"))
+	h.submit(1, "short", "")
+	first := h.lastActions[0]
 	var got []Action
 	for range 20 {
-		b.g.engines[first.Engine].lastSeenAt = b.now // answers of other queries arrive
-		if got = b.advance(50*ms, Event{Type: TimerFired}); len(got) > 0 {
+		h.g.engines[first.Engine].lastSeenAt = h.now // answers of other queries arrive
+		if got = h.advance(50*ms, Event{Type: TimerFired}); len(got) > 0 {
 			break
 		}
 	}
 	wantActions(t, got, Cancel)
-	wantActions(t, b.advance(0, attemptDoneEvent(first, 0, OutcomeCancelled, 700*ms)), Send)
-	if b.lastActions[0].Engine == first.Engine {
+	wantActions(t, h.advance(0, attemptDoneEvent(first, 0, OutcomeCancelled, 700*ms)), Send)
+	if h.lastActions[0].Engine == first.Engine {
 		t.Errorf("retried on %s, where the answer was lost", first.Engine)
 	}
 }
@@ -42,21 +42,21 @@
 // work was done three times (Tallinn, big-1).
 func TestLongQueryOfUnknownCostIsNoBadPlan(t *testing.T) {
 	for _, known := range []bool{true, false} {
-		b := newHarness(t, singleClassConfig(), standardEngine("e1"), standardEngine("e2"))
-		b.g.classList[0].baseScale = 0.1
+		h := newHarness(t, singleClassConfig(), standardEngine("e1"), standardEngine("e2"))
+		h.g.classList[0].baseScale = 0.1
 		ev := Event{Type: QueryArrived, Query: 1, Class: "short", RemainingDeadline: 10 * time.Second}
 		if ev.HasCostEstimate = known; known {
 			ev.CostEstimate = 2 * time.Second
 		}
-		wantActions(t, b.advance(0, ev), Send)
+		wantActions(t, h.advance(0, ev), Send)
 		note := Event{
 			Type:   ProgressReported,
 			Query:  1,
-			Engine: b.lastActions[0].Engine,
+			Engine: h.lastActions[0].Engine,
 			Note:   NoteFractionDone,
 			Value:  0.25,
 		}
-		if got := b.advance(200*ms, note); known {
+		if got := h.advance(200*ms, note); known {
 			wantActions(t, got, Cancel) // 0.8 s for an estimate of 0.2 s
 		} else {
 			wantActions(t, got)
@@ -65,17 +65,17 @@
 }
 
 func TestLostAttemptReleasesItsThreads(t *testing.T) {
-	b := newHarness(t, largeFleetConfig(), standardEngines(1)...)
-	b.submit(1, "short", "")
-	e := b.g.engineList[0]
+	h := newHarness(t, largeFleetConfig(), standardEngines(1)...)
+	h.submit(1, "short", "")
+	e := h.g.engineList[0]
 	if e.ownThreads != 1 {
 		t.Fatalf("%v threads running after a send, want 1", e.ownThreads)
 	}
 	for range 180 { // nine seconds in which other answers arrive
-		e.lastSeenAt = b.now
-		b.advance(50*ms, Event{Type: TimerFired})
+		e.lastSeenAt = h.now
+		h.advance(50*ms, Event{Type: TimerFired})
 	}
-	if e.ownThreads != 0 || b.g.ownThreads != 0 {
+	if e.ownThreads != 0 || h.g.ownThreads != 0 {
 		t.Errorf("an attempt long overdue still counts %v threads", e.ownThreads)
 	}
 }
--- a/rule_checker_test.go
+++ b/rule_checker_test.go
@@ -35,7 +35,7 @@
 	cfg            Config
 	g              *Gateway
 	now            time.Duration
-	next           QueryID
+	nextID         QueryID
 	queries        map[QueryID]*trackedQuery
 	ids            []QueryID
 	engines        map[EngineID]EngineInfo
@@ -50,7 +50,8 @@
 }
 
 func newRuleChecker(t *testing.T, seed uint64) *ruleChecker {
-	c := &ruleChecker{t: t, r: rand.New(rand.NewPCG(seed, 7)), cfg: allRulesConfig(), now: time.Hour, next: 1}
+	c := &ruleChecker{t: t, r: rand.New(rand.NewPCG(seed, 7)), cfg: allRulesConfig(), now: time.Hour,
+		nextID: 1}
 	c.cfg.PollEngineList = seed%2 == 1
 	// Half of the seeds: health checks and load reports, no Retry-After, a shorter drain grace, 20 gateways,
 	// no slow start.
@@ -89,8 +90,8 @@
 	c.deliver(c.listEvent(ListCached))
 }
 
-func (c *ruleChecker) listEvent(how EngineListType) Event {
-	ev := Event{Type: EngineListReceived, ListType: how}
+func (c *ruleChecker) listEvent(listType EngineListType) Event {
+	ev := Event{Type: EngineListReceived, ListType: listType}
 	for i := range 5 {
 		if e, ok := c.engines[EngineID(fmt.Sprint("e", i))]; ok && e.State != EngineRemoved {
 			ev.Engines = append(ev.Engines, e)
@@ -170,19 +171,19 @@
 		inFlight: map[int]Action{},
 		sentAt:   map[int]time.Duration{},
 	}
-	ev := Event{Type: QueryArrived, Query: c.next, Class: k.Name, RemainingDeadline: k.Deadline}
+	ev := Event{Type: QueryArrived, Query: c.nextID, Class: k.Name, RemainingDeadline: k.Deadline}
 	if c.r.IntN(2) == 0 {
 		ev.HasCostEstimate, ev.CostEstimate = true, time.Duration(c.r.IntN(2000))*ms
 	}
 	if k.OrderedByKey {
 		q.key = fmt.Sprint("k", c.r.IntN(3))
 		ev.Key = q.key
-		c.order[q.key] = append(c.order[q.key], c.next)
+		c.order[q.key] = append(c.order[q.key], c.nextID)
 	}
-	c.queries[c.next] = q
-	c.ids = append(c.ids, c.next)
+	c.queries[c.nextID] = q
+	c.ids = append(c.ids, c.nextID)
 	c.arrivals = append(c.arrivals, c.now)
-	c.next++
+	c.nextID++
 	return ev
 }
 
@@ -334,8 +335,8 @@
 		if c.now > q.deadline+c.cfg.Rules.AnswerGrace {
 			c.t.Errorf("rule 1: query %d answered %v late", a.Query, c.now-q.deadline)
 		}
-		maybe := q.maybeRan || len(q.inFlight) > 0
-		if a.Type == Reject && maybe &&
+		mayHaveRun := q.maybeRan || len(q.inFlight) > 0
+		if a.Type == Reject && mayHaveRun &&
 			(q.class.Effect == NotIdempotent || q.class.Effect == IdempotentWithKey &&
 				q.class.DeduplicationScope != ScopeAll) {
 			c.t.Errorf("rule 2: %s query %d rejected though it may have run", q.class.Name, a.Query)
@@ -404,19 +405,19 @@
 	if q.attemptCount > 0 {
 		r := &c.cfg.Rules
 		c.retries = append(c.retries, c.now)
-		made, taken := 0, 0
+		retryCount, arrivalCount := 0, 0
 		for _, at := range c.retries {
 			if at > c.now-r.RetryBudgetWindow {
-				made++
+				retryCount++
 			}
 		}
 		for _, at := range c.arrivals {
 			if at > c.now-r.RetryBudgetWindow {
-				taken++
+				arrivalCount++
 			}
 		}
-		if float64(made) > r.RetryBudgetFree+r.RetryBudgetRatio*float64(taken) {
-			c.t.Errorf("rule 7: %d retries for %d queries in a window", made, taken)
+		if float64(retryCount) > r.RetryBudgetFree+r.RetryBudgetRatio*float64(arrivalCount) {
+			c.t.Errorf("rule 7: %d retries for %d queries in a window", retryCount, arrivalCount)
 		}
 	}
 }
--- a/rules_test.go
+++ b/rules_test.go
@@ -7,13 +7,13 @@
 )
 
 func TestRule1FinalAnswerBeforeDeadline(t *testing.T) {
-	b := newHarness(t, allRulesConfig()) // no engine is known, so the query is queued
-	wantActions(t, b.submit(1, "short", ""))
-	wantActions(t, b.advance(5*time.Second-10*ms, Event{Type: TimerFired, Label: 2}), Reject)
-	wantActions(t, b.advance(ms, Event{Type: TimerFired, Label: 2}))
+	h := newHarness(t, allRulesConfig()) // no engine is known, so the query is queued
+	wantActions(t, h.submit(1, "short", ""))
+	wantActions(t, h.advance(5*time.Second-10*ms, Event{Type: TimerFired, Label: 2}), Reject)
+	wantActions(t, h.advance(ms, Event{Type: TimerFired, Label: 2}))
 	wantActions(
 		t,
-		b.advance(
+		h.advance(
 			ms,
 			Event{
 				Type:     EngineListReceived,
@@ -27,34 +27,34 @@
 // TestRule1AnswersBeforeShutdown: a gateway with a scheduled shutdown answers all queries before it, also
 // those that arrive in the meantime.
 func TestRule1AnswersBeforeShutdown(t *testing.T) {
-	b := newHarness(t, allRulesConfig(), standardEngine("e1"))
-	wantActions(t, b.submit(1, "short", ""), Send)
-	sent := b.lastActions[0]
-	b.advance(ms, Event{Type: ShutdownScheduled, RemainingDeadline: time.Second})
-	wantActions(t, b.advance(400*ms, Event{Type: EngineListReceived, ListType: ListComplete}))
-	wantActions(t, b.submit(2, "short", "")) // no engine is left: it is queued while it can still fit
+	h := newHarness(t, allRulesConfig(), standardEngine("e1"))
+	wantActions(t, h.submit(1, "short", ""), Send)
+	sent := h.lastActions[0]
+	h.advance(ms, Event{Type: ShutdownScheduled, RemainingDeadline: time.Second})
+	wantActions(t, h.advance(400*ms, Event{Type: EngineListReceived, ListType: ListComplete}))
+	wantActions(t, h.submit(2, "short", "")) // no engine is left: it is queued while it can still fit
 	wantActions(
 		t,
-		b.advance(590*ms, Event{Type: TimerFired, Label: 2}, Event{Type: TimerFired, Label: 3}),
+		h.advance(590*ms, Event{Type: TimerFired, Label: 2}, Event{Type: TimerFired, Label: 3}),
 		Reject,
 		Cancel,
 		Reject,
 	)
-	wantActions(t, b.advance(ms, attemptDoneEvent(sent, 0, OutcomeCancelled, ms)))
+	wantActions(t, h.advance(ms, attemptDoneEvent(sent, 0, OutcomeCancelled, ms)))
 	wantActions(
 		t,
-		b.advance(20*ms, Event{Type: QueryArrived, Query: 3, Class: "short", RemainingDeadline: time.Second}),
+		h.advance(20*ms, Event{Type: QueryArrived, Query: 3, Class: "short", RemainingDeadline: time.Second}),
 		Reject,
 	)
 }
 
 func TestRule1NothingAfterQueryAbandoned(t *testing.T) {
-	b := newHarness(t, allRulesConfig())
-	wantActions(t, b.submit(1, "short", ""))
-	wantActions(t, b.advance(ms, Event{Type: QueryAbandoned, Query: 1}))
+	h := newHarness(t, allRulesConfig())
+	wantActions(t, h.submit(1, "short", ""))
+	wantActions(t, h.advance(ms, Event{Type: QueryAbandoned, Query: 1}))
 	wantActions(
 		t,
-		b.advance(
+		h.advance(
 			ms,
 			Event{
 				Type:     EngineListReceived,
@@ -63,18 +63,18 @@
 			},
 		),
 	)
-	wantActions(t, b.submit(2, "short", ""), Send)
-	sent := b.lastActions[0]
-	b.advance(ms, Event{Type: QueryAbandoned, Query: 2})
-	wantActions(t, b.advance(ms, attemptDoneEvent(sent, 0, OutcomeConnectionReset, ms)))
+	wantActions(t, h.submit(2, "short", ""), Send)
+	sent := h.lastActions[0]
+	h.advance(ms, Event{Type: QueryAbandoned, Query: 2})
+	wantActions(t, h.advance(ms, attemptDoneEvent(sent, 0, OutcomeConnectionReset, ms)))
 }
 
 func TestRule1NoRemainingDeadline(t *testing.T) {
-	b := newHarness(t, allRulesConfig(), standardEngine("e1"))
+	h := newHarness(t, allRulesConfig(), standardEngine("e1"))
 	for i, left := range []time.Duration{0, -time.Second} {
 		wantActions(
 			t,
-			b.advance(
+			h.advance(
 				0,
 				Event{Type: QueryArrived, Query: QueryID(i + 1), Class: "short", RemainingDeadline: left},
 			),
@@ -99,11 +99,11 @@
 		{"cell", OutcomeConnectionReset, 7 * time.Second, Fail}, {"short", OutcomeNotStarted, ms, Reject},
 	} {
 		t.Run(fmt.Sprint(c.class, c.outcome, c.after), func(t *testing.T) {
-			b := newHarness(t, allRulesConfig(), standardEngine("e1"), standardEngine("e2"))
-			wantActions(t, b.submit(1, c.class, ""), Send)
+			h := newHarness(t, allRulesConfig(), standardEngine("e1"), standardEngine("e2"))
+			wantActions(t, h.submit(1, c.class, ""), Send)
 			wantActions(
 				t,
-				b.advance(c.after, attemptDoneEvent(b.lastActions[0], 0, c.outcome, c.after)),
+				h.advance(c.after, attemptDoneEvent(h.lastActions[0], 0, c.outcome, c.after)),
 				c.want,
 			)
 		})
@@ -113,36 +113,36 @@
 func TestRule2StaysInTheCell(t *testing.T) {
 	e1, e2, e3 := standardEngine("e1"), standardEngine("e2"), standardEngine("e3")
 	e1.Cell, e2.Cell, e3.Cell = 1, 2, 1
-	b := newHarness(t, allRulesConfig(), e1, e2, e3)
-	wantActions(t, b.submit(1, "cell", ""), Send)
-	first := b.lastActions[0]
-	wantActions(t, b.advance(ms, attemptDoneEvent(first, 0, OutcomeConnectionReset, ms)), Send)
-	if cell := b.g.engines[b.lastActions[0].Engine].Cell; cell != b.g.engines[first.Engine].Cell {
+	h := newHarness(t, allRulesConfig(), e1, e2, e3)
+	wantActions(t, h.submit(1, "cell", ""), Send)
+	first := h.lastActions[0]
+	wantActions(t, h.advance(ms, attemptDoneEvent(first, 0, OutcomeConnectionReset, ms)), Send)
+	if cell := h.g.engines[h.lastActions[0].Engine].Cell; cell != h.g.engines[first.Engine].Cell {
 		t.Errorf("retried in cell %d, outside the cell of the first attempt", cell)
 	}
 }
 
 func TestRule3NothingToADrainingEngine(t *testing.T) {
 	e := standardEngine("e1")
-	b := newHarness(t, allRulesConfig(), e)
+	h := newHarness(t, allRulesConfig(), e)
 	e.State = EngineDraining
-	b.advance(ms, Event{Type: EngineListReceived, ListType: ListIncremental, Engines: []EngineInfo{e}})
-	wantActions(t, b.submit(1, "short", ""))
-	b.advance(ms, Event{Type: EngineListReceived, ListType: ListComplete})
-	wantActions(t, b.submit(2, "short", ""))
+	h.advance(ms, Event{Type: EngineListReceived, ListType: ListIncremental, Engines: []EngineInfo{e}})
+	wantActions(t, h.submit(1, "short", ""))
+	h.advance(ms, Event{Type: EngineListReceived, ListType: ListComplete})
+	wantActions(t, h.submit(2, "short", ""))
 }
 
 func TestRule4WarmingEngineGetsItsShareOnly(t *testing.T) {
 	cfg := allRulesConfig()
 	e := standardEngine("e1")
 	e.StartedAt = time.Hour - time.Second
-	b := newHarness(t, cfg, e)
+	h := newHarness(t, cfg, e)
 	sent := 0
 	for i := range 200 {
-		for _, a := range b.submit(QueryID(i+1), "short", "") {
+		for _, a := range h.submit(QueryID(i+1), "short", "") {
 			if a.Type == Send {
 				sent++
-				b.advance(
+				h.advance(
 					0,
 					attemptDoneEvent(a, 0, OutcomeOK, 10*ms),
 				) // idle again at once: mayTryIdle must not bypass slow start
@@ -162,10 +162,10 @@
 	cfg := allRulesConfig()
 	cold, warm := standardEngine("e1"), standardEngine("e2")
 	cold.StartedAt = time.Hour - time.Second
-	b := newHarness(t, cfg, cold, warm)
+	h := newHarness(t, cfg, cold, warm)
 	seen := map[EngineID]bool{}
 	for i := range 50 {
-		for _, a := range b.submit(QueryID(i+1), "short", "") {
+		for _, a := range h.submit(QueryID(i+1), "short", "") {
 			if a.Type != Send {
 				continue
 			}
@@ -185,31 +185,31 @@
 }
 
 func TestRule5OneAtATimeAndSettles(t *testing.T) {
-	b := newHarness(t, allRulesConfig(), standardEngine("e1"), standardEngine("e2"))
-	wantActions(t, b.submit(1, "load", "k"), Send)
-	first := b.lastActions[0]
-	wantActions(t, b.submit(2, "load", "k"))
-	wantActions(t, b.submit(3, "load", "other"), Send)
+	h := newHarness(t, allRulesConfig(), standardEngine("e1"), standardEngine("e2"))
+	wantActions(t, h.submit(1, "load", "k"), Send)
+	first := h.lastActions[0]
+	wantActions(t, h.submit(2, "load", "k"))
+	wantActions(t, h.submit(3, "load", "other"), Send)
 	wantActions(
 		t,
-		b.advance(ms, Event{Type: QueryAbandoned, Query: 1}),
+		h.advance(ms, Event{Type: QueryAbandoned, Query: 1}),
 	) // the query has ended, but its attempt has no outcome yet
-	wantActions(t, b.advance(ms, attemptDoneEvent(first, 0, OutcomeConnectionReset, ms)))
-	wantActions(t, b.advance(499*ms, Event{Type: TimerFired}))
-	wantActions(t, b.advance(2*ms, Event{Type: TimerFired}), Send)
+	wantActions(t, h.advance(ms, attemptDoneEvent(first, 0, OutcomeConnectionReset, ms)))
+	wantActions(t, h.advance(499*ms, Event{Type: TimerFired}))
+	wantActions(t, h.advance(2*ms, Event{Type: TimerFired}), Send)
 }
 
 func TestRule6PlacementWhenEngineRemoved(t *testing.T) {
 	big := EngineInfo{ID: "e2", Kind: "big", Zone: "b"}
-	b := newHarness(t, allRulesConfig(), standardEngine("e1"), EngineInfo{ID: "e3", Kind: "big", Zone: "a"},
+	h := newHarness(t, allRulesConfig(), standardEngine("e1"), EngineInfo{ID: "e3", Kind: "big", Zone: "a"},
 		EngineInfo{ID: "e4", Kind: "std", Zone: "b"}, big)
-	wantActions(t, b.submit(1, "bound", ""), Send)
-	if b.lastActions[0].Engine != "e2" {
-		t.Errorf("sent to %s, want e2", b.lastActions[0].Engine)
+	wantActions(t, h.submit(1, "bound", ""), Send)
+	if h.lastActions[0].Engine != "e2" {
+		t.Errorf("sent to %s, want e2", h.lastActions[0].Engine)
 	}
 	big.State = EngineRemoved
-	b.advance(ms, Event{Type: EngineListReceived, ListType: ListIncremental, Engines: []EngineInfo{big}})
-	wantActions(t, b.submit(2, "bound", ""))
+	h.advance(ms, Event{Type: EngineListReceived, ListType: ListIncremental, Engines: []EngineInfo{big}})
+	wantActions(t, h.submit(2, "bound", ""))
 }
 
 func TestRule7RetryBudget(t *testing.T) {
@@ -217,15 +217,15 @@
 	for i := range 20 {
 		engines = append(engines, standardEngine(fmt.Sprintf("e%02d", i)))
 	}
-	b := newHarness(t, allRulesConfig(), engines...)
+	h := newHarness(t, allRulesConfig(), engines...)
 	retries := 0
 	for i := range 10 {
-		b.submit(QueryID(i+1), "short", "")
-		a := b.lastActions[0]
-		for _, again := range b.advance(0, attemptDoneEvent(a, 0, OutcomeRejected, 0)) {
+		h.submit(QueryID(i+1), "short", "")
+		a := h.lastActions[0]
+		for _, again := range h.advance(0, attemptDoneEvent(a, 0, OutcomeRejected, 0)) {
 			if again.Type == Send {
 				retries++
-				b.advance(0, attemptDoneEvent(again, 1, OutcomeOK, 100*ms))
+				h.advance(0, attemptDoneEvent(again, 1, OutcomeOK, 100*ms))
 			}
 		}
 	}
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -41,12 +41,12 @@
 			id := QueryID(0)
 			for step := range 280 {
 				now := time.Hour + time.Duration(step)*50*ms
-				for i, b := range all {
+				for i, h := range all {
 					if c.restart && step == 100 && i%2 == 0 {
-						b = start(i, 2)
-						all[i] = b
+						h = start(i, 2)
+						all[i] = h
 					}
-					b.now = now
+					h.now = now
 					events := []Event{{Type: TimerFired}}
 					if i%c.busy == 0 {
 						id++
@@ -62,10 +62,10 @@
 							},
 						)
 					}
-					for _, a := range b.advance(0, events...) {
+					for _, a := range h.advance(0, events...) {
 						if a.Type == Send {
 							sent = append(sent, now)
-							b.advance(0, attemptDoneEvent(a, 0, OutcomeOK, 150*ms))
+							h.advance(0, attemptDoneEvent(a, 0, OutcomeOK, 150*ms))
 						}
 					}
 				}
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -9,17 +9,17 @@
 // TestSnapshotDecaysWithAge: a later gateway starts from the snapshot, which counts less the older it is. It
 // loads nothing from an invalid snapshot.
 func TestSnapshotDecaysWithAge(t *testing.T) {
-	b := newHarness(t, allRulesConfig(), standardEngine("e1"))
+	h := newHarness(t, allRulesConfig(), standardEngine("e1"))
 	for id := range QueryID(200) {
-		for _, a := range b.submit(id+1, "short", "") {
-			b.advance(900*ms, attemptDoneEvent(a, 0, OutcomeOK, 900*ms))
+		for _, a := range h.submit(id+1, "short", "") {
+			h.advance(900*ms, attemptDoneEvent(a, 0, OutcomeOK, 900*ms))
 		}
 	}
-	was := b.g.classes["short"].baseScale
+	was := h.g.classes["short"].baseScale
 	if was < 1.5 {
 		t.Fatalf("scale %v: nothing was learnt, want at least 1.5", was)
 	}
-	data := b.g.Snapshot()
+	data := h.g.Snapshot()
 	last := math.Inf(1)
 	for _, age := range []time.Duration{0, 10 * time.Minute, time.Hour, 24 * time.Hour} {
 		g, err := New(allRulesConfig())
--- a/trace_simulation_test.go
+++ b/trace_simulation_test.go
@@ -16,20 +16,20 @@
 }
 
 type traceQuery struct {
-	tries int
-	ended bool
-	opens bool
+	attempts     int
+	ended        bool
+	opensSession bool
 }
 
 type traceAttempt struct {
-	gateway  int
-	query    QueryID
-	number   int
-	engine   int
-	at, ends time.Duration
-	noted    time.Duration
-	work     time.Duration
-	outcome  Outcome
+	gateway        int
+	query          QueryID
+	number         int
+	engine         int
+	sentAt, endsAt time.Duration
+	notedAt        time.Duration
+	work           time.Duration
+	outcome        Outcome
 }
 
 // traceEngine is a simulated engine. It slows down as more queries run on it.
@@ -61,7 +61,7 @@
 	out      *bytes.Buffer
 }
 
-func (r *traceRun) list() (all []EngineInfo) {
+func (r *traceRun) listedEngines() (all []EngineInfo) {
 	for _, e := range r.engines {
 		if e.info.State != EngineRemoved {
 			all = append(all, e.info)
@@ -116,14 +116,14 @@
 		r.deliverToAll(Event{Type: EngineReportedDown, Engine: e(4).info.ID})
 		r.deliverToAll(Event{Type: EngineReportedDown, Engine: "nobody"})
 	case 130:
-		r.deliverToAll(Event{Type: EngineListReceived, ListType: ListComplete, Engines: r.list()})
+		r.deliverToAll(Event{Type: EngineListReceived, ListType: ListComplete, Engines: r.listedEngines()})
 	case 140:
 		r.membership(r.s.cfg.GatewayCount+1, 250*time.Millisecond)
 	case 150:
 		e(4).slowness = 1
-		r.rate = 6 * r.s.perSecond
+		r.rate = 6 * r.s.queriesPerSecond
 	case 175:
-		r.rate = r.s.perSecond
+		r.rate = r.s.queriesPerSecond
 	case 180:
 		r.membership(r.s.cfg.GatewayCount, -400*time.Millisecond)
 	case 190:
@@ -167,7 +167,7 @@
 		r.inbox[i] = nil
 		for j, a := range g.Handle(r.now, events, nil) {
 			r.write(i, j, &a)
-			r.act(i, &a)
+			r.execute(i, &a)
 		}
 	}
 }
@@ -189,19 +189,19 @@
 	var later []*traceAttempt
 	for _, a := range r.running {
 		switch {
-		case a.ends <= r.now:
+		case a.endsAt <= r.now:
 			r.endAttempt(a)
 			continue
-		case r.s.cfg.ProgressInterval > 0 && r.now >= a.noted+r.s.cfg.ProgressInterval &&
+		case r.s.cfg.ProgressInterval > 0 && r.now >= a.notedAt+r.s.cfg.ProgressInterval &&
 			!r.engines[a.engine].hanging:
-			a.noted = r.now
+			a.notedAt = r.now
 			note := Event{
 				Type:    ProgressReported,
 				Query:   a.query,
 				Attempt: a.number,
 				Engine:  r.engines[a.engine].info.ID,
 				Note:    NoteFractionDone,
-				Value:   (r.now - a.at).Seconds() / (a.ends - a.at).Seconds(),
+				Value:   (r.now - a.sentAt).Seconds() / (a.endsAt - a.sentAt).Seconds(),
 			}
 			if r.random.IntN(12) == 0 {
 				note.Note, note.Value = NoteSpilled, 50
@@ -222,14 +222,14 @@
 		Attempt: a.number,
 		Engine:  e.info.ID,
 		Outcome: a.outcome,
-		Elapsed: r.now - a.at,
+		Elapsed: r.now - a.sentAt,
 	}
 	if a.outcome == OutcomeOK && !q.ended {
 		q.ended, ev.QueryFinished = true, true
 		if r.s.cfg.ReportsCost {
 			ev.ActualCost, ev.ActualMemoryMB = a.work, float64(r.random.IntN(300))
 		}
-		if q.opens {
+		if q.opensSession {
 			r.sessions = append(r.sessions, traceSession{a.gateway, a.engine})
 			r.inbox[a.gateway] = append(
 				r.inbox[a.gateway],
@@ -237,20 +237,20 @@
 			)
 		}
 	}
-	ev.LoadReport, ev.HasLoadReport = r.report(e)
+	ev.LoadReport, ev.HasLoadReport = r.loadReport(e)
 	r.inbox[a.gateway] = append(r.inbox[a.gateway], ev)
 }
 
-func (r *traceRun) report(e *traceEngine) ([]float64, bool) {
+func (r *traceRun) loadReport(e *traceEngine) ([]float64, bool) {
 	if len(r.s.cfg.LoadReportFields) == 0 {
 		return nil, false
 	}
-	seen := e.running * float64(1+r.random.IntN(3))
+	reported := e.running * float64(1+r.random.IntN(3))
 	return []float64{
-		seen,
+		reported,
 		float64(r.random.IntN(4)),
-		min(1, seen/8),
-		0.1 * seen * (0.5 + r.random.Float64()),
+		min(1, reported/8),
+		0.1 * reported * (0.5 + r.random.Float64()),
 	}, true
 }
 
@@ -289,7 +289,7 @@
 	case 2:
 		ev.RemainingDeadline = time.Duration(r.random.IntN(500)) * ms
 	case 3, 4:
-		ev.OpensSession, q.opens = true, true
+		ev.OpensSession, q.opensSession = true, true
 	case 5, 6:
 		if n := len(r.sessions); n > 0 {
 			if s := r.sessions[r.random.IntN(n)]; s.gateway == i {
@@ -349,8 +349,8 @@
 	return 0
 }
 
-// act executes one action of gateway i.
-func (r *traceRun) act(i int, a *Action) {
+// execute executes one action of gateway i.
+func (r *traceRun) execute(i int, a *Action) {
 	switch a.Type {
 	case SetTimer:
 		r.timers[i] = append(r.timers[i], traceTimer{r.now + a.Wait, a.Label})
@@ -373,18 +373,18 @@
 		if e.failing || e.hanging {
 			ev.Outcome = OutcomeTimedOut
 		}
-		ev.LoadReport, ev.HasLoadReport = r.report(e)
+		ev.LoadReport, ev.HasLoadReport = r.loadReport(e)
 		r.inbox[i] = append(r.inbox[i], ev)
 	case Cancel:
 		for _, running := range r.running {
 			if running.gateway == i && running.query == a.Query && running.number == a.Attempt {
-				running.ends, running.outcome = r.now+10*ms, OutcomeCancelled
+				running.endsAt, running.outcome = r.now+10*ms, OutcomeCancelled
 			}
 		}
 	case SubscribeEngineList:
 		r.inbox[i] = append(
 			r.inbox[i],
-			Event{Type: EngineListReceived, ListType: ListComplete, Engines: r.list()},
+			Event{Type: EngineListReceived, ListType: ListComplete, Engines: r.listedEngines()},
 		)
 	}
 }
@@ -397,23 +397,23 @@
 		work *= 10 // a bad plan
 	}
 	took := time.Duration(float64(work) * e.slowness * (1 + e.running/8))
-	it := &traceAttempt{gateway: i, query: a.Query, number: q.tries, engine: n, at: r.now, noted: r.now,
-		ends: r.now + took, work: work, outcome: OutcomeOK}
-	q.tries++
+	started := &traceAttempt{gateway: i, query: a.Query, number: q.attempts, engine: n, sentAt: r.now,
+		notedAt: r.now, endsAt: r.now + took, work: work, outcome: OutcomeOK}
+	q.attempts++
 	switch chance := r.random.Float64(); {
 	case e.info.State == EngineRemoved:
-		it.ends, it.outcome = r.now+traceStep, OutcomeConnectFailed
+		started.endsAt, started.outcome = r.now+traceStep, OutcomeConnectFailed
 	case e.full:
-		it.ends, it.outcome = r.now+traceStep, OutcomeRejected
+		started.endsAt, started.outcome = r.now+traceStep, OutcomeRejected
 	case e.failing:
-		it.ends, it.outcome = r.now+2*traceStep, OutcomeFailed
-	case e.hanging || chance < r.s.lost:
-		it.ends, it.outcome = r.now+5*time.Second, OutcomeTimedOut
+		started.endsAt, started.outcome = r.now+2*traceStep, OutcomeFailed
+	case e.hanging || chance < r.s.lostShare:
+		started.endsAt, started.outcome = r.now+5*time.Second, OutcomeTimedOut
 	case chance > 0.99:
-		it.ends, it.outcome = r.now+took/2, OutcomeConnectionReset
+		started.endsAt, started.outcome = r.now+took/2, OutcomeConnectionReset
 	case chance > 0.985:
-		it.ends, it.outcome = r.now+traceStep, OutcomeNotStarted
+		started.endsAt, started.outcome = r.now+traceStep, OutcomeNotStarted
 	}
 	e.running++
-	r.running = append(r.running, it)
+	r.running = append(r.running, started)
 }
