--- a/gateway_test.go
+++ b/gateway_test.go
@@ -75,15 +75,15 @@
 	g := h.g
 	if len(g.engineList) > 2 || len(g.engines) > 2 || len(g.enginesByTag) > 2 {
 		t.Errorf(
-			"%d engines held, %d by name, %d by tag",
+			"%d engines held, %d by ID, %d by tag, want at most 2",
 			len(g.engineList),
 			len(g.engines),
 			len(g.enginesByTag),
 		)
 	}
 	if len(g.keyOrder.keys) > 200 || len(g.queries) > 10 || len(g.attempts) > 10 {
-		t.Errorf("%d keys, %d queries, %d attempts held", len(g.keyOrder.keys), len(g.queries),
-			len(g.attempts))
+		t.Errorf("%d keys, %d queries, %d attempts held, want at most 200, 10 and 10",
+			len(g.keyOrder.keys), len(g.queries), len(g.attempts))
 	}
 }
 
--- a/memory_test.go
+++ b/memory_test.go
@@ -15,10 +15,10 @@
 		neededMB     float64
 		lowered      bool
 	}{
-		"nothing is reported":  {took: 3 * time.Second},
-		"ended before a note":  {noteInterval: 2 * time.Second, took: 600 * ms, lowered: true},
-		"a note would be here": {noteInterval: 2 * time.Second, took: 3 * time.Second, lowered: true},
-		"costs are reported":   {took: 600 * ms, neededMB: 50, lowered: true},
+		"nothing is reported":        {took: 3 * time.Second},
+		"ended before a note":        {noteInterval: 2 * time.Second, took: 600 * ms, lowered: true},
+		"ended after a note was due": {noteInterval: 2 * time.Second, took: 3 * time.Second, lowered: true},
+		"costs are reported":         {took: 600 * ms, neededMB: 50, lowered: true},
 	} {
 		cfg := singleClassConfig()
 		cfg.ProgressInterval, cfg.AcceptsMemoryGrants = c.noteInterval, true
--- a/rule_checker_test.go
+++ b/rule_checker_test.go
@@ -31,7 +31,7 @@
 
 type ruleChecker struct {
 	t              *testing.T
-	r              *rand.Rand
+	random         *rand.Rand
 	cfg            Config
 	g              *Gateway
 	now            time.Duration
@@ -50,7 +50,7 @@
 }
 
 func newRuleChecker(t *testing.T, seed uint64) *ruleChecker {
-	c := &ruleChecker{t: t, r: rand.New(rand.NewPCG(seed, 7)), cfg: allRulesConfig(), now: time.Hour,
+	c := &ruleChecker{t: t, random: rand.New(rand.NewPCG(seed, 7)), cfg: allRulesConfig(), now: time.Hour,
 		nextID: 1}
 	c.cfg.PollEngineList = seed%2 == 1
 	// Half of the seeds: health checks and load reports, no Retry-After, a shorter drain grace, 20 gateways,
@@ -102,9 +102,9 @@
 
 func (c *ruleChecker) play(steps int) {
 	for range steps {
-		c.passTicks(c.r.IntN(8))
+		c.passTicks(c.random.IntN(8))
 		var events []Event
-		switch n := c.r.IntN(100); {
+		switch n := c.random.IntN(100); {
 		case n < 55:
 			events = append(events, c.newQuery())
 		case n < 88:
@@ -112,11 +112,11 @@
 		case n < 94:
 			events = append(events, c.engineChange())
 		case n < 96 && len(c.ids) > 0:
-			if q := c.queries[c.ids[c.r.IntN(len(c.ids))]]; !q.done {
+			if q := c.queries[c.ids[c.random.IntN(len(c.ids))]]; !q.done {
 				q.done = true
 				events = append(events, Event{Type: QueryAbandoned, Query: c.idOf(q)})
 			}
-		case n == 96 && c.r.IntN(6) == 0:
+		case n == 96 && c.random.IntN(6) == 0:
 			c.restart()
 			continue
 		default:
@@ -164,7 +164,7 @@
 }
 
 func (c *ruleChecker) newQuery() Event {
-	k := c.cfg.Classes[c.r.IntN(len(c.cfg.Classes))]
+	k := c.cfg.Classes[c.random.IntN(len(c.cfg.Classes))]
 	q := &trackedQuery{
 		class:    k,
 		deadline: c.now + k.Deadline,
@@ -172,11 +172,11 @@
 		sentAt:   map[int]time.Duration{},
 	}
 	ev := Event{Type: QueryArrived, Query: c.nextID, Class: k.Name, RemainingDeadline: k.Deadline}
-	if c.r.IntN(2) == 0 {
-		ev.HasCostEstimate, ev.CostEstimate = true, time.Duration(c.r.IntN(2000))*ms
+	if c.random.IntN(2) == 0 {
+		ev.HasCostEstimate, ev.CostEstimate = true, time.Duration(c.random.IntN(2000))*ms
 	}
 	if k.OrderedByKey {
-		q.key = fmt.Sprint("k", c.r.IntN(3))
+		q.key = fmt.Sprint("k", c.random.IntN(3))
 		ev.Key = q.key
 		c.order[q.key] = append(c.order[q.key], c.nextID)
 	}
@@ -193,7 +193,7 @@
 		if len(c.ids) == 0 {
 			return nil
 		}
-		id := c.ids[c.r.IntN(len(c.ids))]
+		id := c.ids[c.random.IntN(len(c.ids))]
 		q := c.queries[id]
 		for n := range q.attemptCount {
 			a, out := q.inFlight[n]
@@ -201,7 +201,7 @@
 				continue
 			}
 			o := []Outcome{OutcomeOK, OutcomeOK, OutcomeOK, OutcomeFailed, OutcomeRejected,
-				OutcomeConnectionReset, OutcomeConnectFailed}[c.r.IntN(7)]
+				OutcomeConnectionReset, OutcomeConnectFailed}[c.random.IntN(7)]
 			return c.endAttempt(id, q, n, a, o)
 		}
 	}
@@ -227,10 +227,10 @@
 		Outcome:       o,
 		Elapsed:       c.now - q.sentAt[n],
 		QueryFinished: q.done,
-		ActualCost:    time.Duration(c.r.IntN(900)) * ms,
+		ActualCost:    time.Duration(c.random.IntN(900)) * ms,
 	}
 	ev.LoadReport, ev.HasLoadReport = c.loadReport()
-	if c.r.IntN(10) == 0 {
+	if c.random.IntN(10) == 0 {
 		return []Event{ev, ev}
 	}
 	return []Event{ev}
@@ -242,17 +242,18 @@
 		return nil, false
 	}
 	return [][]float64{{3, 0, 0.4, 0.2}, {40, 2, 1, 3}, {1}, nil, {math.NaN(), -1, 1e300,
-		math.Inf(1)}}[c.r.IntN(5)], true
+		math.Inf(1)}}[c.random.IntN(5)], true
 }
 
 func (c *ruleChecker) engineChange() Event {
-	e := EngineInfo{ID: EngineID(fmt.Sprint("e", c.r.IntN(5))), Kind: "std", Zone: "a", Cell: c.r.IntN(2)}
+	e := EngineInfo{ID: EngineID(fmt.Sprint("e", c.random.IntN(5))), Kind: "std", Zone: "a",
+		Cell: c.random.IntN(2)}
 	if old, ok := c.engines[e.ID]; ok {
 		e = old
-	} else if c.r.IntN(2) == 0 {
+	} else if c.random.IntN(2) == 0 {
 		e.Kind, e.Zone = "big", "b"
 	}
-	switch c.r.IntN(4) {
+	switch c.random.IntN(4) {
 	case 0:
 		e.State = EngineDraining
 	case 1:
@@ -264,7 +265,7 @@
 		e.State = EngineActive
 	}
 	c.engines[e.ID] = e
-	if c.r.IntN(4) == 0 {
+	if c.random.IntN(4) == 0 {
 		return c.listEvent(ListComplete)
 	}
 	return Event{Type: EngineListReceived, ListType: ListIncremental, Engines: []EngineInfo{e}}
@@ -277,12 +278,12 @@
 			Engine: "nobody"},
 		{Type: EngineListReceived, ListType: ListFailed}, {Type: TimerFired, Label: 1 << 43},
 		{Type: PeerMessageReceived, Peer: 9, Data: []byte("x")},
-		{Type: MembershipChanged, Peer: c.r.IntN(2), Value: float64(c.cfg.GatewayCount * (1 + c.r.IntN(3))),
-			Elapsed: c.now},
+		{Type: MembershipChanged, Peer: c.random.IntN(2),
+			Value: float64(c.cfg.GatewayCount * (1 + c.random.IntN(3))), Elapsed: c.now},
 		{Type: MembershipChanged, Peer: 5, Value: 3}, {Type: MembershipChanged, Value: math.NaN()},
 		{Type: MembershipChanged},
-		{Type: EngineReportedDown, Engine: EngineID(fmt.Sprint("e", c.r.IntN(9)))},
-	}[c.r.IntN(12)]
+		{Type: EngineReportedDown, Engine: EngineID(fmt.Sprint("e", c.random.IntN(9)))},
+	}[c.random.IntN(12)]
 }
 
 // deliver passes events to the gateway and checks its actions. It repeats that with the events these cause.
@@ -321,7 +322,7 @@
 		ev := Event{
 			Type:    HealthCheckDone,
 			Engine:  a.Engine,
-			Outcome: []Outcome{OutcomeOK, OutcomeTimedOut}[c.r.IntN(2)],
+			Outcome: []Outcome{OutcomeOK, OutcomeTimedOut}[c.random.IntN(2)],
 		}
 		ev.LoadReport, ev.HasLoadReport = c.loadReport()
 		return []Event{ev}
