--- a/decision_trace_test.go
+++ b/decision_trace_test.go
@@ -15,19 +15,19 @@
 	"cresspass/internal/goldentest"
 )
 
-// The decision trace: scripted runs of gateways against simulated engines, with every action written bit
-// for bit. A change that is to keep behaviour keeps the trace.
+// The decision trace holds every action of scripted runs of gateways against simulated engines, bit for bit.
+// A change that must not alter behaviour must not alter the trace.
 
 // traceScenario is one scripted run.
 type traceScenario struct {
-	name      string
-	cfg       Config
-	instances int // gateways that are played; the settings may count more
-	engines   []EngineInfo
-	perSecond float64 // queries a second at each gateway
-	seconds   int
-	lost      float64 // share of answers that never arrive
-	restore   bool    // the first gateway starts from the golden snapshot
+	name             string
+	cfg              Config
+	instances        int // gateways that run; GatewayCount may be higher
+	engines          []EngineInfo
+	queriesPerSecond float64 // queries per second at each gateway
+	seconds          int
+	lostShare        float64 // share of answers that never arrive
+	restore          bool    // the first gateway starts from the golden snapshot
 }
 
 func traceScenarios() []traceScenario {
@@ -72,33 +72,34 @@
 		many = append(many, e)
 	}
 	return []traceScenario{
-		{name: "peers", cfg: peers, instances: 6, engines: five, perSecond: 11, seconds: 22},
+		{name: "peers", cfg: peers, instances: 6, engines: five, queriesPerSecond: 11, seconds: 22},
 		{
-			name:      "reports",
-			cfg:       reporting,
-			instances: 2,
-			engines:   five,
-			perSecond: 14,
-			seconds:   22,
-			lost:      0.05,
+			name:             "reports",
+			cfg:              reporting,
+			instances:        2,
+			engines:          five,
+			queriesPerSecond: 14,
+			seconds:          22,
+			lostShare:        0.05,
 		},
 		{
-			name:      "single",
-			cfg:       single,
-			instances: 1,
-			engines:   []EngineInfo{standardEngine("e1"), standardEngine("e2"), standardEngine("e3")},
-			perSecond: 40,
-			seconds:   22,
-			lost:      0.1,
+			name:             "single",
+			cfg:              single,
+			instances:        1,
+			engines:          []EngineInfo{standardEngine("e1"), standardEngine("e2"), standardEngine("e3")},
+			queriesPerSecond: 40,
+			seconds:          22,
+			lostShare:        0.1,
 		},
-		{name: "large", cfg: large, instances: 4, engines: many, perSecond: 9, seconds: 22, restore: true},
+		{name: "large", cfg: large, instances: 4, engines: many, queriesPerSecond: 9, seconds: 22,
+			restore: true},
 	}
 }
 
 func playTrace(t *testing.T, s traceScenario, stored []byte, out *bytes.Buffer) {
 	t.Helper()
 	r := &traceRun{t: t, s: s, random: rand.New(rand.NewPCG(21, s.cfg.Seed)), now: time.Hour,
-		queries: map[QueryID]*traceQuery{}, next: 1, rate: s.perSecond, out: out}
+		queries: map[QueryID]*traceQuery{}, next: 1, rate: s.queriesPerSecond, out: out}
 	fmt.Fprintf(out, "scenario %s\n", s.name)
 	for _, info := range s.engines {
 		r.engines = append(r.engines, &traceEngine{info: info, slowness: 1})
@@ -118,7 +119,7 @@
 		r.gateways = append(r.gateways, g)
 		r.inbox = append(
 			r.inbox,
-			[]Event{{Type: EngineListReceived, ListType: ListCached, Engines: r.list()}},
+			[]Event{{Type: EngineListReceived, ListType: ListCached, Engines: r.listedEngines()}},
 		)
 		r.timers = append(r.timers, nil)
 	}
@@ -134,7 +135,8 @@
 	}
 }
 
-// write adds one action to the trace: the number of the step and gateway, and all fields that are not zero.
+// write adds one action to the trace: its fields that are not zero. The first action of a Handle call is
+// preceded by the time in ms and the gateway.
 func (r *traceRun) write(i, j int, a *Action) {
 	w := r.out
 	if j == 0 {
@@ -162,8 +164,8 @@
 	fmt.Fprintln(w)
 }
 
-// TestGoldenDecisionTrace: the scripted runs give the same actions, bit for bit, as when the trace was
-// written.
+// TestGoldenDecisionTrace: the scripted runs yield the same actions, bit for bit, as when the golden trace
+// was written.
 func TestGoldenDecisionTrace(t *testing.T) {
 	goldentest.Compare(t, "snapshot.json", trainedGateway(t).Snapshot())
 	stored := goldentest.Read(t, "snapshot.json")
@@ -179,7 +181,7 @@
 	if err := z.Close(); err != nil {
 		t.Fatal(err)
 	}
-	// Compared unpacked: another version of Go may compress the same trace to other bytes.
+	// Traces are compared uncompressed, as another Go version may compress the same trace differently.
 	const trace = "decision_trace.txt.gz"
 	goldentest.Update(t, trace, packed.Bytes())
 	unpack, err := gzip.NewReader(bytes.NewReader(goldentest.Read(t, trace)))
@@ -194,16 +196,16 @@
 	if bytes.Equal(current.Bytes(), want) {
 		return
 	}
-	got, old := strings.Split(current.String(), "\n"), strings.Split(string(want), "\n")
-	for i := range min(len(got), len(old)) {
-		if got[i] != old[i] {
-			t.Fatalf("line %d of the trace:\n%s\nwant\n%s", i+1, got[i], old[i])
+	gotLines, wantLines := strings.Split(current.String(), "\n"), strings.Split(string(want), "\n")
+	for i := range min(len(gotLines), len(wantLines)) {
+		if gotLines[i] != wantLines[i] {
+			t.Fatalf("line %d of the trace is\n%s\nwant\n%s", i+1, gotLines[i], wantLines[i])
 		}
 	}
-	t.Fatalf("the trace has %d lines, want %d", len(got), len(old))
+	t.Fatalf("the trace has %d lines, want %d", len(gotLines), len(wantLines))
 }
 
-// checkTraceCoverage: each scenario shows the actions that it is for, so that the trace proves something.
+// checkTraceCoverage checks that each scenario has at least three of each action that it is meant to cover.
 func checkTraceCoverage(t *testing.T, trace string) {
 	t.Helper()
 	counts := map[string]int{}
@@ -227,7 +229,7 @@
 	} {
 		for _, a := range c.types {
 			if n := counts[fmt.Sprint(c.scenario, " ", int(a))]; n < 3 {
-				t.Errorf("scenario %s: action type %d occurs %d times", c.scenario, int(a), n)
+				t.Errorf("scenario %s: action type %d occurs %d times, want 3 or more", c.scenario, int(a), n)
 			}
 		}
 	}
--- a/harness_test.go
+++ b/harness_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// singleClassConfig has one idempotent class with estimates and one kind, and no optional rule.
+// singleClassConfig returns settings with one idempotent class, one kind and no optional rule.
 func singleClassConfig() Config {
 	return Config{
 		GatewayCount:     2,
@@ -30,7 +30,7 @@
 
 const ms = time.Millisecond
 
-// allRulesConfig has a class of each effect, two kinds, two zones and all rules switched on.
+// allRulesConfig returns settings with a class of each effect, two kinds and all rules enabled.
 func allRulesConfig() Config {
 	return Config{
 		Seed: 1, GatewayCount: 2, Zone: "a", BatchInterval: 5 * ms,
@@ -100,7 +100,7 @@
 	}
 }
 
-// harness drives a gateway by hand and keeps its actions.
+// harness runs a gateway step by step and keeps its last actions.
 type harness struct {
 	t           *testing.T
 	g           *Gateway
@@ -114,26 +114,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &harness{t: t, g: g, now: time.Hour}
-	b.advance(0, Event{Type: EngineListReceived, ListType: ListCached, Engines: engines})
-	return b
+	h := &harness{t: t, g: g, now: time.Hour}
+	h.advance(0, Event{Type: EngineListReceived, ListType: ListCached, Engines: engines})
+	return h
 }
 
-// advance lets time pass, delivers events and returns the actions other than timers.
-func (b *harness) advance(pass time.Duration, events ...Event) []Action {
-	b.now += pass
-	b.lastActions = b.lastActions[:0]
-	for _, a := range b.g.Handle(b.now, events, nil) {
+// advance moves the clock, delivers events and returns the actions other than SetTimer and SetResources. The
+// next call overwrites the result.
+func (h *harness) advance(pass time.Duration, events ...Event) []Action {
+	h.now += pass
+	h.lastActions = h.lastActions[:0]
+	for _, a := range h.g.Handle(h.now, events, nil) {
 		if a.Type != SetTimer && a.Type != SetResources {
-			b.lastActions = append(b.lastActions, a)
+			h.lastActions = append(h.lastActions, a)
 		}
 	}
-	return b.lastActions
+	return h.lastActions
 }
 
-func (b *harness) submit(id QueryID, class, key string) []Action {
-	left := b.g.classes[class].Deadline
-	return b.advance(
+func (h *harness) submit(id QueryID, class, key string) []Action {
+	left := h.g.classes[class].Deadline
+	return h.advance(
 		0,
 		Event{
 			Type:              QueryArrived,
@@ -174,7 +175,7 @@
 	}
 }
 
-// largeFleetConfig is one of many gateways on few engines, with peers.
+// largeFleetConfig returns the settings of one of 200 gateways with gossip.
 func largeFleetConfig() Config {
 	cfg := singleClassConfig()
 	cfg.GatewayCount, cfg.MayGossip, cfg.Seed = 200, true, 7
--- a/rule_checker_test.go
+++ b/rule_checker_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// TestRulesHoldOnRandomEvents feeds long random but legal sequences and checks every action by itself.
+// TestRulesHoldOnRandomEvents delivers long random sequences of valid and stray events. Its checker tracks
+// queries and engines by itself and checks every action against rules 1 to 7.
 func TestRulesHoldOnRandomEvents(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { newRuleChecker(t, seed).play(1500) })
@@ -22,7 +23,7 @@
 	done         bool
 	attemptCount int
 	inFlight     map[int]Action
-	maybeRanAt   time.Duration // sending of the first attempt that may have run
+	maybeRanAt   time.Duration // when the first attempt that may have run was sent
 	maybeRanOn   EngineInfo
 	maybeRan     bool
 	sentAt       map[int]time.Duration
@@ -30,11 +31,11 @@
 
 type ruleChecker struct {
 	t              *testing.T
-	r              *rand.Rand
+	random         *rand.Rand
 	cfg            Config
 	g              *Gateway
 	now            time.Duration
-	next           QueryID
+	nextID         QueryID
 	queries        map[QueryID]*trackedQuery
 	ids            []QueryID
 	engines        map[EngineID]EngineInfo
@@ -49,9 +50,11 @@
 }
 
 func newRuleChecker(t *testing.T, seed uint64) *ruleChecker {
-	c := &ruleChecker{t: t, r: rand.New(rand.NewPCG(seed, 7)), cfg: allRulesConfig(), now: time.Hour, next: 1}
+	c := &ruleChecker{t: t, random: rand.New(rand.NewPCG(seed, 7)), cfg: allRulesConfig(), now: time.Hour,
+		nextID: 1}
 	c.cfg.PollEngineList = seed%2 == 1
-	// health checks and reports, no Retry-After, a shorter grace; many gateways, no slow start
+	// Half of the seeds: health checks and load reports, no Retry-After, a shorter drain grace, 20 gateways,
+	// no slow start.
 	if seed%4 > 1 {
 		c.cfg.MayCheckHealth, c.cfg.LoadReportFields = true, []string{
 			"concurrent",
@@ -75,7 +78,7 @@
 	return c
 }
 
-// restart kills the gateway: all it held is void, and a new one knows the last list only.
+// restart replaces the gateway by a new one, which knows only the latest engine list.
 func (c *ruleChecker) restart() {
 	g, err := New(c.cfg)
 	if err != nil {
@@ -87,8 +90,8 @@
 	c.deliver(c.listEvent(ListCached))
 }
 
-func (c *ruleChecker) listEvent(how EngineListType) Event {
-	ev := Event{Type: EngineListReceived, ListType: how}
+func (c *ruleChecker) listEvent(listType EngineListType) Event {
+	ev := Event{Type: EngineListReceived, ListType: listType}
 	for i := range 5 {
 		if e, ok := c.engines[EngineID(fmt.Sprint("e", i))]; ok && e.State != EngineRemoved {
 			ev.Engines = append(ev.Engines, e)
@@ -99,9 +102,9 @@
 
 func (c *ruleChecker) play(steps int) {
 	for range steps {
-		c.passTicks(c.r.IntN(8))
+		c.passTicks(c.random.IntN(8))
 		var events []Event
-		switch n := c.r.IntN(100); {
+		switch n := c.random.IntN(100); {
 		case n < 55:
 			events = append(events, c.newQuery())
 		case n < 88:
@@ -109,11 +112,11 @@
 		case n < 94:
 			events = append(events, c.engineChange())
 		case n < 96 && len(c.ids) > 0:
-			if q := c.queries[c.ids[c.r.IntN(len(c.ids))]]; !q.done {
+			if q := c.queries[c.ids[c.random.IntN(len(c.ids))]]; !q.done {
 				q.done = true
 				events = append(events, Event{Type: QueryAbandoned, Query: c.idOf(q)})
 			}
-		case n == 96 && c.r.IntN(6) == 0:
+		case n == 96 && c.random.IntN(6) == 0:
 			c.restart()
 			continue
 		default:
@@ -121,7 +124,7 @@
 		}
 		c.deliver(events...)
 	}
-	c.passTicks(6000) // nothing more comes: every query must end in time
+	c.passTicks(6000) // no more events: every query must end in time
 	for id, q := range c.queries {
 		if !q.done {
 			c.t.Errorf("query %d was never answered", id)
@@ -129,7 +132,7 @@
 	}
 }
 
-// passTicks lets so many ticks pass and rings the timers that fall due.
+// passTicks lets the given number of batch intervals pass and fires the timers that are due.
 func (c *ruleChecker) passTicks(ticks int) {
 	for range ticks {
 		c.now += c.cfg.BatchInterval
@@ -161,36 +164,36 @@
 }
 
 func (c *ruleChecker) newQuery() Event {
-	k := c.cfg.Classes[c.r.IntN(len(c.cfg.Classes))]
+	k := c.cfg.Classes[c.random.IntN(len(c.cfg.Classes))]
 	q := &trackedQuery{
 		class:    k,
 		deadline: c.now + k.Deadline,
 		inFlight: map[int]Action{},
 		sentAt:   map[int]time.Duration{},
 	}
-	ev := Event{Type: QueryArrived, Query: c.next, Class: k.Name, RemainingDeadline: k.Deadline}
-	if c.r.IntN(2) == 0 {
-		ev.HasCostEstimate, ev.CostEstimate = true, time.Duration(c.r.IntN(2000))*ms
+	ev := Event{Type: QueryArrived, Query: c.nextID, Class: k.Name, RemainingDeadline: k.Deadline}
+	if c.random.IntN(2) == 0 {
+		ev.HasCostEstimate, ev.CostEstimate = true, time.Duration(c.random.IntN(2000))*ms
 	}
 	if k.OrderedByKey {
-		q.key = fmt.Sprint("k", c.r.IntN(3))
+		q.key = fmt.Sprint("k", c.random.IntN(3))
 		ev.Key = q.key
-		c.order[q.key] = append(c.order[q.key], c.next)
+		c.order[q.key] = append(c.order[q.key], c.nextID)
 	}
-	c.queries[c.next] = q
-	c.ids = append(c.ids, c.next)
+	c.queries[c.nextID] = q
+	c.ids = append(c.ids, c.nextID)
 	c.arrivals = append(c.arrivals, c.now)
-	c.next++
+	c.nextID++
 	return ev
 }
 
-// outcome ends one running attempt in some way, now and then twice.
+// outcome ends a random running attempt with a random outcome. One in ten outcomes is delivered twice.
 func (c *ruleChecker) outcome() []Event {
 	for range 20 {
 		if len(c.ids) == 0 {
 			return nil
 		}
-		id := c.ids[c.r.IntN(len(c.ids))]
+		id := c.ids[c.random.IntN(len(c.ids))]
 		q := c.queries[id]
 		for n := range q.attemptCount {
 			a, out := q.inFlight[n]
@@ -198,7 +201,7 @@
 				continue
 			}
 			o := []Outcome{OutcomeOK, OutcomeOK, OutcomeOK, OutcomeFailed, OutcomeRejected,
-				OutcomeConnectionReset, OutcomeConnectFailed}[c.r.IntN(7)]
+				OutcomeConnectionReset, OutcomeConnectFailed}[c.random.IntN(7)]
 			return c.endAttempt(id, q, n, a, o)
 		}
 	}
@@ -224,32 +227,33 @@
 		Outcome:       o,
 		Elapsed:       c.now - q.sentAt[n],
 		QueryFinished: q.done,
-		ActualCost:    time.Duration(c.r.IntN(900)) * ms,
+		ActualCost:    time.Duration(c.random.IntN(900)) * ms,
 	}
 	ev.LoadReport, ev.HasLoadReport = c.loadReport()
-	if c.r.IntN(10) == 0 {
+	if c.random.IntN(10) == 0 {
 		return []Event{ev, ev}
 	}
 	return []Event{ev}
 }
 
-// loadReport is what an engine reports of itself, at times odd, where the settings have reports.
+// loadReport returns a random load report, sometimes an invalid one, if the settings have load reports.
 func (c *ruleChecker) loadReport() ([]float64, bool) {
 	if len(c.cfg.LoadReportFields) == 0 {
 		return nil, false
 	}
 	return [][]float64{{3, 0, 0.4, 0.2}, {40, 2, 1, 3}, {1}, nil, {math.NaN(), -1, 1e300,
-		math.Inf(1)}}[c.r.IntN(5)], true
+		math.Inf(1)}}[c.random.IntN(5)], true
 }
 
 func (c *ruleChecker) engineChange() Event {
-	e := EngineInfo{ID: EngineID(fmt.Sprint("e", c.r.IntN(5))), Kind: "std", Zone: "a", Cell: c.r.IntN(2)}
+	e := EngineInfo{ID: EngineID(fmt.Sprint("e", c.random.IntN(5))), Kind: "std", Zone: "a",
+		Cell: c.random.IntN(2)}
 	if old, ok := c.engines[e.ID]; ok {
 		e = old
-	} else if c.r.IntN(2) == 0 {
+	} else if c.random.IntN(2) == 0 {
 		e.Kind, e.Zone = "big", "b"
 	}
-	switch c.r.IntN(4) {
+	switch c.random.IntN(4) {
 	case 0:
 		e.State = EngineDraining
 	case 1:
@@ -261,7 +265,7 @@
 		e.State = EngineActive
 	}
 	c.engines[e.ID] = e
-	if c.r.IntN(4) == 0 {
+	if c.random.IntN(4) == 0 {
 		return c.listEvent(ListComplete)
 	}
 	return Event{Type: EngineListReceived, ListType: ListIncremental, Engines: []EngineInfo{e}}
@@ -274,15 +278,15 @@
 			Engine: "nobody"},
 		{Type: EngineListReceived, ListType: ListFailed}, {Type: TimerFired, Label: 1 << 43},
 		{Type: PeerMessageReceived, Peer: 9, Data: []byte("x")},
-		{Type: MembershipChanged, Peer: c.r.IntN(2), Value: float64(c.cfg.GatewayCount * (1 + c.r.IntN(3))),
-			Elapsed: c.now},
+		{Type: MembershipChanged, Peer: c.random.IntN(2),
+			Value: float64(c.cfg.GatewayCount * (1 + c.random.IntN(3))), Elapsed: c.now},
 		{Type: MembershipChanged, Peer: 5, Value: 3}, {Type: MembershipChanged, Value: math.NaN()},
 		{Type: MembershipChanged},
-		{Type: EngineReportedDown, Engine: EngineID(fmt.Sprint("e", c.r.IntN(9)))},
-	}[c.r.IntN(12)]
+		{Type: EngineReportedDown, Engine: EngineID(fmt.Sprint("e", c.random.IntN(9)))},
+	}[c.random.IntN(12)]
 }
 
-// deliver hands events over and checks what the gateway does.
+// deliver passes events to the gateway and checks its actions. It repeats that with the events these cause.
 func (c *ruleChecker) deliver(events ...Event) {
 	for len(events) > 0 || c.g != nil {
 		actions := c.g.Handle(c.now, events, nil)
@@ -313,18 +317,18 @@
 		q.attemptCount++
 	case CheckHealth:
 		if !c.cfg.MayCheckHealth {
-			c.t.Errorf("a health check where none is allowed")
+			c.t.Errorf("health check, though the settings do not allow any")
 		}
 		ev := Event{
 			Type:    HealthCheckDone,
 			Engine:  a.Engine,
-			Outcome: []Outcome{OutcomeOK, OutcomeTimedOut}[c.r.IntN(2)],
+			Outcome: []Outcome{OutcomeOK, OutcomeTimedOut}[c.random.IntN(2)],
 		}
 		ev.LoadReport, ev.HasLoadReport = c.loadReport()
 		return []Event{ev}
 	case Reject, Fail:
 		if a.Wait > 0 && !c.cfg.MaySendRetryAfter {
-			c.t.Errorf("query %d rejected with a Retry-After time where none is allowed", a.Query)
+			c.t.Errorf("query %d rejected with a Retry-After time, which the settings do not allow", a.Query)
 		}
 		if q.done {
 			c.t.Errorf("rule 1: query %d answered twice", a.Query)
@@ -332,8 +336,8 @@
 		if c.now > q.deadline+c.cfg.Rules.AnswerGrace {
 			c.t.Errorf("rule 1: query %d answered %v late", a.Query, c.now-q.deadline)
 		}
-		maybe := q.maybeRan || len(q.inFlight) > 0
-		if a.Type == Reject && maybe &&
+		mayHaveRun := q.maybeRan || len(q.inFlight) > 0
+		if a.Type == Reject && mayHaveRun &&
 			(q.class.Effect == NotIdempotent || q.class.Effect == IdempotentWithKey &&
 				q.class.DeduplicationScope != ScopeAll) {
 			c.t.Errorf("rule 2: %s query %d rejected though it may have run", q.class.Name, a.Query)
@@ -353,7 +357,7 @@
 		c.t.Errorf("rule 1: query %d sent after its end", a.Query)
 	}
 	if len(q.inFlight) > 0 {
-		c.t.Errorf("rule 2: query %d has two attempts out", a.Query)
+		c.t.Errorf("rule 2: query %d sent while an attempt of it is in flight", a.Query)
 	}
 	if q.maybeRan && q.class.Effect == NotIdempotent {
 		c.t.Errorf("rule 2: query %d, not idempotent, sent again", a.Query)
@@ -381,18 +385,18 @@
 		if sum > r.SlowStartOverloadFactor*r.SlowStartFrom*cores*0.85*r.SlowStartWindow.Seconds()/float64(
 			c.cfg.GatewayCount,
 		) {
-			c.t.Errorf("rule 4: %.1f s of work sent to an engine in slow start", sum)
+			c.t.Errorf("rule 4: %.1f s of work in a window sent to an engine in slow start", sum)
 		}
 	}
 	if q.key != "" {
 		for _, id := range c.order[q.key] {
 			o := c.queries[id]
 			if id < a.Query && (!o.done || len(o.inFlight) > 0) {
-				c.t.Errorf("rule 5: query %d overtakes %d", a.Query, id)
+				c.t.Errorf("rule 5: query %d sent before query %d of its key ended", a.Query, id)
 			}
 		}
 		if c.now < c.settlesAt[q.key] && q.attemptCount == 0 {
-			c.t.Errorf("rule 5: query %d sent while its key rests", a.Query)
+			c.t.Errorf("rule 5: query %d sent before its key settled", a.Query)
 		}
 	}
 	if len(q.class.AllowedKinds) > 0 &&
@@ -402,19 +406,19 @@
 	if q.attemptCount > 0 {
 		r := &c.cfg.Rules
 		c.retries = append(c.retries, c.now)
-		made, taken := 0, 0
+		retryCount, arrivalCount := 0, 0
 		for _, at := range c.retries {
 			if at > c.now-r.RetryBudgetWindow {
-				made++
+				retryCount++
 			}
 		}
 		for _, at := range c.arrivals {
 			if at > c.now-r.RetryBudgetWindow {
-				taken++
+				arrivalCount++
 			}
 		}
-		if float64(made) > r.RetryBudgetFree+r.RetryBudgetRatio*float64(taken) {
-			c.t.Errorf("rule 7: %d retries for %d queries", made, taken)
+		if float64(retryCount) > r.RetryBudgetFree+r.RetryBudgetRatio*float64(arrivalCount) {
+			c.t.Errorf("rule 7: %d retries for %d queries in a window", retryCount, arrivalCount)
 		}
 	}
 }
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// TestSlowStartSlotsStayInBudget plays 1 to 300 gateways on one engine in slow start, with even and uneven
-// traffic and with gateways that restart: together they use it from the start, and no window of what they
-// send passes the rule.
+// TestSlowStartSlotsStayInBudget: 1 to 300 gateways send to one engine in slow start, with even and uneven
+// traffic and with gateways that restart. Together they must use the engine within its first 4 s and must not
+// exceed the budget of rule 4 in any window.
 func TestSlowStartSlotsStayInBudget(t *testing.T) {
 	for _, c := range []struct {
 		gateways int
-		busy     int // one gateway in so many has traffic
+		busy     int // one gateway in this many has traffic
 		restart  bool
 	}{{1, 1, false}, {30, 1, false}, {300, 1, false}, {300, 5, false}, {300, 1, true}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
@@ -41,12 +41,12 @@
 			id := QueryID(0)
 			for step := range 280 {
 				now := time.Hour + time.Duration(step)*50*ms
-				for i, b := range all {
+				for i, h := range all {
 					if c.restart && step == 100 && i%2 == 0 {
-						b = start(i, 2)
-						all[i] = b
+						h = start(i, 2)
+						all[i] = h
 					}
-					b.now = now
+					h.now = now
 					events := []Event{{Type: TimerFired}}
 					if i%c.busy == 0 {
 						id++
@@ -62,10 +62,10 @@
 							},
 						)
 					}
-					for _, a := range b.advance(0, events...) {
+					for _, a := range h.advance(0, events...) {
 						if a.Type == Send {
 							sent = append(sent, now)
-							b.advance(0, attemptDoneEvent(a, 0, OutcomeOK, 150*ms))
+							h.advance(0, attemptDoneEvent(a, 0, OutcomeOK, 150*ms))
 						}
 					}
 				}
@@ -89,7 +89,7 @@
 				t.Errorf("a window reached %.0f%% of the budget", 100*worst)
 			}
 			if first := sent[0] - time.Hour; first > 4*time.Second {
-				t.Errorf("first sent after %v", first)
+				t.Errorf("first query sent after %v, want at most 4 s", first)
 			}
 		})
 	}
