--- a/internal/platform/stallmonitor.go
+++ b/internal/platform/stallmonitor.go
@@ -9,8 +9,8 @@
 	"cresspass/internal/overload/stall"
 )
 
-// stallMonitor detects intervals in which the process was not scheduled: it beats a stall.Detector from a
-// goroutine of its own. Its lock guards the detector, which any goroutine may ask.
+// stallMonitor detects intervals in which the process was not scheduled: its own goroutine sends heartbeats
+// to a stall.Detector. It is safe for concurrent use; its lock guards the detector.
 type stallMonitor struct {
 	clock dispatch.Clock
 
@@ -22,7 +22,7 @@
 	return &stallMonitor{clock: clock, detector: stall.NewDetector(clock())}
 }
 
-// run beats until the context ends.
+// run sends heartbeats until the context ends.
 func (s *stallMonitor) run(ctx context.Context) {
 	beat := time.NewTicker(stall.HeartbeatInterval)
 	defer beat.Stop()
@@ -38,8 +38,9 @@
 	}
 }
 
-// maxWait returns how long something that is read now may have been in its socket, which was empty at a time.
-// Where a stall may be the reason that it is read late, the system is asked.
+// maxWait returns how long input that is read now may have been in its socket, which was last seen empty at
+// emptyAt. If an earlier stall may have delayed the read, it calls measure, which asks the system for the
+// time since the last input.
 func (s *stallMonitor) maxWait(emptyAt time.Duration, measure func() time.Duration) time.Duration {
 	if mutantEnabled(mutantNoStallDetection) {
 		return 0
--- a/internal/platform/stats.go
+++ b/internal/platform/stats.go
@@ -11,10 +11,10 @@
 	"cresspass/internal/invariant"
 )
 
-// heapMetric is the runtime's metric of the memory that live objects and garbage take.
+// heapMetric is the runtime metric for the bytes of live heap objects and of garbage not yet freed.
 const heapMetric = "/memory/classes/heap/objects:bytes"
 
-// logStats writes statistics to the log. Counts run from the start, what is longest from the last line.
+// logStats logs statistics. Counts are since the start, longest_wait and longest_step since the last line.
 func (s *service) logStats() {
 	counters, open, waiting := s.pool.statistics()
 	s.log.Info("statistics", queryStats(s.stats()), s.attemptStats(),
@@ -31,7 +31,7 @@
 		"heap_bytes", heapBytes())
 }
 
-// queryStats are the core's counts of queries and attempts.
+// queryStats returns the core's counts of queries and attempts, for the log.
 func queryStats(st dispatch.Stats) slog.Attr {
 	return slog.Group("queries", "received", st.Arrived, "served", st.Served, "rejected", st.Rejected,
 		"failed", st.Failed, "client_gone", st.Abandoned, "overdue", st.Overdue, "open", st.Open,
@@ -39,7 +39,7 @@
 		"running", st.Running, "timers", st.Timers)
 }
 
-// attemptStats are the counts of attempts that ended, by outcome.
+// attemptStats returns the counts of ended attempts by outcome, for the log.
 func (s *service) attemptStats() slog.Attr {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,7 +56,7 @@
 	return st
 }
 
-// heapBytes is how much memory the heap's objects take.
+// heapBytes returns the value of heapMetric, or 0 if the runtime does not have it.
 func heapBytes() uint64 {
 	sample := []metrics.Sample{{Name: heapMetric}}
 	if metrics.Read(sample); sample[0].Value.Kind() != metrics.KindUint64 {
--- a/internal/platform/stats_test.go
+++ b/internal/platform/stats_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-// lineBuffer keeps the lines of a log. It is for any number of goroutines.
+// lineBuffer collects the lines of a log. It is safe for concurrent use.
 type lineBuffer struct {
 	mu    sync.Mutex
 	lines [][]byte
 }
 
-// Write implements io.Writer; a handler of slog writes a line at once.
+// Write implements io.Writer. A slog handler writes each line with one call.
 func (b *lineBuffer) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -23,7 +23,7 @@
 	return len(line), nil
 }
 
-// line returns the only line with a message.
+// line returns the only line with a message, and fails the test if there is none or more than one.
 func (b *lineBuffer) line(t *testing.T, message string) (found map[string]any) {
 	t.Helper()
 	b.mu.Lock()
@@ -37,17 +37,18 @@
 			continue
 		}
 		if found != nil {
-			t.Fatalf("two lines with the message %q", message)
+			t.Fatalf("the log has two lines with the message %q", message)
 		}
 		found = line
 	}
 	if found == nil {
-		t.Fatalf("no line with the message %q", message)
+		t.Fatalf("the log has no line with the message %q", message)
 	}
 	return found
 }
 
-// TestStatisticsLine: the line of statistics keeps its message and its keys, which operators search for.
+// TestStatisticsLine checks that the statistics line keeps its message and its keys, which operators search
+// for.
 func TestStatisticsLine(t *testing.T) {
 	h := prepareHarness(t, 256)
 	h.writeConfig(h.config(serverAddr(h.discovery.Server)))
@@ -81,6 +82,6 @@
 	}
 	clients, _ := line["clients"].(map[string]any)
 	if closed, _ := clients["closed"].(map[string]any); closed["idle_timeout"] != 1.0 {
-		t.Errorf("closed connections %v, want one by its idle timeout", clients["closed"])
+		t.Errorf("closed connections %v, want one with reason idle_timeout", clients["closed"])
 	}
 }
--- a/internal/platform/system.go
+++ b/internal/platform/system.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// system holds the calls to the operating system that may fail for a moment, and the wall clock. Tests
-// and the build for the fault soak replace them. It does not change once a service has it.
+// system holds the operating system calls that may fail transiently, and the wall clock. Tests and the fault
+// soak's build replace them. It does not change once a service uses it.
 type system struct {
 	dial   func(ctx context.Context, timeout time.Duration, addr string) (net.Conn, error)
 	listen func(addr string) (net.Listener, error)
 	accept func(listener *net.TCPListener) (*net.TCPConn, error)
 	peek   func(fd uintptr) (int, error)
-	now    func() time.Time // the wall clock, which may step
+	now    func() time.Time // the wall clock, which may jump
 }
 
-// newSystem returns the calls of a new service. The build for the fault soak replaces it.
+// newSystem returns the system of a new service. The fault soak's build and tests replace it.
 var newSystem = realSystem
 
 func realSystem() *system {
@@ -33,18 +33,18 @@
 	}
 }
 
-// peek looks at what is in a socket without waiting: 0 and no error at the end of the stream, EAGAIN where
-// nothing is there.
+// peek checks for input in a socket without waiting or consuming it. It returns 0 and no error at the end of
+// the stream, and EAGAIN if there is no input.
 func peek(fd uintptr) (int, error) {
 	var b [1]byte
 	n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return n, err
 }
 
-// expired is a deadline that is over.
+// expired is a deadline in the past, which ends reads and writes at once.
 var expired = time.Unix(1, 0)
 
-// sleepContext waits for a duration, or until the context ends.
+// sleepContext sleeps for a duration, or until the context is done.
 func sleepContext(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
--- a/internal/platform/testclient_test.go
+++ b/internal/platform/testclient_test.go
@@ -12,7 +12,7 @@
 	"cresspass/internal/protocol/thrift"
 )
 
-// testClient is a client's connection.
+// testClient is a client with one connection.
 type testClient struct {
 	t       *testing.T
 	conn    net.Conn
@@ -24,7 +24,7 @@
 	return &testClient{t: t, conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// requestFields are the fields of a request, with more in pairs.
+// requestFields returns the fields of a request. more holds further fields as pairs of name and value.
 func requestFields(ticket, class, limit string, more ...string) thrift.Fields {
 	pairs := append([]string{"txn", ticket, "verb", class, "limit", limit, "cpu", "300.0", "heap_mb", "64"},
 		more...)
@@ -35,10 +35,10 @@
 	return fields
 }
 
-// ticket is the id of the n-th request.
+// ticket returns the ticket of the n-th request.
 func ticket(n int) string { return fmt.Sprintf("%016x", n) }
 
-// send sends a request and returns its number.
+// send sends a request and returns its sequence number.
 func (c *testClient) send(fields thrift.Fields) int32 {
 	c.lastSeq++
 	b := thrift.Dispatch{Fields: fields, Body: []byte("SELECT 1 FROM sales_3.t")}.Append(nil, c.lastSeq)
@@ -48,15 +48,15 @@
 	return c.lastSeq
 }
 
-// reply is what a client reads: an "answer", "shed", "fault" or "exception", or "closed" or "cut" where the
-// connection ends before it or in it.
+// reply is what a client receives. Its kind is "answer", "shed", "fault" or "exception", or, if the
+// connection ends, "closed" before a reply and "cut" within one.
 type reply struct {
 	kind string
 	seq  int32
 	text string
 }
 
-// receive reads a reply.
+// receive reads the next reply.
 func (c *testClient) receive() reply {
 	var head [4]byte
 	if _, err := io.ReadFull(c.reader, head[:]); err != nil {
@@ -78,18 +78,18 @@
 	return out
 }
 
-// mustServe sends one request and wants its own result of some pages.
+// mustServe sends one request and expects its own result with so many pages.
 func (c *testClient) mustServe(n, pages int) {
 	c.t.Helper()
 	id := ticket(n)
 	seq := c.send(requestFields(id, "quick", "2000"))
 	got := c.receive()
 	if got.kind != "answer" || got.seq != seq {
-		c.t.Fatalf("request %d: %s for %d: %q", n, got.kind, got.seq, got.text)
+		c.t.Fatalf("request %d: got %s for sequence number %d: %q", n, got.kind, got.seq, got.text)
 	}
 	for p := range pages {
 		if !strings.Contains(got.text, row(id, p)) {
-			c.t.Fatalf("request %d has not its page %d: %q", n, p, got.text)
+			c.t.Fatalf("request %d: page %d is missing in the result %q", n, p, got.text)
 		}
 	}
 }
--- a/internal/platform/watcher.go
+++ b/internal/platform/watcher.go
@@ -16,14 +16,15 @@
 )
 
 const (
-	// streamSilenceTimeout is the silence that counts as the end of a stream: a comment comes each second.
+	// streamSilenceTimeout is how long a stream may send nothing before it counts as broken. The discovery
+	// service sends a comment each second.
 	streamSilenceTimeout = 1700 * time.Millisecond
-	// replayWindow is how long after a stream's begin its events may be replayed.
+	// replayWindow is how long after the start of a stream its events may be replayed ones.
 	replayWindow = 500 * time.Millisecond
 	// minReconnectDelay and maxReconnectDelay are the bounds of the pause between calls.
 	minReconnectDelay = 50 * time.Millisecond
 	maxReconnectDelay = 400 * time.Millisecond
-	// streamBufferBytes is how much of a stream is read at once.
+	// streamBufferBytes is the size of the read buffer for a stream.
 	streamBufferBytes = 8 << 10
 )
 
@@ -32,21 +33,21 @@
 	errEventGap     = errors.New("events are missing")
 )
 
-// watcher polls the discovery service and hands its events to the core. One goroutine, in run, makes the
-// calls; redirect and applyKnown come from the lifecycle's goroutine, and any goroutine may ask for a
-// compute node.
+// watcher polls the discovery service and posts its lists of compute nodes to the core. One goroutine, in
+// run, makes the calls; redirect and applyKnown are called by the lifecycle's goroutine, and any goroutine
+// may look up a compute node.
 type watcher struct {
 	service *service
-	calls   atomic.Uint64 // made since the start
+	calls   atomic.Uint64 // number of calls made since the start
 	ctx     context.Context
 	stop    context.CancelFunc // ends run
-	backoff sse.Backoff        // for run's goroutine only
+	backoff sse.Backoff        // used only by run's goroutine
 
 	mu            sync.Mutex // guards the fields below, and the order of lists posted to the core
 	follower      *sse.Follower
-	sawEvent      bool // an event arrived, not only the configuration's
+	sawEvent      bool // an event arrived from the discovery service, not only from the configuration
 	discoveryAddr string
-	cancel        context.CancelFunc // of all that goes on at this address
+	cancel        context.CancelFunc // ends all calls and pauses for discoveryAddr
 }
 
 func newWatcher(s *service, addr string) *watcher {
@@ -58,28 +59,28 @@
 	return w
 }
 
-// engineAddr is the address of a compute node; empty: it is not in the list.
+// engineAddr returns the address of a compute node, or "" if it is not in the list.
 func (w *watcher) engineAddr(engine cresspass.EngineID) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.follower.Addr(engine)
 }
 
-// engineCount is how many compute nodes have an address.
+// engineCount returns how many compute nodes have an address.
 func (w *watcher) engineCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.follower.Len()
 }
 
-// accepting reports whether a compute node at an address takes new queries.
+// accepting reports whether a compute node at an address accepts new queries.
 func (w *watcher) accepting(engine cresspass.EngineID, addr string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.follower.AcceptsQueries(engine, addr)
 }
 
-// placement is a compute node at an address as the invariants see it.
+// placement returns the compute node at an address as the invariants see it.
 func (w *watcher) placement(engine cresspass.EngineID, addr string) invariant.Target {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -88,22 +89,22 @@
 		Accepting: w.follower.AcceptsQueries(engine, addr)}
 }
 
-// draining reports whether a compute node drains.
+// draining reports whether a compute node is draining.
 func (w *watcher) draining(engine cresspass.EngineID) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.follower.Draining(engine)
 }
 
-// lastEvent is the number of the last event.
+// lastEvent returns the revision of the last event.
 func (w *watcher) lastEvent() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.follower.LastRevision()
 }
 
-// redirect has the discovery service polled at another address, at once. The old address is
-// out of use, so neither a call under way nor a pause between calls goes on.
+// redirect polls the discovery service at another address from now on. The old address is out of use, so
+// pending calls to it and a pause between calls are cancelled.
 func (w *watcher) redirect(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -113,7 +114,8 @@
 	}
 }
 
-// applyKnown applies the events that a configuration knows. Those that were applied already are skipped.
+// applyKnown applies the events in a configuration. Those that were applied already are skipped. Until the
+// discovery service has sent an event, a complete list counts as a cached one.
 func (w *watcher) applyKnown(known []sse.WatchEvent) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -145,7 +147,7 @@
 	}
 }
 
-// target returns where to poll, and a context that ends when that changes.
+// target returns the address to poll, and a context that ends when the address changes.
 func (w *watcher) target() (context.Context, string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -154,9 +156,8 @@
 	return ctx, w.discoveryAddr
 }
 
-// watchAddr polls at one address until the context ends. A discovery service that is slow answers late,
-// one that is cut off never, and the two look alike: so an overdue call goes on, and others are made
-// beside it, one at a time.
+// watchAddr polls at one address until the context ends. A slow discovery service can't be told from one that
+// is cut off and never answers. So an overdue call continues while others are made beside it, one at a time.
 func (w *watcher) watchAddr(ctx context.Context, addr string) {
 	var older *pendingCall
 	defer func() { older.abandon() }()
@@ -181,7 +182,8 @@
 	}
 }
 
-// readStream applies the events of a stream until it ends, and returns why it did, and whether anything came.
+// readStream applies the events of a stream until it ends. It returns whether anything was received, and the
+// error that ended the stream.
 func (w *watcher) readStream(s *eventStream) (received bool, err error) {
 	defer s.close()
 	stop := context.AfterFunc(s.ctx, func() { expire(s.conn) })
@@ -211,7 +213,7 @@
 	}
 }
 
-// feed applies the events in a part of a stream, up to the first that can't be applied.
+// feed parses a part of a stream and applies its events, up to the first that can't be applied.
 func (w *watcher) feed(parser *sse.Parser, b []byte, begun time.Time) error {
 	var eventErr error
 	parseErr := parser.Feed(b, func(event sse.Event) {
@@ -225,7 +227,8 @@
 	return parseErr
 }
 
-// handleEvent applies an event and posts its list; replayed: it may be an old one.
+// handleEvent applies an event, posts its list, and closes the idle connections to removed compute nodes.
+// replayed says that the event may be an old one.
 func (w *watcher) handleEvent(event sse.Event, replayed bool) error {
 	result, removed, err := w.follow(event, replayed)
 	for _, engine := range removed {
@@ -237,8 +240,9 @@
 	return err
 }
 
-// follow has the follower apply an event, and posts its list to the core under the lock: without it,
-// the lists of two calls could cross. It returns the compute nodes that have gone.
+// follow has the follower apply an event, and posts the resulting list to the core. It does both under the
+// lock: otherwise the lists of two events could be posted in the wrong order. It returns the compute nodes
+// that were removed.
 func (w *watcher) follow(event sse.Event, replayed bool) (result sse.ApplyResult,
 	removed []cresspass.EngineID, err error) {
 	w.mu.Lock()
@@ -259,7 +263,8 @@
 	return result, removed, err
 }
 
-// ageByWallClock is what the mutant makes of start times: their age by the wall clock of the moment.
+// ageByWallClock is the fault of mutantWallClock: it shifts start times by the current step of the wall
+// clock.
 func (w *watcher) ageByWallClock(engines []cresspass.EngineInfo) {
 	ahead := time.Until(w.service.system.now())
 	for i := range engines {
--- a/internal/platform/watcher_test.go
+++ b/internal/platform/watcher_test.go
@@ -14,8 +14,8 @@
 	"cresspass/internal/discovery/sse"
 )
 
-// TestDiscoveryReconnects: a discovery service that breaks off, falls silent or moves is polled again
-// from the last complete event, and its lists reach the core.
+// TestDiscoveryReconnects checks that the discovery service is polled again from the last complete event if
+// its stream breaks off or falls silent or its address changes, and that its lists reach the core.
 func TestDiscoveryReconnects(t *testing.T) {
 	h := newHarness(t, 256)
 	second, third := newFakeNode(t), newFakeNode(t)
@@ -32,11 +32,12 @@
 		t.Errorf("polled from %v", asked)
 	}
 	h.discovery.add(false, "s-1", serverAddr(h.node.Server), "removed")
-	eventually(t, "the first has left", func() bool { return h.watcher.engineAddr("s-1") == "" })
+	eventually(t, "the first is removed", func() bool { return h.watcher.engineAddr("s-1") == "" })
 	client := h.dial()
 	client.mustServe(1, 1)
 	if h.node.callCount("POST") != 0 || second.callCount("POST") != 1 {
-		t.Errorf("first %d, second %d", h.node.callCount("POST"), second.callCount("POST"))
+		t.Errorf("the first compute node got %d queries, the second %d", h.node.callCount("POST"),
+			second.callCount("POST"))
 	}
 	moved := newFakeDiscovery(t)
 	h.discovery.mu.Lock()
@@ -47,7 +48,7 @@
 	if err := os.WriteFile(h.path, []byte("{half"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	h.reload() // it can't be read: all stays
+	h.reload() // the file can't be parsed, so nothing changes
 	if err := os.WriteFile(h.path, h.config(serverAddr(moved.Server)), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -65,8 +66,8 @@
 	})
 }
 
-// TestSlowDiscovery: a discovery service that takes longer for its answer than a healthy one, each time, is
-// followed all the same.
+// TestSlowDiscovery checks that events are received from a discovery service that always takes longer to
+// answer than a call may take before it is overdue.
 func TestSlowDiscovery(t *testing.T) {
 	h := newHarness(t, 256)
 	slow := newFakeDiscovery(t)
@@ -81,13 +82,14 @@
 		}
 	})
 	h.watcher.redirect(serverAddr(slow.Server))
-	eventually(t, "the slow discovery service is followed", func() bool {
+	eventually(t, "the list of the slow discovery service is known", func() bool {
 		return h.watcher.engineAddr("s-2") != ""
 	})
 }
 
-// TestRedirectDuringEvent: the new address is polled from the last complete event, whether the old one
-// stopped before its answer or in the middle of an event; the partial event is dropped.
+// TestRedirectDuringEvent checks that after a redirect the new address is polled from the last complete
+// event, whether the old one had not answered or had stopped in the middle of an event. The partial event is
+// dropped.
 func TestRedirectDuringEvent(t *testing.T) {
 	for name, text := range map[string]string{
 		"no answer":     "",
@@ -120,7 +122,8 @@
 	}
 }
 
-// Guards against a discovery service that accepts and closes at once, and is polled again without a backoff.
+// TestEmptyStreamsAreBackedOff guards against a discovery service that ends each stream at once and is polled
+// again without a backoff.
 func TestEmptyStreamsAreBackedOff(t *testing.T) {
 	const polls = 8
 	polled := make(chan time.Time, polls)
@@ -139,14 +142,15 @@
 	for range polls {
 		at = append(at, <-polled)
 	}
-	// By now a pause is maxReconnectDelay/2 at least; without a backoff it is minReconnectDelay at most.
+	// The last pause is at least maxReconnectDelay/2; without a backoff it would be at most
+	// minReconnectDelay.
 	if last := at[polls-1].Sub(at[polls-2]); last < maxReconnectDelay/4 {
 		t.Errorf("polled again %v after the last empty stream", last)
 	}
 }
 
-// TestRedirectInterruptsBackoff: a new address of the discovery service is polled at once, whatever the
-// backoff.
+// TestRedirectInterruptsBackoff checks that a new address of the discovery service is polled at once, even
+// during a backoff.
 func TestRedirectInterruptsBackoff(t *testing.T) {
 	h := newHarness(t, 256)
 	dead, err := net.Listen("tcp", "127.0.0.1:0")
@@ -158,14 +162,14 @@
 	defer w.stop()
 	w.backoff.Min, w.backoff.Max = time.Hour, time.Hour
 	go w.run()
-	eventually(t, "it polls in vain", func() bool { return w.calls.Load() == 1 })
+	eventually(t, "the dead address is polled", func() bool { return w.calls.Load() == 1 })
 	asked := len(h.discovery.polledFrom())
 	w.redirect(serverAddr(h.discovery.Server))
 	eventually(t, "the new address is polled", func() bool { return len(h.discovery.polledFrom()) > asked })
 }
 
-// TestReconnectsAreSpread: dispatchers that lost the discovery service in the same moment do not come back to
-// it in the same moments, and each waits no longer than the maximum.
+// TestReconnectsAreSpread checks that dispatchers which lose the discovery service at the same time reconnect
+// at different times, and that no pause exceeds the maximum.
 func TestReconnectsAreSpread(t *testing.T) {
 	const fleet, tries = 300, 6
 	var at []time.Duration
@@ -176,18 +180,18 @@
 		for range tries {
 			d := b.Next()
 			if d < minReconnectDelay/2 || d > maxReconnectDelay {
-				t.Fatalf("a pause of %v", d)
+				t.Fatalf("a pause of %v is out of bounds", d)
 			}
 			sum += d
 		}
 		at = append(at, sum)
 		if b.Reset(); b.Next() > minReconnectDelay {
-			t.Error("it does not start anew")
+			t.Error("Reset does not restart the backoff")
 		}
 	}
 	slices.Sort(at)
 	most := 0
-	for i, from := range at { // in any 20 ms
+	for i, from := range at { // in each interval of 20 ms
 		n := 0
 		for _, d := range at[i:] {
 			if d-from < 20*time.Millisecond {
@@ -197,12 +201,12 @@
 		most = max(most, n)
 	}
 	if most > fleet/5 {
-		t.Errorf("%d of %d come in the same 20 ms", most, fleet)
+		t.Errorf("%d of %d reconnect within the same 20 ms", most, fleet)
 	}
 }
 
-// TestStartTimeStableAcrossLists: a compute node whose start is in another list again has the same
-// start time; as a later one it would be taken for a new process, of which nothing is known.
+// TestStartTimeStableAcrossLists checks that a compute node keeps its start time across lists. With a later
+// start time it would be taken for a new process, of which nothing is known.
 func TestStartTimeStableAcrossLists(t *testing.T) {
 	h := newHarness(t, 256)
 	w := newWatcher(h.service, "")
