--- a/internal/frontend/thriftserver/conn.go
+++ b/internal/frontend/thriftserver/conn.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// ConnID names a client's connection; none is used twice.
+// ConnID identifies a client's connection. An id is not reused.
 type ConnID uint64
 
-// conn is what is known of a connection.
+// conn is the state of a connection.
 type conn struct {
 	open        map[int32]*Request // by sequence number
-	unwritten   int                // replies that were claimed and have not left
-	closing     bool               // nothing further that comes on it is accepted
-	sentMessage bool               // a complete message came
-	midMessage  bool               // a message has begun to come
+	unwritten   int                // replies that were claimed and not written yet
+	closing     bool               // no further messages are accepted
+	sentMessage bool               // a complete message has arrived
+	midMessage  bool               // a message has begun to arrive
 	lastActive  time.Time
 }
 
 func (c *conn) inUse() bool { return len(c.open) > 0 || c.unwritten > 0 || c.closing }
 
-// Phase says how far a connection is.
+// Phase is a phase in the life of a connection.
 type Phase int
 
 // The phases of a connection.
 const (
-	Serving Phase = iota
-	Closing       // nothing further that comes on it is accepted
-	Removed
+	Serving Phase = iota // messages are accepted
+	Closing              // no further messages are accepted
+	Removed              // not in the registry
 )
 
 // PhaseOf returns a connection's phase.
@@ -38,9 +38,9 @@
 	return Serving
 }
 
-// BeginMessage reports that the first byte of a message is there. It returns false where nothing more is
-// accepted. Until the last byte has come no request is open, yet a connection that is closed in between
-// takes the request with it.
+// BeginMessage records that the first byte of a message has arrived. It returns false if no further messages
+// are accepted. Until the last byte arrives no request is open, but closing the connection would still lose
+// the request.
 func (r *Registry) BeginMessage(now time.Time, id ConnID) bool {
 	c := r.conns[id]
 	if c == nil || c.closing {
@@ -50,21 +50,21 @@
 	return true
 }
 
-// MidMessage reports whether a message has begun to come on a connection, and not ended.
+// MidMessage reports whether a message has begun to arrive on a connection and is not handled yet.
 func (r *Registry) MidMessage(id ConnID) bool {
 	c := r.conns[id]
 	return c != nil && c.midMessage
 }
 
-// EndMalformed ends a connection whose bytes can't be read: all that is open on it is to be replied to with
-// FaultReply, and given up. The connection stays until RemoveConn.
+// EndMalformed closes a connection whose input is malformed, and returns its open requests. The caller must
+// reply to them with FaultReply and cancel them. The connection stays registered until RemoveConn.
 func (r *Registry) EndMalformed(id ConnID) (open []*Request) {
 	r.Close(id)
 	return r.EndOpen(id)
 }
 
-// Close has nothing further accepted on a connection, whatever is open on it. It returns false where there is
-// none.
+// Close makes the registry accept no further messages on a connection, even if requests are open on it. It
+// returns false if there is no such connection.
 func (r *Registry) Close(id ConnID) bool {
 	c := r.conns[id]
 	if c != nil {
@@ -73,7 +73,8 @@
 	return c != nil
 }
 
-// EndOpen ends what is open on a connection, which goes on: all of it is to be replied to.
+// EndOpen ends the open requests of a connection and returns them. The caller must reply to them. The
+// connection itself stays open.
 func (r *Registry) EndOpen(id ConnID) (open []*Request) {
 	if c := r.conns[id]; c != nil {
 		open = r.endRequests(c)
@@ -82,9 +83,10 @@
 	return open
 }
 
-// ReadTimedOut reports that nothing more came on a connection in the time for it. A silent one with nothing
-// open is retired, one that stopped in the middle of a message is ended as malformed. A client that waits
-// for replies says nothing for as long as its queries run, and its connection stays.
+// ReadTimedOut handles a connection on which nothing more arrived in time. A silent one without open requests
+// is retired, one that stopped in the middle of a message is ended as malformed. One whose client waits for
+// replies stays, because such a client sends nothing while its queries run. ReadTimedOut returns the requests
+// that it ended, and whether the connection is closing.
 func (r *Registry) ReadTimedOut(id ConnID) (open []*Request, end bool) {
 	c := r.conns[id]
 	switch {
@@ -96,8 +98,9 @@
 	return nil, c.closing || r.Retire(id)
 }
 
-// Retire has nothing further accepted on a connection that is to be closed. It returns false where the
-// connection is in use. A request that comes when its reply can no longer be written must not be forwarded.
+// Retire makes the registry accept no further messages on a connection that is to be closed: a request that
+// arrives when its reply can no longer be written must not be forwarded. It returns false, and changes
+// nothing, if the connection is in use.
 func (r *Registry) Retire(id ConnID) bool {
 	c := r.conns[id]
 	if c == nil || c.inUse() {
@@ -117,8 +120,8 @@
 	return open
 }
 
-// UnusedConns returns the connections on which nothing is open, nothing is being written and nothing has
-// begun to come.
+// UnusedConns returns the connections without an open request, an unwritten reply or the beginning of a
+// message, which are not closing.
 func (r *Registry) UnusedConns() (ids []ConnID) {
 	for id, c := range r.conns {
 		if !c.inUse() && !c.midMessage {
@@ -128,17 +131,17 @@
 	return ids
 }
 
-// EvictionCandidate picks the connection to be closed for a new one: one that never sent a message, if it
-// had as long as patience to do so, else the one that was silent for longest. One in the middle of a
-// message has as long as patience to go on. It returns false where none can be closed.
+// EvictionCandidate picks the connection to close for a new one: preferably one that never sent a message,
+// else the one that has been silent for longest. A connection without a message yet, or in the middle of one,
+// is spared until it has been silent for as long as grace. It returns false if no connection can be closed.
 //
-// The newest connections are spared because a first request is just on its way on them, and would fail with
-// them; a client that has used its connection before notices the close and connects again.
-func (r *Registry) EvictionCandidate(now time.Time, patience time.Duration) (ConnID, bool) {
+// The newest connections are spared because their first request may be in transit, and would be lost with
+// them. A client that has used its connection before notices the close and connects again.
+func (r *Registry) EvictionCandidate(now time.Time, grace time.Duration) (ConnID, bool) {
 	var best *conn
 	var bestID ConnID
 	for id, c := range r.conns {
-		if c.inUse() || (!c.sentMessage || c.midMessage) && now.Sub(c.lastActive) < patience {
+		if c.inUse() || (!c.sentMessage || c.midMessage) && now.Sub(c.lastActive) < grace {
 			continue
 		}
 		if best == nil || c.evictedBefore(best, id < bestID) {
@@ -148,7 +151,8 @@
 	return bestID, best != nil
 }
 
-// evictedBefore orders connections for eviction; older breaks a tie.
+// evictedBefore reports whether c is evicted before other. older, which says that c was registered first,
+// breaks a tie.
 func (c *conn) evictedBefore(other *conn, older bool) bool {
 	if c.sentMessage != other.sentMessage {
 		return !c.sentMessage
--- a/internal/frontend/thriftserver/conn_test.go
+++ b/internal/frontend/thriftserver/conn_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// TestEvictionCandidate: many connections that send nothing evict neither a client that just connected nor
-// one with a request open.
+// TestEvictionCandidate checks that many silent connections do not cause the eviction of a client that has
+// just connected or has an open request.
 func TestEvictionCandidate(t *testing.T) {
 	ms := time.Millisecond
 	type state struct {
 		busy, sent bool
 		silent     time.Duration
-		midMessage bool // a message began then
+		midMessage bool // a message began to arrive at that time
 	}
 	for name, c := range map[string]struct {
 		conns []state
@@ -46,7 +46,7 @@
 			}
 		}
 		if got, ok := r.EvictionCandidate(now, 500*ms); got != c.want || ok != (c.want > 0) {
-			t.Errorf("%s: %d %v, want %d", name, got, ok, c.want)
+			t.Errorf("%s: candidate %d, found: %v, want %d", name, got, ok, c.want)
 		}
 	}
 }
--- a/internal/frontend/thriftserver/golden_test.go
+++ b/internal/frontend/thriftserver/golden_test.go
@@ -8,8 +8,8 @@
 	"cresspass/internal/protocol/thrift"
 )
 
-// TestGoldenReplies: what is replied at once to a message is the recorded bytes, the texts that clients read
-// included.
+// TestGoldenReplies checks that immediate replies to messages, including their texts, equal the recorded
+// bytes.
 func TestGoldenReplies(t *testing.T) {
 	const long = "0123456789012345678901234567890123456789 and more"
 	good := func(seq int32, pairs ...string) []byte {
@@ -56,7 +56,7 @@
 	draining.Drain()
 	compareGolden(t, "alive_draining", draining.HandleMessage(now, 1,
 		draining.Decode(aliveFrame(3))).Reply)
-	// A call of a method that does not exist, and one that is cut.
+	// A call of an unknown method, and malformed frames.
 	unknown := []byte{0x80, 1, 0, 1, 0, 0, 0, 1, 'x', 0, 0, 0, 1, 0}
 	checkReply(t, New(&cfg), "unknown_method_call", unknown, good(1))
 	checkReply(t, New(&cfg), "cut", good(18)[:40], good(1))
@@ -68,7 +68,8 @@
 		good(1))
 }
 
-// checkReply compares the reply to a frame that comes after another one on a new connection.
+// checkReply compares the reply to a frame with the recorded bytes. The frame follows another one on a new
+// connection.
 func checkReply(t *testing.T, r *Registry, name string, frame, before []byte) {
 	t.Helper()
 	r.AddConn(startOfTest, 1)
--- a/internal/frontend/thriftserver/message.go
+++ b/internal/frontend/thriftserver/message.go
@@ -10,32 +10,32 @@
 // Message is a decoded frame.
 type Message struct {
 	request    thrift.Request
-	decodeErr  error // why the frame can't be read
+	decodeErr  error // set if the frame can't be decoded
 	event      cresspass.Event
 	params     Params
-	requestErr error // what is wrong with the request
+	requestErr error // set if the request is invalid
 }
 
-// MessageResult is what a message means for its connection.
+// MessageResult is the result of handling a message.
 type MessageResult struct {
-	Accepted  *Request        // a request was accepted; Event is for the module
-	Event     cresspass.Event // QueryArrived
-	Cancelled *Request        // its client no longer waits for it
-	Reply     []byte          // to be written at once
+	Accepted  *Request        // the accepted request, or nil; Event is for the module
+	Event     cresspass.Event // QueryArrived, if a request was accepted
+	Cancelled *Request        // the request that its client has cancelled, or nil
+	Reply     []byte          // to be written at once; nil if there is none
 
-	// Invalid: the request itself was at fault, for the Reason that Reply gives its client. Ticket is the
-	// request's id.
+	// Invalid is set if the request itself is invalid, for the Reason that Reply gives the client. Ticket
+	// identifies the request.
 	Invalid        bool
 	Ticket, Reason string
 
-	Rejected bool // the request of that Ticket was rejected
+	Rejected bool // the request with that Ticket was rejected
 
-	EndOfInput bool // nothing further on this connection can be read
+	EndOfInput bool // no further input on this connection can be read
 }
 
-// Decode reads a complete frame, without its length; the message points into it. It looks at nothing that
-// changes, so that the registry's lock need not be held: under it, a long statement of one client would
-// keep all others waiting.
+// Decode decodes a complete frame, without its length. The message refers to the frame's bytes. Decode is
+// safe for concurrent use, because it reads only what does not change. It needs no lock: under the registry's
+// lock, a long statement of one client would delay all others.
 func (r *Registry) Decode(frame []byte) (m Message) {
 	m.request, m.decodeErr = thrift.ParseRequest(frame)
 	if m.decodeErr == nil && m.request.Name == thrift.MethodDispatch {
@@ -44,8 +44,9 @@
 	return m
 }
 
-// HandleMessage takes a message. Where a request is at fault the reply says why; where the message
-// can't be read, or after EndMalformed, the connection is at its end. Nothing of the frame is kept.
+// HandleMessage handles a message that arrived on a connection. If its request is invalid, the reply says
+// why. If the message can't be read, or the connection is closing, the result has EndOfInput set.
+// HandleMessage keeps no reference to the frame.
 func (r *Registry) HandleMessage(now time.Time, id ConnID, m Message) (result MessageResult) {
 	c := r.conns[id]
 	if c == nil || c.closing {
@@ -62,8 +63,8 @@
 	return result
 }
 
-// check reports whether a message is a call that can be read; the result is that of one that is not. Its
-// client gets a reply where the header names a method.
+// check reports whether a message is a readable call. If it is not, result is the result of handling it: the
+// client gets a reply if the header names a method.
 func (m *Message) check() (result MessageResult, readable bool) {
 	switch {
 	case m.decodeErr == nil:
@@ -76,7 +77,7 @@
 	return result, readable
 }
 
-// call handles a call of one of the methods.
+// call handles a readable call.
 func (r *Registry) call(now time.Time, id ConnID, c *conn, m *Message) (result MessageResult) {
 	req := &m.request
 	switch req.Name {
@@ -93,7 +94,7 @@
 	return result
 }
 
-// otherReply is the reply to a call that concerns no request.
+// otherReply returns the reply to a call other than dispatch and cancelRequest.
 func (r *Registry) otherReply(req *thrift.Request) []byte {
 	if req.Name == thrift.MethodAlive {
 		return thrift.Answer{Method: req.Name, Good: !r.draining}.Append(nil, req.Seq)
@@ -102,8 +103,8 @@
 		Text: "unknown method"}.Append(nil, req.Seq)
 }
 
-// RejectMessage takes a message on a connection for which there is no capacity, and which the registry does
-// not hold. A request is rejected; all else is answered as on any connection.
+// RejectMessage handles a message on a connection that is not registered because there is no capacity for it.
+// A request is rejected; other calls are answered as on any connection.
 func (r *Registry) RejectMessage(m Message) MessageResult {
 	result, readable := m.check()
 	if !readable {
@@ -113,12 +114,12 @@
 	case thrift.MethodDispatch:
 		return r.reject(&m)
 	case thrift.MethodCancelRequest:
-		return MessageResult{} // nothing is open
+		return MessageResult{} // no request is open
 	}
 	return MessageResult{Reply: r.otherReply(&m.request)}
 }
 
-// dispatch handles a query.
+// dispatch handles a dispatch call: it accepts or rejects a request.
 func (r *Registry) dispatch(now time.Time, id ConnID, c *conn, m *Message) MessageResult {
 	if r.ending {
 		return r.reject(m)
@@ -132,7 +133,8 @@
 	return MessageResult{Accepted: accepted, Event: ev}
 }
 
-// reject is the result of a request that is not accepted, whatever it is.
+// reject returns the result of a request that can't be accepted now: a rejection, or a fault if it is
+// invalid.
 func (r *Registry) reject(m *Message) MessageResult {
 	if m.requestErr != nil {
 		return invalid(m, m.requestErr)
@@ -141,13 +143,13 @@
 		Reply: thrift.DispatchException{Which: thrift.ShedException}.Append(nil, m.request.Seq)}
 }
 
-// invalid is the result of a request that is itself at fault.
+// invalid returns the result of a request that is itself invalid.
 func invalid(m *Message, err error) MessageResult {
 	return MessageResult{Invalid: true, Reply: FaultReply(m.request.Seq, err.Error()),
 		Ticket: m.params.Ticket, Reason: err.Error()}
 }
 
-// FaultReply is the reply to a request that is itself at fault.
+// FaultReply returns a reply that fails a request for a reason, which its client receives.
 func FaultReply(seq int32, reason string) []byte {
 	return thrift.DispatchException{Which: thrift.FaultException,
 		Fields: []thrift.Field{{Name: "reason", Value: reason}}}.Append(nil, seq)
--- a/internal/frontend/thriftserver/params.go
+++ b/internal/frontend/thriftserver/params.go
@@ -12,21 +12,21 @@
 	"cresspass/internal/protocol/thrift"
 )
 
-// Bounds of what a request may say.
+// Bounds of the values in a request.
 const (
 	maxTimeLimit = time.Hour
-	maxEstimate  = 1e9 // of work and memory
+	maxEstimate  = 1e9 // of work in ms and of memory in MB
 	maxNameBytes = 256 // of a tenant's name or an ordering key
 	ticketDigits = 16
 	nonceDigits  = 32
 )
 
-// The fields of a dispatch call.
+// Names of the fields of a dispatch call.
 const (
 	fieldTicket = "txn"
 	fieldClass  = "verb"
 	fieldNonce  = "unique"
-	fieldRepeat = "second" // "1": a repeat of an earlier request
+	fieldRepeat = "second" // "1" marks a retry of an earlier request
 	fieldLimit  = "limit"  // the client's deadline in ms
 	fieldCost   = "cpu"    // estimate in ms
 	fieldMemory = "heap_mb"
@@ -36,17 +36,17 @@
 
 var errNoStatement = errors.New("no statement")
 
-// Params is what a request asks for, as far as it is forwarded to compute nodes.
+// Params holds the parameters of a request that are forwarded to compute nodes.
 type Params struct {
 	Ticket, Class, Nonce string
 	Body                 []byte
 }
 
-// parseParams turns a request into the module's event, still without its id. What is accepted here goes
-// into the headers of calls to compute nodes, so a value of the wrong form must not pass: it could forge a
-// header.
+// parseParams converts a request to the module's event, whose Query is not set yet. Accepted values are
+// written into the headers of calls to compute nodes, so a value with a wrong format must be rejected: it
+// could forge a header.
 //
-// Clients read the texts of the errors.
+// Clients receive the texts of the errors.
 func parseParams(effects map[string]cresspass.Effect,
 	call *thrift.Dispatch) (cresspass.Event, Params, error) {
 	fields := call.Fields
@@ -72,8 +72,8 @@
 	if ev.MemoryEstimateMB, err = parseNumber(fields, fieldMemory, maxEstimate); err != nil {
 		return ev, params, err
 	}
-	// Where the settings have classes that keep order (rule 5), or tenants with quotas, requests name key and
-	// tenant. Without them, queries of one key would run side by side.
+	// Requests name the ordering key and the tenant if the settings have ordered classes (rule 5) or tenants
+	// with quotas. Without the key, queries of one key would run side by side.
 	ev.Tenant, ev.Key = fields.Get(fieldTenant), fields.Get(fieldKey)
 	ev.RemainingDeadline = milliseconds(limit)
 	ev.CostEstimate = milliseconds(cost)
@@ -82,7 +82,7 @@
 	return ev, params, nil
 }
 
-// check says what is wrong with the values that are forwarded, and with the names that the module is given.
+// check returns an error if a forwarded value, the class, the tenant or the ordering key is invalid.
 func (p *Params) check(fields thrift.Fields, effect cresspass.Effect, knownClass bool) error {
 	switch {
 	case !isHex(p.Ticket, ticketDigits):
@@ -106,7 +106,7 @@
 	return len(s) == digits && strings.Trim(s, "0123456789abcdefABCDEF") == ""
 }
 
-// parseNumber reads a number from 0 to most; 0 where there is none.
+// parseNumber parses the field name, a number from 0 to most. It returns 0 if the field is missing.
 func parseNumber(fields thrift.Fields, name string, most float64) (float64, error) {
 	text, ok := fields.Lookup(name)
 	if !ok {
--- a/internal/frontend/thriftserver/registry.go
+++ b/internal/frontend/thriftserver/registry.go
@@ -1,7 +1,7 @@
-// Package thriftserver is the server side of the Thrift protocol between clients and dispatchers, without
-// its sockets: what each message means, which requests are open, who may reply to them, and which
-// connection can be closed for a new one. The Registry owns the state of all client connections and their
-// open requests. It does no I/O and reads no clock; admission and routing are the module's.
+// Package thriftserver is the server side of the Thrift protocol between clients and dispatchers, without its
+// sockets: it interprets messages, tracks open requests, decides who may reply to them, and picks connections
+// to close for new ones. The Registry owns the state of all client connections and their open requests. It
+// does no I/O and reads no clock. Admission and routing belong to the module.
 package thriftserver
 
 import (
@@ -14,7 +14,7 @@
 // MaxOpenRequests is how many requests may be open on a connection (PROTOCOL, clients to dispatchers).
 const MaxOpenRequests = 32
 
-// Why a request is not accepted. Clients read the texts.
+// Errors of requests that are not accepted. Clients receive the texts.
 var (
 	errSeqOpen    = errors.New("this number is open already")
 	errTooMany    = errors.New("too many requests open on this connection")
@@ -27,28 +27,28 @@
 	ID       cresspass.QueryID
 	Conn     ConnID
 	Seq      int32
-	Deadline time.Time // the client waits no longer
+	Deadline time.Time // until which the client waits
 }
 
-// ReplyTarget is where a reply goes.
+// ReplyTarget is the connection and the sequence number of a reply.
 type ReplyTarget struct {
 	Conn ConnID
 	Seq  int32
 }
 
-// Registry holds the client connections and the requests that are open on them. It is for one goroutine at a
-// time, except for Decode.
+// Registry holds the client connections and the requests that are open on them. Except for Decode, its
+// methods must not be called concurrently.
 type Registry struct {
 	effects  map[string]cresspass.Effect // by class
 	conns    map[ConnID]*conn
-	requests map[cresspass.QueryID]*Request
-	byTicket map[string]*Request
+	requests map[cresspass.QueryID]*Request // all open requests
+	byTicket map[string]*Request            // the same by ticket
 	lastID   cresspass.QueryID
-	draining bool
-	ending   bool
+	draining bool // alive is answered with false
+	ending   bool // all new requests are rejected
 }
 
-// New returns a registry without connections.
+// New returns a registry without connections, for the classes of a configuration.
 func New(cfg *cresspass.Config) *Registry {
 	r := &Registry{effects: map[string]cresspass.Effect{}, conns: map[ConnID]*conn{},
 		requests: map[cresspass.QueryID]*Request{}, byTicket: map[string]*Request{}}
@@ -58,30 +58,30 @@
 	return r
 }
 
-// ConnCount returns how many connections there are.
+// ConnCount returns how many connections are registered.
 func (r *Registry) ConnCount() int { return len(r.conns) }
 
 // OpenRequests returns how many requests have no reply yet.
 func (r *Registry) OpenRequests() int { return len(r.requests) }
 
-// Lookup returns a request that has no reply yet; nil: there is none of that id.
+// Lookup returns the open request with an id, or nil if there is none.
 func (r *Registry) Lookup(id cresspass.QueryID) *Request { return r.requests[id] }
 
-// Drain has alive be answered with false from now on.
+// Drain makes the method alive answer false from now on.
 func (r *Registry) Drain() { r.draining = true }
 
 // Draining reports whether Drain was called.
 func (r *Registry) Draining() bool { return r.draining }
 
-// End has every request rejected that comes from now on: it could not be answered in time.
+// End makes the registry reject every further request, because it could not be answered in time.
 func (r *Registry) End() { r.ending = true }
 
-// AddConn takes a new connection.
+// AddConn registers a new connection.
 func (r *Registry) AddConn(now time.Time, id ConnID) {
 	r.conns[id] = &conn{open: map[int32]*Request{}, lastActive: now}
 }
 
-// RemoveConn forgets a connection, and returns what was open on it: nobody waits for that any more.
+// RemoveConn removes a connection and returns its open requests, which no client waits for any more.
 func (r *Registry) RemoveConn(id ConnID) (open []*Request) {
 	if c := r.conns[id]; c != nil {
 		open = r.endRequests(c)
@@ -90,7 +90,7 @@
 	return open
 }
 
-// accept opens a request, or says why it can't be accepted.
+// accept opens a request, or returns an error that says why it is not accepted.
 func (r *Registry) accept(now time.Time, id ConnID, c *conn, m *Message) (*Request, error) {
 	seq := m.request.Seq
 	switch {
@@ -101,13 +101,14 @@
 	case len(c.open) >= MaxOpenRequests:
 		return nil, errTooMany
 	case r.byTicket[m.params.Ticket] != nil:
-		// A compute node knows a query by its ticket alone: of two open ones, one would get the other's rows.
+		// A compute node identifies a query only by its ticket: with two open requests of one ticket, one
+		// would get the other's rows.
 		return nil, errTicketOpen
 	}
 	r.lastID++
 	req := &Request{Params: m.params, ID: r.lastID, Conn: id, Seq: seq,
 		Deadline: now.Add(m.event.RemainingDeadline)}
-	req.Body = append([]byte(nil), m.params.Body...) // the frame's buffer is used again
+	req.Body = append([]byte(nil), m.params.Body...) // copied, because the frame's buffer is reused
 	c.open[req.Seq], r.requests[req.ID], r.byTicket[req.Ticket] = req, req, req
 	return req, nil
 }
@@ -126,8 +127,9 @@
 	return open
 }
 
-// ClaimReply hands out the right to reply to a request, which has one reply at most. RepliesWritten is owed
-// once the reply has left; until then the connection is in use, although no request may be open on it.
+// ClaimReply ends an open request and returns where to send its only reply. It returns false if no request
+// with that id is open. The caller must call RepliesWritten once the reply is written; until then the
+// connection is in use, even if no request is open on it.
 func (r *Registry) ClaimReply(now time.Time, id cresspass.QueryID) (ReplyTarget, bool) {
 	req := r.requests[id]
 	if req == nil {
@@ -140,7 +142,7 @@
 	return ReplyTarget{req.Conn, req.Seq}, true
 }
 
-// RepliesWritten reports that so many replies, of those that were claimed for a connection, have left.
+// RepliesWritten records that n of the replies that were claimed for a connection have been written.
 func (r *Registry) RepliesWritten(now time.Time, id ConnID, n int) {
 	if c := r.conns[id]; c != nil {
 		c.unwritten, c.lastActive = c.unwritten-n, now
--- a/internal/frontend/thriftserver/registry_test.go
+++ b/internal/frontend/thriftserver/registry_test.go
@@ -18,7 +18,7 @@
 
 func ticket(n int) string { return fmt.Sprintf("%016x", n) }
 
-// dispatchFrame is a client's request as the Thrift codec of this repository writes it.
+// dispatchFrame returns a client's request as the Thrift codec of this repository writes it.
 func dispatchFrame(seq int32, pairs ...string) []byte {
 	call := thrift.Dispatch{Body: []byte("SELECT a FROM t_3.u")}
 	for i := 0; i < len(pairs); i += 2 {
@@ -33,7 +33,7 @@
 
 func aliveFrame(seq int32) []byte { return thrift.Alive{}.Append(nil, seq)[thrift.FrameHeaderBytes:] }
 
-// registryModel plays clients on a few connections of a registry, and says what the registry must report.
+// registryModel simulates clients on a few connections, and checks the registry against the expected state.
 type registryModel struct {
 	t        *rapid.T
 	registry *Registry
@@ -43,7 +43,7 @@
 	conns    map[ConnID]*modelConn
 }
 
-// modelConn is what the model knows of a connection.
+// modelConn is the expected state of a connection.
 type modelConn struct {
 	alive, closing, midMessage bool
 	unwritten                  int
@@ -58,7 +58,7 @@
 	return m
 }
 
-// step draws one thing that a client, the front or the shutdown does.
+// step draws and carries out one action of a client, the frontend or the shutdown.
 func (m *registryModel) step() {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 300).Draw(m.t, "ms")) * time.Millisecond)
 	id := ConnID(rapid.IntRange(1, 3).Draw(m.t, "conn"))
@@ -93,7 +93,7 @@
 	}
 }
 
-// frame draws a message: a good request, one that is at fault, another method, or none at all.
+// frame draws a frame: a valid request, an invalid one, another method, or a malformed frame.
 func (m *registryModel) frame() []byte {
 	seq := int32(rapid.IntRange(1, 50).Draw(m.t, "seq"))
 	txn := ticket(rapid.IntRange(1, 60).Draw(m.t, "txn"))
@@ -111,14 +111,14 @@
 	}).Draw(m.t, "frame")
 }
 
-// message has a message come on a connection.
+// message has the registry handle a message on a connection.
 func (m *registryModel) message(id ConnID) {
 	c := m.conns[id]
 	result := m.registry.HandleMessage(m.now, id, m.registry.Decode(m.frame()))
 	c.midMessage = false
 	switch {
 	case (!c.alive || c.closing) && !result.EndOfInput:
-		m.t.Fatal("a message on no connection, or on one that is closing, was accepted")
+		m.t.Fatal("a message on an unregistered or closing connection was accepted")
 	case result.Accepted != nil:
 		m.accepted(&result)
 	case result.Cancelled != nil:
@@ -131,7 +131,7 @@
 	}
 }
 
-// accepted checks a request that was accepted, and enters it.
+// accepted checks a request that was accepted, and records it as open.
 func (m *registryModel) accepted(result *MessageResult) {
 	req := result.Accepted
 	target := ReplyTarget{req.Conn, req.Seq}
@@ -141,33 +141,34 @@
 			onConn++
 		}
 		if other == req.ID || at == target {
-			m.t.Fatalf("%+v accepted beside %d at %+v", req, other, at)
+			m.t.Fatalf("%+v was accepted although request %d is open at %+v", req, other, at)
 		}
 	}
 	if _, twice := m.tickets[req.Ticket]; twice || onConn >= MaxOpenRequests ||
 		result.Event.Query != req.ID || !req.Deadline.After(m.now) ||
 		result.Event.RemainingDeadline <= 0 || result.Reply != nil {
-		m.t.Fatalf("%+v accepted, its id is open: %v, of %d open, %+v", req, twice, onConn, result.Event)
+		m.t.Fatalf("%+v was accepted; its ticket was open: %v, %d open on its connection, event %+v",
+			req, twice, onConn, result.Event)
 	}
 	m.open[req.ID], m.tickets[req.Ticket] = target, req.ID
 }
 
-// ended checks that a request which ends was open, and forgets it.
+// ended checks that a request which ends was open, and removes it from the open ones.
 func (m *registryModel) ended(req *Request, how string) {
 	if at, ok := m.open[req.ID]; !ok || at != (ReplyTarget{req.Conn, req.Seq}) {
-		m.t.Fatalf("request %d of %+v %s, it is open: %v, at %+v", req.ID, req.Conn, how, ok, at)
+		m.t.Fatalf("request %d of connection %+v was %s; open: %v, at %+v", req.ID, req.Conn, how, ok, at)
 	}
 	delete(m.open, req.ID)
 	delete(m.tickets, req.Ticket)
 }
 
-// reply claims the reply to a request, which may be open.
+// reply claims the reply to a request, which may or may not be open.
 func (m *registryModel) reply() {
 	id := cresspass.QueryID(rapid.IntRange(1, 40).Draw(m.t, "reply"))
 	at, isOpen := m.open[id]
 	target, ok := m.registry.ClaimReply(m.now, id)
 	if ok != isOpen || ok && target != at {
-		m.t.Fatalf("reply to %d: %v at %+v, open: %v at %+v", id, ok, target, isOpen, at)
+		m.t.Fatalf("reply to %d: claimed: %v at %+v, open: %v at %+v", id, ok, target, isOpen, at)
 	}
 	if !ok {
 		return
@@ -181,7 +182,7 @@
 	delete(m.open, id)
 }
 
-// endConn ends a connection as malformed or closed; nothing is accepted on it after that.
+// endConn ends a connection as malformed or removes it, and checks that no further message is accepted on it.
 func (m *registryModel) endConn(id ConnID) {
 	c := m.conns[id]
 	var orphaned []*Request
@@ -198,7 +199,7 @@
 	}
 	late := m.registry.Decode(dispatchFrame(70, "verb", "quick", "limit", "9", "txn", ticket(99)))
 	if result := m.registry.HandleMessage(m.now, id, late); !result.EndOfInput {
-		m.t.Fatalf("a message after the end: %+v", result)
+		m.t.Fatalf("a message after the end was handled: %+v", result)
 	}
 }
 
@@ -210,18 +211,18 @@
 	}
 	for _, at := range m.open {
 		if at.Conn == id {
-			m.t.Fatalf("connection %d is evicted, %+v is open there", id, at)
+			m.t.Fatalf("connection %d would be evicted, but request %+v is open on it", id, at)
 		}
 	}
 	if c := m.conns[id]; !c.alive || c.unwritten > 0 {
-		m.t.Fatalf("connection %d is evicted, %d messages are not written", id, c.unwritten)
+		m.t.Fatalf("connection %d would be evicted, but %d replies are not written", id, c.unwritten)
 	}
 }
 
 func (m *registryModel) beginMessage(id ConnID) {
 	c := m.conns[id]
 	if ok := m.registry.BeginMessage(m.now, id); ok != (c.alive && !c.closing) {
-		m.t.Fatalf("a message begins: %v; alive %v, closing %v", ok, c.alive, c.closing)
+		m.t.Fatalf("BeginMessage returned %v; alive %v, closing %v", ok, c.alive, c.closing)
 	} else if ok {
 		c.midMessage = true
 	}
@@ -237,7 +238,7 @@
 	c.unwritten += len(orphaned)
 	over := !c.alive || c.closing || c.midMessage || c.unwritten == 0 && !wasUsed
 	if over != last {
-		m.t.Fatalf("overdue: ends %v, want %v", last, over)
+		m.t.Fatalf("ReadTimedOut ends the connection: %v, want %v", last, over)
 	}
 	c.closing = c.alive && last
 }
@@ -246,7 +247,7 @@
 	c := m.conns[id]
 	ok := m.registry.Retire(id)
 	if want := c.alive && !c.closing && c.unwritten == 0 && !m.used(id); ok != want {
-		m.t.Fatalf("retired: %v, want %v", ok, want)
+		m.t.Fatalf("Retire returned %v, want %v", ok, want)
 	}
 	c.closing = c.closing || ok
 	for _, other := range m.registry.UnusedConns() {
@@ -266,9 +267,9 @@
 	return false
 }
 
-// TestRequestEndsOnce: whatever clients send, cancel and break off, each request that was accepted has one
-// end: it is replied to where it came, is cancelled, or ends with its connection. No two that are open
-// share a number on a connection or an id, and no connection is evicted that is in use.
+// TestRequestEndsOnce checks that each accepted request ends exactly once, whatever clients send, cancel and
+// break off: it is replied to on its connection, is cancelled, or ends with its connection. No two open
+// requests share a ticket, or a sequence number on a connection, and no connection in use is evicted.
 func TestRequestEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newRegistryModel(t)
