--- a/internal/frontend/classify/classify.go
+++ b/internal/frontend/classify/classify.go
@@ -1,6 +1,7 @@
-// Package classify tells what a statement is to the decision module: its class, ordering key, table group,
-// tenant, cost estimate and deadline. A sqlcommenter comment of the statement counts first, then the match
-// rules of the settings in their order, then the default class. It does no I/O.
+// Package classify determines the properties of a statement that the decision module needs: its class,
+// ordering key, table group, tenant, cost estimate and deadline. The class comes from a sqlcommenter comment
+// in the statement, else from the match rules of the settings in their order, else it is the default class.
+// The package does no I/O.
 package classify
 
 import (
@@ -16,23 +17,24 @@
 	"cresspass/internal/protocol/sqlscan"
 )
 
-// Client is what is known of the client that sends a statement.
+// Client describes the client that sends a statement.
 type Client struct {
 	User, Database, Application string
-	Timeout                     time.Duration // 0: none
+	Timeout                     time.Duration // 0 if the client sets none
 	IsRetry                     bool          // its protocol says that it sent the statement before
 }
 
-// Classifier holds the settings. It may be used by many goroutines.
+// Classifier classifies statements according to the settings. It does not change and is safe for concurrent
+// use.
 type Classifier struct {
 	matchRules    []config.MatchRule
 	defaultClass  string
-	writeClass    string // of statements that write, in place of an idempotent class; "": none
+	writeClass    string // replaces an idempotent class for statements that write; "" if there is none
 	describeClass string // of descriptions
 	classes       map[string]cresspass.Class
 }
 
-// New returns a classifier for checked settings.
+// New returns a classifier for settings that have been validated.
 func New(cfg *config.Config) *Classifier {
 	c := &Classifier{
 		matchRules:    cfg.Matches,
@@ -47,13 +49,13 @@
 	return c
 }
 
-// The codes of statement errors, as in "PostgreSQL Error Codes".
+// SQLSTATE codes of statement errors, from "PostgreSQL Error Codes".
 const (
 	codeFeatureNotSupported   = "0A000"
 	codeInvalidParameterValue = "22023"
 )
 
-// StatementError tells why a statement is rejected before any engine sees it.
+// StatementError says why a statement is rejected before it is sent to an engine.
 type StatementError struct {
 	Code    string // SQLSTATE
 	Message string // for the client
@@ -61,7 +63,7 @@
 
 func (e *StatementError) Error() string { return e.Message + " (SQLSTATE " + e.Code + ")" }
 
-// The tags of a comment.
+// The tags that are read from a statement's comment.
 const (
 	tagClass    = "class"
 	tagTenant   = "tenant"
@@ -73,12 +75,12 @@
 	tagWaitMS   = "wait_ms"
 )
 
-// Classify returns the event by which a statement arrives at the decision module, or why there is none.
+// Classify returns the event QueryArrived for a statement, or the reason why the statement is rejected.
 func (c *Classifier) Classify(id cresspass.QueryID, client Client,
 	query *enginequery.Query) (cresspass.Event, *StatementError) {
 	event := cresspass.Event{Type: cresspass.QueryArrived, Query: id, IsRetry: client.IsRetry}
 	var tags map[string]string
-	if strings.Contains(query.Text, "='") { // most texts have no tags, and are not scanned for them
+	if strings.Contains(query.Text, "='") { // saves the scan of most texts, which have no tags
 		tags = sqlscan.Tags(query.Text)
 	}
 	c.applyMatchRules(&event, client, query.Text)
@@ -89,22 +91,22 @@
 	event.IsWrite = event.IsWrite || class.Effect != cresspass.Idempotent
 	event.RemainingDeadline = remainingDeadline(class.Deadline, client.Timeout, tags)
 	if event.AddsNoRetryBudget {
-		// What a comment says of cost, memory, key and tables concerns the run of the statement. A
-		// description that was taken to cost as much would be rejected, or queued behind its key.
+		// The cost, memory, key and tables in a comment apply to the execution of the statement. If they were
+		// applied to its description, that could be rejected for its cost or queued behind the key.
 		tags = map[string]string{tagTenant: tags[tagTenant], tagRepeat: tags[tagRepeat]}
 	}
 	applyTags(&event, tags)
 	return event, nil
 }
 
-// Idempotent reports whether a statement may be run any number of times: it writes nothing, and its class is
+// Idempotent reports whether a statement may be run more than once: it writes nothing, and its class is
 // idempotent.
 func (c *Classifier) Idempotent(client Client, query *enginequery.Query) bool {
 	event, err := c.Classify(0, client, query)
 	return err == nil && !event.IsWrite
 }
 
-// applyMatchRules takes the class and the tenant each from the first matching rule that names one.
+// applyMatchRules sets the class and the tenant, each from the first matching rule that names one.
 func (c *Classifier) applyMatchRules(event *cresspass.Event, client Client, text string) {
 	for i := range c.matchRules {
 		rule := &c.matchRules[i]
@@ -127,8 +129,8 @@
 		(rule.Pattern == nil || rule.Pattern.MatchString(text))
 }
 
-// chooseClass sets an event's class, by its tags, by the match rules that were applied, by default, and by
-// what the statement does.
+// chooseClass sets the class of an event: the one in the tags, else the one from the match rules, else the
+// default class. Descriptions, and statements that write, may get another class.
 func (c *Classifier) chooseClass(event *cresspass.Event, query *enginequery.Query,
 	tags map[string]string) *StatementError {
 	if name, ok := tags[tagClass]; ok {
@@ -142,8 +144,8 @@
 		event.Class = c.defaultClass
 	}
 	if query.Kind == enginequery.DescribeStatement || query.Kind == enginequery.DescribePortal {
-		// A client asks for a description on the way to its request. If it counted as a request of its own,
-		// more retries would be sent than the requests allow (rule 7).
+		// A client asks for a description in preparation of its request. If the description counted as a
+		// request, more retries would be sent than the requests allow (rule 7).
 		event.Class, event.AddsNoRetryBudget = c.describeClass, true
 		return nil
 	}
@@ -153,8 +155,8 @@
 	if !event.IsWrite || c.classes[event.Class].Effect != cresspass.Idempotent {
 		return nil
 	}
-	// In an idempotent class, a statement that writes would be run twice when the outcome of its first
-	// attempt is not known.
+	// In an idempotent class, a statement that writes could be run twice if the outcome of its first attempt
+	// is not known.
 	if c.writeClass == "" {
 		return &StatementError{codeFeatureNotSupported, "the statement may write, its class " +
 			strconv.Quote(event.Class) + " is one that is repeated, and the settings name no write_class"}
@@ -163,8 +165,8 @@
 	return nil
 }
 
-// remainingDeadline returns the least of a class's deadline, the client's timeout and the one that a comment
-// gives.
+// remainingDeadline returns the shortest of the class's deadline, the client's timeout and the deadline in
+// the tags.
 func remainingDeadline(deadline, timeout time.Duration, tags map[string]string) time.Duration {
 	if timeout > 0 {
 		deadline = min(deadline, timeout)
@@ -175,7 +177,8 @@
 	return deadline
 }
 
-// applyTags takes in what a comment says besides the class. Values that are no numbers count as none.
+// applyTags sets an event's fields from the tags other than the class and the deadline. It ignores numeric
+// tags with invalid values.
 func applyTags(event *cresspass.Event, tags map[string]string) {
 	if tenant := tags[tagTenant]; tenant != "" && event.Tenant == "" {
 		event.Tenant = tenant
@@ -194,7 +197,7 @@
 	event.IsRetry = event.IsRetry || repeat != "" && repeat != "0"
 }
 
-// tableGroup returns the number that stands for a group of tables: itself where it is one, else a hash.
+// tableGroup returns the number of a group of tables: the value itself if it is a number, else a hash of it.
 func tableGroup(tables string) float64 {
 	if n, err := strconv.ParseFloat(tables, 64); err == nil && !math.IsNaN(n) && !math.IsInf(n, 0) {
 		return n
@@ -209,10 +212,10 @@
 	return time.Duration(n * float64(time.Millisecond)), ok
 }
 
-// maxTagValue is above any number that a tag can mean.
+// maxTagValue is the upper bound, exclusive, of numbers in tags.
 const maxTagValue = 1e9
 
-// parsePositive reads a number above zero and below maxTagValue.
+// parsePositive parses a number above zero and below maxTagValue.
 func parsePositive(text string) (float64, bool) {
 	n, err := strconv.ParseFloat(text, 64)
 	return n, err == nil && n > 0 && n < maxTagValue
--- a/internal/frontend/classify/classify_test.go
+++ b/internal/frontend/classify/classify_test.go
@@ -50,11 +50,11 @@
 }
 `
 
-// rejected stands in a table for the class of a statement that is rejected.
+// rejected is the expected class, in a test table, of a statement that is rejected.
 const rejected = "!"
 
-// TestClassOfStatement: tags go before match rules, match rules in their order before the default; what may
-// write is never in an idempotent class.
+// TestClassOfStatement checks that tags take precedence over match rules, and match rules, in their order,
+// over the default class, and that a statement that may write never gets an idempotent class.
 func TestClassOfStatement(t *testing.T) {
 	cfg, err := config.Parse("c.hcl", []byte(settings))
 	if err != nil {
@@ -105,7 +105,7 @@
 	}
 }
 
-// TestTags: what a comment says is read, and values that are no numbers count as none.
+// TestTags checks that the tags of a comment are read, and that numeric tags with invalid values are ignored.
 func TestTags(t *testing.T) {
 	cfg, err := config.Parse("c.hcl", []byte(settings))
 	if err != nil {
--- a/internal/frontend/classify/golden_test.go
+++ b/internal/frontend/classify/golden_test.go
@@ -9,8 +9,8 @@
 	"cresspass/internal/protocol/sqlscan"
 )
 
-// TestGoldenStatementErrors: clients receive the code and the text of a statement error, so they outlive
-// every rename in the code.
+// TestGoldenStatementErrors checks that the code and the text of statement errors, which clients receive, do
+// not change.
 func TestGoldenStatementErrors(t *testing.T) {
 	cfg, err := config.Parse("c.hcl", []byte(strings.Replace(settings, "write_class    = \"once\"\n", "", 1)))
 	if err != nil {
