--- a/internal/overload/limiter.go
+++ b/internal/overload/limiter.go
@@ -1,6 +1,6 @@
-// Package overload decides how a dispatcher protects itself: when new connections and queries are rejected
-// so that those already admitted can be served, and when the lag of its own event loop is a fault. It does
-// no I/O and reads no clock, and knows nothing of engines: those are the decision module's.
+// Package overload decides how a dispatcher protects itself: when to reject new connections and queries so
+// that those already admitted can be served, and when the event loop lags. It does no I/O and reads no clock.
+// It does not deal with engines, which belong to the decision module.
 package overload
 
 import (
@@ -10,35 +10,36 @@
 	"cresspass/internal/overload/quota"
 )
 
-// Limits bound what a dispatcher takes on. Zero switches a limit off.
+// Limits are the limits of a dispatcher's load. Zero disables a limit.
 type Limits struct {
 	OpenQueries   int   // queries without an answer, of all fronts
-	BufferedBytes int64 // bytes of answers that wait for clients, of all fronts
+	BufferedBytes int64 // bytes of answers that clients have not read yet, of all fronts
 	Connections   int   // of all fronts
-	// FrontQuotas are the parts of these three that are reserved for a front, from 0 to 1 by its name.
+	// FrontQuotas are the shares of these three limits, from 0 to 1, that are reserved for a front, by its
+	// name.
 	FrontQuotas         map[string]float64
 	ConnectionsPerUser  int
 	FileDescriptors     int           // of the process
-	ReservedDescriptors int           // that stay free for engines, discovery and the log
+	ReservedDescriptors int           // kept free for engines, discovery and the log
 	LoopLag             time.Duration // a batch of the event loop that takes longer is late
 }
 
-// Limiter counts what limits are about. It is for one goroutine at a time.
+// Limiter counts the load of a dispatcher and enforces its limits. It must not be used concurrently.
 type Limiter struct {
 	limits          Limits
 	queries         *quota.Capacity
 	bufferedBytes   *quota.Capacity
 	connections     *quota.Capacity
-	userConnections map[string]int
+	userConnections map[string]int // by user
 
-	lateSamples [lagWindow]bool // a ring of the last samples of the loop's lag
-	nextSample  int
-	lateCount   int
+	lateSamples [lagWindow]bool // ring buffer: which of the last samples of the loop's lag were late
+	nextSample  int             // index into lateSamples
+	lateCount   int             // number of late samples in lateSamples
 	lagging     bool
 }
 
-// Of the last lagWindow samples, lagEnterCount late ones make the loop lag, and it no longer does when
-// lagLeaveCount are late. The distance keeps the state from flickering.
+// The loop lags once at least lagEnterCount of the last lagWindow samples are late, until at most
+// lagLeaveCount are. The gap between the two keeps the state from oscillating.
 const (
 	lagWindow     = 16
 	lagEnterCount = 4
@@ -56,7 +57,7 @@
 	}
 }
 
-// SetLimits changes the limits. What was admitted stays.
+// SetLimits changes the limits. Connections and queries that were admitted stay admitted.
 func (l *Limiter) SetLimits(limits Limits) {
 	l.limits = limits
 	l.queries.SetLimit(int64(limits.OpenQueries), limits.FrontQuotas)
@@ -64,18 +65,18 @@
 	l.connections.SetLimit(int64(limits.Connections), limits.FrontQuotas)
 }
 
-// SetBufferedBytes notes how many bytes of answers wait for the clients of a front.
+// SetBufferedBytes sets how many bytes of answers the clients of a front have not read yet.
 func (l *Limiter) SetBufferedBytes(front string, n int64) { l.bufferedBytes.SetUsed(front, n) }
 
-// AcquireConnection admits one more connection of a front, where there is capacity. One that was admitted
-// must be given back by ReleaseConnection.
+// AcquireConnection reports whether one more connection of a front is admitted. An admitted connection must
+// be released by ReleaseConnection.
 func (l *Limiter) AcquireConnection(front string) bool { return l.connections.Acquire(front, 1) }
 
-// ReleaseConnection gives a connection back.
+// ReleaseConnection releases a connection that AcquireConnection admitted.
 func (l *Limiter) ReleaseConnection(front string) { l.connections.Release(front, 1) }
 
-// AcquireQuery reports whether one more query of a front is admitted, and why not. One that was admitted
-// must be given back by ReleaseQuery. Clients receive the reason.
+// AcquireQuery reports whether one more query of a front is admitted, and if not, why. An admitted query must
+// be released by ReleaseQuery. Clients receive the reason.
 func (l *Limiter) AcquireQuery(front string) (reason string, ok bool) {
 	switch {
 	case l.bufferedBytes.Available(front) <= 0:
@@ -90,15 +91,15 @@
 	return "", true
 }
 
-// ReleaseQuery gives a query back.
+// ReleaseQuery releases a query that AcquireQuery admitted.
 func (l *Limiter) ReleaseQuery(front string) { l.queries.Release(front, 1) }
 
-// OpenQueries returns the number of queries admitted and not given back.
+// OpenQueries returns the number of queries that were admitted and not released yet.
 func (l *Limiter) OpenQueries() int { return int(l.queries.TotalUsed()) }
 
-// AcquireUserConnection reports whether a user may have one more connection, and why not, with openFiles
-// descriptors in use by the process. One that was admitted must be given back by ReleaseUserConnection.
-// Clients receive the reason.
+// AcquireUserConnection reports whether one more connection of a user is admitted, and if not, why. openFiles
+// is the number of descriptors that the process has open. An admitted connection must be released by
+// ReleaseUserConnection. Clients receive the reason.
 func (l *Limiter) AcquireUserConnection(user string, openFiles int) (reason string, ok bool) {
 	limits, connections := &l.limits, l.userConnections[user]
 	switch {
@@ -112,15 +113,15 @@
 	return "", true
 }
 
-// ReleaseUserConnection gives a user's connection back.
+// ReleaseUserConnection releases a connection that AcquireUserConnection admitted.
 func (l *Limiter) ReleaseUserConnection(user string) {
 	if l.userConnections[user]--; l.userConnections[user] <= 0 {
 		delete(l.userConnections, user)
 	}
 }
 
-// ObserveLag takes in a sample of the loop's lag: how long the longest batch took since the last sample. It
-// reports whether the loop lags, and whether that has just changed.
+// ObserveLag records a sample of the loop's lag: the duration of the longest batch since the last sample. It
+// reports whether the loop lags, and whether this sample changed that.
 func (l *Limiter) ObserveLag(longest time.Duration) (lagging, changed bool) {
 	late := l.limits.LoopLag > 0 && longest > l.limits.LoopLag
 	if l.lateSamples[l.nextSample] {
--- a/internal/overload/limiter_test.go
+++ b/internal/overload/limiter_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Counts never pass their limits, go back to nothing when all is released, and a rejection names the limit
-// that was reached.
+// TestLimits checks that counts never exceed their limits and return to zero when everything is released, and
+// that each rejection has a reason.
 func TestLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{
@@ -30,7 +30,8 @@
 				reason, ok := limiter.AcquireQuery("a")
 				want := (l.OpenQueries == 0 || open < l.OpenQueries) && buffered < 1000
 				if ok != want || ok != (reason == "") {
-					t.Fatalf("%d open, %d buffered, limits %+v: %v %q", open, buffered, l, ok, reason)
+					t.Fatalf("%d open, %d buffered, limits %+v: admitted: %v, reason %q",
+						open, buffered, l, ok, reason)
 				}
 				if ok {
 					open++
@@ -45,7 +46,8 @@
 				reason, ok := limiter.AcquireUserConnection(user, files)
 				want := (l.ConnectionsPerUser == 0 || users[user] < l.ConnectionsPerUser) && files < 90
 				if ok != want || ok != (reason == "") {
-					t.Fatalf("%d of %s, %d files, limits %+v: %v %q", users[user], user, files, l, ok, reason)
+					t.Fatalf("%d of user %s, %d files, limits %+v: admitted: %v, reason %q",
+						users[user], user, files, l, ok, reason)
 				}
 				if ok {
 					users[user]++
@@ -68,14 +70,14 @@
 	})
 }
 
-// The loop lags from the fourth late sample on, until but one of the last sixteen is late; single late
-// samples are none of that.
+// TestLag checks that the loop lags from the fourth late sample on, until at most one of the last sixteen
+// samples is late, and that single late samples do not make it lag.
 func TestLag(t *testing.T) {
 	limiter := New(Limits{LoopLag: 50 * time.Millisecond})
 	var changes strings.Builder
 	for i := range 60 {
 		longest := time.Millisecond
-		// a single late sample, a stretch of them, another single one
+		// A single late sample, a series of them, and another single one.
 		if i == 3 || i >= 10 && i < 16 || i == 40 {
 			longest = 80 * time.Millisecond
 		}
@@ -84,6 +86,6 @@
 		}
 	}
 	if changes.String() != "in out " {
-		t.Errorf("the lag came and went as %q", changes.String())
+		t.Errorf("the lag changed as %q, want it to begin and end once", changes.String())
 	}
 }
--- a/internal/overload/quota/capacity_test.go
+++ b/internal/overload/quota/capacity_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// Never more than the limit is in use, and a front below what is reserved for it always acquires more,
-// whatever the others do.
+// TestReservedCapacity checks that the use never exceeds the limit, and that a front which uses less than is
+// reserved for it can always acquire more, whatever the others do.
 func TestReservedCapacity(t *testing.T) {
 	fronts := []string{"a", "b", "other"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -24,10 +24,10 @@
 			before := c.Used(front)
 			ok := c.Acquire(front, 1)
 			if !ok && before < c.reserved[front] {
-				t.Fatalf("%s has %d of its %d, and is rejected", front, before, c.reserved[front])
+				t.Fatalf("%s uses %d of its reserved %d and is rejected", front, before, c.reserved[front])
 			}
 			if !ok && c.TotalUsed() < limit-c.reserved["a"]-c.reserved["b"] {
-				t.Fatalf("%s is rejected with %d of %d in use", front, c.TotalUsed(), limit)
+				t.Fatalf("%s is rejected although only %d of %d are in use", front, c.TotalUsed(), limit)
 			}
 			if c.TotalUsed() > limit || ok != (c.Used(front) == before+1) {
 				t.Fatalf("%d in use of %d", c.TotalUsed(), limit)
--- a/internal/overload/rapidreset/limiter.go
+++ b/internal/overload/rapidreset/limiter.go
@@ -1,39 +1,41 @@
-// Package rapidreset decides when a connection is to be closed because its client starts calls only to cancel
-// them: each costs the server a call's work and the client nothing ("HTTP/2 Rapid Reset", CVE-2023-44487). It
-// does no I/O and reads no clock.
+// Package rapidreset decides when to close a connection because its client starts calls only to cancel them:
+// each costs the server the work of a call and the client nothing ("HTTP/2 Rapid Reset", CVE-2023-44487). The
+// package does no I/O and reads no clock.
 package rapidreset
 
 import "time"
 
-// Limits of what a connection may cancel, as a token bucket.
+// Limits are the limits of early cancellations on a connection: the parameters of a token bucket that each
+// early cancellation takes a token from.
 type Limits struct {
-	Burst  float64 // calls cancelled at once
-	Rate   float64 // and in each second, besides
-	Refund float64 // for each call that was let run to its end, so many more
-	// EarlyCancel is the age below which the cancellation of a call counts. One that ran for longer has cost
-	// its client the wait.
+	Burst  float64 // size of the bucket: cancellations at once
+	Rate   float64 // tokens added per second
+	Refund float64 // tokens added for each call that was not cancelled
+	// EarlyCancel is the duration of a call below which its cancellation takes a token. A client that cancels
+	// later has spent time waiting.
 	EarlyCancel time.Duration
 }
 
-// DefaultLimits let a client cancel whatever a person or a driver with a deadline would.
+// DefaultLimits returns limits that allow the cancellations of interactive users and of drivers with a
+// deadline.
 func DefaultLimits() Limits {
 	return Limits{Burst: 500, Rate: 50, Refund: 1, EarlyCancel: 100 * time.Millisecond}
 }
 
-// Limiter is the token bucket of one connection. Make one with New. It is for one goroutine at a time.
+// Limiter is the token bucket of one connection. It must be created by New and must not be used concurrently.
 type Limiter struct {
 	limits     Limits
 	tokens     float64
 	refilledAt time.Duration
 }
 
-// New returns a limiter with a full bucket.
+// New returns a limiter with a full bucket. now is a time of the clock that CallEnded uses.
 func New(l Limits, now time.Duration) *Limiter {
 	return &Limiter{limits: l, tokens: l.Burst, refilledAt: now}
 }
 
-// CallEnded takes in the end of a call that ran for a duration, and reports whether the connection has
-// exceeded its limits and is to be closed.
+// CallEnded records the end of a call that ran for a duration, and whether its client cancelled it. It
+// reports whether the connection has exceeded its limits and should be closed.
 func (l *Limiter) CallEnded(now, duration time.Duration, cancelled bool) (exceeded bool) {
 	l.tokens = min(l.limits.Burst, l.tokens+max(now-l.refilledAt, 0).Seconds()*l.limits.Rate)
 	l.refilledAt = max(now, l.refilledAt)
--- a/internal/overload/rapidreset/limiter_test.go
+++ b/internal/overload/rapidreset/limiter_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// A client that cancels its calls at once is stopped after its burst, and no other is: not one that lets
-// calls run for a while before it cancels them, nor one that cancels no more than its rate, nor one that
-// lets as many run to their end.
+// TestLimiter checks that a client which cancels its calls at once exceeds the limits after its burst. A
+// client does not exceed them if it lets calls run for a while before it cancels them, cancels no faster than
+// the rate, or lets as many calls run to their end as it cancels.
 func TestLimiter(t *testing.T) {
 	limits := DefaultLimits()
 	for name, c := range map[string]struct {
 		pause, duration time.Duration
-		completed       int // calls that run to their end, for each that is cancelled
+		completed       int // calls that run to their end for each cancelled one
 		exceeds         bool
 	}{
 		"cancelled at once":            {exceeds: true},
