--- a/internal/platform/accept.go
+++ b/internal/platform/accept.go
@@ -13,7 +13,7 @@
 const (
 	minAcceptBackoff     = time.Millisecond      // pause after a local accept error, doubled...
 	maxAcceptBackoff     = 16 * time.Millisecond // ...for each consecutive one, up to this
-	maxAcceptErrors      = 16                    // consecutive errors of any kind without a pause
+	maxAcceptErrors      = 16                    // consecutive errors; after more, each one causes a pause
 	acceptBlockedAfter   = time.Millisecond      // an accept that took longer waited for a connection
 	backlogPollTimeout   = 2 * time.Millisecond  // of an accept while the backlog is drained
 	maxEmptyBacklogPolls = 3                     // consecutive timeouts; one more ends the draining
--- a/internal/platform/clientwrite.go
+++ b/internal/platform/clientwrite.go
@@ -12,9 +12,9 @@
 // writeChunkBytes is the size of a chunk of output, which a client must accept within its write timeout.
 const writeChunkBytes = 16 << 10
 
-// send writes b, which holds so many messages, without waiting for the client. It writes what the socket
-// accepts at once: on busy cores the goroutine of flush would have to wait to be scheduled, and answers would
-// be late.
+// send writes b, which holds that number of messages, without waiting for the client. It writes what the
+// socket accepts at once: on busy cores the goroutine of flush would have to wait to be scheduled, and
+// answers would be late.
 func (c *clientConn) send(b []byte, messages int) {
 	c.mu.Lock()
 	c.pendingMessages += messages
@@ -138,7 +138,7 @@
 		c.conn.Close()
 		return
 	}
-	_ = c.conn.CloseWrite() // fails only where the connection has ended already
+	_ = c.conn.CloseWrite() // fails only if the connection has ended already
 	c.conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 }
 
--- a/internal/platform/descriptorbudget.go
+++ b/internal/platform/descriptorbudget.go
@@ -4,7 +4,7 @@
 
 // How the file descriptors of the process are divided.
 const (
-	evictAboveShare     = 0.42 // share of all; above so many client connections, new ones evict old ones
+	evictAboveShare     = 0.42 // of all; with more client connections, new ones evict old ones
 	reservedDescriptors = 24   // for discovery, the listener, the log, overflow and reading a file
 	headroomDivisor     = 16   // 1/headroomDivisor of all is kept free of calls to compute nodes
 	minNodeConns        = 8    // connections to compute nodes that are always allowed
@@ -20,7 +20,7 @@
 	clientConns atomic.Int32
 }
 
-// newDescriptorBudget returns the budget of a process that may have so many descriptors open.
+// newDescriptorBudget returns the budget of a process that may have sockets descriptors open.
 func newDescriptorBudget(sockets int) *descriptorBudget {
 	return &descriptorBudget{total: sockets - reservedDescriptors,
 		evictAbove: int(evictAboveShare * float64(sockets)), headroom: sockets / headroomDivisor}
@@ -35,7 +35,7 @@
 // checks and for calls that cancel a query.
 func (b *descriptorBudget) urgentNodeConns() int { return b.headroom / 2 }
 
-// clientsExhausted reports whether clients hold all descriptors that are left beside so many connections to
+// clientsExhausted reports whether clients hold all descriptors that are left beside nodeConns connections to
 // compute nodes. Without this limit a flood of idle clients would take the descriptors of the urgent calls
 // and then that of discovery.
 func (b *descriptorBudget) clientsExhausted(nodeConns int) bool {
--- a/internal/platform/fakediscovery_test.go
+++ b/internal/platform/fakediscovery_test.go
@@ -18,7 +18,7 @@
 	mu           sync.Mutex
 	events       []string
 	lastEventIDs []string
-	truncate     int  // so many more streams end in the middle of their next event
+	truncate     int  // number of streams still to be ended in the middle of their next event
 	silent       bool // streams stay open and send nothing
 }
 
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -64,7 +64,7 @@
 	return data
 }
 
-// newHarness starts a dispatcher with a limit of so many descriptors.
+// newHarness starts a dispatcher whose configuration limits its descriptors to sockets.
 func newHarness(t *testing.T, sockets int) *harness {
 	t.Helper()
 	return newHarnessWith(t, sockets, "", "")
--- a/internal/platform/lifecycle.go
+++ b/internal/platform/lifecycle.go
@@ -40,7 +40,7 @@
 	exitAfter    time.Duration // from failOpen to exit
 }
 
-// run is the main loop of a dispatcher. It returns when a shutdown is complete.
+// run is the main loop of a dispatcher. It returns when a shutdown is complete or its time is over.
 func (s *service) run(signals <-chan os.Signal) error {
 	l := &lifecycle{service: s, sweep: time.NewTicker(sweepInterval), reload: reloadRetry{service: s}}
 	defer l.sweep.Stop()
--- a/internal/platform/nodepool_test.go
+++ b/internal/platform/nodepool_test.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// truncatingConn writes so many bytes of a write, resets the connection and returns EPIPE.
+// truncatingConn writes only the first bytes of a write, as many as after says, then resets the connection
+// and returns EPIPE.
 type truncatingConn struct {
 	net.Conn
 	after int
--- a/internal/platform/overflow.go
+++ b/internal/platform/overflow.go
@@ -47,7 +47,7 @@
 			break
 		}
 	}
-	_ = c.conn.CloseWrite() // fails only where the connection has ended already
+	_ = c.conn.CloseWrite() // fails only if the connection has ended already
 	c.conn.SetReadDeadline(time.Now().Add(overflowLinger))
 	c.discardInput()
 }
--- a/internal/platform/overflow_test.go
+++ b/internal/platform/overflow_test.go
@@ -35,7 +35,7 @@
 	})
 }
 
-// sendFrom sends one request on each of so many new connections.
+// sendFrom opens that number of connections and sends one request on each.
 func (h *harness) sendFrom(clients int, limit string) (waiting []*testClient) {
 	for n := range clients {
 		client := h.dial()
--- a/internal/platform/testclient_test.go
+++ b/internal/platform/testclient_test.go
@@ -78,7 +78,7 @@
 	return out
 }
 
-// mustServe sends one request and expects its own result with so many pages.
+// mustServe sends one request and expects its own result with that number of pages.
 func (c *testClient) mustServe(n, pages int) {
 	c.t.Helper()
 	id := ticket(n)
