--- a/internal/platform/fakenode_test.go
+++ b/internal/platform/fakenode_test.go
@@ -19,8 +19,8 @@
 type fakeNode struct {
 	*httptest.Server
 	mu      sync.Mutex
-	calls   []string    // "POST", "GET 0", ..., "DELETE", each followed by the ticket
-	headers http.Header // of the last POST
+	calls   []string                                                               // "POST", "GET 0", ..., "DELETE", each followed by the ticket
+	headers http.Header                                                            // of the last POST
 	handler func(w http.ResponseWriter, r *http.Request, call, ticket string) bool // false: default answer
 	pages   int
 
