--- a/internal/platform/accept.go
+++ b/internal/platform/accept.go
@@ -53,20 +53,21 @@
 }
 
 // handleAcceptError evicts a connection if no descriptor is left, and pauses if the error is not that of a
-// single connection or errors persist. inRow is the number of errors since the last accepted connection.
-func (f *frontend) handleAcceptError(err error, inRow int) {
+// single connection or errors persist. consecutive is the number of errors since the last accepted
+// connection.
+func (f *frontend) handleAcceptError(err error, consecutive int) {
 	if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 		f.evict(silentClientGrace)
 	}
-	if !oserr.IsPerConnection(err) || inRow > maxAcceptErrors {
-		time.Sleep(acceptBackoff(inRow))
+	if !oserr.IsPerConnection(err) || consecutive > maxAcceptErrors {
+		time.Sleep(acceptBackoff(consecutive))
 	}
 }
 
-// acceptBackoff returns the pause after inRow consecutive accept errors. It starts short: a long pause after
-// each error would delay the whole backlog when only some accepts fail.
-func acceptBackoff(inRow int) time.Duration {
-	return min(minAcceptBackoff<<min(inRow-1, maxAcceptErrors), maxAcceptBackoff)
+// acceptBackoff returns the pause after so many consecutive accept errors. It starts short: a long pause
+// after each error would delay the whole backlog when only some accepts fail.
+func acceptBackoff(consecutive int) time.Duration {
+	return min(minAcceptBackoff<<min(consecutive-1, maxAcceptErrors), maxAcceptBackoff)
 }
 
 // accepted serves a new connection, or refuses it if there is no capacity for it.
--- a/internal/platform/apachethrift_test.go
+++ b/internal/platform/apachethrift_test.go
@@ -101,10 +101,10 @@
 // result of several pages, a rejection with a retry time, a fault with a reason, an application exception,
 // and no reply to a cancelled request.
 func TestApacheThriftClient(t *testing.T) {
-	r := newHarness(t, 256)
-	r.node.pages = 3
+	h := newHarness(t, 256)
+	h.node.pages = 3
 	ctx, cfg := t.Context(), &peer.TConfiguration{TBinaryStrictRead: new(true), TBinaryStrictWrite: new(true)}
-	socket := peer.NewTSocketConf(r.frontend.listener.Addr().String(), cfg)
+	socket := peer.NewTSocketConf(h.frontend.listener.Addr().String(), cfg)
 	if err := socket.Open(); err != nil {
 		t.Fatal(err)
 	}
@@ -143,19 +143,19 @@
 		!strings.HasPrefix(got.fields["reason"], "verb") {
 		t.Errorf("invalid request: %+v", got)
 	}
-	r.node.keepRunning(0, ticket(4))
+	h.node.keepRunning(0, ticket(4))
 	if err := client.Send(ctx, protocol, 100, "dispatch", dispatchArgs(stringMap{"txn": ticket(4),
 		"verb": "quick", "limit": "20000"}, "SELECT 1")); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the query is sent", func() bool { return r.node.callCount("POST "+ticket(4)) == 1 })
+	eventually(t, "the query is sent", func() bool { return h.node.callCount("POST "+ticket(4)) == 1 })
 	if _, err := client.Call(ctx, "cancelRequest", callArgs(func(
 		ctx context.Context, p peer.TProtocol) error {
 		return errors.Join(p.WriteFieldBegin(ctx, "seqid", peer.I32, 1), p.WriteI32(ctx, 100))
 	}), nil); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the query is cancelled", func() bool { return r.node.callCount("DELETE "+ticket(4)) == 1 })
+	eventually(t, "the query is cancelled", func() bool { return h.node.callCount("DELETE "+ticket(4)) == 1 })
 	var exception peer.TApplicationException
 	if _, err := client.Call(ctx, "none", unused, &callOutcome{}); !errors.As(err, &exception) ||
 		exception.TypeId() != peer.UNKNOWN_METHOD {
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -199,10 +199,10 @@
 		a.service.events.Add(a.event(eventlog.AttemptWithheld, "decision expired"))
 		return computenode.Withheld, false
 	}
-	why, verdict := a.service.guard.beginAttempt(a)
+	eventType, verdict := a.service.guard.beginAttempt(a)
 	if !verdict.OK() {
 		a.service.events.Add(a.event(eventlog.AttemptWithheld, verdict.String()))
-		return why, false
+		return eventType, false
 	}
 	a.service.events.Add(a.event(eventlog.AttemptSent, ""))
 	return 0, true
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -351,7 +351,7 @@
 	q := *h.frontend.registry.Lookup(1)
 	h.frontend.mu.Unlock()
 	q.Ticket = ticket(2)
-	was := h.node.callCount("POST")
+	before := h.node.callCount("POST")
 	late := &attempt{
 		service:        h.service,
 		request:        &q,
@@ -364,8 +364,8 @@
 	}
 	late.ctx, late.cancel = t.Context(), func() {}
 	late.run()
-	if n, full := h.node.callCount("POST"), h.endedWith(cresspass.OutcomeRejected); n != was || full != 1 {
-		t.Errorf("%d queries were sent, want 0; %d attempts were rejected, want 1", n-was, full)
+	if n, full := h.node.callCount("POST"), h.endedWith(cresspass.OutcomeRejected); n != before || full != 1 {
+		t.Errorf("%d queries were sent, want 0; %d attempts were rejected, want 1", n-before, full)
 	}
 	client.conn.Write(thrift.CancelRequest{TargetSeq: seq}.Append(nil, 99))
 }
--- a/internal/platform/attemptcall.go
+++ b/internal/platform/attemptcall.go
@@ -39,8 +39,8 @@
 		}
 		conn.writeBy = time.Time{}
 		if step.Type == computenode.Start {
-			if why, ok := a.mayStart(); !ok {
-				return computenode.Event{Type: why}, conn
+			if eventType, ok := a.mayStart(); !ok {
+				return computenode.Event{Type: eventType}, conn
 			}
 			conn.writeBy = a.checkedAt.Add(startCheckTTL)
 		}
--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -183,20 +183,20 @@
 		c.send(verdict.Reply, 1)
 	}
 	if verdict.Cancelled != nil && !mutantEnabled(mutantIgnoreCancel) {
-		service.clientLeft(verdict.Cancelled, goneCancelled)
+		service.abandonRequest(verdict.Cancelled, goneCancelled)
 	}
 	return !verdict.EndOfInput
 }
 
-// recordRejected records a request that is invalid, or was rejected on arrival for the reason why.
-func (c *clientConn) recordRejected(result thriftserver.MessageResult, why string) {
+// recordRejected records a request that is invalid, or was rejected on arrival for a reason.
+func (c *clientConn) recordRejected(result thriftserver.MessageResult, reason string) {
 	service := c.frontend.service
 	switch {
 	case result.Invalid:
 		service.malformedMessages.Add(1)
 		service.events.Add(requestEvent(eventlog.RequestMalformed, result.Ticket, result.Reason))
 	case result.Rejected:
-		service.events.Add(requestEvent(eventlog.RequestRejected, result.Ticket, why))
+		service.events.Add(requestEvent(eventlog.RequestRejected, result.Ticket, reason))
 	}
 }
 
@@ -209,13 +209,13 @@
 		c.frontend.mu.Unlock()
 		return false
 	}
-	why := closedIdle
+	reason := closedIdle
 	if partial {
-		why = closedPartialMessage
+		reason = closedPartialMessage
 	}
 	open, end := c.frontend.registry.ReadTimedOut(c.id)
 	if end {
-		c.frontend.recordClose(why)
+		c.frontend.recordClose(reason)
 	}
 	c.frontend.mu.Unlock()
 	c.failRequests(open, faultIncomplete)
@@ -223,10 +223,10 @@
 }
 
 // abort ends a connection whose input can't be read, and answers its open requests with a fault.
-func (c *clientConn) abort(fault string, why closeReason) {
+func (c *clientConn) abort(fault string, reason closeReason) {
 	c.frontend.mu.Lock()
 	open := c.frontend.registry.EndMalformed(c.id)
-	c.frontend.recordClose(why)
+	c.frontend.recordClose(reason)
 	c.frontend.mu.Unlock()
 	c.failRequests(open, fault)
 }
@@ -237,7 +237,7 @@
 	var b []byte
 	for _, request := range open {
 		b = append(b, thriftserver.FaultReply(request.Seq, fault)...)
-		c.frontend.service.clientLeft(request, fault)
+		c.frontend.service.abandonRequest(request, fault)
 	}
 	if len(open) > 0 {
 		c.send(b, len(open))
@@ -254,6 +254,6 @@
 	c.frontend.mu.Unlock()
 	c.conn.Close()
 	for _, request := range open {
-		c.frontend.service.clientLeft(request, goneDisconnected)
+		c.frontend.service.abandonRequest(request, goneDisconnected)
 	}
 }
--- a/internal/platform/clientconn_test.go
+++ b/internal/platform/clientconn_test.go
@@ -50,18 +50,18 @@
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
-	twice := h.dial()
-	twice.send(requestFields(ticket(0xab), "quick", "2000"))
-	twice.lastSeq--
-	twice.send(requestFields(ticket(0xac), "quick", "2000"))
-	kinds := twice.receive().kind + " " + twice.receive().kind
+	duplicate := h.dial()
+	duplicate.send(requestFields(ticket(0xab), "quick", "2000"))
+	duplicate.lastSeq--
+	duplicate.send(requestFields(ticket(0xac), "quick", "2000"))
+	kinds := duplicate.receive().kind + " " + duplicate.receive().kind
 	if kinds != "fault answer" && kinds != "answer fault" && kinds != "answer answer" {
 		t.Errorf("two requests with the same sequence number: %s", kinds)
 	}
-	half := h.dial()
-	half.conn.Write([]byte{0, 0, 1, 0, 0x80})
+	partial := h.dial()
+	partial.conn.Write([]byte{0, 0, 1, 0, 0x80})
 	silent := h.dial()
-	if got := half.receive(); got.kind != "closed" {
+	if got := partial.receive(); got.kind != "closed" {
 		t.Errorf("half a message: got %+v, want the end of the connection", got)
 	}
 	if got := silent.receive(); got.kind != "closed" {
@@ -205,8 +205,8 @@
 // that one which reads nothing is disconnected.
 func TestSlowReader(t *testing.T) {
 	h := newHarness(t, 256)
-	const stall, requests = 250 * time.Millisecond, 20
-	h.setTimeouts(clientIdleTimeout, stall)
+	const writeTimeout, requests = 250 * time.Millisecond, 20
+	h.setTimeouts(clientIdleTimeout, writeTimeout)
 	size := requests * h.serveLargeResults()
 	client, stuck := h.dialSmallBuffers(), h.dialSmallBuffers()
 	for i := range requests {
@@ -221,9 +221,9 @@
 			t.Fatalf("after %d bytes: %v", got, err)
 		}
 		got += n
-		time.Sleep(time.Duration(n) * 2 * stall / time.Duration(size)) // about two write timeouts in all
+		time.Sleep(time.Duration(n) * 2 * writeTimeout / time.Duration(size)) // about two timeouts in all
 	}
-	if took := time.Since(begun); took < 2*stall*9/10 {
+	if took := time.Since(begun); took < 2*writeTimeout*9/10 {
 		t.Errorf("all answers were read in %v, which is too fast to prove anything", took)
 	}
 	eventually(t, "the client that reads nothing is disconnected", func() bool {
--- a/internal/platform/events.go
+++ b/internal/platform/events.go
@@ -12,14 +12,14 @@
 
 // requestEvent returns an event of a request, which its ticket identifies. ticket is empty for an event of
 // the process or of a connection.
-func requestEvent(kind eventlog.Kind, ticket, why string) eventlog.Event {
-	return eventlog.Event{Kind: kind, RequestID: ticket, Attempt: noAttempt, Reason: why}
+func requestEvent(kind eventlog.Kind, ticket, reason string) eventlog.Event {
+	return eventlog.Event{Kind: kind, RequestID: ticket, Attempt: noAttempt, Reason: reason}
 }
 
 // event returns an event of this attempt.
-func (a *attempt) event(kind eventlog.Kind, why string) eventlog.Event {
+func (a *attempt) event(kind eventlog.Kind, reason string) eventlog.Event {
 	return eventlog.Event{Kind: kind, RequestID: a.request.Ticket, Attempt: a.number, Node: string(a.engine),
-		Reason: why}
+		Reason: reason}
 }
 
 // outcomeName returns the name of an attempt's outcome in the log.
--- a/internal/platform/fakenode_test.go
+++ b/internal/platform/fakenode_test.go
@@ -19,9 +19,10 @@
 type fakeNode struct {
 	*httptest.Server
 	mu      sync.Mutex
-	calls   []string                                                               // "POST", "GET 0", ..., "DELETE", each followed by the ticket
-	headers http.Header                                                            // of the last POST
-	handler func(w http.ResponseWriter, r *http.Request, call, ticket string) bool // false: default answer
+	calls   []string    // "POST", "GET 0", ..., "DELETE", each followed by the ticket
+	headers http.Header // of the last POST
+	// handler answers a call. If it is nil or returns false, the call gets the default answer.
+	handler func(w http.ResponseWriter, r *http.Request, call, ticket string) bool
 	pages   int
 
 	known map[string]bool // tickets of received queries
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -70,13 +70,13 @@
 }
 
 // recordClose records why a connection is closed. The caller holds f.mu.
-func (f *frontend) recordClose(why closeReason) {
-	f.closedByReason[why]++
-	what := eventlog.ConnectionClosed
-	if why == closedByClient {
-		what = eventlog.ConnectionLost
+func (f *frontend) recordClose(reason closeReason) {
+	f.closedByReason[reason]++
+	kind := eventlog.ConnectionClosed
+	if reason == closedByClient {
+		kind = eventlog.ConnectionLost
 	}
-	f.service.events.Add(requestEvent(what, "", string(why)))
+	f.service.events.Add(requestEvent(kind, "", string(reason)))
 }
 
 // closeCounts returns the number of closed connections for each reason, for the log.
@@ -84,8 +84,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var counts []any
-	for _, why := range slices.Sorted(maps.Keys(f.closedByReason)) {
-		counts = append(counts, slog.Uint64(string(why), f.closedByReason[why]))
+	for _, reason := range slices.Sorted(maps.Keys(f.closedByReason)) {
+		counts = append(counts, slog.Uint64(string(reason), f.closedByReason[reason]))
 	}
 	return slog.Group("closed", counts...)
 }
@@ -130,10 +130,10 @@
 	if mutantEnabled(mutantNoClientCheck) {
 		return time.Now(), f.request(request.ID) != nil
 	}
-	look := clientLook{frontend: f, request: request}
+	check := clientCheck{frontend: f, request: request}
 	for {
 		checkedAt = time.Now()
-		waiting, handled := look.once()
+		waiting, handled := check.poll()
 		if !waiting || handled || !checkedAt.Before(by) {
 			return checkedAt, waiting
 		}
@@ -141,34 +141,34 @@
 	}
 }
 
-// clientLook checks, possibly several times, whether a request's client waits for it.
-type clientLook struct {
+// clientCheck checks, possibly several times, whether a request's client waits for it.
+type clientCheck struct {
 	frontend     *frontend
 	request      *thriftserver.Request
 	messageLimit uint64 // of clientConn.messages, see maxMessagesAhead; 0 before the first check
 }
 
-// once checks whether the client waits, as far as the messages that were handled tell. handled reports
+// poll checks whether the client waits, as far as the messages that were handled tell. handled reports
 // whether all input that was there at the first check counts as handled.
-func (l *clientLook) once() (waiting, handled bool) {
-	f := l.frontend
+func (c *clientCheck) poll() (waiting, handled bool) {
+	f := c.frontend
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	client := f.conns[l.request.Conn]
-	if client == nil || f.registry.Lookup(l.request.ID) == nil {
+	client := f.conns[c.request.Conn]
+	if client == nil || f.registry.Lookup(c.request.ID) == nil {
 		return false, true
 	}
 	if client.peek() == peekClosed {
 		return false, true
 	}
-	if l.messageLimit == 0 {
-		l.messageLimit = client.messages + maxMessagesAhead
+	if c.messageLimit == 0 {
+		c.messageLimit = client.messages + maxMessagesAhead
 	}
-	return true, !client.mayHoldMessage() || client.messages >= l.messageLimit
+	return true, !client.mayHoldMessage() || client.messages >= c.messageLimit
 }
 
 // respond writes a request's only answer. It returns false if the request has ended already.
-func (f *frontend) respond(id cresspass.QueryID, what eventlog.Kind, why string,
+func (f *frontend) respond(id cresspass.QueryID, kind eventlog.Kind, reason string,
 	message func(seq int32) []byte) bool {
 	f.mu.Lock()
 	request := f.registry.Lookup(id)
@@ -178,14 +178,14 @@
 	if !ok {
 		return false
 	}
-	if !f.service.guard.complete(request, what == eventlog.RequestAnswered) {
+	if !f.service.guard.complete(request, kind == eventlog.RequestAnswered) {
 		client.recordWritten(1) // nothing is written; this releases the claim
 		return false
 	}
-	if mutantEnabled(mutantDuplicateAnswer) && what == eventlog.RequestAnswered {
+	if mutantEnabled(mutantDuplicateAnswer) && kind == eventlog.RequestAnswered {
 		client.send(message(destination.Seq), 0)
 	}
-	f.service.events.Add(requestEvent(what, request.Ticket, why))
+	f.service.events.Add(requestEvent(kind, request.Ticket, reason))
 	client.send(message(destination.Seq), 1)
 	return true
 }
@@ -200,12 +200,12 @@
 // respondError answers a request with an exception: a rejection or a failure. A rejection tells the client
 // when to retry if retryAfter is above 0.
 func (f *frontend) respondError(id cresspass.QueryID, exception thrift.DispatchExceptionType,
-	retryAfter time.Duration, why cresspass.Reason) {
-	what := eventlog.RequestFailed
+	retryAfter time.Duration, reason cresspass.Reason) {
+	kind := eventlog.RequestFailed
 	if exception == thrift.ShedException {
-		what = eventlog.RequestRejected
+		kind = eventlog.RequestRejected
 	}
-	f.respond(id, what, string(why), func(seq int32) []byte {
+	f.respond(id, kind, string(reason), func(seq int32) []byte {
 		var fields thrift.Fields
 		if retryAfter > 0 {
 			fields = append(fields, thrift.Field{Name: retryAfterField,
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -24,9 +24,9 @@
 
 // TestGoldenConfig checks that the keys of the platform's configuration and their meaning do not change.
 func TestGoldenConfig(t *testing.T) {
-	r := &harness{t: t, discovery: &fakeDiscovery{}, sockets: 256}
-	r.discovery.add(true, "s-1", "127.0.0.1:1", "up")
-	goldentest.Compare(t, "config.json", r.config("127.0.0.1:2"))
+	h := &harness{t: t, discovery: &fakeDiscovery{}, sockets: 256}
+	h.discovery.add(true, "s-1", "127.0.0.1:1", "up")
+	goldentest.Compare(t, "config.json", h.config("127.0.0.1:2"))
 	cfg, err := Load(filepath.Join("testdata", "config.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -150,26 +150,26 @@
 
 // TestGoldenRequests checks that the bytes sent to compute nodes and to the discovery service do not change.
 func TestGoldenRequests(t *testing.T) {
-	r := &harness{t: t, node: newFakeNode(t), discovery: newFakeDiscovery(t), sockets: 256,
+	h := &harness{t: t, node: newFakeNode(t), discovery: newFakeDiscovery(t), sockets: 256,
 		path: filepath.Join(t.TempDir(), "config.json")}
-	r.node.pages = 2
-	toNode, nodeAddr := newRecorder(t, serverAddr(r.node.Server))
-	toDiscovery, discoveryAddr := newRecorder(t, serverAddr(r.discovery.Server))
-	r.discovery.add(true, "s-1", nodeAddr, "up")
-	r.writeConfig(r.config(discoveryAddr))
-	r.startService(io.Discard)
-	client := r.dial()
+	h.node.pages = 2
+	toNode, nodeAddr := newRecorder(t, serverAddr(h.node.Server))
+	toDiscovery, discoveryAddr := newRecorder(t, serverAddr(h.discovery.Server))
+	h.discovery.add(true, "s-1", nodeAddr, "up")
+	h.writeConfig(h.config(discoveryAddr))
+	h.startService(io.Discard)
+	client := h.dial()
 	client.mustServe(1, 2)
 	client.send(requestFields(ticket(2), "load", "8000", "unique", strings.Repeat("ab", 16)))
-	if h := client.receive(); h.kind != "answer" {
-		t.Fatalf("request with an idempotency key: %+v", h)
+	if got := client.receive(); got.kind != "answer" {
+		t.Fatalf("request with an idempotency key: %+v", got)
 	}
-	r.node.keepRunning(0, ticket(3))
+	h.node.keepRunning(0, ticket(3))
 	seq := client.send(requestFields(ticket(3), "quick", "60000"))
-	eventually(t, "the query is polled", func() bool { return r.node.callCount("GET 0 "+ticket(3)) > 0 })
+	eventually(t, "the query is polled", func() bool { return h.node.callCount("GET 0 "+ticket(3)) > 0 })
 	client.conn.Write(thrift.CancelRequest{TargetSeq: seq}.Append(nil, 99))
-	eventually(t, "the query is cancelled", func() bool { return r.node.callCount("DELETE "+ticket(3)) == 1 })
-	r.checkHealth("s-1", nodeAddr)
+	eventually(t, "the query is cancelled", func() bool { return h.node.callCount("DELETE "+ticket(3)) == 1 })
+	h.checkHealth("s-1", nodeAddr)
 	goldentest.Compare(t, "node_requests.txt", []byte(strings.Join(toNode.requests(), "\n----\n")))
 	eventually(t, "discovery is polled", func() bool { return len(toDiscovery.requests()) > 0 })
 	goldentest.Compare(t, "discovery_request.txt", []byte(strings.Join(toDiscovery.requests(), "\n----\n")))
@@ -177,9 +177,9 @@
 
 // TestGoldenReplies checks that the bytes of replies to clients do not change.
 func TestGoldenReplies(t *testing.T) {
-	r := newHarness(t, 256)
-	r.node.pages = 2
-	client := r.dial()
+	h := newHarness(t, 256)
+	h.node.pages = 2
+	client := h.dial()
 	var got bytes.Buffer
 	reply := func(name string) {
 		t.Helper()
--- a/internal/platform/guard.go
+++ b/internal/platform/guard.go
@@ -39,7 +39,7 @@
 
 // beginAttempt checks whether an attempt may be sent now. If not, it returns the event that ends the attempt
 // and the verdict that forbids it.
-func (g *requestGuard) beginAttempt(a *attempt) (why computenode.EventType, verdict invariant.Result) {
+func (g *requestGuard) beginAttempt(a *attempt) (eventType computenode.EventType, verdict invariant.Result) {
 	v := g.guard.BeginAttempt(a.request.ID, a.number, a.service.watcher.placement(a.engine, a.addr),
 		a.request.Ticket)
 	if v.OK() || v.Name == invariant.RetriedOverBudget && mutantEnabled(mutantNoBudgetRecheck) {
@@ -59,10 +59,10 @@
 
 // mayClose reports whether a client's connection may be closed, given the requests that are open on it.
 // Closing it with an open request is recorded as a violation.
-func (g *requestGuard) mayClose(open []*thriftserver.Request, why closeReason) bool {
+func (g *requestGuard) mayClose(open []*thriftserver.Request, reason closeReason) bool {
 	if len(open) == 0 {
 		return true
 	}
 	return g.guard.Record(invariant.Result{Kind: invariant.Violated, Name: invariant.ClosedInFlight,
-		Detail: string(why)}, open[0].Ticket)
+		Detail: string(reason)}, open[0].Ticket)
 }
--- a/internal/platform/guard_test.go
+++ b/internal/platform/guard_test.go
@@ -24,15 +24,15 @@
 func TestRetryBudgetRecheckedAtSend(t *testing.T) {
 	for lookBack, want := range map[time.Duration]int{100 * time.Millisecond: 1, 5 * time.Second: 2} {
 		h := newHarnessWith(t, 256, noRetryBudget, retryBudgetSettings(lookBack))
-		var long []string
+		var longTickets []string
 		for i := range minNodeConns {
-			long = append(long, ticket(i+1))
+			longTickets = append(longTickets, ticket(i+1))
 		}
-		last := ticket(minNodeConns + 1)
-		h.node.keepRunning(250*time.Millisecond, long...)
+		lastTicket := ticket(minNodeConns + 1)
+		h.node.keepRunning(250*time.Millisecond, longTickets...)
 		usual := h.node.handler
 		h.node.setHandler(func(w http.ResponseWriter, req *http.Request, call, id string) bool {
-			if call == "POST" && id == last && h.node.callCount("POST "+last) == 1 {
+			if call == "POST" && id == lastTicket && h.node.callCount("POST "+lastTicket) == 1 {
 				h.frontend.descriptors.clientConns.Store(
 					1 << 20,
 				) // so that no connection is allowed beyond those of the long queries
@@ -43,19 +43,19 @@
 			return usual(w, req, call, id)
 		})
 		client := h.dial()
-		for _, id := range long {
+		for _, id := range longTickets {
 			client.send(requestFields(id, "quick", "5000"))
 		}
 		eventually(t, "the long queries run", func() bool { return h.node.callCount("POST") == minNodeConns })
 		other := h.dial()
 		other.mustServe(99, 1)         // a served request allows one retry for the time lookBack
 		time.Sleep(3 * reuseDelay / 2) // its connection can be reused, so that no other one is idle
-		seq := client.send(requestFields(last, "quick", "5000"))
+		seq := client.send(requestFields(lastTicket, "quick", "5000"))
 		got := client.receive()
 		if kind := []string{"", "shed", "answer"}[want]; got.kind != kind || got.seq != seq {
 			t.Errorf("with a window of %v: %+v", lookBack, got)
 		}
-		if n := h.node.callCount("POST " + last); n != want {
+		if n := h.node.callCount("POST " + lastTicket); n != want {
 			t.Errorf("with a window of %v: %d attempts, want %d", lookBack, n, want)
 		}
 	}
--- a/internal/platform/nodepool.go
+++ b/internal/platform/nodepool.go
@@ -41,15 +41,15 @@
 	connectTimeout time.Duration
 	epoch          time.Time // zero of the clock of state
 
-	mu          sync.Mutex // guards the fields below
-	state       *connpool.Pool
-	idle        map[uint64]*nodeConn
-	waiters     map[uint64]chan connpool.Grant
-	lastID      uint64      // last id given to a connection or to a request for one
-	settleTimer *time.Timer // runs sweep when state is next due
-	closed      bool        // no connection is kept
-	duplicates  *duplicateresponse.Detector
-	counters    poolCounters
+	mu         sync.Mutex // guards the fields below
+	state      *connpool.Pool
+	idle       map[uint64]*nodeConn
+	waiters    map[uint64]chan connpool.Grant
+	lastID     uint64      // last id given to a connection or to a request for one
+	sweepTimer *time.Timer // runs sweep when state is next due
+	closed     bool        // no connection is kept
+	duplicates *duplicateresponse.Detector
+	counters   poolCounters
 }
 
 // poolCounters counts the work of a nodePool since its start.
@@ -74,7 +74,7 @@
 		idle:    map[uint64]*nodeConn{},
 		state:   connpool.New(reuseDelay, time.Duration(idleCloseFraction*float64(idleTimeout))),
 		waiters: map[uint64]chan connpool.Grant{}, duplicates: duplicateresponse.NewDetector()}
-	p.settleTimer = time.AfterFunc(time.Hour, p.sweep)
+	p.sweepTimer = time.AfterFunc(time.Hour, p.sweep)
 	return p
 }
 
@@ -199,7 +199,7 @@
 		delete(p.waiters, grant.RequestID)
 	}
 	if at, ok := p.state.NextSweep(); ok && !p.closed {
-		p.settleTimer.Reset(max(at-p.now(), 0))
+		p.sweepTimer.Reset(max(at-p.now(), 0))
 	}
 }
 
@@ -284,7 +284,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	p.settleTimer.Stop()
+	p.sweepTimer.Stop()
 	for _, conn := range p.idle {
 		p.apply(p.state.CloseIdle(conn.engine, p.limits()))
 	}
--- a/internal/platform/nodepool_test.go
+++ b/internal/platform/nodepool_test.go
@@ -43,9 +43,9 @@
 	}
 	h.pool.mu.Lock()
 	defer h.pool.mu.Unlock()
-	most := h.pool.descriptors.maxNodeConns()
-	if s := h.pool.state; s.OpenConns() > most || s.Waiting() != 0 || h.pool.counters.dials > requests*2/3 {
-		t.Errorf("%d open of %d, %d wait, %d dials", s.OpenConns(), most, s.Waiting(), h.pool.counters.dials)
+	limit := h.pool.descriptors.maxNodeConns()
+	if s := h.pool.state; s.OpenConns() > limit || s.Waiting() != 0 || h.pool.counters.dials > requests*2/3 {
+		t.Errorf("%d open of %d, %d wait, %d dials", s.OpenConns(), limit, s.Waiting(), h.pool.counters.dials)
 	}
 }
 
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -56,9 +56,9 @@
 	if err := s.watcher.applyKnown(cfg.Known.Events); err != nil {
 		s.log.Error("known discovery events ignored", "error", err)
 	}
-	now, then := cfg.Module, s.cfg.Module
-	now.Seed = then.Seed // each file has a new seed
-	if cfg.Listen != s.cfg.Listen || cfg.Limits != s.cfg.Limits || !reflect.DeepEqual(now, then) {
+	updated, current := cfg.Module, s.cfg.Module
+	updated.Seed = current.Seed // each file has a new seed
+	if cfg.Listen != s.cfg.Listen || cfg.Limits != s.cfg.Limits || !reflect.DeepEqual(updated, current) {
 		s.log.Warn("changes of listen, limits and settings need a restart")
 	}
 	return true
--- a/internal/platform/service.go
+++ b/internal/platform/service.go
@@ -55,7 +55,7 @@
 // Run runs a dispatcher on the platform until a signal shuts it down. path names the configuration file,
 // which is read again on SIGHUP. Run returns an error if the dispatcher can't start.
 func Run(path string, log *slog.Logger) error {
-	all, stop := signals.Notify()
+	sigs, stop := signals.Notify()
 	defer stop()
 	cfg, err := Load(path)
 	if err != nil {
@@ -71,7 +71,7 @@
 	if err != nil {
 		return err
 	}
-	return s.run(all)
+	return s.run(sigs)
 }
 
 // start starts a dispatcher, which is serving when start returns.
@@ -217,15 +217,15 @@
 	return len(s.attempts)
 }
 
-// clientLeft ends a request whose client no longer waits for it, and has the core cancel its query.
-func (s *service) clientLeft(request *thriftserver.Request, why string) {
+// abandonRequest ends a request whose client no longer waits for it, and has the core cancel its query.
+func (s *service) abandonRequest(request *thriftserver.Request, reason string) {
 	s.guard.complete(request, false)
-	s.events.Add(requestEvent(eventlog.ClientGone, request.Ticket, why))
+	s.events.Add(requestEvent(eventlog.ClientGone, request.Ticket, reason))
 	s.loop.Post(cresspass.Event{Type: cresspass.QueryAbandoned, Query: request.ID,
 		Outcome: cresspass.OutcomeCancelled})
 }
 
 // recordChange records a change of the dispatcher's own state in the event log.
-func (s *service) recordChange(what string) {
-	s.events.Add(requestEvent(eventlog.StateChanged, "", what))
+func (s *service) recordChange(change string) {
+	s.events.Add(requestEvent(eventlog.StateChanged, "", change))
 }
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -182,7 +182,7 @@
 // TestSigtermAfterManySighups checks that a SIGTERM which arrives after many unhandled SIGHUPs is not lost.
 func TestSigtermAfterManySighups(t *testing.T) {
 	h := newHarness(t, 256)
-	all, stop := signals.Notify()
+	sigs, stop := signals.Notify()
 	defer stop()
 	for range 16 { // not handled yet
 		syscall.Kill(os.Getpid(), syscall.SIGHUP)
@@ -191,7 +191,7 @@
 	syscall.Kill(os.Getpid(), syscall.SIGTERM)
 	time.Sleep(10 * time.Millisecond)
 	ended := make(chan error, 1)
-	go func() { ended <- h.run(all) }()
+	go func() { ended <- h.run(sigs) }()
 	select {
 	case err := <-ended:
 		if err != nil {
--- a/internal/platform/stall_test.go
+++ b/internal/platform/stall_test.go
@@ -31,16 +31,16 @@
 			return false
 		})
 	})
-	old, leaver := p.dial(), p.dial()
+	old, leaving := p.dial(), p.dial()
 	old.mustServe(1, 1)
-	leaver.mustServe(2, 1)
+	leaving.mustServe(2, 1)
 	p.cmd.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(100 * time.Millisecond)
 	fresh := p.dial()
-	for n, client := range []*testClient{old, fresh, leaver} {
+	for n, client := range []*testClient{old, fresh, leaving} {
 		client.send(requestFields(ticket(10+n), "quick", strconv.Itoa(limit)))
 	}
-	leaver.conn.Close()
+	leaving.conn.Close()
 	time.Sleep(stopped * time.Millisecond)
 	p.cmd.Process.Signal(syscall.SIGCONT)
 	for _, client := range []*testClient{old, fresh} {
