--- a/internal/frontend/thriftserver/params.go
+++ b/internal/frontend/thriftserver/params.go
@@ -107,14 +107,14 @@
 }
 
 // parseNumber parses the field name, a number from 0 to most. It returns 0 if the field is missing.
-func parseNumber(fields thrift.Fields, name string, most float64) (float64, error) {
+func parseNumber(fields thrift.Fields, name string, maxValue float64) (float64, error) {
 	text, ok := fields.Lookup(name)
 	if !ok {
 		return 0, nil
 	}
 	value, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(value >= 0 && value <= most) {
-		return 0, fmt.Errorf("%s %.40q: want a number from 0 to %v", name, text, most)
+	if err != nil || !(value >= 0 && value <= maxValue) {
+		return 0, fmt.Errorf("%s %.40q: want a number from 0 to %v", name, text, maxValue)
 	}
 	return value, nil
 }
--- a/internal/frontend/thriftserver/registry.go
+++ b/internal/frontend/thriftserver/registry.go
@@ -16,9 +16,9 @@
 
 // Errors of requests that are not accepted. Clients receive the texts.
 var (
-	errSeqOpen    = errors.New("this number is open already")
-	errTooMany    = errors.New("too many requests open on this connection")
-	errTicketOpen = errors.New("txn is open already")
+	errSeqOpen     = errors.New("this number is open already")
+	errTooManyOpen = errors.New("too many requests open on this connection")
+	errTicketOpen  = errors.New("txn is open already")
 )
 
 // Request is a client's request that has no reply yet.
@@ -99,7 +99,7 @@
 	case c.open[seq] != nil:
 		return nil, errSeqOpen
 	case len(c.open) >= MaxOpenRequests:
-		return nil, errTooMany
+		return nil, errTooManyOpen
 	case r.byTicket[m.params.Ticket] != nil:
 		// A compute node identifies a query only by its ticket: with two open requests of one ticket, one
 		// would get the other's rows.
