--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,6 @@
 // Package daemon runs a dispatcher as a service: signals, readiness, health checks, reloads, the PID file,
-// and the handover of its listening sockets to a successor process. It owns the process's sockets and files;
-// what is done when is decided in package lifecycle, and queries are none of its business.
+// and the handover of its listening sockets to a successor process. It owns the process's sockets and files.
+// Package lifecycle decides what is done when, and package server handles the queries.
 package daemon
 
 import (
@@ -20,40 +20,40 @@
 	"cresspass/internal/server"
 )
 
-// Options say how a daemon is run.
+// Options configure a daemon.
 type Options struct {
 	Config *config.Config
 	// LoadConfig reads the settings again, for a reload.
 	LoadConfig func() (*config.Config, error)
 	Logger     *slog.Logger
-	// LogLevel is that of Logger, which a reload may change; nil: it is fixed.
+	// LogLevel is Logger's level, which a reload sets; nil: the level is fixed.
 	LogLevel *slog.LevelVar
-	// Takeover takes the listening sockets from the dispatcher that runs.
+	// Takeover takes the listening sockets over from the running dispatcher, and does not open new ones.
 	Takeover bool
-	// Stop acts as SIGTERM once it is closed. It may be nil.
+	// Stop has the effect of SIGTERM once it is closed. It may be nil.
 	Stop <-chan struct{}
-	// Signals are of package signals, where they were asked for before the settings were read; nil: Run asks
-	// for them.
+	// Signals is the channel that signals.Notify returned, if the caller called it before it read the
+	// settings; nil: Run calls signals.Notify.
 	Signals <-chan os.Signal
 	// StartServer starts the dispatcher on a listener; nil: server.StartOnListener.
 	StartServer func(cfg *config.Config, logger *slog.Logger, ln net.Listener) (*server.Server, error)
 }
 
-// handoverTimeout is how long a successor has to say that it serves.
+// handoverTimeout is how long a successor may take to report that it serves.
 const handoverTimeout = 20 * time.Second
 
 // daemon is a running service.
 type daemon struct {
 	options   Options
 	logger    *slog.Logger
-	machine   *lifecycle.Machine // of the event loop
+	machine   *lifecycle.Machine // used by the event loop alone
 	server    *server.Server
 	listener  *net.TCPListener
 	events    chan lifecycle.Event // from other goroutines to the event loop
 	startedAt time.Time
-	state     atomic.Int32    // the machine's, for health checks
-	handover  *handoverServer // nil: the settings name no socket for it
-	stopped   bool            // the event loop is to end
+	state     atomic.Int32    // the machine's state, for health checks
+	handover  *handoverServer // nil: the settings name no takeover socket
+	stopped   bool            // ends the event loop
 }
 
 // Run runs a dispatcher until it is stopped or has handed over. The error says why it could not start.
@@ -67,8 +67,8 @@
 		received, stop = signals.Notify()
 		defer stop()
 	}
-	// The sockets come first, so that clients wait and are not refused, then all else. The dispatcher is
-	// ready once an endpoint list is known.
+	// The sockets are opened first, so that clients that connect early wait and are not refused. The
+	// dispatcher is ready once an endpoint list is known.
 	predecessor, err := d.openListeners()
 	if err != nil {
 		return err
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// openListeners opens the listening socket, or takes all from the dispatcher that runs. The connection to
-// that one is nil where there is none.
+// openListeners opens the listening socket for PostgreSQL clients, or takes all listening sockets over from
+// the running dispatcher. It returns the connection to that predecessor; nil: there is none.
 func (d *daemon) openListeners() (*predecessorConn, error) {
 	cfg := d.options.Config
 	if !d.options.Takeover {
@@ -137,7 +137,7 @@
 	return predecessor, nil
 }
 
-// startServer starts the dispatcher, as the successor of a predecessor where there is one.
+// startServer starts the dispatcher, as a successor if there is a predecessor.
 func (d *daemon) startServer(predecessor *predecessorConn) (err error) {
 	o := d.options
 	start := o.StartServer
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -12,14 +12,14 @@
 	"github.com/jackc/pgx/v5"
 )
 
-// A drain lets what runs end with its answer, sends idle clients away, accepts nobody, and is cut short at
-// its timeout.
+// During a drain running queries finish with their answers, idle clients are disconnected, and new
+// connections are refused. The drain is cut short at its timeout.
 func TestDrain(t *testing.T) {
 	env := newTestEnv(t)
 	s := env.start(t, "", false)
 	if b, err := os.ReadFile(filepath.Join(env.dir, "pid")); err != nil ||
 		string(b) != fmt.Sprintln(os.Getpid()) {
-		t.Errorf("pid file %q, %v", b, err)
+		t.Errorf("PID file %q, %v", b, err)
 	}
 	idle, short, long := env.connect(t), env.connect(t), env.connect(t)
 	ends := make(chan string, 2)
@@ -38,21 +38,21 @@
 		t.Errorf("an idle client received %v", err)
 	}
 	if got := <-ends; got != "<nil>" {
-		t.Errorf("what would end in time was answered by %s", got)
+		t.Errorf("a query that finishes before the drain timeout was answered by %s", got)
 	}
 	if _, err := net.Dial("tcp", env.listen); err == nil {
-		t.Error("a connection was accepted in a drain")
+		t.Error("a connection was accepted during a drain")
 	}
 	if got := <-ends; got != "57P01" {
-		t.Errorf("what would not end in time was answered by %s", got)
+		t.Errorf("a query that outlasts the drain timeout was answered by %s", got)
 	}
 	if err := s.stopAndWait(t); err != nil {
 		t.Error(err)
 	}
 	if took := time.Since(begin); took < 2900*time.Millisecond || took > 6*time.Second {
-		t.Errorf("a drain of at most 3 s took %v", took)
+		t.Errorf("a drain with a timeout of 3 s took %v", took)
 	}
 	if _, err := os.Stat(filepath.Join(env.dir, "pid")); !os.IsNotExist(err) {
-		t.Errorf("pid file left behind: %v", err)
+		t.Errorf("PID file not removed: %v", err)
 	}
 }
--- a/internal/daemon/env_test.go
+++ b/internal/daemon/env_test.go
@@ -24,12 +24,12 @@
 )
 
 func TestMain(m *testing.M) {
-	// The gossip library does not wait for a probe that is under way; the probe ends by itself within its
+	// memberlist does not wait for a probe that is under way at shutdown. The probe ends by itself within its
 	// interval.
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("github.com/hashicorp/memberlist.(*Memberlist).probe"))
 }
 
-// simpleProtocol has clients use the simple query protocol.
+// simpleProtocol makes clients use the simple query protocol.
 const simpleProtocol = "sslmode=disable&default_query_exec_mode=simple_protocol"
 
 const settings = `
@@ -60,7 +60,7 @@
 	log  *lockedBuffer
 }
 
-// lockedBuffer is the log of a daemon, which is read while it is written.
+// lockedBuffer holds the log of a daemon. It may be read while the daemon writes.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -78,8 +78,8 @@
 	return l.b.String()
 }
 
-// testEnv is what daemons run in, one after another or beside each other: a directory, an address for
-// clients, and engines with the discovery service that lists them.
+// testEnv is the environment of one or several daemons: a directory, an address for clients, and engines with
+// the discovery service that lists them.
 type testEnv struct {
 	dir, listen string
 	rig         *testbed.Testbed
@@ -100,7 +100,7 @@
 	return &testEnv{t.TempDir(), addr, r}
 }
 
-// settingsText returns a settings file, with more settings put in.
+// settingsText returns the text of a settings file that includes extra settings.
 func (env *testEnv) settingsText(extra string) string {
 	in := func(name string) string { return filepath.Join(env.dir, name) }
 	return settings + extra + fmt.Sprintf(`
@@ -137,9 +137,9 @@
 	return s
 }
 
-// waitForCachedList waits for the engine list in the state directory and returns its path. A dispatcher is
-// ready with its first list and caches it only after that, so that a test that reads it at once may find
-// none.
+// waitForCachedList waits for the engine list in the state directory and returns its path. A dispatcher
+// caches its first list only after it has become ready, so a test that reads the file at once may not find
+// it.
 func (env *testEnv) waitForCachedList(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(env.dir, "state", "list")
@@ -148,7 +148,7 @@
 			return path
 		}
 		if time.Since(begin) > 5*time.Second {
-			t.Fatal("the engine list is not cached")
+			t.Fatal("the engine list was not cached within 5 s")
 		}
 	}
 }
@@ -163,7 +163,7 @@
 	}
 }
 
-// stopAndWait stops the daemon, where it was not, and returns what it ended with.
+// stopAndWait stops the daemon, unless it was stopped already, and returns the result of Run.
 func (s *runningDaemon) stopAndWait(t *testing.T) error {
 	t.Helper()
 	select {
@@ -175,7 +175,7 @@
 	case err := <-s.done:
 		return err
 	case <-time.After(10 * time.Second):
-		t.Fatal("the daemon does not end")
+		t.Fatal("the daemon did not exit within 10 s")
 		return nil
 	}
 }
--- a/internal/daemon/events.go
+++ b/internal/daemon/events.go
@@ -11,10 +11,10 @@
 	"cresspass/internal/daemon/lifecycle"
 )
 
-// tickInterval is how often the event loop looks at the time, and whether a drain is over.
+// tickInterval is how often the event loop checks deadlines, and whether a drain has finished.
 const tickInterval = 20 * time.Millisecond
 
-// eventLoop feeds the lifecycle machine until it has the daemon exit.
+// eventLoop passes signals and events to the lifecycle machine until the machine returns Exit.
 func (d *daemon) eventLoop(ctx context.Context, received <-chan os.Signal) {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
@@ -44,7 +44,7 @@
 	}
 }
 
-// handle has the machine take an event, and carries out what it decides.
+// handle passes an event to the machine and performs the actions that it returns.
 func (d *daemon) handle(ev lifecycle.Event) {
 	before := d.machine.State()
 	for _, a := range d.machine.Step(time.Since(d.startedAt), ev) {
@@ -86,7 +86,7 @@
 	}
 }
 
-// reload reads the settings again and applies them all or none of them.
+// reload reads the settings again, and applies either all of them or none.
 func (d *daemon) reload() {
 	d.notifyServiceManager(notifyReloading + "\nMONOTONIC_USEC=" + strconv.FormatInt(monotonicMicros(), 10))
 	defer d.notifyServiceManager(notifyReady)
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -22,10 +22,10 @@
 	"cresspass/internal/invariant"
 )
 
-// The files under testdata hold what earlier builds answered and sent. In a handover two builds talk to each
-// other.
+// The files under testdata hold what earlier builds answered and sent. A handover may run between two
+// different builds.
 
-// Health keeps its keys, and is read from the answer of an earlier build.
+// The JSON keys of Health do not change, and the answer of an earlier build can be read.
 func TestGoldenHealth(t *testing.T) {
 	want := Health{
 		State:       "ready",
@@ -51,7 +51,7 @@
 	stored := goldentest.Read(t, "health.json")
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/health" {
-			t.Errorf("health was asked for at %s", r.URL.Path)
+			t.Errorf("health was requested at %s", r.URL.Path)
 		}
 		if _, err := w.Write(stored); err != nil {
 			t.Error(err)
@@ -65,7 +65,7 @@
 	}
 }
 
-// The names of states stand in the health answer.
+// The names of the states are part of the health answer.
 func TestGoldenStates(t *testing.T) {
 	var written strings.Builder
 	for _, s := range []lifecycle.State{lifecycle.Starting, lifecycle.Ready, lifecycle.HandingOver,
@@ -75,7 +75,7 @@
 	goldentest.Compare(t, "states.txt", []byte(written.String()))
 }
 
-// handOver returns what both sides say in a handover, in order, from testdata.
+// handOver returns the recorded messages of both sides of a handover, by kind, from testdata.
 func handOver(t *testing.T) map[string]string {
 	said := map[string]string{}
 	goldentest.Compare(t, "handover.txt", []byte("successor socket\npredecessor here\nsuccessor serving\n"+
@@ -88,7 +88,7 @@
 	for key, today := range map[string]string{"request": messageRequest, "listeners": messageListeners,
 		"serving": messageServing, "draining": messageDraining} {
 		if said[key] != today+"\n" {
-			t.Errorf("%s is said as %q, it was %q", key, today, said[key])
+			t.Errorf("message %s is %q, an earlier build sent %q", key, today, said[key])
 		}
 	}
 	return said
@@ -122,7 +122,7 @@
 	}
 }
 
-// A successor of an earlier build is served: it says the recorded lines and hears the recorded ones.
+// A successor of an earlier build is served: it sends the recorded lines and receives the recorded ones.
 func TestGoldenHandOverToEarlierBuild(t *testing.T) {
 	said := handOver(t)
 	path := filepath.Join(t.TempDir(), "sock")
@@ -182,7 +182,7 @@
 	}
 }
 
-// A predecessor of an earlier build is succeeded, and one that rejects is understood.
+// A handover from a predecessor of an earlier build succeeds, and its rejection is understood.
 func TestGoldenHandOverFromEarlierBuild(t *testing.T) {
 	said := handOver(t)
 	for _, rejected := range []bool{false, true} {
@@ -201,7 +201,7 @@
 					return err
 				}
 				if line != said["request"] {
-					return fmt.Errorf("asked %q, want %q", line, said["request"])
+					return fmt.Errorf("received %q, want %q", line, said["request"])
 				}
 				if rejected {
 					_, err = c.Write([]byte(said["rejected"]))
--- a/internal/daemon/handover_client.go
+++ b/internal/daemon/handover_client.go
@@ -15,13 +15,14 @@
 	"cresspass/internal/server"
 )
 
-// predecessorConn is the successor's connection to the dispatcher that it succeeds.
+// predecessorConn is the successor's connection to the dispatcher that it takes over from.
 type predecessorConn struct {
 	conn  *net.UnixConn
 	lines *bufio.Scanner
 }
 
-// takeOverListeners gets the listening sockets of the dispatcher that serves a Unix socket.
+// takeOverListeners requests the listening sockets of the dispatcher that serves the Unix socket at path. It
+// also returns the connection, on which the handover continues.
 func takeOverListeners(path string) ([]*net.TCPListener, *predecessorConn, error) {
 	if path == "" {
 		return nil, nil, errors.New("the settings name no takeover socket")
@@ -34,11 +35,11 @@
 	if err != nil {
 		return nil, nil, errors.Join(err, c.Close())
 	}
-	_ = c.SetDeadline(time.Time{}) // on a connection that was lost the next write fails
+	_ = c.SetDeadline(time.Time{}) // if the connection is lost, the next write fails
 	return listeners, &predecessorConn{conn: c, lines: bufio.NewScanner(c)}, nil
 }
 
-// requestListeners asks for the listening sockets, and waits for them no longer than predecessorTimeout.
+// requestListeners asks for the listening sockets and waits for them, at most predecessorTimeout.
 func requestListeners(c *net.UnixConn) ([]*net.TCPListener, error) {
 	if err := c.SetDeadline(time.Now().Add(predecessorTimeout)); err != nil {
 		return nil, err
@@ -61,32 +62,32 @@
 	return fmt.Errorf("rejected by the predecessor: %q", answer)
 }
 
-// receiveListeners returns the listening sockets of a control message.
+// receiveListeners returns the listening sockets that a control message carries.
 func receiveListeners(control []byte) ([]*net.TCPListener, error) {
 	messages, err := syscall.ParseSocketControlMessage(control)
 	if err != nil {
 		return nil, fmt.Errorf("parse the control messages of the answer: %w", err)
 	}
 	if len(messages) != 1 {
-		return nil, fmt.Errorf("no socket came with the answer: %d control messages", len(messages))
+		return nil, fmt.Errorf("expected one control message with sockets, received %d", len(messages))
 	}
 	fds, err := syscall.ParseUnixRights(&messages[0])
 	if err != nil {
 		return nil, fmt.Errorf("parse the descriptors of the answer: %w", err)
 	}
 	if len(fds) < 1 || len(fds) > maxListeners {
-		return nil, fmt.Errorf("no socket came with the answer: %d descriptors", len(fds))
+		return nil, fmt.Errorf("unexpected number of descriptors in the answer: %d", len(fds))
 	}
 	var listeners []*net.TCPListener
 	for _, fd := range fds {
 		syscall.CloseOnExec(fd)
 		f := os.NewFile(uintptr(fd), "listener")
 		ln, listenErr := net.FileListener(f)
-		_ = f.Close() // the listener has a duplicate of its own
+		_ = f.Close() // net.FileListener has duplicated the descriptor
 		if tcp, ok := ln.(*net.TCPListener); ok {
 			listeners = append(listeners, tcp)
 		} else {
-			err = errors.Join(err, listenErr, fmt.Errorf("a socket handed over is %T", ln))
+			err = errors.Join(err, listenErr, fmt.Errorf("expected a TCP listener, received %T", ln))
 		}
 	}
 	if err != nil {
@@ -98,16 +99,17 @@
 	return listeners, nil
 }
 
-// startSuccessor starts a dispatcher on a socket beside its predecessor, and notifies that one once it
-// serves. The state directory is the predecessor's until it has drained, so that the successor remembers no
-// writes of its own until then; its endpoint list begins with the predecessor's cached one.
+// startSuccessor starts a dispatcher on a listener that its predecessor also serves. It notifies the
+// predecessor once the dispatcher has an endpoint list. The predecessor keeps the state directory until it
+// has drained, so the successor records no writes until then. The successor's endpoint list starts from the
+// one that the predecessor cached.
 func startSuccessor(start func(*config.Config, *slog.Logger, net.Listener) (*server.Server, error), o Options,
 	ln *net.TCPListener, predecessor *predecessorConn) (*server.Server, error) {
 	s, err := start(o.Config, o.Logger, ln)
 	if err != nil {
 		return nil, err
 	}
-	select { // a dispatcher without an endpoint list would accept connections and serve none
+	select { // without an endpoint list it would accept connections and serve none of them
 	case <-s.ListReady():
 	case <-time.After(endpointListTimeout):
 		s.Close()
@@ -126,11 +128,11 @@
 			return nil, rejectedError(answer)
 		}
 	}
-	// A predecessor that died in this moment has left the sockets to this process alone: to give up here
-	// would leave nobody to serve them.
-	o.Logger.Warn("predecessor ended before it drained")
+	// The predecessor died at this point of the handover, so only this process has the sockets. If it gave
+	// up, no process would serve them.
+	o.Logger.Warn("predecessor ended before it announced its drain")
 	return s, nil
 }
 
-// close ends the connection; its last answer was read.
+// close closes the connection. The errors do not matter: the last answer has been read.
 func (p *predecessorConn) close() { _ = p.conn.Close() }
--- a/internal/daemon/handover_server.go
+++ b/internal/daemon/handover_server.go
@@ -15,8 +15,8 @@
 	"cresspass/internal/netlisten"
 )
 
-// handoverServer is the predecessor's side of handovers: it serves the processes that ask for the listening
-// sockets, and numbers them.
+// handoverServer is the predecessor's side of handovers. It serves the processes that ask for the listening
+// sockets, and gives each of them an ID.
 type handoverServer struct {
 	listener *net.UnixListener
 	events   chan<- lifecycle.Event
@@ -29,7 +29,7 @@
 	handlers sync.WaitGroup
 }
 
-// listenForSuccessors serves a Unix socket.
+// listenForSuccessors listens on the Unix socket at path and passes what successors do to events.
 func listenForSuccessors(path string, events chan<- lifecycle.Event, logger *slog.Logger) (*handoverServer,
 	error) {
 	ln, err := listenUnix(path)
@@ -43,8 +43,8 @@
 	return h, nil
 }
 
-// listenUnix listens at a Unix socket. One that is left of a process that died is replaced; one that answers
-// is waited for.
+// listenUnix listens on the Unix socket at path. A socket file that a dead process left is replaced. If
+// another process answers on the socket, listenUnix waits up to socketTimeout for that process to release it.
 func listenUnix(path string) (*net.UnixListener, error) {
 	addr := &net.UnixAddr{Name: path, Net: "unix"}
 	for begin := time.Now(); ; {
@@ -92,7 +92,7 @@
 	}
 }
 
-// send has the event loop take an event, unless it has ended.
+// send passes an event to the event loop, unless the server is closed.
 func (h *handoverServer) send(ev lifecycle.Event) {
 	select {
 	case h.events <- ev:
@@ -100,7 +100,7 @@
 	}
 }
 
-// serve reads what a successor sends until its connection ends.
+// serve handles the messages of a successor until its connection ends.
 func (h *handoverServer) serve(successorID uint64, c *net.UnixConn) {
 	lines := bufio.NewScanner(c)
 	requested := false
@@ -118,14 +118,14 @@
 	}
 }
 
-// conn returns a successor's connection; nil: it is gone.
+// conn returns a successor's connection; nil: it has ended.
 func (h *handoverServer) conn(successorID uint64) *net.UnixConn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.conns[successorID]
 }
 
-// sendListeners sends the listening sockets to a successor. Where that fails its connection is closed, which
+// sendListeners sends the listening sockets to a successor. If that fails, its connection is closed, which
 // ends the handover.
 func (h *handoverServer) sendListeners(successorID uint64, listeners ...*net.TCPListener) {
 	c := h.conn(successorID)
@@ -139,7 +139,7 @@
 		if f, err = ln.File(); err != nil {
 			break
 		}
-		defer func() { _ = f.Close() }() // a duplicate, which must stay open until it is sent
+		defer func() { _ = f.Close() }() // a duplicate, which stays open until it is sent
 		fds = append(fds, int(f.Fd()))
 	}
 	if err == nil {
@@ -151,18 +151,18 @@
 	}
 }
 
-// reject sends a successor away. One that already has the sockets gives up by it.
+// reject rejects a successor and closes its connection. A successor that already has the sockets gives up.
 func (h *handoverServer) reject(successorID uint64) {
 	if c := h.conn(successorID); c != nil {
 		writeLine(c, messageRejected+" another hand-over is under way, or this dispatcher ends")
-		_ = c.Close() // what the successor then does is its own matter
+		_ = c.Close() // the successor is rejected either way
 	}
 }
 
-// announceDrain tells successors that this dispatcher drains, and frees the Unix socket for them.
+// announceDrain releases the Unix socket and tells all successors that this dispatcher drains.
 func (h *handoverServer) announceDrain() {
 	h.listener.SetUnlinkOnClose(true)
-	_ = h.listener.Close() // it takes no more successors, and the process ends soon
+	_ = h.listener.Close() // no more successors are accepted, and the process ends soon
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, c := range h.conns {
@@ -170,8 +170,8 @@
 	}
 }
 
-// writeLine sends a line to a successor. One that does not read it is not waited for; that it is gone is seen
-// where its connection is read.
+// writeLine sends a line to a successor, which has successorWriteTimeout to take it. Errors are ignored:
+// serve sees when the connection is gone.
 func writeLine(c *net.UnixConn, line string) {
 	if err := c.SetWriteDeadline(time.Now().Add(successorWriteTimeout)); err == nil {
 		_, _ = c.Write([]byte(line + "\n"))
@@ -184,7 +184,7 @@
 	_ = h.listener.Close() // announceDrain may have closed it already
 	h.mu.Lock()
 	for _, c := range h.conns {
-		_ = c.Close() // nothing more is said
+		_ = c.Close() // nothing more is sent
 	}
 	h.mu.Unlock()
 	h.handlers.Wait()
--- a/internal/daemon/handover_test.go
+++ b/internal/daemon/handover_test.go
@@ -19,9 +19,9 @@
 	"cresspass/internal/rehearsal/testbed"
 )
 
-// A handover under 2,000 statements a second: no connection is refused and no statement lost. State and
-// cached list go over to the successor, and so does the dispatcher's membership in the gossip, once the
-// predecessor has let go of its address.
+// In a handover under 2,000 statements a second no connection is refused and no statement is lost. The
+// successor gets the state directory and the cached list, and joins the gossip in the predecessor's place
+// once the predecessor has released its address.
 func TestHandOver(t *testing.T) {
 	env := newTestEnv(t)
 	gossipAddr, err := testbed.FreePort()
@@ -33,7 +33,7 @@
 	a := env.start(t, peers, false)
 	load := env.startLoad(100, 50*time.Millisecond)
 	time.Sleep(300 * time.Millisecond)
-	for range 2 { // and once more
+	for range 2 { // the second handover is from a dispatcher that was a successor itself
 		b := env.start(t, peers, true)
 		select {
 		case err := <-a.done:
@@ -53,8 +53,8 @@
 	}
 }
 
-// Sessions over a handover: one in a transaction stays with the predecessor until it has committed, one
-// bound by a temporary table is ended at the limit; new ones are the successor's.
+// Sessions during a handover: one in a transaction stays with the predecessor until it has committed, one
+// bound by a temporary table is ended at the drain timeout, and new sessions go to the successor.
 func TestHandOverKeepsSessions(t *testing.T) {
 	env := newTestEnv(t)
 	a := env.start(t, "", false)
@@ -72,14 +72,14 @@
 	a.waitForLog(t, "to=draining")
 	for _, text := range []string{"insert into t values (2)", "select 1", "commit"} {
 		if _, err := inTx.Exec(ctx, text); err != nil {
-			t.Errorf("%s in a transaction over a handover: %v", text, err)
+			t.Errorf("%s in a transaction during a handover: %v", text, err)
 		}
 	}
 	if _, err := sticky.Exec(ctx, "select 1 from tmp_h"); err != nil {
 		t.Errorf("a session bound by a table: %v", err)
 	}
 	if _, err := inTx.Exec(ctx, "select 1"); sqlState(err) != "57P01" && !inTx.IsClosed() {
-		t.Errorf("free, and the predecessor drains: %v", err)
+		t.Errorf("a free session at the draining predecessor: %v", err)
 	}
 	select {
 	case err := <-a.done:
@@ -90,7 +90,7 @@
 		t.Fatalf("the predecessor does not end:\n%s", a.log)
 	}
 	if _, err := sticky.Exec(ctx, "select 1 from tmp_h"); sqlState(err) != "57P01" && !sticky.IsClosed() {
-		t.Errorf("a session bound by a table, after the limit: %v", err)
+		t.Errorf("a session bound by a table, after the drain timeout: %v", err)
 	}
 	if _, err := env.connect(t).Exec(ctx, "select 1"); err != nil {
 		t.Error("the successor: ", err)
@@ -100,8 +100,8 @@
 	}
 }
 
-// A handover of Flight SQL: the socket goes over and no call is refused. A transaction commits at the
-// predecessor, whose other calls are rejected as not run, and whose connections are sent away.
+// A handover of Flight SQL: the socket is handed over and no call is refused. A transaction commits at the
+// predecessor. Other calls at the predecessor are rejected as not run, and its connections are closed.
 func TestHandOverOfFlight(t *testing.T) {
 	env := newTestEnv(t)
 	addr, err := testbed.FreePort()
@@ -131,17 +131,17 @@
 	b := env.start(t, extra, true)
 	a.waitForLog(t, "to=draining")
 	if _, err := tx.ExecuteUpdate(ctx, "insert into t values (1)"); err != nil {
-		t.Errorf("in a transaction over a handover: %v", err)
+		t.Errorf("in a transaction during a handover: %v", err)
 	}
 	if _, err := old.ExecuteUpdate(ctx, "insert into t values (2)"); status.Code(err) != codes.Unavailable {
-		t.Errorf("outside it, at the predecessor: %v", err)
+		t.Errorf("outside the transaction, at the predecessor: %v", err)
 	}
 	c, successorCtx := dial()
 	if _, err := c.ExecuteUpdate(successorCtx, "insert into t values (3)"); err != nil {
 		t.Errorf("at the successor: %v", err)
 	}
 	if err := tx.Commit(ctx); err != nil {
-		t.Errorf("commit over a handover: %v", err)
+		t.Errorf("commit during a handover: %v", err)
 	}
 	select {
 	case err := <-a.done:
@@ -157,13 +157,13 @@
 }
 
 // Successors that fail: one that dies after it got the sockets, two at once, and one without an endpoint
-// list. The predecessor goes on as if nothing had been.
+// list. The predecessor continues to serve without a lost statement.
 func TestSuccessorsThatFail(t *testing.T) {
 	env := newTestEnv(t)
 	a := env.start(t, "", false)
 	load := env.startLoad(20, 20*time.Millisecond)
 	sock := filepath.Join(env.dir, "sock")
-	listeners, predecessor, err := takeOverListeners(sock) // of one that dies
+	listeners, predecessor, err := takeOverListeners(sock) // for a successor that dies
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -176,7 +176,7 @@
 	}
 	predecessor.close()
 	a.waitForLog(t, "from=\"handing over\" to=ready")
-	env.rig.Discovery.SetUnavailable(true) // a successor that gets no list gives up by itself
+	env.rig.Discovery.SetUnavailable(true) // a successor that gets no list gives up
 	if err := os.Rename(env.waitForCachedList(t), filepath.Join(env.dir, "list")); err != nil {
 		t.Fatal(err)
 	}
@@ -189,7 +189,7 @@
 	time.Sleep(100 * time.Millisecond)
 	load.end(t)
 	if _, _, err := takeOverListeners(filepath.Join(env.dir, "nobody")); err == nil {
-		t.Error("a handover from nobody")
+		t.Error("a handover without a predecessor succeeded")
 	}
 	if err := a.stopAndWait(t); err != nil {
 		t.Error(err)
--- a/internal/daemon/health.go
+++ b/internal/daemon/health.go
@@ -22,11 +22,11 @@
 )
 
 const (
-	healthHeaderTimeout  = time.Second           // for the header of a health check
-	healthListenInterval = 50 * time.Millisecond // between attempts to listen where the predecessor does yet
+	healthHeaderTimeout  = time.Second           // to read the header of a request
+	healthListenInterval = 50 * time.Millisecond // between attempts while the predecessor still listens
 )
 
-// Health is the answer to a health check.
+// Health is the answer to a health check, as JSON.
 type Health struct {
 	State       string `json:"state"`
 	Ready       bool   `json:"ready"`
@@ -38,17 +38,18 @@
 	Rejected    uint64 `json:"refused"`
 	Failed      uint64 `json:"failed"`
 	Abandoned   uint64 `json:"gone"` // by their clients
-	// UnrecordedWrites counts attempts at writes that were sent before their record was durable: a crash may
-	// have sent them twice.
+	// UnrecordedWrites counts write attempts that were sent before their record was durable. After a crash
+	// such a write may be sent twice.
 	UnrecordedWrites uint64 `json:"unrecorded_writes,omitempty"`
 
-	// Violations counts by invariant how often it was violated; any is a defect.
+	// Violations counts the violations of each invariant. Any violation is a defect.
 	Violations map[invariant.Name]uint64 `json:"violations"`
-	// Withheld counts acts that were lawful when they were decided and no longer when they were due.
+	// Withheld counts, for each invariant, the actions that it stopped: they were allowed when they were
+	// decided, and not any more when they were due.
 	Withheld map[invariant.Name]uint64 `json:"withheld"`
 }
 
-// currentHealth may be called by any goroutine.
+// currentHealth returns the current health. It may be called from any goroutine.
 func (d *daemon) currentHealth() Health {
 	stats := d.server.Stats()
 	state := lifecycle.State(d.state.Load())
@@ -73,7 +74,7 @@
 }
 
 // healthHandler answers /live (200 while the process runs), /ready (200 while it takes clients) and /health
-// (JSON). An answer that cannot be written has lost its client, which is nobody else's matter.
+// (JSON). Errors of writing an answer are ignored: its client is gone.
 func (d *daemon) healthHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(livePath, func(w http.ResponseWriter, r *http.Request) {
@@ -91,8 +92,8 @@
 	return mux
 }
 
-// serveHealth answers health checks at an address until stop is called. In a handover the predecessor still
-// has the address: with retryListen it is tried until it is free.
+// serveHealth answers health checks at an address until stop is called. During a handover the predecessor
+// still listens there: with retryListen, serveHealth retries in the background until the address is free.
 func (d *daemon) serveHealth(addr string, retryListen bool) (stop func(), err error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil && !retryListen {
@@ -110,7 +111,7 @@
 			case <-stopping:
 				return
 			case <-time.After(healthListenInterval):
-				ln, _ = net.Listen("tcp", addr) // the predecessor has it yet; the next turn tries again
+				ln, _ = net.Listen("tcp", addr) // fails while the predecessor listens; retried
 			}
 		}
 		err := s.Serve(netlisten.ResilientListener{Listener: ln})
@@ -120,12 +121,12 @@
 	}()
 	return func() {
 		close(stopping)
-		_ = s.Close() // the process ends
+		_ = s.Close() // the process is about to exit
 		<-ended
 	}, nil
 }
 
-// FetchHealth asks a running daemon for its health.
+// FetchHealth requests the health of the daemon whose health checks are served at addr, as host:port.
 func FetchHealth(ctx context.Context, addr string) (h Health, err error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+healthPath, nil)
 	if err != nil {
--- a/internal/daemon/health_test.go
+++ b/internal/daemon/health_test.go
@@ -12,7 +12,7 @@
 	"cresspass/internal/rehearsal/testbed"
 )
 
-// Health checks and the service manager see a daemon that has no list yet, is ready, and stops.
+// Health checks and the service manager see that a daemon has no list yet, is ready, and stops.
 func TestHealth(t *testing.T) {
 	env := newTestEnv(t)
 	addr, err := testbed.FreePort()
--- a/internal/daemon/lifecycle/drain_timeout_test.go
+++ b/internal/daemon/lifecycle/drain_timeout_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Guards against a drain_for that is reported as reloaded and does not hold.
+// Guards against a reload that reports a new drain_for, while the next drain still uses the old one.
 func TestReloadedDrainTimeoutHolds(t *testing.T) {
 	m := New(Config{DrainTimeout: 30 * time.Second})
 	m.SetDrainTimeout(5 * time.Second)
--- a/internal/daemon/lifecycle/machine.go
+++ b/internal/daemon/lifecycle/machine.go
@@ -1,76 +1,76 @@
 // Package lifecycle decides what a daemon does between its start and its exit: when it reports that it is
-// ready, what a signal means, when a graceful shutdown is over, and who keeps the listening sockets in a
-// handover. It does no I/O and reads no clock: events go in, actions come out.
+// ready, what a signal means, when a graceful shutdown is over, and which process keeps the listening sockets
+// in a handover. It does no I/O and reads no clock: its input is events, its output is actions.
 package lifecycle
 
 import "time"
 
-// State is where a daemon is between its start and its exit.
+// State is the state of a daemon between its start and its exit.
 type State int
 
-// The states of a daemon, in the order in which it goes through them. Only a handover that fails leads back.
+// The states of a daemon, in the order in which it passes through them. Only a failed handover leads back.
 const (
-	Starting    State = iota // it listens, and knows no endpoint list yet
+	Starting    State = iota // it listens, but has no endpoint list yet
 	Ready                    // it serves
-	HandingOver              // it serves, and a successor is about to take its sockets
-	Draining                 // it accepts no connection; what runs may end
-	Stopped                  // it is to exit
+	HandingOver              // it serves, while a successor takes over its sockets
+	Draining                 // it accepts no connections; running queries may finish
+	Stopped                  // it must exit
 )
 
-// String returns the state's name, which health checks are answered with.
+// String returns the name of the state, as health checks report it.
 func (s State) String() string {
 	return [...]string{"starting", "ready", "handing over", "draining", "over"}[s]
 }
 
-// EventType is what happened.
+// EventType is the type of an Event.
 type EventType int
 
-// The events.
+// The types of events.
 const (
 	EndpointsKnown     EventType = iota // an endpoint list is in force, received or cached
-	Terminate                           // asked to stop: SIGTERM or SIGINT
-	Reload                              // asked to read the settings again: SIGHUP
+	Terminate                           // a request to stop: SIGTERM or SIGINT
+	Reload                              // a request to read the settings again: SIGHUP
 	Drained                             // no client and no query is left
-	Tick                                // time has passed
-	SuccessorConnected                  // a process asks for the sockets
-	SuccessorServing                    // a successor says that it serves
-	SuccessorLost                       // a successor is gone without having said so
+	Tick                                // time has passed; a deadline may have been reached
+	SuccessorConnected                  // a process asks for the listening sockets
+	SuccessorServing                    // a successor reports that it serves
+	SuccessorLost                       // a successor's connection has ended; ignored in a drain
 )
 
 // Event is one thing that happened.
 type Event struct {
 	Type        EventType
-	SuccessorID uint64 // of the successor's events
+	SuccessorID uint64 // set for the three Successor events
 }
 
-// ActionType is what is to be done.
+// ActionType is the type of an Action.
 type ActionType int
 
-// The actions.
+// The types of actions.
 const (
-	NotifyReady     ActionType = iota // notify the service manager, and answer health checks with ready
-	NotifyStopping                    // notify the service manager
-	ReloadConfig                      // read the settings, and apply all or none of them
+	NotifyReady     ActionType = iota // tell the service manager that the daemon is ready
+	NotifyStopping                    // tell the service manager that the daemon stops
+	ReloadConfig                      // read the settings again, and apply all or none of them
 	SendListeners                     // send the listening sockets to a successor; both accept from then on
-	RejectSuccessor                   // send a successor away
-	StartDrain                        // accept no connection; send idle clients away; let what runs end
-	ForceClose                        // end all that is left, each query with its one answer
+	RejectSuccessor                   // reject a successor
+	StartDrain                        // accept no connections; close idle clients; let running queries finish
+	ForceClose                        // end all that is left, each query with its one final answer
 	Exit
 )
 
-// Action is one thing to do.
+// Action is something that the caller of Step must do.
 type Action struct {
 	Type        ActionType
-	SuccessorID uint64 // of SendListeners and RejectSuccessor
+	SuccessorID uint64 // set for SendListeners and RejectSuccessor
 }
 
-// Config holds the machine's times.
+// Config holds the machine's timeouts.
 type Config struct {
 	DrainTimeout    time.Duration // after which a drain is cut short
-	HandoverTimeout time.Duration // after which a successor that has not said that it serves is given up
+	HandoverTimeout time.Duration // after which a successor that has not reported that it serves is rejected
 }
 
-// Machine is a daemon's state machine. It is for one goroutine at a time.
+// Machine is a daemon's state machine. It is not safe for concurrent use.
 type Machine struct {
 	cfg            Config
 	state          State
@@ -78,27 +78,28 @@
 	deadline       time.Duration // of the handover or the drain
 	successorID    uint64        // of the handover
 	forceClosed    bool
-	actions        []Action // of the present step; reused, to spare allocations
+	actions        []Action // that Step returned last; reused, to avoid allocations
 }
 
-// New returns the machine of a daemon that starts.
+// New returns a machine in state Starting.
 func New(cfg Config) *Machine { return &Machine{cfg: cfg} }
 
-// SetDrainTimeout changes how long the next drain may take. One that is under way keeps its end.
+// SetDrainTimeout changes how long the next drain may take. A drain under way keeps its deadline.
 func (m *Machine) SetDrainTimeout(timeout time.Duration) { m.cfg.DrainTimeout = timeout }
 
 // DrainTimeout returns how long a drain may take.
 func (m *Machine) DrainTimeout() time.Duration { return m.cfg.DrainTimeout }
 
-// State returns where the daemon is.
+// State returns the current state.
 func (m *Machine) State() State { return m.state }
 
-// NextDeadline returns when Step must be called with a Tick at the latest, and whether there is such a time.
+// NextDeadline returns the time by which Step must be called with a Tick, and whether there is one.
 func (m *Machine) NextDeadline() (time.Duration, bool) {
 	return m.deadline, m.state == HandingOver || m.state == Draining && !m.forceClosed
 }
 
-// Step takes one event and returns what is to be done, in order. The result is valid until the next call.
+// Step processes an event that happened at now, the time since the daemon's start. It returns the actions to
+// perform, in order; the slice is valid until the next call.
 func (m *Machine) Step(now time.Duration, ev Event) []Action {
 	m.actions = m.actions[:0]
 	switch ev.Type {
@@ -136,14 +137,14 @@
 	return m.actions
 }
 
-// terminate begins a drain, or cuts one short that is under way.
+// terminate starts a drain, or cuts short the one that is under way.
 func (m *Machine) terminate(now time.Duration) {
 	switch m.state {
 	case Starting, Ready:
 		m.startDrain(now)
 	case HandingOver:
-		// If the successor went on, it could drain at the same time, and nobody would be left to serve. It is
-		// rejected, and starts on its own or not at all.
+		// If the handover went on, the successor could drain at the same time, and no process would serve. It
+		// is rejected, and starts on its own or not at all.
 		m.emit(RejectSuccessor, m.successorID)
 		m.startDrain(now)
 	case Draining:
@@ -151,8 +152,8 @@
 	}
 }
 
-// beginHandover serves one successor at a time. Others are rejected, and all are where there is nothing to
-// hand over any more.
+// beginHandover starts a handover to a successor. The successor is rejected if another handover is under way,
+// or if the daemon drains and has nothing left to hand over.
 func (m *Machine) beginHandover(now time.Duration, successorID uint64) {
 	if m.state != Ready && m.state != Starting {
 		m.emit(RejectSuccessor, successorID)
@@ -162,7 +163,7 @@
 	m.emit(SendListeners, successorID)
 }
 
-// abandonHandover goes on as before a handover that came to nothing.
+// abandonHandover returns to the state before a handover that failed.
 func (m *Machine) abandonHandover() {
 	m.successorID, m.state = 0, Ready
 	if !m.endpointsKnown {
@@ -170,12 +171,12 @@
 	}
 }
 
-// timeOut ends what has passed its deadline.
+// timeOut ends a handover or a drain that has reached its deadline.
 func (m *Machine) timeOut() {
 	switch m.state {
 	case HandingOver:
-		// A successor that hangs has the sockets too: connections that the kernel gives to it are never
-		// served unless it is rejected and ends.
+		// A successor that hangs has the sockets too: connections that the kernel assigns to it are never
+		// served unless it is rejected and exits.
 		m.emit(RejectSuccessor, m.successorID)
 		m.abandonHandover()
 	case Draining:
@@ -189,7 +190,7 @@
 	m.emit(StartDrain, 0)
 }
 
-// forceClose ends what is left, once. Drained follows, as then nothing is.
+// forceClose emits ForceClose, but only once. Drained follows, as nothing is left then.
 func (m *Machine) forceClose() {
 	if !m.forceClosed {
 		m.forceClosed = true
--- a/internal/daemon/lifecycle/machine_test.go
+++ b/internal/daemon/lifecycle/machine_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// Whatever happens, it drains once, closes by force at most once, exits once and only after a drain, never
-// hands over to two successors at a time, and never waits longer than a drain may take.
+// Under any sequence of events the machine drains, closes by force and exits at most once each, exits only
+// after a drain, never hands over to two successors at a time, and never waits longer than a drain may take.
 func TestInvariantsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(Config{DrainTimeout: 30 * time.Second, HandoverTimeout: 10 * time.Second})
@@ -103,7 +103,7 @@
 				switch a.Type {
 				case SendListeners:
 					if holder != 0 {
-						t.Fatalf("sockets holder to %d while %d has them", a.SuccessorID, holder)
+						t.Fatalf("sockets sent to %d while %d has them", a.SuccessorID, holder)
 					}
 					holder = a.SuccessorID
 				case RejectSuccessor:
--- a/internal/daemon/load_test.go
+++ b/internal/daemon/load_test.go
@@ -10,8 +10,8 @@
 	"github.com/jackc/pgx/v5"
 )
 
-// loadGenerator keeps clients sending statements at a pace, and counts what was lost: a statement that was
-// neither answered nor rejected as not run, or a connection that was refused.
+// loadGenerator runs clients that send statements at a steady rate. It counts what was lost: statements that
+// were neither answered nor rejected as not run, and connections that were refused.
 type loadGenerator struct {
 	served, rejected, notified, lost, connectFailures atomic.Int64
 	stop                                              chan struct{}
@@ -20,7 +20,7 @@
 	firstLost                                         error
 }
 
-// startLoad starts clients that each send a statement every so often.
+// startLoad starts clients that each send one statement per interval.
 func (env *testEnv) startLoad(clients int, every time.Duration) *loadGenerator {
 	s := &loadGenerator{stop: make(chan struct{})}
 	for range clients {
@@ -35,7 +35,7 @@
 				select {
 				case <-s.stop:
 					if c != nil {
-						_ = c.Close(ctx) // it may be closed
+						_ = c.Close(ctx) // it may be closed already
 					}
 					return
 				case <-tick.C:
@@ -79,7 +79,7 @@
 	}
 }
 
-// end stops the clients. Something lost, or nothing served, fails the test.
+// end stops the clients. The test fails if anything was lost or nothing was served.
 func (s *loadGenerator) end(t *testing.T) {
 	t.Helper()
 	close(s.stop)
--- a/internal/daemon/pidfile.go
+++ b/internal/daemon/pidfile.go
@@ -14,7 +14,7 @@
 
 func pidFileContent() string { return strconv.Itoa(os.Getpid()) + "\n" }
 
-// writePIDFile writes the file whole or not at all.
+// writePIDFile replaces the PID file atomically: a reader never sees a partial file.
 func writePIDFile(path string) error {
 	temporary := path + ".new"
 	if err := os.MkdirAll(filepath.Dir(path), pidDirectoryMode); err != nil {
@@ -26,7 +26,8 @@
 	return os.Rename(temporary, path)
 }
 
-// removePIDFile removes the file where it is still ours: a successor has written its own.
+// removePIDFile removes the PID file if it still holds the ID of this process. After a handover it holds the
+// ID of the successor.
 func (d *daemon) removePIDFile(path string) {
 	b, err := os.ReadFile(path)
 	if err != nil || string(b) != pidFileContent() {
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -12,7 +12,7 @@
 	"github.com/jackc/pgx/v5"
 )
 
-// A reload applies all settings or none, while queries wait and run.
+// A reload applies either all settings or none, while queries wait and run.
 func TestReload(t *testing.T) {
 	env := newTestEnv(t)
 	path := filepath.Join(env.dir, "d.hcl")
@@ -47,7 +47,7 @@
 	reload()
 	s.waitForLog(t, "settings reloaded")
 	if !strings.Contains(s.log.String(), "[match max_clients]") {
-		t.Errorf("what changed is not logged: %s", s.log)
+		t.Errorf("the changed settings are not logged: %s", s.log)
 	}
 	if got := <-end; got != "<nil>" {
 		t.Errorf("a query that ran through three reloads was answered by %s", got)
@@ -56,15 +56,15 @@
 	defer second.Close(context.Background())
 	if _, err := pgx.Connect(context.Background(),
 		"postgres://u@"+env.listen+"/db?sslmode=disable"); sqlState(err) != "53300" {
-		t.Errorf("a third client, at most two: %v", err)
+		t.Errorf("a third client with max_clients = 2: %v", err)
 	}
 	if err := s.stopAndWait(t); err != nil {
 		t.Error(err)
 	}
 }
 
-// Reloads in a burst of queries, of good and of broken files by turns: no query is lost, and each good file
-// is in force.
+// Reloads of valid and invalid files during a burst of queries: no query is lost, and every valid file is
+// applied.
 func TestReloadInABurst(t *testing.T) {
 	env := newTestEnv(t)
 	s := env.start(t, "", false)
@@ -78,14 +78,14 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(50 * time.Millisecond)                   // some 300 statements come and go
-		before := strings.Count(s.log.String(), "reloaded") // or not reloaded
+		time.Sleep(50 * time.Millisecond)                   // about 300 statements arrive and end
+		before := strings.Count(s.log.String(), "reloaded") // also counts "not reloaded"
 		if err := sendReload(); err != nil {
 			t.Fatal(err)
 		}
 		for begin := time.Now(); strings.Count(s.log.String(), "reloaded") == before; {
 			if time.Since(begin) > 5*time.Second {
-				t.Fatalf("reload %d is not logged:\n%s", i, s.log)
+				t.Fatalf("reload %d was not logged within 5 s:\n%s", i, s.log)
 			}
 			time.Sleep(time.Millisecond)
 		}
--- a/internal/daemon/restart_test.go
+++ b/internal/daemon/restart_test.go
@@ -9,14 +9,15 @@
 	"time"
 )
 
-// After a dispatcher died with a write whose outcome is unknown, the write's key is not used for a while,
-// and the same write is rejected where only one group of engines would drop it, until its window is over.
+// After a dispatcher died with a write whose outcome is unknown, the write's ordering key is not used for
+// order_rest. The same write is rejected until its deduplication window is over, where only one group of
+// engines would drop the repeat.
 func TestRestartHonorsPendingWrites(t *testing.T) {
 	env := newTestEnv(t)
 	s := env.start(t, "", false)
 	c := env.connect(t)
 	go func() {
-		_, _ = c.Exec(context.Background(), // it ends with its dispatcher
+		_, _ = c.Exec(context.Background(), // it ends with its dispatcher; the error does not matter
 			"insert into t values (7) /*class='load',key='k',work_ms='60000',id='l'*/")
 	}()
 	for begin := time.Now(); ; time.Sleep(5 * time.Millisecond) {
@@ -24,11 +25,11 @@
 			break
 		}
 		if time.Since(begin) > 5*time.Second {
-			t.Fatal("the write does not run")
+			t.Fatal("the write did not start within 5 s")
 		}
 	}
 	time.Sleep(50 * time.Millisecond)
-	// A copy that is taken while the dispatcher runs is what its death would leave.
+	// The files are copied while the dispatcher runs: a crash would leave the same ones.
 	copyTo := t.TempDir()
 	env.waitForCachedList(t)
 	for _, name := range []string{"state", "list"} {
@@ -48,7 +49,7 @@
 		t.Error(err)
 	}
 	env.dir = copyTo
-	env.rig.Discovery.SetUnavailable(true) // only the cached list is known
+	env.rig.Discovery.SetUnavailable(true) // only the cached list is available
 	s = env.start(t, "", false)
 	if !strings.Contains(s.log.String(),
 		`msg="previous incarnation did not shut down cleanly" pending_writes=1`) {
@@ -66,7 +67,7 @@
 		t.Errorf("another write with the key: %v", err)
 	}
 	if took := time.Since(begin); took < 100*time.Millisecond {
-		t.Errorf("the key was not used for %v only", took)
+		t.Errorf("the key was used again after %v", took)
 	}
 	if err := s.stopAndWait(t); err != nil {
 		t.Error(err)
--- a/internal/daemon/sdnotify.go
+++ b/internal/daemon/sdnotify.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// What the service manager is notified of, by the protocol of sd_notify(3).
+// The messages to the service manager, in the protocol of sd_notify(3).
 const (
 	notifyReady     = "READY=1"
 	notifyStopping  = "STOPPING=1"
@@ -18,7 +18,8 @@
 	notifySocketVariable = "NOTIFY_SOCKET"
 )
 
-// notifyServiceManager sends a notification where a service manager wants it. One that fails is logged.
+// notifyServiceManager sends a message to the service manager, if the environment names its socket. A failure
+// is logged.
 func (d *daemon) notifyServiceManager(text string) {
 	path := os.Getenv(notifySocketVariable)
 	if path == "" {
@@ -42,7 +43,8 @@
 	return err
 }
 
-// monotonicMicros is CLOCK_MONOTONIC in microseconds, as sd_notify(3) wants it; 0 where it cannot be read.
+// monotonicMicros returns CLOCK_MONOTONIC in microseconds, the unit that sd_notify(3) prescribes for
+// MONOTONIC_USEC, or 0 if the clock cannot be read.
 func monotonicMicros() int64 {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &now); err != nil {
--- a/internal/daemon/signals/signals.go
+++ b/internal/daemon/signals/signals.go
@@ -1,4 +1,5 @@
-// Package signals delivers a service's signals so that one to end is not lost behind many to reload.
+// Package signals delivers the signals that reload or stop a service. A burst of reloads cannot displace a
+// request to stop.
 package signals
 
 import (
@@ -8,12 +9,13 @@
 	"syscall"
 )
 
-// Notify has SIGHUP, SIGTERM and SIGINT come to a channel, in their order but for SIGHUPs that were not
-// received yet: those count as one. It is to be called first of all, as a process that does not expect
-// SIGHUP is ended by it. stop ends the delivery, and is to be called once.
+// Notify returns a channel that delivers SIGHUP, SIGTERM and SIGINT. Signals that arrive before earlier ones
+// of their kind, reload or stop, are received may be merged with them, and a stop may overtake a reload. Call
+// Notify before anything else: the default action of SIGHUP ends the process. stop ends the delivery and must
+// be called exactly once.
 func Notify() (received <-chan os.Signal, stop func()) {
-	// Package os/signal drops what does not fit a channel. One place each is enough: a second reload before
-	// the first was begun, or a second end, adds nothing.
+	// Package os/signal drops signals that do not fit the channel. A capacity of one each is enough: a second
+	// pending reload, or a second pending request to stop, adds nothing.
 	reloads, terminations := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
 	signal.Notify(terminations, syscall.SIGTERM, os.Interrupt)
@@ -28,7 +30,7 @@
 	}
 }
 
-// forward sends signals on to out until stopping is closed.
+// forward passes signals to out until stopping is closed.
 func forward(out chan<- os.Signal, stopping <-chan struct{}, reloads, terminations <-chan os.Signal) {
 	for {
 		var next os.Signal
