--- a/internal/storage/directory_sync_test.go
+++ b/internal/storage/directory_sync_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// plannedDirectorySync replaces the syncs of directories by planned results, and real syncs after them.
+// plannedDirectorySync makes syncs of directories return planned results, and after them does real syncs.
 func plannedDirectorySync(t *testing.T, plan ...error) {
 	t.Helper()
 	newDirectorySync = func(dir string) error {
@@ -20,7 +20,7 @@
 	t.Cleanup(func() { newDirectorySync = syncDirectory })
 }
 
-// Guards against records that are acknowledged in a log whose name a power cut takes away.
+// Guards against acknowledging records in a log whose rename a power cut may undo.
 func TestNothingIsAppendedBeforeTheNameIsDurable(t *testing.T) {
 	plannedDirectorySync(t, syscall.EIO, syscall.EIO)
 	l, _, _ := openLog(t, t.TempDir())
@@ -40,7 +40,7 @@
 	}
 }
 
-// Guards against a waiting write that is sent although a power cut would take its record away.
+// Guards against sending a write whose record a power cut could still remove.
 func TestStoreAcknowledgesOnceTheNameIsDurable(t *testing.T) {
 	failing := true
 	released := make(chan struct{})
@@ -64,7 +64,7 @@
 	begin := time.Now()
 	for _, failed := s.Counts(); failed < 3; _, failed = s.Counts() {
 		if time.Since(begin) > 10*time.Second {
-			t.Fatal("the directory's failing sync is not tried again")
+			t.Fatal("the failing sync of the directory was not retried 3 times within 10 s")
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -80,9 +80,9 @@
 	}
 }
 
-// Guards against a rewrite that is reported as durable where the directory cannot be opened.
+// Guards against reporting a rewrite as durable when the directory cannot be opened.
 func TestDirectoryThatCannotBeOpened(t *testing.T) {
 	if syncDirectory(filepath.Join(t.TempDir(), "none")) == nil {
-		t.Error("the sync of a directory that is not there succeeds")
+		t.Error("syncing a directory that does not exist succeeded")
 	}
 }
--- a/internal/storage/disk_test.go
+++ b/internal/storage/disk_test.go
@@ -4,7 +4,7 @@
 	"errors"
 )
 
-// fullDisk is a file on a disk that takes only so many bytes more.
+// fullDisk is a file on a disk with room for capacity more bytes.
 type fullDisk struct {
 	File
 	capacity int
@@ -20,7 +20,7 @@
 	return f.File.Write(b)
 }
 
-// faultyFileStub is a file whose calls fail as planned: one entry for each call of its kind, nil for none.
+// faultyFileStub is a file whose calls fail as planned: one entry per call of each kind, nil for success.
 type faultyFileStub struct {
 	File
 	writes, syncs, truncates []error
@@ -57,7 +57,7 @@
 	return f.File.Truncate(size)
 }
 
-// fileWithoutSync is a file that leaves it to the system when its bytes go to the disk.
+// fileWithoutSync is a file whose Sync does nothing.
 type fileWithoutSync struct{ File }
 
 func (fileWithoutSync) Sync() error { return nil }
--- a/internal/storage/doc.go
+++ b/internal/storage/doc.go
@@ -1,12 +1,12 @@
-// Package storage keeps what a dispatcher must still know after it died: the writes that it had sent and
+// Package storage keeps what a dispatcher must still know after a crash: the writes that it had sent and
 // whose outcome is unknown, the sessions that it left open on engines, its incarnations, and what the
-// decision module had learned.
+// decision module had learned. An incarnation is one run of a dispatcher's process.
 //
-// Log is an append-only file of checksummed records, State is what the records add up to, Store writes
-// records behind the queries in a goroutine of its own and compacts the log when it has grown, and
+// Log is an append-only file of checksummed records. State is the result of applying the records in order.
+// Store appends records asynchronously, in a goroutine of its own, and compacts the log when it has grown.
 // RecoveryGuard decides what a restarted dispatcher may do with a query. State and RecoveryGuard do no I/O
-// and read no clock. The package decides nothing about engines, and a failing disk must never hold up a
+// and read no clock. The package makes no decisions about engines, and a failing disk must never delay a
 // query.
 //
-// What cannot be read is set aside, and the dispatcher starts as if it were new.
+// A file that cannot be read is set aside, and the dispatcher starts without state.
 package storage
--- a/internal/storage/faults.go
+++ b/internal/storage/faults.go
@@ -9,9 +9,9 @@
 	"syscall"
 )
 
-// This file is the faulty disk of the fault soak. It is in no other build.
+// This file injects disk faults for the fault soak. No other build includes it.
 
-// faultRateVariable is the environment variable with the share of calls that fail.
+// faultRateVariable is the environment variable with the fraction of calls that fail, from 0 to 1.
 const faultRateVariable = "CRESSPASS_DISK_FAULTS"
 
 func init() {
@@ -34,7 +34,7 @@
 	}
 }
 
-// faultyFile is a file of which a share of the calls fails. A write that fails has written some of its bytes.
+// faultyFile is a file whose calls fail at a given rate. A write that fails has written some of its bytes.
 type faultyFile struct {
 	File
 	rate float64
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -15,10 +15,10 @@
 	"cresspass/internal/goldentest"
 )
 
-// The files under testdata hold what earlier builds wrote. A build that can't read them, or that writes other
-// bytes for the same values, breaks the state directories of running dispatchers.
+// The files under testdata were written by earlier builds. A build that cannot read them, or that writes
+// other bytes for the same values, is incompatible with the state directories of running dispatchers.
 
-// goldenTime has a zone and parts of a second, as the wall clock gives them.
+// goldenTime has a time zone and fractions of a second, as the wall clock does.
 var goldenTime = time.Date(2026, 1, 5, 9, 0, 0, 123456789, time.FixedZone("", 3600))
 
 const goldenBoot = "3e1c0b1a-7b5a-4c8e-9a53-1f2d3c4b5a69"
@@ -27,7 +27,7 @@
 	{ID: 0x1122334455667788, Class: "load", Key: "repo-7", Hash: 18446744073709551615,
 		Engine: "127.0.0.1:7001", SentAt: goldenTime, BootID: goldenBoot, SentSinceBoot: 90 * time.Minute,
 		Window: 15 * time.Second, AllEngines: true},
-	// Without an ordering key, and of a machine whose boot is not known.
+	// Without an ordering key, and with an unknown boot.
 	{ID: 2, Class: "write", Engine: "127.0.0.1:7002", Hash: 9, SentAt: goldenTime.Add(time.Second).UTC(),
 		Window: 500 * time.Millisecond},
 	{ID: 3, Class: "write", Engine: "127.0.0.1:7002", Hash: 10, SentAt: goldenTime, Window: time.Minute},
@@ -39,7 +39,7 @@
 	{ID: 42, Engine: "127.0.0.1:7002", PID: 17, IncarnationName: "cresspass-0-2badcafe"},
 }
 
-// goldenRecords returns a record of every kind, as a dispatcher that was killed leaves them.
+// goldenRecords returns the records of a dispatcher that was killed. All kinds but kindCleanShutdown occur.
 func goldenRecords() []Record {
 	return []Record{
 		IncarnationNameRecord("cresspass-0-1badcafe"), IncarnationNumberRecord(1767600000123456789),
@@ -64,12 +64,13 @@
 		t.Error(err)
 	}
 	if len(notes) > 0 {
-		t.Errorf("notes on a sound log: %v", notes)
+		t.Errorf("opening an undamaged log logged %v", notes)
 	}
 	return records
 }
 
-// A log of every kind of record keeps its bytes: today's encoder writes them and today's decoder reads them.
+// The bytes of a stored log do not change: the current encoder writes the same bytes, and the current decoder
+// reads them.
 func TestGoldenLog(t *testing.T) {
 	want := goldenRecords()
 	written := encodeHeader()
@@ -91,7 +92,7 @@
 		SinceBoot: 90*time.Minute + time.Second}
 	open := state.PendingWrites(now)
 	if len(open) != 2 {
-		t.Fatalf("open: %+v", open)
+		t.Fatalf("pending writes: %+v", open)
 	}
 	for i, got := range open {
 		want := goldenWrites[i]
@@ -99,7 +100,7 @@
 			t.Errorf("sent at %v, want %v", got.SentAt, want.SentAt)
 		}
 		got.SentAt, want.SentAt = time.Time{}, time.Time{}
-		if want.BootID == "" { // of an unknown boot: counts from now on
+		if want.BootID == "" { // its boot is not known, so it counts as sent now
 			want.BootID, want.SentSinceBoot = now.BootID, now.SinceBoot
 		}
 		if got != want {
@@ -122,7 +123,7 @@
 	}
 }
 
-// A log that was rewritten holds the fewest records, in this order.
+// A rewritten log holds the fewest records that keep the state, in this order.
 func TestGoldenRewrittenLog(t *testing.T) {
 	state := NewState()
 	state.Apply(goldenRecords())
@@ -143,7 +144,7 @@
 	}
 }
 
-// A dispatcher that stopped in good order leaves no sessions, and its writes that had no end.
+// After a clean shutdown no sessions are left, but the writes without a known outcome are.
 func TestGoldenStoppedLog(t *testing.T) {
 	written := encodeHeader()
 	for _, r := range append(goldenRecords(), CleanShutdownRecord()) {
@@ -161,7 +162,7 @@
 	}
 }
 
-// The numbers of the kinds stand in stored logs.
+// The numbers of the kinds are stored in logs and must not change.
 func TestGoldenKinds(t *testing.T) {
 	for want, r := range map[Kind]Record{
 		1: WriteSentRecord(WriteAttempt{}),
@@ -180,8 +181,8 @@
 	}
 }
 
-// Records of builds before the boot clock was noted, and of later builds with fields and kinds that are not
-// known here, are read as far as they are known.
+// Records of builds that did not store the boot clock yet are read. Of records of later builds, unknown
+// fields are ignored, and unknown kinds are counted as unreadable.
 func TestGoldenOldAndLaterRecords(t *testing.T) {
 	id := []byte{7, 0, 0, 0, 0, 0, 0, 0}
 	old := `{"class":"load","key":"k","hash":5,"engine":"e","at":"2026-01-05T08:00:00Z",` +
@@ -225,7 +226,7 @@
 	}
 }
 
-// The keys of stored JSON come from tags, and are these.
+// The keys of the stored JSON do not change.
 func TestGoldenJSON(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -240,7 +241,7 @@
 	}
 }
 
-// The names of the files in a state directory stay.
+// The names of the files in a state directory do not change.
 func TestGoldenFileNames(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "state"), []byte("cresspass state\x02\n"), 0o600); err != nil {
--- a/internal/storage/instant.go
+++ b/internal/storage/instant.go
@@ -8,19 +8,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootIDPath names the machine's present boot.
+// bootIDPath is the file with the ID of the machine's current boot.
 const bootIDPath = "/proc/sys/kernel/random/boot_id"
 
-// Instant is a moment that can be compared across restarts of a process. The wall clock may step between two
-// incarnations; the time since the machine's boot does not, and is comparable as long as the boot is the
-// same.
+// Instant is a point in time that can be compared across restarts of a process. The wall clock may step
+// between two incarnations. The time since the machine's boot does not step, and is comparable as long as the
+// machine was not rebooted.
 type Instant struct {
 	Wall      time.Time
-	BootID    string        // names the machine's boot; "": not known
-	SinceBoot time.Duration // meaningless without BootID
+	BootID    string        // ID of the machine's boot; "": not known
+	SinceBoot time.Duration // valid if BootID is known
 }
 
-// Now returns the present moment.
+// Now returns the current time. BootID is empty if it or the time since boot cannot be read.
 func Now() Instant {
 	now := Instant{Wall: time.Now()}
 	bootID, err := os.ReadFile(bootIDPath)
@@ -31,9 +31,9 @@
 	return now
 }
 
-// Sub returns the time from then to now, at least zero. Where the machine was booted between the two, or the
-// clock says that then lies ahead, the time is not known and counts as zero: what is remembered for a window
-// is then remembered for the whole of it.
+// Sub returns the time from then to now, at least zero. If the machine was rebooted in between, or if then is
+// in the future by the clock, the time is not known and counts as zero: what is kept for a window is then
+// kept for a whole window from now on.
 func (now Instant) Sub(then Instant) time.Duration {
 	switch {
 	case now.BootID != then.BootID:
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -12,14 +12,14 @@
 	"syscall"
 )
 
-// The form of the file: a header, then records. All numbers are little-endian.
+// The file format is a header followed by records. All numbers are little-endian.
 //
 //	header: "cresspass state" version(1) 0x0a
 //	record: length(4) checksum(4) kind(1) payload
 //
-// The checksum is CRC-32C over kind and payload, and the length counts both. A record that is cut short or
-// does not fit its checksum ends the log: what follows it was never acknowledged, or cannot be told from
-// noise.
+// The checksum is CRC-32C over kind and payload, and the length counts both, in bytes. A record that is
+// truncated or does not match its checksum ends the log: what follows it was never acknowledged, or cannot be
+// distinguished from garbage.
 const (
 	headerMagic      = "cresspass state"
 	formatVersion    = 1
@@ -27,8 +27,8 @@
 	recordHeaderSize = 8
 )
 
-// A log is compacted once it is larger than compactionMinSize and than compactionFactor times what it was
-// when it was last rewritten.
+// A log is compacted once it is larger than compactionMinSize bytes and larger than compactionFactor times
+// its size after the last rewrite.
 const (
 	compactionFactor  = 4
 	compactionMinSize = 1 << 16
@@ -48,12 +48,12 @@
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 var (
-	// ErrFormat reports a file that is no log of this version.
+	// ErrFormat reports a file that is not a state log of this version.
 	ErrFormat = errors.New("storage: not a state log of this version")
-	// ErrLocked reports a directory that another process has locked.
+	// ErrLocked reports that another process has locked the state directory.
 	ErrLocked = errors.New("storage: another process has locked the state directory")
 
-	errNotRewritten = errors.New("storage: the state log has to be rewritten first")
+	errNotRewritten = errors.New("storage: state log must be rewritten before records are appended")
 )
 
 func appendRecord(out []byte, r Record) []byte {
@@ -65,7 +65,7 @@
 
 func encodeHeader() []byte { return append([]byte(headerMagic), formatVersion, '\n') }
 
-// decodeLog returns the records up to the first that is damaged, and the size of all before it.
+// decodeLog returns the records before the first damaged one, and the size in bytes of the valid part.
 func decodeLog(b []byte) (records []Record, validSize int, err error) {
 	header := encodeHeader()
 	if len(b) < len(header) || string(b[:len(header)]) != string(header) {
@@ -87,7 +87,7 @@
 	return records, offset, nil
 }
 
-// File is what a log is written to.
+// File is the file that a log is written to.
 type File interface {
 	io.Writer
 	Sync() error
@@ -95,22 +95,23 @@
 	Close() error
 }
 
-// Log is an open log. It is for one goroutine at a time.
+// Log is an open state log. It is not safe for concurrent use.
 type Log struct {
 	path          string
-	file          File  // nil until the log was rewritten once
-	unsyncedName  bool  // the directory was not synced since the file was renamed to its name
-	durableSize   int64 // bytes that are on the disk
-	tornTail      bool  // bytes of a failed append may stand behind them
+	file          File  // nil until a rewrite has created it
+	unsyncedName  bool  // the directory has not been synced since the file was renamed
+	durableSize   int64 // bytes that are durable
+	tornTail      bool  // bytes of a failed append may follow the durable ones
 	compactedSize int64 // size after it was last rewritten
 	lockFile      *os.File
 	createFile    func(path string) (File, error)
 	syncDirectory func(dir string) error
 }
 
-// Open locks a directory and opens its log, and returns what it holds. What could not be read is logged; a
-// file of another form is set aside under the suffix .damaged. A disk that fails does not keep the log from
-// being opened: see NeedsRewrite.
+// Open locks a directory, opens its log and returns the records of the log. It creates the directory if it
+// does not exist. Damage is logged; a file of another format is renamed with the suffix .damaged. The log is
+// opened even if the disk cannot be written: see NeedsRewrite. The error is ErrLocked if another process has
+// locked the directory.
 func Open(dir string, logger *slog.Logger) (*Log, []Record, error) {
 	if err := makeDirectory(dir); err != nil {
 		return nil, nil, err
@@ -125,9 +126,8 @@
 	if err != nil {
 		return nil, nil, errors.Join(err, lockFile.Close())
 	}
-	// The log is always rewritten, so that nothing is appended behind bytes that were not believed. Where
-	// the disk does not take it yet, the old file stays as it is, and nothing is appended until a rewrite
-	// succeeds.
+	// The log is always rewritten, so that nothing is appended after damaged bytes. If the disk cannot be
+	// written yet, the old file stays as it is, and nothing is appended until a rewrite succeeds.
 	if err := l.Rewrite(records); err != nil {
 		logger.Warn("state log not rewritten at open", "path", l.path, "error", err)
 	}
@@ -145,7 +145,7 @@
 	return lockFile, nil
 }
 
-// readFile returns the records of the file, none where there is no file, and sets one of another form aside.
+// readFile returns the records of the file, or none if there is no file. It renames a file of another format.
 func (l *Log) readFile(logger *slog.Logger) ([]Record, error) {
 	b, err := os.ReadFile(l.path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -165,7 +165,8 @@
 	return records, nil
 }
 
-// ReadUnlocked returns what a directory's log holds, whichever process has locked it, and changes nothing.
+// ReadUnlocked returns the records of a directory's log without locking it, and changes nothing. Another
+// process may have locked the directory.
 func ReadUnlocked(dir string) ([]Record, error) {
 	b, err := os.ReadFile(filepath.Join(dir, logName))
 	if err != nil {
@@ -175,7 +176,7 @@
 	return records, err
 }
 
-// newFile makes the files of logs, and newDirectorySync syncs their directories. The build for the fault soak
+// newFile creates log files, and newDirectorySync syncs their directories. The build for the fault soak
 // replaces them.
 var (
 	newFile          = create
@@ -186,14 +187,15 @@
 	return os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, fileMode)
 }
 
-// Append adds records and makes them durable. After an error the log holds what it held before, and the next
-// call begins by cutting off what the failed one may have left. It fails while NeedsRewrite.
+// Append appends records and makes them durable. After an error the log holds the same records as before, and
+// the next call first truncates what the failed one may have left. Append fails while NeedsRewrite reports
+// true.
 func (l *Log) Append(records []Record) error {
 	if l.NeedsRewrite() {
 		return errNotRewritten
 	}
-	// A reader stops at half a record, and bytes whose sync failed may be anything: records behind either
-	// would be lost after a restart, although they were acknowledged.
+	// A reader stops at a partial record, and bytes whose sync failed may be anything. Records appended after
+	// either would be lost at a restart, although they were acknowledged.
 	if l.tornTail {
 		if err := l.file.Truncate(l.durableSize); err != nil {
 			return fmt.Errorf("storage: truncate state log to %d bytes: %w", l.durableSize, err)
@@ -206,7 +208,7 @@
 	}
 	l.tornTail = true
 	if _, err := l.file.Write(out); err != nil {
-		// This frees space on a full disk; where it fails, the next call does it first.
+		// Truncating frees space on a full disk; if it fails, the next call does it first.
 		l.tornTail = l.file.Truncate(l.durableSize) != nil
 		return fmt.Errorf("storage: append to state log: %w", err)
 	}
@@ -218,13 +220,13 @@
 	return nil
 }
 
-// NeedsCompaction reports whether the log has grown so much that it is worth rewriting.
+// NeedsCompaction reports whether the log has grown so much that a rewrite is worthwhile.
 func (l *Log) NeedsCompaction() bool {
 	return l.durableSize > compactionMinSize && l.durableSize > compactionFactor*l.compactedSize
 }
 
-// Rewrite replaces the whole log. Where it fails before the rename, the log is as it was; where only the
-// sync of the directory fails, a power cut may bring back the old log, and NeedsRewrite.
+// Rewrite replaces the whole log. If it fails before the rename, the log is unchanged. If only the sync of
+// the directory fails, a power cut may bring back the old log, and NeedsRewrite reports true.
 func (l *Log) Rewrite(records []Record) error {
 	out := encodeHeader()
 	for _, r := range records {
@@ -246,7 +248,7 @@
 			os.Remove(temporary))
 	}
 	if l.file != nil {
-		_ = l.file.Close() // of a file that has no name any more
+		_ = l.file.Close() // this file has been replaced
 	}
 	l.file, l.durableSize, l.compactedSize, l.tornTail = file, int64(len(out)), int64(len(out)), false
 	l.unsyncedName = true
@@ -257,7 +259,7 @@
 	return nil
 }
 
-// makeDirectory creates a directory, where there is none, that outlives a power cut.
+// makeDirectory creates a directory if it does not exist, and makes its name durable.
 func makeDirectory(dir string) error {
 	_, err := os.Stat(dir)
 	if !errors.Is(err, os.ErrNotExist) {
@@ -269,14 +271,14 @@
 	return syncDirectory(filepath.Dir(dir))
 }
 
-// syncDirectory makes the names in a directory durable.
+// syncDirectory makes the entries of a directory durable.
 func syncDirectory(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
 	err = d.Sync()
-	_ = d.Close() // it was opened for reading only
+	_ = d.Close() // it was only opened for reading
 	return err
 }
 
@@ -288,6 +290,6 @@
 	return errors.Join(l.file.Close(), l.lockFile.Close())
 }
 
-// NeedsRewrite reports whether the log could not be written since it was opened, or a power cut may still
-// bring back the one before it. What is appended to it might be lost.
+// NeedsRewrite reports whether the log could not be written since it was opened, or whether a power cut may
+// still bring back the log that it replaced. In both cases appended records could be lost.
 func (l *Log) NeedsRewrite() bool { return l.file == nil || l.unsyncedName }
--- a/internal/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -17,7 +17,7 @@
 	"go.etcd.io/bbolt"
 )
 
-// openLog opens a log and returns its records, and the lines that were logged.
+// openLog opens a log and returns it with its records and the lines that were logged.
 func openLog(t *testing.T, dir string) (*Log, []Record, []string) {
 	t.Helper()
 	var logged bytes.Buffer
@@ -35,9 +35,9 @@
 	}
 }
 
-// Power lost at any byte: whatever is left of the file, what was acknowledged before the cut is read and
-// nothing else, and the log can be appended to. A bit flipped anywhere loses at most what stands from there
-// on.
+// Guards against losing or inventing records after a power cut. Wherever the file is truncated, exactly the
+// records before the cut are read, and the log can be appended to. A flipped bit loses at most the records
+// from that position on.
 func TestLogCutOrFlippedAtAnyByte(t *testing.T) {
 	dir := t.TempDir()
 	l, _, _ := openLog(t, dir)
@@ -84,7 +84,7 @@
 			if n < len(encodeHeader()) {
 				readable = 0
 				if _, err := os.Stat(path + ".damaged"); err != nil || len(notes) == 0 {
-					t.Fatalf("cut at %d, flip %v: a file of another form was not set aside", n, flip)
+					t.Fatalf("cut at %d, flip %v: a file with a damaged header was not set aside", n, flip)
 				}
 			}
 			if len(got) != readable || readable > 0 && !reflect.DeepEqual(got, want[:readable]) {
@@ -96,7 +96,7 @@
 			closeLog(t, l)
 			l, got, notes = openLog(t, dir)
 			if len(got) != readable+1 || len(notes) > 0 {
-				t.Fatalf("cut at %d: after an append %d records, notes %v", n, len(got), notes)
+				t.Fatalf("cut at %d: after an append %d records, logged %v", n, len(got), notes)
 			}
 			closeLog(t, l)
 		}
@@ -107,7 +107,7 @@
 	dir := t.TempDir()
 	l, _, _ := openLog(t, dir)
 	if _, _, err := Open(dir, slog.New(slog.DiscardHandler)); !errors.Is(err, ErrLocked) {
-		t.Errorf("a second opening: %v", err)
+		t.Errorf("opening a locked directory: %v", err)
 	}
 	closeLog(t, l)
 	l, _, _ = openLog(t, dir)
@@ -139,19 +139,19 @@
 	l.file = &fullDisk{File: l.file, capacity: 100}
 	if l.Append([]Record{WriteSentRecord(testWrite(1, t0))}) == nil &&
 		l.Append([]Record{WriteSentRecord(testWrite(2, t0))}) == nil {
-		t.Error("two records of 150 bytes fitted into 100")
+		t.Error("two records of 150 bytes were written to a disk with room for 100")
 	}
 	closeLog(t, l)
 	if l, _, notes = openLog(t, dir); len(notes) != 0 {
-		t.Errorf("half a record was left behind: %v", notes)
+		t.Errorf("a partial record was left in the log: %v", notes)
 	}
 	closeLog(t, l)
 	if appended == 0 || appended == 20 {
-		t.Errorf("%d of 20 were appended", appended)
+		t.Errorf("%d of 20 records were appended, want some but not all", appended)
 	}
 }
 
-// Whatever calls of the disk fail in between, a record whose append was acknowledged is read after a restart.
+// A record whose append was acknowledged is read after a restart, whichever disk calls fail in between.
 func TestAcknowledgedRecordsSurviveDiskFaults(t *testing.T) {
 	var none error
 	for name, disk := range map[string]faultyFileStub{
@@ -193,8 +193,8 @@
 	}
 }
 
-// BenchmarkDurable measures one write that is sent and ends, each record made durable: this log against
-// bbolt, without sync on either side, and then with.
+// BenchmarkDurable measures the two records of one write, sent and ended, each appended durably. It compares
+// this log with bbolt, both without and with sync.
 func BenchmarkDurable(b *testing.B) {
 	for _, sync := range []bool{false, true} {
 		b.Run(fmt.Sprintf("log/sync=%v", sync), func(b *testing.B) {
@@ -246,8 +246,8 @@
 	}
 }
 
-// BenchmarkOpen measures how long a restart waits for its state: 10,000 writes that were sent and have ended,
-// 100 whose outcome is unknown.
+// BenchmarkOpen measures how long a restart waits for its state, with 10,000 writes that were sent and have
+// ended, and 100 whose outcome is unknown.
 func BenchmarkOpen(b *testing.B) {
 	dir := b.TempDir()
 	l, _, err := Open(dir, slog.New(slog.DiscardHandler))
--- a/internal/storage/recovery.go
+++ b/internal/storage/recovery.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Decision is what a restarted dispatcher may do with a query.
+// Decision says what a restarted dispatcher may do with a query.
 type Decision int
 
 // The decisions.
 const (
-	// Allow treats the query as any other.
+	// Allow handles the query as usual.
 	Allow Decision = iota
-	// Delay holds the query for a while: an earlier write with its ordering key may be running yet.
+	// Delay holds the query back for a while: an earlier write with its ordering key may still be running.
 	Delay
-	// Reject refuses the query and says when to retry: it may have run on a group of engines, and another
+	// Reject rejects the query and says when to retry: it may have run on one group of engines, and another
 	// group would run it again.
 	Reject
 )
@@ -29,22 +29,22 @@
 	return "unknown"
 }
 
-// RecoveryGuard decides about the queries that come to a dispatcher after its restart, by the writes that
-// its earlier incarnations left without a known outcome. All its times are since the restart, by a clock
-// that does not step. It does no I/O, and is for one goroutine at a time.
+// RecoveryGuard decides about the queries that a dispatcher receives after its restart, from the writes that
+// earlier incarnations left without a known outcome. All its times count from the restart, by a clock that
+// does not step. It does no I/O, and is not safe for concurrent use.
 type RecoveryGuard struct {
 	settleDelay time.Duration
 	writes      []recoveredWrite
 }
 
-// recoveredWrite is a write with what was left of its deduplication window at the restart.
+// recoveredWrite is a write with the rest of its deduplication window at the restart.
 type recoveredWrite struct {
 	WriteAttempt
 	windowLeft time.Duration
 }
 
 // NewRecoveryGuard returns the guard of a dispatcher that restarted with a state. settleDelay is how long an
-// ordering key is not used after a write with an unknown outcome.
+// ordering key stays unused after a write with an unknown outcome.
 func NewRecoveryGuard(s *State, restartedAt Instant, settleDelay time.Duration) *RecoveryGuard {
 	g := &RecoveryGuard{settleDelay: settleDelay}
 	for _, w := range s.PendingWrites(restartedAt) {
@@ -53,17 +53,18 @@
 	return g
 }
 
-// Remaining returns the number of writes that still count.
+// Remaining returns the number of writes that may still delay or reject a query, as of the last Check.
 func (g *RecoveryGuard) Remaining() int { return len(g.writes) }
 
-// Check decides about a query of a class, with an ordering key and the hash of its text, at a time since the
-// restart, and says for how long the decision holds.
+// Check decides about a query of a class, with an ordering key ("" means none) and the hash of its text and
+// parameters (0 matches no write), at a time since the restart. It also returns for how long the decision
+// holds.
 //
-// The death of its own dispatcher leaves the outcome of a write unknown, so that its key is not used for
-// settleDelay from the restart on. A repeat of the same query is harmless only where engines still drop it.
-// Where only one group of engines does, the decision module cannot be told which, and the repeat is rejected
-// until the window is over. A rejection promises that a later retry is harmless. It is: by then that group
-// has run the write or never will, and the client's next attempt is a new query by its own decision.
+// When the dispatcher crashes, the outcome of a write in flight is unknown, so its key is not used until
+// settleDelay after the restart. A repeat of the same query is harmless only as long as engines drop it.
+// Where only one group of engines drops it, the decision module cannot be told which group, and the repeat is
+// rejected until the window is over. A rejection promises that a later retry is harmless. It is: by then that
+// group has run the write or never will, and the client's next attempt is a new query by its own decision.
 func (g *RecoveryGuard) Check(sinceRestart time.Duration, class, key string, hash uint64) (Decision,
 	time.Duration) {
 	decision, wait := Allow, time.Duration(0)
--- a/internal/storage/recovery_test.go
+++ b/internal/storage/recovery_test.go
@@ -19,27 +19,27 @@
 		want  Decision
 		wait  time.Duration
 	}{
-		// the same write, one group drops it
+		// the same write; only one group of engines drops it
 		{0, "k1", 1, Reject, 14 * time.Second},
-		// the same write, all drop it: only its key is not used for a while
+		// the same write; all engines drop it, so only its key is held back
 		{0, "k2", 2, Delay, 500 * time.Millisecond},
 		{0, "k1", 9, Delay, 500 * time.Millisecond},                         // another write with the key
 		{0, "k9", 9, Allow, 0},                                              // another key
 		{600 * time.Millisecond, "k2", 2, Allow, 0},                         // the key may be used again
 		{600 * time.Millisecond, "k1", 1, Reject, 13400 * time.Millisecond}, // still in its window
-		{15 * time.Second, "k1", 1, Allow, 0},                               // over
+		{15 * time.Second, "k1", 1, Allow, 0},                               // its window is over
 	} {
 		if v, wait := r.Check(c.after, "load", c.key, c.hash); v != c.want || wait != c.wait {
 			t.Errorf("after %v key %s: %v for %v; want %v for %v", c.after, c.key, v, wait, c.want, c.wait)
 		}
 	}
 	if r.Remaining() != 0 {
-		t.Errorf("%d writes are remembered past their windows", r.Remaining())
+		t.Errorf("%d writes are remembered after the end of their windows", r.Remaining())
 	}
 }
 
-// A wall clock that steps between two incarnations of a process shortens no window; after another boot of the
-// machine nobody knows what time has passed, and the whole window counts.
+// A wall clock that steps between two incarnations of a process does not shorten a window. After a reboot of
+// the machine the elapsed time is not known, and the whole window counts.
 func TestWindowsIgnoreWallClockSteps(t *testing.T) {
 	sent := Instant{Wall: t0, BootID: "one", SinceBoot: time.Hour}
 	l := testWrite(1, sent.Wall)
--- a/internal/storage/state.go
+++ b/internal/storage/state.go
@@ -9,34 +9,35 @@
 )
 
 const (
-	// MaxIncarnations bounds the incarnations that are remembered of a dispatcher that dies again and again.
+	// MaxIncarnations bounds the remembered incarnations of a dispatcher that crashes repeatedly.
 	MaxIncarnations = 50
-	// MaxPendingWrites bounds the writes that are remembered; beyond it the oldest is forgotten. No more
-	// sticky sessions are remembered either; beyond it a new one is not taken in.
+	// MaxPendingWrites bounds the remembered writes; beyond it the oldest is forgotten. It bounds the
+	// remembered sticky sessions as well; beyond it a new session is not added.
 	MaxPendingWrites = 10000
-	// unknownAge is the age of a model state from the future, which a clock that was set back leaves behind.
+	// unknownAge stands for the age of a model state from the future, which is left when the clock is set
+	// back.
 	unknownAge = time.Hour
 )
 
-// State is what the records of a log add up to. It does no I/O and reads no clock, and is for one goroutine
-// at a time.
+// State is the result of applying the records of a log in order. It does no I/O, reads no clock, and is not
+// safe for concurrent use.
 type State struct {
 	pendingWrites    map[uint64]WriteAttempt
 	modelState       []byte // nil: none
 	modelStateAt     time.Time
 	lastIncarnation  uint64
 	cleanShutdown    bool
-	incarnationNames []string // whose sessions may be open on engines yet
+	incarnationNames []string // whose sessions may still be open on engines
 	stickySessions   map[uint64]orphanedsession.Session
 }
 
-// NewState returns the state of an empty log.
+// NewState returns the state of an empty log, which counts as cleanly shut down.
 func NewState() *State {
 	return &State{pendingWrites: map[uint64]WriteAttempt{},
 		stickySessions: map[uint64]orphanedsession.Session{}, cleanShutdown: true}
 }
 
-// Apply takes in records in their order. One that cannot be read is passed over and counted.
+// Apply applies records in their order. Records that cannot be read are skipped and counted.
 func (s *State) Apply(records []Record) (unreadable int) {
 	for _, r := range records {
 		s.cleanShutdown = false
@@ -47,7 +48,7 @@
 	return unreadable
 }
 
-// apply takes in one record, and reports whether it could be read.
+// apply applies one record, and reports whether it could be read.
 func (s *State) apply(r Record) (ok bool) {
 	var id uint64
 	switch r.Kind {
@@ -83,7 +84,7 @@
 			s.incarnationNames = s.incarnationNames[n-1:]
 		}
 		return true
-	case kindCleanShutdown: // its connections to engines are closed, and their sessions with them
+	case kindCleanShutdown: // connections to engines were closed, which ended their sessions
 		s.cleanShutdown, s.incarnationNames = true, nil
 		clear(s.stickySessions)
 		return true
@@ -131,7 +132,7 @@
 	return true
 }
 
-// Compacted returns the fewest records that add up to this state.
+// Compacted returns the fewest records that produce this state. It leaves out writes whose window is over.
 func (s *State) Compacted(now Instant) (records []Record) {
 	if s.modelState != nil {
 		records = append(records, ModelStateRecord(s.modelStateAt, s.modelState))
@@ -151,12 +152,12 @@
 	return records
 }
 
-// IncarnationNames returns the incarnations whose sessions may be open on engines yet, by the
+// IncarnationNames returns the incarnations whose sessions may still be open on engines, as the
 // application_name of their connections.
 func (s *State) IncarnationNames() []string { return s.incarnationNames }
 
 // StickySessions returns the sessions that were bound to engine connections when the last incarnation ended,
-// by ID.
+// sorted by ID.
 func (s *State) StickySessions() (sessions []orphanedsession.Session) {
 	for _, session := range s.stickySessions {
 		sessions = append(sessions, session)
@@ -166,8 +167,8 @@
 }
 
 // PendingWrites returns the writes whose outcome is unknown and whose deduplication window is not over, the
-// earliest first. The wall clock may have jumped since they were sent: one from the future counts as sent
-// now, so that it is forgotten a window later, and not only when the clock has caught up.
+// earliest first. The wall clock may have jumped since they were sent: a write from the future counts as sent
+// now, so that it is forgotten one window later and not only when the clock has caught up.
 func (s *State) PendingWrites(now Instant) (writes []WriteAttempt) {
 	for _, w := range s.pendingWrites {
 		age := now.Sub(w.sentInstant())
@@ -184,8 +185,8 @@
 	return writes
 }
 
-// ModelState returns what the decision module had learned and how old that is; nil: nothing. The age of a
-// state from the future, after a clock that jumped back, is not known, and counts as unknownAge.
+// ModelState returns what the decision module had learned and how old that is; nil: nothing. If the state is
+// from the future, because the clock jumped back, its age is not known and counts as unknownAge.
 func (s *State) ModelState(now time.Time) (data []byte, age time.Duration) {
 	if age = now.Sub(s.modelStateAt); age < 0 {
 		age = unknownAge
@@ -193,8 +194,8 @@
 	return s.modelState, age
 }
 
-// LastIncarnation returns the greatest number that an incarnation has had.
+// LastIncarnation returns the greatest number of an incarnation; 0: none is known.
 func (s *State) LastIncarnation() uint64 { return s.lastIncarnation }
 
-// CleanShutdown reports whether the dispatcher had stopped in good order, or never run.
+// CleanShutdown reports whether the dispatcher was shut down cleanly, or has never run.
 func (s *State) CleanShutdown() bool { return s.cleanShutdown }
--- a/internal/storage/state_test.go
+++ b/internal/storage/state_test.go
@@ -15,8 +15,8 @@
 		Window: 15 * time.Second}
 }
 
-// The state against a plain map of the writes without an outcome, through a log that is read again at random,
-// with clocks that jump.
+// Compares the state with a map of the writes without an outcome, while the records are replayed or compacted
+// at random and the clock jumps.
 func TestStateAgainstReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state, out := NewState(), map[uint64]WriteAttempt{}
@@ -35,7 +35,7 @@
 			}
 			records = append(records, r)
 			state.Apply([]Record{r})
-			if rapid.IntRange(0, 5).Draw(t, "again") == 0 { // a restart, or a rewrite
+			if rapid.IntRange(0, 5).Draw(t, "again") == 0 { // a restart, perhaps after a rewrite
 				again := NewState()
 				if rapid.Bool().Draw(t, "rewritten") {
 					records = state.Compacted(Instant{Wall: now})
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -11,42 +11,43 @@
 )
 
 const (
-	// queueCapacity is how many records may wait for the writer, maxPending how many the writer keeps while
-	// the disk fails.
+	// queueCapacity is how many records may wait for the writer. maxPending is how many records the writer
+	// keeps while the disk fails.
 	queueCapacity = 1 << 16
 	maxPending    = 1 << 14
 	// batchInterval is how long records are collected before they are made durable together.
 	batchInterval = 2 * time.Millisecond
-	// retryInterval is the time after which a failed write is tried again.
+	// retryInterval is the time after which a failed write is retried.
 	retryInterval = 100 * time.Millisecond
 )
 
-// Store keeps the state of a dispatcher in a directory. Put never blocks: a goroutine writes, in batches.
-// What the disk does not take is written again until it does; what does not fit the queue is dropped and
-// counted.
+// Store keeps the state of a dispatcher in a directory. Put, PutDurable and Counts may be called from several
+// goroutines. Put never blocks: a goroutine writes the records, in batches. Writes that fail are retried
+// until they succeed. Records that do not fit the queue are dropped and counted.
 type Store struct {
 	logger       *slog.Logger
 	queue        chan queuedRecord
 	done         chan struct{} // closed when the writer has ended
-	mu           sync.RWMutex  // of closed, so that nothing is sent on a closed queue
+	mu           sync.RWMutex  // guards closed, so that nothing is sent on a closed queue
 	closed       bool
 	dropped      atomic.Uint64
 	failedWrites atomic.Uint64
 
-	// Of the writer's goroutine, and of Close after its end.
+	// Used by the writer's goroutine, and by Close after that has ended.
 	log          *Log
-	state        *State         // what all records taken add up to, durable or not
-	pending      []queuedRecord // not durable yet, in their order
-	needsRewrite bool           // the log lacks records that pending no longer has
+	state        *State         // with all records taken from the queue, durable or not
+	pending      []queuedRecord // not durable yet, in order
+	needsRewrite bool           // the log lacks records that are no longer in pending
 }
 
 // queuedRecord is a record on its way to the disk.
 type queuedRecord struct {
 	record  Record
-	durable chan struct{} // closed once it is; nil: nobody waits
+	durable chan struct{} // closed once the record is durable; nil: nobody waits
 }
 
-// OpenStore opens a directory and returns its store and the state in which it was left.
+// OpenStore opens a state directory, and returns its store and the state that the last incarnation left. The
+// error is ErrLocked if another process has the directory open.
 func OpenStore(dir string, logger *slog.Logger) (*Store, *State, error) {
 	log, records, err := Open(dir, logger)
 	if err != nil {
@@ -64,8 +65,8 @@
 	return s, recovered, nil
 }
 
-// RemoveModelState takes what the decision module had learned out of a directory that no process has locked,
-// and leaves all else.
+// RemoveModelState removes what the decision module had learned from a state directory, and keeps everything
+// else. No other process may have locked the directory.
 func RemoveModelState(dir string) error {
 	log, records, err := Open(dir, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -75,11 +76,11 @@
 	return errors.Join(log.Rewrite(records), log.Close())
 }
 
-// Put has a record written. It returns false where the record was dropped.
+// Put queues a record to be written. It returns false if the record was dropped.
 func (s *Store) Put(r Record) bool { return s.enqueue(queuedRecord{record: r}) }
 
-// PutDurable has a record written, and returns a channel that is closed once it is durable; nil: it was
-// dropped.
+// PutDurable queues a record to be written, and returns a channel that is closed once the record is durable;
+// nil: the record was dropped.
 func (s *Store) PutDurable(r Record) <-chan struct{} {
 	q := queuedRecord{r, make(chan struct{})}
 	if !s.enqueue(q) {
@@ -104,11 +105,11 @@
 	}
 }
 
-// Counts returns how many records were dropped, and how many writes failed.
+// Counts returns how many records were dropped, and how many attempts to write to the log failed.
 func (s *Store) Counts() (dropped, failed uint64) { return s.dropped.Load(), s.failedWrites.Load() }
 
-// Close writes what is queued and closes the directory. What is put after it is dropped. The error names the
-// records that the disk did not take.
+// Close writes what is queued and closes the directory. Records that are put later are dropped. The error
+// says how many records could not be written.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	if !s.closed {
@@ -147,7 +148,7 @@
 	}
 }
 
-// collectBatch returns a record with those that come soon after it.
+// collectBatch returns a record and those that arrive within batchInterval after it.
 func (s *Store) collectBatch(first queuedRecord) []queuedRecord {
 	batch := []queuedRecord{first}
 	limit := time.After(batchInterval)
@@ -165,15 +166,15 @@
 	return batch
 }
 
-// hasBacklog reports whether the log lacks records that were taken.
+// hasBacklog reports whether the log lacks records that were taken from the queue.
 func (s *Store) hasBacklog() bool { return len(s.pending) > 0 || s.needsRewrite }
 
-// writeBatch makes a batch durable, with all that is pending.
+// writeBatch makes a batch durable, together with the pending records.
 func (s *Store) writeBatch(batch []queuedRecord) {
 	s.state.Apply(recordsOf(batch))
 	s.pending = append(s.pending, batch...)
 	if err := s.flush(); err != nil {
-		// A full disk costs what a restart would know until there is space again, never a query.
+		// While the disk is full, a restart would lose the latest records, but no query fails.
 		if s.failedWrites.Add(1) == 1 {
 			s.logger.Error("state log not written", "error", err)
 		}
@@ -190,7 +191,7 @@
 	s.pending = nil
 }
 
-// flush appends what is pending, or rewrites the log where that is needed or worth it.
+// flush appends the pending records, or rewrites the log if that is needed or if the log has grown enough.
 func (s *Store) flush() error {
 	if s.needsRewrite {
 		if err := s.log.Rewrite(s.state.Compacted(Now())); err != nil {
@@ -204,7 +205,7 @@
 	}
 	if s.log.NeedsCompaction() {
 		if err := s.log.Rewrite(s.state.Compacted(Now())); err != nil {
-			// The records are durable in the old log. Whether the new one took its place is not known.
+			// The records are durable in the old log. It is not known whether the new log has replaced it.
 			s.needsRewrite = true
 			s.logger.Warn("state log not compacted", "error", err)
 		}
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -34,7 +34,7 @@
 	if info, err := os.Stat(filepath.Join(dir, "state")); err != nil {
 		t.Error(err)
 	} else if info.Size() > 10*compactionMinSize {
-		t.Errorf("%d bytes for one write", info.Size())
+		t.Errorf("the log has %d bytes for one pending write", info.Size())
 	}
 	s, state, err := OpenStore(dir, quiet)
 	if err != nil {
@@ -50,8 +50,8 @@
 	}
 }
 
-// What a failing disk did not take is written when the disk works again, without another record; whoever
-// waits for a record is notified only then.
+// Records that a failing disk did not store are written once the disk works again, even if no other record
+// follows. Only then is a record reported as durable.
 func TestPendingRecordsAreWrittenOnceTheDiskRecovers(t *testing.T) {
 	dir := t.TempDir()
 	l, _, _ := openLog(t, dir)
@@ -73,11 +73,11 @@
 	select {
 	case <-durable:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the record was never durable")
+		t.Fatal("the record was not durable within 10 s")
 	}
 	records, err := ReadUnlocked(dir)
 	if err != nil || len(records) != 1 {
-		t.Errorf("the record is said to be durable, and %d records are there, %v", len(records), err)
+		t.Errorf("the record is reported as durable, but the log has %d records, %v", len(records), err)
 	}
 	if _, failed := s.Counts(); failed == 0 {
 		t.Error("no write failed")
@@ -87,8 +87,8 @@
 	}
 }
 
-// A directory whose disk takes nothing yet is opened all the same, with what it holds, and the disk has all
-// of it once it works.
+// A directory is opened with its records even if its disk cannot be written yet. All records are stored once
+// the disk works.
 func TestOpenStoreOnFailingDisk(t *testing.T) {
 	dir := t.TempDir()
 	l, _, _ := openLog(t, dir)
