--- a/internal/affinity/limiter.go
+++ b/internal/affinity/limiter.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Limits bound sticky sessions. Zero switches a limit off.
+// Limits bound sticky sessions. Zero disables a limit.
 type Limits struct {
 	// IdleInTransaction is how long a transaction may be idle before its session is ended.
 	IdleInTransaction time.Duration
-	// MaxAge is how long a session may be sticky before it is ended, between statements and outside of
-	// transactions.
+	// MaxAge is how long a session may be sticky before it is ended. It is ended between statements and
+	// outside of transactions only.
 	MaxAge     time.Duration
-	MaxTotal   int // sticky sessions at a time
-	MaxPerUser int // and of one user
+	MaxTotal   int // sticky sessions of all users at a time
+	MaxPerUser int // sticky sessions of one user at a time
 }
 
-// Limiter counts sticky sessions, so that one too many is rejected before any of its statements ran. It is
-// not safe for concurrent use.
+// Limiter counts sticky sessions, so that a session beyond the limit is rejected before any of its statements
+// runs. It is not safe for concurrent use.
 type Limiter struct {
 	limits Limits
 	total  int
@@ -27,8 +27,8 @@
 // NewLimiter returns a limiter that counts no sessions.
 func NewLimiter(l Limits) *Limiter { return &Limiter{limits: l, users: map[string]int{}} }
 
-// Allow reports whether one more session of a user may become sticky; the reason, for the client, says why
-// not.
+// Allow reports whether one more session of a user may become sticky. If not, reason is the text for the
+// client.
 func (l *Limiter) Allow(user string) (reason string, ok bool) {
 	if most := l.limits.MaxTotal; most > 0 && l.total >= most {
 		return fmt.Sprintf("%d sessions are kept on engines, at most %d may be", l.total, most), false
@@ -40,13 +40,13 @@
 	return "", true
 }
 
-// Add counts a session that has become sticky, until Remove.
+// Add counts a session that has become sticky. Remove must be called when it no longer is.
 func (l *Limiter) Add(user string) {
 	l.total++
 	l.users[user]++
 }
 
-// Remove takes back one Add.
+// Remove undoes one Add for the same user.
 func (l *Limiter) Remove(user string) {
 	l.total--
 	if l.users[user]--; l.users[user] <= 0 {
@@ -54,5 +54,5 @@
 	}
 }
 
-// Total is the number of sticky sessions.
+// Total returns the number of sticky sessions.
 func (l *Limiter) Total() int { return l.total }
--- a/internal/affinity/orphanedsession/cleanup.go
+++ b/internal/affinity/orphanedsession/cleanup.go
@@ -1,11 +1,11 @@
-// Package orphanedsession decides what a restarted dispatcher does about the sessions that its previous
-// incarnation, killed, left open on engines: their clients are gone, and nobody will end their transactions
-// or release their locks. It does no I/O, reads no clock and takes no lock: engines and the ends of
-// requests go in, requests come out.
+// Package orphanedsession decides how a restarted dispatcher ends the sessions that its killed previous
+// incarnations left open on engines. The clients of these sessions are gone, and nobody else would end their
+// transactions or release their locks. The package does no I/O, reads no clock and takes no lock: its input
+// is the engines and the results of requests, its output is the requests to send.
 //
-// The operating system mostly closes the connections of a killed dispatcher, and the engine ends their
-// sessions by itself. Where it runs a statement, or the dispatcher's machine was lost, it does not notice
-// for long.
+// The operating system usually closes the connections of a killed dispatcher, and the engine then ends their
+// sessions by itself. But if it is running a statement, or if the dispatcher's machine was lost, the engine
+// does not notice for a long time.
 package orphanedsession
 
 import (
@@ -13,53 +13,56 @@
 	"time"
 )
 
-// Session is a session that was sticky on an engine connection. It is stored in the state log as JSON.
+// Session identifies a session that was sticky on an engine connection. It is stored in the state log as
+// JSON.
 type Session struct {
-	ID              uint64 `json:"-"` // the key of its record; 0: not recorded
+	ID              uint64 `json:"-"` // ID of its record in the state log; 0: not recorded
 	Engine          string `json:"engine"`
 	PID             uint32 `json:"pid"`
-	Secret          []byte `json:"secret"` // of cancel requests
+	Secret          []byte `json:"secret"` // secret key for cancel requests
 	IncarnationName string `json:"life"`   // application_name of the connection
 }
 
-// Limits of requests.
+// Limits on cleanup requests.
 const (
-	MaxConcurrent = 8                      // requests in flight
-	MinBackoff    = 200 * time.Millisecond // after a request that failed; doubled each time
+	MaxConcurrent = 8                      // requests in flight at a time
+	MinBackoff    = 200 * time.Millisecond // wait after a failed request; doubled each time
 	MaxBackoff    = 10 * time.Second
-	// GiveUpAfter is when an engine that cannot be reached is taken to be dead, and its sessions with it.
+	// GiveUpAfter is the time from the start of the cleanup after which an unreachable engine and its
+	// sessions are considered dead.
 	GiveUpAfter = 10 * time.Minute
 )
 
-// Request is one call at an engine: cancel what the sessions run, and terminate all sessions whose
-// application_name is one of the names.
+// Request is one call to an engine. It cancels what the listed sessions run, and terminates all sessions
+// whose application_name is one of IncarnationNames.
 type Request struct {
 	Engine           string
 	IncarnationNames []string
 	Sessions         []Session
 }
 
-// engineState is how far the cleanup of one engine has come.
+// engineState is the progress of the cleanup of one engine.
 type engineState struct {
 	sessions  []Session
 	inFlight  bool
 	done      bool
-	backoff   time.Duration // after the last failure
-	notBefore time.Duration // of the next request
+	backoff   time.Duration // wait after the last failure
+	notBefore time.Duration // earliest time of the next request
 }
 
-// Cleanup plans the requests that end the sessions of previous incarnations. Make one with New.
+// Cleanup plans the requests that end the sessions of previous incarnations. Create it with New. It is not
+// safe for concurrent use.
 type Cleanup struct {
 	incarnationNames []string
 	engines          map[string]*engineState
-	order            []string // of engines, sorted
+	order            []string // addresses of engines, sorted
 	startedAt        time.Duration
 	inFlight         int
-	listed           bool // an engine list has come
+	listed           bool // an endpoint list has been received
 }
 
-// New starts a cleanup at a time. The names are the application_name of each previous incarnation's
-// connections: sessions that no record tells of are found by them.
+// New starts a cleanup at a time. incarnationNames are the application_name values of the previous
+// incarnations' connections: they find sessions that were not recorded.
 func New(now time.Duration, incarnationNames []string, sessions []Session) *Cleanup {
 	c := &Cleanup{incarnationNames: incarnationNames, engines: map[string]*engineState{}, startedAt: now}
 	for _, s := range sessions {
@@ -69,7 +72,7 @@
 	return c
 }
 
-// engine returns the state of an engine, which it adds if it is new.
+// engine returns the state of an engine, and adds the engine if it is new.
 func (c *Cleanup) engine(address string) *engineState {
 	engine := c.engines[address]
 	if engine == nil {
@@ -81,9 +84,9 @@
 	return engine
 }
 
-// EnginesListed takes the engines of an endpoint list. Each gets one request that succeeds: a session that
-// was young when the dispatcher died may stand in no record. An engine that is no longer listed gets one
-// where a record names it.
+// EnginesListed adds the engines of an endpoint list. Requests are sent to each engine until one succeeds, as
+// a session that was young when the dispatcher died may have no record. An engine that is not listed any more
+// gets requests if a recorded session names it.
 func (c *Cleanup) EnginesListed(addresses []string) {
 	if len(c.incarnationNames) == 0 || len(addresses) == 0 {
 		return
@@ -117,7 +120,7 @@
 	return requests
 }
 
-// RequestDone takes the end of a request. It returns the sessions whose records are no longer needed.
+// RequestDone records the result of a request. It returns the sessions whose records are no longer needed.
 func (c *Cleanup) RequestDone(now time.Duration, address string, ok bool) []Session {
 	engine := c.engines[address]
 	if engine == nil || !engine.inFlight {
@@ -134,10 +137,10 @@
 	return nil
 }
 
-// Finished reports whether nothing is left to do: every engine has had its request, or was given up.
+// Finished reports whether nothing is left to do: each engine has had a successful request or was given up.
 func (c *Cleanup) Finished() bool {
 	if len(c.incarnationNames) > 0 && !c.listed && len(c.engines) == 0 {
-		return false // no endpoint list has come yet
+		return false // no endpoint list has been received yet
 	}
 	for _, engine := range c.engines {
 		if !engine.done || engine.inFlight {
--- a/internal/affinity/orphanedsession/golden_test.go
+++ b/internal/affinity/orphanedsession/golden_test.go
@@ -9,8 +9,8 @@
 	"cresspass/internal/goldentest"
 )
 
-// The form in which a session is stored in the state log: an earlier version's is read, and this version
-// writes the same bytes.
+// The stored JSON of a session does not change: this version reads what an earlier version wrote, and writes
+// the same bytes.
 func TestGoldenSession(t *testing.T) {
 	session := Session{Engine: "127.0.0.1:7001", PID: 4711, Secret: []byte{1, 2, 250, 255},
 		IncarnationName: "cresspass-3-0badcafe"}
@@ -25,7 +25,7 @@
 		t.Errorf("the stored session is read as %+v, %v", read, err)
 	}
 	withID := session
-	withID.ID = 9 // the record's key, not part of its body
+	withID.ID = 9 // the ID of the record, not part of its body
 	if body, err := json.Marshal(withID); err != nil || !bytes.Equal(body, stored) {
 		t.Errorf("a session with an ID is stored as %s, %v", body, err)
 	}
--- a/internal/affinity/reason.go
+++ b/internal/affinity/reason.go
@@ -1,6 +1,6 @@
 package affinity
 
-// Reason is a piece of session state that lives on one engine connection and makes its session sticky.
+// Reason is a kind of session state that exists on one engine connection only and makes the session sticky.
 type Reason int
 
 // The reasons, with the page of PostgreSQL's documentation that describes the state.
@@ -20,17 +20,17 @@
 	ReasonAdvisoryLock
 	// ReasonPrepared: PREPARE by SQL ("PREPARE": last for the duration of the session).
 	ReasonPrepared
-	// ReasonUnknownEffect: something that may have left state: a DO block, a CALL, LOAD, a function whose
-	// effects are not known, or a statement during which the engine reported a setting that no statement
-	// changes.
+	// ReasonUnknownEffect: something that may have left state: a DO block, CALL, LOAD, a function whose
+	// effects are not known, or a query during which the engine reported a changed setting that none of its
+	// statements changes.
 	ReasonUnknownEffect
 	reasonCount
 )
 
-// reasonNone says that nothing makes a session sticky.
+// reasonNone means that nothing makes the session sticky.
 const reasonNone Reason = -1
 
-// String is the text that clients read in notices.
+// String returns the text that clients read in notices.
 func (r Reason) String() string {
 	return [...]string{
 		"a session setting",
--- a/internal/affinity/registry/registry.go
+++ b/internal/affinity/registry/registry.go
@@ -1,6 +1,6 @@
-// Package registry holds the sticky sessions of all frontends together: how many there are, who is told of
-// each, and which are due to end. It owns the lock and the clock around the limiter of package affinity;
-// what makes a session sticky, and what ends it, is decided there.
+// Package registry tracks the sticky sessions of all frontends: it counts them against the limits, reports
+// and persists them, and lets them expire. It adds the lock and the clock to the limiter of package affinity.
+// Package affinity decides what makes a session sticky and what ends it.
 package registry
 
 import (
@@ -12,24 +12,24 @@
 	"cresspass/internal/affinity/orphanedsession"
 )
 
-// Config says whom the registry tells. Its functions are called under the registry's lock and must not
-// block.
+// Config holds the limits and the callbacks of a registry. The callbacks may be nil. They are called under
+// the registry's lock and must not block.
 type Config struct {
 	Limits affinity.Limits
-	// Changed tells that a session has become sticky on an engine, or no longer is.
+	// Changed is called when a session has become sticky on an engine, and when it no longer is.
 	Changed func(engine cresspass.EngineID, sticky bool)
-	// Persist records a sticky session for the next incarnation of the dispatcher, and gives it an ID; or
-	// removes the record.
+	// Persist records a sticky session for the next incarnation of the dispatcher and sets its ID. If sticky
+	// is false, it removes the record.
 	Persist func(s *orphanedsession.Session, sticky bool)
 }
 
-// Entry is one session's place in the registry. The frontend that owns the session sets the exported fields
+// Entry is the registry's entry for one session. The frontend that owns the session sets the exported fields
 // before its first Update.
 type Entry struct {
 	User string
-	// Expire is called every sweepInterval while the session is sticky, to end it where a limit is reached.
-	// It is called without the registry's lock, also once after an Update that says that the session is
-	// sticky no more.
+	// Expire is called every sweepInterval while the session is sticky, to end the session if it has reached
+	// a limit. It is called without the registry's lock, and possibly once more after the Update that says
+	// that the session is no longer sticky.
 	Expire func(now time.Duration, l affinity.Limits)
 
 	// Guarded by the registry's lock.
@@ -38,7 +38,8 @@
 	since      time.Duration // valid while registered
 }
 
-// Registry holds the sticky sessions. Make one with New; Close ends it.
+// Registry holds the sticky sessions. Create it with New and end it with Close. Now, Update, Allow and Total
+// may be called from several goroutines.
 type Registry struct {
 	cfg   Config
 	epoch time.Time
@@ -53,11 +54,11 @@
 // sweepInterval is how often the time limits of sessions are checked.
 const sweepInterval = 50 * time.Millisecond
 
-// persistAfter is how long a session is sticky before it is recorded for the next incarnation. A shorter
-// one is found by the name of its connection.
+// persistAfter is how long a session is sticky before it is recorded for the next incarnation. Sessions that
+// were sticky for less are found by the application_name of their connection.
 const persistAfter = 50 * time.Millisecond
 
-// New returns an empty registry and starts its sweeps.
+// New returns an empty registry and starts its periodic sweeps.
 func New(cfg Config) *Registry {
 	r := &Registry{
 		cfg:     cfg,
@@ -71,16 +72,16 @@
 	return r
 }
 
-// Now is the time on the registry's clock, which the limits of sessions go by.
+// Now returns the time on the registry's clock, against which the limits of sessions are checked.
 func (r *Registry) Now() time.Duration { return time.Since(r.epoch) }
 
-// Close ends the sweeps and waits for them.
+// Close stops the sweeps and waits for the last one. It must be called once.
 func (r *Registry) Close() {
 	close(r.stop)
 	<-r.done
 }
 
-// sweep persists and expires the sessions whose time has come, until Close.
+// sweep persists and expires the sessions that are due, until Close.
 func (r *Registry) sweep() {
 	defer close(r.done)
 	tick := time.NewTicker(sweepInterval)
@@ -139,15 +140,15 @@
 	}
 }
 
-// Allow reports whether one more session of a user may become sticky; the reason, for the client, says why
-// not.
+// Allow reports whether one more session of a user may become sticky. If not, reason is the text for the
+// client.
 func (r *Registry) Allow(user string) (reason string, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.limiter.Allow(user)
 }
 
-// Total is the number of sticky sessions.
+// Total returns the number of sticky sessions.
 func (r *Registry) Total() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/affinity/registry/registry_test.go
+++ b/internal/affinity/registry/registry_test.go
@@ -9,8 +9,8 @@
 	"cresspass/internal/affinity/orphanedsession"
 )
 
-// A session that is sticky for a while is persisted once, expires at the registry's pace, counts against the
-// limit, and is forgotten when it is free.
+// A session that stays sticky is persisted once, gets calls of Expire, counts against the limit, and is
+// removed when it is free.
 func TestRegistry(t *testing.T) {
 	changes := make(chan bool, 4)
 	persisted := make(chan bool, 4)
@@ -39,7 +39,7 @@
 	r.Update(entry, true, session)
 	r.Update(entry, true, session) // changes nothing
 	if _, ok := r.Allow("v"); ok || r.Total() != 1 {
-		t.Errorf("another session is allowed beside %d of 1", r.Total())
+		t.Errorf("another session is allowed, with %d sticky sessions and a limit of 1", r.Total())
 	}
 	for what, happened := range map[string]func() bool{
 		"expire":  func() bool { return <-expired > 0 },
@@ -47,12 +47,12 @@
 		"change":  func() bool { return <-changes },
 	} {
 		if !happened() {
-			t.Errorf("%s: of a session that is not sticky", what)
+			t.Errorf("%s: called for a session that is not sticky", what)
 		}
 	}
 	r.Update(entry, false, orphanedsession.Session{})
 	if <-changes || <-persisted || len(changes) > 0 || len(persisted) > 0 {
-		t.Error("a session that is free again is not removed once")
+		t.Error("a session that is free again was not removed exactly once")
 	}
 	if reason, ok := r.Allow("v"); !ok || r.Total() != 0 {
 		t.Errorf("%d sessions are left: %s", r.Total(), reason)
--- a/internal/affinity/session.go
+++ b/internal/affinity/session.go
@@ -1,12 +1,12 @@
 // Package affinity decides whether a client's session must stay on one engine connection, and for how long,
-// and bounds the number of such sticky sessions. It owns the state machine of one session and the counts;
-// it does no I/O, reads no clock and takes no lock: what was sent and what the engine responded go in;
-// whether the next statement must find the same engine connection, and what the client is told when the
-// engine drains or is lost, come out.
+// and bounds the number of such sticky sessions. It owns the state machine of one session and the counts of
+// sticky sessions. It does no I/O, reads no clock and takes no lock. Its input is what was sent to the engine
+// and what the engine responded. Its output is whether the next statement must use the same engine
+// connection, and what the client is told when the engine drains or is lost.
 //
-// The engine's own messages decide (the status of ReadyForQuery, the tag of CommandComplete). The text of a
-// statement only says what a tag cannot: that a table is temporary, that a cursor is WITH HOLD. In doubt a
-// session is sticky.
+// The engine's own messages decide: the status of ReadyForQuery and the tag of CommandComplete. The text of a
+// statement is used only for what a tag does not say: that a table is temporary, or that a cursor is WITH
+// HOLD. In doubt a session is sticky.
 package affinity
 
 import (
@@ -19,28 +19,28 @@
 
 // Session is the state machine of one client's session. It is not safe for concurrent use.
 type Session struct {
-	Params sessionparams.Tracker // settings that are replayed on any connection, and so make nothing sticky
+	Params sessionparams.Tracker // settings replayed on any connection, which make no session sticky
 
 	txStatus       byte      // of the last ReadyForQuery
 	reasons        reasonSet // what makes the session sticky
-	pendingRelease reasonSet // what statements released whose transaction has not been committed
+	pendingRelease reasonSet // reasons released by statements whose transaction has not been committed
 	sent           []sqlscan.Statement
-	completed      int  // statements of sent whose tag has come
+	completed      int  // number of statements in sent whose tag has arrived
 	commitSent     bool // a COMMIT is in flight
 	ended          bool
 
 	draining      bool
 	drainDeadline time.Duration // valid while draining
 
-	wasBound   bool          // by the last ReadyForQuery
+	wasBound   bool          // as of the last ReadyForQuery
 	boundSince time.Duration // valid while wasBound
-	idleSince  time.Duration // the last ReadyForQuery
+	idleSince  time.Duration // time of the last ReadyForQuery
 }
 
-// NewSession returns a session that is free.
+// NewSession returns a session in StateFree.
 func NewSession() *Session { return &Session{txStatus: statusIdle} }
 
-// State is where the session stands.
+// State returns the state of the session.
 func (s *Session) State() State {
 	switch {
 	case s.ended:
@@ -57,7 +57,7 @@
 	return StateFree
 }
 
-// Reason is the first reason that makes the session sticky outside of transactions; negative: none.
+// Reason returns the first reason that makes the session sticky outside of transactions; negative: none.
 func (s *Session) Reason() Reason {
 	for reason, holds := range s.reasons {
 		if holds {
@@ -67,18 +67,18 @@
 	return reasonNone
 }
 
-// Holds reports whether a reason makes the session sticky.
+// Holds reports whether the given reason makes the session sticky.
 func (s *Session) Holds(reason Reason) bool { return s.reasons[reason] }
 
-// Bound reports whether the next statement must find the same engine connection.
+// Bound reports whether the next statement must use the same engine connection.
 func (s *Session) Bound() bool {
 	return !s.ended && (s.txStatus != statusIdle || s.Reason() != reasonNone)
 }
 
-// Status is the transaction status to report to the client: I, T or E.
+// Status returns the transaction status to report to the client: I, T or E, as in ReadyForQuery.
 func (s *Session) Status() byte { return s.txStatus }
 
-// StatementsSent takes the statements of a query that is sent.
+// StatementsSent records the statements of a query that is sent to the engine.
 func (s *Session) StatementsSent(statements []sqlscan.Statement) {
 	s.sent, s.completed, s.commitSent = statements, 0, false
 	s.Params.StatementsSent(statements)
@@ -87,7 +87,7 @@
 		case "COMMIT", "END":
 			s.commitSent = true
 		}
-		// The reason holds from now on and not from the tag: where the response breaks off, no tag comes,
+		// The reason holds from now on, not from the tag: if the response is cut off, no tag arrives,
 		// although the statement may have left its state.
 		if reason := reasonLeftBy(&statements[i]); reason != reasonNone {
 			s.reasons[reason] = true
@@ -95,9 +95,9 @@
 	}
 }
 
-// UnexpectedParameterStatus takes the engine's report of a changed setting while a query runs. Where no
-// statement of the query changes settings, a function has: without this the next client on the connection
-// would work under a setting that no text shows.
+// UnexpectedParameterStatus records that the engine reported a changed setting while a query ran. If no
+// statement of the query changes settings, a function did. Without this the next client on the connection
+// would run under a setting that no statement's text shows.
 func (s *Session) UnexpectedParameterStatus() {
 	for i := range s.sent {
 		switch s.sent[i].Words[0] {
@@ -108,8 +108,8 @@
 	s.reasons[ReasonUnknownEffect] = true
 }
 
-// CommandComplete takes the engine's tag for the next statement sent. Only a tag releases state: it proves
-// that the statement that releases it has run.
+// CommandComplete records the engine's command tag for the next statement that was sent. Only a tag releases
+// state: it proves that the releasing statement has run.
 func (s *Session) CommandComplete(tag string) {
 	var st *sqlscan.Statement
 	if s.completed < len(s.sent) {
@@ -118,7 +118,7 @@
 	s.completed++
 	s.Params.CommandComplete(tag)
 	if st != nil {
-		// It may stand behind a statement of the same query that releases the same reason.
+		// The statement may follow one of the same query that releases the same reason.
 		if reason := reasonLeftBy(st); reason != reasonNone {
 			s.reasons[reason], s.pendingRelease[reason] = true, false
 		}
@@ -128,13 +128,13 @@
 	case tag == "COMMIT":
 		s.releasePending()
 	case tag == "ROLLBACK":
-		// What a statement of the transaction released exists again. Without this the connection would go
-		// to the next client with it.
+		// What a statement of the transaction released exists again. Without this the next client on the
+		// connection would find it.
 		s.pendingRelease = reasonSet{}
 	case tag == "DISCARD ALL":
 		s.reasons, s.pendingRelease = reasonSet{}, reasonSet{}
 	case word == "DEALLOCATE" && strings.HasSuffix(tag, "ALL"):
-		s.reasons[ReasonPrepared] = false // at once, as a rollback does not bring prepared statements back
+		s.reasons[ReasonPrepared] = false // at once: a rollback does not restore prepared statements
 	default:
 		if reason := releasedBy(tag, st); reason != reasonNone {
 			s.pendingRelease[reason] = true
@@ -142,7 +142,7 @@
 	}
 }
 
-// releasePending drops the reasons whose release has been committed.
+// releasePending clears the reasons whose release has been committed.
 func (s *Session) releasePending() {
 	for reason, released := range s.pendingRelease {
 		if released {
@@ -152,19 +152,19 @@
 	s.pendingRelease = reasonSet{}
 }
 
-// Reset tells that the session has no engine connection: what was sent did not run, or what it left is
-// gone.
+// Reset records that the session has no engine connection: what was sent did not run, or the state that it
+// left is gone.
 func (s *Session) Reset() {
 	s.reasons, s.pendingRelease = reasonSet{}, reasonSet{}
 	s.txStatus, s.wasBound, s.draining = statusIdle, false, false
 	s.Params.Reset()
 }
 
-// ReadyForQuery takes the transaction status of the engine's ReadyForQuery at a time. changed says that the
-// session has just become bound, or has ceased to be.
+// ReadyForQuery records the transaction status of the engine's ReadyForQuery message at a time. changed
+// reports whether the session has just become bound or has just become free.
 func (s *Session) ReadyForQuery(now time.Duration, status byte) (changed bool) {
 	if status == statusIdle {
-		if s.completed < len(s.sent) { // an error rolled back what the statements had released
+		if s.completed < len(s.sent) { // an error rolled back the releases
 			s.pendingRelease = reasonSet{}
 		}
 		s.releasePending()
@@ -174,7 +174,7 @@
 		s.reasons[ReasonSetting] = true
 	}
 	if s.draining && !s.Bound() {
-		s.draining = false // free before the deadline: its next statement goes to another engine
+		s.draining = false // free before the deadline: the next statement goes to another engine
 	}
 	before := s.wasBound
 	s.wasBound = s.Bound()
@@ -184,9 +184,9 @@
 	return s.wasBound != before
 }
 
-// StartDrain tells that the engine drains and that the session may stay until a deadline. It returns the
-// notice for the client, or "": a free session moves to another engine unnoticed, and one in a transaction
-// may finish.
+// StartDrain records that the engine drains and that the session may stay until a deadline. It returns the
+// notice for the client, or "" if none is needed: a free session moves to another engine transparently, and a
+// session in a transaction may finish it.
 func (s *Session) StartDrain(deadline time.Duration) (notice string) {
 	if !s.Bound() || s.draining {
 		return ""
--- a/internal/affinity/session_test.go
+++ b/internal/affinity/session_test.go
@@ -8,7 +8,7 @@
 	"cresspass/internal/protocol/sqlscan"
 )
 
-// runStatement sends a text and completes it with a tag ("": an error came) and a transaction status.
+// runStatement sends a query and completes it with a command tag ("": an error) and a transaction status.
 func runStatement(s *Session, text, tag string, status byte) {
 	s.StatementsSent(sqlscan.Statements(text))
 	if tag != "" {
@@ -17,13 +17,13 @@
 	s.ReadyForQuery(0, status)
 }
 
-// What makes a session sticky, and what releases it.
+// TestStickyReasonTable checks what makes a session sticky, and what releases it.
 func TestStickyReasonTable(t *testing.T) {
 	for _, c := range []struct {
 		text, tag string
 		status    byte
 		want      State
-		releases  string // text and, but for RESET and UNLISTEN, its tag
+		releases  string // text of a statement; also its tag, except for RESET and UNLISTEN
 	}{
 		{"select 1", "SELECT 1", 'I', StateFree, ""},
 		{"begin", "BEGIN", 'T', StateInTransaction, ""},
@@ -46,7 +46,7 @@
 		{"select pg_advisory_lock(1)", "SELECT 1", 'I', StateSticky, "DISCARD ALL"},
 		{"select pg_advisory_xact_lock(1)", "SELECT 1", 'I', StateFree, ""},
 		{"do $$ begin perform 1; end $$", "DO", 'I', StateSticky, "DISCARD ALL"},
-		// An error came: in doubt the session is sticky.
+		// After an error it is not known whether the table exists: the session is sticky.
 		{"create temp table t (a int)", "", 'I', StateSticky, "DISCARD ALL"},
 	} {
 		s := NewSession()
@@ -55,7 +55,7 @@
 			t.Errorf("%s: %v, bound %v, want %v", c.text, s.State(), s.Bound(), c.want)
 		}
 		if c.releases != "" {
-			runStatement(s, c.releases, "", 'I') // sent, but failed: it releases nothing
+			runStatement(s, c.releases, "", 'I') // a failed statement releases nothing
 			if s.State() != StateSticky {
 				t.Errorf("%s, then %s that failed: %v", c.text, c.releases, s.State())
 			}
@@ -74,7 +74,7 @@
 	}
 }
 
-// expires reports whether a copy of a session would be ended by its drain deadline at a time.
+// expires reports whether a copy of a busy session would be ended by its drain deadline at a time.
 func expires(s Session, now time.Duration) bool {
 	_, ok := s.Expire(now, true, Limits{})
 	return ok
@@ -103,10 +103,10 @@
 	}
 }
 
-// Every order of statements, responses, drain and engine loss, to a depth of six, on copies of the state: a
-// session that is in a transaction or has a reason is bound; an ended one stays ended; only after a COMMIT
-// whose response did not come is the outcome unknown; a draining one expires at its deadline and never
-// before; and a free one gets no notice of a drain.
+// Explores every order of statements, responses, drain and engine loss to a depth of six, on copies of the
+// session. A session that is in a transaction or has a reason is bound. An ended session stays ended. The
+// outcome is unknown only after a COMMIT without a response. A draining session expires at its deadline and
+// not before. A free session gets no notice of a drain.
 func TestAllEventOrders(t *testing.T) {
 	type step struct {
 		name string
@@ -191,11 +191,12 @@
 	}
 }
 
-// What a statement releases exists again when its transaction is rolled back, or when a later statement of
-// the same query creates it anew. Released too early, the next client on the connection would find it.
+// State that a statement releases exists again when its transaction is rolled back, or when a later statement
+// of the same query creates it again. If it were released too early, the next client on the connection would
+// find it.
 func TestReleaseIsUndoneByRollback(t *testing.T) {
 	for _, c := range []struct {
-		last, tags string // of one query after SET my.x, LISTEN and a temporary table
+		last, tags string // of one query, sent after SET my.x, LISTEN and CREATE TEMP TABLE
 		free       bool
 	}{
 		{"reset all; unlisten *; discard temp", "RESET,UNLISTEN,DISCARD TEMP", true},
--- a/internal/affinity/state.go
+++ b/internal/affinity/state.go
@@ -1,6 +1,6 @@
 package affinity
 
-// State is where a session stands.
+// State is the state of a session.
 type State int
 
 // The states of a session.
@@ -8,17 +8,17 @@
 	StateFree              State = iota // any engine may take its next statement
 	StateInTransaction                  // in a transaction
 	StateFailedTransaction              // in a failed transaction: only its end is accepted
-	StateSticky                         // not in a transaction, but some Reason ties it to its connection
-	StateDraining                       // its engine drains: it ends at the deadline, or becomes free before
-	StateEnded                          // its engine connection is gone
+	StateSticky                         // not in a transaction, but a Reason binds it to its connection
+	StateDraining                       // its engine drains: it becomes free, or ends at the deadline
+	StateEnded                          // it was ended, or its engine connection was lost
 )
 
-// String names the state.
+// String returns the name of the state.
 func (s State) String() string {
 	return [...]string{"free", "in transaction", "failed transaction", "sticky", "draining", "ended"}[s]
 }
 
-// Transaction status of PostgreSQL's ReadyForQuery message.
+// Values of the transaction status in PostgreSQL's ReadyForQuery message.
 const (
 	statusIdle              byte = 'I'
 	statusInTransaction     byte = 'T'
--- a/internal/affinity/statement.go
+++ b/internal/affinity/statement.go
@@ -7,8 +7,8 @@
 	"cresspass/internal/protocol/sqlscan"
 )
 
-// MayLeaveState reports whether a statement may leave something at the engine: a transaction, or state of a
-// session.
+// MayLeaveState reports whether a statement may leave something on the engine: an open transaction, or
+// session state.
 func MayLeaveState(st *sqlscan.Statement) bool {
 	switch st.Words[0] {
 	case "BEGIN", "START", "SAVEPOINT", "DECLARE", "LOCK":
@@ -17,7 +17,7 @@
 	return reasonLeftBy(st) != reasonNone
 }
 
-// reasonLeftBy is the session state that a statement may leave behind, or reasonNone.
+// reasonLeftBy returns the reason for stickiness that a statement may leave behind, or reasonNone.
 func reasonLeftBy(st *sqlscan.Statement) Reason {
 	words := st.Words
 	switch words[0] {
@@ -60,8 +60,8 @@
 	return reasonNone
 }
 
-// releasedBy returns the state that a completed statement releases once its transaction commits, by its
-// command tag and its text (nil: not known).
+// releasedBy returns the reason that a completed statement releases once its transaction commits, or
+// reasonNone. It goes by the command tag and the statement (nil: not known).
 func releasedBy(tag string, st *sqlscan.Statement) Reason {
 	word, _, _ := strings.Cut(tag, " ")
 	switch {
--- a/internal/affinity/termination.go
+++ b/internal/affinity/termination.go
@@ -6,18 +6,18 @@
 	"cresspass/internal/protocol/sqlstate"
 )
 
-// Termination is why a session ended, in the terms of an error for its client; Code is a SQLSTATE.
+// Termination says why a session ended, as the error for its client. Code is a SQLSTATE.
 type Termination struct{ Code, Message, Detail string }
 
-// Details of terminations.
+// Texts for Termination.Detail.
 const (
 	detailRolledBack = "The transaction was rolled back."
 	detailStateLost  = "What was kept there is gone."
 )
 
-// Expire ends a session whose time is over, and says why: its engine drains and the deadline has come, its
-// transaction was idle for too long, or it was sticky for too long. busy says that one of its statements
-// runs. It returns false, and changes nothing, where no limit has been reached.
+// Expire ends a session that has reached a time limit, and returns why: its engine drains and the deadline
+// has passed, its transaction was idle for too long, or it was sticky for too long. busy says that one of its
+// statements is running. Expire returns false and changes nothing if no limit has been reached.
 func (s *Session) Expire(now time.Duration, busy bool, l Limits) (Termination, bool) {
 	switch {
 	case s.ended || !s.Bound():
@@ -42,8 +42,8 @@
 	return Termination{}, false
 }
 
-// ConnectionLost ends the session because its engine connection is gone. busy says that a statement was in
-// flight. The error says whether what the client last asked for may be in force.
+// ConnectionLost ends the session because its engine connection was lost. busy says that a statement was in
+// flight. The returned error tells the client whether its last statement or commit may have taken effect.
 func (s *Session) ConnectionLost(busy bool) Termination {
 	s.ended = true
 	switch {
