--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -6,7 +6,7 @@
 	"cresspass"
 )
 
-// ClassBlock is a class of query.
+// ClassBlock is the block of one class of queries.
 type ClassBlock struct {
 	Name                string   `hcl:"name,label"`
 	LatencyObjective    string   `hcl:"aim"`
@@ -25,14 +25,14 @@
 	WaitsForBulkLoad    bool     `hcl:"waits,optional"`
 }
 
-// KindBlock is a kind of machine.
+// KindBlock is the block of one kind of engine machine.
 type KindBlock struct {
 	Name     string  `hcl:"name,label"`
 	Cores    float64 `hcl:"cores"`
 	MemoryMB float64 `hcl:"memory_mb,optional"`
 }
 
-// TenantBlock is a client with a share of the service.
+// TenantBlock is the block of one tenant: a client with a quota and a share of the service.
 type TenantBlock struct {
 	Name           string  `hcl:"name,label"`
 	QuotaPerSecond float64 `hcl:"quota"`
@@ -76,7 +76,7 @@
 	}
 }
 
-// applyClasses reads the classes, once the kinds are known.
+// applyClasses checks the classes. It must run after applyKinds.
 func (v *validator) applyClasses(m *cresspass.Config, blocks []ClassBlock) {
 	for i := range blocks {
 		b, in := &blocks[i], scope{"class", i}
@@ -111,7 +111,7 @@
 		v.errorf(in, "deadline", "must be above 0")
 	}
 	if class.Effect == cresspass.IdempotentWithKey && class.DeduplicationWindow <= 0 {
-		v.errorf(in, "window", "a keyed class needs the time for which engines drop repeats")
+		v.errorf(in, "window", "a keyed class needs the time for which engines drop repeated queries")
 	}
 	if b.Threads < 0 || b.PriorityWeight < 0 || b.LateAnswerValue < 0 || b.ObjectiveStretch < 0 {
 		v.errorf(in, "threads", "a figure is negative")
--- a/internal/config/compare.go
+++ b/internal/config/compare.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// comparison says whether a setting is the same in two files, and whether a running dispatcher can put
-// another value of it in force.
+// comparison says whether a setting is the same in two files, and whether a running dispatcher can apply a
+// changed value.
 type comparison struct {
 	name string
 	same bool
 	live bool
 }
 
-// Compare names the settings that differ between two checked files: those that a running dispatcher can put
-// in force, and those that need a restart. The decision module's own are among the latter: the queries in
-// flight rest on them.
+// Compare returns the names of the settings that differ between two checked files: those that a running
+// dispatcher can apply, and those that need a restart. The decision module's own settings need a restart,
+// because the queries in flight depend on them.
 func Compare(old, now *Config) (live, restart []string) {
 	for _, c := range compareAll(old, now) {
 		switch {
@@ -29,7 +29,7 @@
 	return live, restart
 }
 
-// compareAll compares each setting. Operators see the names, in this order.
+// compareAll compares all settings. Operators see the names, in this order.
 func compareAll(old, now *Config) []comparison {
 	return []comparison{
 		{"default_class", old.DefaultClass == now.DefaultClass, true},
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,8 @@
 // Package config reads the dispatcher's settings from HCL and checks them. Every error names its file, line
-// and column. It opens no socket and starts nothing; docs/operate.md says what each setting does.
+// and column. The package opens no sockets and starts nothing. docs/operate.md says what each setting does.
 //
-// File is the form of a settings file, with the keys in its tags; Config holds the checked settings. Each
-// block has a file of its own with its form, its checked values and its validation.
+// File is the structure of a settings file, with the keys in its tags. Config holds the checked settings.
+// Each block has a source file of its own with its structure, its checked values and its validation.
 package config
 
 import (
@@ -21,7 +21,7 @@
 	"cresspass/internal/recording"
 )
 
-// Config is a checked settings file.
+// Config holds the settings of a checked settings file.
 type Config struct {
 	Path string // of the file
 
@@ -29,50 +29,50 @@
 	Listen         string
 	MaxClients     int
 	StartupTimeout time.Duration
-	HoldBack       int   // bytes of an answer that are held before the first goes out
-	HoldBackTotal  int64 // over all answers
+	HoldBack       int   // bytes of an answer that are held back before the first is sent
+	HoldBackTotal  int64 // bytes held back over all answers
 	MaxMessage     int
 	MaxPending     int
 	ClientBuffer   int
 
-	// The process. An empty path or address switches its feature off.
+	// The process. An empty path or address disables the feature.
 	StateDir         string
 	SnapshotInterval time.Duration // between snapshots of what the decision module has learned
 	PIDFile          string
 	HealthAddr       string
 	TakeoverSocket   string
 	DrainTimeout     time.Duration
-	// TakingOver says that the state directory may be a predecessor's yet. It is not of the file.
+	// TakingOver says that a predecessor may still own the state directory. It is not read from the file.
 	TakingOver bool
-	// FlightListener was taken over from a predecessor; nil: one is opened. It is not of the file.
+	// FlightListener was taken over from a predecessor; nil: one is opened. It is not read from the file.
 	FlightListener net.Listener
-	// AllowViolations has violated invariants counted only, and the act go through: for the rehearsal kit,
-	// whose judge has to see what a decider breaks. It is not of the file.
+	// AllowViolations lets actions that violate an invariant go through; the violations are only counted. It
+	// is for rehearsals, whose checker must see the violations of a policy. It is not read from the file.
 	AllowViolations bool
 
 	// Protection against overload.
-	MaxBufferedBytes      int64         // of answers that wait for clients; beyond it queries are rejected
-	MaxOpenQueries        int           // queries without an answer; 0: no limit
+	MaxBufferedBytes      int64         // of answers that wait for clients; above it queries are rejected
+	MaxOpenQueries        int           // queries without a final answer; 0: no limit
 	MaxConnectionsPerUser int           // 0: no limit
-	LagLimit              time.Duration // a batch of the event loop that takes longer is late
+	LagLimit              time.Duration // an event loop batch that takes longer counts as lagging
 	FrontQuotas           FrontQuotas
 
-	// Which class a query has.
+	// The rules that give a query its class.
 	DefaultClass, WriteClass, DescribeClass string
 	Matches                                 []MatchRule
 
 	Module            cresspass.Config // of the decision module
 	SessionLimits     affinity.Limits
-	HarmlessFunctions []string // that leave nothing in a session, as patterns in lower case
+	HarmlessFunctions []string // functions that leave no session state, as patterns in lower case
 
 	LogLevel, LogFormat string
 
 	DiscoveryAddr     string // of the endpoint discovery service
 	DiscoveryService  string
-	EndpointCacheFile string // keeps the last endpoint list; "": none
+	EndpointCacheFile string // keeps the last endpoint list; "": it is not kept
 
 	EngineUser, EngineDatabase                 string
-	MaxConnections, MaxPrepared                int // to and on each engine
+	MaxConnections, MaxPrepared                int // per engine; prepared statements per connection
 	ConnectTimeout, CancelTimeout, IdleTimeout time.Duration
 
 	Flight FlightSettings
@@ -82,7 +82,7 @@
 	RecordingLimits recording.Limits
 }
 
-// Load reads and checks a file. The error joins all that is wrong, each with file:line:column.
+// Load reads and checks a settings file. The error joins all faults of the file, each with file:line:column.
 func Load(path string) (*Config, error) {
 	src, err := os.ReadFile(path)
 	if err != nil {
@@ -91,7 +91,7 @@
 	return Parse(path, src)
 }
 
-// Parse checks a settings file's text.
+// Parse checks the text of a settings file. path is only used in errors and for Config.Path.
 func Parse(path string, src []byte) (*Config, error) {
 	parsed, diags := hclparse.NewParser().ParseHCL(src, path)
 	if diags.HasErrors() {
@@ -109,7 +109,7 @@
 	return cfg, nil
 }
 
-// build checks a file. Errors come in the order of these steps.
+// build checks a file. Errors are reported in the order of these steps.
 func (v *validator) build(f *File) *Config {
 	cfg := &Config{Path: v.path}
 	m := &cfg.Module
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -71,7 +71,7 @@
 	}
 	overrides := Overrides{Listen: "192.168.0.1:5", Ordinal: -1}
 	if err := overrides.Apply(cfg); err == nil {
-		t.Error("overrides with an address of another machine were applied")
+		t.Error("an override with an address off the loopback interface was applied")
 	}
 }
 
--- a/internal/config/discovery.go
+++ b/internal/config/discovery.go
@@ -2,7 +2,7 @@
 
 import "path/filepath"
 
-// RosterBlock says where the endpoint list comes from.
+// RosterBlock is the block of the discovery service that provides the endpoint list.
 type RosterBlock struct {
 	EDS     string `hcl:"eds"`
 	Service string `hcl:"service,optional"`
@@ -11,7 +11,7 @@
 
 const (
 	defaultDiscoveryService = "engines"
-	// cacheFileName is the cached endpoint list's in the state directory, where no other file is named.
+	// cacheFileName is the default name of the cached endpoint list in the state directory.
 	cacheFileName = "list"
 )
 
--- a/internal/config/engines.go
+++ b/internal/config/engines.go
@@ -7,7 +7,7 @@
 	"cresspass"
 )
 
-// EnginesBlock says how engines are reached, and what they support and report.
+// EnginesBlock is the block on how engines are reached, and what they support and report.
 type EnginesBlock struct {
 	User                string   `hcl:"user,optional"`
 	Database            string   `hcl:"database,optional"`
@@ -66,7 +66,7 @@
 	m.OnMemoryShortage = oneOf(v, in, "when_short", b.OnMemoryShortage, shortages)
 	for _, name := range b.LoadReportFields {
 		if strings.ContainsAny(name, ", ") || name == "" {
-			v.errorf(in, "report_fields", "%q is no name", name)
+			v.errorf(in, "report_fields", "%q is not a field name", name)
 		}
 	}
 }
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -1,7 +1,7 @@
 package config
 
-// File is a settings file as written. Durations are texts such as "1.5s". The keys are in the tags, and must
-// not change; a key that is left out has the zero value.
+// File is a settings file as written. Durations are strings such as "1.5s". The keys are in the tags, and
+// must not change. An omitted key has the zero value.
 type File struct {
 	Listen         string `hcl:"listen,optional"`
 	MaxClients     int    `hcl:"max_clients,optional"`
--- a/internal/config/flight.go
+++ b/internal/config/flight.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// FlightBlock holds the settings of the front for Flight SQL.
+// FlightBlock is the block of the Flight SQL frontend.
 type FlightBlock struct {
 	Listen          string `hcl:"listen"`
 	TicketLife      string `hcl:"ticket_life,optional"`
@@ -16,7 +16,7 @@
 	MaxWaiting      int    `hcl:"max_waiting,optional"`
 }
 
-// FlightSettings are those of the front for Flight SQL. Without Listen it is not served.
+// FlightSettings holds the settings of the Flight SQL frontend. If Listen is empty, it is not served.
 type FlightSettings struct {
 	Listen          string
 	TicketLife      time.Duration
@@ -24,20 +24,20 @@
 	KeepAlive       time.Duration
 	MaxAge          time.Duration // of a connection; 0: no limit
 	MaxTickets      int
-	MaxStreams      int // calls at a time on a connection
-	MaxTransactions int // of a session, as are the next two
+	MaxStreams      int // concurrent calls on a connection
+	MaxTransactions int // open transactions of a session; the next two are also per session
 	MaxPrepared     int
 	MaxWaiting      int
 }
 
-// SharesBlock holds the parts of each limit (connections, open queries, bytes of answers) that are reserved
-// for a front.
+// SharesBlock is the block of the parts of each limit (connections, open queries, bytes of answers) that are
+// reserved for each frontend.
 type SharesBlock struct {
 	PostgreSQL float64 `hcl:"postgresql,optional"`
 	Flight     float64 `hcl:"flight,optional"`
 }
 
-// FrontQuotas are the parts of limits that are reserved for each front.
+// FrontQuotas holds the parts of the limits that are reserved for each frontend, from 0 to 1.
 type FrontQuotas struct{ PostgreSQL, Flight float64 }
 
 const (
@@ -52,8 +52,8 @@
 	defaultFrontQuota      = 0.25
 )
 
-// applyFlight reads the block. Without it the defaults are in force for a front that the command line asks
-// for.
+// applyFlight checks the block. Without the block, the defaults apply to a frontend that the command line
+// enables.
 func (v *validator) applyFlight(cfg *Config, f *File) {
 	in, b := inBlock("flight"), f.Flight
 	if b == nil {
@@ -88,7 +88,7 @@
 		return
 	}
 	if b.PostgreSQL < 0 || b.Flight < 0 || b.PostgreSQL+b.Flight > 1 {
-		v.errorf(inBlock("shares"), "postgresql", "shares are from 0 to 1, and together 1 at most")
+		v.errorf(inBlock("shares"), "postgresql", "shares must be within 0 and 1, and their sum at most 1")
 	}
 	cfg.FrontQuotas = FrontQuotas{b.PostgreSQL, b.Flight}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -12,9 +12,9 @@
 	"cresspass/internal/goldentest"
 )
 
-// The files under testdata hold the keys that earlier builds knew and the values that they read.
+// The files under testdata hold the keys that earlier builds accepted and the values that they read.
 
-// dumper writes what a file was read as, under the names of its keys.
+// dumper writes the checked settings under the names of their keys.
 type dumper struct{ strings.Builder }
 
 func (d *dumper) line(key string, values ...any) {
@@ -43,7 +43,7 @@
 	return d.String()
 }
 
-// file writes the settings outside of blocks.
+// file writes the settings that are not in a block.
 func (d *dumper) file(c *Config) {
 	d.line("path", c.Path)
 	d.line("listen", c.Listen)
@@ -200,7 +200,7 @@
 	}
 }
 
-// Files that name every key, and as few as may be, are read to the values that earlier builds read.
+// A file with every key and a file with the fewest keys are read to the same values as in earlier builds.
 func TestGoldenValues(t *testing.T) {
 	for _, name := range []string{"all-keys", "least"} {
 		cfg, err := Load(filepath.Join("testdata", name+".hcl"))
@@ -211,7 +211,7 @@
 	}
 }
 
-// keys returns the keys of a settings file's form, with those of its blocks.
+// keys returns the keys of the struct of a settings file and of its blocks.
 func keys(form reflect.Type, block string) (out []string) {
 	for i := range form.NumField() {
 		f := form.Field(i)
@@ -232,13 +232,13 @@
 	return out
 }
 
-// The keys, which of them may be left out, and their types.
+// The keys do not change, nor which of them are optional, nor their types.
 func TestGoldenKeys(t *testing.T) {
 	today := strings.Join(keys(reflect.TypeFor[File](), ""), "\n") + "\n"
 	goldentest.Compare(t, "keys.txt", []byte(today))
 }
 
-// The file that is said to name every key does.
+// all-keys.hcl names every key.
 func TestGoldenFileNamesEveryKey(t *testing.T) {
 	src, err := os.ReadFile(filepath.Join("testdata", "all-keys.hcl"))
 	if err != nil {
@@ -275,7 +275,7 @@
 	}
 }
 
-// The names of changed settings, which a reload logs, and which of them need a restart.
+// The names of changed settings, which a reload logs, do not change, nor which of them need a restart.
 func TestGoldenCompare(t *testing.T) {
 	var files []*Config
 	for _, name := range []string{"all-keys.hcl", "least.hcl"} {
--- a/internal/config/logging.go
+++ b/internal/config/logging.go
@@ -1,6 +1,6 @@
 package config
 
-// LogBlock says how logs are written.
+// LogBlock is the block of the log level and format.
 type LogBlock struct {
 	Level  string `hcl:"level,optional"`
 	Format string `hcl:"format,optional"`
--- a/internal/config/matches.go
+++ b/internal/config/matches.go
@@ -7,8 +7,8 @@
 	"cresspass"
 )
 
-// MatchBlock gives statements a class, a tenant, or both, where all that it names fits. The first that fits
-// counts.
+// MatchBlock gives a class, a tenant, or both to statements that fit all of its conditions. The first block
+// that fits counts.
 type MatchBlock struct {
 	Class       string `hcl:"class,optional"`
 	User        string `hcl:"user,optional"`
@@ -18,13 +18,13 @@
 	Tenant      string `hcl:"tenant,optional"`
 }
 
-// MatchRule is a MatchBlock that was checked.
+// MatchRule is a checked MatchBlock. An empty condition fits every statement.
 type MatchRule struct {
 	Class, User, Database, Application, Tenant string
-	Pattern                                    *regexp.Regexp // of the statement's text; nil: any
+	Pattern                                    *regexp.Regexp // of the statement's text; nil: fits any
 }
 
-// applyClassNames takes the classes that statements have without a match.
+// applyClassNames checks the classes of statements that no match block fits. It must run after applyClasses.
 func (v *validator) applyClassNames(cfg *Config, f *File) {
 	cfg.DefaultClass, cfg.WriteClass = f.DefaultClass, f.WriteClass
 	cfg.DescribeClass = orDefault(f.DescribeClass, f.DefaultClass)
@@ -44,7 +44,7 @@
 	}
 }
 
-// applyMatches reads the match rules, once classes and tenants are known.
+// applyMatches checks the match blocks. It must run after applyClasses and applyTenants.
 func (v *validator) applyMatches(cfg *Config, blocks []MatchBlock) {
 	effects := effectsByClass(cfg)
 	tenants := map[string]bool{}
@@ -57,7 +57,7 @@
 			v.errorf(in, "class", "there is no class %q", b.Class)
 		}
 		if b.Class == "" && b.Tenant == "" {
-			v.errorf(in, "class", "a match names a class, a tenant, or both")
+			v.errorf(in, "class", "a match block must name a class, a tenant, or both")
 		}
 		if b.Tenant != "" && !tenants[b.Tenant] {
 			v.errorf(in, "tenant", "there is no tenant %q", b.Tenant)
--- a/internal/config/overrides.go
+++ b/internal/config/overrides.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Overrides are settings of the command line, which take the place of a file's. Empty ones change nothing.
+// Overrides holds settings from the command line, which replace those of a file. Zero values change nothing.
 type Overrides struct {
 	Listen            string
 	FlightListen      string
@@ -15,11 +15,12 @@
 	StateDir          string
 	HealthAddr        string
 	TakeoverSocket    string
-	Ordinal           int // below 0: the file's
+	Ordinal           int // below 0: the file's value is kept
 	Gateways          int
 }
 
-// Apply puts the overrides in a checked file's place, and checks the outcome.
+// Apply applies the overrides to a checked file's settings, and checks the result. After an error cfg
+// is partly changed.
 func (o *Overrides) Apply(cfg *Config) error {
 	cfg.Listen = orDefault(o.Listen, cfg.Listen)
 	cfg.Flight.Listen = orDefault(o.FlightListen, cfg.Flight.Listen)
@@ -29,7 +30,7 @@
 	cfg.HealthAddr = orDefault(o.HealthAddr, cfg.HealthAddr)
 	cfg.TakeoverSocket = orDefault(o.TakeoverSocket, cfg.TakeoverSocket)
 	if o.StateDir != "" {
-		// The cached endpoint list moves with the state directory, unless it is elsewhere.
+		// The cached endpoint list moves with the state directory, unless it is kept elsewhere.
 		if cfg.EndpointCacheFile == "" || cfg.EndpointCacheFile == cacheFileIn(cfg.StateDir) {
 			cfg.EndpointCacheFile = cacheFileIn(o.StateDir)
 		}
--- a/internal/config/overrides_test.go
+++ b/internal/config/overrides_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Guards against a health check, or any other listener, that is served to other machines by an override.
+// Guards against an override that opens a listener to other machines, or reaches discovery on one.
 func TestOverridesAreLoopbackAddresses(t *testing.T) {
 	const elsewhere = "192.168.0.1:5"
 	for name, overrides := range map[string]Overrides{
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// PeersBlock has dispatchers exchange gossip.
+// PeersBlock is the block of the gossip among dispatchers.
 type PeersBlock struct {
 	Listen string   `hcl:"listen"`
 	Name   string   `hcl:"name,optional"`
 	Seeds  []string `hcl:"seeds,optional"`
-	Keys   []string `hcl:"keys"` // hexadecimal; all are accepted, the first is used
+	Keys   []string `hcl:"keys"` // hexadecimal; all are accepted, the first one is used to send
 	Rate   int      `hcl:"rate,optional"`
-	Wait   string   `hcl:"wait,optional"` // for what others have learned, at the start
+	Wait   string   `hcl:"wait,optional"` // at start, for what other dispatchers have learned
 }
 
-// PeerSettings are those of the gossip among dispatchers. Without Listen there is none.
+// PeerSettings holds the settings of the gossip among dispatchers. If Listen is empty, there is no gossip.
 type PeerSettings struct {
 	Listen, Name string
 	Seeds        []string
@@ -25,7 +25,7 @@
 	Wait         time.Duration
 }
 
-// withKeys returns the settings with other keys.
+// withKeys returns a copy of the settings with other keys.
 func (p PeerSettings) withKeys(keys [][]byte) PeerSettings {
 	p.Keys = keys
 	return p
@@ -36,7 +36,7 @@
 	defaultPeerWait = time.Second
 )
 
-// applyPeers reads the block. Without it there is no gossip.
+// applyPeers checks the block. Without the block there is no gossip.
 func (v *validator) applyPeers(cfg *Config, b *PeersBlock) {
 	if b == nil {
 		return
@@ -58,10 +58,10 @@
 		settings.Keys = append(settings.Keys, key)
 	}
 	if len(b.Keys) == 0 {
-		v.errorf(in, "keys", "none is given")
+		v.errorf(in, "keys", "no key is given")
 	}
 	cfg.Module.MayGossip = true
 }
 
-// isKeySize reports whether AES has keys of so many bytes.
+// isKeySize reports whether n bytes is a key size of AES.
 func isKeySize(n int) bool { return n == 16 || n == 24 || n == 32 }
--- a/internal/config/process.go
+++ b/internal/config/process.go
@@ -12,7 +12,7 @@
 	gigabyte = 1 << 30
 )
 
-// Defaults of the file's own settings.
+// Defaults of the settings outside of blocks. Sizes are in bytes.
 const (
 	defaultListen           = "127.0.0.1:6432"
 	defaultMaxClients       = 10000
@@ -29,7 +29,7 @@
 	defaultBatchInterval    = 5 * time.Millisecond
 )
 
-// applyListeners takes what clients of PostgreSQL's protocol and health checks meet.
+// applyListeners checks the settings for PostgreSQL clients and for health checks.
 func (v *validator) applyListeners(cfg *Config, f *File) {
 	cfg.Listen = orDefault(f.Listen, defaultListen)
 	cfg.MaxClients = v.nonNegative("max_clients", f.MaxClients, defaultMaxClients)
@@ -45,14 +45,14 @@
 	cfg.HealthAddr = f.HealthAddr
 }
 
-// applyProcess takes what concerns the process and its files.
+// applyProcess checks the settings of the process and its files.
 func (v *validator) applyProcess(cfg *Config, f *File) {
 	cfg.StateDir, cfg.PIDFile, cfg.TakeoverSocket = f.StateDir, f.PIDFile, f.TakeoverSocket
 	cfg.SnapshotInterval = v.duration(fileScope, "state_every", f.SnapshotInterval, defaultSnapshotInterval)
 	cfg.DrainTimeout = v.duration(fileScope, "drain_for", f.DrainTimeout, defaultDrainTimeout)
 }
 
-// applyOverload takes the limits by which the dispatcher protects itself.
+// applyOverload checks the limits that protect the dispatcher from overload.
 func (v *validator) applyOverload(cfg *Config, f *File) {
 	cfg.LagLimit = v.duration(fileScope, "lag_limit", f.LagLimit, defaultLagLimit)
 	cfg.MaxBufferedBytes = int64(v.nonNegative("max_answer_memory", f.MaxBufferedBytes,
@@ -62,7 +62,8 @@
 	cfg.StartupTimeout = v.duration(fileScope, "startup_timeout", f.StartupTimeout, defaultStartupTimeout)
 }
 
-// applyDispatcher takes what the decision module is told of this dispatcher and its place among others.
+// applyDispatcher checks what the decision module gets to know about this dispatcher and its place among
+// others.
 func (v *validator) applyDispatcher(m *cresspass.Config, f *File) {
 	m.Seed, m.Ordinal, m.Zone = uint64(f.Seed), f.Ordinal, f.Zone
 	m.GatewayCount = orDefault(f.GatewayCount, 1)
--- a/internal/config/record.go
+++ b/internal/config/record.go
@@ -2,7 +2,7 @@
 
 import "cresspass/internal/recording"
 
-// RecordBlock has the queries that were accepted recorded in a directory.
+// RecordBlock is the block of the directory in which accepted queries are recorded.
 type RecordBlock struct {
 	Dir     string `hcl:"dir"`
 	FileMB  int    `hcl:"file_mb,optional"`
@@ -14,7 +14,7 @@
 	defaultRecordingTotalMB = 1024
 )
 
-// applyRecord reads the block. Without it nothing is recorded.
+// applyRecord checks the block. Without the block nothing is recorded.
 func (v *validator) applyRecord(cfg *Config, b *RecordBlock) {
 	if b == nil {
 		return
@@ -25,6 +25,6 @@
 		TotalBytes: int64(v.nonNegative("total_mb", b.TotalMB, defaultRecordingTotalMB)) * megabyte,
 	}
 	if l := cfg.RecordingLimits; l.TotalBytes < 2*l.FileBytes {
-		v.errorf(inBlock("record"), "total_mb", "less than two files: %d MB each", l.FileBytes/megabyte)
+		v.errorf(inBlock("record"), "total_mb", "must allow two files of %d MB each", l.FileBytes/megabyte)
 	}
 }
--- a/internal/config/rules.go
+++ b/internal/config/rules.go
@@ -6,7 +6,7 @@
 	"cresspass"
 )
 
-// RulesBlock holds the figures of the safety rules.
+// RulesBlock is the block of the parameters of the safety rules.
 type RulesBlock struct {
 	AnswerGrace             string   `hcl:"answer_grace,optional"`
 	DrainGrace              string   `hcl:"drain_grace,optional"`
@@ -20,7 +20,7 @@
 	RetryBudgetWindow       string   `hcl:"budget_look_back,optional"`
 }
 
-// LimitsBlock holds what a query may cost.
+// LimitsBlock is the block of the limits on attempts and retries of a query.
 type LimitsBlock struct {
 	MaxAttempts   int    `hcl:"max_attempts,optional"`
 	MaxRetryAfter string `hcl:"max_come_back,optional"`
@@ -58,7 +58,7 @@
 		m.Rules.RetryBudgetWindow = v.duration(in, "budget_look_back", b.RetryBudgetWindow,
 			defaultRetryBudgetWindow)
 	} else if b.RetryBudgetRatio > 0 || b.RetryBudgetWindow != "" {
-		v.errorf(in, "budget_share", "without budget_free there is no budget")
+		v.errorf(in, "budget_share", "has no effect without budget_free")
 	}
 }
 
--- a/internal/config/sessions.go
+++ b/internal/config/sessions.go
@@ -7,7 +7,7 @@
 	"cresspass/internal/affinity"
 )
 
-// SessionsBlock bounds the sessions that stay on one engine.
+// SessionsBlock is the block of the limits on sticky sessions.
 type SessionsBlock struct {
 	IdleInTransaction string `hcl:"idle_in_transaction,optional"`
 	MaxAge            string `hcl:"max_age,optional"`
@@ -15,10 +15,10 @@
 	MaxPerUser        int    `hcl:"max_per_user,optional"`
 
 	MaxPerEngine      int      `hcl:"max_per_engine,optional"`
-	HarmlessFunctions []string `hcl:"harmless,optional"` // functions that leave nothing, as patterns: "geo_*"
+	HarmlessFunctions []string `hcl:"harmless,optional"` // functions that leave no state: "geo_*"
 }
 
-// applySessions reads the block. Without it there are no limits.
+// applySessions checks the block. Without the block there are no limits.
 func (v *validator) applySessions(cfg *Config, b *SessionsBlock) {
 	if b == nil {
 		return
@@ -36,7 +36,7 @@
 	cfg.Module.MaxSessionsPerEngine = b.MaxPerEngine
 	for _, pattern := range b.HarmlessFunctions {
 		if _, err := path.Match(pattern, ""); err != nil {
-			v.errorf(in, "harmless", "%q is no pattern: %v", pattern, err)
+			v.errorf(in, "harmless", "%q is not a valid pattern: %v", pattern, err)
 		}
 		cfg.HarmlessFunctions = append(cfg.HarmlessFunctions, strings.ToLower(pattern))
 	}
--- a/internal/config/validator.go
+++ b/internal/config/validator.go
@@ -12,26 +12,26 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// validator checks one file and collects what is wrong with it.
+// validator checks one file and collects its errors.
 type validator struct {
 	path string
 	body *hclsyntax.Body
 	errs []error
 }
 
-// scope names where settings stand: in the block of a type with an index among its like, or in the file
-// itself.
+// scope says where a setting is: in a block, given by its type and its index among the blocks of that type,
+// or outside of blocks.
 type scope struct {
-	block string // "": the file itself
+	block string // type of the block; "": outside of blocks
 	index int
 }
 
 var fileScope = scope{}
 
-// inBlock is the scope of a block that may be given once.
+// inBlock returns the scope of a block that may be given once.
 func inBlock(name string) scope { return scope{block: name} }
 
-// position finds where a setting stands: its value, or else its block.
+// position returns file:line:column of the value of a setting or, if it is not given, of its block.
 func (v *validator) position(in scope, attribute string) string {
 	where, body := v.body.SrcRange, v.body
 	if in.block != "" {
@@ -53,13 +53,13 @@
 	return fmt.Sprintf("%s:%d:%d", v.path, where.Start.Line, where.Start.Column)
 }
 
-// errorf notes that a setting is wrong.
+// errorf records an error of a setting, with its position.
 func (v *validator) errorf(in scope, attribute, format string, args ...any) {
 	v.errs = append(v.errs, fmt.Errorf("%s: %s: %s", v.position(in, attribute), attribute,
 		fmt.Sprintf(format, args...)))
 }
 
-// duration reads a time. One that is empty or wrong is the default.
+// duration parses a duration. An empty or invalid value yields the default.
 func (v *validator) duration(in scope, attribute, value string, defaultValue time.Duration) time.Duration {
 	if value == "" {
 		return defaultValue
@@ -72,7 +72,8 @@
 	return d
 }
 
-// nonNegative returns a number of the file itself, or the default for zero.
+// nonNegative checks a number and returns it, or the default if it is zero. An error is reported at the
+// setting outside of blocks.
 func (v *validator) nonNegative(attribute string, value, defaultValue int) int {
 	if value < 0 {
 		v.errorf(fileScope, attribute, "%d is negative", value)
@@ -80,14 +81,14 @@
 	return orDefault(value, defaultValue)
 }
 
-// loopback checks an address.
+// loopback checks that an address is on the loopback interface.
 func (v *validator) loopback(in scope, attribute, addr string) {
 	if err := CheckLoopback(addr); err != nil {
 		v.errorf(in, attribute, "%v", err)
 	}
 }
 
-// oneOf returns what a value stands for. The empty value has no name in the error.
+// oneOf returns the choice that a value names. The error lists all names but the empty one.
 func oneOf[T any](v *validator, in scope, attribute, value string, choices map[string]T) (choice T) {
 	choice, ok := choices[value]
 	if !ok {
@@ -126,7 +127,7 @@
 	return errors.Join(errs...)
 }
 
-// CheckLoopback returns an error unless an address is host:port on the loopback interface.
+// CheckLoopback returns an error unless addr is host:port on the loopback interface.
 func CheckLoopback(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
