--- a/internal/recording/format.go
+++ b/internal/recording/format.go
@@ -1,7 +1,7 @@
-// Package recording stores the queries that a dispatcher admitted, for the simulation to replay: times,
-// classes, fingerprints, outcomes and durations, but no text of a query. A file is a header and blocks, each
-// with its checksum; complete blocks are read whatever became of the rest. The package owns the files in the
-// folder that it is given and must never delay a query.
+// Package recording stores the queries that a dispatcher admitted, for replay in the simulation: times,
+// classes, fingerprints, outcomes and durations, but no query text. A file consists of a header and blocks,
+// each with a checksum. Complete blocks can be read even if the rest of the file is damaged. The package owns
+// the files in its directory that IsRecording accepts, and must never delay a query.
 package recording
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Outcome is how a query ended.
+// Outcome is how a query ended. The numbers are stored in recordings.
 type Outcome uint8
 
 // The outcomes.
@@ -27,7 +27,7 @@
 	outcomeCount
 )
 
-// String names the outcome.
+// String returns the name of the outcome.
 func (o Outcome) String() string {
 	if o >= outcomeCount {
 		return "unknown"
@@ -35,25 +35,25 @@
 	return [...]string{"served", "refused", "failed", "given up"}[o]
 }
 
-// Entry is one query that was admitted and has ended.
+// Entry is a query that was admitted and has ended.
 type Entry struct {
-	ArrivedAt   time.Duration // since the recording's start
-	Elapsed     time.Duration // until its final answer
+	ArrivedAt   time.Duration // since Header.Start
+	Elapsed     time.Duration // from arrival to the final answer
 	Class       string
 	Tenant      string
 	Dispatcher  string
-	Fingerprint uint64        // of its text's shape
-	Key         uint64        // a hash of its order key; 0: none
-	Cost        time.Duration // the client's estimate, thread time; 0: it gave none
-	Threads     float64       // 0: not known
+	Fingerprint uint64        // hash of the shape of its text
+	Key         uint64        // hash of its ordering key; 0: none
+	Cost        time.Duration // thread time as estimated by the client; 0: not given
+	Threads     float64       // number of threads; 0: not known
 	Outcome     Outcome
-	IsRetry     bool // its client had sent it before
+	IsRetry     bool // the client had sent the query before
 	IsWrite     bool
 }
 
-// Header begins a file.
+// Header is the header of a file.
 type Header struct {
-	Start time.Time // by the wall clock; entries' times count from here
+	Start time.Time // by the wall clock; entries' times count from it
 }
 
 var magic = [4]byte{'c', 'r', 'p', 'r'}
@@ -61,26 +61,26 @@
 const (
 	version    = 1
 	headerSize = 16
-	// MaxBlockEntries is the most entries of a block.
+	// MaxBlockEntries is the maximum number of entries in a block.
 	MaxBlockEntries = 4096
-	blockHeaderSize = 12 // length, checksum
+	blockHeaderSize = 12 // length (4 bytes) and checksum (8 bytes)
 	maxBlockBytes   = 1 << 22
 )
 
-// Errors of reading.
+// Errors of Reader.Next.
 var (
-	ErrTruncated = errors.New("recording: the last block is cut")
-	ErrDamaged   = errors.New("recording: a block is damaged")
+	ErrTruncated = errors.New("recording: last block is truncated")
+	ErrDamaged   = errors.New("recording: block is damaged")
 )
 
-// AppendHeader appends a header.
+// AppendHeader appends an encoded header to b.
 func AppendHeader(b []byte, h Header) []byte {
 	b = append(b, magic[:]...)
 	b = binary.LittleEndian.AppendUint32(b, version)
 	return binary.LittleEndian.AppendUint64(b, uint64(h.Start.UnixMicro()))
 }
 
-// nameTable numbers the names of a block, which stand once at its beginning.
+// nameTable numbers the names in a block. The names are stored once, at the start of the block.
 type nameTable struct {
 	numbers map[string]uint64
 	names   []string
@@ -96,14 +96,15 @@
 	return n
 }
 
-// Flags of an entry beside its outcome, which is in the lower half.
+// The flags byte of an entry: the outcome in the lower four bits, flags above it.
 const (
 	outcomeMask = 0x0f
 	flagRetry   = 0x10
 	flagWrite   = 0x20
 )
 
-// AppendBlock appends a block of entries, which are in the order of their times; at most MaxBlockEntries.
+// AppendBlock appends a block of at most MaxBlockEntries entries to b. The entries are in the order of
+// arrival.
 func AppendBlock(b []byte, entries []Entry) []byte {
 	head := len(b)
 	b = append(b, make([]byte, blockHeaderSize)...)
@@ -127,7 +128,7 @@
 	return b
 }
 
-// appendEntry appends an entry, whose time counts from that of the one before it.
+// appendEntry appends an entry. Its arrival is stored relative to last, that of the entry before.
 func appendEntry(b []byte, e *Entry, last time.Duration, table *nameTable) []byte {
 	b = binary.AppendVarint(b, (e.ArrivedAt - last).Microseconds())
 	b = binary.AppendUvarint(b, uint64(max(e.Elapsed, 0).Microseconds()))
@@ -148,7 +149,7 @@
 	return append(b, flags)
 }
 
-// decoder reads a block's payload. Its first error stands, and what it returns after that means nothing.
+// decoder reads the payload of a block. After the first error err stays set, and results are meaningless.
 type decoder struct {
 	rest  []byte
 	names []string
@@ -172,7 +173,7 @@
 	return time.Duration(min(d.uvarint(), math.MaxInt64/1000)) * time.Microsecond
 }
 
-// name reads the number of a name and returns the name.
+// name reads the number of a name in the name table, and returns the name.
 func (d *decoder) name() string {
 	if i := d.uvarint(); d.err == nil && i < uint64(len(d.names)) {
 		return d.names[i]
@@ -222,7 +223,7 @@
 	return entries, nil
 }
 
-// entry reads what follows an entry's time.
+// entry reads all fields of an entry but its arrival.
 func (d *decoder) entry() (e Entry) {
 	e.Elapsed = d.duration()
 	e.Class, e.Tenant, e.Dispatcher = d.name(), d.name(), d.name()
@@ -237,32 +238,33 @@
 	return e
 }
 
-// Reader reads a recording block by block.
+// Reader reads a recording block by block. It is not safe for concurrent use.
 type Reader struct {
 	r      io.Reader
 	Header Header
-	// Skipped counts blocks whose checksum is wrong: they are left out.
+	// Skipped counts the blocks that were skipped because they are damaged.
 	Skipped int
 }
 
-// NewReader reads the header.
+// NewReader reads the header from r and returns a Reader of the blocks.
 func NewReader(r io.Reader) (*Reader, error) {
 	b := make([]byte, headerSize)
 	if _, err := io.ReadFull(r, b); err != nil {
-		return nil, fmt.Errorf("recording: header: %w", err)
+		return nil, fmt.Errorf("recording: read header: %w", err)
 	}
 	if [4]byte(b[:4]) != magic {
-		return nil, errors.New("recording: the file does not begin as a recording does")
+		return nil, errors.New("recording: not a recording: wrong magic number")
 	}
 	if v := binary.LittleEndian.Uint32(b[4:]); v != version {
-		return nil, fmt.Errorf("recording: version %d, this program reads %d", v, version)
+		return nil, fmt.Errorf("recording: unsupported format version %d, expected %d", v, version)
 	}
 	return &Reader{r: r, Header: Header{Start: time.UnixMicro(int64(binary.LittleEndian.Uint64(b[8:])))}}, nil
 }
 
-// Next returns the entries of the next block that is whole; io.EOF after the last one, ErrTruncated where the
-// file ends within a block. A block that is damaged within is skipped; where its length cannot be, what
-// follows is not found.
+// Next returns the entries of the next undamaged block. The error is io.EOF after the last block, and
+// ErrTruncated if the file ends within a block. A block with a damaged payload or checksum is skipped and
+// counted in Skipped. If a block's length is impossible, the error is ErrDamaged: the blocks after it cannot
+// be found.
 func (r *Reader) Next() ([]Entry, error) {
 	for {
 		var head [blockHeaderSize]byte
--- a/internal/recording/format_test.go
+++ b/internal/recording/format_test.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// What was written is read; a file that is cut anywhere gives all of its whole blocks and says that it is
-// cut; a byte that is changed costs the block that it is in, at most what follows where it is a length, and
-// nothing is made up.
+// What was written is read. A file that is truncated anywhere yields all of its complete blocks and an error
+// that it is truncated. A changed byte loses the block that it is in, and in a block's length also the blocks
+// after it; no other entries are read in their place.
 func TestTruncatedAndDamagedFiles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.UnixMicro(1764600000123456)
@@ -94,10 +94,10 @@
 		b[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "change"))
 		got, _, _ = readAll(b)
 		if len(got) >= len(want) && len(want) > 0 && !reflect.DeepEqual(got, want) {
-			t.Fatal("a changed byte, and other entries")
+			t.Fatal("a changed byte yielded different entries")
 		}
 		if _, _, err := readAll(rapid.SliceOf(rapid.Byte()).Draw(t, "any")); err == nil {
-			t.Fatal("any bytes were read to an end without an error")
+			t.Fatal("random bytes were read without an error")
 		}
 		if entries, _, err := readAll(AppendHeader(nil, Header{})); len(entries) > 0 || !errors.Is(err,
 			io.EOF) {
@@ -106,10 +106,11 @@
 	})
 }
 
-// Scaled to other sizes the traffic is so many times as much, its bursts and the busiest tenth's share stay.
+// Scale multiplies the traffic by its factor, and keeps bursts and the share of the busiest tenth of the
+// dispatchers.
 func TestScaleKeepsUnevenness(t *testing.T) {
 	var all []Entry
-	for i := range 40 { // the first four of forty carry half
+	for i := range 40 { // the first four of forty have half of the entries
 		n := 100
 		if i < 4 {
 			n = 900
@@ -117,7 +118,7 @@
 		for k := range n {
 			at := time.Duration(k) * 60 * time.Second / time.Duration(n)
 			if k%2 == 0 {
-				at = 30*time.Second + time.Duration(k)*time.Millisecond // half of all in one burst
+				at = 30*time.Second + time.Duration(k)*time.Millisecond // half of them in one burst
 			}
 			all = append(
 				all,
@@ -152,21 +153,21 @@
 		}
 		got := Scale(all, c.times, names, 10*time.Millisecond, 1)
 		if r := float64(len(got)) / float64(len(all)) / c.times; math.Abs(r-1) > 0.03 {
-			t.Errorf("%g times: %d of %d", c.times, len(got), len(all))
+			t.Errorf("scaled by %g: %d entries from %d", c.times, len(got), len(all))
 		}
 		if math.Abs(burst(got)-burst(all)) > 0.02 || math.Abs(tenth(got)-tenth(all)) > 0.04 {
-			t.Errorf("%g times over %d: burst %.3f, was %.3f; busiest tenth %.3f, was %.3f", c.times, c.n,
+			t.Errorf("scaled by %g over %d: burst %.3f, was %.3f; busiest tenth %.3f, was %.3f", c.times, c.n,
 				burst(got), burst(all), tenth(got), tenth(all))
 		}
 	}
 	if got := Cut(all, 10*time.Second, 20*time.Second); len(got) == 0 || got[0].ArrivedAt > time.Second ||
 		got[len(got)-1].ArrivedAt >= 10*time.Second {
-		t.Error("cut")
+		t.Error("Cut returns entries outside of its interval, or none")
 	}
 }
 
-// Whatever is written, what lies on the disk stays within the total, a file within its limit or one block,
-// the newest stays, and nothing of others is removed.
+// Whatever is written, all files together stay within the total, a file exceeds its limit by one block at
+// most, the open file is kept, and files of others are not removed.
 func TestRotate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{FileBytes: int64(rapid.IntRange(20, 2000).Draw(t, "file")),
@@ -181,7 +182,7 @@
 			begin, remove := l.Rotate(append([]File(nil), files...), open, block)
 			for _, name := range remove {
 				if name == open && !begin {
-					t.Fatal("the open file is removed")
+					t.Fatal("the open file is to be removed")
 				}
 				for i := range files {
 					if files[i].Name == name {
@@ -211,13 +212,13 @@
 	})
 	for _, name := range []string{"notes.rec", "cresspass-1.rec", "cresspass-0000000000000000000x.rec", ""} {
 		if IsRecording(name) {
-			t.Errorf("%q is taken for ours", name)
+			t.Errorf("%q is taken for a recording", name)
 		}
 	}
 }
 
-// What is taken comes back from the folder, over files and restarts; beyond its queue it is dropped and
-// counted, and a folder that is gone costs the recording only.
+// Entries that Record accepted are read back from the directory, over several files and restarts. Entries
+// that do not fit the queue are dropped and counted. If the directory is gone, blocks fail and are counted.
 func TestRecorder(t *testing.T) {
 	dir := t.TempDir()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -268,7 +269,7 @@
 	r.Record(begin, Entry{})
 	r.Close()
 	if _, _, failed := r.Counts(); failed != 1 {
-		t.Errorf("a folder that is gone: %d failed", failed)
+		t.Errorf("the directory is gone: %d blocks failed, want 1", failed)
 	}
 	path := filepath.Join(dir, "saved")
 	if err := Save(path, Header{Start: begin}, all); err != nil {
--- a/internal/recording/golden_test.go
+++ b/internal/recording/golden_test.go
@@ -11,7 +11,7 @@
 	"cresspass/internal/goldentest"
 )
 
-// goldenEntries has every field set, and one entry of zeros.
+// goldenEntries returns entries that set every field, and one of zeros.
 func goldenEntries() []Entry {
 	return []Entry{
 		{},
--- a/internal/recording/recorder.go
+++ b/internal/recording/recorder.go
@@ -12,12 +12,13 @@
 )
 
 const (
-	queueCapacity = 8192        // entries that wait for the writer
-	blockInterval = time.Second // after which a block is written, full or not
+	queueCapacity = 8192        // entries that may wait for the writer
+	blockInterval = time.Second // after which a block is written even if it is not full
 )
 
-// Recorder writes the queries that a dispatcher admitted into a folder. Record never blocks: a goroutine
-// writes, in blocks, and an entry that does not fit into its queue is dropped and counted.
+// Recorder writes the queries that a dispatcher admitted to files in a directory. Record never blocks: a
+// goroutine writes the entries in blocks, and entries that do not fit its queue are dropped and counted.
+// Record and Counts may be called from several goroutines.
 type Recorder struct {
 	dir     string
 	limits  Limits
@@ -30,19 +31,19 @@
 	failed  atomic.Uint64
 	written atomic.Uint64
 
-	// The goroutine's alone.
+	// Used by the writer's goroutine alone.
 	file  *os.File // nil: none is open
 	name  string
-	start time.Time // entries of the open file count from here
+	start time.Time // times in the open file count from it
 }
 
-// timedEntry is an entry with its time by the wall clock; in a file times count from the file's start.
+// timedEntry is an entry with its arrival by the wall clock. In a file, arrivals count from the file's start.
 type timedEntry struct {
 	at time.Time
 	Entry
 }
 
-// NewRecorder begins to record into a folder, which is made where there is none. Close ends it.
+// NewRecorder starts a recorder that writes to dir, which it creates if needed. Close ends it.
 func NewRecorder(dir string, l Limits, log *slog.Logger) (*Recorder, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -53,8 +54,8 @@
 	return r, nil
 }
 
-// Record has the entry of a query written that arrived at a time. It returns false where the entry was
-// dropped.
+// Record queues the entry of a query that arrived at the given wall clock time. The recorder sets its
+// ArrivedAt. Record returns false if the entry was dropped.
 func (r *Recorder) Record(at time.Time, e Entry) bool {
 	select {
 	case r.queue <- timedEntry{at, e}:
@@ -70,7 +71,7 @@
 	return r.written.Load(), r.dropped.Load(), r.failed.Load()
 }
 
-// Close writes what waits and ends. Record must not be called after it.
+// Close writes the waiting entries and ends the recorder. Record must not be called afterwards.
 func (r *Recorder) Close() {
 	r.close.Do(func() { close(r.stop) })
 	<-r.done
@@ -105,7 +106,8 @@
 	}
 }
 
-// flush writes entries as a block and counts them. A full disk costs the recording, never a query.
+// flush writes entries as a block and counts them. While the disk is full, entries are lost, but no query
+// fails.
 func (r *Recorder) flush(entries []timedEntry) {
 	if len(entries) == 0 {
 		return
@@ -120,7 +122,7 @@
 	r.written.Add(uint64(len(entries)))
 }
 
-// closeFile closes the file that is open, so that the next block begins another one.
+// closeFile closes the open file, so that the next block starts a new one.
 func (r *Recorder) closeFile() {
 	if r.file == nil {
 		return
@@ -140,7 +142,7 @@
 	return AppendBlock(nil, entries)
 }
 
-// write writes a block, to another file where the limits want one.
+// write writes a block, to a new file if the limits require one.
 func (r *Recorder) write(all []timedEntry) error {
 	block := r.appendBlock(all)
 	files, err := r.recordings()
@@ -157,13 +159,12 @@
 		}
 		block = r.appendBlock(all) // its times count from the new file's start
 	}
-	// After half a block, as a full disk leaves it, nothing that follows in the file could be read; so an
-	// error ends the file.
+	// A full disk may leave a partial block, and no block after it could be read. So an error ends the file.
 	_, err = r.file.Write(block)
 	return err
 }
 
-// recordings lists the recordings in the folder.
+// recordings lists the recordings in the directory.
 func (r *Recorder) recordings() (files []File, err error) {
 	found, err := os.ReadDir(r.dir)
 	if err != nil {
@@ -177,7 +178,7 @@
 	return files, nil
 }
 
-// remove removes recordings, the open one too.
+// remove removes recordings. If the open one is among them, it is closed.
 func (r *Recorder) remove(names []string) (err error) {
 	for _, name := range names {
 		if name == r.name {
@@ -188,7 +189,7 @@
 	return err
 }
 
-// begin opens a new file, whose times count from start.
+// begin creates a new file, in which times count from start.
 func (r *Recorder) begin(start time.Time) error {
 	r.closeFile()
 	r.start = start
@@ -202,13 +203,14 @@
 	return err
 }
 
-// Load reads a file. A cut or damaged end is an error beside what was read before it.
+// Load reads a recording. If its end is truncated or damaged, Load returns the entries before that and an
+// error. skipped is the number of damaged blocks that were left out.
 func Load(path string) (h Header, all []Entry, skipped int, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return h, nil, 0, err
 	}
-	defer func() { _ = f.Close() }() // it is only read
+	defer func() { _ = f.Close() }() // it was only opened for reading
 	r, err := NewReader(f)
 	if err != nil {
 		return h, nil, 0, err
@@ -225,7 +227,7 @@
 	}
 }
 
-// Save writes entries as one file, in blocks.
+// Save writes entries to one file, in blocks. The entries are in the order of arrival.
 func Save(path string, h Header, all []Entry) error {
 	b := AppendHeader(nil, h)
 	for len(all) > 0 {
--- a/internal/recording/rotate.go
+++ b/internal/recording/rotate.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Limits bound what a recorder keeps on disk.
+// Limits bounds what a recorder keeps on disk.
 type Limits struct {
-	FileBytes  int64 // bytes of a file, after which another is begun
-	TotalBytes int64 // bytes of all files together; the oldest go first
+	FileBytes  int64 // bytes of a file, after which a new one is started
+	TotalBytes int64 // bytes of all files together; the oldest are removed first
 }
 
-// File is one of a recorder's files.
+// File is a recording in the directory, with its size in bytes.
 type File struct {
 	Name string
 	Size int64
@@ -24,11 +24,11 @@
 	suffix = ".rec"
 )
 
-// FileName is that of a recording begun at a time; names are in the order of times.
+// FileName returns the name of a recording that starts at a time. Names sort in the order of times.
 func FileName(at time.Time) string { return fmt.Sprintf("%s%020d%s", prefix, at.UnixMicro(), suffix) }
 
-// IsRecording reports whether a file is a recorder's by its name. Rotation removes files: without this check
-// it would remove what others keep in the folder.
+// IsRecording reports whether a file name is one that FileName returns. Rotation removes files: without this
+// check it would remove other files in the directory.
 func IsRecording(name string) bool {
 	middle := strings.TrimSuffix(strings.TrimPrefix(name, prefix), suffix)
 	if len(name) != len(prefix)+20+len(suffix) || len(middle) != 20 {
@@ -37,9 +37,9 @@
 	return strings.Trim(middle, "0123456789") == ""
 }
 
-// Rotate decides before a block of so many bytes is written to the file that is open (its name "" where
-// none is): whether another is begun first, and which old ones are removed so that all stay within the
-// limits.
+// Rotate decides what to do before a block, whose size is given in bytes, is written to the open file. open
+// is the name of that file; "": none is open. begin says whether a new file must be started first, and remove
+// names the old files to remove so that all files stay within the limits. Rotate sorts files by name.
 func (l Limits) Rotate(files []File, open string, block int64) (begin bool, remove []string) {
 	sort.Slice(files, func(i, j int) bool { return files[i].Name < files[j].Name })
 	total := block
--- a/internal/recording/transform.go
+++ b/internal/recording/transform.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Cut returns the entries from a time on and before another, their times counted from the first.
+// Cut returns the entries that arrived at from or later and before to. Their arrivals then count from from.
 func Cut(all []Entry, from, to time.Duration) (out []Entry) {
 	for _, e := range all {
 		if e.ArrivedAt >= from && e.ArrivedAt < to {
@@ -19,8 +19,9 @@
 	return out
 }
 
-// Merge returns the entries of several recordings by time, those of one time in the recordings' order.
-// shifts are added to each one's times: recordings begin at different moments.
+// Merge returns the entries of several recordings, sorted by arrival. Entries with the same arrival stay in
+// the order of the recordings. shifts[i] is added to the arrivals of recording i, as recordings start at
+// different times.
 func Merge(all [][]Entry, shifts []time.Duration) []Entry {
 	var out []Entry
 	for i, list := range all {
@@ -41,10 +42,11 @@
 	return out
 }
 
-// Scale returns a recording of so many times the traffic over other dispatchers, with its unevenness kept:
-// bursts stay bursts, as each entry comes so many times at about its own time, and a dispatcher that had a
-// share of all has it again, as one or several. Names of dispatchers are taken in order; jitter is how far
-// copies are put apart.
+// Scale returns a recording with the traffic multiplied by times and distributed over other dispatchers. It
+// keeps the unevenness of the traffic: bursts stay bursts, because the copies of an entry arrive at about the
+// same time as the entry, and the share of a recorded dispatcher goes to one or several of the others. The
+// names in dispatchers are used in order; if there are none, entries keep their dispatcher. jitter is how far
+// a copy is moved at most, earlier or later.
 func Scale(all []Entry, times float64, dispatchers []string, jitter time.Duration, seed uint64) []Entry {
 	r := rand.New(rand.NewPCG(seed, 19))
 	place := assignDispatchers(all, dispatchers, r)
@@ -56,7 +58,7 @@
 		}
 		for i := range n {
 			c := e
-			if i > 0 { // another client's query of the same kind, a moment apart
+			if i > 0 { // a similar query of another client, at a slightly different time
 				c.ArrivedAt = max(0, c.ArrivedAt+time.Duration((2*r.Float64()-1)*float64(jitter)))
 				c.Fingerprint ^= uint64(i) * 0x9e3779b97f4a7c15
 				if c.Key != 0 {
@@ -71,10 +73,10 @@
 	return out
 }
 
-// assignDispatchers maps a recorded dispatcher to one of others. Both are laid along one line, the recorded
-// ones by their shares of all entries, the largest first, the others in equal parts: a recorded one's
-// entries go to the others that lie where it lies, so that the busiest tenth carries what the busiest tenth
-// carried.
+// assignDispatchers returns a function that maps a recorded dispatcher to a new one. Both sets are placed
+// along the same line in equal parts, the recorded ones sorted by their number of entries, the largest first.
+// Entries of a recorded dispatcher go to the new ones at its place on the line, so that the busiest tenth of
+// the new dispatchers gets the share of the busiest tenth of the recorded ones.
 func assignDispatchers(all []Entry, dispatchers []string, r *rand.Rand) func(string) string {
 	if len(dispatchers) == 0 {
 		return func(name string) string { return name }
@@ -99,13 +101,13 @@
 	}
 	n, m := float64(len(names)), float64(len(dispatchers))
 	return func(name string) string {
-		// the recorded one of place i lies from i/n to (i+1)/n
+		// the recorded dispatcher at place i covers i/n to (i+1)/n
 		x := (float64(at[name]) + r.Float64()) / n
 		return dispatchers[min(int(x*m), len(dispatchers)-1)]
 	}
 }
 
-// Shares are the entries' shares by dispatcher, the largest first.
+// Shares returns each dispatcher's share of the entries, the largest first.
 func Shares(all []Entry) (out []float64) {
 	count := map[string]float64{}
 	for _, e := range all {
