--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -42,6 +42,9 @@
 // handoverTimeout is how long a successor may take to report that it serves.
 const handoverTimeout = 20 * time.Second
 
+// eventQueueCapacity is how many events may wait for the event loop.
+const eventQueueCapacity = 64
+
 // daemon is a running service.
 type daemon struct {
 	options   Options
@@ -60,7 +63,7 @@
 func Run(ctx context.Context, o Options) error {
 	d := &daemon{options: o, logger: o.Logger, machine: lifecycle.New(lifecycle.Config{
 		DrainTimeout: o.Config.DrainTimeout, HandoverTimeout: handoverTimeout}),
-		events: make(chan lifecycle.Event, 64), startedAt: time.Now()}
+		events: make(chan lifecycle.Event, eventQueueCapacity), startedAt: time.Now()}
 	received := o.Signals
 	if received == nil {
 		var stop func()
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -22,12 +22,12 @@
 		t.Errorf("PID file %q, %v", b, err)
 	}
 	idle, short, long := env.connect(t), env.connect(t), env.connect(t)
-	ends := make(chan string, 2)
+	results := make(chan string, 2)
 	for c, text := range map[*pgx.Conn]string{short: "select 1 /*work_ms='600'*/",
 		long: "select 1 /*work_ms='60000'*/"} {
 		go func() {
 			_, err := c.Exec(context.Background(), text)
-			ends <- sqlState(err)
+			results <- sqlState(err)
 		}()
 	}
 	time.Sleep(100 * time.Millisecond)
@@ -37,13 +37,13 @@
 	if _, err := idle.Exec(context.Background(), "select 1"); sqlState(err) != "57P01" && !idle.IsClosed() {
 		t.Errorf("an idle client received %v", err)
 	}
-	if got := <-ends; got != "<nil>" {
+	if got := <-results; got != "<nil>" {
 		t.Errorf("a query that finishes before the drain timeout was answered by %s", got)
 	}
 	if _, err := net.Dial("tcp", env.listen); err == nil {
 		t.Error("a connection was accepted during a drain")
 	}
-	if got := <-ends; got != "57P01" {
+	if got := <-results; got != "57P01" {
 		t.Errorf("a query that outlasts the drain timeout was answered by %s", got)
 	}
 	if err := s.stopAndWait(t); err != nil {
--- a/internal/daemon/env_test.go
+++ b/internal/daemon/env_test.go
@@ -82,7 +82,7 @@
 // the discovery service that lists them.
 type testEnv struct {
 	dir, listen string
-	rig         *testbed.Testbed
+	testbed     *testbed.Testbed
 }
 
 func newTestEnv(t *testing.T) *testEnv {
@@ -109,7 +109,7 @@
 takeover  = %q
 pid_file  = %q
 roster { eds = %q }
-`, env.listen, in("state"), in("sock"), in("pid"), env.rig.Discovery.Addr())
+`, env.listen, in("state"), in("sock"), in("pid"), env.testbed.Discovery.Addr())
 }
 
 func (env *testEnv) options(t *testing.T, extra string, takeover bool) (Options, *lockedBuffer) {
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -75,26 +75,26 @@
 	goldentest.Compare(t, "states.txt", []byte(written.String()))
 }
 
-// handOver returns the recorded messages of both sides of a handover, by kind, from testdata.
-func handOver(t *testing.T) map[string]string {
-	said := map[string]string{}
+// recordedHandover returns the recorded messages of both sides of a handover, by kind, from testdata.
+func recordedHandover(t *testing.T) map[string]string {
+	recorded := map[string]string{}
 	goldentest.Compare(t, "handover.txt", []byte("successor socket\npredecessor here\nsuccessor serving\n"+
 		"predecessor draining\nrejected no another hand-over is under way, or this dispatcher ends\n"))
 	stored := goldentest.Read(t, "handover.txt")
 	for i, line := range strings.Split(strings.TrimSpace(string(stored)), "\n") {
 		_, text, _ := strings.Cut(line, " ")
-		said[[]string{"request", "listeners", "serving", "draining", "rejected"}[i]] = text + "\n"
+		recorded[[]string{"request", "listeners", "serving", "draining", "rejected"}[i]] = text + "\n"
 	}
-	for key, today := range map[string]string{"request": messageRequest, "listeners": messageListeners,
+	for key, current := range map[string]string{"request": messageRequest, "listeners": messageListeners,
 		"serving": messageServing, "draining": messageDraining} {
-		if said[key] != today+"\n" {
-			t.Errorf("message %s is %q, an earlier build sent %q", key, today, said[key])
+		if recorded[key] != current+"\n" {
+			t.Errorf("message %s is %q, an earlier build sent %q", key, current, recorded[key])
 		}
 	}
-	return said
+	return recorded
 }
 
-func unixPair(t *testing.T) (*net.UnixListener, string) {
+func listenTestSocket(t *testing.T) (*net.UnixListener, string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "sock")
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
@@ -115,7 +115,7 @@
 	return ln.(*net.TCPListener)
 }
 
-func write(t *testing.T, c net.Conn, text string) {
+func writeText(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	if _, err := c.Write([]byte(text)); err != nil {
 		t.Fatal(err)
@@ -124,7 +124,7 @@
 
 // A successor of an earlier build is served: it sends the recorded lines and receives the recorded ones.
 func TestGoldenHandOverToEarlierBuild(t *testing.T) {
-	said := handOver(t)
+	recorded := recordedHandover(t)
 	path := filepath.Join(t.TempDir(), "sock")
 	events := make(chan lifecycle.Event, 8)
 	h, err := listenForSuccessors(path, events, slog.New(slog.DiscardHandler))
@@ -140,57 +140,57 @@
 	if err := c.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	write(t, c, said["request"])
-	asked := <-events
-	if asked.Type != lifecycle.SuccessorConnected {
-		t.Fatalf("event %+v", asked)
+	writeText(t, c, recorded["request"])
+	connected := <-events
+	if connected.Type != lifecycle.SuccessorConnected {
+		t.Fatalf("event %+v, want SuccessorConnected", connected)
 	}
-	h.sendListeners(asked.SuccessorID, listenTCP(t), listenTCP(t))
+	h.sendListeners(connected.SuccessorID, listenTCP(t), listenTCP(t))
 	b, oob := make([]byte, 256), make([]byte, 256)
 	n, oobn, _, _, err := c.ReadMsgUnix(b, oob)
-	if err != nil || string(b[:n]) != said["listeners"] {
-		t.Fatalf("received %q, %v, want %q", b[:n], err, said["listeners"])
+	if err != nil || string(b[:n]) != recorded["listeners"] {
+		t.Fatalf("received %q, %v, want %q", b[:n], err, recorded["listeners"])
 	}
 	messages, err := syscall.ParseSocketControlMessage(oob[:oobn])
 	if err != nil || len(messages) != 1 {
-		t.Fatalf("%d control messages, %v", len(messages), err)
+		t.Fatalf("%d control messages, %v, want 1", len(messages), err)
 	}
 	fds, err := syscall.ParseUnixRights(&messages[0])
 	if err != nil || len(fds) != 2 {
-		t.Errorf("%d sockets, %v", len(fds), err)
+		t.Errorf("%d sockets, %v, want 2", len(fds), err)
 	}
 	for _, fd := range fds {
 		if err := syscall.Close(fd); err != nil {
 			t.Error(err)
 		}
 	}
-	write(t, c, said["serving"])
-	if ev := <-events; ev.Type != lifecycle.SuccessorServing || ev.SuccessorID != asked.SuccessorID {
+	writeText(t, c, recorded["serving"])
+	if ev := <-events; ev.Type != lifecycle.SuccessorServing || ev.SuccessorID != connected.SuccessorID {
 		t.Errorf("event %+v", ev)
 	}
 	lines := bufio.NewReader(c)
 	h.announceDrain()
-	if line, err := lines.ReadString('\n'); err != nil || line != said["draining"] {
-		t.Errorf("received %q, %v, want %q", line, err, said["draining"])
+	if line, err := lines.ReadString('\n'); err != nil || line != recorded["draining"] {
+		t.Errorf("received %q, %v, want %q", line, err, recorded["draining"])
 	}
-	h.reject(asked.SuccessorID)
-	if line, err := lines.ReadString('\n'); err != nil || line != said["rejected"] {
-		t.Errorf("received %q, %v, want %q", line, err, said["rejected"])
+	h.reject(connected.SuccessorID)
+	if line, err := lines.ReadString('\n'); err != nil || line != recorded["rejected"] {
+		t.Errorf("received %q, %v, want %q", line, err, recorded["rejected"])
 	}
-	if ev := <-events; ev.Type != lifecycle.SuccessorLost || ev.SuccessorID != asked.SuccessorID {
+	if ev := <-events; ev.Type != lifecycle.SuccessorLost || ev.SuccessorID != connected.SuccessorID {
 		t.Errorf("event %+v", ev)
 	}
 }
 
 // A handover from a predecessor of an earlier build succeeds, and its rejection is understood.
 func TestGoldenHandOverFromEarlierBuild(t *testing.T) {
-	said := handOver(t)
+	recorded := recordedHandover(t)
 	for _, rejected := range []bool{false, true} {
-		ln, path := unixPair(t)
-		ends := make(chan error, 1)
-		given := listenTCP(t)
+		ln, path := listenTestSocket(t)
+		result := make(chan error, 1)
+		listener := listenTCP(t)
 		go func() {
-			ends <- func() error {
+			result <- func() error {
 				c, err := ln.AcceptUnix()
 				if err != nil {
 					return err
@@ -200,38 +200,39 @@
 				if err != nil {
 					return err
 				}
-				if line != said["request"] {
-					return fmt.Errorf("received %q, want %q", line, said["request"])
+				if line != recorded["request"] {
+					return fmt.Errorf("received %q, want %q", line, recorded["request"])
 				}
 				if rejected {
-					_, err = c.Write([]byte(said["rejected"]))
+					_, err = c.Write([]byte(recorded["rejected"]))
 					return err
 				}
-				f, err := given.File()
+				f, err := listener.File()
 				if err != nil {
 					return err
 				}
 				defer f.Close()
-				_, _, err = c.WriteMsgUnix([]byte(said["listeners"]), syscall.UnixRights(int(f.Fd())), nil)
+				_, _, err = c.WriteMsgUnix([]byte(recorded["listeners"]),
+					syscall.UnixRights(int(f.Fd())), nil)
 				return err
 			}()
 		}()
-		sockets, f, err := takeOverListeners(path)
-		if e := <-ends; e != nil {
+		listeners, predecessor, err := takeOverListeners(path)
+		if e := <-result; e != nil {
 			t.Fatal(e)
 		}
 		if rejected {
-			if err == nil || !strings.Contains(err.Error(), strings.TrimSpace(said["rejected"])) {
-				t.Errorf("rejected: %v", err)
+			if err == nil || !strings.Contains(err.Error(), strings.TrimSpace(recorded["rejected"])) {
+				t.Errorf("error of a rejected successor: %v", err)
 			}
 			continue
 		}
-		if err != nil || len(sockets) != 1 || sockets[0].Addr().String() != given.Addr().String() {
-			t.Fatalf("sockets %v, %v", sockets, err)
+		if err != nil || len(listeners) != 1 || listeners[0].Addr().String() != listener.Addr().String() {
+			t.Fatalf("listeners %v, %v, want that of the predecessor", listeners, err)
 		}
-		if err := sockets[0].Close(); err != nil {
+		if err := listeners[0].Close(); err != nil {
 			t.Error(err)
 		}
-		f.close()
+		predecessor.close()
 	}
 }
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -21,6 +21,11 @@
 // maxListeners is how many listening sockets are handed over at most: one for each frontend.
 const maxListeners = 2
 
+const (
+	descriptorSize = 4   // bytes of a file descriptor in a control message
+	maxAnswerSize  = 256 // bytes that a successor reads of the predecessor's first answer
+)
+
 const (
 	// successorWriteTimeout bounds a write to a successor that may hang.
 	successorWriteTimeout = time.Second
--- a/internal/daemon/handover_client.go
+++ b/internal/daemon/handover_client.go
@@ -47,7 +47,7 @@
 	if _, err := c.Write([]byte(messageRequest + "\n")); err != nil {
 		return nil, err
 	}
-	b, oob := make([]byte, 256), make([]byte, syscall.CmsgSpace(4*maxListeners))
+	b, oob := make([]byte, maxAnswerSize), make([]byte, syscall.CmsgSpace(descriptorSize*maxListeners))
 	n, oobn, _, _, err := c.ReadMsgUnix(b, oob)
 	if err != nil {
 		return nil, fmt.Errorf("no answer: %w", err)
--- a/internal/daemon/handover_test.go
+++ b/internal/daemon/handover_test.go
@@ -30,25 +30,25 @@
 	}
 	peers := fmt.Sprintf("peers {\n  listen = %q\n  keys = [%q]\n  wait = \"0s\"\n}\n", gossipAddr,
 		strings.Repeat("07", 32))
-	a := env.start(t, peers, false)
+	predecessor := env.start(t, peers, false)
 	load := env.startLoad(100, 50*time.Millisecond)
 	time.Sleep(300 * time.Millisecond)
 	for range 2 { // the second handover is from a dispatcher that was a successor itself
-		b := env.start(t, peers, true)
+		successor := env.start(t, peers, true)
 		select {
-		case err := <-a.done:
+		case err := <-predecessor.done:
 			if err != nil {
 				t.Error(err)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("the predecessor does not end:\n%s", a.log)
+			t.Fatalf("the predecessor did not exit within 10 s:\n%s", predecessor.log)
 		}
-		b.waitForLog(t, `msg="membership changed" ordinal=0`)
+		successor.waitForLog(t, `msg="membership changed" ordinal=0`)
 		time.Sleep(300 * time.Millisecond)
-		a = b
+		predecessor = successor
 	}
 	load.end(t)
-	if err := a.stopAndWait(t); err != nil {
+	if err := predecessor.stopAndWait(t); err != nil {
 		t.Error(err)
 	}
 }
@@ -57,7 +57,7 @@
 // bound by a temporary table is ended at the drain timeout, and new sessions go to the successor.
 func TestHandOverKeepsSessions(t *testing.T) {
 	env := newTestEnv(t)
-	a := env.start(t, "", false)
+	predecessor := env.start(t, "", false)
 	inTx, sticky := env.connect(t), env.connect(t)
 	ctx := context.Background()
 	for c, texts := range map[*pgx.Conn][]string{inTx: {"begin", "insert into t values (1)"},
@@ -68,8 +68,8 @@
 			}
 		}
 	}
-	b := env.start(t, "", true)
-	a.waitForLog(t, "to=draining")
+	successor := env.start(t, "", true)
+	predecessor.waitForLog(t, "to=draining")
 	for _, text := range []string{"insert into t values (2)", "select 1", "commit"} {
 		if _, err := inTx.Exec(ctx, text); err != nil {
 			t.Errorf("%s in a transaction during a handover: %v", text, err)
@@ -82,12 +82,12 @@
 		t.Errorf("a free session at the draining predecessor: %v", err)
 	}
 	select {
-	case err := <-a.done:
+	case err := <-predecessor.done:
 		if err != nil {
 			t.Error(err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatalf("the predecessor does not end:\n%s", a.log)
+		t.Fatalf("the predecessor did not exit within 10 s:\n%s", predecessor.log)
 	}
 	if _, err := sticky.Exec(ctx, "select 1 from tmp_h"); sqlState(err) != "57P01" && !sticky.IsClosed() {
 		t.Errorf("a session bound by a table, after the drain timeout: %v", err)
@@ -95,7 +95,7 @@
 	if _, err := env.connect(t).Exec(ctx, "select 1"); err != nil {
 		t.Error("the successor: ", err)
 	}
-	if err := b.stopAndWait(t); err != nil {
+	if err := successor.stopAndWait(t); err != nil {
 		t.Error(err)
 	}
 }
@@ -109,7 +109,7 @@
 		t.Fatal(err)
 	}
 	extra := fmt.Sprintf("flight { listen = %q }\n", addr)
-	a := env.start(t, extra, false)
+	predecessor := env.start(t, extra, false)
 	dial := func() (*flightsql.Client, context.Context) {
 		c, err := flightsql.NewClient(addr, nil, nil,
 			grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -128,8 +128,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := env.start(t, extra, true)
-	a.waitForLog(t, "to=draining")
+	successor := env.start(t, extra, true)
+	predecessor.waitForLog(t, "to=draining")
 	if _, err := tx.ExecuteUpdate(ctx, "insert into t values (1)"); err != nil {
 		t.Errorf("in a transaction during a handover: %v", err)
 	}
@@ -144,14 +144,14 @@
 		t.Errorf("commit during a handover: %v", err)
 	}
 	select {
-	case err := <-a.done:
+	case err := <-predecessor.done:
 		if err != nil {
 			t.Error(err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatalf("the predecessor does not end:\n%s", a.log)
+		t.Fatalf("the predecessor did not exit within 10 s:\n%s", predecessor.log)
 	}
-	if err := b.stopAndWait(t); err != nil {
+	if err := successor.stopAndWait(t); err != nil {
 		t.Error(err)
 	}
 }
@@ -160,7 +160,7 @@
 // list. The predecessor continues to serve without a lost statement.
 func TestSuccessorsThatFail(t *testing.T) {
 	env := newTestEnv(t)
-	a := env.start(t, "", false)
+	running := env.start(t, "", false)
 	load := env.startLoad(20, 20*time.Millisecond)
 	sock := filepath.Join(env.dir, "sock")
 	listeners, predecessor, err := takeOverListeners(sock) // for a successor that dies
@@ -175,8 +175,8 @@
 		t.Error(err)
 	}
 	predecessor.close()
-	a.waitForLog(t, "from=\"handing over\" to=ready")
-	env.rig.Discovery.SetUnavailable(true) // a successor that gets no list gives up
+	running.waitForLog(t, "from=\"handing over\" to=ready")
+	env.testbed.Discovery.SetUnavailable(true) // a successor that gets no list gives up
 	if err := os.Rename(env.waitForCachedList(t), filepath.Join(env.dir, "list")); err != nil {
 		t.Fatal(err)
 	}
@@ -185,13 +185,13 @@
 	if err := Run(context.Background(), o); err == nil || !strings.Contains(err.Error(), "no engine list") {
 		t.Errorf("a successor without a list: %v", err)
 	}
-	env.rig.Discovery.SetUnavailable(false)
+	env.testbed.Discovery.SetUnavailable(false)
 	time.Sleep(100 * time.Millisecond)
 	load.end(t)
 	if _, _, err := takeOverListeners(filepath.Join(env.dir, "nobody")); err == nil {
 		t.Error("a handover without a predecessor succeeded")
 	}
-	if err := a.stopAndWait(t); err != nil {
+	if err := running.stopAndWait(t); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/daemon/health_test.go
+++ b/internal/daemon/health_test.go
@@ -26,7 +26,7 @@
 	}
 	defer serviceManager.Close()
 	t.Setenv("NOTIFY_SOCKET", filepath.Join(env.dir, "notify"))
-	env.rig.Discovery.SetUnavailable(true) // no list yet: it listens, and is not ready
+	env.testbed.Discovery.SetUnavailable(true) // no list yet: it listens, and is not ready
 	o, log := env.options(t, fmt.Sprintf("health = %q\n", addr), false)
 	s := &runningDaemon{stop: make(chan struct{}), done: make(chan error, 1), log: log}
 	o.Stop = s.stop
@@ -47,7 +47,7 @@
 	if got := status("/ready"); got != 503 {
 		t.Errorf("ready without a list: %d", got)
 	}
-	env.rig.Discovery.SetUnavailable(false)
+	env.testbed.Discovery.SetUnavailable(false)
 	s.waitForLog(t, "to=ready")
 	if h, err := FetchHealth(context.Background(), addr); err != nil || !h.Ready || h.State != "ready" {
 		t.Errorf("health %+v, %v", h, err)
--- a/internal/daemon/load_test.go
+++ b/internal/daemon/load_test.go
@@ -13,11 +13,11 @@
 // loadGenerator runs clients that send statements at a steady rate. It counts what was lost: statements that
 // were neither answered nor rejected as not run, and connections that were refused.
 type loadGenerator struct {
-	served, rejected, notified, lost, connectFailures atomic.Int64
-	stop                                              chan struct{}
-	clients                                           sync.WaitGroup
-	mu                                                sync.Mutex
-	firstLost                                         error
+	served, rejected, disconnected, lost, connectFailures atomic.Int64
+	stop                                                  chan struct{}
+	clients                                               sync.WaitGroup
+	mu                                                    sync.Mutex
+	firstError                                            error
 }
 
 // startLoad starts clients that each send one statement per interval.
@@ -56,8 +56,8 @@
 					s.served.Add(1)
 				case sqlState(err) == "53000": // an answer: on a busy machine engines look slow
 					s.rejected.Add(1)
-				case sqlState(err) == "57P01": // it did not run; the client connects again
-					s.notified.Add(1)
+				case sqlState(err) == "57P01": // not run, as the dispatcher drains; reconnect
+					s.disconnected.Add(1)
 				default:
 					s.lost.Add(1)
 					s.recordFirstError(err)
@@ -74,8 +74,8 @@
 func (s *loadGenerator) recordFirstError(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.firstLost == nil {
-		s.firstLost = err
+	if s.firstError == nil {
+		s.firstError = err
 	}
 }
 
@@ -84,10 +84,10 @@
 	t.Helper()
 	close(s.stop)
 	s.clients.Wait()
-	t.Logf("served %d, rejected %d, told to connect again %d, lost %d, refused %d", s.served.Load(),
-		s.rejected.Load(), s.notified.Load(), s.lost.Load(), s.connectFailures.Load())
+	t.Logf("served %d, rejected %d, disconnected %d, lost %d, refused %d", s.served.Load(),
+		s.rejected.Load(), s.disconnected.Load(), s.lost.Load(), s.connectFailures.Load())
 	if s.lost.Load()+s.connectFailures.Load() > 0 || s.served.Load() == 0 {
 		t.Errorf("lost %d, refused %d, served %d: %v", s.lost.Load(), s.connectFailures.Load(),
-			s.served.Load(), s.firstLost)
+			s.served.Load(), s.firstError)
 	}
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -24,18 +24,18 @@
 	s := env.start(t, "", false)
 	c := env.connect(t)
 	defer c.Close(context.Background())
-	end := make(chan string, 1)
+	result := make(chan string, 1)
 	go func() {
 		_, err := c.Exec(context.Background(), "select 1 /*work_ms='500'*/")
-		end <- sqlState(err)
+		result <- sqlState(err)
 	}()
 	reload := func() {
 		if err := sendReload(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	halfFile := env.settingsText("")[:200]
-	if err := os.WriteFile(path, []byte(halfFile), 0o600); err != nil {
+	truncatedFile := env.settingsText("")[:200]
+	if err := os.WriteFile(path, []byte(truncatedFile), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	reload()
@@ -49,7 +49,7 @@
 	if !strings.Contains(s.log.String(), "[match max_clients]") {
 		t.Errorf("the changed settings are not logged: %s", s.log)
 	}
-	if got := <-end; got != "<nil>" {
+	if got := <-result; got != "<nil>" {
 		t.Errorf("a query that ran through three reloads was answered by %s", got)
 	}
 	second := env.connect(t)
--- a/internal/daemon/restart_test.go
+++ b/internal/daemon/restart_test.go
@@ -21,7 +21,7 @@
 			"insert into t values (7) /*class='load',key='k',work_ms='60000',id='l'*/")
 	}()
 	for begin := time.Now(); ; time.Sleep(5 * time.Millisecond) {
-		if n := len(env.rig.Engines[0].Runs()) + len(env.rig.Engines[1].Runs()); n == 1 {
+		if n := len(env.testbed.Engines[0].Runs()) + len(env.testbed.Engines[1].Runs()); n == 1 {
 			break
 		}
 		if time.Since(begin) > 5*time.Second {
@@ -30,17 +30,17 @@
 	}
 	time.Sleep(50 * time.Millisecond)
 	// The files are copied while the dispatcher runs: a crash would leave the same ones.
-	copyTo := t.TempDir()
+	copyDir := t.TempDir()
 	env.waitForCachedList(t)
 	for _, name := range []string{"state", "list"} {
 		b, err := os.ReadFile(filepath.Join(env.dir, "state", name))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := os.MkdirAll(filepath.Join(copyTo, "state"), 0o755); err != nil {
+		if err := os.MkdirAll(filepath.Join(copyDir, "state"), 0o755); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(filepath.Join(copyTo, "state", name), b, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(copyDir, "state", name), b, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -48,8 +48,8 @@
 	if err := s.stopAndWait(t); err != nil {
 		t.Error(err)
 	}
-	env.dir = copyTo
-	env.rig.Discovery.SetUnavailable(true) // only the cached list is available
+	env.dir = copyDir
+	env.testbed.Discovery.SetUnavailable(true) // only the cached list is available
 	s = env.start(t, "", false)
 	if !strings.Contains(s.log.String(),
 		`msg="previous incarnation did not shut down cleanly" pending_writes=1`) {
