--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -59,12 +59,12 @@
 	if err := os.WriteFile(filepath.Join(dir, "state"), stored, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	l, records, notes := openLog(t, dir)
+	l, records, logged := openLog(t, dir)
 	if err := l.Close(); err != nil {
 		t.Error(err)
 	}
-	if len(notes) > 0 {
-		t.Errorf("opening an undamaged log logged %v", notes)
+	if len(logged) > 0 {
+		t.Errorf("opening an undamaged log logged %v", logged)
 	}
 	return records
 }
@@ -90,11 +90,11 @@
 	}
 	now := Instant{Wall: goldenTime.Add(time.Second), BootID: goldenBoot,
 		SinceBoot: 90*time.Minute + time.Second}
-	open := state.PendingWrites(now)
-	if len(open) != 2 {
-		t.Fatalf("pending writes: %+v", open)
+	pending := state.PendingWrites(now)
+	if len(pending) != 2 {
+		t.Fatalf("pending writes: %+v", pending)
 	}
-	for i, got := range open {
+	for i, got := range pending {
 		want := goldenWrites[i]
 		if !got.SentAt.Equal(want.SentAt) && want.BootID != "" {
 			t.Errorf("sent at %v, want %v", got.SentAt, want.SentAt)
@@ -134,13 +134,13 @@
 	}
 	goldentest.Compare(t, "log-rewritten.bin", written)
 	stored := goldentest.Read(t, "log-rewritten.bin")
-	again := NewState()
-	if unreadable := again.Apply(openGolden(t, stored)); unreadable != 0 {
+	restored := NewState()
+	if unreadable := restored.Apply(openGolden(t, stored)); unreadable != 0 {
 		t.Errorf("%d records were not read", unreadable)
 	}
-	if len(again.PendingWrites(Instant{Wall: goldenTime})) != 2 || len(again.StickySessions()) != 1 ||
-		len(again.IncarnationNames()) != 1 || again.LastIncarnation() != 1767600000123456790 {
-		t.Errorf("read %+v", again)
+	if len(restored.PendingWrites(Instant{Wall: goldenTime})) != 2 || len(restored.StickySessions()) != 1 ||
+		len(restored.IncarnationNames()) != 1 || restored.LastIncarnation() != 1767600000123456790 {
+		t.Errorf("read %+v", restored)
 	}
 }
 
@@ -203,7 +203,7 @@
 		t.Errorf("%d records were not read, want 2", unreadable)
 	}
 	at := time.Date(2026, 1, 5, 8, 0, 0, 0, time.UTC)
-	open := state.PendingWrites(Instant{Wall: at})
+	pending := state.PendingWrites(Instant{Wall: at})
 	want := []WriteAttempt{
 		{
 			ID:         7,
@@ -216,8 +216,8 @@
 			AllEngines: true,
 		},
 		{ID: 8, Class: "load", Key: "k", Hash: 6, Engine: "e", SentAt: at, Window: 15 * time.Second}}
-	if !reflect.DeepEqual(open, want) {
-		t.Errorf("read %+v, want %+v", open, want)
+	if !reflect.DeepEqual(pending, want) {
+		t.Errorf("read %+v, want %+v", pending, want)
 	}
 	sessions := []orphanedsession.Session{{ID: 7, Engine: "e", PID: 3, Secret: []byte{0, 1, 2, 255},
 		IncarnationName: "cresspass-0-1"}}
--- a/internal/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -76,14 +76,14 @@
 			if err := os.Remove(path + ".damaged"); err != nil && !os.IsNotExist(err) {
 				t.Fatal(err)
 			}
-			l, got, notes := openLog(t, dir)
+			l, got, logged := openLog(t, dir)
 			readable := 0
 			for readable < len(ends) && ends[readable] <= n {
 				readable++
 			}
 			if n < len(encodeHeader()) {
 				readable = 0
-				if _, err := os.Stat(path + ".damaged"); err != nil || len(notes) == 0 {
+				if _, err := os.Stat(path + ".damaged"); err != nil || len(logged) == 0 {
 					t.Fatalf("cut at %d, flip %v: a file with a damaged header was not set aside", n, flip)
 				}
 			}
@@ -94,9 +94,9 @@
 				t.Fatal(err)
 			}
 			closeLog(t, l)
-			l, got, notes = openLog(t, dir)
-			if len(got) != readable+1 || len(notes) > 0 {
-				t.Fatalf("cut at %d: after an append %d records, logged %v", n, len(got), notes)
+			l, got, logged = openLog(t, dir)
+			if len(got) != readable+1 || len(logged) > 0 {
+				t.Fatalf("cut at %d: after an append %d records, logged %v", n, len(got), logged)
 			}
 			closeLog(t, l)
 		}
@@ -132,9 +132,9 @@
 		t.Fatal(err)
 	}
 	closeLog(t, l)
-	l, got, notes := openLog(t, dir)
-	if len(got) != 0 || len(notes) != 0 {
-		t.Errorf("%d records, notes %v", len(got), notes)
+	l, got, logged := openLog(t, dir)
+	if len(got) != 0 || len(logged) != 0 {
+		t.Errorf("%d records, logged %v", len(got), logged)
 	}
 	l.file = &fullDisk{File: l.file, capacity: 100}
 	if l.Append([]Record{WriteSentRecord(testWrite(1, t0))}) == nil &&
@@ -142,8 +142,8 @@
 		t.Error("two records of 150 bytes were written to a disk with room for 100")
 	}
 	closeLog(t, l)
-	if l, _, notes = openLog(t, dir); len(notes) != 0 {
-		t.Errorf("a partial record was left in the log: %v", notes)
+	if l, _, logged = openLog(t, dir); len(logged) != 0 {
+		t.Errorf("a partial record was left in the log: %v", logged)
 	}
 	closeLog(t, l)
 	if appended == 0 || appended == 20 {
--- a/internal/storage/recovery_test.go
+++ b/internal/storage/recovery_test.go
@@ -7,11 +7,11 @@
 
 func TestRecoveryGuard(t *testing.T) {
 	state := NewState()
-	zone, all := testWrite(1, t0), testWrite(2, t0)
-	all.AllEngines = true
-	state.Apply([]Record{WriteSentRecord(zone), WriteSentRecord(all)})
+	oneGroup, allGroups := testWrite(1, t0), testWrite(2, t0)
+	allGroups.AllEngines = true
+	state.Apply([]Record{WriteSentRecord(oneGroup), WriteSentRecord(allGroups)})
 	restartedAt := t0.Add(time.Second)
-	r := NewRecoveryGuard(state, Instant{Wall: restartedAt}, 500*time.Millisecond)
+	guard := NewRecoveryGuard(state, Instant{Wall: restartedAt}, 500*time.Millisecond)
 	for _, c := range []struct {
 		after time.Duration
 		key   string
@@ -29,12 +29,12 @@
 		{600 * time.Millisecond, "k1", 1, Reject, 13400 * time.Millisecond}, // still in its window
 		{15 * time.Second, "k1", 1, Allow, 0},                               // its window is over
 	} {
-		if v, wait := r.Check(c.after, "load", c.key, c.hash); v != c.want || wait != c.wait {
-			t.Errorf("after %v key %s: %v for %v; want %v for %v", c.after, c.key, v, wait, c.want, c.wait)
+		if got, wait := guard.Check(c.after, "load", c.key, c.hash); got != c.want || wait != c.wait {
+			t.Errorf("after %v key %s: %v for %v; want %v for %v", c.after, c.key, got, wait, c.want, c.wait)
 		}
 	}
-	if r.Remaining() != 0 {
-		t.Errorf("%d writes are remembered after the end of their windows", r.Remaining())
+	if guard.Remaining() != 0 {
+		t.Errorf("%d writes are remembered after the end of their windows", guard.Remaining())
 	}
 }
 
@@ -42,10 +42,10 @@
 // the machine the elapsed time is not known, and the whole window counts.
 func TestWindowsIgnoreWallClockSteps(t *testing.T) {
 	sent := Instant{Wall: t0, BootID: "one", SinceBoot: time.Hour}
-	l := testWrite(1, sent.Wall)
-	l.BootID, l.SentSinceBoot = sent.BootID, sent.SinceBoot
+	w := testWrite(1, sent.Wall)
+	w.BootID, w.SentSinceBoot = sent.BootID, sent.SinceBoot
 	state := NewState()
-	state.Apply([]Record{WriteSentRecord(l)})
+	state.Apply([]Record{WriteSentRecord(w)})
 	for _, c := range []struct {
 		at   Instant
 		want Decision
@@ -56,9 +56,9 @@
 		{Instant{t0.Add(-time.Hour), "one", time.Hour + time.Minute}, Allow, 0},
 		{Instant{t0.Add(time.Hour), "two", time.Second}, Reject, 15 * time.Second},
 	} {
-		if v, wait := NewRecoveryGuard(state, c.at, 0).Check(0, l.Class, "", l.Hash); v != c.want ||
+		if got, wait := NewRecoveryGuard(state, c.at, 0).Check(0, w.Class, "", w.Hash); got != c.want ||
 			wait != c.wait {
-			t.Errorf("restarted at %+v: %v for %v; want %v for %v", c.at, v, wait, c.want, c.wait)
+			t.Errorf("restarted at %+v: %v for %v; want %v for %v", c.at, got, wait, c.want, c.wait)
 		}
 	}
 }
--- a/internal/storage/state_test.go
+++ b/internal/storage/state_test.go
@@ -19,33 +19,33 @@
 // at random and the clock jumps.
 func TestStateAgainstReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		state, out := NewState(), map[uint64]WriteAttempt{}
+		state, expected := NewState(), map[uint64]WriteAttempt{}
 		var records []Record
 		now := t0
 		for id := range uint64(rapid.IntRange(1, 50).Draw(t, "steps")) {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "pass")) * time.Millisecond)
 			var r Record
 			if rapid.Bool().Draw(t, "send") {
-				l := testWrite(id, now)
-				out[id], r = l, WriteSentRecord(l)
+				w := testWrite(id, now)
+				expected[id], r = w, WriteSentRecord(w)
 			} else {
-				end := uint64(rapid.IntRange(0, int(id)).Draw(t, "end"))
-				delete(out, end)
-				r = WriteEndedRecord(end)
+				ended := uint64(rapid.IntRange(0, int(id)).Draw(t, "end"))
+				delete(expected, ended)
+				r = WriteEndedRecord(ended)
 			}
 			records = append(records, r)
 			state.Apply([]Record{r})
 			if rapid.IntRange(0, 5).Draw(t, "again") == 0 { // a restart, perhaps after a rewrite
-				again := NewState()
+				restored := NewState()
 				if rapid.Bool().Draw(t, "rewritten") {
 					records = state.Compacted(Instant{Wall: now})
 				}
-				again.Apply(records)
-				state = again
+				restored.Apply(records)
+				state = restored
 			}
 			want := 0
-			for _, l := range out {
-				if now.Sub(l.SentAt) <= l.Window {
+			for _, w := range expected {
+				if now.Sub(w.SentAt) <= w.Window {
 					want++
 				}
 			}
@@ -53,9 +53,9 @@
 				t.Fatalf("%d writes are pending, want %d", len(got), want)
 			}
 			setBack := now.Add(-time.Hour)
-			for _, l := range state.PendingWrites(Instant{Wall: setBack}) {
-				if l.SentAt.After(setBack) {
-					t.Fatalf("a write from the future: %+v", l)
+			for _, w := range state.PendingWrites(Instant{Wall: setBack}) {
+				if w.SentAt.After(setBack) {
+					t.Fatalf("a write from the future: %+v", w)
 				}
 			}
 		}
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -118,11 +118,11 @@
 	}
 	s.mu.Unlock()
 	<-s.done
-	var lost error
+	var unwritten error
 	if s.hasBacklog() {
-		lost = fmt.Errorf("storage: %d records not written", len(s.pending))
+		unwritten = fmt.Errorf("storage: %d records not written", len(s.pending))
 	}
-	return errors.Join(lost, s.log.Close())
+	return errors.Join(unwritten, s.log.Close())
 }
 
 // run is the writer's goroutine. It ends once the queue is closed and empty.
