--- a/internal/affinity/limiter.go
+++ b/internal/affinity/limiter.go
@@ -30,12 +30,12 @@
 // Allow reports whether one more session of a user may become sticky. If not, reason is the text for the
 // client.
 func (l *Limiter) Allow(user string) (reason string, ok bool) {
-	if most := l.limits.MaxTotal; most > 0 && l.total >= most {
-		return fmt.Sprintf("%d sessions are kept on engines, at most %d may be", l.total, most), false
+	if limit := l.limits.MaxTotal; limit > 0 && l.total >= limit {
+		return fmt.Sprintf("%d sessions are kept on engines, at most %d may be", l.total, limit), false
 	}
-	if most := l.limits.MaxPerUser; most > 0 && l.users[user] >= most {
+	if limit := l.limits.MaxPerUser; limit > 0 && l.users[user] >= limit {
 		return fmt.Sprintf("user %q has %d sessions kept on engines, at most %d may be", user, l.users[user],
-			most), false
+			limit), false
 	}
 	return "", true
 }
--- a/internal/affinity/session_test.go
+++ b/internal/affinity/session_test.go
@@ -151,18 +151,18 @@
 			}
 		}},
 	}
-	seen := 0
+	visited := 0
 	var explore func(s Session, path string, depth int)
 	explore = func(s Session, path string, depth int) {
-		seen++
+		visited++
 		state := s.State()
-		mustBind := s.txStatus != 'I' || s.Reason() >= 0
+		wantBound := s.txStatus != 'I' || s.Reason() >= 0
 		switch {
 		case s.ended && (s.Bound() || state != StateEnded):
 			t.Fatalf("%s: ended, yet %v and bound %v", path, state, s.Bound())
-		case !s.ended && s.Bound() != mustBind:
-			t.Fatalf("%s: bound %v, want %v", path, s.Bound(), mustBind)
-		case state == StateFree && (mustBind || s.draining):
+		case !s.ended && s.Bound() != wantBound:
+			t.Fatalf("%s: bound %v, want %v", path, s.Bound(), wantBound)
+		case state == StateFree && (wantBound || s.draining):
 			t.Fatalf("%s: free, yet bound or draining", path)
 		case expires(s, deadline-1):
 			t.Fatalf("%s: expires before its deadline", path)
@@ -170,7 +170,7 @@
 			t.Fatalf("%s: draining %v, ended %v, expires at the deadline: %v", path, s.draining, s.ended,
 				expires(s, deadline))
 		}
-		if !mustBind && !s.ended {
+		if !wantBound && !s.ended {
 			drained := s
 			if drained.StartDrain(deadline) != "" || drained.draining {
 				t.Fatalf("%s: a free session got a notice of a drain", path)
@@ -186,8 +186,8 @@
 		}
 	}
 	explore(*NewSession(), "new", 6)
-	if want := 597871; seen != want { // sum of 9^k for k up to 6
-		t.Errorf("%d states seen, want %d", seen, want)
+	if want := 597871; visited != want { // sum of 9^k for k up to 6
+		t.Errorf("%d states visited, want %d", visited, want)
 	}
 }
 
