--- a/internal/config/engines.go
+++ b/internal/config/engines.go
@@ -35,7 +35,7 @@
 	defaultIdleTimeout    = time.Minute
 )
 
-var shortages = map[string]cresspass.MemoryShortage{
+var memoryShortages = map[string]cresspass.MemoryShortage{
 	"":       cresspass.ShortageUnknown,
 	"wait":   cresspass.ShortageQueues,
 	"shrink": cresspass.ShortageShrinksGrant,
@@ -63,7 +63,7 @@
 	m.MaxGrantShare = b.MaxGrantShare
 	m.ProgressInterval = v.duration(in, "progress_every", b.ProgressInterval, 0)
 	m.LoadReportFields = b.LoadReportFields
-	m.OnMemoryShortage = oneOf(v, in, "when_short", b.OnMemoryShortage, shortages)
+	m.OnMemoryShortage = oneOf(v, in, "when_short", b.OnMemoryShortage, memoryShortages)
 	for _, name := range b.LoadReportFields {
 		if strings.ContainsAny(name, ", ") || name == "" {
 			v.errorf(in, "report_fields", "%q is not a field name", name)
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -212,9 +212,9 @@
 }
 
 // keys returns the keys of the struct of a settings file and of its blocks.
-func keys(form reflect.Type, block string) (out []string) {
-	for i := range form.NumField() {
-		f := form.Field(i)
+func keys(structType reflect.Type, block string) (out []string) {
+	for i := range structType.NumField() {
+		f := structType.Field(i)
 		tag, ok := f.Tag.Lookup("hcl")
 		if !ok {
 			out = append(out, block+"."+f.Name+" has no tag")
@@ -234,8 +234,8 @@
 
 // The keys do not change, nor which of them are optional, nor their types.
 func TestGoldenKeys(t *testing.T) {
-	today := strings.Join(keys(reflect.TypeFor[File](), ""), "\n") + "\n"
-	goldentest.Compare(t, "keys.txt", []byte(today))
+	current := strings.Join(keys(reflect.TypeFor[File](), ""), "\n") + "\n"
+	goldentest.Compare(t, "keys.txt", []byte(current))
 }
 
 // all-keys.hcl names every key.
@@ -286,8 +286,8 @@
 		files = append(files, cfg)
 	}
 	live, restart := Compare(files[0], files[1])
-	today := "live\n" + strings.Join(live, "\n") + "\nrestart\n" + strings.Join(restart, "\n") + "\n"
-	goldentest.Compare(t, "changed.txt", []byte(today))
+	current := "live\n" + strings.Join(live, "\n") + "\nrestart\n" + strings.Join(restart, "\n") + "\n"
+	goldentest.Compare(t, "changed.txt", []byte(current))
 	if live, restart := Compare(files[0], files[0]); len(live)+len(restart) > 0 {
 		t.Errorf("a file differs from itself in %q and %q", live, restart)
 	}
--- a/internal/config/validator.go
+++ b/internal/config/validator.go
@@ -33,7 +33,7 @@
 
 // position returns file:line:column of the value of a setting or, if it is not given, of its block.
 func (v *validator) position(in scope, attribute string) string {
-	where, body := v.body.SrcRange, v.body
+	location, body := v.body.SrcRange, v.body
 	if in.block != "" {
 		remaining := in.index
 		for _, b := range v.body.Blocks {
@@ -41,16 +41,16 @@
 				continue
 			}
 			if remaining == 0 {
-				where, body = b.DefRange(), b.Body
+				location, body = b.DefRange(), b.Body
 				break
 			}
 			remaining--
 		}
 	}
 	if a := body.Attributes[attribute]; a != nil {
-		where = a.Expr.Range()
+		location = a.Expr.Range()
 	}
-	return fmt.Sprintf("%s:%d:%d", v.path, where.Start.Line, where.Start.Column)
+	return fmt.Sprintf("%s:%d:%d", v.path, location.Start.Line, location.Start.Column)
 }
 
 // errorf records an error of a setting, with its position.
