--- a/internal/config/compare.go
+++ b/internal/config/compare.go
@@ -60,7 +60,8 @@
 		{"max_message", old.MaxMessage == updated.MaxMessage, false},
 		{"max_pending", old.MaxPending == updated.MaxPending, false},
 		{"roster", sameDiscovery(old, updated), false},
-		{"state", old.StateDir == updated.StateDir && old.SnapshotInterval == updated.SnapshotInterval, false},
+		{"state", old.StateDir == updated.StateDir &&
+			old.SnapshotInterval == updated.SnapshotInterval, false},
 		{"pid_file", old.PIDFile == updated.PIDFile, false},
 		{"health", old.HealthAddr == updated.HealthAddr, false},
 		{"takeover", old.TakeoverSocket == updated.TakeoverSocket, false},
