--- a/internal/recording/format.go
+++ b/internal/recording/format.go
@@ -59,8 +59,8 @@
 var magic = [4]byte{'c', 'r', 'p', 'r'}
 
 const (
-	version    = 1
-	headerSize = 16
+	formatVersion = 1
+	headerSize    = 16
 	// MaxBlockEntries is the maximum number of entries in a block.
 	MaxBlockEntries = 4096
 	blockHeaderSize = 12 // length (4 bytes) and checksum (8 bytes)
@@ -76,7 +76,7 @@
 // AppendHeader appends an encoded header to b.
 func AppendHeader(b []byte, h Header) []byte {
 	b = append(b, magic[:]...)
-	b = binary.LittleEndian.AppendUint32(b, version)
+	b = binary.LittleEndian.AppendUint32(b, formatVersion)
 	return binary.LittleEndian.AppendUint64(b, uint64(h.Start.UnixMicro()))
 }
 
@@ -255,8 +255,8 @@
 	if [4]byte(b[:4]) != magic {
 		return nil, errors.New("recording: not a recording: wrong magic number")
 	}
-	if v := binary.LittleEndian.Uint32(b[4:]); v != version {
-		return nil, fmt.Errorf("recording: unsupported format version %d, expected %d", v, version)
+	if v := binary.LittleEndian.Uint32(b[4:]); v != formatVersion {
+		return nil, fmt.Errorf("recording: unsupported format version %d, expected %d", v, formatVersion)
 	}
 	return &Reader{r: r, Header: Header{Start: time.UnixMicro(int64(binary.LittleEndian.Uint64(b[8:])))}}, nil
 }
--- a/internal/recording/format_test.go
+++ b/internal/recording/format_test.go
@@ -18,12 +18,12 @@
 
 func drawEntries(t *rapid.T) (out []Entry) {
 	at := time.Duration(0)
-	word := rapid.SampledFrom([]string{"", "a", "class of some length", "é\x00"})
+	name := rapid.SampledFrom([]string{"", "a", "class of some length", "é\x00"})
 	for range rapid.IntRange(0, 50).Draw(t, "entries") {
 		at += time.Duration(rapid.IntRange(0, 1e6).Draw(t, "gap")) * time.Microsecond
 		out = append(out, Entry{ArrivedAt: at, Elapsed: time.Duration(rapid.Uint32().Draw(t,
 			"took")) * time.Microsecond,
-			Class: word.Draw(t, "class"), Tenant: word.Draw(t, "tenant"), Dispatcher: word.Draw(t,
+			Class: name.Draw(t, "class"), Tenant: name.Draw(t, "tenant"), Dispatcher: name.Draw(t,
 				"dispatcher"),
 			Fingerprint: rapid.Uint64().Draw(t, "fingerprint"), Key: rapid.Uint64().Draw(t, "key"),
 			Cost:    time.Duration(rapid.Uint32().Draw(t, "cost")) * time.Microsecond,
@@ -127,7 +127,7 @@
 		}
 	}
 	all = Merge([][]Entry{all}, []time.Duration{0})
-	burst := func(l []Entry) float64 {
+	burstShare := func(l []Entry) float64 {
 		n := 0.0
 		for _, e := range l {
 			if e.ArrivedAt >= 29*time.Second && e.ArrivedAt < 32*time.Second {
@@ -136,7 +136,7 @@
 		}
 		return n / float64(len(l))
 	}
-	tenth := func(l []Entry) (sum float64) {
+	busiestTenthShare := func(l []Entry) (sum float64) {
 		s := Shares(l)
 		for _, v := range s[:len(s)/10] {
 			sum += v
@@ -144,20 +144,22 @@
 		return sum
 	}
 	for _, c := range []struct {
-		times float64
-		n     int
+		factor float64
+		n      int
 	}{{1, 40}, {0.5, 20}, {4.5, 220}, {2, 10}} {
 		var names []string
 		for i := range c.n {
 			names = append(names, fmt.Sprint("n", i))
 		}
-		got := Scale(all, c.times, names, 10*time.Millisecond, 1)
-		if r := float64(len(got)) / float64(len(all)) / c.times; math.Abs(r-1) > 0.03 {
-			t.Errorf("scaled by %g: %d entries from %d", c.times, len(got), len(all))
+		got := Scale(all, c.factor, names, 10*time.Millisecond, 1)
+		if r := float64(len(got)) / float64(len(all)) / c.factor; math.Abs(r-1) > 0.03 {
+			t.Errorf("scaled by %g: %d entries from %d", c.factor, len(got), len(all))
 		}
-		if math.Abs(burst(got)-burst(all)) > 0.02 || math.Abs(tenth(got)-tenth(all)) > 0.04 {
-			t.Errorf("scaled by %g over %d: burst %.3f, was %.3f; busiest tenth %.3f, was %.3f", c.times, c.n,
-				burst(got), burst(all), tenth(got), tenth(all))
+		if math.Abs(burstShare(got)-burstShare(all)) > 0.02 ||
+			math.Abs(busiestTenthShare(got)-busiestTenthShare(all)) > 0.04 {
+			t.Errorf("scaled by %g over %d: burst %.3f, was %.3f; busiest tenth %.3f, was %.3f",
+				c.factor, c.n, burstShare(got), burstShare(all), busiestTenthShare(got),
+				busiestTenthShare(all))
 		}
 	}
 	if got := Cut(all, 10*time.Second, 20*time.Second); len(got) == 0 || got[0].ArrivedAt > time.Second ||
@@ -223,21 +225,21 @@
 	dir := t.TempDir()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	begin := time.UnixMicro(1764600000000000)
-	for life := range 2 {
+	for run := range 2 {
 		r, err := NewRecorder(dir, Limits{FileBytes: 1 << 20, TotalBytes: 1 << 22}, log)
 		if err != nil {
 			t.Fatal(err)
 		}
-		taken := uint64(0)
+		accepted := uint64(0)
 		for i := range 30000 {
-			if r.Record(begin.Add(time.Duration(life*30000+i)*time.Millisecond), Entry{Class: "c",
+			if r.Record(begin.Add(time.Duration(run*30000+i)*time.Millisecond), Entry{Class: "c",
 				Fingerprint: uint64(i)}) {
-				taken++
+				accepted++
 			}
 		}
 		r.Close()
-		if w, d, f := r.Counts(); w != taken || w+d != 30000 || f != 0 {
-			t.Errorf("%d written of %d, %d dropped, %d failed", w, taken, d, f)
+		if w, d, f := r.Counts(); w != accepted || w+d != 30000 || f != 0 {
+			t.Errorf("%d written of %d, %d dropped, %d failed", w, accepted, d, f)
 		}
 	}
 	found, _ := os.ReadDir(dir)
@@ -275,7 +277,7 @@
 	if err := Save(path, Header{Start: begin}, all); err != nil {
 		t.Fatal(err)
 	}
-	if _, again, _, err := Load(path); err != nil || !reflect.DeepEqual(again, all) {
-		t.Errorf("saved and loaded: %d of %d, %v", len(again), len(all), err)
+	if _, loaded, _, err := Load(path); err != nil || !reflect.DeepEqual(loaded, all) {
+		t.Errorf("saved and loaded: %d of %d, %v", len(loaded), len(all), err)
 	}
 }
--- a/internal/recording/recorder.go
+++ b/internal/recording/recorder.go
@@ -81,11 +81,11 @@
 	defer close(r.done)
 	tick := time.NewTicker(blockInterval)
 	defer tick.Stop()
-	var waiting []timedEntry
+	var pending []timedEntry
 	add := func(e timedEntry) {
-		if waiting = append(waiting, e); len(waiting) == MaxBlockEntries {
-			r.flush(waiting)
-			waiting = waiting[:0]
+		if pending = append(pending, e); len(pending) == MaxBlockEntries {
+			r.flush(pending)
+			pending = pending[:0]
 		}
 	}
 	for {
@@ -93,13 +93,13 @@
 		case e := <-r.queue:
 			add(e)
 		case <-tick.C:
-			r.flush(waiting)
-			waiting = waiting[:0]
+			r.flush(pending)
+			pending = pending[:0]
 		case <-r.stop:
 			for len(r.queue) > 0 {
 				add(<-r.queue)
 			}
-			r.flush(waiting)
+			r.flush(pending)
 			r.closeFile()
 			return
 		}
@@ -133,7 +133,7 @@
 	r.file, r.name = nil, ""
 }
 
-func (r *Recorder) appendBlock(all []timedEntry) []byte {
+func (r *Recorder) encodeBlock(all []timedEntry) []byte {
 	entries := make([]Entry, len(all))
 	for i, e := range all {
 		entries[i] = e.Entry
@@ -144,20 +144,20 @@
 
 // write writes a block, to a new file if the limits require one.
 func (r *Recorder) write(all []timedEntry) error {
-	block := r.appendBlock(all)
+	block := r.encodeBlock(all)
 	files, err := r.recordings()
 	if err != nil {
 		return err
 	}
-	begin, remove := r.limits.Rotate(files, r.name, int64(len(block)))
-	if err := r.remove(remove); err != nil {
+	startNew, obsolete := r.limits.Rotate(files, r.name, int64(len(block)))
+	if err := r.removeFiles(obsolete); err != nil {
 		return err
 	}
-	if begin {
-		if err := r.begin(all[0].at); err != nil {
+	if startNew {
+		if err := r.startFile(all[0].at); err != nil {
 			return err
 		}
-		block = r.appendBlock(all) // its times count from the new file's start
+		block = r.encodeBlock(all) // its times count from the new file's start
 	}
 	// A full disk may leave a partial block, and no block after it could be read. So an error ends the file.
 	_, err = r.file.Write(block)
@@ -178,8 +178,8 @@
 	return files, nil
 }
 
-// remove removes recordings. If the open one is among them, it is closed.
-func (r *Recorder) remove(names []string) (err error) {
+// removeFiles removes recordings. If the open one is among them, it is closed.
+func (r *Recorder) removeFiles(names []string) (err error) {
 	for _, name := range names {
 		if name == r.name {
 			r.closeFile()
@@ -189,8 +189,8 @@
 	return err
 }
 
-// begin creates a new file, in which times count from start.
-func (r *Recorder) begin(start time.Time) error {
+// startFile creates a new file, in which times count from start.
+func (r *Recorder) startFile(start time.Time) error {
 	r.closeFile()
 	r.start = start
 	name := FileName(start)
--- a/internal/recording/rotate.go
+++ b/internal/recording/rotate.go
@@ -20,45 +20,48 @@
 }
 
 const (
-	prefix = "cresspass-"
-	suffix = ".rec"
+	namePrefix = "cresspass-"
+	nameSuffix = ".rec"
 )
 
 // FileName returns the name of a recording that starts at a time. Names sort in the order of times.
-func FileName(at time.Time) string { return fmt.Sprintf("%s%020d%s", prefix, at.UnixMicro(), suffix) }
+func FileName(at time.Time) string {
+	return fmt.Sprintf("%s%020d%s", namePrefix, at.UnixMicro(), nameSuffix)
+}
 
 // IsRecording reports whether a file name is one that FileName returns. Rotation removes files: without this
 // check it would remove other files in the directory.
 func IsRecording(name string) bool {
-	middle := strings.TrimSuffix(strings.TrimPrefix(name, prefix), suffix)
-	if len(name) != len(prefix)+20+len(suffix) || len(middle) != 20 {
+	middle := strings.TrimSuffix(strings.TrimPrefix(name, namePrefix), nameSuffix)
+	if len(name) != len(namePrefix)+20+len(nameSuffix) || len(middle) != 20 {
 		return false
 	}
 	return strings.Trim(middle, "0123456789") == ""
 }
 
 // Rotate decides what to do before a block, whose size is given in bytes, is written to the open file. open
-// is the name of that file; "": none is open. begin says whether a new file must be started first, and remove
-// names the old files to remove so that all files stay within the limits. Rotate sorts files by name.
-func (l Limits) Rotate(files []File, open string, block int64) (begin bool, remove []string) {
+// is the name of that file; "": none is open. startNew says whether a new file must be started first, and
+// obsolete names the old files to remove so that all files stay within the limits. Rotate sorts files by
+// name.
+func (l Limits) Rotate(files []File, open string, block int64) (startNew bool, obsolete []string) {
 	sort.Slice(files, func(i, j int) bool { return files[i].Name < files[j].Name })
 	total := block
-	begin = open == ""
+	startNew = open == ""
 	for _, f := range files {
 		total += f.Size
 		if f.Name == open && f.Size+block > l.FileBytes && f.Size > headerSize {
-			begin = true
+			startNew = true
 		}
 	}
-	if begin {
+	if startNew {
 		total += headerSize
 	}
 	for _, f := range files {
-		if total <= l.TotalBytes || f.Name == open && !begin {
+		if total <= l.TotalBytes || f.Name == open && !startNew {
 			break
 		}
-		remove = append(remove, f.Name)
+		obsolete = append(obsolete, f.Name)
 		total -= f.Size
 	}
-	return begin, remove
+	return startNew, obsolete
 }
--- a/internal/recording/transform.go
+++ b/internal/recording/transform.go
@@ -42,30 +42,37 @@
 	return out
 }
 
-// Scale returns a recording with the traffic multiplied by times and distributed over other dispatchers. It
+const (
+	// scaleStream is the PCG stream for Scale, so that its draws depend on the seed alone.
+	scaleStream = 19
+	// goldenRatio64 is 2^64 divided by the golden ratio. Its multiples give copies hashes of their own.
+	goldenRatio64 = 0x9e3779b97f4a7c15
+)
+
+// Scale returns a recording with the traffic multiplied by factor and distributed over other dispatchers. It
 // keeps the unevenness of the traffic: bursts stay bursts, because the copies of an entry arrive at about the
 // same time as the entry, and the share of a recorded dispatcher goes to one or several of the others. The
 // names in dispatchers are used in order; if there are none, entries keep their dispatcher. jitter is how far
 // a copy is moved at most, earlier or later.
-func Scale(all []Entry, times float64, dispatchers []string, jitter time.Duration, seed uint64) []Entry {
-	r := rand.New(rand.NewPCG(seed, 19))
-	place := assignDispatchers(all, dispatchers, r)
+func Scale(all []Entry, factor float64, dispatchers []string, jitter time.Duration, seed uint64) []Entry {
+	r := rand.New(rand.NewPCG(seed, scaleStream))
+	assign := assignDispatchers(all, dispatchers, r)
 	var out []Entry
 	for _, e := range all {
-		n := int(times)
-		if r.Float64() < times-math.Floor(times) {
+		n := int(factor)
+		if r.Float64() < factor-math.Floor(factor) {
 			n++
 		}
 		for i := range n {
 			c := e
 			if i > 0 { // a similar query of another client, at a slightly different time
 				c.ArrivedAt = max(0, c.ArrivedAt+time.Duration((2*r.Float64()-1)*float64(jitter)))
-				c.Fingerprint ^= uint64(i) * 0x9e3779b97f4a7c15
+				c.Fingerprint ^= uint64(i) * goldenRatio64
 				if c.Key != 0 {
-					c.Key ^= uint64(i) * 0x9e3779b97f4a7c15
+					c.Key ^= uint64(i) * goldenRatio64
 				}
 			}
-			c.Dispatcher = place(e.Dispatcher)
+			c.Dispatcher = assign(e.Dispatcher)
 			out = append(out, c)
 		}
 	}
@@ -95,14 +102,14 @@
 		}
 		return names[i] < names[j]
 	})
-	at := map[string]int{}
+	rank := map[string]int{}
 	for i, name := range names {
-		at[name] = i
+		rank[name] = i
 	}
 	n, m := float64(len(names)), float64(len(dispatchers))
 	return func(name string) string {
-		// the recorded dispatcher at place i covers i/n to (i+1)/n
-		x := (float64(at[name]) + r.Float64()) / n
+		// the recorded dispatcher of rank i covers i/n to (i+1)/n
+		x := (float64(rank[name]) + r.Float64()) / n
 		return dispatchers[min(int(x*m), len(dispatchers)-1)]
 	}
 }
