--- a/internal/config/flight.go
+++ b/internal/config/flight.go
@@ -4,30 +4,30 @@
 
 // FlightBlock is the block of the Flight SQL frontend.
 type FlightBlock struct {
-	Listen          string `hcl:"listen"`
-	TicketLife      string `hcl:"ticket_life,optional"`
-	SessionRest     string `hcl:"session_rest,optional"`
-	KeepAlive       string `hcl:"keep_alive,optional"`
-	MaxAge          string `hcl:"max_connection_age,optional"`
-	MaxTickets      int    `hcl:"max_tickets,optional"`
-	MaxStreams      int    `hcl:"max_streams,optional"`
-	MaxTransactions int    `hcl:"max_transactions,optional"`
-	MaxPrepared     int    `hcl:"max_prepared,optional"`
-	MaxWaiting      int    `hcl:"max_waiting,optional"`
+	Listen             string `hcl:"listen"`
+	TicketLifetime     string `hcl:"ticket_life,optional"`
+	SessionIdleTimeout string `hcl:"session_rest,optional"`
+	KeepAlive          string `hcl:"keep_alive,optional"`
+	MaxAge             string `hcl:"max_connection_age,optional"`
+	MaxTickets         int    `hcl:"max_tickets,optional"`
+	MaxStreams         int    `hcl:"max_streams,optional"`
+	MaxTransactions    int    `hcl:"max_transactions,optional"`
+	MaxPrepared        int    `hcl:"max_prepared,optional"`
+	MaxWaiting         int    `hcl:"max_waiting,optional"`
 }
 
 // FlightSettings holds the settings of the Flight SQL frontend. If Listen is empty, it is not served.
 type FlightSettings struct {
-	Listen          string
-	TicketLife      time.Duration
-	SessionRest     time.Duration
-	KeepAlive       time.Duration
-	MaxAge          time.Duration // of a connection; 0: no limit
-	MaxTickets      int
-	MaxStreams      int // concurrent calls on a connection
-	MaxTransactions int // open transactions of a session; the next two are also per session
-	MaxPrepared     int
-	MaxWaiting      int
+	Listen             string
+	TicketLifetime     time.Duration
+	SessionIdleTimeout time.Duration
+	KeepAlive          time.Duration
+	MaxAge             time.Duration // of a connection; 0: no limit
+	MaxTickets         int
+	MaxStreams         int // concurrent calls on a connection
+	MaxTransactions    int // open transactions of a session; the next two are also per session
+	MaxPrepared        int
+	MaxWaiting         int
 }
 
 // SharesBlock is the block of the parts of each limit (connections, open queries, bytes of answers) that are
@@ -41,15 +41,15 @@
 type FrontQuotas struct{ PostgreSQL, Flight float64 }
 
 const (
-	defaultTicketLife      = time.Minute
-	defaultSessionRest     = 30 * time.Minute
-	defaultKeepAlive       = 2 * time.Minute
-	defaultMaxTickets      = 100000
-	defaultMaxStreams      = 2000
-	defaultMaxTransactions = 100
-	defaultFlightPrepared  = 1000
-	defaultMaxWaiting      = 1000
-	defaultFrontQuota      = 0.25
+	defaultTicketLifetime     = time.Minute
+	defaultSessionIdleTimeout = 30 * time.Minute
+	defaultKeepAlive          = 2 * time.Minute
+	defaultMaxTickets         = 100000
+	defaultMaxStreams         = 2000
+	defaultMaxTransactions    = 100
+	defaultFlightPrepared     = 1000
+	defaultMaxWaiting         = 1000
+	defaultFrontQuota         = 0.25
 )
 
 // applyFlight checks the block. Without the block, the defaults apply to a frontend that the command line
@@ -69,16 +69,16 @@
 		return orDefault(value, defaultValue)
 	}
 	cfg.Flight = FlightSettings{
-		Listen:          b.Listen,
-		TicketLife:      v.duration(in, "ticket_life", b.TicketLife, defaultTicketLife),
-		SessionRest:     v.duration(in, "session_rest", b.SessionRest, defaultSessionRest),
-		KeepAlive:       v.duration(in, "keep_alive", b.KeepAlive, defaultKeepAlive),
-		MaxAge:          v.duration(in, "max_connection_age", b.MaxAge, 0),
-		MaxTickets:      limit("max_tickets", b.MaxTickets, defaultMaxTickets),
-		MaxStreams:      limit("max_streams", b.MaxStreams, defaultMaxStreams),
-		MaxTransactions: limit("max_transactions", b.MaxTransactions, defaultMaxTransactions),
-		MaxPrepared:     limit("max_prepared", b.MaxPrepared, defaultFlightPrepared),
-		MaxWaiting:      limit("max_waiting", b.MaxWaiting, defaultMaxWaiting),
+		Listen:             b.Listen,
+		TicketLifetime:     v.duration(in, "ticket_life", b.TicketLifetime, defaultTicketLifetime),
+		SessionIdleTimeout: v.duration(in, "session_rest", b.SessionIdleTimeout, defaultSessionIdleTimeout),
+		KeepAlive:          v.duration(in, "keep_alive", b.KeepAlive, defaultKeepAlive),
+		MaxAge:             v.duration(in, "max_connection_age", b.MaxAge, 0),
+		MaxTickets:         limit("max_tickets", b.MaxTickets, defaultMaxTickets),
+		MaxStreams:         limit("max_streams", b.MaxStreams, defaultMaxStreams),
+		MaxTransactions:    limit("max_transactions", b.MaxTransactions, defaultMaxTransactions),
+		MaxPrepared:        limit("max_prepared", b.MaxPrepared, defaultFlightPrepared),
+		MaxWaiting:         limit("max_waiting", b.MaxWaiting, defaultMaxWaiting),
 	}
 }
 
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -123,8 +123,8 @@
 
 func (d *dumper) flightPeersRecord(c *Config) {
 	d.line("flight.listen", c.Flight.Listen)
-	d.line("flight.ticket_life", c.Flight.TicketLife)
-	d.line("flight.session_rest", c.Flight.SessionRest)
+	d.line("flight.ticket_life", c.Flight.TicketLifetime)
+	d.line("flight.session_rest", c.Flight.SessionIdleTimeout)
 	d.line("flight.keep_alive", c.Flight.KeepAlive)
 	d.line("flight.max_connection_age", c.Flight.MaxAge)
 	d.line("flight.max_tickets", c.Flight.MaxTickets)
