--- a/internal/daemon/restart_test.go
+++ b/internal/daemon/restart_test.go
@@ -9,37 +9,38 @@
 	"time"
 )
 
-// After a dispatcher died with a write whose outcome is unknown, the write's key is not used for a while,
-// and the same write is rejected where only one group of engines would drop it, until its window is over.
+// After a dispatcher died with a write whose outcome is unknown, the write's ordering key is not used for
+// order_rest. The same write is rejected until its deduplication window is over, where only one group of
+// engines would drop the repeat.
 func TestRestartHonorsPendingWrites(t *testing.T) {
 	env := newTestEnv(t)
 	s := env.start(t, "", false)
 	c := env.connect(t)
 	go func() {
-		_, _ = c.Exec(context.Background(), // it ends with its dispatcher
+		_, _ = c.Exec(context.Background(), // it ends with its dispatcher; the error does not matter
 			"insert into t values (7) /*class='load',key='k',work_ms='60000',id='l'*/")
 	}()
 	for begin := time.Now(); ; time.Sleep(5 * time.Millisecond) {
-		if n := len(env.rig.Engines[0].Runs()) + len(env.rig.Engines[1].Runs()); n == 1 {
+		if n := len(env.testbed.Engines[0].Runs()) + len(env.testbed.Engines[1].Runs()); n == 1 {
 			break
 		}
 		if time.Since(begin) > 5*time.Second {
-			t.Fatal("the write does not run")
+			t.Fatal("the write did not start within 5 s")
 		}
 	}
 	time.Sleep(50 * time.Millisecond)
-	// A copy that is taken while the dispatcher runs is what its death would leave.
-	copyTo := t.TempDir()
+	// The files are copied while the dispatcher runs: a crash would leave the same ones.
+	copyDir := t.TempDir()
 	env.waitForCachedList(t)
 	for _, name := range []string{"state", "list"} {
 		b, err := os.ReadFile(filepath.Join(env.dir, "state", name))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := os.MkdirAll(filepath.Join(copyTo, "state"), 0o755); err != nil {
+		if err := os.MkdirAll(filepath.Join(copyDir, "state"), 0o755); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(filepath.Join(copyTo, "state", name), b, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(copyDir, "state", name), b, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -47,8 +48,8 @@
 	if err := s.stopAndWait(t); err != nil {
 		t.Error(err)
 	}
-	env.dir = copyTo
-	env.rig.Discovery.SetUnavailable(true) // only the cached list is known
+	env.dir = copyDir
+	env.testbed.Discovery.SetUnavailable(true) // only the cached list is available
 	s = env.start(t, "", false)
 	if !strings.Contains(s.log.String(),
 		`msg="previous incarnation did not shut down cleanly" pending_writes=1`) {
@@ -66,7 +67,7 @@
 		t.Errorf("another write with the key: %v", err)
 	}
 	if took := time.Since(begin); took < 100*time.Millisecond {
-		t.Errorf("the key was not used for %v only", took)
+		t.Errorf("the key was used again after %v", took)
 	}
 	if err := s.stopAndWait(t); err != nil {
 		t.Error(err)
