--- a/internal/frontend/thriftserver/message.go
+++ b/internal/frontend/thriftserver/message.go
@@ -121,7 +121,7 @@
 
 // dispatch handles a dispatch call: it accepts or rejects a request.
 func (r *Registry) dispatch(now time.Time, id ConnID, c *conn, m *Message) MessageResult {
-	if r.ending {
+	if r.rejectNew {
 		return r.reject(m)
 	}
 	accepted, err := r.accept(now, id, c, m)
--- a/internal/frontend/thriftserver/registry.go
+++ b/internal/frontend/thriftserver/registry.go
@@ -39,13 +39,13 @@
 // Registry holds the client connections and the requests that are open on them. Except for Decode, its
 // methods must not be called concurrently.
 type Registry struct {
-	effects  map[string]cresspass.Effect // by class
-	conns    map[ConnID]*conn
-	requests map[cresspass.QueryID]*Request // all open requests
-	byTicket map[string]*Request            // the same by ticket
-	lastID   cresspass.QueryID
-	draining bool // alive is answered with false
-	ending   bool // all new requests are rejected
+	effects   map[string]cresspass.Effect // by class
+	conns     map[ConnID]*conn
+	requests  map[cresspass.QueryID]*Request // all open requests
+	byTicket  map[string]*Request            // the same by ticket
+	lastID    cresspass.QueryID
+	draining  bool // alive is answered with false
+	rejectNew bool // all new requests are rejected
 }
 
 // New returns a registry without connections, for the classes of a configuration.
@@ -73,8 +73,8 @@
 // Draining reports whether Drain was called.
 func (r *Registry) Draining() bool { return r.draining }
 
-// End makes the registry reject every further request, because it could not be answered in time.
-func (r *Registry) End() { r.ending = true }
+// RejectNew makes the registry reject every further request, because it could not be answered in time.
+func (r *Registry) RejectNew() { r.rejectNew = true }
 
 // AddConn registers a new connection.
 func (r *Registry) AddConn(now time.Time, id ConnID) {
--- a/internal/platform/eviction.go
+++ b/internal/platform/eviction.go
@@ -78,7 +78,7 @@
 // may hold an unhandled message: that message is answered first, and retireUnused retires them.
 func (f *frontend) failOpen() {
 	f.mu.Lock()
-	f.registry.End()
+	f.registry.RejectNew()
 	conns := make([]*clientConn, 0, len(f.conns))
 	for _, client := range f.conns {
 		conns = append(conns, client)
