--- a/internal/discovery/eds/list.go
+++ b/internal/discovery/eds/list.go
@@ -50,7 +50,7 @@
 	for i, e := range l.Engines {
 		switch {
 		case e.Address == "":
-			return errors.New("roster: engine has no address")
+			return errors.New("roster: an engine without an address")
 		case i > 0 && l.Engines[i-1].Address == e.Address:
 			return fmt.Errorf("roster: engine %s is named twice", e.Address)
 		case e.State != StateActive && e.State != StateDraining && e.State != StateRemoved:
--- a/internal/discovery/eds/resource.go
+++ b/internal/discovery/eds/resource.go
@@ -30,14 +30,14 @@
 // The discovery service receives the text of the error.
 func (c *Client) parseResponse(response *discoveryv3.DiscoveryResponse) (*List, error) {
 	if response.TypeUrl != TypeURL {
-		return nil, fmt.Errorf("roster: unexpected resource type %q", response.TypeUrl)
+		return nil, fmt.Errorf("roster: type %q", response.TypeUrl)
 	}
 	l := &List{Version: response.VersionInfo, ReceivedAt: time.Now()}
 	found := false
 	for _, resource := range response.Resources {
 		var assignment endpointv3.ClusterLoadAssignment
 		if err := resource.UnmarshalTo(&assignment); err != nil {
-			return nil, fmt.Errorf("roster: decode resource: %w", err)
+			return nil, fmt.Errorf("roster: %w", err)
 		}
 		if assignment.ClusterName != c.Service {
 			continue
@@ -54,8 +54,7 @@
 		}
 	}
 	if !found {
-		return nil, fmt.Errorf("roster: resource %q is missing from version %q", c.Service,
-			response.VersionInfo)
+		return nil, fmt.Errorf("roster: no resource %q in version %q", c.Service, response.VersionInfo)
 	}
 	return l, l.Validate()
 }
@@ -64,7 +63,7 @@
 func parseEndpoint(locality *corev3.Locality, endpoint *endpointv3.LbEndpoint) (e Engine, err error) {
 	address := endpoint.GetEndpoint().GetAddress().GetSocketAddress()
 	if address == nil {
-		return e, errors.New("roster: endpoint has no socket address")
+		return e, errors.New("roster: an endpoint without a socket address")
 	}
 	e.Address = net.JoinHostPort(address.Address, strconv.Itoa(int(address.GetPortValue())))
 	e.Zone = locality.GetZone()
