--- a/internal/frontend/flightsql/arrowbatch/append.go
+++ b/internal/frontend/flightsql/arrowbatch/append.go
@@ -9,17 +9,17 @@
 	"github.com/apache/arrow-go/v18/arrow/array"
 )
 
-// An appender reads a value in the form in which the engine sends it and appends it to a column.
+// appender decodes a value as the engine sends it and appends it to a column.
 type appender func(v []byte) error
 
-// Days and microseconds from Arrow's epoch, 1970, to PostgreSQL's, 2000.
+// Days and microseconds from Arrow's epoch, 1970-01-01, to PostgreSQL's, 2000-01-01.
 const (
 	epochOffsetDays   = 10957
 	epochOffsetMicros = epochOffsetDays * 86400 * 1000000
 )
 
-// toUnixEpoch moves a time from PostgreSQL's epoch to Arrow's. PostgreSQL's infinities are the ends of the
-// range and stay there.
+// toUnixEpoch converts microseconds since PostgreSQL's epoch to microseconds since Arrow's. PostgreSQL's
+// infinities are the ends of the range and stay as they are.
 func toUnixEpoch(micros int64) int64 {
 	if micros == math.MaxInt64 || micros == math.MinInt64 {
 		return micros
@@ -27,7 +27,7 @@
 	return micros + epochOffsetMicros
 }
 
-// dateToUnixEpoch is toUnixEpoch of a date.
+// dateToUnixEpoch is toUnixEpoch for a date, in days.
 func dateToUnixEpoch(days int32) int32 {
 	if days == math.MaxInt32 || days == math.MinInt32 {
 		return days
@@ -35,12 +35,12 @@
 	return days + epochOffsetDays
 }
 
-// textAppender reads values in text form.
+// textAppender returns the appender for values in text form.
 func textAppender(f *array.StringBuilder) appender {
 	return func(v []byte) error { f.BinaryBuilder.Append(v); return nil }
 }
 
-// fixedWidth is the appender of values of size bytes.
+// fixedWidth returns an appender for values of size bytes.
 func fixedWidth(size int, appendValue func(v []byte)) appender {
 	return func(v []byte) error {
 		if len(v) != size {
@@ -75,7 +75,7 @@
 	return func([]byte) error { return fmt.Errorf("type %d is not read", oid) }
 }
 
-// numberAppender returns the appender for truth values and numbers of fixed size; nil: f is for neither.
+// numberAppender returns the appender for booleans and numbers of fixed size; nil: f is for neither.
 func numberAppender(f array.Builder) appender {
 	u64, u32, u16 := binary.BigEndian.Uint64, binary.BigEndian.Uint32, binary.BigEndian.Uint16
 	switch f := f.(type) {
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// decimalAppender reads numerics that have a precision.
+// decimalAppender returns the appender for numerics that have an Arrow decimal type.
 func decimalAppender(f *array.Decimal128Builder) appender {
 	t := f.Type().(*arrow.Decimal128Type)
 	return func(v []byte) error {
@@ -132,7 +132,7 @@
 	}
 }
 
-// numericTextAppender reads numerics that have no precision.
+// numericTextAppender returns the appender for numerics that have no Arrow decimal type.
 func numericTextAppender(f *array.StringBuilder) appender {
 	var buf []byte
 	return func(v []byte) error {
@@ -145,15 +145,16 @@
 	}
 }
 
-// Parts of an array in its binary form (array_send): the number of dimensions, whether nulls are in it, the
-// element's type, 4 bytes each; for each dimension its length and lower bound; then the elements.
+// Sizes and offsets of an array in binary form (array_send): the number of dimensions, whether it has nulls
+// and the OID of the element type, 4 bytes each; for each dimension its length and lower bound, 4 bytes each;
+// then the elements.
 const (
 	arrayHeader    = 12
 	arrayElementAt = 8
 	arrayDimension = 8
 )
 
-// listAppender reads arrays of one dimension.
+// listAppender returns the appender for arrays of at most one dimension. element is the element type's OID.
 func listAppender(f *array.ListBuilder, element uint32) appender {
 	values := f.ValueBuilder()
 	appendElement := scalarAppender(values, element)
@@ -179,7 +180,7 @@
 	}
 }
 
-// parseArrayHeader returns the number of elements of an array, and what follows its header.
+// parseArrayHeader returns the number of elements of an array and the bytes after its header.
 func parseArrayHeader(v []byte, element uint32) (n int, rest []byte, err error) {
 	if len(v) < arrayHeader {
 		return 0, nil, errTruncated
@@ -205,10 +206,11 @@
 	return n, v, nil
 }
 
-// valueHeader is the size of the length before a value.
+// valueHeader is the size in bytes of the length before a value.
 const valueHeader = 4
 
-// nextValue cuts a value with its length before it off b. A nil value is null.
+// nextValue returns the first value of b, which its length precedes, and the bytes after it. A nil value is
+// null.
 func nextValue(b []byte) (v, rest []byte, err error) {
 	if len(b) < valueHeader {
 		return nil, nil, errTruncated
--- a/internal/frontend/flightsql/arrowbatch/arrowbatch_test.go
+++ b/internal/frontend/flightsql/arrowbatch/arrowbatch_test.go
@@ -14,6 +14,7 @@
 
 var ten = big.NewInt(10)
 
+// description returns the body of a RowDescription of one column in binary format.
 func description(oid uint32, modifier int32) []byte {
 	m := &pgproto3.RowDescription{Fields: []pgproto3.FieldDescription{{Name: []byte("c"), DataTypeOID: oid,
 		TypeModifier: modifier, Format: 1}}}
@@ -21,13 +22,14 @@
 	return b[5:]
 }
 
+// row returns the body of a DataRow of one value.
 func row(v []byte) []byte {
 	b, _ := (&pgproto3.DataRow{Values: [][]byte{v}}).Encode(nil)
 	return b[5:]
 }
 
-// TestNumeric: any numeric comes out to the last digit, as text and as decimal; one that a decimal cannot
-// hold is an error, never another number.
+// TestNumeric checks that any numeric is converted exactly, to text and to decimal, and that one that the
+// decimal type cannot hold is an error, never another number.
 func TestNumeric(t *testing.T) {
 	m := pgtype.NewMap()
 	rapid.Check(t, func(t *rapid.T) {
@@ -66,24 +68,24 @@
 			return p.Int.Cmp(q.Int) == 0
 		}
 		if !same(n, back) {
-			t.Fatalf("%s comes out as %s", text, parsed.appendText(nil))
+			t.Fatalf("numeric %s converted to text %s", text, parsed.appendText(nil))
 		}
 		scale := int32(rapid.IntRange(0, 15).Draw(t, "scale"))
 		d, err := parsed.decimal(38, scale)
 		if err != nil {
 			if fits := len(text) < 20 && int(-n.Exp) <= int(scale); fits {
-				t.Fatalf("%s in decimal(38, %d): %v", text, scale, err)
+				t.Fatalf("numeric %s converted to decimal(38, %d): error %v", text, scale, err)
 			}
 			return
 		}
 		back = pgtype.Numeric{}
 		if err := back.Scan(d.ToString(scale)); err != nil || !same(n, back) {
-			t.Fatalf("%s comes out as %s of scale %d", text, d.ToString(scale), scale)
+			t.Fatalf("numeric %s converted to decimal %s of scale %d", text, d.ToString(scale), scale)
 		}
 	})
 }
 
-// FuzzRow: whatever bytes come as a value of whatever type, a row is accepted or rejected, without a panic.
+// FuzzRow checks that a row with any bytes as a value of any type is accepted or rejected without a panic.
 func FuzzRow(f *testing.F) {
 	for oid := range arrayElementTypes {
 		f.Add(oid, int32(-1), []byte{0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 25, 0, 0, 0, 1, 0, 0, 0, 1})
@@ -105,13 +107,13 @@
 		r := b.Batch()
 		defer r.Release()
 		if r.NumRows() != 1 {
-			t.Fatalf("%d rows of one", r.NumRows())
+			t.Fatalf("batch of %d rows after one row, want 1", r.NumRows())
 		}
 		_, _, _ = PostgresText(r.Column(0), 0) // any result will do, but no panic
 	})
 }
 
-// BenchmarkBatch measures the conversion of rows into batches, and what is allocated for each batch.
+// BenchmarkBatch measures the conversion of rows into batches and the allocations for each batch.
 func BenchmarkBatch(b *testing.B) {
 	m := &pgproto3.RowDescription{}
 	data := &pgproto3.DataRow{}
--- a/internal/frontend/flightsql/arrowbatch/bind.go
+++ b/internal/frontend/flightsql/arrowbatch/bind.go
@@ -19,7 +19,7 @@
 // AppendBind appends the body of a Bind message after its two names: one row of a batch as parameters in
 // text format, and the formats of the result. A nil batch has no parameters.
 func AppendBind(out []byte, r arrow.RecordBatch, row int, result *Schema) ([]byte, error) {
-	out = binary.BigEndian.AppendUint16(out, 0) // no format: all parameters are text
+	out = binary.BigEndian.AppendUint16(out, 0) // no format codes: all parameters are text
 	columns := 0
 	if r != nil {
 		columns = int(r.NumCols())
@@ -51,7 +51,7 @@
 
 const uuidSize = 16
 
-// PostgresText returns a value in PostgreSQL's text form.
+// PostgresText returns the value at index i of an array in PostgreSQL's text form; null: it is null.
 func PostgresText(a arrow.Array, i int) (v string, null bool, err error) {
 	if a.IsNull(i) {
 		return "", true, nil
@@ -69,7 +69,7 @@
 		return PostgresText(a.Dictionary(), a.GetValueIndex(i))
 	case array.ExtensionArray:
 		return PostgresText(a.Storage(), i)
-	case *array.DenseUnion: // the JDBC driver binds parameters of unknown type like this
+	case *array.DenseUnion: // the JDBC driver binds parameters of unknown type as unions
 		return PostgresText(a.Field(a.ChildID(i)), int(a.ValueOffset(i)))
 	}
 	if v, ok := scalarText(a, i); ok {
@@ -81,7 +81,8 @@
 	return "", false, fmt.Errorf("values of type %s are not bound", a.DataType())
 }
 
-// scalarText returns a number, a truth value, a text or bytes in PostgreSQL's text form.
+// scalarText returns a number, a boolean, a string or bytes in PostgreSQL's text form. ok is false for other
+// types.
 func scalarText(a arrow.Array, i int) (v string, ok bool) {
 	switch a := a.(type) {
 	case *array.Boolean:
@@ -99,7 +100,7 @@
 	case *array.LargeBinary:
 		return byteaText(a.Value(i)), true
 	case *array.FixedSizeBinary:
-		if b := a.Value(i); len(b) == uuidSize { // this package converts a uuid to these
+		if b := a.Value(i); len(b) == uuidSize { // the builder converts a uuid to an array of this width
 			return uuidText(b), true
 		}
 		return byteaText(a.Value(i)), true
@@ -110,7 +111,7 @@
 	return "", false
 }
 
-// timeText returns a date, a time or an interval in PostgreSQL's text form.
+// timeText returns a date, a time or an interval in PostgreSQL's text form. ok is false for other types.
 func timeText(a arrow.Array, i int) (v string, ok bool) {
 	switch a := a.(type) {
 	case *array.Date32:
@@ -161,7 +162,7 @@
 	return strconv.FormatFloat(v, 'g', -1, bits)
 }
 
-// withEra marks years before Christ as PostgreSQL does.
+// withEra converts years before 1 to PostgreSQL's form, with the suffix BC.
 func withEra(v string, at time.Time) string {
 	if y := at.Year(); y <= 0 {
 		_, rest, _ := strings.Cut(strings.TrimPrefix(v, "-"), "-")
@@ -172,8 +173,8 @@
 
 var elementEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`)
 
-// arrayText returns elements of an array in PostgreSQL's text form. Each element is quoted, so that none is
-// taken for a delimiter or a null.
+// arrayText returns the elements from (included) to to (excluded) of an array in PostgreSQL's text form. Each
+// is quoted, so that none is taken for a delimiter or a null.
 func arrayText(a arrow.Array, from, to int) (v string, null bool, err error) {
 	var b strings.Builder
 	b.WriteByte('{')
--- a/internal/frontend/flightsql/arrowbatch/builder.go
+++ b/internal/frontend/flightsql/arrowbatch/builder.go
@@ -9,21 +9,21 @@
 	"github.com/apache/arrow-go/v18/arrow/memory"
 )
 
-// Builder gathers rows into record batches.
+// Builder collects rows into record batches. It is not safe for concurrent use.
 type Builder struct {
 	schema    *Schema
 	record    *array.RecordBuilder
 	appenders []appender // one for each column
-	rows      int
+	rows      int        // since the last batch, as bytes
 	bytes     int
 
-	// Of the batch before, so that the next has its memory at once.
+	// Sizes of the previous batch, by which memory for the next is reserved.
 
 	previousRows      int
-	previousDataSizes []int // of columns whose values vary in length; 0: they do not
+	previousDataSizes []int // bytes of each column with values of variable length; 0 for other columns
 }
 
-// NewBuilder returns a builder for a schema. Release frees it.
+// NewBuilder returns a builder for the rows of a schema. The caller releases it.
 func NewBuilder(s *Schema, mem memory.Allocator) *Builder {
 	b := &Builder{schema: s, record: array.NewRecordBuilder(mem, s.Arrow)}
 	for i := range s.Columns {
@@ -41,16 +41,16 @@
 	return b
 }
 
-// Release frees what is not in a batch.
+// Release frees the memory of the builder, except that of batches.
 func (b *Builder) Release() { b.record.Release() }
 
 // Rows returns the number of rows since the last batch.
 func (b *Builder) Rows() int { return b.rows }
 
-// Bytes returns the size of the rows since the last batch, as the engine sent them.
+// Bytes returns the size in bytes of the rows since the last batch, as the engine sent them.
 func (b *Builder) Bytes() int { return b.bytes }
 
-// Batch returns the rows since the last batch. The caller releases it.
+// Batch returns a batch of the rows since the last batch and starts a new one. The caller releases it.
 func (b *Builder) Batch() arrow.RecordBatch {
 	b.previousRows, b.rows, b.bytes = b.rows, 0, 0
 	b.previousDataSizes = b.previousDataSizes[:0]
@@ -67,7 +67,7 @@
 	return b.record.NewRecordBatch()
 }
 
-// reserve makes room for as much as the batch before took, instead of growing by doubling.
+// reserve reserves as much memory as the previous batch took, instead of growing by doubling.
 func (b *Builder) reserve() {
 	b.record.Reserve(b.previousRows)
 	for i, f := range b.record.Fields() {
@@ -80,8 +80,8 @@
 	}
 }
 
-// Row adds the body of a DataRow. A row that is refused half-way leaves columns of unequal length, so the
-// builder is of no use after an error.
+// Row adds the row of a DataRow's body. A row that is rejected halfway leaves columns of unequal length, so
+// the builder cannot be used after an error.
 func (b *Builder) Row(row []byte) error {
 	if len(row) < 2 || int(binary.BigEndian.Uint16(row)) != len(b.appenders) {
 		return fmt.Errorf("row does not have the %d columns described", len(b.appenders))
--- a/internal/frontend/flightsql/arrowbatch/golden_test.go
+++ b/internal/frontend/flightsql/arrowbatch/golden_test.go
@@ -12,8 +12,8 @@
 	"cresspass/internal/goldentest"
 )
 
-// TestParameterTextIsStable compares the text forms of Arrow values that engines are sent, and the Arrow
-// types that clients are told, with what the version that introduced this test gave.
+// TestParameterTextIsStable compares the text forms of Arrow values that engines receive, and the Arrow types
+// that clients receive, with those of the version that introduced this test.
 func TestParameterTextIsStable(t *testing.T) {
 	var got strings.Builder
 	for _, c := range []struct {
--- a/internal/frontend/flightsql/arrowbatch/numeric.go
+++ b/internal/frontend/flightsql/arrowbatch/numeric.go
@@ -10,12 +10,12 @@
 	"github.com/apache/arrow-go/v18/arrow/decimal128"
 )
 
-// Parts of a numeric in its binary form (numeric_send): the number of digits, the weight of the first, the
-// sign and the scale, 2 bytes each, then the digits.
+// Layout of a numeric in binary form (numeric_send): the number of digits, the weight of the first, the sign
+// and the scale, 2 bytes each, then the digits in base numericBase, 2 bytes each.
 const (
-	numericHeader = 8
+	numericHeader = 8 // bytes before the digits
 	numericBase   = 10000
-	baseDigits    = 4 // decimal digits of one digit to numericBase
+	baseDigits    = 4 // decimal digits of one digit in base numericBase
 
 	signPositive         = 0
 	signNegative         = 0x4000
@@ -24,15 +24,16 @@
 	signNegativeInfinity = 0xF000
 )
 
-// numeric is PostgreSQL's numeric.
+// numeric is a value of PostgreSQL's type numeric.
 type numeric struct {
-	digits   []byte // to numericBase, 2 bytes each
+	digits   []byte // in base numericBase, 2 bytes each
 	weight   int    // of the first digit: its power of numericBase
 	negative bool
-	special  string // NaN, Infinity, -Infinity; "": a number
-	scale    int    // decimal digits after the point
+	special  string // NaN, Infinity or -Infinity; "": an ordinary number
+	scale    int    // decimal digits after the decimal point
 }
 
+// parseNumeric decodes a numeric in binary form; its digits share the memory of v.
 func parseNumeric(v []byte) (numeric, error) {
 	if len(v) < numericHeader {
 		return numeric{}, errTruncated
@@ -64,7 +65,7 @@
 	return n, nil
 }
 
-// digit returns the i-th digit; 0 beyond the last.
+// digit returns the digit at index i; 0 outside the digits that were sent.
 func (n *numeric) digit(i int) int {
 	if i < 0 || 2*i+1 >= len(n.digits) {
 		return 0
@@ -72,7 +73,7 @@
 	return int(binary.BigEndian.Uint16(n.digits[2*i:]))
 }
 
-// appendText appends the number as PostgreSQL writes it, with all digits of its scale.
+// appendText appends the number in PostgreSQL's text form, with all digits of its scale.
 func (n *numeric) appendText(out []byte) []byte {
 	if n.special != "" {
 		return append(out, n.special...)
@@ -103,13 +104,13 @@
 	return out[:point+n.scale]
 }
 
-// appendBaseDigit appends a digit to numericBase as baseDigits decimal digits.
+// appendBaseDigit appends a digit in base numericBase as baseDigits decimal digits.
 func appendBaseDigit(out []byte, d int) []byte {
 	return append(out, byte('0'+d/1000), byte('0'+d/100%10), byte('0'+d/10%10), byte('0'+d%10))
 }
 
-// decimal returns the number as Arrow's, exactly. A number that does not fit is an error: to round it or
-// to return null would silently change the result.
+// decimal converts the number exactly to Arrow's decimal. A number that does not fit is an error: rounding it
+// or returning null would silently change the result.
 func (n *numeric) decimal(precision, scale int32) (decimal128.Num, error) {
 	if n.special != "" {
 		return decimal128.Num{}, fmt.Errorf("%s does not fit decimal(%d, %d)", n.special, precision, scale)
@@ -137,12 +138,12 @@
 	return fmt.Errorf("does not fit decimal(%d, %d)", precision, scale)
 }
 
-// smallFraction is the number of decimal digits after the point that smallDecimal looks at: two digits to
-// numericBase.
+// smallFraction is the number of decimal digits after the decimal point that smallDecimal reads: two digits
+// in base numericBase.
 const smallFraction = 2 * baseDigits
 
-// smallDecimal is decimal without arbitrary precision, for numbers of up to 16 digits before the point and 8
-// after it. ok is false for any other.
+// smallDecimal is decimal without arbitrary-precision arithmetic, for numbers of up to 16 decimal digits
+// before the decimal point and 8 after it. ok is false for any other.
 func (n *numeric) smallDecimal(precision, scale int32) (d decimal128.Num, ok bool, err error) {
 	count := len(n.digits) / 2
 	if n.weight >= 4 || n.weight < -1 || scale > smallFraction || count > n.weight+3 {
--- a/internal/frontend/flightsql/arrowbatch/schema.go
+++ b/internal/frontend/flightsql/arrowbatch/schema.go
@@ -1,6 +1,7 @@
 // Package arrowbatch converts an engine's rows into Arrow record batches, column by column and by type OID,
-// and Arrow values into parameters for an engine. Rows come as the bodies of PostgreSQL's DataRow messages,
-// binary where this package reads the type's binary form and as text elsewhere. It does no I/O.
+// and Arrow values into parameters for an engine. Rows are the bodies of PostgreSQL's DataRow messages.
+// Values are in binary form if this package decodes the binary form of their type, and in text form
+// otherwise. The package does no I/O.
 package arrowbatch
 
 import (
@@ -19,14 +20,14 @@
 	oidNumeric, oidUUID, oidChar                                           = 1700, 2950, 18
 )
 
-// arrayElementTypes are the element types of array types.
+// arrayElementTypes maps the OID of an array type to that of its elements.
 var arrayElementTypes = map[uint32]uint32{1000: oidBool, 1001: oidBytea, 1003: oidName, 1005: oidInt2,
 	1007: oidInt4,
 	1009: oidText, 1014: oidBPChar, 1015: oidVarchar, 1016: oidInt8, 1021: oidFloat4, 1022: oidFloat8,
 	1028: oidOID, 1115: oidTimestamp, 1182: oidDate, 1183: oidTime, 1185: oidTimestampTZ, 1187: oidInterval,
 	1231: oidNumeric, 2951: oidUUID}
 
-// arrowTypes are the Arrow types of the types whose modifier does not matter.
+// arrowTypes maps the OIDs of types whose modifier does not matter to Arrow types.
 var arrowTypes = map[uint32]arrow.DataType{oidBool: arrow.FixedWidthTypes.Boolean,
 	oidBytea: arrow.BinaryTypes.Binary, oidInt8: arrow.PrimitiveTypes.Int64,
 	oidInt2: arrow.PrimitiveTypes.Int16, oidInt4: arrow.PrimitiveTypes.Int32,
@@ -45,12 +46,12 @@
 	Name         string
 	OID          uint32
 	TypeModifier int32  // -1: none
-	Binary       bool   // its values come in binary form
-	Element      uint32 // type of an array's elements; 0: no array
+	Binary       bool   // its values are sent in binary form
+	Element      uint32 // OID of the type of an array's elements; 0: no array
 	Type         arrow.DataType
 }
 
-// Schema describes the rows of a result.
+// Schema describes the rows of a result, as the engine sends them and as Arrow holds them.
 type Schema struct {
 	Columns []Column
 	Arrow   *arrow.Schema
@@ -58,7 +59,7 @@
 
 var errTruncated = errors.New("message is cut")
 
-// noModifier is the type modifier of a type without one.
+// noModifier is the type modifier that means none.
 const noModifier = -1
 
 // The modifier of a numeric is its precision and scale, plus modifierOffset ("Numeric Types").
@@ -70,7 +71,7 @@
 	maxDecimalDigits = 38 // of Arrow's Decimal128
 )
 
-// arrowTypeOf returns the Arrow type of a PostgreSQL type; nil: this package does not read its binary form.
+// arrowTypeOf returns the Arrow type of a PostgreSQL type; nil: this package does not decode its binary form.
 func arrowTypeOf(oid uint32, modifier int32) arrow.DataType {
 	if oid == oidNumeric {
 		return numericType(modifier)
@@ -81,8 +82,8 @@
 	return arrowTypes[oid]
 }
 
-// numericType returns the Arrow type of a numeric. One without modifier may hold anything, and a scale below
-// zero or beyond the precision is none of Arrow's: these come as text, to the last digit.
+// numericType returns the Arrow type of a numeric. Without a modifier it may hold any number, and Arrow's
+// decimals have no scale below zero or above the precision. Such numerics are strings, with all their digits.
 func numericType(modifier int32) arrow.DataType {
 	precision := (modifier - modifierOffset) >> precisionShift & precisionMask
 	scale := (modifier - modifierOffset) & scaleMask
@@ -92,8 +93,9 @@
 	return arrow.BinaryTypes.String
 }
 
-// NewSchema reads the body of a RowDescription. assumeBinary: the columns have the formats that AppendFormats
-// asks for, whatever the message says. In a statement's description the engine does not know them yet.
+// NewSchema decodes the body of a RowDescription. assumeBinary: the columns have the formats that
+// AppendFormats asks for, whatever the message says, as an engine that describes a statement does not know
+// them yet.
 func NewSchema(b []byte, assumeBinary bool) (*Schema, error) {
 	if len(b) < 2 {
 		return nil, errTruncated
@@ -116,10 +118,10 @@
 	return s, nil
 }
 
-// columnTail is the size of a column's description after its name and the zero byte that ends it.
+// columnTail is the size in bytes of a column's description after its name and the zero byte that ends it.
 const columnTail = 18
 
-// parseColumn reads one column of a RowDescription and returns what follows it.
+// parseColumn decodes one column of a RowDescription and returns the bytes after it.
 func parseColumn(b []byte) (c Column, rest []byte, err error) {
 	end := 0
 	for end < len(b) && b[end] != 0 {
@@ -136,27 +138,27 @@
 	return c, b[columnTail:], nil
 }
 
-// Formats of values ("Formats and Format Codes").
+// Format codes of values ("Formats and Format Codes").
 const (
 	formatText   = 0
 	formatBinary = 1
 )
 
-// resolveType sets the Arrow type of a column.
+// resolveType sets the Arrow type and the element type of a column.
 func (c *Column) resolveType(assumeBinary bool) {
 	c.Type, c.Element = arrowTypeOf(c.OID, c.TypeModifier), arrayElementTypes[c.OID]
 	if assumeBinary {
 		c.Binary = c.Type != nil
 	}
 	switch {
-	case !c.Binary: // as text, whatever it is
+	case !c.Binary: // text form, whatever the type
 		c.Type, c.Element = arrow.BinaryTypes.String, 0
 	case c.Type == nil:
 		c.Type = arrow.BinaryTypes.Binary
 	}
 }
 
-// field returns the column as a field. A uuid is one of Arrow's canonical extension types.
+// field returns the column as an Arrow field. A uuid has one of Arrow's canonical extension types.
 func (c *Column) field() arrow.Field {
 	f := arrow.Field{Name: c.Name, Type: c.Type, Nullable: true}
 	if c.Binary && c.OID == oidUUID {
@@ -166,7 +168,8 @@
 	return f
 }
 
-// ParameterSchema reads the body of a ParameterDescription as a schema of what a client may bind.
+// ParameterSchema decodes the body of a ParameterDescription into the schema of the parameters that a client
+// may bind.
 func ParameterSchema(b []byte) (*arrow.Schema, error) {
 	if len(b) < 2 || len(b) != 2+4*int(binary.BigEndian.Uint16(b)) {
 		return nil, errTruncated
@@ -179,7 +182,8 @@
 	return arrow.NewSchema(fields, nil), nil
 }
 
-// Field returns a column of a table, or a parameter, as a field.
+// Field returns a column of a table, or a parameter, as an Arrow field. Types that arrowTypeOf does not know
+// become strings.
 func Field(name string, oid uint32, modifier int32, nullable bool) arrow.Field {
 	t := arrowTypeOf(oid, modifier)
 	if t == nil {
@@ -188,8 +192,8 @@
 	return arrow.Field{Name: name, Type: t, Nullable: nullable}
 }
 
-// AppendFormats appends the result formats of a Bind message: their number and one for each column. A nil
-// schema asks for text.
+// AppendFormats appends the result formats of a Bind message: their number, and one for each column. A nil
+// schema asks for text form.
 func (s *Schema) AppendFormats(out []byte) []byte {
 	if s == nil {
 		return binary.BigEndian.AppendUint16(out, 0)
