--- a/internal/frontend/flightsql/grpcstatus/golden_test.go
+++ b/internal/frontend/flightsql/grpcstatus/golden_test.go
@@ -15,8 +15,8 @@
 	"cresspass/internal/protocol/pgwire"
 )
 
-// TestStatusesAreStable compares the statuses that clients are sent with what the version that introduced
-// this test gave.
+// TestStatusesAreStable compares the statuses that clients receive with those of the version that introduced
+// this test.
 func TestStatusesAreStable(t *testing.T) {
 	var got strings.Builder
 	write := func(s *Status) {
--- a/internal/frontend/flightsql/grpcstatus/status.go
+++ b/internal/frontend/flightsql/grpcstatus/status.go
@@ -1,7 +1,7 @@
-// Package grpcstatus converts final responses into gRPC's terms: a verdict of the dispatcher, or an engine's
-// error, becomes a code with details that say what a client may do. It does no I/O.
+// Package grpcstatus converts a verdict of the dispatcher or an error of an engine into a gRPC status: a code
+// with details that say whether a client may retry. It does no I/O.
 //
-// UNAVAILABLE is what retry policies repeat. It never stands for a statement that may have run.
+// Retry policies of clients retry UNAVAILABLE. It is never the code of a statement that may have run.
 package grpcstatus
 
 import (
@@ -22,16 +22,16 @@
 // Domain is the ErrorInfo domain of all statuses.
 const Domain = "cresspass"
 
-// The reasons of ErrorInfo, as clients receive them.
+// Reasons in ErrorInfo, as clients receive them.
 const (
-	ReasonRejected  = "REFUSED"   // a retry is harmless
-	ReasonFailed    = "FAILED"    // nothing is promised
-	ReasonInvalid   = "FAULTY"    // rejected for what the call says; nothing ran
+	ReasonRejected  = "REFUSED"   // the statement was rejected; a retry is harmless
+	ReasonFailed    = "FAILED"    // the outcome is unknown
+	ReasonInvalid   = "FAULTY"    // the call is invalid; nothing ran
 	ReasonCancelled = "CANCELLED" // by the client
 	ReasonEngine    = "ENGINE"    // the engine's own error
 )
 
-// Keys of ErrorInfo's metadata, and the values of ran.
+// Keys of ErrorInfo's metadata, and the values of metadataRan.
 const (
 	metadataSQLState = "sqlstate"
 	metadataRan      = "ran"
@@ -48,17 +48,17 @@
 	minPushback = time.Millisecond
 )
 
-// Status is the end of a call.
+// Status is the gRPC status with which a call ends.
 type Status struct {
 	*status.Status
-	// Pushback is for the trailer grpc-retry-pushback-ms ("gRPC Retry Design", server pushback): how long to
-	// wait before a retry; below zero: there must be none.
+	// Pushback is how long the client has to wait before a retry; below zero: it must not retry. It is sent
+	// in the trailer grpc-retry-pushback-ms ("gRPC Retry Design", server pushback).
 	Pushback time.Duration
 	// MayHaveRun reports that the statement may have run.
 	MayHaveRun bool
 }
 
-// PushbackText returns the value of the trailer.
+// PushbackText returns the value of the trailer grpc-retry-pushback-ms, in milliseconds.
 func (s *Status) PushbackText() string {
 	if s.Pushback < 0 {
 		return strconv.Itoa(noRetry)
@@ -66,7 +66,7 @@
 	return strconv.FormatInt(max(s.Pushback, minPushback).Milliseconds(), 10)
 }
 
-// FromVerdict returns a verdict's status.
+// FromVerdict returns the status of a verdict.
 func FromVerdict(v *verdict.Verdict) *Status {
 	message := v.Message
 	if v.Detail != "" {
@@ -92,7 +92,7 @@
 	if v.MayHaveRun {
 		ran = ranHarmless
 	} else if v.Code == sqlstate.AdminShutdown {
-		code = codes.Unavailable // another instance may take it at once
+		code = codes.Unavailable // another instance may run it at once
 	}
 	details := []protoadapt.MessageV1{errorInfo(ReasonRejected, metadata(v.Code, ran))}
 	if v.RetryAfter > 0 {
@@ -102,6 +102,7 @@
 	return build(code, message, max(v.RetryAfter, minPushback), v.MayHaveRun, details...)
 }
 
+// mayHaveRunText returns the value of metadataRan for a verdict.
 func mayHaveRunText(v *verdict.Verdict) string {
 	if v.MayHaveRun {
 		return ranUnknown
@@ -109,8 +110,8 @@
 	return ranNo
 }
 
-// FromEngineError returns the status of an engine's ErrorResponse. The statement that it ended had no effect,
-// but what the text did before, outside a transaction, may be in force.
+// FromEngineError returns the status of an engine's ErrorResponse. The statement that failed had no effect,
+// but earlier statements of the same text, outside a transaction, may have taken effect.
 func FromEngineError(f *pgwire.Fields) *Status {
 	message := f.Message
 	if f.Detail != "" {
@@ -123,7 +124,7 @@
 		errorInfo(ReasonEngine, metadata(f.Code, ranUnknown)))
 }
 
-// InvalidCall returns the status of a call that cannot be served as it is. Nothing ran.
+// InvalidCall returns the status of a call that cannot be served as requested. Nothing ran.
 func InvalidCall(code codes.Code, message string) *Status {
 	return build(code, message, noRetry, false,
 		errorInfo(ReasonInvalid, map[string]string{metadataRan: ranNo}))
@@ -147,7 +148,7 @@
 	return &Status{Status: s, Pushback: pushback, MayHaveRun: mayHaveRun}
 }
 
-// codesByState are the codes of SQLSTATEs that say more than their class ("PostgreSQL Error Codes").
+// codesByState maps SQLSTATEs whose code differs from that of their class ("PostgreSQL Error Codes").
 var codesByState = map[string]codes.Code{
 	sqlstate.QueryCanceled: codes.Canceled,
 	"23505":                codes.AlreadyExists, // unique_violation
@@ -170,7 +171,7 @@
 	"57P05":                codes.DeadlineExceeded, // idle_session_timeout
 }
 
-// codesByClass are the codes of classes of SQLSTATE; any other is Unknown.
+// codesByClass maps classes of SQLSTATE, their first two characters; any other class is Unknown.
 var codesByClass = map[string]codes.Code{
 	"0A": codes.Unimplemented,
 	"03": codes.InvalidArgument,
@@ -190,8 +191,8 @@
 	"40": codes.Aborted,
 }
 
-// codeOfSQLState returns the code of a SQLSTATE. It is never UNAVAILABLE, which clients retry, nor
-// RESOURCE_EXHAUSTED, which says here that nothing ran: an engine's error proves neither.
+// codeOfSQLState returns the gRPC code of a SQLSTATE. It is never UNAVAILABLE, which clients retry, nor
+// RESOURCE_EXHAUSTED, which means here that a retry is harmless: an engine's error proves neither.
 func codeOfSQLState(state string) codes.Code {
 	if code, ok := codesByState[state]; ok {
 		return code
--- a/internal/frontend/flightsql/grpcstatus/status_test.go
+++ b/internal/frontend/flightsql/grpcstatus/status_test.go
@@ -11,8 +11,8 @@
 	"cresspass/internal/protocol/pgwire"
 )
 
-// TestStatuses: what each end of a call becomes. No code that clients retry by themselves stands for a
-// statement that may have run.
+// TestStatuses checks the status of each kind of verdict and engine error. No engine error gets a code that
+// clients retry by themselves, since its statement may have run.
 func TestStatuses(t *testing.T) {
 	for _, c := range []struct {
 		s        *Status
@@ -51,18 +51,19 @@
 		}
 		if c.s.Code() != c.code || info == nil || info.Reason != c.reason || info.Metadata["ran"] != c.ran ||
 			c.s.PushbackText() != c.pushback {
-			t.Errorf("%v: %v %v, pushback %s", c.s.Message(), c.s.Code(), info, c.s.PushbackText())
+			t.Errorf("status %q: code %v, ErrorInfo %v, pushback %s", c.s.Message(), c.s.Code(), info,
+				c.s.PushbackText())
 		}
 		if (retry != nil) != (c.pushback == "1500") || retry != nil &&
 			retry.RetryDelay.AsDuration() != 1500*time.Millisecond {
-			t.Errorf("%v: RetryInfo %v", c.s.Message(), retry)
+			t.Errorf("status %q: RetryInfo %v", c.s.Message(), retry)
 		}
 	}
 	for a := byte('0'); a <= 'Z'; a++ { // every class of SQLSTATE
 		for b := byte('0'); b <= 'Z'; b++ {
 			switch s := FromEngineError(&pgwire.Fields{Code: string([]byte{a, b}) + "000"}); s.Code() {
 			case codes.Unavailable, codes.ResourceExhausted, codes.OK:
-				t.Errorf("class %c%c becomes %v", a, b, s.Code())
+				t.Errorf("SQLSTATE class %c%c: code %v, which no engine error may have", a, b, s.Code())
 			}
 		}
 	}
