--- a/internal/frontend/flightsql/bearertoken/store.go
+++ b/internal/frontend/flightsql/bearertoken/store.go
@@ -1,7 +1,7 @@
-// Package bearertoken decides about the sessions behind bearer tokens: who may open one, which token names
-// one that lives, and when one has been idle for so long that it expires. A session of a connection is one
-// that was opened without a handshake; it ends with its connection only. The package does no I/O and reads no
-// clock; tokens are made by the caller.
+// Package bearertoken manages the sessions behind bearer tokens. It decides who may open a session, which
+// token belongs to an open session, and when an idle session expires. A connection-scoped session is one that
+// was opened without a handshake; it does not expire, but ends with its connection. The package does no I/O
+// and reads no clock; the caller makes the tokens.
 package bearertoken
 
 import (
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// Limits bound the sessions. Zero switches a limit off.
+// Limits limits the sessions of a Store. Zero switches a limit off.
 type Limits struct {
-	IdleTimeout time.Duration // a session without a call for so long expires
+	IdleTimeout time.Duration // a session without a call for this long expires
 	MaxSessions int           // open at a time
-	MaxPerUser  int           // open at a time of one user
+	MaxPerUser  int           // open at a time for one user
 }
 
-// Session is what a token stands for.
+// Session is the session behind a token.
 type Session struct {
 	Token, User      string
-	ConnectionScoped bool // it ends with its connection only
+	ConnectionScoped bool // it does not expire, but ends with its connection
 
 	activeCalls int
 	idleSince   time.Duration
 }
 
-// Store holds the sessions. It is for one goroutine at a time.
+// Store holds the open sessions. It is not safe for concurrent use.
 type Store struct {
 	limits         Limits
 	sessions       map[string]*Session // by token
@@ -37,7 +37,7 @@
 	return &Store{limits: l, sessions: map[string]*Session{}, sessionsByUser: map[string]int{}}
 }
 
-// Open opens a session under a token that was never used. It returns why not.
+// Open opens a session under a new token. If it may not be opened, ok is false and reason says why.
 func (s *Store) Open(now time.Duration, token, user string, connectionScoped bool) (reason string, ok bool) {
 	count, limit := s.sessionsByUser[user], s.limits.MaxPerUser
 	switch {
@@ -54,8 +54,8 @@
 	return "", true
 }
 
-// BeginCall begins a call of a session. It returns nil where the token names no session that lives: one that
-// has expired is over, whether or not Expired was called meanwhile.
+// BeginCall begins a call of a session. It returns nil if the token belongs to no open session, or to one
+// that has expired, whether or not Expired has returned it. EndCall must follow each call that has begun.
 func (s *Store) BeginCall(now time.Duration, token string) *Session {
 	session := s.sessions[token]
 	if session == nil || s.expired(now, session) {
@@ -65,7 +65,7 @@
 	return session
 }
 
-// EndCall ends a call of a session. One that was closed meanwhile is left alone.
+// EndCall ends a call of a session. It does nothing if the session was closed meanwhile.
 func (s *Store) EndCall(now time.Duration, token string) {
 	if session := s.sessions[token]; session != nil && session.activeCalls > 0 {
 		session.activeCalls--
@@ -73,7 +73,7 @@
 	}
 }
 
-// Close ends a session. It returns false where there is none.
+// Close ends a session. It returns false if the token has none.
 func (s *Store) Close(token string) bool {
 	session := s.sessions[token]
 	if session == nil {
--- a/internal/frontend/flightsql/bearertoken/store_test.go
+++ b/internal/frontend/flightsql/bearertoken/store_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestIdleSessionsExpire: a session expires when it was idle for the timeout, not while a call runs; that of
-// a connection never does.
+// TestIdleSessionsExpire checks that a session expires once it has been idle for the timeout, but not while a
+// call runs, and that a connection-scoped session never expires.
 func TestIdleSessionsExpire(t *testing.T) {
 	const timeout = time.Minute
 	s := New(Limits{IdleTimeout: timeout})
@@ -17,7 +17,7 @@
 		}
 	}
 	if s.BeginCall(0, "busy") == nil {
-		t.Fatal("a call of a session that lives is rejected")
+		t.Fatal("a call of an open session is rejected")
 	}
 	if got := s.Expired(timeout - 1); len(got) != 0 {
 		t.Errorf("expired before the timeout: %v", got)
@@ -34,15 +34,15 @@
 	}
 	s.EndCall(2*timeout-1, "busy")
 	if s.BeginCall(3*timeout, "busy") != nil || s.BeginCall(time.Hour, "connection") == nil {
-		t.Error("an expired session lives, or that of a connection expired")
+		t.Error("a call of an expired session is accepted, or a connection-scoped session has expired")
 	}
 	if !s.Close("idle") || s.Close("idle") || s.Len() != 2 {
 		t.Errorf("%d sessions after one was closed, want 2", s.Len())
 	}
-	s.EndCall(time.Hour, "idle") // of a session that was closed
+	s.EndCall(time.Hour, "idle") // EndCall after Close has no effect
 }
 
-// TestLimits: the limits of sessions, of all users and of one, and what a session gives back.
+// TestLimits checks the limits on sessions, in total and per user, and that a closed session frees its place.
 func TestLimits(t *testing.T) {
 	s := New(Limits{MaxSessions: 3, MaxPerUser: 2})
 	for _, c := range []struct{ token, user, reason string }{
@@ -54,11 +54,12 @@
 		{"e", "v", "3 sessions are open, at most 3 may be"},
 	} {
 		if reason, ok := s.Open(0, c.token, c.user, false); reason != c.reason || ok != (c.reason == "") {
-			t.Errorf("%s of %s: %q, %v, want %q", c.token, c.user, reason, ok, c.reason)
+			t.Errorf("open %s for user %s: reason %q, ok %v, want reason %q", c.token, c.user, reason, ok,
+				c.reason)
 		}
 	}
 	s.Close("a")
 	if reason, ok := s.Open(0, "c", "u", false); !ok {
-		t.Errorf("behind a session that was closed: %s", reason)
+		t.Errorf("open after another session was closed: rejected, %s", reason)
 	}
 }
--- a/internal/frontend/flightsql/statementqueue/queue.go
+++ b/internal/frontend/flightsql/statementqueue/queue.go
@@ -1,33 +1,36 @@
-// Package statementqueue decides which statement of a session runs now. A Flight client sends many statements
-// of one session at once, and an engine connection runs one after the other. Statements that leave no session
-// state run beside each other; one that may leave some, or needs what was left, runs exclusively. Statements
-// start in the order of their arrival: one that waits to run exclusively holds later ones back, so that a
-// flood of others cannot starve it. The package does no I/O and has no clock.
+// Package statementqueue decides which statement of a session runs now. A Flight client may send many
+// statements of one session at once, but an engine connection runs them one after another. Statements that
+// leave no session state run concurrently. A statement that may leave state, or needs state that was left,
+// runs exclusively. Statements start in the order of their arrival: one that waits to run exclusively holds
+// later ones back, so that a flood of others cannot starve it. The package does no I/O and has no clock.
 package statementqueue
 
-// StatementID names a statement.
+// StatementID identifies a statement.
 type StatementID uint64
 
+// entry is a statement that waits.
 type entry struct {
 	id        StatementID
 	exclusive bool
 }
 
-// Queue holds the statements of one session. The zero value is empty. It is for one goroutine at a time.
+// Queue holds the statements of one session or transaction. The zero value is an empty queue. It is not safe
+// for concurrent use.
 type Queue struct {
 	waiting          []entry
-	running          map[StatementID]bool // true: exclusively
+	running          map[StatementID]bool // true: it runs exclusively
 	sharedRunning    int
 	exclusiveRunning bool
 	sticky           bool
 	closed           bool
 }
 
-// SetSticky sets whether the session is on an engine connection. While it is, every statement runs
-// exclusively.
+// SetSticky sets whether the session is bound to an engine connection. While it is, every statement that
+// starts runs exclusively.
 func (q *Queue) SetSticky(sticky bool) { q.sticky = sticky }
 
-// Close lets no further statement start. It returns those that wait, which are to be answered.
+// Close closes the queue: no further statement starts. It returns the statements that waited, which the
+// caller has to answer.
 func (q *Queue) Close() (waiting []StatementID) {
 	for _, e := range q.waiting {
 		waiting = append(waiting, e.id)
@@ -44,8 +47,8 @@
 // Waiting returns the number of statements that wait.
 func (q *Queue) Waiting() int { return len(q.waiting) }
 
-// Enqueue adds a statement. exclusive: it may leave session state. It returns the statements that start now,
-// the new one perhaps among them. A closed queue starts none.
+// Enqueue adds a statement and returns the statements that start now, which may include it. exclusive: it may
+// leave session state. A closed queue starts none.
 func (q *Queue) Enqueue(id StatementID, exclusive bool) (started []StatementID) {
 	if q.closed {
 		return nil
@@ -54,8 +57,7 @@
 	return q.startNext()
 }
 
-// Remove takes out a statement that has ended, or that waits no more. It returns the statements that start
-// now.
+// Remove removes a statement that has ended or no longer waits, and returns the statements that start now.
 func (q *Queue) Remove(id StatementID) (started []StatementID) {
 	if exclusive, ok := q.running[id]; ok {
 		delete(q.running, id)
@@ -75,7 +77,7 @@
 	return q.startNext()
 }
 
-// startNext starts the statements that may run, in order.
+// startNext starts the statements that may run now, in order of arrival, and returns them.
 func (q *Queue) startNext() (started []StatementID) {
 	if q.running == nil {
 		q.running = map[StatementID]bool{}
--- a/internal/frontend/flightsql/statementqueue/queue_test.go
+++ b/internal/frontend/flightsql/statementqueue/queue_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestStatementsRunInOrder: whatever comes and goes, a statement that runs exclusively runs beside no other,
-// a sticky session runs one at a time, statements start in the order in which they came, none waits while
-// nothing runs, and all run in the end.
+// TestStatementsRunInOrder adds and removes statements at random and checks that a statement that runs
+// exclusively runs beside no other, that a sticky session runs one statement at a time, that statements start
+// in the order of arrival, that none waits while nothing runs, and that all run in the end.
 func TestStatementsRunInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue
@@ -19,21 +19,21 @@
 		start := func(ids []StatementID) {
 			for _, id := range ids {
 				if waiting[0] != id {
-					t.Fatalf("%d runs before %d", id, waiting[0])
+					t.Fatalf("statement %d started before %d, which arrived first", id, waiting[0])
 				}
 				waiting = waiting[1:]
 				running[id] = true
 				if exclusive[id] = exclusive[id] || sticky; exclusive[id] && len(running) > 1 {
-					t.Fatalf("%d is to run exclusively, and %d run", id, len(running))
+					t.Fatalf("statement %d started exclusively, but %d statements run", id, len(running))
 				}
 			}
 			for id := range running {
 				if exclusive[id] && len(running) > 1 {
-					t.Fatalf("beside %d, which runs exclusively, %d run", id, len(running)-1)
+					t.Fatalf("statement %d runs exclusively, but %d others run", id, len(running)-1)
 				}
 			}
 			if len(running) == 0 && len(waiting) > 0 {
-				t.Fatalf("nothing runs and %v wait", waiting)
+				t.Fatalf("no statement runs, but %v wait", waiting)
 			}
 		}
 		next := StatementID(0)
@@ -51,7 +51,7 @@
 					waiting = slices.Delete(waiting, i, i+1)
 				}
 				start(q.Remove(id))
-			case 4: // a statement that runs exclusively leaves session state, or removes it
+			case 4: // a statement that runs exclusively leaves or removes session state
 				for id := range running {
 					if exclusive[id] {
 						sticky = !sticky
@@ -68,7 +68,7 @@
 			}
 		}
 		if !q.Idle() || len(waiting) > 0 {
-			t.Fatalf("%v wait for ever", waiting)
+			t.Fatalf("the queue is not idle at the end: %v still wait", waiting)
 		}
 	})
 }
--- a/internal/frontend/flightsql/ticket/golden_test.go
+++ b/internal/frontend/flightsql/ticket/golden_test.go
@@ -11,8 +11,8 @@
 	"cresspass/internal/goldentest"
 )
 
-// TestTicketEncodingIsStable: clients hold tickets and send them back, to a dispatcher of another version
-// too. The bytes under testdata were written by the version that introduced this test.
+// TestTicketEncodingIsStable compares sealed tickets with the bytes under testdata, which the version that
+// introduced this test wrote. Clients hold tickets and may send them back to a dispatcher of another version.
 func TestTicketEncodingIsStable(t *testing.T) {
 	key := []byte("a key for golden files, 32 bytes")
 	for name, want := range map[string]*Ticket{
@@ -36,7 +36,7 @@
 			t.Fatalf("%s: %v", file, err)
 		}
 		if !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: read as %+v, want %+v", file, got, want)
+			t.Errorf("%s: opened as %+v, want %+v", file, got, want)
 		}
 		if now := Seal(key, want); !bytes.Equal(now, sealed) {
 			t.Errorf("%s: sealed as %x, want %x", file, now, sealed)
--- a/internal/frontend/flightsql/ticket/ledger.go
+++ b/internal/frontend/flightsql/ticket/ledger.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// FetchLedger remembers which tickets for a single use were fetched. It is for one goroutine at a time.
+// FetchLedger remembers which single-use tickets were fetched. It is not safe for concurrent use.
 type FetchLedger struct {
 	capacity int
 	fetched  map[uint64]*fetch // by nonce
-	byExpiry []*fetch          // in the order of BeginFetch, which is that of expiry as far as it needs to be
+	byExpiry []*fetch          // in the order of BeginFetch, which is only roughly that of expiry
 }
 
+// fetch is a remembered fetch of a single-use ticket.
 type fetch struct {
 	nonce     uint64
 	expiresAt time.Duration
@@ -22,8 +23,8 @@
 	return &FetchLedger{capacity: capacity, fetched: map[uint64]*fetch{}}
 }
 
-// BeginFetch decides whether a session's fetch of a ticket runs its statement. EndFetch must follow where the
-// error is nil. retryAfter comes with ErrLedgerFull: when there may be capacity.
+// BeginFetch decides whether a session's fetch of a ticket may run its statement. EndFetch must follow if the
+// error is nil. With ErrLedgerFull, retryAfter is the time until there may be capacity.
 func (l *FetchLedger) BeginFetch(now time.Duration, t *Ticket, session string) (retryAfter time.Duration,
 	err error) {
 	l.evictExpired(now)
@@ -47,8 +48,8 @@
 	return 0, nil
 }
 
-// EndFetch reports how a fetch ended. mayHaveRun: its statement may have run. A ticket whose statement did
-// not may be fetched again.
+// EndFetch records how a fetch ended. If mayHaveRun is false, its statement did not run and the ticket may be
+// fetched again.
 func (l *FetchLedger) EndFetch(t *Ticket, mayHaveRun bool) {
 	f := l.fetched[t.Nonce]
 	if f == nil || mayHaveRun {
@@ -58,10 +59,10 @@
 	f.expiresAt = 0 // evictExpired drops it from byExpiry
 }
 
-// Len returns the number of fetches that are remembered.
+// Len returns the number of remembered fetches.
 func (l *FetchLedger) Len() int { return len(l.fetched) }
 
-// earliestExpiry returns when the first ticket that is remembered expires.
+// earliestExpiry returns when the first of the remembered tickets expires.
 func (l *FetchLedger) earliestExpiry() time.Duration {
 	earliest := time.Duration(math.MaxInt64)
 	for _, f := range l.fetched {
@@ -70,8 +71,10 @@
 	return earliest
 }
 
-// evictExpired forgets fetches whose tickets have expired and can be fetched no more, even while a statement
-// runs on after that. All tickets have the same lifetime, so the oldest is the first.
+// evictExpired forgets fetches whose tickets have expired, as these can no longer be fetched, even if the
+// statement still runs. It goes by the order of BeginFetch and stops at the first ticket that has not
+// expired. As all tickets have the same lifetime, a fetch is forgotten at most one lifetime after its
+// BeginFetch.
 func (l *FetchLedger) evictExpired(now time.Duration) {
 	n := 0
 	for n < len(l.byExpiry) && now >= l.byExpiry[n].expiresAt {
--- a/internal/frontend/flightsql/ticket/ticket.go
+++ b/internal/frontend/flightsql/ticket/ticket.go
@@ -1,6 +1,6 @@
-// Package ticket decides what a Flight ticket is and what a fetch of it may do. A ticket carries its
-// statement, signed, so that a ticket that is never fetched costs nothing. What is remembered, by a
-// FetchLedger, is the fetches of statements that may change data, until their tickets have expired. The
+// Package ticket encodes and signs Flight tickets, and decides whether a fetch of one may run its statement.
+// A ticket carries its statement, so a ticket that is never fetched takes no memory here. A FetchLedger
+// remembers only the fetches of statements that may change data, until their tickets have expired. The
 // package does no I/O and reads no clock.
 package ticket
 
@@ -13,19 +13,19 @@
 	"time"
 )
 
-// Ticket is what a client is given to fetch a statement's rows with.
+// Ticket lets a client fetch the rows of a statement.
 type Ticket struct {
-	Nonce          uint64        // names it among the tickets of one dispatcher process
-	Session        string        // that may fetch it
-	Transaction    string        // "": none
+	Nonce          uint64        // unique among the tickets of one dispatcher process
+	Session        string        // token of the session that may fetch it
+	Transaction    string        // id; "": none
 	Text           string        // of the statement
 	ParameterTypes string        // OIDs, 4 bytes each
-	BindBody       []byte        // body of PostgreSQL's Bind message after its two names
-	ExpiresAt      time.Duration // on the dispatcher's clock
+	BindBody       []byte        // body of PostgreSQL's Bind message, without its two names
+	ExpiresAt      time.Duration // on the server's clock, the one of FetchLedger.BeginFetch
 	SingleUse      bool          // the statement may change data: one fetch runs it
 }
 
-// Errors of tickets that are not fetched.
+// Errors of Open and FetchLedger.BeginFetch. Clients receive their texts.
 var (
 	ErrForged       = errors.New("the ticket is not one of this dispatcher's")
 	ErrOtherSession = errors.New("the ticket belongs to another session")
@@ -38,9 +38,9 @@
 	errTruncated = fmt.Errorf("%w: it is cut", ErrForged)
 )
 
-// The sealed form: a version, flags, the nonce and the expiry as big-endian numbers of 8 bytes, then five
-// parts (session, transaction, text, parameter types, Bind body), each after its length as a varint, and
-// the signature of all that.
+// The sealed form: a version byte, a flags byte, the nonce and the expiry as big-endian numbers of 8 bytes
+// each, then five parts (session, transaction, text, parameter types, Bind body), each after its length as a
+// varint, and the HMAC-SHA-256 signature of all that.
 const (
 	formatVersion = 1
 	flagSingleUse = 1
@@ -71,7 +71,7 @@
 	return mac.Sum(nil)
 }
 
-// Open decodes a ticket that Seal made with the key. The error of any other is ErrForged.
+// Open verifies and decodes a ticket that Seal made with the key. For any other input the error is ErrForged.
 func Open(key, sealed []byte) (*Ticket, error) {
 	n := len(sealed) - sha256.Size
 	if n < partsOffset {
--- a/internal/frontend/flightsql/ticket/ticket_test.go
+++ b/internal/frontend/flightsql/ticket/ticket_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// FuzzOpen: a ticket opens to what was sealed. Changed in any byte, truncated or signed by another key it
-// does not open.
+// FuzzOpen checks that a sealed ticket opens to the same ticket, and that it does not open if any byte was
+// changed, if it was truncated, or if it was signed with another key.
 func FuzzOpen(f *testing.F) {
 	key := []byte("key of a process")
 	f.Add("session", "transaction", "select 1", "\x00\x00\x00\x19", []byte{1, 2}, uint64(7), int64(9), true,
@@ -25,26 +25,26 @@
 		if err != nil || out.Session != session || out.Transaction != transaction || out.Text != text ||
 			out.ParameterTypes != types || !bytes.Equal(out.BindBody, bind) || out.Nonce != nonce ||
 			out.ExpiresAt != in.ExpiresAt || out.SingleUse != singleUse {
-			t.Fatalf("%+v comes back as %+v, %v", in, out, err)
+			t.Fatalf("ticket %+v opened as %+v, error %v", in, out, err)
 		}
 		if _, err := Open([]byte("another"), b); !errors.Is(err, ErrForged) {
-			t.Fatal("signed by another key, and taken")
+			t.Fatal("a ticket signed with another key was opened")
 		}
 		at = int(uint(at) % uint(len(b)))
 		if _, err := Open(key, b[:at]); !errors.Is(err, ErrForged) {
-			t.Fatalf("cut at %d, and taken", at)
+			t.Fatalf("a ticket truncated to %d bytes was opened", at)
 		}
 		if b[at] ^= change; change != 0 {
 			if _, err := Open(key, b); !errors.Is(err, ErrForged) {
-				t.Fatalf("byte %d changed, and taken", at)
+				t.Fatalf("a ticket with byte %d changed was opened", at)
 			}
 		}
 	})
 }
 
-// TestFetchLedger compares the ledger with a model: a statement that may change data runs once, unless a run
-// of it did not happen; never for another session, and never after its ticket's expiry; memory is bounded,
-// and given back.
+// TestFetchLedger compares the ledger with a model. A statement that may change data runs at most once; a
+// fetch that did not run it does not count. No statement runs for another session or after its ticket has
+// expired. The ledger's memory is bounded, and empty again after the expiry of all tickets.
 func TestFetchLedger(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const lifetime, capacity = 10 * time.Second, 4
@@ -97,7 +97,7 @@
 				}
 			}
 			if ledger.Len() > capacity {
-				t.Fatalf("%d remembered, at most %d may be", ledger.Len(), capacity)
+				t.Fatalf("%d fetches remembered, want at most %d", ledger.Len(), capacity)
 			}
 		}
 		now += 2 * lifetime
@@ -106,7 +106,8 @@
 			t.Fatal(err)
 		}
 		if ledger.Len() != 0 || len(ledger.byExpiry) != 0 {
-			t.Fatalf("%d and %d are left", ledger.Len(), len(ledger.byExpiry))
+			t.Fatalf("%d fetches and %d entries of the expiry list are left, want none", ledger.Len(),
+				len(ledger.byExpiry))
 		}
 	})
 }
