--- a/internal/frontend/flightsql/batches.go
+++ b/internal/frontend/flightsql/batches.go
@@ -12,28 +12,28 @@
 	"cresspass/internal/frontend/flightsql/arrowbatch"
 )
 
-// How rows are gathered: a batch goes out at batchBytes or batchRows, or when no row came for
-// batchIdleFlush.
+// Limits of a batch: it is sent when its rows have batchBytes in the engine's messages, when it has batchRows
+// rows, or when no row arrived for batchIdleFlush.
 const (
 	batchBytes     = 512 << 10
 	batchRows      = 64 << 10
 	batchIdleFlush = 5 * time.Millisecond
 )
 
-// batchReader turns one response into record batches.
+// batchReader converts one response into record batches.
 type batchReader struct {
 	server   *Server
 	call     *call
 	chunks   chan flight.StreamChunk
 	schema   *arrowbatch.Schema  // nil: not known yet
-	builder  *arrowbatch.Builder // nil: no rows come
+	builder  *arrowbatch.Builder // nil: no row description has arrived
 	complete bool                // the response has been read to its end
-	failure  error               // it ended by an error, after rows that were not sent yet
+	failure  error               // the response ended with it, after rows that are not sent yet
 	batches  []arrow.RecordBatch // to be sent
 }
 
-// streamBatches reads a response's rows into record batches. It returns once their schema is known, or the
-// query has ended without; ended is called at the end.
+// streamBatches converts a response's rows into a stream of record batches. It returns once their schema is
+// known, or the query has ended without one. ended is called once, with the error of the stream or nil.
 func (s *Server) streamBatches(ctx context.Context, c *call,
 	ended func(error)) (*arrow.Schema, <-chan flight.StreamChunk, error) {
 	r := &batchReader{server: s, call: c, chunks: make(chan flight.StreamChunk)}
@@ -66,7 +66,7 @@
 	return r.schema.Arrow, r.chunks, nil
 }
 
-// handleMessages handles messages of an engine.
+// handleMessages reads the schema and the rows from an engine's messages.
 func (r *batchReader) handleMessages(b []byte) error {
 	return forEachMessage(b, func(kind byte, body []byte) (err error) {
 		switch kind {
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// deliver sends batches as they are taken. While nobody takes them nothing is read, the response's buffer
-// fills, and the engine is no longer read.
+// deliver sends batches as the client takes them. While the client takes none, no messages are taken from the
+// call, its buffer fills, and the engine is no longer read.
 func (r *batchReader) deliver(ctx context.Context, spare []byte, ended func(error)) {
 	defer close(r.chunks)
 	err := r.sendAll(ctx, spare)
@@ -117,7 +117,7 @@
 	ended(err)
 }
 
-// sendAll reads the response to its end and sends its batches. An error of the response is sent too.
+// sendAll reads the response to its end and sends its batches, and then the response's error if it has one.
 func (r *batchReader) sendAll(ctx context.Context, spare []byte) error {
 	if r.failure != nil {
 		return r.sendError(ctx, r.failure)
@@ -150,8 +150,8 @@
 	return r.sendBatches(ctx)
 }
 
-// sendError ends the stream by an error of the response. Rows that came before it go first, but for a call
-// that was cancelled.
+// sendError ends the stream with an error of the response. Rows that arrived before it are sent first, unless
+// the call was cancelled.
 func (r *batchReader) sendError(ctx context.Context, err error) error {
 	if status.Code(err) != codes.Canceled {
 		r.flushRows()
@@ -166,10 +166,10 @@
 	return err
 }
 
-// hasRows reports whether rows were gathered that are in no batch yet.
+// hasRows reports whether the builder has rows that are in no batch yet.
 func (r *batchReader) hasRows() bool { return r.builder != nil && r.builder.Rows() > 0 }
 
-// flushRows makes a batch of the rows that were gathered.
+// flushRows makes a batch of the builder's rows, if it has any.
 func (r *batchReader) flushRows() {
 	if r.hasRows() {
 		r.batches = append(r.batches, r.builder.Batch())
--- a/internal/frontend/flightsql/call.go
+++ b/internal/frontend/flightsql/call.go
@@ -25,8 +25,8 @@
 	"cresspass/internal/protocol/sqlstate"
 )
 
-// call is one query on its way, and the sink of its response: an engine's messages are gathered in a buffer,
-// which the call's own goroutine takes as a whole.
+// call is one query that a client waits for, and the sink of its response. The engine's messages collect in
+// a buffer, which the call's own goroutine takes as a whole.
 type call struct {
 	server    *Server
 	scope     *scope
@@ -38,11 +38,11 @@
 	buf         []byte
 	done        bool
 	verdict     *verdict.Verdict
-	dataReady   chan struct{} // of one: there is something new
-	bufferTaken chan struct{} // of one
+	dataReady   chan struct{} // capacity 1: buf has grown, or the response has ended
+	bufferTaken chan struct{} // capacity 1: buf has been taken
 }
 
-// statement is what is to be run.
+// statement is a statement to run or describe, with its bound parameters.
 type statement struct {
 	text, parameterTypes string
 	parsed               []sqlscan.Statement
@@ -50,13 +50,14 @@
 	kind                 enginequery.Kind
 }
 
-// scan parses a text.
+// scan parses a query text into statements.
 func (s *Server) scan(text string) []sqlscan.Statement {
 	return enginequery.ParseStatements(text, s.cfg.StatelessFunction)
 }
 
-// client returns the client of a call. The remaining deadline is what grpc-timeout says; a call that gRPC or
-// its client retries says so by grpc-previous-rpc-attempts ("gRPC Retry Design").
+// client returns the client of a call, for classification. Its timeout is what remains of the deadline that
+// grpc-timeout set. A retry, by gRPC or by the client, has the header grpc-previous-rpc-attempts ("gRPC Retry
+// Design").
 func (sess *session) client(ctx context.Context) classify.Client {
 	sess.mu.Lock()
 	client := classify.Client{User: sess.user, Database: sess.database, Application: sess.application}
@@ -74,8 +75,8 @@
 	return client
 }
 
-// startStatement has a statement run in its scope, once its turn has come. The call must be read to its end,
-// or abandoned.
+// startStatement waits for a statement's turn in its scope and submits it. The caller must read the call to
+// its end or abandon it.
 func (s *Server) startStatement(ctx context.Context, sc *scope, st statement) (*call, error) {
 	c := &call{server: s, scope: sc, dataReady: make(chan struct{}, 1), bufferTaken: make(chan struct{}, 1),
 		exclusive: st.kind == enginequery.Execute && needsExclusive(st.parsed)}
@@ -102,7 +103,7 @@
 	return c, nil
 }
 
-// newQuery makes the call's query.
+// newQuery creates the call's query for a statement.
 func (c *call) newQuery(ctx context.Context, st statement) *frontend.Query {
 	s, sc := c.server, c.scope
 	q := &frontend.Query{Frontend: Name, Client: sc.session.client(ctx),
@@ -120,7 +121,7 @@
 	return q
 }
 
-// WritePartial takes messages of the engine.
+// WritePartial buffers messages of the engine.
 func (c *call) WritePartial(b []byte) {
 	c.server.pendingBytes.Add(int64(len(b)))
 	c.mu.Lock()
@@ -129,7 +130,7 @@
 	signal(c.dataReady)
 }
 
-// WriteFinal takes the last of them.
+// WriteFinal buffers the last messages of the response.
 func (c *call) WriteFinal(b []byte, _ bool) {
 	c.scope.onResponseEnded(c)
 	c.server.pendingBytes.Add(int64(len(b)))
@@ -140,8 +141,8 @@
 	signal(c.dataReady)
 }
 
-// WriteVerdict takes a verdict. After a failure the client receives first what the engine sent before it;
-// any other verdict it receives at once, and what was not taken is dropped.
+// WriteVerdict ends the response with a verdict. Before a failure the client receives what the engine sent
+// until then. Any other verdict it receives at once, and messages that it has not taken are dropped.
 func (c *call) WriteVerdict(v *verdict.Verdict) {
 	c.scope.onResponseEnded(c)
 	c.mu.Lock()
@@ -154,6 +155,7 @@
 	signal(c.dataReady)
 }
 
+// signal wakes the receiver of a channel of capacity 1, without blocking.
 func signal(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
@@ -161,7 +163,7 @@
 	}
 }
 
-// awaitCapacity blocks until the client has taken what was read for it.
+// awaitCapacity blocks while more than clientBuffer bytes wait for the client and the response goes on.
 func (c *call) awaitCapacity() {
 	for {
 		c.mu.Lock()
@@ -178,8 +180,8 @@
 	}
 }
 
-// receive waits for more of the response and returns it in exchange for a spare buffer. It waits no longer
-// than within; 0: as long as it takes. more is false at the end.
+// receive waits for more of the response and returns it; spare becomes the buffer of what follows. It waits
+// no longer than within, then returns an empty b; 0: it waits without limit. more is false at the end.
 func (c *call) receive(ctx context.Context, spare []byte, within time.Duration) (b []byte, more bool,
 	err error) {
 	var timeout <-chan time.Time
@@ -203,8 +205,8 @@
 	}
 }
 
-// takeBuffer takes what has come of the response, in exchange for a spare buffer. ok is false where nothing
-// has come.
+// takeBuffer takes what has arrived of the response; spare becomes the buffer of what follows. ok is false if
+// nothing has arrived.
 func (c *call) takeBuffer(spare []byte) (b []byte, more, ok bool, err error) {
 	c.mu.Lock()
 	if len(c.buf) == 0 && !c.done {
@@ -223,12 +225,13 @@
 	return b, !done, true, nil
 }
 
-// abandon ends the call of a client that is gone. Nothing more is sent. A statement that runs exclusively
-// ends its sticky scope: the state that it left there is unknown.
+// abandon ends a call whose client is gone or cannot be sent the rest of the response. Nothing more is sent.
+// If the statement runs exclusively in a sticky scope, the scope is terminated: the state that the statement
+// left there is unknown.
 func (c *call) abandon() {
 	ours := c.query.Response.Abandon()
 	c.mu.Lock()
-	// A response that was complete and is not taken would otherwise count as pending for ever.
+	// Otherwise a complete response that nobody takes would count as pending forever.
 	c.server.pendingBytes.Add(-int64(len(c.buf)))
 	c.buf = nil
 	c.mu.Unlock()
@@ -250,7 +253,7 @@
 	c.query.OnResponseEnded()
 }
 
-// cancel ends the query by a verdict. It returns false where the query had ended.
+// cancel ends the query with a verdict. It returns false if the query has already ended.
 func (c *call) cancel(v *verdict.Verdict) bool {
 	if !c.query.Response.FinishWithVerdict(v) {
 		return false
@@ -260,7 +263,7 @@
 	return true
 }
 
-// messageHeader is the size of a message's type and length.
+// messageHeader is the size in bytes of a message's type and length.
 const messageHeader = 5
 
 // forEachMessage calls f for each of an engine's messages in b.
@@ -281,8 +284,8 @@
 	return nil
 }
 
-// readToEnd reads a response to its end without its rows. It returns the command tag and, of a description,
-// its messages.
+// readToEnd reads a response to its end and skips its rows. It returns the command tag and the messages that
+// describe the statement.
 func (c *call) readToEnd(ctx context.Context) (tag string, description []byte, err error) {
 	var spare []byte
 	for more := true; more; {
--- a/internal/frontend/flightsql/call_test.go
+++ b/internal/frontend/flightsql/call_test.go
@@ -12,7 +12,7 @@
 	"cresspass/internal/protocol/pgwire"
 )
 
-// rowMessages are a RowDescription of one column, a text, and so many rows.
+// rowMessages returns a RowDescription of one text column and the given number of DataRows.
 func rowMessages(rows int) (b []byte) {
 	const textOID = 25
 	column := append([]byte("\x00\x01name\x00"), make([]byte, 18)...)
@@ -24,7 +24,7 @@
 	return b
 }
 
-// receiveAll returns how many rows a call's client receives, and the error that ends them.
+// receiveAll returns how many rows a call's client receives and the error that ends the stream.
 func receiveAll(t *testing.T, c *call) (rows int64, err error) {
 	t.Helper()
 	ended := make(chan error, 1)
@@ -41,13 +41,13 @@
 		chunk.Data.Release()
 	}
 	if endErr := <-ended; !errors.Is(endErr, err) {
-		t.Errorf("the client has %v, the call %v", err, endErr)
+		t.Errorf("the client received error %v, the call ended with %v", err, endErr)
 	}
 	return rows, err
 }
 
-// Guards against rows that an engine delivered and the client never got: an error that came before they were
-// taken replaced them.
+// TestErrorFollowsRows guards against lost rows: an error that arrived before the client had taken the
+// engine's rows replaced them.
 func TestErrorFollowsRows(t *testing.T) {
 	const rows = 3
 	engineError := pgwire.AppendFields(nil, 'E', &pgwire.Fields{Severity: "ERROR", Code: "22012",
@@ -74,10 +74,10 @@
 			r.WriteThrough(0, rowMessages(rows))
 			test.end(r)
 			if got, err := receiveAll(t, c); got != test.rows || err == nil {
-				t.Errorf("%d rows and %v, want %d rows and an error", got, err, test.rows)
+				t.Errorf("received %d rows and error %v, want %d rows and an error", got, err, test.rows)
 			}
 			if pending := s.pendingBytes.Load(); pending != 0 {
-				t.Errorf("%d bytes count as pending", pending)
+				t.Errorf("%d bytes are still pending at the end, want 0", pending)
 			}
 		})
 	}
--- a/internal/frontend/flightsql/catalog.go
+++ b/internal/frontend/flightsql/catalog.go
@@ -14,11 +14,11 @@
 	"cresspass/internal/frontend/flightsql/arrowbatch"
 )
 
-// What drivers ask when they connect. Databases, schemas, tables and keys are known to an engine only: each
-// call runs an ordinary query, with a comment by which rules can give it a class. GetFlightInfo
-// gives the command itself as the ticket for DoGet.
+// Catalog calls, which drivers make when they connect. Only an engine knows its databases, schemas, tables
+// and keys, so each call runs an ordinary query. The comment in its text lets class rules match it.
+// GetFlightInfo returns the command itself as the ticket for DoGet.
 
-// Queries for catalogs. A parameter that is null does not filter.
+// Queries of the catalog calls. A null parameter does not filter.
 const (
 	catalogsText = `SELECT datname::text AS catalog_name FROM pg_catalog.pg_database
 WHERE datallowconn ORDER BY 1 /*action='flight.catalogs'*/`
@@ -48,7 +48,7 @@
 ORDER BY k.n /*action='flight.keys'*/`
 )
 
-// queryCatalog runs a query for a catalog and returns its rows. A nil parameter is null.
+// queryCatalog runs a catalog query and returns its rows as one batch. A nil parameter is null.
 func (s *Server) queryCatalog(ctx context.Context, text string, params ...*string) (arrow.RecordBatch,
 	error) {
 	sc := sessionOf(ctx).defaultScope
@@ -91,7 +91,7 @@
 	return concatBatches(s, schema, append(batches, emptyBatch(s, schema)))
 }
 
-// bindTexts returns the body of a Bind message with texts as the parameters.
+// bindTexts returns the body of a Bind message with text parameters. A nil parameter is null.
 func (s *Server) bindTexts(params []*string, rows *arrowbatch.Schema) ([]byte, error) {
 	fields := make([]arrow.Field, len(params))
 	for i := range params {
@@ -111,7 +111,7 @@
 	return arrowbatch.AppendBind(nil, row, 0, rows)
 }
 
-// concatBatches returns batches of a schema as one.
+// concatBatches returns the batches, all of the given schema, as one batch.
 func concatBatches(s *Server, schema *arrow.Schema, batches []arrow.RecordBatch) (arrow.RecordBatch, error) {
 	rows, columns := int64(0), make([]arrow.Array, 0, len(schema.Fields()))
 	for _, b := range batches {
@@ -150,13 +150,14 @@
 	return chunks
 }
 
-// withSchema puts the columns of a batch under the names and nullability of one of Flight SQL's schemas.
+// withSchema returns a batch with the column names and nullability of one of Flight SQL's schemas, and
+// releases the original.
 func withSchema(schema *arrow.Schema, b arrow.RecordBatch) arrow.RecordBatch {
 	defer b.Release()
 	return array.NewRecordBatch(schema, b.Columns(), b.NumRows())
 }
 
-// GetFlightInfoCatalogs gives a ticket for DoGetCatalogs.
+// GetFlightInfoCatalogs returns the ticket for DoGetCatalogs.
 func (s *Server) GetFlightInfoCatalogs(_ context.Context, fd *flight.FlightDescriptor) (*flight.FlightInfo,
 	error) {
 	return s.commandInfo(fd, schema_ref.Catalogs)
@@ -171,7 +172,7 @@
 	return schema_ref.Catalogs, singleChunk(withSchema(schema_ref.Catalogs, b)), nil
 }
 
-// GetFlightInfoSchemas gives a ticket for DoGetDBSchemas.
+// GetFlightInfoSchemas returns the ticket for DoGetDBSchemas.
 func (s *Server) GetFlightInfoSchemas(_ context.Context, _ flightsql.GetDBSchemas,
 	fd *flight.FlightDescriptor) (*flight.FlightInfo, error) {
 	return s.commandInfo(fd, schema_ref.DBSchemas)
@@ -187,7 +188,7 @@
 	return schema_ref.DBSchemas, singleChunk(withSchema(schema_ref.DBSchemas, b)), nil
 }
 
-// GetFlightInfoTables gives a ticket for DoGetTables.
+// GetFlightInfoTables returns the ticket for DoGetTables.
 func (s *Server) GetFlightInfoTables(_ context.Context, cmd flightsql.GetTables,
 	fd *flight.FlightDescriptor) (*flight.FlightInfo, error) {
 	if cmd.GetIncludeSchema() {
@@ -196,7 +197,7 @@
 	return s.commandInfo(fd, schema_ref.Tables)
 }
 
-// DoGetTables lists the tables, with the schemas of their rows where the command asks for them.
+// DoGetTables lists the tables, with the schemas of their rows if the command asks for them.
 func (s *Server) DoGetTables(ctx context.Context,
 	cmd flightsql.GetTables) (*arrow.Schema, <-chan flight.StreamChunk, error) {
 	var types *string
@@ -226,10 +227,11 @@
 	return schema, singleChunk(array.NewRecordBatch(schema, all, tables.NumRows())), nil
 }
 
-// tableName names a table among those of a database.
+// tableName is a table's name within a database.
 type tableName struct{ schema, table string }
 
-// tableSchemas returns the serialized schemas of tables: the rows of tablesText, with those of columnsText.
+// tableSchemas returns the serialized schema of each table. tables has the rows of tablesText, columns those
+// of columnsText.
 func (s *Server) tableSchemas(tables, columns arrow.RecordBatch) arrow.Array {
 	fields := map[tableName][]arrow.Field{}
 	for i := range int(columns.NumRows()) {
@@ -253,13 +255,13 @@
 	return b.Column(column).(*array.String).Value(row)
 }
 
-// GetFlightInfoTableTypes gives a ticket for DoGetTableTypes.
+// GetFlightInfoTableTypes returns the ticket for DoGetTableTypes.
 func (s *Server) GetFlightInfoTableTypes(_ context.Context, fd *flight.FlightDescriptor) (*flight.FlightInfo,
 	error) {
 	return s.commandInfo(fd, schema_ref.TableTypes)
 }
 
-// DoGetTableTypes lists the types of information_schema.tables.
+// DoGetTableTypes lists the table types of information_schema.tables.
 func (s *Server) DoGetTableTypes(context.Context) (*arrow.Schema, <-chan flight.StreamChunk, error) {
 	b := array.NewRecordBuilder(s.mem, schema_ref.TableTypes)
 	defer b.Release()
@@ -268,7 +270,7 @@
 	return schema_ref.TableTypes, singleChunk(b.NewRecordBatch()), nil
 }
 
-// GetFlightInfoPrimaryKeys gives a ticket for DoGetPrimaryKeys.
+// GetFlightInfoPrimaryKeys returns the ticket for DoGetPrimaryKeys.
 func (s *Server) GetFlightInfoPrimaryKeys(_ context.Context, _ flightsql.TableRef,
 	fd *flight.FlightDescriptor) (*flight.FlightInfo, error) {
 	return s.commandInfo(fd, schema_ref.PrimaryKeys)
--- a/internal/frontend/flightsql/connection.go
+++ b/internal/frontend/flightsql/connection.go
@@ -13,7 +13,7 @@
 	"cresspass/internal/overload/rapidreset"
 )
 
-// limitedListener accepts as many connections as there is capacity for.
+// limitedListener accepts connections while there is capacity, and closes all others at once.
 type limitedListener struct {
 	net.Listener
 	server *Server
@@ -37,7 +37,7 @@
 	}
 }
 
-// countedConn is one connection, which gives its capacity back as it closes.
+// countedConn is a connection that gives its capacity back when it is closed.
 type countedConn struct {
 	net.Conn
 	server *Server
@@ -56,21 +56,21 @@
 	return c.Conn.Close()
 }
 
-// clientConn is a connection as gRPC sees it: it has the session of calls that bring no token.
+// clientConn is a connection as gRPC sees it. Calls on it that bring no token share its session.
 type clientConn struct {
-	token       string
+	token       string // of the connection's session
 	netConn     *countedConn
-	basicTokens []string            // of its sessions by Basic authorization; under the server's lock
+	basicTokens []string            // of sessions by Basic authorization; under the server's lock
 	limiter     *rapidreset.Limiter // under the server's lock, as is rejected
 	rejected    bool
 }
 
-// close closes the connection; its error says nothing that gRPC does not see.
+// close closes the connection. Its error is ignored: gRPC sees for itself that the connection ended.
 func (c *clientConn) close() { _ = c.netConn.Close() }
 
 type connContextKey struct{}
 
-// TagConn gives each connection a token for its session.
+// TagConn adds a clientConn to the context of a new connection, with a token for its session.
 func (s *Server) TagConn(ctx context.Context, info *stats.ConnTagInfo) context.Context {
 	c := &clientConn{token: connTokenPrefix + randomName(),
 		limiter: rapidreset.New(rapidreset.DefaultLimits(), s.now())}
@@ -81,7 +81,7 @@
 	return context.WithValue(ctx, connContextKey{}, c)
 }
 
-// HandleConn ends a connection's sessions with it.
+// HandleConn ends the sessions of a connection that has ended.
 func (s *Server) HandleConn(ctx context.Context, st stats.ConnStats) {
 	if _, ok := st.(*stats.ConnEnd); !ok {
 		return
@@ -100,7 +100,7 @@
 // TagRPC does nothing: calls need no tag.
 func (s *Server) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
 
-// HandleRPC closes a connection that floods the server with calls that it cancels.
+// HandleRPC closes a connection whose client floods the server with calls that it cancels.
 func (s *Server) HandleRPC(ctx context.Context, st stats.RPCStats) {
 	end, ok := st.(*stats.End)
 	c, known := ctx.Value(connContextKey{}).(*clientConn)
--- a/internal/frontend/flightsql/description_test.go
+++ b/internal/frontend/flightsql/description_test.go
@@ -6,7 +6,7 @@
 	"cresspass/internal/protocol/pgwire"
 )
 
-// Guards against a panic by an engine's ParameterDescription that is cut short.
+// TestTruncatedParameterDescription guards against a panic on a ParameterDescription that is cut short.
 func TestTruncatedParameterDescription(t *testing.T) {
 	for size := range 2 {
 		if _, err := parseDescription(pgwire.Append(nil, 't', make([]byte, size))); err == nil {
--- a/internal/frontend/flightsql/errors.go
+++ b/internal/frontend/flightsql/errors.go
@@ -12,22 +12,22 @@
 	"cresspass/internal/protocol/pgwire"
 )
 
-// callError is the error of a call, with what its client may do.
+// callError is the error of a call as a gRPC status, with whether its client may retry.
 type callError struct{ *grpcstatus.Status }
 
 func (e *callError) Error() string { return e.Status.Err().Error() }
 
-// GRPCStatus returns what the client gets.
+// GRPCStatus returns the status that the client receives; gRPC finds it by this method's name.
 func (e *callError) GRPCStatus() *status.Status { return e.Status.Status }
 
 func verdictError(v *verdict.Verdict) error { return &callError{grpcstatus.FromVerdict(v)} }
 
-// invalidCall is the error of a call that cannot be served as it is. Nothing ran.
+// invalidCall returns the error of a call that cannot be served as requested. Nothing ran.
 func invalidCall(code codes.Code, format string, args ...any) error {
 	return &callError{grpcstatus.InvalidCall(code, fmt.Sprintf(format, args...))}
 }
 
-// engineError is an ErrorResponse as the call's error.
+// engineError converts the body of an ErrorResponse into the call's error.
 func engineError(body []byte) error {
 	f, err := pgwire.ParseFields(body)
 	if err != nil {
@@ -36,7 +36,8 @@
 	return &callError{grpcstatus.FromEngineError(&f)}
 }
 
-// mayHaveRun reports whether a statement whose call ended by an error may have run.
+// mayHaveRun reports whether a statement may have run, by the error of its call. It is true for nil and for
+// errors of unknown origin.
 func mayHaveRun(err error) bool {
 	var e *callError
 	return !errors.As(err, &e) || e.MayHaveRun
--- a/internal/frontend/flightsql/handshake.go
+++ b/internal/frontend/flightsql/handshake.go
@@ -14,10 +14,10 @@
 	"cresspass/internal/dispatch/verdict"
 )
 
-// Headers and trailers of a call.
+// Names of a call's headers and trailers.
 const (
 	headerAuth     = "authorization"
-	headerToken    = "auth-token-bin" // the token of the older handshake
+	headerToken    = "auth-token-bin" // session token of clients that use the older handshake
 	headerDatabase = "database"
 	headerPush     = "grpc-retry-pushback-ms"
 	headerNotice   = "cresspass-notice"
@@ -25,8 +25,8 @@
 )
 
 // handshake opens a session for a user, who is named by the header "authorization: Basic" or by a BasicAuth
-// message as the payload ("Flight RPC", authentication). Passwords are not checked: engines decide what may
-// be done.
+// message as the payload ("Flight RPC", authentication). Passwords are not checked: engines decide what
+// the user may do.
 func (s *Server) handshake(stream flight.FlightService_HandshakeServer) error {
 	md, _ := metadata.FromIncomingContext(stream.Context())
 	user, err := handshakeUser(stream, md)
@@ -43,7 +43,7 @@
 	if database := md.Get(headerDatabase); len(database) > 0 {
 		sess.database = database[0]
 	}
-	// Where the header cannot be sent the call has ended, and Send says so.
+	// If the header cannot be sent, the call has ended and Send returns the error.
 	_ = stream.SendHeader(metadata.Pairs(headerAuth, "Bearer "+sess.token))
 	return stream.Send(&flight.HandshakeResponse{Payload: []byte(sess.token)})
 }
@@ -79,7 +79,7 @@
 	return invalidCall(codes.Unauthenticated, "authorization is not Basic with a user and a password")
 }
 
-// credentials returns what a call says of its session: a token, a user, or nothing.
+// credentials returns what a call's headers name: the token of a session, a user, or neither.
 func credentials(md metadata.MD) (token, user string, err error) {
 	if h := md.Get(headerAuth); len(h) > 0 {
 		switch scheme, rest, _ := strings.Cut(h[0], " "); {
@@ -97,7 +97,7 @@
 	return "", "", nil
 }
 
-// basicAuthUser returns the user of a Basic authorization. Go's client leaves the padding out, Java's does
+// basicAuthUser returns the user of a Basic authorization. Go's client omits the base64 padding, Java's does
 // not.
 func basicAuthUser(encoded string) (string, error) {
 	b, err := base64.RawStdEncoding.DecodeString(strings.TrimRight(encoded, "="))
--- a/internal/frontend/flightsql/interceptor.go
+++ b/internal/frontend/flightsql/interceptor.go
@@ -15,13 +15,13 @@
 	"cresspass/internal/frontend/flightsql/grpcstatus"
 )
 
-// flightMethods is the prefix of the methods that have a session; Handshake, which opens one, is excepted.
+// flightMethods is the prefix of the methods that have a session, except Handshake, which opens one.
 const (
 	flightMethods   = "/arrow.flight.protocol.FlightService/"
 	handshakeMethod = flightMethods + "Handshake"
 )
 
-// sessionStream is a stream whose context holds its session.
+// sessionStream is a stream whose context holds the session of its call.
 type sessionStream struct {
 	grpc.ServerStream
 	ctx context.Context
@@ -29,7 +29,8 @@
 
 func (c *sessionStream) Context() context.Context { return c.ctx }
 
-// streamInterceptor is called around each streaming call.
+// streamInterceptor wraps each streaming call: it finds the session, recovers from panics, and sends notices
+// and trailers.
 func (s *Server) streamInterceptor(srv any, stream grpc.ServerStream, info *grpc.StreamServerInfo,
 	handler grpc.StreamHandler) (err error) {
 	defer s.recoverCall(info.FullMethod, &err)
@@ -42,15 +43,15 @@
 	}
 	defer s.endCall(sess)
 	if notice := sess.pendingNotices(); notice != "" {
-		// Clients that read one result only never see the trailers. Where the header cannot be set the call
-		// has ended.
+		// Clients that read only one result never see the trailers. If the header cannot be set, the call has
+		// ended.
 		_ = stream.SetHeader(metadata.Pairs(headerNotice, notice))
 	}
 	ctx := context.WithValue(stream.Context(), sessionContextKey{}, sess)
 	return s.setTrailers(handler(srv, &sessionStream{stream, ctx}), stream.SetTrailer, sess)
 }
 
-// unaryInterceptor is called around each other call.
+// unaryInterceptor is streamInterceptor for unary calls.
 func (s *Server) unaryInterceptor(ctx context.Context, req any, info *grpc.UnaryServerInfo,
 	handler grpc.UnaryHandler) (resp any, err error) {
 	defer s.recoverCall(info.FullMethod, &err)
@@ -71,8 +72,8 @@
 	return resp, s.setTrailers(err, setTrailer, sess)
 }
 
-// recoverCall ends a call that panicked. Without it, a message that the library does not expect, as a DoPut
-// without a descriptor, would end the whole process.
+// recoverCall ends a call that panicked with an error. Without it, a message that the Flight library does not
+// expect, such as a DoPut without a descriptor, would end the whole process.
 func (s *Server) recoverCall(method string, err *error) {
 	if r := recover(); r != nil {
 		s.log.Error("call panicked", "method", method, "reason", fmt.Sprint(r),
@@ -81,7 +82,7 @@
 	}
 }
 
-// setTrailers sets the trailers of a call's end and returns the call's error as a status.
+// setTrailers sets the trailers at the end of a call and returns the call's error as a gRPC status.
 func (s *Server) setTrailers(err error, set func(metadata.MD), sess *session) error {
 	var e *callError
 	if errors.As(err, &e) {
--- a/internal/frontend/flightsql/options.go
+++ b/internal/frontend/flightsql/options.go
@@ -11,17 +11,18 @@
 	"cresspass/internal/backend/sessionparams"
 )
 
-// Options of a session besides the engine's settings.
+// Session options other than the engine's settings.
 const (
 	optionCatalog     = "catalog"
 	optionSchema      = "schema"
 	optionApplication = "application_name"
 )
 
-// settingSearchPath is the engine's setting behind optionSchema.
+// settingSearchPath is the engine setting that optionSchema sets.
 const settingSearchPath = "search_path"
 
-// SetSessionOptions sets what is replayed on whatever engine connection runs the session's statements.
+// SetSessionOptions sets options of the session. Those that are engine settings are replayed on each engine
+// connection that runs the session's statements.
 func (s *Server) SetSessionOptions(ctx context.Context,
 	req *flight.SetSessionOptionsRequest) (*flight.SetSessionOptionsResult, error) {
 	sess := sessionOf(ctx)
@@ -41,8 +42,8 @@
 	return res, nil
 }
 
-// setOption sets an option; an empty text sets it back to the default. It returns false where there is no
-// option of the name.
+// setOption sets an option; an empty text resets it to the default. It returns false if no option has the
+// name.
 func (sess *session) setOption(key, text string) bool {
 	setting := strings.ToLower(key)
 	if setting == optionSchema {
@@ -73,7 +74,7 @@
 	}
 }
 
-// replaySetting changes a setting that is replayed; an empty text sets it back to the default.
+// replaySetting changes a setting that is replayed; an empty text resets it to the default.
 func (sc *scope) replaySetting(name, text string) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
@@ -84,7 +85,7 @@
 	}
 }
 
-// optionText returns the text of an option's value. ok is false for a value of an unknown type.
+// optionText returns an option's value as text. ok is false for a value of an unknown type.
 func optionText(o *flight.SessionOptionValue) (text string, ok bool) {
 	switch x := o.GetOptionValue().(type) {
 	case nil:
@@ -106,7 +107,7 @@
 	return "", false
 }
 
-// GetSessionOptions returns what was set.
+// GetSessionOptions returns the options that SetSessionOptions set.
 func (s *Server) GetSessionOptions(ctx context.Context,
 	_ *flight.GetSessionOptionsRequest) (*flight.GetSessionOptionsResult, error) {
 	sess := sessionOf(ctx)
--- a/internal/frontend/flightsql/prepared.go
+++ b/internal/frontend/flightsql/prepared.go
@@ -14,15 +14,15 @@
 	"cresspass/internal/protocol/sqlstate"
 )
 
-// preparedStatement is a statement under a handle.
+// preparedStatement is a statement that a client created and names by a handle.
 type preparedStatement struct {
 	scope       *scope
 	text        string
 	description *description
-	boundBody   []byte // of the parameters that were bound last; nil: none were
+	boundBody   []byte // Bind message body of the parameters bound last; nil: none were
 }
 
-// CreatePreparedStatement has a statement described and gives it a handle.
+// CreatePreparedStatement describes a statement and returns a handle for it.
 func (s *Server) CreatePreparedStatement(ctx context.Context,
 	req flightsql.ActionCreatePreparedStatementRequest) (res flightsql.ActionCreatePreparedStatementResult,
 	err error) {
@@ -47,7 +47,7 @@
 		DatasetSchema: d.arrowSchema(), ParameterSchema: d.params, IsUpdate: &isUpdate}, nil
 }
 
-// ClosePreparedStatement forgets a handle.
+// ClosePreparedStatement removes a prepared statement. An unknown handle is no error.
 func (s *Server) ClosePreparedStatement(ctx context.Context,
 	req flightsql.ActionClosePreparedStatementRequest) error {
 	sess := sessionOf(ctx)
@@ -68,7 +68,7 @@
 		"the session has no prepared statement of this handle")
 }
 
-// bindBody returns the body of the Bind message for what is bound now.
+// bindBody returns the body of the Bind message for the parameters that are bound now.
 func (p *preparedStatement) bindBody() ([]byte, error) {
 	switch n := len(p.description.params.Fields()); {
 	case p.boundBody != nil:
@@ -92,7 +92,7 @@
 	return b, nil
 }
 
-// GetFlightInfoPreparedStatement signs a ticket for a prepared statement with what is bound to it now.
+// GetFlightInfoPreparedStatement returns a signed ticket for a prepared statement with its bound parameters.
 func (s *Server) GetFlightInfoPreparedStatement(ctx context.Context, q flightsql.PreparedStatementQuery,
 	fd *flight.FlightDescriptor) (*flight.FlightInfo, error) {
 	p, err := sessionOf(ctx).preparedByHandle(q.GetPreparedStatementHandle())
@@ -106,7 +106,7 @@
 	return s.issueTicket(ctx, p.scope, p.text, p.description, bindBody, fd)
 }
 
-// GetSchemaPreparedStatement returns a prepared statement's schema.
+// GetSchemaPreparedStatement returns the schema of a prepared statement's rows.
 func (s *Server) GetSchemaPreparedStatement(ctx context.Context, q flightsql.PreparedStatementQuery,
 	_ *flight.FlightDescriptor) (*flight.SchemaResult, error) {
 	p, err := sessionOf(ctx).preparedByHandle(q.GetPreparedStatementHandle())
@@ -116,8 +116,8 @@
 	return &flight.SchemaResult{Schema: flight.SerializeSchema(p.description.arrowSchema(), s.mem)}, nil
 }
 
-// DoGetPreparedStatement rejects a ticket that is the handle itself. Such a ticket has no nonce, so that a
-// second fetch of one run could not be distinguished from a second run.
+// DoGetPreparedStatement rejects a ticket that is the handle itself. Such a ticket has no nonce, so a second
+// fetch of the same run could not be told from the first fetch of a second run.
 func (s *Server) DoGetPreparedStatement(context.Context,
 	flightsql.PreparedStatementQuery) (*arrow.Schema, <-chan flight.StreamChunk, error) {
 	return nil, nil, invalidCall(codes.InvalidArgument,
@@ -158,7 +158,7 @@
 }
 
 // DoPutPreparedStatementUpdate runs a prepared statement once for each row of parameters, in order. Each run
-// is a statement of its own; the rows before one that fails stand, unless they are of a transaction.
+// is a statement of its own: if a row fails, the effects of the rows before it stay, except in a transaction.
 func (s *Server) DoPutPreparedStatementUpdate(ctx context.Context, q flightsql.PreparedStatementUpdate,
 	r flight.MessageReader) (int64, error) {
 	p, err := sessionOf(ctx).preparedByHandle(q.GetPreparedStatementHandle())
@@ -199,8 +199,8 @@
 		bindBody: bindBody}
 }
 
-// afterEarlierRows is the error of a run after others of the same call. Reported as a rejection, it would
-// say that a retry of the whole call is harmless.
+// afterEarlierRows returns the error of a call whose row failed after others had run. Reported as a
+// rejection, it would tell the client that a retry of the whole call is harmless.
 func afterEarlierRows(err error, runs int) error {
 	if runs == 0 {
 		return err
--- a/internal/frontend/flightsql/query.go
+++ b/internal/frontend/flightsql/query.go
@@ -19,17 +19,17 @@
 	"cresspass/internal/frontend/flightsql/ticket"
 )
 
-// unknownCount is the number of rows or bytes in a FlightInfo where it is not known.
+// unknownCount stands for an unknown number of rows or bytes in a FlightInfo.
 const unknownCount = -1
 
-// description is what an engine said of a statement.
+// description is an engine's description of a statement.
 type description struct {
-	rows           *arrowbatch.Schema // nil: it returns none
+	rows           *arrowbatch.Schema // nil: the statement returns none
 	params         *arrow.Schema
 	parameterTypes string // OIDs of the parameters, 4 bytes each
 }
 
-// describe has a statement described, from the cache or by an engine.
+// describe returns a statement's description, from the cache or from an engine.
 func (s *Server) describe(ctx context.Context, sc *scope, text string) (*description, error) {
 	st := statement{text: text, parsed: s.scan(text), kind: enginequery.DescribeStatement}
 	switch len(st.parsed) {
@@ -56,7 +56,7 @@
 }
 
 // cachedDescription returns the messages that describe a statement, from the cache; nil: they are not cached.
-// A sticky scope may have a table of its own, so for its statements the cache does not count.
+// The cache is not used for a sticky scope, which may have tables that no other session sees.
 func (s *Server) cachedDescription(sc *scope, text string) []byte {
 	sc.mu.Lock()
 	q := enginequery.Query{Text: text, Sticky: sc.affinity.Bound(), Settings: sc.affinity.Params.Desired()}
@@ -75,7 +75,7 @@
 		switch kind {
 		case 't': // ParameterDescription
 			if d.params, err = arrowbatch.ParameterSchema(body); err == nil {
-				d.parameterTypes = string(body[2:]) // after their number
+				d.parameterTypes = string(body[2:]) // after the parameter count
 			}
 		case 'T': // RowDescription
 			d.rows, err = arrowbatch.NewSchema(body, true)
@@ -85,7 +85,7 @@
 	return d, err
 }
 
-// arrowSchema returns the schema of the rows; an empty one where there are none.
+// arrowSchema returns the schema of the rows; an empty one if the statement returns none.
 func (d *description) arrowSchema() *arrow.Schema {
 	if d.rows == nil {
 		return arrow.NewSchema(nil, nil)
@@ -93,7 +93,7 @@
 	return d.rows.Arrow
 }
 
-// issueTicket makes a FlightInfo with a ticket for a statement.
+// issueTicket returns a FlightInfo with a signed ticket for a statement.
 func (s *Server) issueTicket(ctx context.Context, sc *scope, text string, d *description, bindBody []byte,
 	fd *flight.FlightDescriptor) (*flight.FlightInfo, error) {
 	sess := sessionOf(ctx)
@@ -112,14 +112,14 @@
 		TotalRecords: unknownCount, TotalBytes: unknownCount}, nil
 }
 
-// commandInfo makes a FlightInfo whose ticket is the command itself, as for catalog calls.
+// commandInfo returns a FlightInfo whose ticket is the command itself, as for catalog calls.
 func (s *Server) commandInfo(fd *flight.FlightDescriptor, schema *arrow.Schema) (*flight.FlightInfo, error) {
 	return &flight.FlightInfo{Endpoint: []*flight.FlightEndpoint{{Ticket: &flight.Ticket{Ticket: fd.Cmd}}},
 		FlightDescriptor: fd, Schema: flight.SerializeSchema(schema, s.mem), TotalRecords: unknownCount,
 		TotalBytes: unknownCount}, nil
 }
 
-// describeStatement finds a statement's scope and has it described there.
+// describeStatement finds a statement's scope and describes the statement there.
 func (s *Server) describeStatement(ctx context.Context, q flightsql.StatementQuery) (*scope, *description,
 	error) {
 	sc, err := sessionOf(ctx).scopeFor(q.GetTransactionId())
@@ -130,7 +130,7 @@
 	return sc, d, err
 }
 
-// GetFlightInfoStatement has a statement described and signs a ticket for it. Nothing of it runs.
+// GetFlightInfoStatement describes a statement and returns a signed ticket for it. Nothing of it runs.
 func (s *Server) GetFlightInfoStatement(ctx context.Context, q flightsql.StatementQuery,
 	fd *flight.FlightDescriptor) (*flight.FlightInfo, error) {
 	sc, d, err := s.describeStatement(ctx, q)
@@ -144,7 +144,7 @@
 	return s.issueTicket(ctx, sc, q.GetQuery(), d, bindBody, fd)
 }
 
-// GetSchemaStatement has a statement described.
+// GetSchemaStatement returns the schema of a statement's rows. Nothing of it runs.
 func (s *Server) GetSchemaStatement(ctx context.Context, q flightsql.StatementQuery,
 	_ *flight.FlightDescriptor) (*flight.SchemaResult, error) {
 	_, d, err := s.describeStatement(ctx, q)
@@ -154,7 +154,7 @@
 	return &flight.SchemaResult{Schema: flight.SerializeSchema(d.arrowSchema(), s.mem)}, nil
 }
 
-// DoGetStatement runs a ticket's statement, if this fetch may.
+// DoGetStatement runs a ticket's statement, if this fetch may run it, and streams its rows.
 func (s *Server) DoGetStatement(ctx context.Context,
 	q flightsql.StatementQueryTicket) (*arrow.Schema, <-chan flight.StreamChunk, error) {
 	t, err := s.openTicket(q.GetStatementHandle())
@@ -199,7 +199,7 @@
 	return t, nil
 }
 
-// beginFetch decides whether a session may fetch a ticket now. endFetch must follow where the error is nil.
+// beginFetch decides whether a session may fetch a ticket now. endFetch must follow if the error is nil.
 func (s *Server) beginFetch(t *ticket.Ticket, sess *session) error {
 	s.mu.Lock()
 	retryAfter, err := s.tickets.BeginFetch(s.now(), t, sess.token)
@@ -225,7 +225,7 @@
 	s.tickets.EndFetch(t, mayHaveRun)
 }
 
-// addRunning notes a call that runs for a ticket, so that CancelFlightInfo finds it.
+// addRunning records a call that runs for a ticket, so that CancelFlightInfo finds it.
 func (s *Server) addRunning(t *ticket.Ticket, c *call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -288,7 +288,8 @@
 		statement{text: q.GetQuery(), parsed: s.scan(q.GetQuery()), bindBody: bindBody})
 }
 
-// CancelFlightInfo cancels what runs for the tickets of a FlightInfo. Only its own session may.
+// CancelFlightInfo cancels the statements that run for the tickets of a FlightInfo. Only the session that the
+// tickets belong to may cancel them.
 func (s *Server) CancelFlightInfo(ctx context.Context,
 	req *flight.CancelFlightInfoRequest) (flight.CancelFlightInfoResult, error) {
 	result := flight.CancelStatusNotCancellable
@@ -314,8 +315,8 @@
 	return flight.CancelFlightInfoResult{Status: result}, nil
 }
 
-// cancelTicket cancels the calls that run for a ticket. A ticket for a single use that was not fetched yet
-// counts as fetched from then on. It returns whether anything was cancelled.
+// cancelTicket cancels the calls that run for a ticket. A single-use ticket that was not fetched yet counts
+// as fetched from then on. It reports whether anything was cancelled.
 func (s *Server) cancelTicket(t *ticket.Ticket, sess *session) (cancelled bool) {
 	s.mu.Lock()
 	var calls []*call
--- a/internal/frontend/flightsql/scope.go
+++ b/internal/frontend/flightsql/scope.go
@@ -18,11 +18,11 @@
 	"cresspass/internal/protocol/sqlstate"
 )
 
-// scope is what statements of a session share an engine connection in: a transaction, or all that is outside
-// of transactions.
+// scope groups statements of a session that share an engine connection while it is sticky: the statements of
+// one transaction, or all statements outside transactions.
 type scope struct {
 	session       *session
-	transactionID string // "": outside of transactions
+	transactionID string // "": outside transactions
 	lease         pgbackend.Lease
 
 	mu               sync.Mutex
@@ -30,13 +30,14 @@
 	waiters          map[statementqueue.StatementID]chan struct{} // closed when the statement's turn comes
 	affinity         *affinity.Session
 	registration     registry.Entry
-	current          *call            // that runs exclusively; nil: none
+	current          *call            // the call that runs exclusively; nil: none
 	endVerdict       *verdict.Verdict // why the scope has ended; nil: it has not
 	connectionLost   bool             // the engine connection was lost while a statement ran
-	transactionBegan bool             // the transaction's BEGIN was carried out
-	notice           string           // for the client, with its next calls
+	transactionBegan bool             // an engine has run the transaction's BEGIN
+	notice           string           // sent to the client with its next calls
 }
 
+// newScope returns a scope of a session that starts with the given settings.
 func newScope(sess *session, transactionID string, settings *sessionparams.Set) *scope {
 	sc := &scope{session: sess, transactionID: transactionID,
 		waiters: map[statementqueue.StatementID]chan struct{}{}, affinity: affinity.NewSession()}
@@ -46,7 +47,7 @@
 	return sc
 }
 
-// acquireTurn waits for a statement's turn. releaseTurn must follow where the verdict is nil.
+// acquireTurn waits for a statement's turn. releaseTurn must follow if the verdict is nil.
 func (sc *scope) acquireTurn(ctx context.Context, exclusive bool) (statementqueue.StatementID,
 	*verdict.Verdict) {
 	sc.mu.Lock()
@@ -77,8 +78,8 @@
 	}
 }
 
-// endedVerdict is what a statement of a scope that has ended is answered: nothing of it ran. The caller holds
-// the lock.
+// endedVerdict returns the answer to a statement whose scope has ended: nothing of it ran. The caller holds
+// the scope's lock.
 func (sc *scope) endedVerdict() *verdict.Verdict {
 	what := "the transaction has ended: "
 	if sc.transactionID == "" {
@@ -88,7 +89,7 @@
 		what+sc.endVerdict.Message+". "+sc.endVerdict.Detail)
 }
 
-// wakeWaiters lets statements run. The caller holds the lock.
+// wakeWaiters wakes the goroutines of statements whose turn has come. The caller holds the scope's lock.
 func (sc *scope) wakeWaiters(started []statementqueue.StatementID) {
 	for _, id := range started {
 		if turn := sc.waiters[id]; turn != nil {
@@ -106,13 +107,14 @@
 	sc.wakeWaiters(sc.queue.Remove(id))
 }
 
-// needsExclusive reports whether statements may leave session state, or change what is replayed.
+// needsExclusive reports whether any of the statements may leave or change session state, or change settings
+// that are replayed.
 func needsExclusive(parsed []sqlscan.Statement) bool {
 	return sessionparams.ChangesAny(parsed) || slices.ContainsFunc(parsed, mayLeaveState) ||
 		slices.ContainsFunc(parsed, changesSessionState)
 }
 
-// changesSessionState reports whether a statement is about a transaction or session state that may exist.
+// changesSessionState reports whether a statement acts on a transaction or on session state that may exist.
 func changesSessionState(st sqlscan.Statement) bool {
 	switch st.Words[0] {
 	case "COMMIT", "END", "ROLLBACK", "ABORT", "RELEASE", "DISCARD", "RESET", "UNLISTEN", "CLOSE",
@@ -124,7 +126,7 @@
 
 func mayLeaveState(st sqlscan.Statement) bool { return affinity.MayLeaveState(&st) }
 
-// prepareQuery fills in what a query has to do with its scope. The caller has the turn.
+// prepareQuery fills in the parts of a query that depend on its scope. The caller has the turn.
 func (sc *scope) prepareQuery(c *call, q *enginequery.Query) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
@@ -146,12 +148,13 @@
 	q.Stateful = sticky || q.MayBecomeSticky || sessionparams.ChangesAny(q.Parsed)
 }
 
-// settleQuery takes the end of a statement at its engine.
+// settleQuery updates the scope after a statement ended at its engine, and returns what becomes of the engine
+// connection.
 func (sc *scope) settleQuery(c *call, end pgbackend.QueryEnd) pgbackend.Disposition {
 	sc.mu.Lock()
 	if sc.current != c || sc.endVerdict != nil {
 		sc.mu.Unlock()
-		return pgbackend.Disposition{} // others have ended its response, or it was to leave nothing
+		return pgbackend.Disposition{} // it or its scope was ended elsewhere, or it has a lease of its own
 	}
 	a := sc.affinity
 	a.Params.ConnectionHad(end.Settings)
@@ -169,7 +172,7 @@
 	d := pgbackend.Disposition{Known: true, Keep: keep, Settings: a.Params.OnConnection()}
 	transactionEnded := sc.transactionBegan && end.TransactionStatus == enginequery.StatusIdle
 	if sc.transactionID != "" && transactionEnded {
-		// State that outlives the transaction belongs to no session: the connection is closed.
+		// State that outlives the transaction belongs to no session, so the connection is closed.
 		sc.endVerdict = verdict.Invalid(sqlstate.InvalidTransactionState, "it was committed or rolled back")
 		d.Keep, d.Known = false, !keep
 		changed, keep = true, false
@@ -203,7 +206,8 @@
 	}
 }
 
-// onConnectionLost ends the scope, whose engine connection was lost while a statement ran.
+// onConnectionLost ends the scope after its engine connection was lost under a statement. sent: the statement
+// had been sent to the engine.
 func (sc *scope) onConnectionLost(c *call, sent bool) {
 	sc.mu.Lock()
 	t := sc.affinity.ConnectionLost(sent)
@@ -214,8 +218,8 @@
 	sc.terminate(v)
 }
 
-// onIdleConnectionLost ends the scope, whose engine connection was lost. A statement that runs is ended
-// first.
+// onIdleConnectionLost ends the scope after its engine connection was lost. If a statement runs, the scope
+// ends when the statement's response has ended (onResponseEnded).
 func (sc *scope) onIdleConnectionLost() {
 	sc.mu.Lock()
 	bound := sc.affinity.Bound()
@@ -236,7 +240,7 @@
 	return verdict.ConnectionLost(t.Code, t.Message, t.Detail)
 }
 
-// onEngineDraining notifies the scope that its engine drains, and has it ended at the limit.
+// onEngineDraining notifies the client that the scope's engine drains. The scope is ended after within.
 func (sc *scope) onEngineDraining(within time.Duration) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
@@ -247,7 +251,7 @@
 	}
 }
 
-// terminateIfDue ends the scope where its time has come.
+// terminateIfDue ends the scope if one of its time limits has passed.
 func (sc *scope) terminateIfDue(now time.Duration, limits affinity.Limits) {
 	sc.mu.Lock()
 	if sc.endVerdict != nil {
@@ -261,8 +265,9 @@
 	}
 }
 
-// terminate ends the scope: what runs gets the verdict, what waits is answered that it did not run, and the
-// engine connection is closed, so that nothing stays open there. A session whose own scope ends, ends.
+// terminate ends the scope: the statement that runs exclusively gets the verdict, waiting statements are
+// answered that they did not run, and the engine connection is closed, so that nothing stays open there. The
+// end of a session's default scope ends the session.
 func (sc *scope) terminate(v *verdict.Verdict) {
 	sc.mu.Lock()
 	if sc.endVerdict == nil {
@@ -286,7 +291,8 @@
 	}
 }
 
-// isSticky reports whether the scope is on an engine connection, or is a transaction whose statement runs.
+// isSticky reports whether the scope is bound to an engine connection, or is a transaction with a statement
+// that runs or waits.
 func (sc *scope) isSticky() bool {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
--- a/internal/frontend/flightsql/server.go
+++ b/internal/frontend/flightsql/server.go
@@ -1,8 +1,9 @@
-// Package flightsql serves Arrow Flight SQL over gRPC, beside the PostgreSQL front and on the same core. It
-// owns the connections, sessions and transactions of its clients, and joins the decisions of other packages:
-// what a ticket may do (ticket), which statement of a session runs now (statementqueue), which token names a
-// session (bearertoken) and what a status says (grpcstatus). It must not know where or when a query runs.
-// Sections named are of Arrow's pages "Flight SQL" and "Flight RPC".
+// Package flightsql serves Arrow Flight SQL over gRPC, beside the PostgreSQL frontend and with the same
+// dispatcher. It owns the connections, sessions and transactions of its clients. It combines the decisions of
+// other packages: whether a fetch of a ticket runs its statement (ticket), which statement of a session runs
+// now (statementqueue), which session a token belongs to (bearertoken) and which gRPC status a response gets
+// (grpcstatus). It must not know where or when a query runs.
+// Quoted section names refer to Arrow's pages "Flight SQL" and "Flight RPC".
 package flightsql
 
 import (
@@ -33,24 +34,24 @@
 	"cresspass/internal/netlisten"
 )
 
-// Name is the front's in the settings of quotas.
+// Name is this frontend's name in the quota settings.
 const Name = "flight"
 
 const (
 	ticketKeySize = 32
-	// randomNameSize is the number of random bytes in tokens and handles.
+	// randomNameSize is the number of random bytes in tokens, handles and ids.
 	randomNameSize = 16
-	// minKeepAlive is how often clients may ask for a sign of life.
+	// minKeepAlive is the shortest interval at which a client may send keepalive pings.
 	minKeepAlive = 5 * time.Second
-	// keepAliveTimeout is how long a client may take to give one.
+	// keepAliveTimeout is how long a client may take to answer a keepalive ping.
 	keepAliveTimeout = 10 * time.Second
-	// expiryInterval is how often sessions are looked at whether they have expired.
+	// expiryInterval is how often the server looks for expired sessions.
 	expiryInterval = 100 * time.Millisecond
-	// drainInterval is how often a drain looks whether sticky sessions are left.
+	// drainInterval is how often a drain checks whether sticky sessions remain.
 	drainInterval = 10 * time.Millisecond
 )
 
-// Why sessions end, in errors that clients receive.
+// Reasons for the end of a session, as clients receive them in errors.
 const (
 	idleTooLong      = "it rested for too long"
 	connectionIsGone = "its connection is gone"
@@ -58,45 +59,45 @@
 	shuttingDown     = "the dispatcher is shutting down"
 )
 
-// Config holds the settings of the front.
+// Config holds the settings of the frontend.
 type Config struct {
-	Version    string             // sent as the server's
+	Version    string             // of the server, as clients see it
 	Registry   *registry.Registry // of sticky sessions
-	MaxMessage int                // bytes of a message of a client
-	MaxStreams int                // calls at a time on one connection
+	MaxMessage int                // bytes of a message from a client
+	MaxStreams int                // concurrent calls on one connection
 
-	HoldBack     int                    // bytes of a response that are buffered before the first goes out
-	Budget       *response.BufferBudget // the same over all responses
-	ClientBuffer int                    // bytes a call may leave untaken before the engine is no longer read
+	HoldBack     int                    // bytes of a response that are buffered before the first is sent
+	Budget       *response.BufferBudget // limits the bytes held back by all responses together
+	ClientBuffer int                    // bytes that may wait for a call's client while the engine is read
 
 	TicketLifetime  time.Duration
-	MaxTickets      int // remembered fetches of statements that change data
+	MaxTickets      int // remembered fetches of statements that may change data
 	SessionLimits   bearertoken.Limits
-	MaxTransactions int // open ones of a session
-	MaxPrepared     int // statements of a session
-	MaxWaiting      int // statements that wait for their turn in a session
+	MaxTransactions int // open transactions of a session; 0: no limit
+	MaxPrepared     int // prepared statements of a session; 0: no limit
+	MaxWaiting      int // statements that wait for their turn in a session or transaction; 0: no limit
 
-	KeepAlive        time.Duration // an idle connection is asked for a sign of life; 0: never
+	KeepAlive        time.Duration // an idle connection is pinged after it; 0: gRPC's default of 2 hours
 	MaxConnectionAge time.Duration // an older connection is asked to reconnect (GOAWAY)
 
-	// AcquireConnection reports whether there is capacity for one more connection; ReleaseConnection gives it
-	// back.
+	// AcquireConnection reserves capacity for one more connection and reports whether there was any;
+	// ReleaseConnection gives it back. Nil: connections are not limited.
 	AcquireConnection func() bool
 	ReleaseConnection func()
-	// AdmitUser reports whether a user may have one more session, and why not; ReleaseUser follows each that
-	// was admitted.
+	// AdmitUser reports whether a user may have one more session, and if not, why. ReleaseUser is called at
+	// the end of each session that was admitted. Nil: every session is admitted.
 	AdmitUser   func(user string) (reason string, ok bool)
 	ReleaseUser func(user string)
 	// CachedDescription returns an engine's response to the Describe of a statement, as PostgreSQL's
-	// messages, by its PrepareKey; nil: none is cached.
+	// messages, by its DescriptionKey; nil: none is cached.
 	CachedDescription func(key string) []byte
-	// Idempotent reports whether a statement may be run any number of times.
+	// Idempotent reports whether a statement may be run any number of times; nil: none may.
 	Idempotent func(client classify.Client, q *enginequery.Query) bool
 	// StatelessFunction reports whether a function leaves no state in a session; nil: none is known to.
 	StatelessFunction func(name string) bool
 }
 
-// Server serves Flight SQL. Make one with New.
+// Server serves Flight SQL. New creates one. Its methods may be called from several goroutines at once.
 type Server struct {
 	flightsql.BaseServer
 	cfg        Config
@@ -105,13 +106,13 @@
 	grpc       *grpc.Server
 	health     *health.Server
 	ticketKey  []byte
-	startTime  time.Time // that tickets and sessions count from
+	startTime  time.Time // when now, the clock of tickets and sessions, was 0
 	mem        memory.Allocator
 
-	holdBack     atomic.Int64 // as in Config, or set by SetBuffers, as is clientBuffer
+	holdBack     atomic.Int64 // bytes; from Config or SetBuffers, as is clientBuffer
 	clientBuffer atomic.Int64
 	nextID       atomic.Uint64
-	pendingBytes atomic.Int64 // untaken ones of all calls
+	pendingBytes atomic.Int64 // of responses that clients have not taken yet, over all calls
 	draining     atomic.Bool
 	stop         chan struct{}
 	work         sync.WaitGroup
@@ -120,23 +121,25 @@
 	mu             sync.Mutex
 	tickets        *ticket.FetchLedger
 	sessionStore   *bearertoken.Store
-	sessions       map[string]*session // by token
-	endReasons     map[string]string   // why sessions ended, by token; of the last ones
-	endOrder       []string            // the tokens of endReasons, the oldest first
-	runningFetches map[uint64]map[*call]struct{}
+	sessions       map[string]*session           // by token
+	endReasons     map[string]string             // why the latest maxEndReasons sessions ended, by token
+	endOrder       []string                      // the tokens of endReasons, oldest first
+	runningFetches map[uint64]map[*call]struct{} // by ticket nonce
 	clientConns    map[*clientConn]struct{}
 	connsByAddr    map[string]*countedConn // by remote address
 	listeners      []net.Listener
 }
 
-// SetBuffers changes how many bytes of a response are buffered before the first goes out, and how many a call
-// may leave untaken.
+// SetBuffers changes how many bytes of a response are buffered before the first is sent, and how many may
+// wait for a call's client while the engine is read. The first applies to later statements, the second at
+// once.
 func (s *Server) SetBuffers(holdBack, clientBuffer int) {
 	s.holdBack.Store(int64(holdBack))
 	s.clientBuffer.Store(int64(clientBuffer))
 }
 
-// New returns a server that submits queries to dispatcher.
+// New returns a server that submits queries to dispatcher, and starts its expiry of idle sessions. Close
+// stops both.
 func New(cfg Config, dispatcher frontend.Dispatcher, log *slog.Logger) *Server {
 	s := &Server{cfg: cfg, dispatcher: dispatcher, log: log, ticketKey: make([]byte, ticketKeySize),
 		startTime: time.Now(), mem: memory.DefaultAllocator, health: health.NewServer(),
@@ -174,7 +177,7 @@
 	return g
 }
 
-// handshakeService is the library's service but for the handshake.
+// handshakeService is the library's Flight service with the handshake of Server.
 type handshakeService struct {
 	flight.FlightServer
 	server *Server
@@ -184,7 +187,7 @@
 	return h.server.handshake(stream)
 }
 
-// Serve accepts connections on a listener until Close.
+// Serve accepts connections on ln in the background, until Drain or Close. It returns at once.
 func (s *Server) Serve(ln net.Listener) {
 	s.mu.Lock()
 	s.listeners = append(s.listeners, ln)
@@ -199,14 +202,14 @@
 	}()
 }
 
-// randomName returns a name that cannot be guessed.
+// randomName returns a random name that cannot be guessed, in hexadecimal.
 func randomName() string {
 	b := make([]byte, randomNameSize)
 	rand.Read(b)
 	return hex.EncodeToString(b)
 }
 
-// now is the clock of tickets and sessions.
+// now returns the time since the server was created: the clock of tickets and sessions.
 func (s *Server) now() time.Duration { return time.Since(s.startTime) }
 
 // expireSessions ends sessions that have been idle for too long, until Close.
@@ -243,12 +246,12 @@
 	return s.sessionStore.Len()
 }
 
-// Pending returns the number of bytes of responses that wait for clients to take them.
+// Pending returns the number of response bytes that wait for clients to take them.
 func (s *Server) Pending() int64 { return s.pendingBytes.Load() }
 
-// Drain stops listening. Statements of a transaction or a sticky session are served on; all others are
-// answered UNAVAILABLE, as nothing of them ran. Once no session is sticky, connections are told to go
-// (GOAWAY) and close as their last call ends.
+// Drain stops listening and returns at once. Statements of a transaction or a sticky session are still
+// served; all others are answered UNAVAILABLE, as nothing of them ran. Once no session is sticky, connections
+// are sent a GOAWAY and close when their last call ends.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	listeners := s.listeners
@@ -256,7 +259,7 @@
 	s.mu.Unlock()
 	first := !s.draining.Swap(true)
 	for _, ln := range listeners {
-		_ = ln.Close() // it fails on a listener that is closed already only
+		_ = ln.Close() // the only error is that of a listener that is already closed
 	}
 	if !first {
 		return
@@ -272,7 +275,7 @@
 	}()
 }
 
-// awaitNoSticky waits until no session is sticky. It returns false where the server is closed before that.
+// awaitNoSticky waits until no session is sticky. It returns false if the server is closed first.
 func (s *Server) awaitNoSticky() bool {
 	ticker := time.NewTicker(drainInterval)
 	defer ticker.Stop()
@@ -286,7 +289,7 @@
 	return true
 }
 
-// notifyDraining gives the calls of sticky sessions and transactions a notice of the drain.
+// notifyDraining sets a notice of the drain for the clients of sticky sessions and transactions.
 func (s *Server) notifyDraining() {
 	for _, sess := range s.allSessions() {
 		for _, sc := range sess.scopes() {
@@ -309,7 +312,7 @@
 	return sessions
 }
 
-// hasStickySessions reports whether a session or transaction is on an engine connection.
+// hasStickySessions reports whether any session or transaction is sticky.
 func (s *Server) hasStickySessions() bool {
 	for _, sess := range s.allSessions() {
 		if sess.isSticky() {
@@ -319,7 +322,7 @@
 	return false
 }
 
-// TerminateAll ends all sessions and connections that are left.
+// TerminateAll ends all remaining sessions and closes all connections.
 func (s *Server) TerminateAll() {
 	for _, sess := range s.allSessions() {
 		s.endSession(sess.token, shuttingDown)
@@ -327,7 +330,7 @@
 	s.grpc.Stop()
 }
 
-// Close ends everything and waits for it.
+// Close drains the server, ends all sessions and connections, and waits for its goroutines.
 func (s *Server) Close() {
 	s.once.Do(func() {
 		s.Drain()
--- a/internal/frontend/flightsql/session.go
+++ b/internal/frontend/flightsql/session.go
@@ -13,33 +13,34 @@
 	"cresspass/internal/protocol/sqlstate"
 )
 
-// Prefixes of the names that clients are given.
+// Prefixes of tokens, ids and handles.
 const (
-	connTokenPrefix   = "conn-" // of the session of a connection; clients never see it
+	connTokenPrefix   = "conn-" // token of a connection's session; clients never see it
 	transactionPrefix = "tx-"
 	savepointPrefix   = "sp-"
 	statementPrefix   = "ps-"
 )
 
-// maxEndReasons is of how many ended sessions the reason is remembered.
+// maxEndReasons is the number of ended sessions whose reason is remembered.
 const maxEndReasons = 1000
 
-// session is what a token, or a connection without one, stands for.
+// session is the state behind a bearer token, or behind a connection whose calls bring no token.
 type session struct {
 	server       *Server
 	token, user  string
-	admitted     bool   // AdmitUser let the user in
+	admitted     bool   // by AdmitUser: ReleaseUser must follow
 	defaultScope *scope // of statements outside transactions
 
 	mu                    sync.Mutex
 	database, application string
 	options               map[string]string
-	transactions          map[string]*scope // by id; those that have ended too
-	transactionOrder      []string          // the ids of transactions, the oldest first
+	transactions          map[string]*scope // by id; also recently ended ones
+	transactionOrder      []string          // the ids of transactions, oldest first
 	savepoints            map[string]savepoint
 	prepared              map[string]*preparedStatement // by handle
 }
 
+// savepoint is a savepoint's name and the id of its transaction.
 type savepoint struct{ transaction, name string }
 
 type sessionContextKey struct{}
@@ -47,7 +48,8 @@
 // sessionOf returns the session of a call.
 func sessionOf(ctx context.Context) *session { return ctx.Value(sessionContextKey{}).(*session) }
 
-// openSession opens a session.
+// openSession opens a session for a user. A connectionScoped session does not expire; it ends with its
+// connection.
 func (s *Server) openSession(token, user string, connectionScoped bool) (*session, error) {
 	sess := &session{server: s, token: token, user: user, options: map[string]string{},
 		transactions: map[string]*scope{}, savepoints: map[string]savepoint{},
@@ -75,7 +77,7 @@
 	return sess, nil
 }
 
-// endSession ends a session with its scopes.
+// endSession ends a session and its scopes; it does nothing if the session has already ended.
 func (s *Server) endSession(token, reason string) {
 	s.mu.Lock()
 	sess := s.sessions[token]
@@ -96,7 +98,7 @@
 	}
 }
 
-// rememberEnd remembers why a session ended. The caller holds the lock.
+// rememberEnd remembers why a session ended. The caller holds the server's lock.
 func (s *Server) rememberEnd(token, reason string) {
 	s.endReasons[token] = reason
 	s.endOrder = append(s.endOrder, token)
@@ -112,7 +114,7 @@
 	return s.sessions[token] != nil
 }
 
-// scopes returns the scopes of the session: its own and its transactions'.
+// scopes returns the session's default scope and those of its transactions.
 func (sess *session) scopes() []*scope {
 	sess.mu.Lock()
 	defer sess.mu.Unlock()
@@ -123,7 +125,7 @@
 	return scopes
 }
 
-// isSticky reports whether the session or one of its transactions is on an engine connection.
+// isSticky reports whether one of the session's scopes is sticky.
 func (sess *session) isSticky() bool {
 	for _, sc := range sess.scopes() {
 		if sc.isSticky() {
@@ -133,7 +135,7 @@
 	return false
 }
 
-// scopeFor returns the scope that a transaction id names; without an id the session's own.
+// scopeFor returns the scope of a transaction, or without an id the session's default scope.
 func (sess *session) scopeFor(transactionID []byte) (*scope, error) {
 	if len(transactionID) == 0 {
 		return sess.defaultScope, nil
@@ -146,7 +148,7 @@
 	return nil, invalidCall(codes.NotFound, "the session has no transaction of this id")
 }
 
-// pendingNotices returns the notices for the session's client.
+// pendingNotices returns the notices for the session's client, separated by semicolons.
 func (sess *session) pendingNotices() string {
 	var notices []string
 	for _, sc := range sess.scopes() {
@@ -160,7 +162,7 @@
 }
 
 // beginCall returns the session of a call: that of its token, or that of its connection, which is opened at
-// its first call. endCall must follow.
+// the connection's first call. endCall must follow if the error is nil.
 func (s *Server) beginCall(ctx context.Context) (*session, error) {
 	md, _ := metadata.FromIncomingContext(ctx)
 	token, user, err := credentials(md)
@@ -178,7 +180,7 @@
 		defer s.mu.Unlock()
 		return s.sessions[token], nil
 	}
-	expired := s.sessions[token] != nil // expireSessions has not come to it yet
+	expired := s.sessions[token] != nil // expireSessions has not ended it yet
 	s.mu.Unlock()
 	if expired {
 		s.endSession(token, idleTooLong)
@@ -191,8 +193,8 @@
 	return nil, invalidCall(codes.Unauthenticated, "the token names no session: a handshake gives one")
 }
 
-// connSession returns the token of a connection's session, and opens the session where there is none yet.
-// Calls that name a user by Basic have a session for each user.
+// connSession returns the token of a connection's session, and opens the session if there is none yet. Calls
+// with Basic authorization have a session for each user of the connection.
 func (s *Server) connSession(c *clientConn, user string) (token string, err error) {
 	token = c.token
 	if user != "" {
@@ -207,14 +209,14 @@
 	if known {
 		return token, nil
 	}
-	// Two first calls at once may both come here; the second finds the first's session.
+	// Two concurrent first calls may both get here; the second then uses the session of the first.
 	if _, err := s.openSession(token, user, true); err != nil && !s.sessionExists(token) {
 		return "", err
 	}
 	s.mu.Lock()
 	_, open := s.clientConns[c]
 	s.mu.Unlock()
-	if !open { // the connection closed meanwhile, and HandleConn did not see the session
+	if !open { // the connection closed meanwhile, and HandleConn may not have seen the session
 		s.endSession(token, connectionIsGone)
 	}
 	return token, nil
--- a/internal/frontend/flightsql/sqlinfo.go
+++ b/internal/frontend/flightsql/sqlinfo.go
@@ -10,7 +10,7 @@
 	"github.com/apache/arrow-go/v18/arrow/flight/flightsql/schema_ref"
 )
 
-// registerSQLInfo fills in what GetSqlInfo returns.
+// registerSQLInfo registers the values that GetSqlInfo returns.
 func (s *Server) registerSQLInfo() {
 	for id, v := range map[flightsql.SqlInfo]any{
 		flightsql.SqlInfoFlightSqlServerName:               "cresspass",
@@ -47,14 +47,14 @@
 	}
 }
 
-// Codes of JDBC and ODBC.
+// Type, nullability and search codes of JDBC and ODBC.
 const (
 	xdbcVarchar    = 12
 	xdbcNullable   = 1
 	xdbcSearchable = 3 // in any WHERE clause
 )
 
-// xdbcType is a type of engines in the terms of JDBC and ODBC.
+// xdbcType describes an engine's type in the terms of JDBC and ODBC.
 type xdbcType struct {
 	name     string
 	code     int32
@@ -62,7 +62,7 @@
 	unsigned bool
 }
 
-// xdbcTypes are the types of engines that this front gives a type of Arrow's, with their JDBC and ODBC codes.
+// xdbcTypes are the engine types that DoGetXdbcTypeInfo lists, with their JDBC and ODBC codes.
 var xdbcTypes = []xdbcType{{"bool", -7, 1, false}, {"int2", 5, 5, false}, {"int4", 4, 10, false}, {"int8", -5,
 	19, false},
 	{"float4", 7, 24, false}, {"float8", 8, 53, false}, {"numeric", 2, 1000, false}, {"text", xdbcVarchar,
@@ -71,13 +71,13 @@
 	{"time", 92, 15, false}, {"timestamp", 93, 29, false}, {"timestamptz", 93, 35, false},
 	{"uuid", -2, 16, false}, {"oid", -5, 10, true}}
 
-// GetFlightInfoXdbcTypeInfo gives a ticket for DoGetXdbcTypeInfo.
+// GetFlightInfoXdbcTypeInfo returns the ticket for DoGetXdbcTypeInfo.
 func (s *Server) GetFlightInfoXdbcTypeInfo(_ context.Context, _ flightsql.GetXdbcTypeInfo,
 	fd *flight.FlightDescriptor) (*flight.FlightInfo, error) {
 	return s.commandInfo(fd, schema_ref.XdbcTypeInfo)
 }
 
-// DoGetXdbcTypeInfo lists the types of engines.
+// DoGetXdbcTypeInfo lists the engine types, or those of the data type that the command asks for.
 func (s *Server) DoGetXdbcTypeInfo(_ context.Context,
 	cmd flightsql.GetXdbcTypeInfo) (*arrow.Schema, <-chan flight.StreamChunk, error) {
 	b := array.NewRecordBuilder(s.mem, schema_ref.XdbcTypeInfo)
--- a/internal/frontend/flightsql/transaction.go
+++ b/internal/frontend/flightsql/transaction.go
@@ -14,13 +14,14 @@
 )
 
 const (
-	// maxEndedTransactions is how many transactions that have ended a session remembers, to say why.
+	// maxEndedTransactions limits how many transactions a session remembers to tell why they ended. Open
+	// transactions count, but are never forgotten.
 	maxEndedTransactions = 100
-	maxSavepoints        = 10000 // of a session
+	maxSavepoints        = 10000 // remembered by a session; at the limit it forgets all
 )
 
-// runStatement runs a statement of the front itself in a scope, as BEGIN. Like any statement it is admitted
-// and placed, and may be rejected.
+// runStatement runs a statement of the frontend itself, such as BEGIN, in the scope. Like any statement it is
+// admitted and placed, and may be rejected.
 func (sc *scope) runStatement(ctx context.Context, text string) error {
 	bindBody, err := arrowbatch.AppendBind(nil, nil, 0, nil)
 	if err != nil {
@@ -31,7 +32,7 @@
 	return err
 }
 
-// BeginTransaction opens a transaction, which has an engine connection of its own.
+// BeginTransaction opens a transaction, which has an engine connection of its own, and returns its id.
 func (s *Server) BeginTransaction(ctx context.Context, _ flightsql.ActionBeginTransactionRequest) ([]byte,
 	error) {
 	if s.draining.Load() {
@@ -52,7 +53,7 @@
 	s.mu.Lock()
 	sessionEnded := s.sessions[sess.token] != sess
 	s.mu.Unlock()
-	if sessionEnded { // it ended as its transaction began, and did not see the transaction
+	if sessionEnded { // endSession may not have seen the new transaction
 		sc.terminate(&verdict.Verdict{Kind: verdict.Cancelled, Code: sqlstate.AdminShutdown,
 			Message: "the session has ended"})
 		return nil, invalidCall(codes.Unauthenticated, "the session has ended")
@@ -66,7 +67,7 @@
 	return []byte(sc.transactionID), nil
 }
 
-// addTransaction adds a scope for a transaction to the session, with the session's settings.
+// addTransaction adds the scope of a new transaction to the session. It starts with the session's settings.
 func (sess *session) addTransaction() (*scope, error) {
 	sess.defaultScope.mu.Lock()
 	settings := sess.defaultScope.affinity.Params.Desired()
@@ -89,7 +90,8 @@
 	return sc, nil
 }
 
-// forgetEndedTransactions drops the oldest transactions that have ended. The caller holds the session's lock.
+// forgetEndedTransactions drops the oldest ended transactions beyond maxEndedTransactions. The caller holds
+// the session's lock.
 func (sess *session) forgetEndedTransactions() {
 	for i := 0; i < len(sess.transactionOrder) && len(sess.transactionOrder) > maxEndedTransactions; {
 		id := sess.transactionOrder[i]
@@ -102,7 +104,7 @@
 	}
 }
 
-// EndTransaction commits or rolls back.
+// EndTransaction commits or rolls back a transaction.
 func (s *Server) EndTransaction(ctx context.Context, req flightsql.ActionEndTransactionRequest) error {
 	if len(req.GetTransactionId()) == 0 {
 		return invalidCall(codes.InvalidArgument, "no transaction is named")
@@ -120,8 +122,8 @@
 	return invalidCall(codes.InvalidArgument, "neither commit nor rollback is asked for")
 }
 
-// commit commits a transaction. PostgreSQL answers the COMMIT of a failed transaction by ROLLBACK and without
-// an error; without an error of its own, the client would take the transaction for committed.
+// commit commits a transaction. PostgreSQL answers the COMMIT of a failed transaction with the tag ROLLBACK
+// and no error. commit returns an error then: the client would otherwise take the transaction for committed.
 func (sc *scope) commit(ctx context.Context) error {
 	sc.mu.Lock()
 	failed := sc.affinity.Status() == enginequery.StatusFailedTransaction
@@ -135,7 +137,7 @@
 	return nil
 }
 
-// BeginSavepoint opens a savepoint in a transaction.
+// BeginSavepoint sets a savepoint in a transaction and returns its id.
 func (s *Server) BeginSavepoint(ctx context.Context, req flightsql.ActionBeginSavepointRequest) ([]byte,
 	error) {
 	sess := sessionOf(ctx)
