--- a/internal/frontend/flightsql/batches.go
+++ b/internal/frontend/flightsql/batches.go
@@ -22,14 +22,14 @@
 
 // batchReader converts one response into record batches.
 type batchReader struct {
-	server   *Server
-	call     *call
-	chunks   chan flight.StreamChunk
-	schema   *arrowbatch.Schema  // nil: not known yet
-	builder  *arrowbatch.Builder // nil: no row description has arrived
-	complete bool                // the response has been read to its end
-	failure  error               // the response ended with it, after rows that are not sent yet
-	batches  []arrow.RecordBatch // to be sent
+	server       *Server
+	call         *call
+	chunks       chan flight.StreamChunk
+	schema       *arrowbatch.Schema  // nil: not known yet
+	builder      *arrowbatch.Builder // nil: no row description has arrived
+	responseRead bool                // the response has been read to its end
+	responseErr  error               // the response ended with it, after rows that are not sent yet
+	batches      []arrow.RecordBatch // to be sent
 }
 
 // streamBatches converts a response's rows into a stream of record batches. It returns once their schema is
@@ -44,7 +44,7 @@
 			err = r.handleMessages(b)
 		}
 		if err != nil && (r.hasRows() || len(r.batches) > 0) {
-			r.failure = err
+			r.responseErr = err
 			break
 		}
 		if err != nil {
@@ -56,7 +56,7 @@
 			return nil, nil, err
 		}
 		if spare = b; !more {
-			r.complete = true
+			r.responseRead = true
 			if r.schema == nil {
 				r.schema = &arrowbatch.Schema{Arrow: arrow.NewSchema(nil, nil)}
 			}
@@ -79,7 +79,7 @@
 		case 'D': // DataRow
 			return r.addRow(body)
 		case 'H', 'G', 'W': // CopyOutResponse, CopyInResponse, CopyBothResponse
-			return errCopy()
+			return errCopyNotSupported()
 		case 'E': // ErrorResponse
 			return engineError(body)
 		}
@@ -119,14 +119,14 @@
 
 // sendAll reads the response to its end and sends its batches, and then the response's error if it has one.
 func (r *batchReader) sendAll(ctx context.Context, spare []byte) error {
-	if r.failure != nil {
-		return r.sendError(ctx, r.failure)
+	if r.responseErr != nil {
+		return r.sendError(ctx, r.responseErr)
 	}
 	for {
 		if err := r.sendBatches(ctx); err != nil {
 			return err
 		}
-		if r.complete {
+		if r.responseRead {
 			break
 		}
 		within := time.Duration(0)
@@ -140,8 +140,8 @@
 		if err != nil {
 			return r.sendError(ctx, err)
 		}
-		r.complete = !more
-		if idle := len(b) == 0 && more; idle || r.complete {
+		r.responseRead = !more
+		if idle := len(b) == 0 && more; idle || r.responseRead {
 			r.flushRows()
 		}
 		spare = b
--- a/internal/frontend/flightsql/call.go
+++ b/internal/frontend/flightsql/call.go
@@ -66,7 +66,7 @@
 		client.Timeout = max(time.Until(deadline), time.Nanosecond)
 	}
 	if md, ok := metadata.FromIncomingContext(ctx); ok {
-		for _, attempts := range md.Get(headerAttempts) {
+		for _, attempts := range md.Get(headerPreviousAttempts) {
 			if n, err := strconv.Atoi(attempts); err == nil && n > 0 {
 				client.IsRetry = true
 			}
@@ -127,7 +127,7 @@
 	c.mu.Lock()
 	c.buf = append(c.buf, b...)
 	c.mu.Unlock()
-	signal(c.dataReady)
+	notify(c.dataReady)
 }
 
 // WriteFinal buffers the last messages of the response.
@@ -138,7 +138,7 @@
 	c.buf = append(c.buf, b...)
 	c.done = true
 	c.mu.Unlock()
-	signal(c.dataReady)
+	notify(c.dataReady)
 }
 
 // WriteVerdict ends the response with a verdict. Before a failure the client receives what the engine sent
@@ -152,11 +152,11 @@
 	}
 	c.done, c.verdict = true, v
 	c.mu.Unlock()
-	signal(c.dataReady)
+	notify(c.dataReady)
 }
 
-// signal wakes the receiver of a channel of capacity 1, without blocking.
-func signal(ch chan struct{}) {
+// notify wakes the receiver of a channel of capacity 1, without blocking.
+func notify(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
 	default:
@@ -221,7 +221,7 @@
 	done := c.done && c.verdict == nil
 	c.mu.Unlock()
 	c.server.pendingBytes.Add(-int64(len(b)))
-	signal(c.bufferTaken)
+	notify(c.bufferTaken)
 	return b, !done, true, nil
 }
 
@@ -229,20 +229,20 @@
 // If the statement runs exclusively in a sticky scope, the scope is terminated: the state that the statement
 // left there is unknown.
 func (c *call) abandon() {
-	ours := c.query.Response.Abandon()
+	abandoned := c.query.Response.Abandon()
 	c.mu.Lock()
 	// Otherwise a complete response that nobody takes would count as pending forever.
 	c.server.pendingBytes.Add(-int64(len(c.buf)))
 	c.buf = nil
 	c.mu.Unlock()
-	if !ours {
+	if !abandoned {
 		return
 	}
 	sc := c.scope
 	sc.mu.Lock()
-	sticky := sc.current == c && sc.affinity.Bound()
-	if sc.current == c {
-		sc.current = nil
+	sticky := sc.exclusiveCall == c && sc.affinity.Bound()
+	if sc.exclusiveCall == c {
+		sc.exclusiveCall = nil
 	}
 	sc.mu.Unlock()
 	c.server.dispatcher.Withdraw(c.query, sticky)
@@ -263,20 +263,20 @@
 	return true
 }
 
-// messageHeader is the size in bytes of a message's type and length.
-const messageHeader = 5
+// messageHeaderSize is the size in bytes of a message's type and length.
+const messageHeaderSize = 5
 
 // forEachMessage calls f for each of an engine's messages in b.
 func forEachMessage(b []byte, f func(kind byte, body []byte) error) error {
 	for len(b) > 0 {
-		if len(b) < messageHeader {
+		if len(b) < messageHeaderSize {
 			return errors.New("message is cut")
 		}
 		n := int(binary.BigEndian.Uint32(b[1:])) + 1 // the length does not count the type
-		if n < messageHeader || n > len(b) {
+		if n < messageHeaderSize || n > len(b) {
 			return fmt.Errorf("message of %d bytes in %d", n, len(b))
 		}
-		if err := f(b[0], b[messageHeader:n]); err != nil {
+		if err := f(b[0], b[messageHeaderSize:n]); err != nil {
 			return err
 		}
 		b = b[n:]
--- a/internal/frontend/flightsql/catalog.go
+++ b/internal/frontend/flightsql/catalog.go
@@ -37,7 +37,7 @@
 JOIN pg_catalog.pg_namespace n ON n.oid = c.relnamespace
 WHERE a.attnum > 0 AND NOT a.attisdropped AND ($1::text IS NULL OR n.nspname LIKE $1::text)
 AND ($2::text IS NULL OR c.relname LIKE $2::text) ORDER BY 1, 2, a.attnum /*action='flight.columns'*/`
-	keysText = `SELECT current_database()::text AS catalog_name, n.nspname::text AS db_schema_name,
+	primaryKeysText = `SELECT current_database()::text AS catalog_name, n.nspname::text AS db_schema_name,
 c.relname::text AS table_name, a.attname::text AS column_name, k.n::int8 AS key_sequence,
 o.conname::text AS key_name FROM pg_catalog.pg_constraint o JOIN pg_catalog.pg_class c ON c.oid = o.conrelid
 JOIN pg_catalog.pg_namespace n ON n.oid = c.relnamespace
@@ -227,15 +227,15 @@
 	return schema, singleChunk(array.NewRecordBatch(schema, all, tables.NumRows())), nil
 }
 
-// tableName is a table's name within a database.
-type tableName struct{ schema, table string }
+// qualifiedTableName is a table's name within a database.
+type qualifiedTableName struct{ schema, table string }
 
 // tableSchemas returns the serialized schema of each table. tables has the rows of tablesText, columns those
 // of columnsText.
 func (s *Server) tableSchemas(tables, columns arrow.RecordBatch) arrow.Array {
-	fields := map[tableName][]arrow.Field{}
+	fields := map[qualifiedTableName][]arrow.Field{}
 	for i := range int(columns.NumRows()) {
-		name := tableName{stringAt(columns, 0, i), stringAt(columns, 1, i)}
+		name := qualifiedTableName{stringAt(columns, 0, i), stringAt(columns, 1, i)}
 		oid := uint32(columns.Column(3).(*array.Int64).Value(i))
 		modifier := int32(columns.Column(4).(*array.Int64).Value(i))
 		notNull := columns.Column(5).(*array.Boolean).Value(i)
@@ -245,7 +245,7 @@
 	b := array.NewBinaryBuilder(s.mem, arrow.BinaryTypes.Binary)
 	defer b.Release()
 	for i := range int(tables.NumRows()) {
-		name := tableName{stringAt(tables, 1, i), stringAt(tables, 2, i)}
+		name := qualifiedTableName{stringAt(tables, 1, i), stringAt(tables, 2, i)}
 		b.Append(flight.SerializeSchema(arrow.NewSchema(fields[name], nil), s.mem))
 	}
 	return b.NewBinaryArray()
@@ -279,7 +279,7 @@
 // DoGetPrimaryKeys lists the columns of a table's primary key.
 func (s *Server) DoGetPrimaryKeys(ctx context.Context,
 	ref flightsql.TableRef) (*arrow.Schema, <-chan flight.StreamChunk, error) {
-	keys, err := s.queryCatalog(ctx, keysText, ref.Catalog, ref.DBSchema, &ref.Table)
+	keys, err := s.queryCatalog(ctx, primaryKeysText, ref.Catalog, ref.DBSchema, &ref.Table)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/frontend/flightsql/connection.go
+++ b/internal/frontend/flightsql/connection.go
@@ -58,11 +58,11 @@
 
 // clientConn is a connection as gRPC sees it. Calls on it that bring no token share its session.
 type clientConn struct {
-	token       string // of the connection's session
-	netConn     *countedConn
-	basicTokens []string            // of sessions by Basic authorization; under the server's lock
-	limiter     *rapidreset.Limiter // under the server's lock, as is rejected
-	rejected    bool
+	token         string // of the connection's session
+	netConn       *countedConn
+	basicTokens   []string            // of sessions by Basic authorization; under the server's lock
+	limiter       *rapidreset.Limiter // under the server's lock, as is floodDetected
+	floodDetected bool
 }
 
 // close closes the connection. Its error is ignored: gRPC sees for itself that the connection ended.
@@ -72,7 +72,7 @@
 
 // TagConn adds a clientConn to the context of a new connection, with a token for its session.
 func (s *Server) TagConn(ctx context.Context, info *stats.ConnTagInfo) context.Context {
-	c := &clientConn{token: connTokenPrefix + randomName(),
+	c := &clientConn{token: connTokenPrefix + newRandomID(),
 		limiter: rapidreset.New(rapidreset.DefaultLimits(), s.now())}
 	s.mu.Lock()
 	c.netConn = s.connsByAddr[info.RemoteAddr.String()]
@@ -93,7 +93,7 @@
 	c.basicTokens = nil
 	s.mu.Unlock()
 	for _, token := range tokens {
-		s.endSession(token, connectionIsGone)
+		s.endSession(token, connectionClosed)
 	}
 }
 
@@ -109,8 +109,8 @@
 	}
 	cancelled := status.Code(end.Error) == codes.Canceled
 	s.mu.Lock()
-	exceeded := c.limiter.CallEnded(s.now(), end.EndTime.Sub(end.BeginTime), cancelled) && !c.rejected
-	c.rejected = c.rejected || exceeded
+	exceeded := c.limiter.CallEnded(s.now(), end.EndTime.Sub(end.BeginTime), cancelled) && !c.floodDetected
+	c.floodDetected = c.floodDetected || exceeded
 	s.mu.Unlock()
 	if exceeded {
 		s.log.Warn("connection closed", "peer", c.netConn.RemoteAddr(),
--- a/internal/frontend/flightsql/errors.go
+++ b/internal/frontend/flightsql/errors.go
@@ -43,4 +43,6 @@
 	return !errors.As(err, &e) || e.MayHaveRun
 }
 
-func errCopy() error { return invalidCall(codes.Unimplemented, "COPY is not served over Flight SQL") }
+func errCopyNotSupported() error {
+	return invalidCall(codes.Unimplemented, "COPY is not served over Flight SQL")
+}
--- a/internal/frontend/flightsql/handshake.go
+++ b/internal/frontend/flightsql/handshake.go
@@ -16,12 +16,12 @@
 
 // Names of a call's headers and trailers.
 const (
-	headerAuth     = "authorization"
-	headerToken    = "auth-token-bin" // session token of clients that use the older handshake
-	headerDatabase = "database"
-	headerPush     = "grpc-retry-pushback-ms"
-	headerNotice   = "cresspass-notice"
-	headerAttempts = "grpc-previous-rpc-attempts"
+	headerAuthorization    = "authorization"
+	headerToken            = "auth-token-bin" // session token of clients that use the older handshake
+	headerDatabase         = "database"
+	headerRetryPushback    = "grpc-retry-pushback-ms"
+	headerNotice           = "cresspass-notice"
+	headerPreviousAttempts = "grpc-previous-rpc-attempts"
 )
 
 // handshake opens a session for a user, who is named by the header "authorization: Basic" or by a BasicAuth
@@ -36,7 +36,7 @@
 	if s.draining.Load() {
 		return verdictError(verdict.ShuttingDown(false))
 	}
-	sess, err := s.openSession(randomName(), user, false)
+	sess, err := s.openSession(newRandomID(), user, false)
 	if err != nil {
 		return err
 	}
@@ -44,13 +44,13 @@
 		sess.database = database[0]
 	}
 	// If the header cannot be sent, the call has ended and Send returns the error.
-	_ = stream.SendHeader(metadata.Pairs(headerAuth, "Bearer "+sess.token))
+	_ = stream.SendHeader(metadata.Pairs(headerAuthorization, "Bearer "+sess.token))
 	return stream.Send(&flight.HandshakeResponse{Payload: []byte(sess.token)})
 }
 
 // handshakeUser returns the user that a handshake names.
 func handshakeUser(stream flight.FlightService_HandshakeServer, md metadata.MD) (user string, err error) {
-	if h := md.Get(headerAuth); len(h) > 0 {
+	if h := md.Get(headerAuthorization); len(h) > 0 {
 		scheme, rest, _ := strings.Cut(h[0], " ")
 		if !strings.EqualFold(scheme, "basic") {
 			return "", errNotBasic()
@@ -81,7 +81,7 @@
 
 // credentials returns what a call's headers name: the token of a session, a user, or neither.
 func credentials(md metadata.MD) (token, user string, err error) {
-	if h := md.Get(headerAuth); len(h) > 0 {
+	if h := md.Get(headerAuthorization); len(h) > 0 {
 		switch scheme, rest, _ := strings.Cut(h[0], " "); {
 		case strings.EqualFold(scheme, "bearer"):
 			return rest, "", nil
--- a/internal/frontend/flightsql/interceptor.go
+++ b/internal/frontend/flightsql/interceptor.go
@@ -87,7 +87,7 @@
 	var e *callError
 	if errors.As(err, &e) {
 		if e.Pushback != 0 {
-			set(metadata.Pairs(headerPush, e.PushbackText()))
+			set(metadata.Pairs(headerRetryPushback, e.PushbackText()))
 		}
 		err = e
 	} else if _, ok := status.FromError(err); !ok && err != nil {
--- a/internal/frontend/flightsql/prepared.go
+++ b/internal/frontend/flightsql/prepared.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return res, err
 	}
-	handle := statementPrefix + randomName()
+	handle := statementPrefix + newRandomID()
 	sess.mu.Lock()
 	defer sess.mu.Unlock()
 	if limit := s.cfg.MaxPrepared; limit > 0 && len(sess.prepared) >= limit {
@@ -183,13 +183,13 @@
 			}
 			n, err := s.executeUpdate(ctx, p.scope, p.statement(parsed, bindBody))
 			if err != nil {
-				return total, afterEarlierRows(err, runs)
+				return total, partialUpdateError(err, runs)
 			}
 			total, runs = total+n, runs+1
 		}
 	}
 	if err := r.Err(); err != nil {
-		return total, afterEarlierRows(invalidCall(codes.InvalidArgument, "parameters: %v", err), runs)
+		return total, partialUpdateError(invalidCall(codes.InvalidArgument, "parameters: %v", err), runs)
 	}
 	return total, nil
 }
@@ -199,9 +199,9 @@
 		bindBody: bindBody}
 }
 
-// afterEarlierRows returns the error of a call whose row failed after others had run. Reported as a
+// partialUpdateError returns the error of a call whose row failed after others had run. Reported as a
 // rejection, it would tell the client that a retry of the whole call is harmless.
-func afterEarlierRows(err error, runs int) error {
+func partialUpdateError(err error, runs int) error {
 	if runs == 0 {
 		return err
 	}
--- a/internal/frontend/flightsql/query.go
+++ b/internal/frontend/flightsql/query.go
@@ -40,7 +40,7 @@
 		return nil, invalidCall(codes.InvalidArgument, "more than one statement in a query")
 	}
 	if st.parsed[0].Words[0] == "COPY" {
-		return nil, errCopy()
+		return nil, errCopyNotSupported()
 	}
 	b := s.cachedDescription(sc, text)
 	if b == nil {
@@ -183,9 +183,9 @@
 		s.endFetch(t, mayHaveRun(err))
 		return nil, nil, err
 	}
-	s.addRunning(t, c)
+	s.addRunningFetch(t, c)
 	return s.streamBatches(ctx, c, func(err error) {
-		s.removeRunning(t, c)
+		s.removeRunningFetch(t, c)
 		s.endFetch(t, mayHaveRun(err))
 	})
 }
@@ -225,8 +225,8 @@
 	s.tickets.EndFetch(t, mayHaveRun)
 }
 
-// addRunning records a call that runs for a ticket, so that CancelFlightInfo finds it.
-func (s *Server) addRunning(t *ticket.Ticket, c *call) {
+// addRunningFetch records a call that runs for a ticket, so that CancelFlightInfo finds it.
+func (s *Server) addRunningFetch(t *ticket.Ticket, c *call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.runningFetches[t.Nonce] == nil {
@@ -235,7 +235,7 @@
 	s.runningFetches[t.Nonce][c] = struct{}{}
 }
 
-func (s *Server) removeRunning(t *ticket.Ticket, c *call) {
+func (s *Server) removeRunningFetch(t *ticket.Ticket, c *call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if delete(s.runningFetches[t.Nonce], c); len(s.runningFetches[t.Nonce]) == 0 {
--- a/internal/frontend/flightsql/scope.go
+++ b/internal/frontend/flightsql/scope.go
@@ -30,7 +30,7 @@
 	waiters          map[statementqueue.StatementID]chan struct{} // closed when the statement's turn comes
 	affinity         *affinity.Session
 	registration     registry.Entry
-	current          *call            // the call that runs exclusively; nil: none
+	exclusiveCall    *call            // the call that runs exclusively; nil: none
 	endVerdict       *verdict.Verdict // why the scope has ended; nil: it has not
 	connectionLost   bool             // the engine connection was lost while a statement ran
 	transactionBegan bool             // an engine has run the transaction's BEGIN
@@ -137,7 +137,7 @@
 		c.query.Lease = &pgbackend.Lease{OnLost: func() {}, OnDrain: func(time.Duration) {}}
 		return
 	}
-	sc.current = c
+	sc.exclusiveCall = c
 	c.query.Lease = &sc.lease
 	q.Sticky = sticky
 	if q.Kind == enginequery.Execute {
@@ -152,7 +152,7 @@
 // connection.
 func (sc *scope) settleQuery(c *call, end pgbackend.QueryEnd) pgbackend.Disposition {
 	sc.mu.Lock()
-	if sc.current != c || sc.endVerdict != nil {
+	if sc.exclusiveCall != c || sc.endVerdict != nil {
 		sc.mu.Unlock()
 		return pgbackend.Disposition{} // it or its scope was ended elsewhere, or it has a lease of its own
 	}
@@ -189,8 +189,8 @@
 func (sc *scope) onResponseEnded(c *call) {
 	sc.mu.Lock()
 	var t affinity.Termination
-	if sc.current == c {
-		sc.current = nil
+	if sc.exclusiveCall == c {
+		sc.exclusiveCall = nil
 		if sc.connectionLost {
 			t = sc.affinity.ConnectionLost(false)
 		} else if sc.lease.Engine() == "" {
@@ -223,7 +223,7 @@
 func (sc *scope) onIdleConnectionLost() {
 	sc.mu.Lock()
 	bound := sc.affinity.Bound()
-	ended := bound && sc.current == nil
+	ended := bound && sc.exclusiveCall == nil
 	var t affinity.Termination
 	if ended {
 		t = sc.affinity.ConnectionLost(false)
@@ -258,7 +258,7 @@
 		sc.mu.Unlock()
 		return
 	}
-	t, due := sc.affinity.Expire(now, sc.current != nil, limits)
+	t, due := sc.affinity.Expire(now, sc.exclusiveCall != nil, limits)
 	sc.mu.Unlock()
 	if due {
 		sc.terminate(lostVerdict(t))
@@ -273,7 +273,7 @@
 	if sc.endVerdict == nil {
 		sc.endVerdict = v
 	}
-	current := sc.current
+	current := sc.exclusiveCall
 	sc.queue.Close()
 	for id, turn := range sc.waiters {
 		close(turn)
--- a/internal/frontend/flightsql/server.go
+++ b/internal/frontend/flightsql/server.go
@@ -39,8 +39,8 @@
 
 const (
 	ticketKeySize = 32
-	// randomNameSize is the number of random bytes in tokens, handles and ids.
-	randomNameSize = 16
+	// randomIDSize is the number of random bytes in tokens, handles and ids.
+	randomIDSize = 16
 	// minKeepAlive is the shortest interval at which a client may send keepalive pings.
 	minKeepAlive = 5 * time.Second
 	// keepAliveTimeout is how long a client may take to answer a keepalive ping.
@@ -53,10 +53,10 @@
 
 // Reasons for the end of a session, as clients receive them in errors.
 const (
-	idleTooLong      = "it rested for too long"
-	connectionIsGone = "its connection is gone"
-	closedByClient   = "its client closed it"
-	shuttingDown     = "the dispatcher is shutting down"
+	idleTimeoutReached = "it rested for too long"
+	connectionClosed   = "its connection is gone"
+	closedByClient     = "its client closed it"
+	shuttingDown       = "the dispatcher is shutting down"
 )
 
 // Config holds the settings of the frontend.
@@ -115,8 +115,8 @@
 	pendingBytes atomic.Int64 // of responses that clients have not taken yet, over all calls
 	draining     atomic.Bool
 	stop         chan struct{}
-	work         sync.WaitGroup
-	once         sync.Once
+	goroutines   sync.WaitGroup
+	closeOnce    sync.Once
 
 	mu             sync.Mutex
 	tickets        *ticket.FetchLedger
@@ -153,7 +153,7 @@
 	s.Alloc = s.mem
 	s.registerSQLInfo()
 	s.grpc = s.newGRPCServer()
-	s.work.Add(1)
+	s.goroutines.Add(1)
 	go s.expireSessions()
 	return s
 }
@@ -192,9 +192,9 @@
 	s.mu.Lock()
 	s.listeners = append(s.listeners, ln)
 	s.mu.Unlock()
-	s.work.Add(1)
+	s.goroutines.Add(1)
 	go func() {
-		defer s.work.Done()
+		defer s.goroutines.Done()
 		err := s.grpc.Serve(&limitedListener{netlisten.ResilientListener{Listener: ln}, s})
 		if err != nil && !s.draining.Load() {
 			s.log.Warn("Flight SQL server stopped", "error", err)
@@ -202,9 +202,9 @@
 	}()
 }
 
-// randomName returns a random name that cannot be guessed, in hexadecimal.
-func randomName() string {
-	b := make([]byte, randomNameSize)
+// newRandomID returns a random string that cannot be guessed, in hexadecimal.
+func newRandomID() string {
+	b := make([]byte, randomIDSize)
 	rand.Read(b)
 	return hex.EncodeToString(b)
 }
@@ -214,7 +214,7 @@
 
 // expireSessions ends sessions that have been idle for too long, until Close.
 func (s *Server) expireSessions() {
-	defer s.work.Done()
+	defer s.goroutines.Done()
 	ticker := time.NewTicker(expiryInterval)
 	defer ticker.Stop()
 	for {
@@ -227,7 +227,7 @@
 		expired := s.sessionStore.Expired(s.now())
 		s.mu.Unlock()
 		for _, token := range expired {
-			s.endSession(token, idleTooLong)
+			s.endSession(token, idleTimeoutReached)
 		}
 	}
 }
@@ -266,9 +266,9 @@
 	}
 	s.health.Shutdown()
 	s.notifyDraining()
-	s.work.Add(1)
+	s.goroutines.Add(1)
 	go func() {
-		defer s.work.Done()
+		defer s.goroutines.Done()
 		if s.awaitNoSticky() {
 			s.grpc.GracefulStop()
 		}
@@ -332,10 +332,10 @@
 
 // Close drains the server, ends all sessions and connections, and waits for its goroutines.
 func (s *Server) Close() {
-	s.once.Do(func() {
+	s.closeOnce.Do(func() {
 		s.Drain()
 		close(s.stop)
 		s.TerminateAll()
-		s.work.Wait()
+		s.goroutines.Wait()
 	})
 }
--- a/internal/frontend/flightsql/session.go
+++ b/internal/frontend/flightsql/session.go
@@ -183,7 +183,7 @@
 	expired := s.sessions[token] != nil // expireSessions has not ended it yet
 	s.mu.Unlock()
 	if expired {
-		s.endSession(token, idleTooLong)
+		s.endSession(token, idleTimeoutReached)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -217,7 +217,7 @@
 	_, open := s.clientConns[c]
 	s.mu.Unlock()
 	if !open { // the connection closed meanwhile, and HandleConn may not have seen the session
-		s.endSession(token, connectionIsGone)
+		s.endSession(token, connectionClosed)
 	}
 	return token, nil
 }
--- a/internal/frontend/flightsql/transaction.go
+++ b/internal/frontend/flightsql/transaction.go
@@ -72,7 +72,7 @@
 	sess.defaultScope.mu.Lock()
 	settings := sess.defaultScope.affinity.Params.Desired()
 	sess.defaultScope.mu.Unlock()
-	sc := newScope(sess, transactionPrefix+randomName(), settings)
+	sc := newScope(sess, transactionPrefix+newRandomID(), settings)
 	sess.mu.Lock()
 	defer sess.mu.Unlock()
 	open := 0
@@ -151,7 +151,7 @@
 	if err := sc.runStatement(ctx, "SAVEPOINT "+quoteIdentifier(req.GetName())); err != nil {
 		return nil, err
 	}
-	id := savepointPrefix + randomName()
+	id := savepointPrefix + newRandomID()
 	sess.mu.Lock()
 	defer sess.mu.Unlock()
 	if len(sess.savepoints) >= maxSavepoints {
