--- a/internal/frontend/flightsql/arrowbatch/append.go
+++ b/internal/frontend/flightsql/arrowbatch/append.go
@@ -40,8 +40,8 @@
 	return func(v []byte) error { f.BinaryBuilder.Append(v); return nil }
 }
 
-// fixedWidth returns an appender for values of size bytes.
-func fixedWidth(size int, appendValue func(v []byte)) appender {
+// fixedWidthAppender returns an appender for values of size bytes.
+func fixedWidthAppender(size int, appendValue func(v []byte)) appender {
 	return func(v []byte) error {
 		if len(v) != size {
 			return fmt.Errorf("a value of %d bytes, not %d", len(v), size)
@@ -61,7 +61,7 @@
 	}
 	switch f := f.(type) {
 	case *array.FixedSizeBinaryBuilder:
-		return fixedWidth(uuidSize, f.Append)
+		return fixedWidthAppender(uuidSize, f.Append)
 	case *array.Decimal128Builder:
 		return decimalAppender(f)
 	case *array.BinaryBuilder:
@@ -80,19 +80,19 @@
 	u64, u32, u16 := binary.BigEndian.Uint64, binary.BigEndian.Uint32, binary.BigEndian.Uint16
 	switch f := f.(type) {
 	case *array.BooleanBuilder:
-		return fixedWidth(1, func(v []byte) { f.Append(v[0] != 0) })
+		return fixedWidthAppender(1, func(v []byte) { f.Append(v[0] != 0) })
 	case *array.Int16Builder:
-		return fixedWidth(2, func(v []byte) { f.Append(int16(u16(v))) })
+		return fixedWidthAppender(2, func(v []byte) { f.Append(int16(u16(v))) })
 	case *array.Int32Builder:
-		return fixedWidth(4, func(v []byte) { f.Append(int32(u32(v))) })
+		return fixedWidthAppender(4, func(v []byte) { f.Append(int32(u32(v))) })
 	case *array.Int64Builder:
-		return fixedWidth(8, func(v []byte) { f.Append(int64(u64(v))) })
+		return fixedWidthAppender(8, func(v []byte) { f.Append(int64(u64(v))) })
 	case *array.Uint32Builder:
-		return fixedWidth(4, func(v []byte) { f.Append(u32(v)) })
+		return fixedWidthAppender(4, func(v []byte) { f.Append(u32(v)) })
 	case *array.Float32Builder:
-		return fixedWidth(4, func(v []byte) { f.Append(math.Float32frombits(u32(v))) })
+		return fixedWidthAppender(4, func(v []byte) { f.Append(math.Float32frombits(u32(v))) })
 	case *array.Float64Builder:
-		return fixedWidth(8, func(v []byte) { f.Append(math.Float64frombits(u64(v))) })
+		return fixedWidthAppender(8, func(v []byte) { f.Append(math.Float64frombits(u64(v))) })
 	}
 	return nil
 }
@@ -102,13 +102,15 @@
 	u64, u32 := binary.BigEndian.Uint64, binary.BigEndian.Uint32
 	switch f := f.(type) {
 	case *array.Date32Builder:
-		return fixedWidth(4, func(v []byte) { f.Append(arrow.Date32(dateToUnixEpoch(int32(u32(v))))) })
+		return fixedWidthAppender(4, func(v []byte) {
+			f.Append(arrow.Date32(dateToUnixEpoch(int32(u32(v)))))
+		})
 	case *array.Time64Builder:
-		return fixedWidth(8, func(v []byte) { f.Append(arrow.Time64(u64(v))) })
+		return fixedWidthAppender(8, func(v []byte) { f.Append(arrow.Time64(u64(v))) })
 	case *array.TimestampBuilder:
-		return fixedWidth(8, func(v []byte) { f.Append(arrow.Timestamp(toUnixEpoch(int64(u64(v))))) })
+		return fixedWidthAppender(8, func(v []byte) { f.Append(arrow.Timestamp(toUnixEpoch(int64(u64(v))))) })
 	case *array.MonthDayNanoIntervalBuilder:
-		return fixedWidth(16, func(v []byte) { // microseconds, days, months
+		return fixedWidthAppender(16, func(v []byte) { // microseconds, days, months
 			f.Append(arrow.MonthDayNanoInterval{Months: int32(u32(v[12:])), Days: int32(u32(v[8:])),
 				Nanoseconds: int64(u64(v)) * 1000})
 		})
@@ -149,9 +151,9 @@
 // and the OID of the element type, 4 bytes each; for each dimension its length and lower bound, 4 bytes each;
 // then the elements.
 const (
-	arrayHeader    = 12
-	arrayElementAt = 8
-	arrayDimension = 8
+	arrayHeaderSize        = 12
+	arrayElementTypeOffset = 8
+	arrayDimensionSize     = 8
 )
 
 // listAppender returns the appender for arrays of at most one dimension. element is the element type's OID.
@@ -182,41 +184,41 @@
 
 // parseArrayHeader returns the number of elements of an array and the bytes after its header.
 func parseArrayHeader(v []byte, element uint32) (n int, rest []byte, err error) {
-	if len(v) < arrayHeader {
+	if len(v) < arrayHeaderSize {
 		return 0, nil, errTruncated
 	}
 	dimensions := binary.BigEndian.Uint32(v)
-	if oid := binary.BigEndian.Uint32(v[arrayElementAt:]); oid != element {
+	if oid := binary.BigEndian.Uint32(v[arrayElementTypeOffset:]); oid != element {
 		return 0, nil, fmt.Errorf("an array of type %d, not %d", oid, element)
 	}
-	v = v[arrayHeader:]
+	v = v[arrayHeaderSize:]
 	switch {
 	case dimensions > 1:
 		return 0, nil, fmt.Errorf("an array of %d dimensions is not served; cast it to text", dimensions)
 	case dimensions == 1:
-		if len(v) < arrayDimension {
+		if len(v) < arrayDimensionSize {
 			return 0, nil, errTruncated
 		}
 		n = int(binary.BigEndian.Uint32(v))
-		v = v[arrayDimension:]
+		v = v[arrayDimensionSize:]
 	}
-	if n > len(v)/valueHeader {
+	if n > len(v)/valueHeaderSize {
 		return 0, nil, errTruncated
 	}
 	return n, v, nil
 }
 
-// valueHeader is the size in bytes of the length before a value.
-const valueHeader = 4
+// valueHeaderSize is the size in bytes of the length before a value.
+const valueHeaderSize = 4
 
 // nextValue returns the first value of b, which its length precedes, and the bytes after it. A nil value is
 // null.
 func nextValue(b []byte) (v, rest []byte, err error) {
-	if len(b) < valueHeader {
+	if len(b) < valueHeaderSize {
 		return nil, nil, errTruncated
 	}
 	n := int32(binary.BigEndian.Uint32(b))
-	b = b[valueHeader:]
+	b = b[valueHeaderSize:]
 	if n < 0 {
 		return nil, b, nil
 	}
--- a/internal/frontend/flightsql/arrowbatch/numeric.go
+++ b/internal/frontend/flightsql/arrowbatch/numeric.go
@@ -13,9 +13,9 @@
 // Layout of a numeric in binary form (numeric_send): the number of digits, the weight of the first, the sign
 // and the scale, 2 bytes each, then the digits in base numericBase, 2 bytes each.
 const (
-	numericHeader = 8 // bytes before the digits
-	numericBase   = 10000
-	baseDigits    = 4 // decimal digits of one digit in base numericBase
+	numericHeaderSize = 8 // bytes before the digits
+	numericBase       = 10000
+	baseDigits        = 4 // decimal digits of one digit in base numericBase
 
 	signPositive         = 0
 	signNegative         = 0x4000
@@ -35,12 +35,12 @@
 
 // parseNumeric decodes a numeric in binary form; its digits share the memory of v.
 func parseNumeric(v []byte) (numeric, error) {
-	if len(v) < numericHeader {
+	if len(v) < numericHeaderSize {
 		return numeric{}, errTruncated
 	}
 	count := int(binary.BigEndian.Uint16(v))
 	n := numeric{weight: int(int16(binary.BigEndian.Uint16(v[2:]))),
-		scale: int(binary.BigEndian.Uint16(v[6:])), digits: v[numericHeader:]}
+		scale: int(binary.BigEndian.Uint16(v[6:])), digits: v[numericHeaderSize:]}
 	if len(n.digits) != 2*count {
 		return n, errTruncated
 	}
@@ -125,28 +125,28 @@
 	unit := new(big.Int).Exp(big.NewInt(10), big.NewInt(int64(scale)), nil)
 	v.Mul(v, new(big.Rat).SetInt(unit))
 	if !v.IsInt() || v.Num().BitLen() > 127 {
-		return decimal128.Num{}, errNoFit(precision, scale)
+		return decimal128.Num{}, errDoesNotFit(precision, scale)
 	}
 	d := decimal128.FromBigInt(v.Num())
 	if !d.FitsInPrecision(precision) {
-		return d, errNoFit(precision, scale)
+		return d, errDoesNotFit(precision, scale)
 	}
 	return d, nil
 }
 
-func errNoFit(precision, scale int32) error {
+func errDoesNotFit(precision, scale int32) error {
 	return fmt.Errorf("does not fit decimal(%d, %d)", precision, scale)
 }
 
-// smallFraction is the number of decimal digits after the decimal point that smallDecimal reads: two digits
-// in base numericBase.
-const smallFraction = 2 * baseDigits
+// smallFractionDigits is the number of decimal digits after the decimal point that smallDecimal reads: two
+// digits in base numericBase.
+const smallFractionDigits = 2 * baseDigits
 
 // smallDecimal is decimal without arbitrary-precision arithmetic, for numbers of up to 16 decimal digits
 // before the decimal point and 8 after it. ok is false for any other.
 func (n *numeric) smallDecimal(precision, scale int32) (d decimal128.Num, ok bool, err error) {
 	count := len(n.digits) / 2
-	if n.weight >= 4 || n.weight < -1 || scale > smallFraction || count > n.weight+3 {
+	if n.weight >= 4 || n.weight < -1 || scale > smallFractionDigits || count > n.weight+3 {
 		return d, false, nil
 	}
 	whole, fraction := int64(0), int64(0)
@@ -156,7 +156,7 @@
 	for i := n.weight + 1; i <= n.weight+2; i++ {
 		fraction = fraction*numericBase + int64(n.digit(i))
 	}
-	for range smallFraction - scale {
+	for range smallFractionDigits - scale {
 		if fraction%10 != 0 {
 			return d, false, fmt.Errorf("more than %d digits behind the point", scale)
 		}
@@ -174,7 +174,7 @@
 		sum = -sum
 	}
 	if d = decimal128.FromI64(sum); !d.FitsInPrecision(precision) {
-		return decimal128.Num{}, false, errNoFit(precision, scale)
+		return decimal128.Num{}, false, errDoesNotFit(precision, scale)
 	}
 	return d, true, nil
 }
--- a/internal/frontend/flightsql/arrowbatch/schema.go
+++ b/internal/frontend/flightsql/arrowbatch/schema.go
@@ -62,13 +62,13 @@
 // noModifier is the type modifier that means none.
 const noModifier = -1
 
-// The modifier of a numeric is its precision and scale, plus modifierOffset ("Numeric Types").
+// The modifier of a numeric is its precision and scale, plus numericModifierOffset ("Numeric Types").
 const (
-	modifierOffset   = 4
-	precisionShift   = 16
-	precisionMask    = 0xffff
-	scaleMask        = 0x7ff
-	maxDecimalDigits = 38 // of Arrow's Decimal128
+	numericModifierOffset = 4
+	numericPrecisionShift = 16
+	numericPrecisionMask  = 0xffff
+	numericScaleMask      = 0x7ff
+	maxDecimalDigits      = 38 // of Arrow's Decimal128
 )
 
 // arrowTypeOf returns the Arrow type of a PostgreSQL type; nil: this package does not decode its binary form.
@@ -85,9 +85,9 @@
 // numericType returns the Arrow type of a numeric. Without a modifier it may hold any number, and Arrow's
 // decimals have no scale below zero or above the precision. Such numerics are strings, with all their digits.
 func numericType(modifier int32) arrow.DataType {
-	precision := (modifier - modifierOffset) >> precisionShift & precisionMask
-	scale := (modifier - modifierOffset) & scaleMask
-	if modifier >= modifierOffset && precision <= maxDecimalDigits && scale <= precision {
+	precision := (modifier - numericModifierOffset) >> numericPrecisionShift & numericPrecisionMask
+	scale := (modifier - numericModifierOffset) & numericScaleMask
+	if modifier >= numericModifierOffset && precision <= maxDecimalDigits && scale <= precision {
 		return &arrow.Decimal128Type{Precision: precision, Scale: scale}
 	}
 	return arrow.BinaryTypes.String
@@ -118,8 +118,8 @@
 	return s, nil
 }
 
-// columnTail is the size in bytes of a column's description after its name and the zero byte that ends it.
-const columnTail = 18
+// columnTailSize is the size in bytes of a column's description after its zero-terminated name.
+const columnTailSize = 18
 
 // parseColumn decodes one column of a RowDescription and returns the bytes after it.
 func parseColumn(b []byte) (c Column, rest []byte, err error) {
@@ -127,7 +127,7 @@
 	for end < len(b) && b[end] != 0 {
 		end++
 	}
-	if len(b) < end+1+columnTail {
+	if len(b) < end+1+columnTailSize {
 		return c, nil, errTruncated
 	}
 	c.Name = string(b[:end])
@@ -135,7 +135,7 @@
 	c.OID = binary.BigEndian.Uint32(b[6:]) // after the table's OID and the column's number
 	c.TypeModifier = int32(binary.BigEndian.Uint32(b[12:]))
 	c.Binary = binary.BigEndian.Uint16(b[16:]) == formatBinary
-	return c, b[columnTail:], nil
+	return c, b[columnTailSize:], nil
 }
 
 // Format codes of values ("Formats and Format Codes").
--- a/internal/frontend/flightsql/grpcstatus/status.go
+++ b/internal/frontend/flightsql/grpcstatus/status.go
@@ -42,8 +42,8 @@
 )
 
 const (
-	// noRetry is the pushback that forbids a retry.
-	noRetry = -1
+	// noRetryPushback is the pushback that forbids a retry.
+	noRetryPushback = -1
 	// minPushback is the shortest pushback that gRPC can send.
 	minPushback = time.Millisecond
 )
@@ -61,7 +61,7 @@
 // PushbackText returns the value of the trailer grpc-retry-pushback-ms, in milliseconds.
 func (s *Status) PushbackText() string {
 	if s.Pushback < 0 {
-		return strconv.Itoa(noRetry)
+		return strconv.Itoa(noRetryPushback)
 	}
 	return strconv.FormatInt(max(s.Pushback, minPushback).Milliseconds(), 10)
 }
@@ -76,13 +76,13 @@
 	case verdict.Rejected:
 		return rejection(v, message)
 	case verdict.Cancelled:
-		return build(codes.Canceled, message, noRetry, true,
+		return newStatus(codes.Canceled, message, noRetryPushback, true,
 			errorInfo(ReasonCancelled, metadata(v.Code, mayHaveRunText(v))))
 	case verdict.InvalidRequest:
-		return build(codeOfSQLState(v.Code), message, noRetry, false,
+		return newStatus(codeOfSQLState(v.Code), message, noRetryPushback, false,
 			errorInfo(ReasonInvalid, metadata(v.Code, mayHaveRunText(v))))
 	}
-	return build(codes.Unknown, message, noRetry, true,
+	return newStatus(codes.Unknown, message, noRetryPushback, true,
 		errorInfo(ReasonFailed, metadata(v.Code, ranUnknown)))
 }
 
@@ -99,7 +99,7 @@
 		details = append(details, protoadapt.MessageV1Of(&errdetails.RetryInfo{
 			RetryDelay: durationpb.New(v.RetryAfter)}))
 	}
-	return build(code, message, max(v.RetryAfter, minPushback), v.MayHaveRun, details...)
+	return newStatus(code, message, max(v.RetryAfter, minPushback), v.MayHaveRun, details...)
 }
 
 // mayHaveRunText returns the value of metadataRan for a verdict.
@@ -120,13 +120,13 @@
 	if f.Hint != "" {
 		message += ". " + f.Hint
 	}
-	return build(codeOfSQLState(f.Code), message, noRetry, true,
+	return newStatus(codeOfSQLState(f.Code), message, noRetryPushback, true,
 		errorInfo(ReasonEngine, metadata(f.Code, ranUnknown)))
 }
 
 // InvalidCall returns the status of a call that cannot be served as requested. Nothing ran.
 func InvalidCall(code codes.Code, message string) *Status {
-	return build(code, message, noRetry, false,
+	return newStatus(code, message, noRetryPushback, false,
 		errorInfo(ReasonInvalid, map[string]string{metadataRan: ranNo}))
 }
 
@@ -138,8 +138,8 @@
 	return protoadapt.MessageV1Of(&errdetails.ErrorInfo{Reason: reason, Domain: Domain, Metadata: metadata})
 }
 
-// build returns a status. Details that cannot be encoded are left out.
-func build(code codes.Code, message string, pushback time.Duration, mayHaveRun bool,
+// newStatus returns a status. Details that cannot be encoded are left out.
+func newStatus(code codes.Code, message string, pushback time.Duration, mayHaveRun bool,
 	details ...protoadapt.MessageV1) *Status {
 	s := status.New(code, message)
 	if with, err := s.WithDetails(details...); err == nil {
--- a/internal/frontend/flightsql/ticket/ledger.go
+++ b/internal/frontend/flightsql/ticket/ledger.go
@@ -7,9 +7,9 @@
 
 // FetchLedger remembers which single-use tickets were fetched. It is not safe for concurrent use.
 type FetchLedger struct {
-	capacity int
-	fetched  map[uint64]*fetch // by nonce
-	byExpiry []*fetch          // in the order of BeginFetch, which is only roughly that of expiry
+	capacity   int
+	fetched    map[uint64]*fetch // by nonce
+	fetchOrder []*fetch          // in the order of BeginFetch, which is only roughly that of expiry
 }
 
 // fetch is a remembered fetch of a single-use ticket.
@@ -44,7 +44,7 @@
 	}
 	f := &fetch{nonce: t.Nonce, expiresAt: t.ExpiresAt}
 	l.fetched[t.Nonce] = f
-	l.byExpiry = append(l.byExpiry, f)
+	l.fetchOrder = append(l.fetchOrder, f)
 	return 0, nil
 }
 
@@ -56,7 +56,7 @@
 		return
 	}
 	delete(l.fetched, t.Nonce)
-	f.expiresAt = 0 // evictExpired drops it from byExpiry
+	f.expiresAt = 0 // evictExpired drops it from fetchOrder
 }
 
 // Len returns the number of remembered fetches.
@@ -77,13 +77,13 @@
 // BeginFetch.
 func (l *FetchLedger) evictExpired(now time.Duration) {
 	n := 0
-	for n < len(l.byExpiry) && now >= l.byExpiry[n].expiresAt {
-		if f := l.byExpiry[n]; l.fetched[f.nonce] == f {
+	for n < len(l.fetchOrder) && now >= l.fetchOrder[n].expiresAt {
+		if f := l.fetchOrder[n]; l.fetched[f.nonce] == f {
 			delete(l.fetched, f.nonce)
 		}
 		n++
 	}
-	if l.byExpiry = l.byExpiry[n:]; n > 0 && len(l.byExpiry) == 0 {
-		l.byExpiry = nil
+	if l.fetchOrder = l.fetchOrder[n:]; n > 0 && len(l.fetchOrder) == 0 {
+		l.fetchOrder = nil
 	}
 }
--- a/internal/frontend/flightsql/ticket/ticket_test.go
+++ b/internal/frontend/flightsql/ticket/ticket_test.go
@@ -105,9 +105,9 @@
 		if _, err := ledger.BeginFetch(now, last, "s"); err != nil {
 			t.Fatal(err)
 		}
-		if ledger.Len() != 0 || len(ledger.byExpiry) != 0 {
-			t.Fatalf("%d fetches and %d entries of the expiry list are left, want none", ledger.Len(),
-				len(ledger.byExpiry))
+		if ledger.Len() != 0 || len(ledger.fetchOrder) != 0 {
+			t.Fatalf("%d fetches and %d entries of fetchOrder are left, want none", ledger.Len(),
+				len(ledger.fetchOrder))
 		}
 	})
 }
