--- a/internal/frontend/flightsql/arrowbatch/arrowbatch_test.go
+++ b/internal/frontend/flightsql/arrowbatch/arrowbatch_test.go
@@ -101,7 +101,7 @@
 		}
 		b := NewBuilder(s, memory.DefaultAllocator)
 		defer b.Release()
-		if err := b.Row(row(v)); err != nil {
+		if err := b.AppendRow(row(v)); err != nil {
 			return
 		}
 		r := b.Batch()
@@ -137,7 +137,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		for range rows {
-			if err := builder.Row(line); err != nil {
+			if err := builder.AppendRow(line); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/frontend/flightsql/arrowbatch/builder.go
+++ b/internal/frontend/flightsql/arrowbatch/builder.go
@@ -80,9 +80,9 @@
 	}
 }
 
-// Row adds the row of a DataRow's body. A row that is rejected halfway leaves columns of unequal length, so
-// the builder cannot be used after an error.
-func (b *Builder) Row(row []byte) error {
+// AppendRow adds the row of a DataRow's body. A row that is rejected halfway leaves columns of unequal length,
+// so the builder cannot be used after an error.
+func (b *Builder) AppendRow(row []byte) error {
 	if len(row) < 2 || int(binary.BigEndian.Uint16(row)) != len(b.appenders) {
 		return fmt.Errorf("row does not have the %d columns described", len(b.appenders))
 	}
--- a/internal/frontend/flightsql/batches.go
+++ b/internal/frontend/flightsql/batches.go
@@ -91,7 +91,7 @@
 	if r.builder == nil {
 		return invalidCall(codes.Unknown, "a row came before its description")
 	}
-	if err := r.builder.Row(body); err != nil {
+	if err := r.builder.AppendRow(body); err != nil {
 		return invalidCall(codes.OutOfRange, "%v", err)
 	}
 	if r.builder.Bytes() >= batchBytes || r.builder.Rows() >= batchRows {
