--- a/internal/frontend/flightsql/arrowbatch/builder.go
+++ b/internal/frontend/flightsql/arrowbatch/builder.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// AppendRow adds the row of a DataRow's body. A row that is rejected halfway leaves columns of unequal length,
-// so the builder cannot be used after an error.
+// AppendRow adds the row of a DataRow's body. A row that is rejected halfway leaves columns of unequal
+// length, so the builder cannot be used after an error.
 func (b *Builder) AppendRow(row []byte) error {
 	if len(row) < 2 || int(binary.BigEndian.Uint16(row)) != len(b.appenders) {
 		return fmt.Errorf("row does not have the %d columns described", len(b.appenders))
--- a/internal/frontend/flightsql/scope.go
+++ b/internal/frontend/flightsql/scope.go
@@ -240,7 +240,8 @@
 	return verdict.ConnectionLost(t.Code, t.Message, t.Detail)
 }
 
-// onEngineDraining notifies the client that the scope's engine drains. The scope is ended after within.
+// onEngineDraining notifies the client that the scope's engine drains. within is how long the scope may stay
+// on it.
 func (sc *scope) onEngineDraining(within time.Duration) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
--- a/internal/frontend/flightsql/server.go
+++ b/internal/frontend/flightsql/server.go
@@ -131,7 +131,7 @@
 }
 
 // SetBuffers changes how many bytes of a response are buffered before the first is sent, and how many may
-// wait for a call's client while the engine is read. The first applies to later statements, the second at
+// wait for a call's client while the engine is read. holdBack applies to later statements, clientBuffer at
 // once.
 func (s *Server) SetBuffers(holdBack, clientBuffer int) {
 	s.holdBack.Store(int64(holdBack))
