--- a/internal/soak/calltap.go
+++ b/internal/soak/calltap.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// call is a call of a dispatcher to a compute node as the tap on their link sees it.
+// call is an HTTP request from a dispatcher to a compute node, as the tap on their link sees it.
 type call struct {
 	method, ticket, class string
-	page                  string // that a poll asks for
-	limit                 time.Duration
-	firstByteAt           time.Time // when it left the dispatcher
+	page                  string        // the result page that a poll asks for
+	limit                 time.Duration // the time that the compute node is given
+	firstByteAt           time.Time     // when it left the dispatcher
 	lastByteAt            time.Time
 }
 
-// callParser cuts what a dispatcher writes on one connection into calls. It parses HTTP without the
-// dispatcher's code.
+// callParser splits the bytes that a dispatcher writes on one connection into calls. It parses HTTP without
+// the dispatcher's code.
 type callParser struct {
 	buffer      []byte
 	firstByteAt time.Time
 }
 
-// feed takes bytes that were seen now and returns the calls that are complete.
+// feed adds bytes that were observed at the time now and returns the calls that they complete.
 func (p *callParser) feed(now time.Time, b []byte) (calls []call) {
 	if len(p.buffer) == 0 {
 		p.firstByteAt = now
@@ -45,7 +45,8 @@
 	}
 }
 
-// parseHead parses a call's head. A number that can't be parsed counts as 0, as one that is missing.
+// parseHead parses a call's request line and headers, and returns the length of its body in bytes. A number
+// that is missing or can't be parsed counts as 0.
 func parseHead(head string) (c call, bodyLength int) {
 	lines := strings.Split(head, "\r\n")
 	requestLine := strings.Split(lines[0], " ")
@@ -71,7 +72,8 @@
 	return c, bodyLength
 }
 
-// parsePath returns the query that a path names, and the page of its result.
+// parsePath returns the ticket of the query that a path names, and the page of its result. Each is empty if
+// the path has none.
 func parsePath(path string) (ticket, page string) {
 	parts := strings.Split(strings.Trim(path, "/"), "/")
 	if len(parts) > 1 {
--- a/internal/soak/calltap_test.go
+++ b/internal/soak/calltap_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestCallParser: calls are cut out of what a dispatcher writes wherever it is split.
+// TestCallParser checks that the same calls are parsed wherever the stream is split between two reads.
 func TestCallParser(t *testing.T) {
 	text := "POST /x HTTP/1.1\r\nX-Ticket: t1\r\nX-Queue: once\r\nX-Max-Ms: 1500\r\n" +
 		"Content-Length: 8\r\n\r\nSELECT 1" +
@@ -15,7 +15,7 @@
 		calls := append(p.feed(now, []byte(text[:cut])), p.feed(now, []byte(text[cut:]))...)
 		if len(calls) != 3 || calls[0].ticket != "t1" || calls[0].class != "once" ||
 			calls[0].limit != 1500*time.Millisecond || calls[1].page != "0" || calls[2].method != "DELETE" {
-			t.Fatalf("cut at %d: %+v", cut, calls)
+			t.Fatalf("split at %d: got calls %+v", cut, calls)
 		}
 	}
 }
--- a/internal/soak/class.go
+++ b/internal/soak/class.go
@@ -5,21 +5,21 @@
 // idempotency says whether a request of a class may be executed again.
 type idempotency string
 
-// The kinds of idempotency, by their names in the dispatcher's settings.
+// The kinds of idempotency, with their values in the dispatcher's settings.
 const (
 	idempotent        idempotency = "safe"
-	idempotentWithKey idempotency = "keyed" // by its idempotency key, within the deduplication window
+	idempotentWithKey idempotency = "keyed" // with the same idempotency key, within the deduplication window
 	notIdempotent     idempotency = "unsafe"
 )
 
-// requestClass is a class of requests of the soak's fleet.
+// requestClass is a class of requests that the soak's clients send.
 type requestClass struct {
 	name                string
 	idempotency         idempotency
-	inOrder             bool // requests of one ordering key run one at a time
+	inOrder             bool // requests with the same ordering key run one at a time
 	deduplicationWindow time.Duration
-	meanWork            time.Duration // on one core
-	share               float64       // of the requests
+	meanWork            time.Duration // run time on one core
+	share               float64       // of all requests
 }
 
 var requestClasses = []requestClass{
@@ -30,7 +30,7 @@
 	{name: "turn", idempotency: idempotent, inOrder: true, meanWork: 60 * time.Millisecond, share: 0.15},
 }
 
-// classNamed returns the class of a name; one that is unknown is not idempotent.
+// classNamed returns the class of a name. An unknown class counts as not idempotent.
 func classNamed(name string) requestClass {
 	for _, c := range requestClasses {
 		if c.name == name {
@@ -40,7 +40,7 @@
 	return requestClass{name: name, idempotency: notIdempotent}
 }
 
-// meanWorkSeconds is the mean work of a request over all classes, by their shares.
+// meanWorkSeconds returns the mean work of a request in seconds, weighted by the shares of the classes.
 func meanWorkSeconds() float64 {
 	work, shares := 0.0, 0.0
 	for _, c := range requestClasses {
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// crossingTime is the age up to which a request counts as having crossed the close of its connection. It
-	// is sent again, once.
+	// crossingTime is the greatest age of a request that may have crossed the close of its connection on the
+	// way. Such a request is sent again once.
 	crossingTime = 50 * time.Millisecond
 
 	dialTimeout   = time.Second
@@ -34,7 +34,7 @@
 	closed   bool
 }
 
-// connect opens a connection to the dispatcher; nil: it accepts none.
+// connect opens a client's connection to the dispatcher. It returns nil if the connection can't be opened.
 func (d *dispatcher) connect() *clientConn {
 	conn, err := net.DialTimeout("tcp", d.clients.addr(), dialTimeout)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return !c.closed && len(c.open) < maxOpenRequests
 }
 
-// send writes a request. It returns false where it could not be written completely.
+// send records and writes a request. It reports whether the whole request was written.
 func (c *clientConn) send(r request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,8 +74,7 @@
 	c.lastSeq++
 	seq := c.lastSeq
 	c.open[seq] = r.ticket
-	// The request is recorded before it is written: the dispatcher's side of it may be seen before Write
-	// returns.
+	// The request is recorded before it is written: the dispatcher may forward it before Write returns.
 	incarnation := c.dispatcher.currentIncarnation()
 	c.dispatcher.fleet.oracle.updateRequest(r.ticket, func(observed *observedRequest) {
 		observed.class, observed.orderingKey = r.class.name, r.orderingKey
@@ -96,7 +95,7 @@
 	return err == nil
 }
 
-// fields are the request's fields by their names on the wire.
+// fields returns the request's fields by their names on the wire.
 func (r request) fields() map[string]string {
 	fields := map[string]string{
 		"txn":     r.ticket,
@@ -114,7 +113,7 @@
 	return fields
 }
 
-// write writes a message, in two halves where there is a time between them.
+// write writes a message. If between is positive, it writes two halves with that time between them.
 func (c *clientConn) write(message []byte, between time.Duration) error {
 	if between > 0 {
 		half := len(message) / 2
@@ -128,7 +127,7 @@
 	return err
 }
 
-// cancel cancels a request, if it is open.
+// cancel cancels a request if it is still open.
 func (c *clientConn) cancel(ticket string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,7 +142,7 @@
 	}
 }
 
-// cancelAll cancels all that is open on a connection.
+// cancelAll cancels all open requests of the connection.
 func (c *clientConn) cancelAll() {
 	c.mu.Lock()
 	open := c.openTicketsLocked()
@@ -161,7 +160,7 @@
 	return tickets
 }
 
-// disconnect closes the connection with whatever is open on it; hard: by a reset.
+// disconnect closes the connection, by a reset if hard is set, and gives up its open requests.
 func (c *clientConn) disconnect(hard bool) {
 	c.mu.Lock()
 	if c.closed {
@@ -180,7 +179,8 @@
 	c.conn.Close()
 }
 
-// markClientGone records that the client waits no longer, as soon as its slow link lets the dispatcher know.
+// markClientGone records that the client no longer waits. The time is when the dispatcher can know: after the
+// delay of the client's link.
 func (c *clientConn) markClientGone(ticket string) {
 	at := time.Now().Add(c.dispatcher.linkDelay())
 	c.dispatcher.fleet.oracle.updateRequest(ticket, func(r *observedRequest) {
@@ -190,7 +190,7 @@
 	})
 }
 
-// read reads answers until the connection ends.
+// read reads and handles answers until the connection ends.
 func (c *clientConn) read() {
 	defer c.dispatcher.track(c, false)
 	in := bufio.NewReader(c.conn)
@@ -210,7 +210,7 @@
 	}
 }
 
-// readFrame reads a frame and returns it without its length, cut at maxFrameBytes.
+// readFrame reads a frame and returns it without its length prefix, truncated to maxFrameBytes.
 func readFrame(in io.Reader) ([]byte, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(in, head[:]); err != nil {
@@ -221,7 +221,7 @@
 	return frame, err
 }
 
-// handleAnswer records an answer, also a second one to the same request.
+// handleAnswer records an answer, including a second one to the same request.
 func (c *clientConn) handleAnswer(a answer) {
 	if a.method == methodAlive {
 		c.dispatcher.recordAlive(a.alive)
@@ -237,15 +237,15 @@
 	}
 	c.mu.Unlock()
 	if !ok {
-		return // its client cancelled it
+		return // the client cancelled the request
 	}
 	c.dispatcher.fleet.oracle.updateRequest(ticket, func(r *observedRequest) {
 		r.answers = append(r.answers, receivedAnswer{a.kind, a.body, time.Now()})
 	})
 }
 
-// connectionEnded handles a connection that the dispatcher closed, by the error of the last read. Where
-// nothing but requests that crossed the close was open, these are sent again, once, on a new connection.
+// connectionEnded handles the end of a connection; by is the error of the last read. If the dispatcher closed
+// it and all open requests may have crossed the close, each is sent again once, on a new connection.
 func (c *clientConn) connectionEnded(by error) {
 	now := time.Now()
 	c.mu.Lock()
@@ -276,7 +276,7 @@
 	}
 }
 
-// resend sends a request again, on a new connection, unless that was done before. It reports whether the
+// resend sends a request again on a new connection, unless it was sent again before. It reports whether the
 // request was written.
 func (d *dispatcher) resend(ticket string) bool {
 	r, ok := d.rememberedRequest(ticket)
@@ -291,6 +291,6 @@
 	return c.send(r)
 }
 
-// writeBestEffort writes to the dispatcher, or to a client of a stand-in. Where that fails, the other side
-// sees a connection that broke, and the oracle judges what it makes of it.
+// writeBestEffort writes to a dispatcher's connection and ignores errors. After a failed write the dispatcher
+// sees a broken connection, and the oracle judges how it reacts.
 func writeBestEffort(w io.Writer, b []byte) { _, _ = w.Write(b) }
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -22,37 +22,37 @@
 	Started int64   `json:"started_ms"`
 }
 
-// endpointList is the whole list, or what changed of it.
+// endpointList is the complete endpoint list, or the entries that changed.
 type endpointList struct {
 	Version int        `json:"version"`
 	Full    bool       `json:"full"`
 	Servers []endpoint `json:"servers"`
 }
 
-// watchEvent is an event of a watch.
+// watchEvent is an event that a watch delivers.
 type watchEvent struct {
 	Rev  int           `json:"rev"`
 	Pool *endpointList `json:"pool"`
 }
 
-// Times of a discovery.
+// Timing of the discovery server.
 const (
-	slowAnswerDelay     = 2200 * time.Millisecond // a slow discovery takes it for each answer
-	oldAddressServesFor = 1500 * time.Millisecond // an address that was left keeps its watches
-	keepaliveInterval   = time.Second             // between comments on a watch
+	slowAnswerDelay     = 2200 * time.Millisecond // before a watch starts, while discovery is slow
+	oldAddressServesFor = 1500 * time.Millisecond // open watches, after a move to the other address
+	keepaliveInterval   = time.Second             // between comments sent on a watch
 	watchCheckInterval  = 100 * time.Millisecond
 )
 
-// discoveryServer stands in for the discovery service as one dispatcher sees it: watches at one of two
-// addresses, with events numbered anew for each process.
+// discoveryServer stands in for the discovery service of one dispatcher. It serves watches at one of two
+// addresses, and numbers events from 1 for each process of the dispatcher. It is safe for concurrent use.
 type discoveryServer struct {
 	mu             sync.Mutex
 	events         []watchEvent
 	currentAddress int
 	redirectedAt   time.Time
-	down           bool // refuses every connection
-	silent         bool // watches deliver nothing
-	slow           bool // each answer takes slowAnswerDelay
+	down           bool // every watch is reset
+	silent         bool // open watches deliver nothing
+	slow           bool // each watch starts after slowAnswerDelay
 	truncating     bool // watches break off in the middle of an event
 	faultChangedAt time.Time
 	changed        chan struct{} // closed, and replaced, at every change
@@ -62,7 +62,7 @@
 	ended     sync.WaitGroup
 }
 
-// newDiscoveryServer starts a discovery without any event; restart gives it the first.
+// newDiscoveryServer starts a server that has no events yet; restart adds the first.
 func newDiscoveryServer() (*discoveryServer, error) {
 	s := &discoveryServer{changed: make(chan struct{})}
 	for i := range s.listeners {
@@ -79,14 +79,14 @@
 	return s, nil
 }
 
-// addr is the address that serves watches now.
+// addr returns the address that serves watches now.
 func (s *discoveryServer) addr() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.listeners[s.currentAddress].Addr().String()
 }
 
-// restart numbers events anew, with a complete list as the first, and returns them.
+// restart discards all events, adds the complete list as the first, and returns the events.
 func (s *discoveryServer) restart(all []endpoint) []watchEvent {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +101,7 @@
 	return s.events
 }
 
-// publish adds an event, unless there is no list yet that it could change.
+// publish adds an event with changed entries. It does nothing before the first complete list.
 func (s *discoveryServer) publish(updates ...endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,7 +114,7 @@
 	s.notifyLocked()
 }
 
-// redirect has the other address serve watches.
+// redirect switches watches to the other address.
 func (s *discoveryServer) redirect() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,7 +122,7 @@
 	s.notifyLocked()
 }
 
-// set begins or ends a fault.
+// set starts or ends a fault by changing the server's fields.
 func (s *discoveryServer) set(change func(s *discoveryServer)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,13 +131,13 @@
 	s.notifyLocked()
 }
 
-// notifyLocked wakes all watches.
+// notifyLocked wakes all open watches. The caller holds mu.
 func (s *discoveryServer) notifyLocked() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// faulty reports whether it had a fault or was redirected at any moment since a time.
+// faulty reports whether the server has a fault, or has changed faults or addresses since the given time.
 func (s *discoveryServer) faulty(since time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,7 +145,7 @@
 		s.redirectedAt.After(since)
 }
 
-// serveWatch serves a watch at one of the addresses.
+// serveWatch serves a watch at the address of the given index.
 func (s *discoveryServer) serveWatch(address int, w http.ResponseWriter, q *http.Request) {
 	s.mu.Lock()
 	refuses, slow := s.down || address != s.currentAddress, s.slow
@@ -161,7 +161,7 @@
 			return
 		}
 	}
-	delivered, _ := strconv.Atoi(q.Header.Get("Last-Event-ID")) // a first watch has none: 0
+	delivered, _ := strconv.Atoi(q.Header.Get("Last-Event-ID")) // 0 for a first watch, without one
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	stream := &watch{w: w, flush: w.(http.Flusher).Flush, delivered: delivered}
@@ -186,7 +186,7 @@
 	}
 }
 
-// watchState is what a watch at one of the addresses has to do now.
+// watchState tells a watch at one of the addresses what to do now.
 type watchState struct {
 	ended      bool
 	delivers   bool
@@ -212,11 +212,11 @@
 type watch struct {
 	w         http.ResponseWriter
 	flush     func()
-	delivered int // events
+	delivered int // number of events that the dispatcher has
 }
 
-// deliver writes the events that were not delivered. It returns false where it broke off in the middle of
-// one.
+// deliver writes the events that are not delivered yet. It returns false if it truncated an event: the watch
+// must end then.
 func (w *watch) deliver(state watchState) bool {
 	if !state.delivers {
 		return true
@@ -224,7 +224,7 @@
 	for ; w.delivered < len(state.events); w.delivered++ {
 		data, err := json.Marshal(state.events[w.delivered])
 		if err != nil {
-			panic(fmt.Sprintf("soak: encoding a watch event: %v", err)) // it has no value that JSON lacks
+			panic(fmt.Sprintf("soak: encoding a watch event: %v", err)) // all its values have a JSON form
 		}
 		event := fmt.Sprintf("id: %d\ndata: %s\n\n", w.delivered+1, data)
 		if state.truncating {
@@ -241,14 +241,14 @@
 	w.flush()
 }
 
-// hangUp resets the connection of a call without an answer.
+// hangUp resets the connection of an HTTP request.
 func hangUp(w http.ResponseWriter) {
 	if conn, _, ok := hijack(w); ok {
 		reset(conn)
 	}
 }
 
-// close ends all watches.
+// close ends all watches and waits for the servers.
 func (s *discoveryServer) close() {
 	for _, server := range s.servers {
 		closeServer(server)
--- a/internal/soak/dispatcher.go
+++ b/internal/soak/dispatcher.go
@@ -13,46 +13,47 @@
 	"cresspass/internal/invariant"
 )
 
-// dispatcher is a real dispatcher: one process after another at one address, with its links, its discovery
-// and its clients.
+// dispatcher runs one real dispatcher process after another at one address. It holds their links, discovery
+// server and clients.
 type dispatcher struct {
 	index     int
 	fleet     *fleet
-	listen    string // the address
+	listen    string // address of the process, behind the clients' proxy
 	discovery *discoveryServer
 	clients   *proxy
-	nodes     []*proxy // to each compute node
+	nodes     []*proxy // links to the compute nodes, by node index
 	dir       string
 	parsers   sync.Map // exchangeKey to *callParser
 
-	files sync.Mutex // replaceFile is at work
+	files sync.Mutex // held by replaceFile
 
 	mu                   sync.Mutex
-	incarnation          int // number of the process
+	incarnation          int // number of the current process, from 1
 	process              *exec.Cmd
 	ended                chan struct{} // closed when the process has exited
 	ready                bool
-	terminatedAt         time.Time // SIGTERM was sent; zero: it was not
+	terminatedAt         time.Time // when SIGTERM was sent to the current process; zero if it was not
 	changing             bool      // the process is being ended or replaced
-	pauses               pauseList // of all its processes
-	descriptorsFullUntil time.Time // until then idle clients may take all its descriptors
+	pauses               pauseList // of all processes so far
+	descriptorsFullUntil time.Time // until then idle clients may use all descriptors
 	clientLinkDelay      time.Duration
 	clientConns          map[*clientConn]bool
 	requests             map[string]request // by ticket
 	aliveReply           chan bool
 }
 
-// exchangeKey names a connection on a link to a compute node.
+// exchangeKey identifies a connection on a link to a compute node.
 type exchangeKey struct{ node, connection int }
 
-// Files in a dispatcher's folder.
+// Files in a dispatcher's directory.
 const (
 	configFile = "config.json"
 	faultsFile = "faults.json"
 	logFile    = "log"
 )
 
-// newDispatcher makes a dispatcher with its links; start starts its process.
+// newDispatcher returns a dispatcher with open links and a running discovery server. The start method starts
+// its process.
 func newDispatcher(index int, f *fleet) (*dispatcher, error) {
 	d := &dispatcher{
 		index:       index,
@@ -84,21 +85,23 @@
 	return d, nil
 }
 
-// listenAddress is the address of a dispatcher: its port is below those that the system gives to connections,
-// and no other run has its loopback address at the time.
+// listenAddress returns the address of a dispatcher. Its port is below the system's ephemeral ports. The
+// loopback address follows from this process's id and the port from the run, so that runs at the same time do
+// not collide.
 func listenAddress(run, dispatcher int) string {
 	const firstPort = 15000
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d:%d", 10+pid%200, 1+pid/200%200, 1+dispatcher, firstPort+run)
 }
 
-// observe parses what the dispatcher writes to a compute node and records calls and the starts of queries.
+// observe parses the bytes that the dispatcher writes to a compute node, and records the calls: starts of
+// queries, polls and cancels.
 func (d *dispatcher) observe(node, connection int, now time.Time, b []byte) {
 	parser, _ := d.parsers.LoadOrStore(exchangeKey{node, connection}, &callParser{})
 	for _, c := range parser.(*callParser).feed(now, b) {
 		observed := observedCall{call: c, node: node, connection: connection}
 		if c.method != "POST" {
-			if c.ticket != "" { // else it is a health check
+			if c.ticket != "" { // a health check has no ticket
 				d.fleet.oracle.updateRequest(c.ticket, func(r *observedRequest) {
 					r.calls = append(r.calls, observed)
 				})
@@ -115,7 +118,7 @@
 	}
 }
 
-// endpointList is the endpoint list with the addresses of this dispatcher's links.
+// endpointList returns the endpoint list with the addresses of this dispatcher's links.
 func (d *dispatcher) endpointList() []endpoint {
 	list := d.fleet.endpointList()
 	for i := range list {
@@ -124,7 +127,8 @@
 	return list
 }
 
-// writeConfiguration writes the file that the process reads.
+// writeConfiguration writes the configuration file of the process; known are the watch events that it starts
+// with.
 func (d *dispatcher) writeConfiguration(known []watchEvent) error {
 	seed := d.fleet.plan.Seed*1000 + uint64(d.index*100+d.currentIncarnation())
 	data, err := json.Marshal(processConfig{
@@ -142,8 +146,8 @@
 	return d.replaceFile(configFile, data)
 }
 
-// replaceFile replaces a file of the dispatcher's folder in one step, so that its process never reads half of
-// it. Faults that overlap write the same file, so one is written at a time.
+// replaceFile atomically replaces a file in the dispatcher's directory, so that the process never reads a
+// partial file. Overlapping faults may replace the same file, so replacements run one at a time.
 func (d *dispatcher) replaceFile(name string, data []byte) error {
 	d.files.Lock()
 	defer d.files.Unlock()
@@ -155,14 +159,14 @@
 	return os.Rename(next, path)
 }
 
-// currentIncarnation is the number of the process.
+// currentIncarnation returns the number of the current process.
 func (d *dispatcher) currentIncarnation() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.incarnation
 }
 
-// linkDelay is how late bytes between clients and the dispatcher may come.
+// linkDelay returns the longest delay that the link may add to bytes between clients and the dispatcher.
 func (d *dispatcher) linkDelay() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -175,7 +179,7 @@
 	d.clientLinkDelay = by
 }
 
-// expectFullDescriptors records that idle clients may take all descriptors for so long.
+// expectFullDescriptors records that idle clients may use all descriptors for the given time from now.
 func (d *dispatcher) expectFullDescriptors(duration time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -190,7 +194,7 @@
 	return time.Now().Before(d.descriptorsFullUntil)
 }
 
-// track adds a client's connection to those that are open, or removes it.
+// track adds a connection to the open client connections, or removes it if open is false.
 func (d *dispatcher) track(c *clientConn, open bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -201,7 +205,7 @@
 	}
 }
 
-// connections returns the open connections of clients.
+// connections returns the open client connections.
 func (d *dispatcher) connections() (all []*clientConn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -211,7 +215,7 @@
 	return all
 }
 
-// rememberRequest keeps a request, in case it has to be sent again.
+// rememberRequest keeps a request in case it must be sent again.
 func (d *dispatcher) rememberRequest(r request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -225,7 +229,7 @@
 	return r, ok
 }
 
-// violations returns what the dispatcher itself logged of violated invariants, and panics.
+// violations returns the violated invariants and the panics that the dispatcher logged.
 func (d *dispatcher) violations() []string {
 	lines, err := invariant.ReadViolations(filepath.Join(d.dir, logFile))
 	if err != nil {
@@ -234,7 +238,7 @@
 	return lines
 }
 
-// readLog returns the lines of the dispatcher's log. A log that can't be read stands as its one line.
+// readLog returns the lines of the dispatcher's log, or the error as the only line if it can't be read.
 func (d *dispatcher) readLog() []string {
 	data, err := os.ReadFile(filepath.Join(d.dir, logFile))
 	if err != nil {
@@ -243,13 +247,13 @@
 	return strings.Split(strings.TrimSpace(string(data)), "\n")
 }
 
-// lastLogLine returns the end of the dispatcher's log.
+// lastLogLine returns the last line of the dispatcher's log.
 func (d *dispatcher) lastLogLine() string {
 	lines := d.readLog()
 	return lines[len(lines)-1]
 }
 
-// logOf returns the lines of the dispatcher's log that name a request.
+// logOf returns the lines of the dispatcher's log that contain the ticket of a request.
 func (d *dispatcher) logOf(ticket string) (lines []string) {
 	for _, line := range d.readLog() {
 		if ticket != "" && strings.Contains(line, ticket) {
@@ -259,7 +263,7 @@
 	return lines
 }
 
-// close ends the links and the discovery; the process has exited before.
+// close closes the links and the discovery server. The process must have exited before.
 func (d *dispatcher) close() {
 	d.clients.close()
 	for _, link := range d.nodes {
--- a/internal/soak/endpoints.go
+++ b/internal/soak/endpoints.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// The states of a compute node on the endpoint list.
+// States of a compute node in the endpoint list.
 const (
 	stateUp       = "up"
 	stateDraining = "draining"
@@ -10,15 +10,15 @@
 )
 
 const (
-	// discoveryCatchUp is the time that a dispatcher gets after a fault of discovery: only then it counts as
-	// notified of all that happened meanwhile.
+	// discoveryCatchUp is how long after a discovery fault a dispatcher counts as notified of the changes
+	// during the fault.
 	discoveryCatchUp = 4 * time.Second
 
 	catchUpCheckInterval = 20 * time.Millisecond
 
-	drainExtra         = time.Second            // from the end of the drain's grace to the node's exit
+	drainExtra         = time.Second            // from the end of drainGrace to the node's exit
 	restartPause       = 100 * time.Millisecond // from a compute node's exit to its successor's start
-	listenAttempts     = 100                    // of a compute node at its former address
+	listenAttempts     = 100                    // to listen at a compute node's former address
 	listenRetryBackoff = 20 * time.Millisecond
 )
 
@@ -29,7 +29,7 @@
 	return append([]endpoint(nil), f.endpoints...)
 }
 
-// updateEndpoint changes a compute node's entry and announces it to all dispatchers.
+// updateEndpoint changes a compute node's entry in the endpoint list and publishes it to all dispatchers.
 func (f *fleet) updateEndpoint(node int, change func(e *endpoint)) {
 	f.mu.Lock()
 	before := f.endpoints[node]
@@ -52,8 +52,8 @@
 	}
 }
 
-// recordDrain records from when on a dispatcher counts as notified of a drain: at once, or some time after
-// the end of the fault that its discovery is in.
+// recordDrain records when a dispatcher counts as notified of a drain: now, or discoveryCatchUp after the
+// discovery fault that is in force.
 func (f *fleet) recordDrain(d *dispatcher, generation string) {
 	now, incarnation := time.Now(), d.currentIncarnation()
 	if !d.discovery.faulty(now.Add(-discoveryCatchUp)) {
@@ -68,7 +68,7 @@
 	})
 }
 
-// mayDrain reports whether a compute node is up, and enough others are.
+// mayDrain reports whether a compute node is up and more than half of all nodes are.
 func (f *fleet) mayDrain(n *computeNode) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -81,8 +81,8 @@
 	return f.endpoints[n.index].State == stateUp && up >= len(f.nodes)/2+1
 }
 
-// drainNode has a compute node drain and exit, and another start at its address. The caller holds the node's
-// change.
+// drainNode drains and ends a compute node's process and starts the next one at its address. The caller has
+// called beginChange on the node.
 func (f *fleet) drainNode(fault Fault, n *computeNode) {
 	if !f.mayDrain(n) {
 		return
@@ -94,7 +94,8 @@
 	f.restartNode(n)
 }
 
-// restartNode starts a new process at a compute node's address; it is in slow start.
+// restartNode starts a compute node's next process at its address, in slow start. If the address stays taken,
+// the node is announced without a listener.
 func (f *fleet) restartNode(n *computeNode) {
 	for range listenAttempts {
 		if n.listen(n.addr) == nil {
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -9,26 +9,27 @@
 	"time"
 )
 
-// Config says how a plan is executed.
+// Config configures the execution of a plan.
 type Config struct {
 	Plan    *Plan
-	Program string // the dispatchers' program
-	Dir     string // for configurations and logs; each run needs one of its own
-	Mutant  string // a guard that the dispatchers leave out, to prove the oracle; "": none
+	Program string // path of the dispatchers' program
+	Dir     string // directory for configurations and logs; each run needs its own
+	Mutant  string // guard that the dispatchers leave out, to test the oracle; "" for none
 }
 
 const (
-	// idleClientsPerDispatcher is how many clients of a dispatcher stay idle until it ends their connections.
+	// idleClientsPerDispatcher is the number of clients of each dispatcher that stay idle until their
+	// connections reach the idle timeout.
 	idleClientsPerDispatcher = 3
 
-	// settleTime is how long the run goes on after the last request, so that each gets its answer.
+	// settleTime is the time from the last request to the shutdown, in which requests get their answers.
 	settleTime = 4 * time.Second
 )
 
-// runs counts the runs of this process: each has a port of its own.
+// runs counts the runs of this process, which gives each run its own port.
 var runs atomic.Int32
 
-// fleet is the dispatchers and all that they talk to.
+// fleet is the dispatchers of a run and the stand-ins that they talk to.
 type fleet struct {
 	run         int // number of the run in this process
 	plan        *Plan
@@ -40,13 +41,15 @@
 	dispatchers []*dispatcher
 
 	mu           sync.Mutex
-	endpoints    []endpoint // the endpoint list, by node; addresses are each dispatcher's own
-	ending       bool       // the dispatchers are told to exit for good
-	sendingUntil time.Time  // clients send their last requests
+	endpoints    []endpoint // by node; addresses are missing, as they differ for each dispatcher
+	ending       bool       // the dispatchers are being terminated for good
+	sendingUntil time.Time  // when clients send their last requests
 	background   sync.WaitGroup
 }
 
-// Run executes a plan and returns what was found. The error is for a fleet that could not be set up.
+// Run executes a plan and returns what was found. It takes the plan's duration and some seconds more; when
+// ctx is cancelled, it starts no further fault and ends early. An error means that the fleet could not be set
+// up. Run may be called from several goroutines, with a different Config.Dir for each call.
 func Run(ctx context.Context, c Config) (*Report, error) {
 	f := &fleet{
 		run:     int(runs.Add(1)),
@@ -79,7 +82,7 @@
 	return report, nil
 }
 
-// setUp makes the stand-ins and the dispatchers, whose processes are not started yet.
+// setUp starts the stand-ins and creates the dispatchers, without their processes.
 func (f *fleet) setUp(stopNodes <-chan struct{}) error {
 	for i := range f.plan.Nodes {
 		n, err := newComputeNode(i, f.oracle, f.plan.Seed, f.plan.NodeBehavior)
@@ -101,13 +104,13 @@
 	return nil
 }
 
-// startClients starts the clients of each dispatcher, which send until stop is closed.
+// startClients starts the clients of each dispatcher. They send until stop is closed.
 func (f *fleet) startClients(stop <-chan struct{}) {
 	for _, d := range f.dispatchers {
 		busy := &sender{dispatcher: d, random: rand.New(rand.NewPCG(f.plan.Seed, uint64(d.index)+1))}
 		f.background.Go(func() { busy.run(f.plan.Rate, stop) })
 		for i := range idleClientsPerDispatcher {
-			// Its high bits keep the stream apart from those of the busy clients.
+			// The shift keeps these streams apart from those of the busy clients.
 			stream := uint64(d.index*idleClientsPerDispatcher+i) << 32
 			idle := &sender{dispatcher: d, random: rand.New(rand.NewPCG(f.plan.Seed, stream))}
 			f.background.Go(func() { idle.runIdle(stop) })
@@ -115,7 +118,7 @@
 	}
 }
 
-// forEachDispatcher does something for all dispatchers at the same time and waits for the last.
+// forEachDispatcher calls do for all dispatchers concurrently and waits until all calls return.
 func (f *fleet) forEachDispatcher(do func(d *dispatcher)) {
 	var all sync.WaitGroup
 	for _, d := range f.dispatchers {
@@ -124,7 +127,7 @@
 	all.Wait()
 }
 
-// close ends what is left of processes and stand-ins.
+// close kills processes that still run and closes the stand-ins.
 func (f *fleet) close() {
 	for _, d := range f.dispatchers {
 		d.mu.Lock()
@@ -140,14 +143,14 @@
 	}
 }
 
-// sendingFor is how long clients still send requests.
+// sendingFor returns how much longer clients send requests.
 func (f *fleet) sendingFor() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return time.Until(f.sendingUntil)
 }
 
-// closing reports whether the dispatchers exit for good.
+// closing reports whether the dispatchers are being terminated for good.
 func (f *fleet) closing() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -11,25 +11,25 @@
 	"time"
 )
 
-// What faults do.
+// Parameters of faults.
 const (
 	reloadsInBurst    = 4
-	reloadBurstPause  = 8 // the pause between two reloads of a burst is this part of the fault's duration
+	reloadBurstPause  = 8 // the fault's duration is divided by this to give the pause after each reload
 	linkFaultDelay    = 60 * time.Millisecond
 	clientFaultDelay  = 30 * time.Millisecond
 	idleResetInterval = 150 * time.Millisecond // between resets of idle connections
-	idleClients       = 60                     // connections that send nothing
-	idleClientsSlack  = 300 * time.Millisecond // after their end, descriptors may still be taken
-	crowdInterval     = 700 * time.Millisecond // between looks at how many of a crowd are still connected
+	idleClients       = 60                     // connections opened by ClientsIdle
+	idleClientsSlack  = 300 * time.Millisecond // after the fault, until descriptors count as free again
+	crowdInterval     = 700 * time.Millisecond // between refills of a crowd
 	reloadsInSeries   = 3
-	signalPause       = 20 * time.Millisecond // the longest between two signals of a series
-	malformedInterval = 5 * time.Millisecond  // between connections of malformed clients
+	signalPause       = 20 * time.Millisecond // upper bound of the time between two signals of a series
+	malformedInterval = 5 * time.Millisecond  // between connections of clients that cancel all they send
 	maxDialDelay      = 1500 * time.Millisecond
 	failingCallShare  = 0.4
 )
 
-// dispatcherInjectors inject the faults of one dispatcher, its links and its clients. Each returns at the
-// fault's end.
+// dispatcherInjectors inject the faults of one dispatcher, its links and its clients. Each returns when the
+// fault has ended.
 var dispatcherInjectors = map[FaultKind]func(f *fleet, fault Fault, d *dispatcher){
 	Terminate:   func(_ *fleet, _ Fault, d *dispatcher) { d.terminate(false) },
 	Kill:        func(_ *fleet, _ Fault, d *dispatcher) { d.kill() },
@@ -71,7 +71,7 @@
 	DialsLate: processFault(processFaultConfig{MaxDialDelayMS: maxDialDelay.Milliseconds()}),
 }
 
-// nodeInjectors inject the faults of one compute node. Each returns at the fault's end.
+// nodeInjectors inject the faults of one compute node. Each returns when the fault has ended.
 var nodeInjectors = map[FaultKind]func(f *fleet, fault Fault, n *computeNode){
 	NodeDrain:        injectNodeDrain,
 	NodeCrash:        injectNodeCrash,
@@ -82,7 +82,8 @@
 	NodeAnswersTwice: nodeFault(func(n *computeNode, on bool) { n.answersTwice = on }),
 }
 
-// injectFaults injects the plan's faults at their times, and returns at its end or when ctx is cancelled.
+// injectFaults starts the plan's faults at their times. It returns at the end of the plan's duration or when
+// ctx is cancelled; faults may still be in force then.
 func (f *fleet) injectFaults(ctx context.Context) {
 	begin := time.Now()
 	f.mu.Lock()
@@ -102,7 +103,7 @@
 	}
 }
 
-// inject injects one fault and returns at its end.
+// inject injects one fault and returns when it has ended.
 func (f *fleet) inject(fault Fault) {
 	if fault.Dispatcher == nodeTarget {
 		nodeInjectors[fault.Kind](f, fault, f.nodes[fault.Node])
@@ -118,10 +119,10 @@
 	}
 }
 
-// signalDelay is the time between two signals of a fault's series.
+// signalDelay returns the time between two signals of a series, which follows from the fault's duration.
 func signalDelay(fault Fault) time.Duration { return fault.Duration % signalPause }
 
-// injectReloadsIntoTerminate sends SIGHUPs, then SIGTERM, and SIGHUPs again while the shutdown is under way.
+// injectReloadsIntoTerminate sends SIGHUPs, then SIGTERM, and more SIGHUPs during the shutdown.
 func injectReloadsIntoTerminate(_ *fleet, fault Fault, d *dispatcher) {
 	for range reloadsInSeries {
 		d.reload()
@@ -136,7 +137,7 @@
 	shutdown.Wait()
 }
 
-// injectTerminateTwice sends SIGTERM again while the shutdown is under way.
+// injectTerminateTwice sends SIGTERM, and up to two more during the shutdown.
 func injectTerminateTwice(_ *fleet, fault Fault, d *dispatcher) {
 	var shutdown sync.WaitGroup
 	shutdown.Go(func() { d.terminate(false) })
@@ -147,7 +148,7 @@
 	shutdown.Wait()
 }
 
-// discoveryFault is a fault that is in force at a dispatcher's discovery for its duration.
+// discoveryFault returns an injector that sets a fault of a dispatcher's discovery server for its duration.
 func discoveryFault(set func(s *discoveryServer, on bool)) func(*fleet, Fault, *dispatcher) {
 	return func(_ *fleet, fault Fault, d *dispatcher) {
 		d.discovery.set(func(s *discoveryServer) { set(s, true) })
@@ -156,7 +157,8 @@
 	}
 }
 
-// nodeLinkFault puts a mode in force on a dispatcher's links to all compute nodes.
+// nodeLinkFault returns an injector that sets the mode of a dispatcher's links to all compute nodes for the
+// fault's duration.
 func nodeLinkFault(mode linkMode, delay time.Duration) func(*fleet, Fault, *dispatcher) {
 	return func(_ *fleet, fault Fault, d *dispatcher) {
 		for _, link := range d.nodes {
@@ -169,7 +171,8 @@
 	}
 }
 
-// injectLinkCut cuts the links. Their connections are reset at the end: with bytes missing they can't go on.
+// injectLinkCut cuts the links for the fault's duration, then resets their connections: bytes are missing, so
+// they can't be used any more.
 func injectLinkCut(f *fleet, fault Fault, d *dispatcher) {
 	nodeLinkFault(linkCut, 0)(f, fault, d)
 	for _, link := range d.nodes {
@@ -191,8 +194,8 @@
 	}
 }
 
-// clientLinkFault puts a mode in force on the link between a dispatcher and its clients. Before and after,
-// bytes may still be on their way, so the link counts as slow for longer.
+// clientLinkFault returns an injector that sets the mode of the link between a dispatcher and its clients for
+// the fault's duration. Bytes may still be in flight afterwards, so the link counts as slow for longer.
 func clientLinkFault(mode linkMode, delay time.Duration) func(*fleet, Fault, *dispatcher) {
 	return func(_ *fleet, fault Fault, d *dispatcher) {
 		d.setLinkDelay(2 * clientFaultDelay)
@@ -216,7 +219,7 @@
 	}
 }
 
-// injectClientsIdle opens connections that send nothing.
+// injectClientsIdle opens connections that send nothing, and resets them when the fault ends.
 func injectClientsIdle(_ *fleet, fault Fault, d *dispatcher) {
 	d.expectFullDescriptors(fault.Duration + idleClientsSlack)
 	var idle []*clientConn
@@ -231,7 +234,7 @@
 	}
 }
 
-// injectClientsCrowd keeps as many idle clients connected as the dispatcher has descriptors.
+// injectClientsCrowd keeps as many idle connections open as the dispatcher has descriptors.
 func injectClientsCrowd(f *fleet, fault Fault, d *dispatcher) {
 	d.expectFullDescriptors(fault.Duration + idleClientsSlack)
 	var idle []*clientConn
@@ -250,7 +253,8 @@
 	}
 }
 
-// injectMalformedClients has clients send requests and cancel them at once, for a while.
+// injectMalformedClients opens one connection after another, sends as many requests on each as may be open,
+// and cancels them at once.
 func injectMalformedClients(f *fleet, fault Fault, d *dispatcher) {
 	random := rand.New(rand.NewPCG(f.plan.Seed, uint64(fault.At)))
 	until := time.Now().Add(fault.Duration)
@@ -268,7 +272,7 @@
 	}
 }
 
-// processFault is a fault inside a dispatcher's process that lasts for its duration.
+// processFault returns an injector that sets a fault inside a dispatcher's process for its duration.
 func processFault(config processFaultConfig) func(*fleet, Fault, *dispatcher) {
 	return func(_ *fleet, fault Fault, d *dispatcher) {
 		d.setProcessFault(config)
@@ -277,14 +281,14 @@
 	}
 }
 
-// injectClockStep steps the wall clocks of all dispatchers alike: they share a machine's clock.
+// injectClockStep steps the wall clocks of all dispatchers alike, as they would share the machine's clock.
 func injectClockStep(f *fleet, fault Fault, _ *dispatcher) {
 	f.forEachDispatcher(func(d *dispatcher) {
 		d.setProcessFault(processFaultConfig{ClockStepMS: fault.Step.Milliseconds()})
 	})
 }
 
-// setProcessFault puts a fault into a process that was built with the tag faults.
+// setProcessFault writes the file from which a process that was built with the tag faults reads its faults.
 func (d *dispatcher) setProcessFault(config processFaultConfig) {
 	data, err := json.Marshal(config)
 	if err == nil {
@@ -295,7 +299,7 @@
 	}
 }
 
-// nodeFault is a fault that is in force at a compute node for its duration.
+// nodeFault returns an injector that sets a fault of a compute node for its duration.
 func nodeFault(set func(n *computeNode, on bool)) func(*fleet, Fault, *computeNode) {
 	return func(_ *fleet, fault Fault, n *computeNode) {
 		n.update(func(n *computeNode) { set(n, true) })
@@ -322,7 +326,7 @@
 	f.restartNode(n)
 }
 
-// injectNodesHang hangs all compute nodes, whichever the fault names.
+// injectNodesHang hangs all compute nodes, not only the one that the fault names.
 func injectNodesHang(f *fleet, fault Fault, _ *computeNode) {
 	var all sync.WaitGroup
 	for _, n := range f.nodes {
--- a/internal/soak/inject_test.go
+++ b/internal/soak/inject_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestEveryFaultHasInjector: each kind that a plan may draw is injected at the target that it is drawn for.
+// TestEveryFaultHasInjector checks that each kind of fault that a plan may draw has an injector for its
+// target.
 func TestEveryFaultHasInjector(t *testing.T) {
 	for _, kinds := range [][]FaultKind{dispatcherFaults, processFaults, signalSeries, {ClientsCrowd}} {
 		for _, kind := range kinds {
@@ -18,12 +19,13 @@
 	}
 }
 
-// TestUnwritableFaultFileIsFinding: a run whose faults could not be put in force is not counted as clean.
+// TestUnwritableFaultFileIsFinding checks that a run is not counted as clean if a fault could not be injected
+// because its file could not be written.
 func TestUnwritableFaultFileIsFinding(t *testing.T) {
 	d := &dispatcher{dir: t.TempDir() + "/missing", fleet: &fleet{oracle: newOracle(false)}}
 	d.setProcessFault(processFaultConfig{FailingCallShare: failingCallShare})
 	found := d.fleet.oracle.judge()
 	if len(found) != 1 || found[0].Invariant != harnessFailed {
-		t.Errorf("findings %v, want one of %s", found, harnessFailed)
+		t.Errorf("got findings %v, want one of %s", found, harnessFailed)
 	}
 }
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// Slack with which the rules are judged.
+// Tolerances of the checks.
 const (
-	answerSlack     = 500 * time.Millisecond // for an answer, after the request's deadline
-	clientGoneSlack = 100 * time.Millisecond // for starts of queries, after the client has gone
-	deadlineSlack   = 150 * time.Millisecond // of the time that a compute node is given
+	answerSlack     = 500 * time.Millisecond // for answers after the request's deadline
+	clientGoneSlack = 100 * time.Millisecond // for starts of queries after the client is gone
+	deadlineSlack   = 150 * time.Millisecond // for the time limit that a compute node is given
 
-	// measurementSlack is the time that this machine may need between an event and its record here.
+	// measurementSlack is the time that may pass between an event and its record on a busy machine.
 	measurementSlack = 60 * time.Millisecond
 )
 
-// judge judges all that was recorded and returns the findings by their time.
+// judge checks all rules against the recorded observations and returns the findings in order of time. A
+// ticket that was seen only at compute nodes, not at a client, is not judged as a request of its own.
 func (o *oracle) judge() []Finding {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -36,7 +37,7 @@
 	return o.findings
 }
 
-// owedAnswer reports whether a request must have an answer.
+// owedAnswer reports whether the dispatcher must have answered a request.
 func (r *observedRequest) owedAnswer() bool {
 	if !r.clientGoneAt.IsZero() {
 		return false
@@ -45,7 +46,8 @@
 	return r.excused == "" || r.excused == excuseCrossedClose && forwarded
 }
 
-// judgeAnswer finds requests without an answer, with a late or a second one, or with rows of no compute node.
+// judgeAnswer finds requests without an answer, with a late or a second answer, or with a result that no
+// compute node made for it.
 func (o *oracle) judgeAnswer(r *observedRequest) {
 	if len(r.answers) == 0 {
 		if r.owedAnswer() {
@@ -69,7 +71,8 @@
 	}
 }
 
-// judgePosts judges each start of a query at the moment of its first byte.
+// judgePosts finds queries that were started too late or with too long a time limit. The time of a start is
+// that of its first byte.
 func (o *oracle) judgePosts(r *observedRequest) {
 	for _, post := range r.posts {
 		if !r.clientGoneAt.IsZero() {
@@ -104,7 +107,7 @@
 // judgeRetries finds attempts that the request's class does not allow.
 func (o *oracle) judgeRetries(r *observedRequest) {
 	class := classNamed(r.class)
-	// The rules forbid attempts beside one another only to these classes.
+	// The rules forbid concurrent attempts only to these classes.
 	oneAtATime := class.idempotency != idempotent || class.inOrder
 	sort.Slice(r.intervals, func(i, j int) bool { return r.intervals[i].start.Before(r.intervals[j].start) })
 	for i := 1; i < len(r.intervals); i++ {
@@ -124,7 +127,7 @@
 	}
 }
 
-// judgeOrder finds requests of one ordering key that ran at the same time.
+// judgeOrder finds requests with the same ordering key that ran at the same time.
 func (o *oracle) judgeOrder() {
 	byKey := map[string][]*observedRequest{}
 	for _, r := range o.requests {
@@ -144,7 +147,8 @@
 	}
 }
 
-// overlap returns since when two requests of one dispatcher's process ran at the same time.
+// overlap returns when two requests to the same process of a dispatcher began to run at the same time; ok is
+// false if they never did.
 func overlap(a, b *observedRequest) (since time.Time, ok bool) {
 	if a.dispatcher != b.dispatcher || a.incarnation != b.incarnation {
 		return time.Time{}, false
@@ -162,5 +166,5 @@
 	return time.Time{}, false
 }
 
-// endsAfter reports whether the attempt was still running at a time.
+// endsAfter reports whether the attempt ended after t or still runs.
 func (i interval) endsAfter(t time.Time) bool { return i.end.IsZero() || t.Before(i.end) }
--- a/internal/soak/judge_load.go
+++ b/internal/soak/judge_load.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// process names one process of a dispatcher.
+// process identifies one process of a dispatcher.
 type process struct{ dispatcher, incarnation int }
 
-// roundingSlack keeps sums of many small shares from counting as over their bound.
+// roundingSlack keeps the rounding errors of a sum of many small shares from counting as an excess.
 const roundingSlack = 1e-9
 
-// judgeRetryBudget finds retries beyond what the requests of the window before them allow.
+// judgeRetryBudget finds retries in excess of what the requests in the window before them allow.
 func (o *oracle) judgeRetryBudget() {
 	arrivals, retries := map[process][]time.Time{}, map[process][]postedQuery{}
 	for _, r := range o.requests {
@@ -40,8 +40,9 @@
 	}
 }
 
-// overRetryBudget reports whether a retry was over the budget of its process, given all retries and arrivals
-// there, even where either edge of the window is read a little earlier or later.
+// overRetryBudget reports whether a retry exceeded the budget of its process, given all retries and arrivals
+// there. Recorded times are inexact, so the retry must exceed the budget with the window's start moved by
+// measurementSlack either way, too, and arrivals up to measurementSlack after the retry count.
 func overRetryBudget(retry postedQuery, retries []postedQuery, arrivals []time.Time) bool {
 	for _, edge := range []time.Duration{-measurementSlack, 0, measurementSlack} {
 		from := retry.firstByteAt.Add(edge - retryBudgetWindow)
@@ -63,7 +64,7 @@
 	return true
 }
 
-// judgeSlowStart finds compute nodes that got more work during slow start than they can take.
+// judgeSlowStart finds compute nodes that got more work during slow start than they may get.
 func (o *oracle) judgeSlowStart() {
 	posts := map[string][]postedQuery{} // by the compute node's generation
 	for _, r := range o.requests {
@@ -88,8 +89,8 @@
 	}
 }
 
-// workInWindow is the work of the queries that were started in the window before a time, in requests of the
-// mean work.
+// workInWindow returns the work of the queries that were started in the window before a time, in units of the
+// mean work of a request.
 func workInWindow(at time.Time, posts []postedQuery, mean float64) float64 {
 	work := 0.0
 	for _, post := range posts {
@@ -100,10 +101,11 @@
 	return work
 }
 
-// slowStartAllowance is the work that a compute node may get in a window so long after its start, in requests
-// of the mean work: what it can take, and some deviations of a Poisson process on top.
+// slowStartAllowance returns the work that a compute node may get in a window that ends at the given time
+// after its start, in units of the mean work of a request. It is the expected number of requests and a
+// margin: two or three standard deviations of a Poisson process, plus two or three requests.
 func slowStartAllowance(sinceStart time.Duration, mean float64) float64 {
-	const fewRequests = 30 // below this, the tail of the distribution is longer
+	const fewRequests = 30 // below this, the distribution has a longer tail and the margin is wider
 	ramp := slowStartFrom + (1-slowStartFrom)*sinceStart.Seconds()/slowStartDuration.Seconds()
 	expected := slowStartFactor * nodeCores * ramp * slowStartWindow.Seconds() / mean
 	if expected < fewRequests {
--- a/internal/soak/machinelag.go
+++ b/internal/soak/machinelag.go
@@ -9,23 +9,23 @@
 const (
 	lagCheckInterval = 10 * time.Millisecond
 	minRecordedLag   = 20 * time.Millisecond
-	lagTraceMargin   = 500 * time.Millisecond // around what was seen of a request
+	lagTraceMargin   = 500 * time.Millisecond // before the first and after the last event of a request
 )
 
-// lagMonitor records when this process itself ran late: then its times of what it saw are late too. It is
-// safe for concurrent use.
+// lagMonitor records when this process itself ran late, because the times of its observations are then late
+// too. It is safe for concurrent use.
 type lagMonitor struct {
 	mu   sync.Mutex
 	lags []machineLag
 }
 
-// machineLag is how late the process ran at a time.
+// machineLag is a moment at which the process ran late, and by how much.
 type machineLag struct {
 	at   time.Time
 	late time.Duration
 }
 
-// run checks until stop is closed.
+// run measures lags until stop is closed.
 func (m *lagMonitor) run(stop <-chan struct{}) {
 	for last := time.Now(); ; {
 		select {
@@ -43,7 +43,7 @@
 	}
 }
 
-// between returns when the process ran late between two times, and shortly before and after.
+// between returns the lags between two times, widened by lagTraceMargin on both sides.
 func (m *lagMonitor) between(from, to time.Time) (events []traceEvent) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// unpolledTimeout is the time after which a compute node abandons a query that nobody polls.
+	// unpolledTimeout is the time without a poll after which a compute node abandons a query.
 	unpolledTimeout = 2 * time.Second
 
 	unpolledCheckInterval = 20 * time.Millisecond
@@ -24,33 +24,33 @@
 	polledAt  time.Time
 	endsAt    time.Time
 	pages     []string
-	finished  bool // it ended or was abandoned
+	finished  bool // it ended, was cancelled or was abandoned
 	succeeded bool
-	over      chan struct{} // closed when it is finished
+	over      chan struct{} // closed when the query is finished
 }
 
-// computeNode stands in for a compute node: one process after another at one address. Each process is a
-// generation.
+// computeNode stands in for a compute node: one simulated process after another at one address. Each process
+// is a generation. It is safe for concurrent use.
 type computeNode struct {
 	index    int
 	oracle   *oracle
 	behavior NodeBehavior
 
 	mu           sync.Mutex
-	changing     bool // its process is being ended or replaced
-	generation   int
+	changing     bool                 // the process is being ended or replaced
+	generation   int                  // number of the current process, from 0
 	runs         map[string]*queryRun // by ticket
 	server       *http.Server
 	addr         string
-	hanging      chan struct{} // closed at the end of a hang; nil: there is none
+	hanging      chan struct{} // closed at the end of a hang; nil without one
 	full         bool          // sheds every query
 	errors       bool          // fails every query
-	answersTwice bool
+	answersTwice bool          // sends a copy of each result page
 	random       *rand.Rand
 	ended        sync.WaitGroup
 }
 
-// newComputeNode starts a compute node.
+// newComputeNode starts a compute node on a free port.
 func newComputeNode(index int, o *oracle, seed uint64, behavior NodeBehavior) (*computeNode, error) {
 	n := &computeNode{
 		index:    index,
@@ -62,14 +62,14 @@
 	return n, n.listen("127.0.0.1:0")
 }
 
-// id is the name of the present generation.
+// id returns the name of the current generation.
 func (n *computeNode) id() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return fmt.Sprintf("n%d-%d", n.index, n.generation)
 }
 
-// listen begins to serve at an address.
+// listen starts to serve at an address.
 func (n *computeNode) listen(addr string) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -86,11 +86,11 @@
 // serve serves HTTP until the server is closed.
 func serve(server *http.Server, ln net.Listener) { _ = server.Serve(ln) } // http.ErrServerClosed, always
 
-// closeServer closes a server with all its connections. Its error would be that of the listener's close; the
-// next process at that address would find the port taken.
+// closeServer closes a server and all its connections. It ignores the only possible error, that of closing
+// the listener: the next process would find the port taken.
 func closeServer(server *http.Server) { _ = server.Close() }
 
-// crash ends the process: its connections are reset and its queries are lost.
+// crash ends the process: its connections are closed and its queries are lost.
 func (n *computeNode) crash() {
 	n.mu.Lock()
 	server, runs := n.server, n.runs
@@ -103,7 +103,7 @@
 	}
 }
 
-// hang has the node answer nothing for a while.
+// hang makes the node delay its answers to new calls until the duration has passed.
 func (n *computeNode) hang(duration time.Duration) {
 	hung := make(chan struct{})
 	n.update(func(n *computeNode) {
@@ -120,7 +120,8 @@
 	close(hung)
 }
 
-// beginChange begins to end or replace the process, unless that goes on already.
+// beginChange reserves the node for a change of its process until endChange. It returns false if another
+// change is in progress.
 func (n *computeNode) beginChange() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -133,14 +134,15 @@
 
 func (n *computeNode) endChange() { n.update(func(n *computeNode) { n.changing = false }) }
 
-// update changes how the node answers.
+// update changes the node's fields under its lock.
 func (n *computeNode) update(change func(n *computeNode)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	change(n)
 }
 
-// register registers a query that arrived, and returns the one that runs already where it arrives again.
+// register starts a query that arrived and returns its run. If the query is running already, it returns that
+// run.
 func (n *computeNode) register(ticket, class string) *queryRun {
 	n.mu.Lock()
 	r := n.runs[ticket]
@@ -157,7 +159,8 @@
 	return r
 }
 
-// newRunLocked draws a query's run time and result. A class that the fleet does not have takes no time.
+// newRunLocked draws a query's run time and result. A query of an unknown class takes no time. The caller
+// holds mu.
 func (n *computeNode) newRunLocked(ticket, class string) *queryRun {
 	mean := classNamed(class).meanWork
 	runTime := mean/2 + time.Duration(n.random.ExpFloat64()*float64(mean)/2)
@@ -173,14 +176,14 @@
 	return r
 }
 
-// find returns a query; nil: there is none.
+// find returns the run of a query, or nil if there is none.
 func (n *computeNode) find(ticket string) *queryRun {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.runs[ticket]
 }
 
-// endRun finishes a query, unless it is finished.
+// endRun finishes a query. It does nothing if the query is finished already.
 func (n *computeNode) endRun(ticket string, r *queryRun, succeeded bool) {
 	n.mu.Lock()
 	wasFinished := r.finished
@@ -194,7 +197,7 @@
 	}
 }
 
-// abandonUnpolled abandons queries that nobody polls, until stop is closed.
+// abandonUnpolled ends queries that were not polled for unpolledTimeout, until stop is closed.
 func (n *computeNode) abandonUnpolled(stop <-chan struct{}) {
 	tick := time.NewTicker(unpolledCheckInterval)
 	defer tick.Stop()
--- a/internal/soak/node_answer.go
+++ b/internal/soak/node_answer.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// nodeAnswer is an answer of a compute node, with one header at most.
+// nodeAnswer is an HTTP response of a compute node, with at most one header of its own.
 type nodeAnswer struct {
 	status        int
-	header, value string // header "": it has none
+	header, value string // both empty if it has none
 	body          string
 }
 
-// bytes is the answer as it is written on a connection without a server.
+// bytes encodes the answer for a connection that was taken from its HTTP server.
 func (a nodeAnswer) bytes() []byte {
 	head := fmt.Sprintf("HTTP/1.1 %d %s\r\n", a.status, http.StatusText(a.status))
 	if a.header != "" {
@@ -28,7 +28,7 @@
 	return fmt.Appendf(nil, "%sContent-Length: %d\r\n\r\n%s", head, len(a.body), a.body)
 }
 
-// write writes an answer, and of some a copy later, as the node's behavior says.
+// write writes an answer. The node's behavior determines the share of answers of which a copy follows.
 func (n *computeNode) write(w http.ResponseWriter, a nodeAnswer) {
 	if n.behavior.CopyShare > 0 && n.drawCopy() {
 		n.writeTwice(w, a)
@@ -47,8 +47,8 @@
 	return n.random.Float64() < n.behavior.CopyShare
 }
 
-// writeTwice writes an answer and, some time later, a copy of it on the same connection. Queries that come
-// there meanwhile run.
+// writeTwice writes an answer and, after a random delay, a copy of it on the same connection. Queries that
+// arrive on the connection meanwhile are started.
 func (n *computeNode) writeTwice(w http.ResponseWriter, a nodeAnswer) {
 	conn, reader, ok := hijack(w)
 	if !ok {
@@ -65,7 +65,8 @@
 	time.Sleep(duplicateLinger)
 }
 
-// takeQueries starts the queries that come on a connection, and answers none, until it ends.
+// takeQueries starts the queries that arrive on a connection, without answering them, until the connection
+// ends.
 func (n *computeNode) takeQueries(reader *bufio.Reader) {
 	for {
 		q, err := http.ReadRequest(reader)
@@ -81,7 +82,7 @@
 	}
 }
 
-// hijack takes a connection from its server; ok is false where the server has ended.
+// hijack takes over a connection from its HTTP server. ok is false if that fails.
 func hijack(w http.ResponseWriter) (conn net.Conn, reader *bufio.Reader, ok bool) {
 	conn, buffered, err := w.(http.Hijacker).Hijack()
 	if err != nil {
--- a/internal/soak/node_http.go
+++ b/internal/soak/node_http.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// The compute node's side of the platform's protocol.
+// Headers and timing of the compute node's side of the platform's protocol.
 const (
 	headerTicket    = "X-Ticket"
 	headerClass     = "X-Queue"
@@ -18,19 +18,19 @@
 	headerPageCount = "Page-Count"
 	headerPage      = "Page-No"
 
-	longPollTimeout   = 250 * time.Millisecond // after which a poll is answered without a result
-	minDuplicateDelay = 2 * time.Millisecond   // after which an answer comes a second time
-	maxDuplicateDelay = 120 * time.Millisecond
-	duplicateLinger   = 100 * time.Millisecond // from then to the connection's close
+	longPollTimeout   = 250 * time.Millisecond // until a call for an unfinished query is answered
+	minDuplicateDelay = 2 * time.Millisecond   // from an answer to its copy, at least
+	maxDuplicateDelay = 120 * time.Millisecond // from an answer to its copy, below this
+	duplicateLinger   = 100 * time.Millisecond // from the copy to the close of the connection
 
-	// silentDropBelowMS is the time below which a query is dropped without an answer, in milliseconds.
+	// silentDropBelowMS is the time limit in milliseconds below which a call is dropped without an answer.
 	silentDropBelowMS = 40
 )
 
 // ServeHTTP answers a call of a dispatcher: POST starts a query, GET polls for a page of its result, DELETE
 // cancels it, and anything else is a health check.
 func (n *computeNode) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	_, _ = io.ReadAll(q.Body) // a body that breaks off ends the request's context too
+	_, _ = io.ReadAll(q.Body) // a truncated body also ends the request's context
 	hung, full, failing := n.drawTrouble()
 	ticket := q.Header.Get(headerTicket)
 	limit, err := strconv.Atoi(q.Header.Get(headerLimitMS))
@@ -39,7 +39,7 @@
 		return
 	}
 	var r *queryRun
-	if q.Method == http.MethodPost && !full { // it runs from here on, also while the node hangs
+	if q.Method == http.MethodPost && !full { // the query runs from here on, even while the node hangs
 		r = n.register(ticket, q.Header.Get(headerClass))
 	}
 	if hung != nil {
@@ -70,7 +70,8 @@
 	}
 }
 
-// drawTrouble returns how a call is answered: after a hang, as by a full node, or as by one that fails.
+// drawTrouble returns which faults affect a call. hung, if not nil, is closed at the end of the hang that
+// delays its answer; full means that a query is shed, failing that it fails.
 func (n *computeNode) drawTrouble() (hung chan struct{}, full, failing bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -92,7 +93,7 @@
 		r.polledAt = time.Now()
 	}
 	n.mu.Unlock()
-	page, _ := strconv.Atoi(number) // what is no number polls for the first page
+	page, _ := strconv.Atoi(number) // an invalid number polls for the first page
 	switch {
 	case r == nil || page < 0 || page >= len(r.pages):
 		n.write(w, nodeAnswer{status: http.StatusInternalServerError})
@@ -103,8 +104,8 @@
 	}
 }
 
-// writeResult answers with the first page of a result at the query's end, or after a while that it still
-// runs.
+// writeResult answers with the first page of a result when the query ends. If it still runs after
+// longPollTimeout, the answer is 202 without a result.
 func (n *computeNode) writeResult(w http.ResponseWriter, q *http.Request, ticket string, r *queryRun) {
 	stillRuns := time.NewTimer(longPollTimeout)
 	defer stillRuns.Stop()
@@ -123,7 +124,7 @@
 	n.writePage(w, r, 0)
 }
 
-// writePage writes a page of a result, or that the query failed.
+// writePage writes a page of a result, or status 500 if the query failed.
 func (n *computeNode) writePage(w http.ResponseWriter, r *queryRun, page int) {
 	n.mu.Lock()
 	twice, succeeded := n.answersTwice, r.succeeded
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Invariant names a rule as findings print it.
+// Invariant is the name of a rule as findings print it.
 type Invariant string
 
-// The rules that the oracle judges, and what else may be wrong with a run. docs/soak.md describes them.
+// The rules that the oracle judges, and other failures of a run. docs/soak.md describes them.
 const (
 	invariantLost             Invariant = "lost"
 	invariantLate             Invariant = "late"
@@ -30,19 +30,19 @@
 	invariantNotReady         Invariant = "not_ready"
 	invariantNotEnded         Invariant = "not_ended"
 
-	// harnessFailed is no rule of the dispatcher's: the soak itself could not do what its plan says.
+	// harnessFailed is not a rule of the dispatcher: the soak itself could not execute its plan.
 	harnessFailed Invariant = "harness"
 )
 
-// Finding is a rule that was broken.
+// Finding is one violation of a rule.
 type Finding struct {
 	Invariant Invariant
-	Ticket    string // of the request; "": it concerns none
-	At        time.Duration
+	Ticket    string        // of the request; "" if it concerns no single request
+	At        time.Duration // since the start of the run
 	Detail    string
 }
 
-// String is the finding as reports print it.
+// String returns the finding as reports print it.
 func (f Finding) String() string {
 	return fmt.Sprintf("%.3fs %s %s: %s", f.At.Seconds(), f.Invariant, f.Ticket, f.Detail)
 }
@@ -52,67 +52,67 @@
 	excuseUnwritten = "it could not be written"
 	excuseKilled    = "its dispatcher was killed"
 
-	// excuseCrossedClose holds only for a request that was not forwarded: it came as a dispatcher that was
-	// shutting down, or whose descriptors idle clients had taken, closed the connection.
+	// excuseCrossedClose holds only for a request that was not forwarded. It arrived while the dispatcher
+	// closed the connection, because of its shutdown or because idle clients used all descriptors.
 	excuseCrossedClose = "it crossed the close of a dispatcher that ends or is crowded"
 )
 
-// receivedAnswer is an answer that a client received.
+// receivedAnswer is an answer that a client received, and when.
 type receivedAnswer struct {
 	kind answerKind
 	body string
 	at   time.Time
 }
 
-// observedCall is a call of a dispatcher to a compute node, as the tap on a link saw it.
+// observedCall is a call from a dispatcher to a compute node, with the place where a tap saw it.
 type observedCall struct {
 	call
 	node, connection int
 }
 
-// postedQuery is the start of a query.
+// postedQuery is a call that starts a query.
 type postedQuery struct {
 	observedCall
 	generation  string // of the compute node
 	dispatcher  int
-	incarnation int // of the dispatcher
+	incarnation int // number of the dispatcher's process
 }
 
 // interval is the time in which an attempt was running at a compute node.
 type interval struct {
 	node       int
-	start, end time.Time // end zero: it still runs
+	start, end time.Time // zero end: the attempt still runs
 }
 
-// unknownClass is the class of a request of which only attempts were seen yet.
+// unknownClass is the class of a request that was not yet seen at a client.
 const unknownClass = "?"
 
-// observedRequest is a request with all that was seen of it.
+// observedRequest is a request with all observations of it.
 type observedRequest struct {
 	ticket, class, orderingKey string
 	dispatcher, incarnation    int
-	sentAt                     time.Time // its last byte
+	sentAt                     time.Time // of its last byte
 	limit                      time.Duration
 	answers                    []receivedAnswer
-	clientGoneAt               time.Time // its client cancelled or closed; zero: it waits
-	connectionEndedAt          time.Time // its connection ended without an answer
+	clientGoneAt               time.Time // when its client cancelled it or disconnected; zero if neither
+	connectionEndedAt          time.Time // when its connection ended without an answer
 	connectionEndedBy          string    // the error that ended it
-	excused                    string    // why no answer is owed; "": one is
+	excused                    string    // why no answer is owed; "" if one is
 	malformed                  bool      // it does not raise the retry budget
 	posts                      []postedQuery
 	calls                      []observedCall // polls and cancels
 	intervals                  []interval
-	results                    []string // that compute nodes made
+	results                    []string // bodies that compute nodes made for it
 }
 
-// drainNoticeKey names an announcement to one process of a dispatcher that a compute node drains.
+// drainNoticeKey identifies the notice to one process of a dispatcher that a compute node drains.
 type drainNoticeKey struct {
 	dispatcher, incarnation int
 	generation              string
 }
 
-// oracle records what is seen of requests, processes and compute nodes, and judges it at the end. It is safe
-// for concurrent use.
+// oracle records observations of requests, processes and compute nodes, and judges them at the end. It is
+// safe for concurrent use.
 type oracle struct {
 	mu             sync.Mutex
 	startedAt      time.Time
@@ -134,21 +134,21 @@
 	}
 }
 
-// start sets the moment from which findings and traces count their times.
+// start sets the moment to which the times of findings and traces are relative.
 func (o *oracle) start() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.startedAt = time.Now()
 }
 
-// addFinding records a broken rule that concerns no single request.
+// addFinding records a violation that concerns no single request.
 func (o *oracle) addFinding(broken Invariant, format string, args ...any) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.addFindingLocked(broken, "", time.Now(), format, args...)
 }
 
-// addFindingLocked records a broken rule; ticket is that of the request.
+// addFindingLocked records a violation; ticket is that of the request, or empty. The caller holds mu.
 func (o *oracle) addFindingLocked(broken Invariant, ticket string, at time.Time, format string, args ...any) {
 	o.findings = append(o.findings, Finding{
 		Invariant: broken,
@@ -158,7 +158,7 @@
 	})
 }
 
-// updateRequest changes what is recorded of a request, which is new where its ticket was not seen before.
+// updateRequest changes the record of a request. It creates the record if the ticket is new.
 func (o *oracle) updateRequest(ticket string, update func(r *observedRequest)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -170,7 +170,8 @@
 	update(r)
 }
 
-// recordInterval records that an attempt arrived completely at a compute node, or that it ended there.
+// recordInterval records that an attempt arrived completely at a compute node, or, if begun is false, that it
+// ended there.
 func (o *oracle) recordInterval(ticket string, node int, begun bool) {
 	now := time.Now()
 	o.updateRequest(ticket, func(r *observedRequest) {
@@ -186,12 +187,12 @@
 	})
 }
 
-// recordResult records a result that a compute node made.
+// recordResult records the body of a result that a compute node made for a request.
 func (o *oracle) recordResult(ticket, body string) {
 	o.updateRequest(ticket, func(r *observedRequest) { r.results = append(r.results, body) })
 }
 
-// excuseKilled excuses all requests without an answer at a process that was killed.
+// excuseKilled excuses the unanswered requests of a process that was killed.
 func (o *oracle) excuseKilled(dispatcher, incarnation int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -203,7 +204,8 @@
 	}
 }
 
-// recordDrain records when a process of a dispatcher was first notified of a drain.
+// recordDrain records when a dispatcher's process was notified of a compute node's drain. Only the first
+// notice counts.
 func (o *oracle) recordDrain(dispatcher, incarnation int, generation string, at time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -213,7 +215,7 @@
 	}
 }
 
-// recordStart records that a compute node started and is in slow start.
+// recordStart records that a generation of a compute node started now, in slow start.
 func (o *oracle) recordStart(generation string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/soak/oracle_test.go
+++ b/internal/soak/oracle_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// testOracle is an oracle with times in milliseconds since its start, and shorthands for observations.
+// testOracle adds shorthands for observations to an oracle. Their times are in milliseconds since its start.
 type testOracle struct{ *oracle }
 
 func (o testOracle) at(ms int) time.Time {
 	return o.startedAt.Add(time.Duration(ms) * time.Millisecond)
 }
 
-// post records that a query was started at a compute node, as a tap sees it.
+// post records that a dispatcher started a query at a compute node, as a tap sees it.
 func (o testOracle) post(ticket string, ms int) {
 	p := postedQuery{generation: "n0-0", incarnation: 1}
 	p.method = "POST"
@@ -31,7 +31,7 @@
 	})
 }
 
-// serve records an answer to the request "a" and a result of the same rows.
+// serve records an answer to the request "a" and a compute node's result with the same body.
 func (o testOracle) serve(ms int) {
 	o.updateRequest("a", func(r *observedRequest) {
 		r.answers = append(r.answers, receivedAnswer{answerServed, "r", o.at(ms)})
@@ -39,17 +39,17 @@
 	o.recordResult("a", "r")
 }
 
-// leave records that the client has gone.
+// leave records that the client of a request is gone.
 func (o testOracle) leave(ticket string, ms int) {
 	o.updateRequest(ticket, func(r *observedRequest) { r.clientGoneAt = o.at(ms) })
 }
 
-// TestOracle: each invariant is found broken where it is, and only there.
+// TestOracle checks that each violation is found as a violation of its invariant and of no other.
 func TestOracle(t *testing.T) {
 	for name, c := range map[string]struct {
 		class   string
 		observe func(o testOracle)
-		want    string // invariants
+		want    string // invariants of the findings, separated by spaces
 	}{
 		"kept": {"once", func(o testOracle) {
 			o.post("a", 1)
--- a/internal/soak/pause.go
+++ b/internal/soak/pause.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// pauseInterval is a time in which a process does not run.
+// pauseInterval is a period in which a process is stopped.
 type pauseInterval struct{ from, to time.Time }
 
-// pauseList holds pauses in the order of their beginnings. The last may still be under way.
+// pauseList holds pauses ordered by their start. Pauses may overlap and may still be in progress.
 type pauseList []pauseInterval
 
-// dueAfterRunning returns when a process has run for wait since a moment.
+// dueAfterRunning returns the time at which a process has run for wait since the given time, not counting
+// pauses.
 func (l pauseList) dueAfterRunning(since time.Time, wait time.Duration) time.Time {
 	due := since.Add(wait)
-	counted := since // up to here
+	counted := since // pauses up to here are included in due
 	for _, p := range l {
 		from := p.from
 		if from.Before(counted) {
@@ -28,7 +29,7 @@
 	return due
 }
 
-// pause has the process not run for a while.
+// pause stops the process by SIGSTOP for a while. It does nothing if the process is not ready.
 func (d *dispatcher) pause(duration time.Duration) {
 	d.mu.Lock()
 	process, ready := d.process, d.ready
@@ -45,7 +46,8 @@
 	sendSignal(process, syscall.SIGCONT)
 }
 
-// afterRunning delivers the time when the process has run for wait since a moment.
+// afterRunning returns a channel that delivers the due time once the process has run for wait since the given
+// time, not counting pauses.
 func (d *dispatcher) afterRunning(since time.Time, wait time.Duration) <-chan time.Time {
 	over := make(chan time.Time, 1)
 	go func() {
--- a/internal/soak/pause_test.go
+++ b/internal/soak/pause_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// TestDueAfterRunning guards against a process that was killed in a pause, of which only those that were over
-// counted.
+// TestDueAfterRunning guards against killing a process too early, during a pause. That happened when only
+// finished pauses extended its time.
 func TestDueAfterRunning(t *testing.T) {
 	zero := time.Now()
 	at := func(milliseconds int) time.Time { return zero.Add(time.Duration(milliseconds) * time.Millisecond) }
 	for name, test := range map[string]struct {
 		pauses pauseList
-		want   int // milliseconds; 1000 without a pause
+		want   int // milliseconds; 1000 without pauses
 	}{
 		"no pause":                 {nil, 1000},
 		"before":                   {pauseList{{at(-500), at(-100)}}, 1000},
@@ -25,7 +25,7 @@
 		"overlapping":              {pauseList{{at(100), at(500)}, {at(400), at(600)}}, 1500},
 	} {
 		if got := test.pauses.dueAfterRunning(zero, time.Second); !got.Equal(at(test.want)) {
-			t.Errorf("%s: due after %v, want %d ms", name, got.Sub(zero), test.want)
+			t.Errorf("%s: got due after %v, want %d ms", name, got.Sub(zero), test.want)
 		}
 	}
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// Plan is all that a seed determines.
+// Plan is what a run does. The Options determine all of it.
 type Plan struct {
 	Seed        uint64
 	Duration    time.Duration
 	Dispatchers int
 	Nodes       int
-	Rate        float64 // requests a second for each dispatcher
+	Rate        float64 // requests a second to each dispatcher, on average
 	Budget      bool    // retries are limited by a budget
-	Sockets     int     // descriptors of each dispatcher
-	Crowd       bool    // idle clients fill the descriptors of all dispatchers
-	Faults      []Fault // by their start
+	Sockets     int     // limit on the descriptors of each dispatcher
+	Crowd       bool    // idle clients use up the descriptors of all dispatchers
+	Faults      []Fault // ordered by their start
 
 	NodeBehavior NodeBehavior
 }
 
-// String lists the plan's faults, one a line, behind a line of its settings.
+// String returns a line with the plan's settings, followed by one line for each fault.
 func (p *Plan) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b,
@@ -39,7 +39,7 @@
 	return b.String()
 }
 
-// nodeTarget is the Dispatcher of a fault that concerns a compute node.
+// nodeTarget is the value of Fault.Dispatcher for the fault of a compute node.
 const nodeTarget = -1
 
 // Fault is one fault of a plan.
@@ -47,12 +47,12 @@
 	At         time.Duration // its start, from the start of the plan
 	Duration   time.Duration
 	Kind       FaultKind
-	Dispatcher int // nodeTarget: the fault is of a compute node
-	Node       int
-	Step       time.Duration // of the wall clock
+	Dispatcher int           // index of the dispatcher, or nodeTarget for the fault of a compute node
+	Node       int           // index of the compute node, if Dispatcher is nodeTarget
+	Step       time.Duration // by which ClockStep moves the wall clock
 }
 
-// String tells when, for how long, what and where.
+// String returns the fault's start, duration, kind and target as plans print them.
 func (f Fault) String() string {
 	where := fmt.Sprintf("dispatcher %d", f.Dispatcher)
 	if f.Dispatcher == nodeTarget {
@@ -65,24 +65,24 @@
 	return s
 }
 
-// Options bound a plan.
+// Options are the inputs of NewPlan.
 type Options struct {
 	Seed        uint64
 	Duration    time.Duration
 	Dispatchers int
 	Faults      bool // the program was built with the tag faults
-	Stress      bool // what rarely coincides does
+	Stress      bool // rare conditions coincide in the plan
 }
 
-// Bounds and means of what a plan draws.
+// Bounds, means and probabilities of the random draws of a plan.
 const (
 	minNodes, maxNodes = 5, 8
-	minRate, maxRate   = 8, 24
+	minRate, maxRate   = 8, 24 // requests a second to each dispatcher
 
 	quietAtStart      = 1500 * time.Millisecond // before the first fault
-	quietAtEnd        = 5 * time.Second         // no fault begins so shortly before the end
-	meanFaultInterval = 700 * time.Millisecond  // over the fleet
-	secondFaultChance = 0.75                    // of a second fault that begins during the first
+	quietAtEnd        = 5 * time.Second         // before the end: only overlapping faults begin in it
+	meanFaultInterval = 700 * time.Millisecond  // between faults, over the whole fleet
+	secondFaultChance = 0.75                    // that a second fault begins during the first
 	thirdFaultChance  = 0.3
 
 	minFaultDuration  = 200 * time.Millisecond
@@ -90,33 +90,34 @@
 	maxFaultDuration  = 6 * time.Second
 	maxPause          = 400 * time.Millisecond
 	minNodesHang      = 4 * time.Second // longer than a shutdown takes
-	extraLongFault    = 2 * time.Second // on top, for faults that show only over some time
+	extraLongFault    = 2 * time.Second // added for faults whose effect takes time to show
 
-	// meanOverlapDelay is the mean time from a fault's start to that of one drawn to overlap it: two faults
-	// interfere most in the first moments.
+	// meanOverlapDelay is the mean time from a fault's start to the start of one that is drawn to overlap it.
+	// It is short because two faults interfere most when the first has just begun.
 	meanOverlapDelay = 250 * time.Millisecond
 )
 
-// planStream and signalStream keep the plan's random draws apart from others of the same seed.
+// planStream and signalStream are random streams of their own, separate from other draws with the same seed.
 const (
 	planStream   = 0x50a4
 	signalStream = 0x516e
 )
 
-// Draws of the second stream.
+// Parameters of the draws from signalStream.
 const (
-	crowdChance              = 0.3                     // of a run with a crowd
-	maxCrowdSockets          = 80                      // descriptors in such a run
-	meanSignalSeriesInterval = 3500 * time.Millisecond // over the fleet
+	crowdChance              = 0.3                     // that a plan has a crowd
+	maxCrowdSockets          = 80                      // upper bound of Plan.Sockets in a plan with a crowd
+	meanSignalSeriesInterval = 3500 * time.Millisecond // over the whole fleet
 )
 
-// socketLimits are the descriptors that a dispatcher may have: with few, calls wait for one another.
+// socketLimits are the descriptor limits to draw from. With a low limit, calls to compute nodes wait for free
+// descriptors.
 var socketLimits = []int{48, 56, 80, 256}
 
-// clockSteps are the steps of the wall clock.
+// clockSteps are the steps of the wall clock to draw from.
 var clockSteps = []time.Duration{time.Hour, -time.Hour, 7 * time.Second, -7 * time.Second}
 
-// NewPlan draws the plan of a seed.
+// NewPlan draws a plan. The same options always give the same plan.
 func NewPlan(o Options) *Plan {
 	r := rand.New(rand.NewPCG(o.Seed, planStream))
 	p := &Plan{Seed: o.Seed, Duration: o.Duration, Dispatchers: o.Dispatchers}
@@ -143,7 +144,7 @@
 	return p
 }
 
-// addSignalSeries adds signals in series and, to some plans, a crowd of idle clients.
+// addSignalSeries adds faults that send a series of signals and, to some plans, a crowd of idle clients.
 func addSignalSeries(r *rand.Rand, p *Plan) {
 	end := p.Duration - quietAtEnd
 	for at := quietAtStart + exponential(r, meanSignalSeriesInterval); at < end; {
@@ -160,7 +161,8 @@
 	}
 }
 
-// addCrowd adds idle clients that fill the descriptors of all dispatchers, unless the plan has them.
+// addCrowd adds idle clients that use up the descriptors of all dispatchers, unless the plan has a crowd
+// already.
 func addCrowd(p *Plan) {
 	if p.Crowd {
 		return
@@ -176,12 +178,13 @@
 	}
 }
 
-// exponential draws an exponentially distributed time.
+// exponential draws a time from the exponential distribution with the given mean.
 func exponential(r *rand.Rand, mean time.Duration) time.Duration {
 	return time.Duration(r.ExpFloat64() * float64(mean))
 }
 
-// drawFault draws a fault that begins at a given time.
+// drawFault draws a fault that begins at a given time. Of ten faults with process faults enabled, one is in
+// the process, six are of a dispatcher and three of a compute node; otherwise seven are of a dispatcher.
 func drawFault(r *rand.Rand, p *Plan, withProcessFaults bool, at time.Duration) Fault {
 	f := Fault{At: at}
 	f.Duration = minFaultDuration + exponential(r, meanExtraDuration)
@@ -209,7 +212,8 @@
 	return f
 }
 
-// drawOverlapping draws a fault that begins while another is in force, mostly at the same place.
+// drawOverlapping draws a fault that begins while the first is in force, mostly with the same target. A fault
+// during NodesHang is always Terminate, and one during Pause disconnects or cancels clients.
 func drawOverlapping(r *rand.Rand, p *Plan, withProcessFaults bool, first Fault) Fault {
 	delay := min(first.Duration, exponential(r, meanOverlapDelay))
 	f := drawFault(r, p, withProcessFaults, first.At+delay)
@@ -217,7 +221,7 @@
 	case NodesHang:
 		f.Kind, f.Dispatcher = Terminate, r.IntN(p.Dispatchers)
 	case Pause:
-		// What clients cancel meanwhile is still unread when the process runs again.
+		// What clients cancel or close during the pause is still unread when the process runs again.
 		f.Kind = []FaultKind{ClientsDisconnect, ClientsCancel}[r.IntN(2)]
 		f.Dispatcher = first.Dispatcher
 		f.At = first.At + time.Duration(r.Float64()*float64(first.Duration))
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -8,17 +8,18 @@
 	"time"
 )
 
-// Times of a dispatcher's process.
+// Timing of a dispatcher's process.
 const (
 	readyTimeout      = 10 * time.Second
 	readyPollInterval = 20 * time.Millisecond
 	aliveReplyTimeout = 500 * time.Millisecond
-	acceptAfterTerm   = 300 * time.Millisecond // new connections are opened so long after SIGTERM
-	// exitTimeout is when the process is killed after SIGTERM: the earliest time that the platform allows.
+	acceptAfterTerm   = 300 * time.Millisecond // how long clients open connections after SIGTERM
+	// exitTimeout is the time from SIGTERM after which the process is killed. It is the shortest time that
+	// the platform allows for an exit.
 	exitTimeout = longestDeadline + 700*time.Millisecond
-	// requestsAfterTerm is how long after SIGTERM requests are sent on connections that are still open.
+	// requestsAfterTerm is how long clients send requests on open connections after SIGTERM.
 	requestsAfterTerm = exitTimeout
-	restartDelay      = 250 * time.Millisecond // between two processes
+	restartDelay      = 250 * time.Millisecond // between the end of a process and the next start
 )
 
 // start starts a process and waits until it is ready.
@@ -28,7 +29,8 @@
 	}
 }
 
-// begin starts a process; ended is closed when it has exited, nil: it could not be started.
+// begin starts a process without waiting until it is ready. ended is closed when the process has exited; it
+// is nil if the process could not be started, which is recorded as a finding.
 func (d *dispatcher) begin() (ended <-chan struct{}) {
 	d.mu.Lock()
 	d.incarnation++
@@ -52,7 +54,7 @@
 	return ended
 }
 
-// launch starts the program and watches for its exit; ended is closed then.
+// launch runs the program. ended is closed when the process has exited.
 func (d *dispatcher) launch(incarnation int) (ended <-chan struct{}, err error) {
 	log, err := os.OpenFile(filepath.Join(d.dir, logFile), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -74,11 +76,11 @@
 	return exited, nil
 }
 
-// awaitExit waits for the exit of a process, closes its log and exited, and records an exit that nobody asked
-// for.
+// awaitExit waits for the exit of a process, and closes its log and exited. It records an unexpected exit as
+// a finding.
 func (d *dispatcher) awaitExit(process *exec.Cmd, incarnation int, log *os.File, exited chan<- struct{}) {
 	err := process.Wait()
-	_ = log.Close() // this descriptor wrote nothing: the process has one of its own
+	_ = log.Close() // nothing was written through this descriptor; the process has its own
 	d.mu.Lock()
 	expected := d.changing && d.process == process
 	d.ready = false
@@ -90,7 +92,8 @@
 	}
 }
 
-// awaitReady polls the process until it says that it is ready, or exits.
+// awaitReady polls the process until it reports that it is ready or exits. It records a finding after
+// readyTimeout.
 func (d *dispatcher) awaitReady(ended <-chan struct{}) {
 	begin := time.Now()
 	for time.Since(begin) < readyTimeout {
@@ -129,7 +132,7 @@
 	}
 }
 
-// recordAlive passes a reply on to the poll that waits for it.
+// recordAlive passes a reply to the poll that waits for it, if any.
 func (d *dispatcher) recordAlive(alive bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -139,7 +142,8 @@
 	}
 }
 
-// beginChange begins to end or replace the process, unless that goes on already or it is not ready.
+// beginChange reserves the process for being ended or replaced until endChange. It returns false if another
+// change is in progress or the process is not ready.
 func (d *dispatcher) beginChange() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -156,7 +160,8 @@
 	d.changing = false
 }
 
-// terminate ends the process by SIGTERM, and starts another unless it is the last.
+// terminate ends the process by SIGTERM, and by SIGKILL if it does not exit within exitTimeout. It starts the
+// next process unless last is set.
 func (d *dispatcher) terminate(last bool) {
 	if !d.beginChange() {
 		return
@@ -186,7 +191,7 @@
 	}
 }
 
-// kill ends the process by SIGKILL, and starts another.
+// kill ends the process by SIGKILL and starts the next one.
 func (d *dispatcher) kill() {
 	if !d.beginChange() {
 		return
@@ -196,8 +201,8 @@
 	d.start()
 }
 
-// signalAtStart ends the process by SIGKILL, the next one by a signal that comes so soon after its start, and
-// starts a third.
+// signalAtStart ends the process by SIGKILL, ends the next one by a signal at the given time after its start,
+// and starts a third.
 func (d *dispatcher) signalAtStart(signal syscall.Signal, after time.Duration) {
 	if !d.beginChange() {
 		return
@@ -225,7 +230,7 @@
 	d.start()
 }
 
-// signalIfTerminating sends a signal to a process that was sent SIGTERM.
+// signalIfTerminating sends a signal to the process if it was sent SIGTERM and its change is in progress.
 func (d *dispatcher) signalIfTerminating(signal syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -234,7 +239,7 @@
 	}
 }
 
-// killNow ends the process by SIGKILL. The caller has begun a change.
+// killNow ends the process by SIGKILL and excuses its unanswered requests. The caller has called beginChange.
 func (d *dispatcher) killNow() {
 	d.mu.Lock()
 	process, ended, incarnation := d.process, d.ended, d.incarnation
@@ -244,10 +249,10 @@
 	<-ended
 	d.fleet.oracle.excuseKilled(d.index, incarnation)
 	time.Sleep(restartDelay)
-	d.fleet.oracle.excuseKilled(d.index, incarnation) // also what clients were just sending
+	d.fleet.oracle.excuseKilled(d.index, incarnation) // again, for requests sent meanwhile
 }
 
-// reload moves the discovery to its other address and has the process read its configuration again.
+// reload moves discovery to its other address, writes the new configuration and sends SIGHUP.
 func (d *dispatcher) reload() {
 	d.mu.Lock()
 	process, ready := d.process, d.ready
@@ -262,19 +267,20 @@
 	sendSignal(process, syscall.SIGHUP)
 }
 
-// sendSignal sends a signal to a process. It fails only where the process has exited, which awaitExit
-// records.
+// sendSignal sends a signal to a process. It ignores the error: it fails only if the process has exited,
+// which awaitExit handles.
 func sendSignal(process *exec.Cmd, signal syscall.Signal) { _ = process.Process.Signal(signal) }
 
-// acceptsRequests reports whether clients send it requests.
+// acceptsRequests reports whether clients may send requests to the dispatcher.
 func (d *dispatcher) acceptsRequests() bool { return d.acceptsFor(requestsAfterTerm) }
 
-// acceptsConnections reports whether clients open connections to it.
+// acceptsConnections reports whether clients may open connections to the dispatcher.
 func (d *dispatcher) acceptsConnections() bool { return d.acceptsFor(acceptAfterTerm) }
 
-// terminating reports whether SIGTERM was sent to it, or no process is ready.
+// terminating reports whether the process was sent SIGTERM or is not ready.
 func (d *dispatcher) terminating() bool { return !d.acceptsFor(0) }
 
+// acceptsFor reports whether the process is ready and was not sent SIGTERM more than afterTerm ago.
 func (d *dispatcher) acceptsFor(afterTerm time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -9,26 +9,28 @@
 )
 
 const (
-	// idleAfter is the silence from which on a connection counts as idle: more than a long poll takes.
+	// idleAfter is the time without data after which a connection counts as idle. It is longer than a long
+	// poll.
 	idleAfter = 300 * time.Millisecond
 
 	proxyBufferBytes = 16 << 10
 )
 
-// linkMode is how a link behaves.
+// linkMode is how a link forwards data.
 type linkMode int
 
 // The modes of a link.
 const (
 	linkHealthy linkMode = iota
 	linkDelay            // every piece of data arrives late
-	linkBytes            // one byte at a time
-	linkCut              // nothing comes through, nothing is closed, new connections stay silent
-	linkReset            // connections are reset when data comes on them
+	linkBytes            // data is written one byte at a time
+	linkCut              // data is discarded, on new connections too, and the server's close is not passed on
+	linkReset            // a connection is reset after half of its next data
 )
 
-// proxy is a link: it accepts connections on a port of its own and forwards bytes to its target as its mode
-// says. tap sees what the client writes, at once, whatever the mode does with it then.
+// proxy is a link. It accepts connections on a port of its own and forwards bytes between them and its target
+// according to its mode. It calls tap with everything that the client writes, before the mode takes effect.
+// It is safe for concurrent use.
 type proxy struct {
 	listener net.Listener
 	target   string
@@ -45,8 +47,8 @@
 // proxiedConn is a connection through a link.
 type proxiedConn struct {
 	client, server net.Conn
-	silenced       bool // nothing comes through any more
-	lastUsed       time.Time
+	silenced       bool      // all data is discarded from now on
+	lastUsed       time.Time // when data last arrived
 }
 
 func newProxy(target string, tap func(connection int, now time.Time, b []byte)) (*proxy, error) {
@@ -71,7 +73,7 @@
 	}
 }
 
-// serve connects a client with the target and copies bytes both ways until one side ends.
+// serve connects a client to the target and copies bytes both ways until both directions have ended.
 func (p *proxy) serve(client net.Conn) {
 	c := &proxiedConn{client: client, lastUsed: time.Now()}
 	p.mu.Lock()
@@ -100,7 +102,7 @@
 	both.Wait()
 }
 
-// copyFromClient copies to the server, and shows the tap what comes.
+// copyFromClient copies from the client to the server and calls the tap.
 func (p *proxy) copyFromClient(id int, c *proxiedConn) {
 	err := p.copyDirection(c, c.client, c.server, func(b []byte) {
 		if p.tap != nil {
@@ -112,7 +114,8 @@
 	}
 }
 
-// copyFromServer copies to the client. The server's end is not passed on where the link is silent.
+// copyFromServer copies from the server to the client. It does not pass on the server's close while the link
+// is cut or the connection silenced.
 func (p *proxy) copyFromServer(c *proxiedConn) {
 	err := p.copyDirection(c, c.server, c.client, func([]byte) {})
 	p.mu.Lock()
@@ -123,8 +126,8 @@
 	}
 }
 
-// copyDirection copies bytes one way and returns the error that ended reading, or nil where the receiver has
-// ended.
+// copyDirection copies bytes one way. It returns the error that ended reading, or nil if the receiver's side
+// has ended.
 func (p *proxy) copyDirection(c *proxiedConn, from, to net.Conn, observe func(b []byte)) error {
 	buffer := make([]byte, proxyBufferBytes)
 	for {
@@ -141,7 +144,7 @@
 	}
 }
 
-// forward writes bytes as the mode says. It returns false where the connection has ended.
+// forward writes bytes according to the mode. It returns false if the connection has ended.
 func (p *proxy) forward(c *proxiedConn, to net.Conn, b []byte) bool {
 	p.mu.Lock()
 	mode, delay, silenced := p.mode, p.delay, c.silenced
@@ -149,7 +152,7 @@
 	p.mu.Unlock()
 	switch {
 	case silenced, mode == linkCut:
-		return true // swallowed
+		return true // discarded
 	case mode == linkReset:
 		writeBestEffort(to, b[:len(b)/2])
 		reset(c.client)
@@ -164,7 +167,7 @@
 	return err == nil
 }
 
-// writeSingly writes one byte at a time, and reports whether all could be written.
+// writeSingly writes one byte at a time and reports whether all were written.
 func writeSingly(to net.Conn, b []byte) bool {
 	for i := range b {
 		if _, err := to.Write(b[i : i+1]); err != nil {
@@ -174,14 +177,14 @@
 	return true
 }
 
-// set puts a mode in force.
+// set sets the link's mode. Only linkDelay uses delay.
 func (p *proxy) set(mode linkMode, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode, p.delay = mode, delay
 }
 
-// silenceIdle has connections that are idle swallow all that comes on them from now on.
+// silenceIdle makes all connections that are idle now discard all data from now on.
 func (p *proxy) silenceIdle() {
 	p.forEachConn(func(c *proxiedConn) {
 		if c.idle() {
@@ -190,7 +193,7 @@
 	})
 }
 
-// resetIdle resets connections that are idle.
+// resetIdle resets all idle connections.
 func (p *proxy) resetIdle() {
 	p.forEachConn(func(c *proxiedConn) {
 		if c.idle() {
@@ -202,7 +205,7 @@
 // resetAll resets all connections.
 func (p *proxy) resetAll() { p.forEachConn((*proxiedConn).reset) }
 
-// forEachConn does something with each connection, under the lock.
+// forEachConn calls do for each connection, with mu held.
 func (p *proxy) forEachConn(do func(c *proxiedConn)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -211,23 +214,24 @@
 	}
 }
 
-// idle and reset need the proxy's lock.
+// idle reports whether no data arrived for idleAfter. The caller holds the proxy's mu.
 func (c *proxiedConn) idle() bool { return time.Since(c.lastUsed) > idleAfter }
 
+// reset resets both sides of the connection. The caller holds the proxy's mu.
 func (c *proxiedConn) reset() {
 	reset(c.client)
 	reset(c.server)
 }
 
-// close ends the link and waits for its connections.
+// close closes the listener, resets all connections and waits until they have ended.
 func (p *proxy) close() {
 	p.listener.Close()
 	p.resetAll()
 	p.background.Wait()
 }
 
-// closeLike ends the one side of a connection as the other side ended: by a reset, or by the end of its
-// writing.
+// closeLike passes the end of one side of a connection on to the other side: a reset as a reset, anything
+// else as the end of writing.
 func closeLike(conn net.Conn, err error) {
 	tcp, ok := conn.(*net.TCPConn)
 	switch {
@@ -235,19 +239,19 @@
 	case isReset(err):
 		reset(tcp)
 	default:
-		_ = tcp.CloseWrite() // it fails where this side has ended too
+		_ = tcp.CloseWrite() // fails if this side has ended too
 	}
 }
 
-// reset closes a connection so that the other side sees a reset.
+// reset closes a TCP connection so that the other side sees a reset.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok && tcp != nil {
-		_ = tcp.SetLinger(0) // it fails where the connection is closed already
+		_ = tcp.SetLinger(0) // fails if the connection is closed already
 		tcp.Close()
 	}
 }
 
-// isReset reports whether a connection was reset by the other side.
+// isReset reports whether an error means that the other side reset the connection.
 func isReset(err error) bool {
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -6,22 +6,22 @@
 	"strings"
 )
 
-// Report is what a run found.
+// Report is the result of a run.
 type Report struct {
 	Plan       *Plan
 	Findings   []Finding
-	Violations []string // logged by the dispatchers themselves
-	Counts     map[string]int
+	Violations []string            // violated invariants and panics that the dispatchers logged
+	Counts     map[string]int      // requests by outcome, and those that were sent again
 	traces     map[string][]string // lines by ticket
 }
 
-// maxTraces bounds the requests that a report traces.
+// maxTraces is the greatest number of requests that a report traces.
 const maxTraces = 5
 
-// Broken reports whether any rule was broken.
+// Broken reports whether the run has a finding or a dispatcher logged a violation.
 func (r *Report) Broken() bool { return len(r.Findings) > 0 || len(r.Violations) > 0 }
 
-// Write writes the report, with the plan and traces where a rule was broken.
+// Write writes the text of String. An error is that of w.
 func (r *Report) Write(w io.Writer) error {
 	if _, err := io.WriteString(w, r.String()); err != nil {
 		return fmt.Errorf("soak: writing the report: %w", err)
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// String is the report's text.
+// String returns the report's text. It includes the plan and the traces only if the run is broken.
 func (r *Report) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d: %d findings, %d violations logged, %v\n",
@@ -52,7 +52,7 @@
 	return b.String()
 }
 
-// report judges the run.
+// report judges the run and collects its findings, counts, logged violations and traces.
 func (f *fleet) report() *Report {
 	r := &Report{
 		Plan:     f.plan,
@@ -78,7 +78,8 @@
 	return r
 }
 
-// counts returns how many requests ended in which way, and how many were retried.
+// counts returns the number of requests by outcome, and the number of those that were sent to a compute node
+// more than once.
 func (o *oracle) counts() map[string]int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/soak/sender.go
+++ b/internal/soak/sender.go
@@ -6,59 +6,59 @@
 	"time"
 )
 
-// What clients send.
+// Parameters of the clients' traffic.
 const (
-	maxConns          = 6 // of a dispatcher's busy clients
-	maxOpenRequests   = 8 // on a connection
-	newConnShare      = 0.2
-	keysPerDispatcher = 3
+	maxConns          = 6   // of a sender; above, a new one is opened only if the drawn one is full
+	maxOpenRequests   = 8   // on each connection
+	newConnShare      = 0.2 // of requests sent on a new connection, below maxConns
+	keysPerDispatcher = 3   // ordering keys
 
 	minLimit   = 1200 * time.Millisecond
-	limitRange = 2000 // milliseconds on top
-	longShare  = 0.1  // requests with more time than a shutdown takes
+	limitRange = 2000 // milliseconds; a random part of it is added to minLimit
+	longShare  = 0.1  // of requests with a limit longer than a shutdown
 	longLimit  = 8 * time.Second
-	shortShare = 0.05 // requests with very little time
+	shortShare = 0.05 // of requests with a very short limit
 
 	minShortLimitMS = 10
-	shortLimitRange = 80 // milliseconds on top
+	shortLimitRange = 80 // milliseconds; a random part of it is added to minShortLimitMS
 
-	slowShare       = 0.03                   // requests whose second half comes later...
-	maxHalvesDelay  = 250 * time.Millisecond // ...by so much at most
+	slowShare       = 0.03                   // of requests that are written in two halves
+	maxHalvesDelay  = 250 * time.Millisecond // between the two halves, below this
 	cancelShare     = 0.05
 	disconnectShare = 0.02
-	giveUpRange     = 300 // milliseconds after which a client cancels or disconnects at most
+	giveUpRange     = 300 // milliseconds from sending, below which a client cancels or disconnects
 
-	// A dispatcher ends a connection that was idle for so long, and requests of idle clients come so shortly
-	// before or after that at most.
+	// idleTimeout is the time after which a dispatcher closes an idle connection. Idle clients send within
+	// idleTimeoutJitter before or after it.
 	idleTimeout       = 15 * time.Second
 	idleTimeoutJitter = 60 * time.Millisecond
 
 	idleReconnectDelay = time.Second // between two connections of an idle client
 )
 
-// request is what a client sends.
+// request is a request that a client sends.
 type request struct {
 	ticket           string
 	orderingKey      string
 	idempotencyKey   string
 	class            requestClass
 	limit            time.Duration
-	resentAfterClose bool          // its first connection closed as it came
-	halvesDelay      time.Duration // between its first half and its second; 0: it is written at once
-	malformed        bool          // it must not raise the retry budget
+	resentAfterClose bool          // it was sent again because its first connection closed
+	halvesDelay      time.Duration // between writing its two halves; 0 to write it at once
+	malformed        bool          // it is not counted as raising the retry budget
 }
 
-// newTicket draws a request's id.
+// newTicket draws the ticket that identifies a request.
 func newTicket(random *rand.Rand) string { return fmt.Sprintf("%016x", random.Uint64()) }
 
-// sender sends requests to a dispatcher as long as it accepts any.
+// sender sends requests to a dispatcher on connections of its own.
 type sender struct {
 	dispatcher *dispatcher
 	random     *rand.Rand
 	conns      []*clientConn
 }
 
-// run sends requests at a mean rate until stop is closed.
+// run sends requests at random times, with the given mean rate a second, until stop is closed.
 func (s *sender) run(rate float64, stop <-chan struct{}) {
 	for {
 		select {
@@ -70,7 +70,7 @@
 	}
 }
 
-// sendOne sends a request, and may give it up later.
+// sendOne sends a request. Some are cancelled or disconnected later.
 func (s *sender) sendOne() {
 	c := s.pickConn()
 	if c == nil {
@@ -90,7 +90,7 @@
 	}
 }
 
-// drawRequest draws a request of a class by the classes' shares.
+// drawRequest draws a request. The classes are drawn by their shares.
 func (s *sender) drawRequest() request {
 	class, share := requestClasses[0], s.random.Float64()
 	for _, class = range requestClasses {
@@ -112,7 +112,8 @@
 	return r
 }
 
-// drawLimit draws the time that a request has.
+// drawLimit draws the time limit of a request. Long limits are drawn only while clients send for longer than
+// that.
 func (s *sender) drawLimit() time.Duration {
 	limit := minLimit + s.drawMilliseconds(limitRange)
 	switch x := s.random.Float64(); {
@@ -124,12 +125,13 @@
 	return limit
 }
 
-// drawMilliseconds draws a time of less than so many milliseconds.
+// drawMilliseconds draws a time from 0 to below the given number of milliseconds.
 func (s *sender) drawMilliseconds(below int) time.Duration {
 	return time.Duration(s.random.IntN(below)) * time.Millisecond
 }
 
-// pickConn returns a connection with capacity for a request: an open one or a new one; nil: there is none.
+// pickConn returns an open connection with capacity for a request, or a new connection. It returns nil if
+// there is neither.
 func (s *sender) pickConn() *clientConn {
 	if !s.dispatcher.acceptsRequests() {
 		return nil
@@ -156,8 +158,8 @@
 	return c
 }
 
-// runIdle sends a request, stays idle until the dispatcher is about to end the connection, and sends again,
-// until stop is closed.
+// runIdle sends a request, stays idle until about when the dispatcher closes the connection, and sends again.
+// It repeats this on new connections until stop is closed.
 func (s *sender) runIdle(stop <-chan struct{}) {
 	for {
 		if c := s.dispatcher.connect(); c != nil && s.dispatcher.acceptsConnections() {
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// What the dispatchers' settings say and the oracle judges by.
+// Values of the dispatchers' settings. The oracle judges by all of them but orderSettleDelay.
 const (
-	drainGrace        = 2 * time.Second        // after a drain was announced, queries may still be started
-	orderSettleDelay  = 100 * time.Millisecond // between requests of an ordering key after a doubtful end
-	retryBudgetFree   = 1.0                    // retries in a window that no request has to allow
-	retryBudgetRatio  = 0.04                   // retries that each request of the window allows
+	drainGrace        = 2 * time.Second        // after notice of a drain, queries may still be started
+	orderSettleDelay  = 100 * time.Millisecond // between requests of an ordering key after an uncertain end
+	retryBudgetFree   = 1.0                    // retries in a window that are allowed without any request
+	retryBudgetRatio  = 0.04                   // further retries allowed for each request in the window
 	retryBudgetWindow = 4 * time.Second
 	slowStartFrom     = 0.3 // share of the capacity at a compute node's start
 	slowStartDuration = 6 * time.Second
-	slowStartFactor   = 0.6 // load that counts as overload, as a share of the capacity
-	slowStartWindow   = time.Second
-	nodeCores         = 4.0
+	slowStartFactor   = 0.6         // share of the current capacity above which load counts as overload
+	slowStartWindow   = time.Second // over which the load is measured
+	nodeCores         = 4.0         // of each compute node
 )
 
-// Further settings, which nothing here judges by.
+// Further values of the settings. The oracle judges by none of them directly; exitTimeout follows from
+// longestDeadline.
 const (
 	latencyObjective    = 400 * time.Millisecond
 	longestDeadline     = 3 * time.Second
@@ -31,9 +32,10 @@
 	onlyZone            = "z"
 )
 
-// The settings of the platform. Fields stand in the order of their JSON keys; the keys are the platform's.
+// The types below are the platform's settings as JSON. The platform determines the keys. Fields are in the
+// order of their keys.
 
-// platformSettings is the whole of them.
+// platformSettings is the complete settings of a dispatcher.
 type platformSettings struct {
 	Classes        []classSettings `json:"classes"`
 	Limits         limitSettings   `json:"limits"`
@@ -48,7 +50,7 @@
 	Zone           string          `json:"zone"`
 }
 
-// classSettings are those of a request class.
+// classSettings is the settings of a request class.
 type classSettings struct {
 	LatencyObjectiveUS    int64       `json:"aim-us"`
 	DeadlineUS            int64       `json:"deadline-us"`
@@ -60,7 +62,7 @@
 	DeduplicationWindowUS int64       `json:"window-us"`
 }
 
-// limitSettings bound what a dispatcher may do.
+// limitSettings is the limits and permissions of a dispatcher.
 type limitSettings struct {
 	Cancel           bool  `json:"cancel"`
 	ConnIdleUS       int64 `json:"conn-idle-us"`
@@ -71,7 +73,8 @@
 	RetryAfter       bool  `json:"retry-after"`
 }
 
-// ruleSettings are the rules that the oracle judges; those of the retry budget stand there only with one.
+// ruleSettings is the parameters of the rules that dispatchers keep. Those of the retry budget are left out
+// in a plan without a budget.
 type ruleSettings struct {
 	SlowStartFrom       float64 `json:"cold-from"`
 	RetryBudgetFree     float64 `json:"free-resends,omitempty"`
@@ -85,7 +88,8 @@
 	DrainGraceUS        int64   `json:"stop-sending-within-us"`
 }
 
-// fleetSettings describe the compute nodes by their kind, and the classes by their order.
+// fleetSettings describes the compute nodes, one element for each of Shapes, and the request classes, one
+// element for each of Classes.
 type fleetSettings struct {
 	ClassThreads   []float64 `json:"class-threads"`
 	CoresOfKind    []float64 `json:"cpu-of-kind"`
@@ -94,7 +98,7 @@
 	YieldsToLoads  []bool    `json:"yields-to-loads"`
 }
 
-// newPlatformSettings returns the settings of a plan's dispatchers.
+// newPlatformSettings returns the settings that all dispatchers of a plan share.
 func newPlatformSettings(p *Plan) platformSettings {
 	s := platformSettings{
 		Limits: limitSettings{
@@ -157,9 +161,9 @@
 	return s
 }
 
-// processConfig is the configuration file of a dispatcher's process.
+// processConfig is the content of a dispatcher's configuration file.
 type processConfig struct {
-	Discovery string           `json:"board"` // its address
+	Discovery string           `json:"board"` // address of the discovery server
 	Known     knownEvents      `json:"known"`
 	Limits    processLimits    `json:"limits"`
 	Listen    string           `json:"listen"`
@@ -168,21 +172,21 @@
 	Settings  platformSettings `json:"settings"`
 }
 
-// knownEvents are the watch events that a process is given with its configuration.
+// knownEvents is the watch events that a process gets with its configuration, and the number of the last.
 type knownEvents struct {
 	Events   []watchEvent `json:"notices"`
 	Revision int          `json:"rev"`
 }
 
-// processLimits are the resources that a process may use.
+// processLimits is the resources that a process may use.
 type processLimits struct {
 	Cores    int `json:"cores"`
 	MemoryMB int `json:"memory_mb"`
 	Sockets  int `json:"sockets"`
 }
 
-// processFaultConfig is the file by which faults are put into a process built with the tag faults. An empty
-// one ends them.
+// processFaultConfig is the content of the file that sets the faults inside a process that was built with the
+// tag faults. The zero value ends them.
 type processFaultConfig struct {
 	MaxDialDelayMS   int64   `json:"dial_most_ms,omitempty"`
 	FailingCallShare float64 `json:"share,omitempty"`
--- a/internal/soak/settings_test.go
+++ b/internal/soak/settings_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TestSettingsFormat: the dispatchers' files have the bytes that are kept under testdata.
+// TestSettingsFormat checks that the dispatchers' files are byte for byte those under testdata.
 func TestSettingsFormat(t *testing.T) {
 	for file, value := range map[string]any{
 		"settings.json":        newPlatformSettings(&Plan{Dispatchers: 6}),
@@ -33,7 +33,7 @@
 			t.Fatal(err)
 		}
 		if !bytes.Equal(got, bytes.TrimSpace(want)) {
-			t.Errorf("%s:\n%s\nwant\n%s", file, got, want)
+			t.Errorf("%s: got\n%s\nwant\n%s", file, got, want)
 		}
 	}
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// TestShort plays a short plan through real dispatchers of the build with faults: no rule is broken, and
-// with a guard left out the rule that it keeps is found broken.
+// TestShort runs a short plan with real dispatchers that are built with the tag faults. It checks that no
+// rule is broken and that, with a guard left out, the rule that the guard enforces is found broken.
 func TestShort(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "cresspass")
 	build := exec.Command("go", "build", "-tags", "faults", "-o", program, "cresspass/cmd/cresspass")
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	const busy = 40 // requests a second for each dispatcher: some of one key come together for certain
+	const busy = 40 // requests a second to each dispatcher: enough that some of one key arrive together
 	for mutant, want := range map[string]string{"": "", "second-answer": "second_answer",
 		"full-deadline": "told_deadline", "no-order": "out_of_order"} {
 		t.Run("mutant "+mutant, func(t *testing.T) {
@@ -32,7 +32,7 @@
 				t.Fatal(err)
 			}
 			if report.Counts[string(answerServed)] < 50 {
-				t.Errorf("only %v", report.Counts)
+				t.Errorf("fewer than 50 requests served: %v", report.Counts)
 			}
 			found := want == "" && !report.Broken()
 			for _, f := range report.Findings {
@@ -41,7 +41,7 @@
 			if !found {
 				var b strings.Builder
 				report.Write(&b)
-				t.Errorf("want %q\n%s", want, b.String())
+				t.Errorf("want a finding of %q, or none if empty; got\n%s", want, b.String())
 			}
 		})
 	}
--- a/internal/soak/stress.go
+++ b/internal/soak/stress.go
@@ -6,41 +6,42 @@
 	"time"
 )
 
-// NodeBehavior is how all compute nodes of a plan answer from its start, beside its faults. The zero value is
-// that of nodes without a fault.
+// NodeBehavior is how all compute nodes of a plan answer during the whole run, in addition to its faults. The
+// zero value is the normal behavior.
 type NodeBehavior struct {
-	CopyShare float64 // answers of which a copy comes a second time, up to maxDuplicateDelay later
-	ShedShare float64 // starts of queries that are shed
-	FailShare float64 // starts of queries that fail
-	Pages     int     // of each result; 0: as many as are drawn
+	CopyShare float64 // share of answers that are followed by a copy within maxDuplicateDelay
+	ShedShare float64 // share of query starts that are shed
+	FailShare float64 // share of query starts that fail
+	Pages     int     // of each result; 0 for a random number up to maxPages
 }
 
-// String lists the shares.
+// String returns the shares and the number of pages as plans print them.
 func (b NodeBehavior) String() string {
 	return fmt.Sprintf("nodes copy %.2f, shed %.2f, fail %.2f, %d pages", b.CopyShare, b.ShedShare,
 		b.FailShare, b.Pages)
 }
 
-// stressStream keeps the draws of a stressed plan apart from others of the same seed.
+// stressStream is the random stream of a stressed plan, separate from other draws with the same seed.
 const stressStream = 0x57e6
 
-// What a stressed plan has in place of what was drawn.
+// Parameters of a stressed plan, which replace or scale what was drawn.
 const (
 	stressSockets    = 48
 	stressRateFactor = 2.5
 	stressPages      = maxPages
 	stressShedShare  = 0.3
 	stressFailShare  = 0.05
-	stressedFailures = 0.5 // of the plans: nodes shed and fail starts
-	meanStallSeries  = 4 * time.Second
+	stressedFailures = 0.5             // share of plans in which nodes shed and fail query starts
+	meanStallSeries  = 4 * time.Second // between stalls, over the whole fleet
 )
 
-// stressCopyShares are the shares of answers that are copied: mostly all; rarely means that no copy was seen
-// for a while when the next one comes.
+// stressCopyShares are the values of CopyShare to draw from. Mostly all answers are copied. With the low
+// share, the dispatcher has seen no copy for a while when the next one arrives.
 var stressCopyShares = []float64{1, 1, 1, 0.03}
 
-// addStress has coincide in a plan what rarely does: few descriptors that crowds fill, more requests than
-// connections, compute nodes that send copies, and processes that do not run while clients come and go.
+// addStress changes a plan so that rare conditions coincide: crowds that use up few descriptors, more
+// requests than connections, compute nodes that send copies, and processes that are stopped while clients
+// come and go.
 func addStress(r *rand.Rand, p *Plan) {
 	p.Sockets, p.Rate = stressSockets, p.Rate*stressRateFactor
 	copyShare := stressCopyShares[r.IntN(len(stressCopyShares))]
--- a/internal/soak/thrift.go
+++ b/internal/soak/thrift.go
@@ -6,10 +6,10 @@
 	"fmt"
 )
 
-// The clients' side of the protocol: Thrift's strict binary protocol in frames, written and read without the
-// dispatcher's code.
+// This file is the clients' side of the protocol: Thrift's strict binary protocol over framed transport. It
+// uses none of the dispatcher's code.
 
-// Types of messages.
+// Message types, and the version in the header of a message.
 const (
 	messageCall      = 1
 	messageReply     = 2
@@ -19,7 +19,7 @@
 	strictVersion1 = 0x8001
 )
 
-// Types of values.
+// Types of fields and values.
 const (
 	typeStop   = 0
 	typeBool   = 2
@@ -36,7 +36,7 @@
 	methodAlive    = "alive"
 )
 
-// appendText appends a string.
+// appendText appends a string with its length.
 func appendText(b []byte, s string) []byte {
 	return append(binary.BigEndian.AppendUint32(b, uint32(len(s))), s...)
 }
@@ -46,7 +46,7 @@
 	return binary.BigEndian.AppendUint16(append(b, valueType), id)
 }
 
-// message returns a frame with a message around the fields of its arguments.
+// message returns a frame that contains one message; arguments are its encoded fields.
 func message(messageType byte, method string, seq int32, arguments []byte) []byte {
 	body := binary.BigEndian.AppendUint16(nil, strictVersion1)
 	body = appendText(append(body, 0, messageType), method)
@@ -55,7 +55,7 @@
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...)
 }
 
-// dispatchMessage is a request: its fields by name, and its statement.
+// dispatchMessage returns the frame of a request with its fields by name and its statement.
 func dispatchMessage(seq int32, fields map[string]string, statement string) []byte {
 	b := appendField(nil, typeMap, 1)
 	b = binary.BigEndian.AppendUint32(append(b, typeString, typeString), uint32(len(fields)))
@@ -65,18 +65,18 @@
 	return message(messageCall, methodDispatch, seq, appendText(appendField(b, typeString, 2), statement))
 }
 
-// cancelMessage cancels the request of a sequence number.
+// cancelMessage returns the frame that cancels the request with a sequence number.
 func cancelMessage(seq, canceled int32) []byte {
 	b := binary.BigEndian.AppendUint32(appendField(nil, typeI32, 1), uint32(canceled))
 	return message(messageOneway, methodCancel, seq, b)
 }
 
-// aliveMessage asks whether a dispatcher is ready.
+// aliveMessage returns the frame that asks whether a dispatcher is ready.
 func aliveMessage(seq int32) []byte {
 	return message(messageCall, methodAlive, seq, append(appendField(nil, typeBool, 1), 0))
 }
 
-// answerKind is what an answer says, as counts and findings print it.
+// answerKind is the outcome that an answer reports, as counts and findings print it.
 type answerKind string
 
 // The kinds of answer.
@@ -87,32 +87,32 @@
 	answerError   answerKind = "exception"
 )
 
-// answerKinds are the kinds by the field of the reply's union.
+// answerKinds maps the field number of the reply's union to the kind.
 var answerKinds = []answerKind{answerServed, answerRefused, answerFailed}
 
-// answer is an answer as a client reads it.
+// answer is a decoded reply to a client.
 type answer struct {
 	method string
 	seq    int32
 	kind   answerKind
 	body   string
-	alive  bool // of an answer to methodAlive
+	alive  bool // in an answer to methodAlive: the dispatcher is ready
 }
 
-// errAnswer is the kind of every error of an answer that can't be parsed.
+// errAnswer is wrapped by every error of parseAnswer.
 var errAnswer = errors.New("soak: malformed answer")
 
-// frameReader reads values of a frame. What is read after an error means nothing; callers look at err before
-// they use a value.
+// frameReader decodes the values of a frame. Values read after an error are meaningless: callers check err
+// before they use a value.
 type frameReader struct {
 	b   []byte
 	err error
 }
 
-// take returns the next n bytes. Where they are missing it returns at most as many as an integer has, so that
-// callers need not look at err first.
+// take returns the next n bytes. If fewer are left, it sets err and returns n zero bytes, at most
+// longestInteger, so that callers can decode an integer without a check.
 func (r *frameReader) take(n int) []byte {
-	const longestInteger = 8
+	const longestInteger = 8 // bytes
 	if n < 0 || n > len(r.b) {
 		r.err = errAnswer
 		return make([]byte, max(min(n, longestInteger), 0))
@@ -127,7 +127,7 @@
 func (r *frameReader) uint32() uint32 { return binary.BigEndian.Uint32(r.take(4)) }
 func (r *frameReader) text() string   { return string(r.take(int(int32(r.uint32())))) }
 
-// parseAnswer parses a frame, without its length.
+// parseAnswer decodes the reply in a frame, which is given without its length prefix.
 func parseAnswer(frame []byte) (a answer, err error) {
 	r := &frameReader{b: frame}
 	head := r.uint32()
@@ -153,7 +153,7 @@
 	return a, r.err
 }
 
-// served reads the fields of an answer that was served.
+// served decodes the fields of an answer of the kind answerServed into a.
 func (r *frameReader) served(a *answer) {
 	for r.err == nil {
 		valueType := r.byte()
@@ -173,7 +173,7 @@
 	}
 }
 
-// skipTextMap passes over a map of strings.
+// skipTextMap skips a map of strings to strings.
 func (r *frameReader) skipTextMap() {
 	r.take(2) // the types of its keys and values
 	for range r.uint32() {
--- a/internal/soak/thrift_test.go
+++ b/internal/soak/thrift_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestMessageFormat: messages have the bytes of Thrift's strict binary protocol in frames.
+// TestMessageFormat checks that messages are byte for byte those of Thrift's strict binary protocol over
+// framed transport.
 func TestMessageFormat(t *testing.T) {
 	for name, c := range map[string]struct {
 		message []byte
@@ -23,12 +24,12 @@
 			"0b0002" + "00000008" + hex.EncodeToString([]byte("SELECT 1")) + "00"},
 	} {
 		if got := hex.EncodeToString(c.message); got != c.want {
-			t.Errorf("%s: %s, want %s", name, got, c.want)
+			t.Errorf("%s: got %s, want %s", name, got, c.want)
 		}
 	}
 }
 
-// TestParseAnswer: each kind of answer is read, and a frame that breaks off anywhere is an error.
+// TestParseAnswer checks that each kind of answer is decoded and that a frame truncated anywhere is an error.
 func TestParseAnswer(t *testing.T) {
 	const reply = "80010002" + "00000002" + "6f6b" + "00000005"
 	for name, c := range map[string]struct {
@@ -47,11 +48,11 @@
 			t.Fatal(err)
 		}
 		if got, err := parseAnswer(frame); err != nil || got != c.want {
-			t.Errorf("%s: %+v, %v; want %+v", name, got, err, c.want)
+			t.Errorf("%s: got %+v, error %v; want %+v", name, got, err, c.want)
 		}
 		for cut := range frame {
 			if got, err := parseAnswer(frame[:cut]); !errors.Is(err, errAnswer) {
-				t.Errorf("%s cut at %d: %+v, %v", name, cut, got, err)
+				t.Errorf("%s truncated to %d bytes: got %+v, error %v; want errAnswer", name, cut, got, err)
 			}
 		}
 	}
--- a/internal/soak/trace.go
+++ b/internal/soak/trace.go
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// String is the call as traces print it.
+// String returns the call as traces print it.
 func (c observedCall) String() string {
 	what := strings.TrimSpace(c.method + " " + c.page)
 	return fmt.Sprintf("%s to node %d on connection %d", what, c.node, c.connection)
 }
 
-// traceEvent is something that happened to a request.
+// traceEvent is one line of a trace, with its time.
 type traceEvent struct {
 	at   time.Time
 	text string
 }
 
-// trace returns all that was seen of a request, one event a line, by time.
+// trace returns a line that describes a request, followed by one line for each event and machine lag, in
+// order of time. It returns nil for an unknown ticket.
 func (o *oracle) trace(ticket string) (lines []string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -43,7 +44,7 @@
 	return lines
 }
 
-// events returns what was seen of a request at the sockets and at the compute nodes.
+// events returns the observations of a request on the links, at its client and at the compute nodes.
 func (r *observedRequest) events() (events []traceEvent) {
 	add := func(at time.Time, format string, args ...any) {
 		if !at.IsZero() {
@@ -70,7 +71,8 @@
 	return events
 }
 
-// rowOwners says of each row of an answer to which request it belongs. Rows begin with a ticket.
+// rowOwners describes for each row of an answer the request that it belongs to. Rows begin with a ticket. The
+// caller holds mu.
 func (o *oracle) rowOwners(body string) string {
 	var owners []string
 	for row := range strings.Lines(body) {
@@ -85,7 +87,7 @@
 	return strings.Join(owners, ", ")
 }
 
-// sinceStart prints a time as the seconds since the start of the run.
+// sinceStart formats a time as the seconds since the start of the run, or "never" for the zero time.
 func (o *oracle) sinceStart(t time.Time) string {
 	if t.IsZero() {
 		return "never"
--- a/internal/soak/trace_test.go
+++ b/internal/soak/trace_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestTrace: the calls, the runs, the answers and the machine's lags of a request come by time, and rows of
-// another request are named.
+// TestTrace checks that a trace has a request's calls, runs, answers and machine lags in order of time, and
+// that a finding names the request that foreign rows belong to.
 func TestTrace(t *testing.T) {
 	o := testOracle{newOracle(false)}
 	o.updateRequest("a", func(r *observedRequest) {
@@ -32,16 +32,16 @@
 		"GET 1 to node 2 on connection 7", "ended at node 2", "the soak ran 25ms late", "served"} {
 		at := strings.Index(trace, want)
 		if at < last {
-			t.Errorf("%q is missing or comes too early", want)
+			t.Errorf("trace has no %q, or has it too early", want)
 		}
 		last = at
 	}
 	if strings.Contains(trace, "1s late") {
-		t.Error("a lag of another time is in the trace")
+		t.Error("trace has a lag from another time")
 	}
 	findings := o.judge()
 	if len(findings) != 1 || !strings.Contains(findings[0].Detail, "b (class load, dispatcher 3 life 0)") {
-		t.Errorf("%v", findings)
+		t.Errorf("got findings %v, want one that names the owner of the rows", findings)
 	}
 	if t.Failed() {
 		t.Log(trace)
