--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -80,11 +80,11 @@
 		observed.class, observed.orderingKey = r.class.name, r.orderingKey
 		observed.dispatcher, observed.incarnation = c.dispatcher.index, incarnation
 		observed.limit = r.limit
-		observed.malformed = r.malformed
+		observed.cancelledAtOnce = r.cancelledAtOnce
 		observed.sentAt = time.Now()
 	})
 	c.dispatcher.rememberRequest(r)
-	err := c.write(dispatchMessage(seq, r.fields(), requestStatement), r.halvesDelay)
+	err := c.write(dispatchMessage(seq, r.fields(), requestStatement), r.splitDelay)
 	c.sentAt[r.ticket] = time.Now()
 	c.dispatcher.fleet.oracle.updateRequest(r.ticket, func(observed *observedRequest) {
 		observed.sentAt = time.Now()
@@ -224,7 +224,7 @@
 // handleAnswer records an answer, including a second one to the same request.
 func (c *clientConn) handleAnswer(a answer) {
 	if a.method == methodAlive {
-		c.dispatcher.recordAlive(a.alive)
+		c.dispatcher.deliverAlive(a.alive)
 		return
 	}
 	c.mu.Lock()
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -151,7 +151,7 @@
 	refuses, slow := s.down || address != s.currentAddress, s.slow
 	s.mu.Unlock()
 	if refuses {
-		hangUp(w)
+		resetConnection(w)
 		return
 	}
 	if slow {
@@ -171,7 +171,7 @@
 	for q.Context().Err() == nil {
 		state := s.watchState(address)
 		if state.ended || !stream.deliver(state) {
-			hangUp(w)
+			resetConnection(w)
 			return
 		}
 		select {
@@ -241,8 +241,8 @@
 	w.flush()
 }
 
-// hangUp resets the connection of an HTTP request.
-func hangUp(w http.ResponseWriter) {
+// resetConnection resets the connection of an HTTP request.
+func resetConnection(w http.ResponseWriter) {
 	if conn, _, ok := hijack(w); ok {
 		reset(conn)
 	}
--- a/internal/soak/dispatcher.go
+++ b/internal/soak/dispatcher.go
@@ -23,7 +23,7 @@
 	clients   *proxy
 	nodes     []*proxy // links to the compute nodes, by node index
 	dir       string
-	parsers   sync.Map // exchangeKey to *callParser
+	parsers   sync.Map // nodeConnKey to *callParser
 
 	files sync.Mutex // held by replaceFile
 
@@ -42,8 +42,8 @@
 	aliveReply           chan bool
 }
 
-// exchangeKey identifies a connection on a link to a compute node.
-type exchangeKey struct{ node, connection int }
+// nodeConnKey identifies a connection on a link to a compute node.
+type nodeConnKey struct{ node, connection int }
 
 // Files in a dispatcher's directory.
 const (
@@ -97,7 +97,7 @@
 // observe parses the bytes that the dispatcher writes to a compute node, and records the calls: starts of
 // queries, polls and cancels.
 func (d *dispatcher) observe(node, connection int, now time.Time, b []byte) {
-	parser, _ := d.parsers.LoadOrStore(exchangeKey{node, connection}, &callParser{})
+	parser, _ := d.parsers.LoadOrStore(nodeConnKey{node, connection}, &callParser{})
 	for _, c := range parser.(*callParser).feed(now, b) {
 		observed := observedCall{call: c, node: node, connection: connection}
 		if c.method != "POST" {
@@ -253,8 +253,8 @@
 	return lines[len(lines)-1]
 }
 
-// logOf returns the lines of the dispatcher's log that contain the ticket of a request.
-func (d *dispatcher) logOf(ticket string) (lines []string) {
+// logLinesWith returns the lines of the dispatcher's log that contain the ticket of a request.
+func (d *dispatcher) logLinesWith(ticket string) (lines []string) {
 	for _, line := range d.readLog() {
 		if ticket != "" && strings.Contains(line, ticket) {
 			lines = append(lines, line)
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -13,19 +13,19 @@
 
 // Parameters of faults.
 const (
-	reloadsInBurst    = 4
-	reloadBurstPause  = 8 // the fault's duration is divided by this to give the pause after each reload
-	linkFaultDelay    = 60 * time.Millisecond
-	clientFaultDelay  = 30 * time.Millisecond
-	idleResetInterval = 150 * time.Millisecond // between resets of idle connections
-	idleClients       = 60                     // connections opened by ClientsIdle
-	idleClientsSlack  = 300 * time.Millisecond // after the fault, until descriptors count as free again
-	crowdInterval     = 700 * time.Millisecond // between refills of a crowd
-	reloadsInSeries   = 3
-	signalPause       = 20 * time.Millisecond // upper bound of the time between two signals of a series
-	malformedInterval = 5 * time.Millisecond  // between connections of clients that cancel all they send
-	maxDialDelay      = 1500 * time.Millisecond
-	failingCallShare  = 0.4
+	reloadsInBurst        = 4
+	reloadBurstDivisor    = 8 // the fault's duration is divided by this to give the pause after each reload
+	linkFaultDelay        = 60 * time.Millisecond
+	clientFaultDelay      = 30 * time.Millisecond
+	idleResetInterval     = 150 * time.Millisecond // between resets of idle connections
+	idleClients           = 60                     // connections opened by ClientsIdle
+	idleClientsSlack      = 300 * time.Millisecond // after the fault, until descriptors count as free again
+	crowdInterval         = 700 * time.Millisecond // between refills of a crowd
+	reloadsInSeries       = 3
+	maxSignalDelay        = 20 * time.Millisecond // upper bound of the time between two signals of a series
+	sendAndCancelInterval = 5 * time.Millisecond  // between connections of clients that cancel all they send
+	maxDialDelay          = 1500 * time.Millisecond
+	failingCallShare      = 0.4
 )
 
 // dispatcherInjectors inject the faults of one dispatcher, its links and its clients. Each returns when the
@@ -115,12 +115,12 @@
 func injectReloadBurst(_ *fleet, fault Fault, d *dispatcher) {
 	for range reloadsInBurst {
 		d.reload()
-		time.Sleep(fault.Duration / reloadBurstPause)
+		time.Sleep(fault.Duration / reloadBurstDivisor)
 	}
 }
 
 // signalDelay returns the time between two signals of a series, which follows from the fault's duration.
-func signalDelay(fault Fault) time.Duration { return fault.Duration % signalPause }
+func signalDelay(fault Fault) time.Duration { return fault.Duration % maxSignalDelay }
 
 // injectReloadsIntoTerminate sends SIGHUPs, then SIGTERM, and more SIGHUPs during the shutdown.
 func injectReloadsIntoTerminate(_ *fleet, fault Fault, d *dispatcher) {
@@ -258,14 +258,14 @@
 func injectMalformedClients(f *fleet, fault Fault, d *dispatcher) {
 	random := rand.New(rand.NewPCG(f.plan.Seed, uint64(fault.At)))
 	until := time.Now().Add(fault.Duration)
-	for ; time.Now().Before(until) && d.acceptsConnections(); time.Sleep(malformedInterval) {
+	for ; time.Now().Before(until) && d.acceptsConnections(); time.Sleep(sendAndCancelInterval) {
 		c := d.connect()
 		if c == nil {
 			return
 		}
 		for range maxOpenRequests {
 			c.send(request{ticket: newTicket(random), class: requestClasses[0], limit: time.Second,
-				malformed: true})
+				cancelledAtOnce: true})
 		}
 		c.cancelAll()
 		c.disconnect(false)
--- a/internal/soak/judge_load.go
+++ b/internal/soak/judge_load.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// process identifies one process of a dispatcher.
-type process struct{ dispatcher, incarnation int }
+// processKey identifies one process of a dispatcher.
+type processKey struct{ dispatcher, incarnation int }
 
 // roundingSlack keeps the rounding errors of a sum of many small shares from counting as an excess.
 const roundingSlack = 1e-9
 
 // judgeRetryBudget finds retries in excess of what the requests in the window before them allow.
 func (o *oracle) judgeRetryBudget() {
-	arrivals, retries := map[process][]time.Time{}, map[process][]postedQuery{}
+	arrivals, retries := map[processKey][]time.Time{}, map[processKey][]postedQuery{}
 	for _, r := range o.requests {
-		p := process{r.dispatcher, r.incarnation}
-		if !r.sentAt.IsZero() && !r.malformed {
+		p := processKey{r.dispatcher, r.incarnation}
+		if !r.sentAt.IsZero() && !r.cancelledAtOnce {
 			arrivals[p] = append(arrivals[p], r.sentAt)
 		}
 		sort.Slice(r.posts, func(i, j int) bool {
--- a/internal/soak/node_answer.go
+++ b/internal/soak/node_answer.go
@@ -55,7 +55,7 @@
 		return
 	}
 	defer conn.Close()
-	go n.takeQueries(reader)
+	go n.registerQueries(reader)
 	n.mu.Lock()
 	delay := minDuplicateDelay + time.Duration(n.random.Int64N(int64(maxDuplicateDelay-minDuplicateDelay)))
 	n.mu.Unlock()
@@ -65,9 +65,9 @@
 	time.Sleep(duplicateLinger)
 }
 
-// takeQueries starts the queries that arrive on a connection, without answering them, until the connection
-// ends.
-func (n *computeNode) takeQueries(reader *bufio.Reader) {
+// registerQueries starts the queries that arrive on a connection, without answering them, until the
+// connection ends.
+func (n *computeNode) registerQueries(reader *bufio.Reader) {
 	for {
 		q, err := http.ReadRequest(reader)
 		if err != nil {
--- a/internal/soak/node_http.go
+++ b/internal/soak/node_http.go
@@ -31,7 +31,7 @@
 // cancels it, and anything else is a health check.
 func (n *computeNode) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	_, _ = io.ReadAll(q.Body) // a truncated body also ends the request's context
-	hung, full, failing := n.drawTrouble()
+	hung, full, failing := n.drawCallFaults()
 	ticket := q.Header.Get(headerTicket)
 	limit, err := strconv.Atoi(q.Header.Get(headerLimitMS))
 	if err == nil && limit < silentDropBelowMS {
@@ -70,9 +70,9 @@
 	}
 }
 
-// drawTrouble returns which faults affect a call. hung, if not nil, is closed at the end of the hang that
+// drawCallFaults returns which faults affect a call. hung, if not nil, is closed at the end of the hang that
 // delays its answer; full means that a query is shed, failing that it fails.
-func (n *computeNode) drawTrouble() (hung chan struct{}, full, failing bool) {
+func (n *computeNode) drawCallFaults() (hung chan struct{}, full, failing bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	full, failing = n.full, n.errors
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -98,7 +98,7 @@
 	connectionEndedAt          time.Time // when its connection ended without an answer
 	connectionEndedBy          string    // the error that ended it
 	excused                    string    // why no answer is owed; "" if one is
-	malformed                  bool      // it does not raise the retry budget
+	cancelledAtOnce            bool      // by its client, so that it does not raise the retry budget
 	posts                      []postedQuery
 	calls                      []observedCall // polls and cancels
 	intervals                  []interval
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -24,14 +24,14 @@
 
 // start starts a process and waits until it is ready.
 func (d *dispatcher) start() {
-	if ended := d.begin(); ended != nil {
+	if ended := d.startProcess(); ended != nil {
 		d.awaitReady(ended)
 	}
 }
 
-// begin starts a process without waiting until it is ready. ended is closed when the process has exited; it
-// is nil if the process could not be started, which is recorded as a finding.
-func (d *dispatcher) begin() (ended <-chan struct{}) {
+// startProcess starts a process without waiting until it is ready. ended is closed when the process has
+// exited; it is nil if the process could not be started, which is recorded as a finding.
+func (d *dispatcher) startProcess() (ended <-chan struct{}) {
 	d.mu.Lock()
 	d.incarnation++
 	incarnation := d.incarnation
@@ -132,8 +132,8 @@
 	}
 }
 
-// recordAlive passes a reply to the poll that waits for it, if any.
-func (d *dispatcher) recordAlive(alive bool) {
+// deliverAlive passes a reply to the poll that waits for it, if any.
+func (d *dispatcher) deliverAlive(alive bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	select {
@@ -209,7 +209,7 @@
 	}
 	defer d.endChange()
 	d.killNow()
-	ended := d.begin()
+	ended := d.startProcess()
 	if ended == nil {
 		return
 	}
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -110,7 +110,7 @@
 		}
 	})
 	if err != nil {
-		closeLike(c.server, err)
+		propagateClose(c.server, err)
 	}
 }
 
@@ -122,7 +122,7 @@
 	silent := p.mode == linkCut || c.silenced
 	p.mu.Unlock()
 	if err != nil && !silent {
-		closeLike(c.client, err)
+		propagateClose(c.client, err)
 	}
 }
 
@@ -161,14 +161,14 @@
 	case mode == linkDelay:
 		time.Sleep(delay)
 	case mode == linkBytes:
-		return writeSingly(to, b)
+		return writeByteByByte(to, b)
 	}
 	_, err := to.Write(b)
 	return err == nil
 }
 
-// writeSingly writes one byte at a time and reports whether all were written.
-func writeSingly(to net.Conn, b []byte) bool {
+// writeByteByByte writes one byte at a time and reports whether all were written.
+func writeByteByByte(to net.Conn, b []byte) bool {
 	for i := range b {
 		if _, err := to.Write(b[i : i+1]); err != nil {
 			return false
@@ -230,9 +230,9 @@
 	p.background.Wait()
 }
 
-// closeLike passes the end of one side of a connection on to the other side: a reset as a reset, anything
-// else as the end of writing.
-func closeLike(conn net.Conn, err error) {
+// propagateClose passes the end of one side of a connection on to the other side: a reset as a reset,
+// anything else as the end of writing.
+func propagateClose(conn net.Conn, err error) {
 	tcp, ok := conn.(*net.TCPConn)
 	switch {
 	case !ok:
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -71,7 +71,7 @@
 		}
 		lines := f.oracle.trace(finding.Ticket)
 		for _, d := range f.dispatchers {
-			lines = append(lines, d.logOf(finding.Ticket)...)
+			lines = append(lines, d.logLinesWith(finding.Ticket)...)
 		}
 		r.traces[finding.Ticket] = lines
 	}
--- a/internal/soak/sender.go
+++ b/internal/soak/sender.go
@@ -13,20 +13,20 @@
 	newConnShare      = 0.2 // of requests sent on a new connection, below maxConns
 	keysPerDispatcher = 3   // ordering keys
 
-	minLimit   = 1200 * time.Millisecond
-	limitRange = 2000 // milliseconds; a random part of it is added to minLimit
-	longShare  = 0.1  // of requests with a limit longer than a shutdown
-	longLimit  = 8 * time.Second
-	shortShare = 0.05 // of requests with a very short limit
+	minLimit        = 1200 * time.Millisecond
+	limitRangeMS    = 2000 // milliseconds; a random part of it is added to minLimit
+	longLimitShare  = 0.1  // of requests with a limit longer than a shutdown
+	longLimit       = 8 * time.Second
+	shortLimitShare = 0.05 // of requests with a very short limit
 
-	minShortLimitMS = 10
-	shortLimitRange = 80 // milliseconds; a random part of it is added to minShortLimitMS
+	minShortLimitMS   = 10
+	shortLimitRangeMS = 80 // milliseconds; a random part of it is added to minShortLimitMS
 
-	slowShare       = 0.03                   // of requests that are written in two halves
-	maxHalvesDelay  = 250 * time.Millisecond // between the two halves, below this
+	splitShare      = 0.03                   // of requests that are written in two halves
+	maxSplitDelay   = 250 * time.Millisecond // between the two halves, below this
 	cancelShare     = 0.05
 	disconnectShare = 0.02
-	giveUpRange     = 300 // milliseconds from sending, below which a client cancels or disconnects
+	giveUpRangeMS   = 300 // milliseconds from sending, below which a client cancels or disconnects
 
 	// idleTimeout is the time after which a dispatcher closes an idle connection. Idle clients send within
 	// idleTimeoutJitter before or after it.
@@ -44,8 +44,8 @@
 	class            requestClass
 	limit            time.Duration
 	resentAfterClose bool          // it was sent again because its first connection closed
-	halvesDelay      time.Duration // between writing its two halves; 0 to write it at once
-	malformed        bool          // it is not counted as raising the retry budget
+	splitDelay       time.Duration // between writing its two halves; 0 to write it at once
+	cancelledAtOnce  bool          // the client cancels it at once, so it must not raise the retry budget
 }
 
 // newTicket draws the ticket that identifies a request.
@@ -82,9 +82,9 @@
 	}
 	switch x := s.random.Float64(); {
 	case x < cancelShare:
-		time.AfterFunc(s.drawMilliseconds(giveUpRange), func() { c.cancel(r.ticket) })
+		time.AfterFunc(s.drawMilliseconds(giveUpRangeMS), func() { c.cancel(r.ticket) })
 	case x < cancelShare+disconnectShare:
-		wait := s.drawMilliseconds(giveUpRange)
+		wait := s.drawMilliseconds(giveUpRangeMS)
 		hard := s.random.IntN(2) == 0
 		time.AfterFunc(wait, func() { c.disconnect(hard) })
 	}
@@ -100,8 +100,8 @@
 	}
 	limit := s.drawLimit()
 	r := request{ticket: newTicket(s.random), class: class, limit: limit}
-	if s.random.Float64() < slowShare {
-		r.halvesDelay = time.Duration(s.random.Int64N(int64(maxHalvesDelay)))
+	if s.random.Float64() < splitShare {
+		r.splitDelay = time.Duration(s.random.Int64N(int64(maxSplitDelay)))
 	}
 	if class.inOrder {
 		r.orderingKey = fmt.Sprintf("d%d-k%d", s.dispatcher.index, s.random.IntN(keysPerDispatcher))
@@ -115,12 +115,12 @@
 // drawLimit draws the time limit of a request. Long limits are drawn only while clients send for longer than
 // that.
 func (s *sender) drawLimit() time.Duration {
-	limit := minLimit + s.drawMilliseconds(limitRange)
+	limit := minLimit + s.drawMilliseconds(limitRangeMS)
 	switch x := s.random.Float64(); {
-	case x < longShare && s.dispatcher.fleet.sendingFor() > longLimit:
-		return longLimit - s.drawMilliseconds(limitRange)
-	case x < longShare+shortShare:
-		return minShortLimitMS*time.Millisecond + s.drawMilliseconds(shortLimitRange)
+	case x < longLimitShare && s.dispatcher.fleet.sendingFor() > longLimit:
+		return longLimit - s.drawMilliseconds(limitRangeMS)
+	case x < longLimitShare+shortLimitShare:
+		return minShortLimitMS*time.Millisecond + s.drawMilliseconds(shortLimitRangeMS)
 	}
 	return limit
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -17,14 +17,14 @@
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	const busy = 40 // requests a second to each dispatcher: enough that some of one key arrive together
+	const busyRate = 40 // requests a second to each dispatcher: enough that some of one key arrive together
 	for mutant, want := range map[string]string{"": "", "second-answer": "second_answer",
 		"full-deadline": "told_deadline", "no-order": "out_of_order"} {
 		t.Run("mutant "+mutant, func(t *testing.T) {
 			t.Parallel()
 			plan := NewPlan(Options{Seed: 1, Duration: 8 * time.Second, Dispatchers: 3, Faults: true})
 			if mutant == "no-order" {
-				plan.Rate = busy
+				plan.Rate = busyRate
 			}
 			report, err := Run(context.Background(), Config{Plan: plan, Program: program, Dir: t.TempDir(),
 				Mutant: mutant})
--- a/internal/soak/stress.go
+++ b/internal/soak/stress.go
@@ -26,13 +26,13 @@
 
 // Parameters of a stressed plan, which replace or scale what was drawn.
 const (
-	stressSockets    = 48
-	stressRateFactor = 2.5
-	stressPages      = maxPages
-	stressShedShare  = 0.3
-	stressFailShare  = 0.05
-	stressedFailures = 0.5             // share of plans in which nodes shed and fail query starts
-	meanStallSeries  = 4 * time.Second // between stalls, over the whole fleet
+	stressSockets       = 48
+	stressRateFactor    = 2.5
+	stressPages         = maxPages
+	stressShedShare     = 0.3
+	stressFailShare     = 0.05
+	stressFailureChance = 0.5             // share of plans in which nodes shed and fail query starts
+	meanStallInterval   = 4 * time.Second // between stalls, over the whole fleet
 )
 
 // stressCopyShares are the values of CopyShare to draw from. Mostly all answers are copied. With the low
@@ -46,16 +46,16 @@
 	p.Sockets, p.Rate = stressSockets, p.Rate*stressRateFactor
 	copyShare := stressCopyShares[r.IntN(len(stressCopyShares))]
 	p.NodeBehavior = NodeBehavior{CopyShare: copyShare, Pages: stressPages}
-	if r.Float64() < stressedFailures {
+	if r.Float64() < stressFailureChance {
 		p.NodeBehavior.ShedShare, p.NodeBehavior.FailShare = stressShedShare, stressFailShare
 	}
 	addCrowd(p)
-	at := quietAtStart + exponential(r, meanStallSeries)
+	at := quietAtStart + exponential(r, meanStallInterval)
 	for at < p.Duration-quietAtEnd {
 		dispatcher := r.IntN(p.Dispatchers)
 		clients := Fault{At: at, Duration: extraLongFault, Kind: MalformedClients, Dispatcher: dispatcher}
 		stall := Fault{At: at + maxPause, Duration: maxPause, Kind: Pause, Dispatcher: dispatcher}
 		p.Faults = append(p.Faults, clients, stall)
-		at += exponential(r, meanStallSeries)
+		at += exponential(r, meanStallInterval)
 	}
 }
--- a/internal/soak/thrift.go
+++ b/internal/soak/thrift.go
@@ -99,8 +99,8 @@
 	alive  bool // in an answer to methodAlive: the dispatcher is ready
 }
 
-// errAnswer is wrapped by every error of parseAnswer.
-var errAnswer = errors.New("soak: malformed answer")
+// errMalformedAnswer is wrapped by every error of parseAnswer.
+var errMalformedAnswer = errors.New("soak: malformed answer")
 
 // frameReader decodes the values of a frame. Values read after an error are meaningless: callers check err
 // before they use a value.
@@ -114,7 +114,7 @@
 func (r *frameReader) take(n int) []byte {
 	const longestInteger = 8 // bytes
 	if n < 0 || n > len(r.b) {
-		r.err = errAnswer
+		r.err = errMalformedAnswer
 		return make([]byte, max(min(n, longestInteger), 0))
 	}
 	taken := r.b[:n]
@@ -135,26 +135,26 @@
 	version, messageType := head>>16, head&0xff
 	switch {
 	case r.err != nil || version != strictVersion1:
-		return a, fmt.Errorf("%w: header", errAnswer)
+		return a, fmt.Errorf("%w: header", errMalformedAnswer)
 	case messageType == messageException:
 		a.kind = answerError
 		return a, nil
 	case messageType != messageReply:
-		return a, fmt.Errorf("%w: message type %d", errAnswer, messageType)
+		return a, fmt.Errorf("%w: message type %d", errMalformedAnswer, messageType)
 	}
 	valueType, field := r.byte(), int(r.uint16())
 	if r.err != nil || valueType != typeStruct || field >= len(answerKinds) {
-		return a, fmt.Errorf("%w: result", errAnswer)
+		return a, fmt.Errorf("%w: result", errMalformedAnswer)
 	}
 	a.kind = answerKinds[field]
 	if a.kind == answerServed {
-		r.served(&a)
+		r.decodeServed(&a)
 	}
 	return a, r.err
 }
 
-// served decodes the fields of an answer of the kind answerServed into a.
-func (r *frameReader) served(a *answer) {
+// decodeServed decodes the fields of an answer of the kind answerServed into a.
+func (r *frameReader) decodeServed(a *answer) {
 	for r.err == nil {
 		valueType := r.byte()
 		if valueType == typeStop {
@@ -168,7 +168,7 @@
 		case valueType == typeMap:
 			r.skipTextMap()
 		default:
-			r.err = fmt.Errorf("%w: field %d of type %d", errAnswer, field, valueType)
+			r.err = fmt.Errorf("%w: field %d of type %d", errMalformedAnswer, field, valueType)
 		}
 	}
 }
--- a/internal/soak/thrift_test.go
+++ b/internal/soak/thrift_test.go
@@ -51,8 +51,9 @@
 			t.Errorf("%s: got %+v, error %v; want %+v", name, got, err, c.want)
 		}
 		for cut := range frame {
-			if got, err := parseAnswer(frame[:cut]); !errors.Is(err, errAnswer) {
-				t.Errorf("%s truncated to %d bytes: got %+v, error %v; want errAnswer", name, cut, got, err)
+			if got, err := parseAnswer(frame[:cut]); !errors.Is(err, errMalformedAnswer) {
+				t.Errorf("%s truncated to %d bytes: got %+v, error %v; want errMalformedAnswer",
+					name, cut, got, err)
 			}
 		}
 	}
