--- a/internal/soak/faultkind.go
+++ b/internal/soak/faultkind.go
@@ -37,13 +37,13 @@
 
 // Faults of one dispatcher's clients and their link.
 const (
-	ClientDelay       FaultKind = "client-delay"   // every piece of data arrives late
-	ClientBytes       FaultKind = "client-bytes"   // data is written one byte at a time
-	ClientsDisconnect FaultKind = "clients-leave"  // all connections are closed, with requests open
-	ClientsCancel     FaultKind = "clients-cancel" // all open requests are cancelled
-	ClientsIdle       FaultKind = "clients-idle"   // many connections that send nothing
-	ClientsCrowd      FaultKind = "clients-crowd"  // idle connections keep the descriptors filled
-	MalformedClients  FaultKind = "strangers"      // cancel all they send, without raising the retry budget
+	ClientDelay          FaultKind = "client-delay"   // every piece of data arrives late
+	ClientBytes          FaultKind = "client-bytes"   // data is written one byte at a time
+	ClientsDisconnect    FaultKind = "clients-leave"  // all connections are closed, with requests open
+	ClientsCancel        FaultKind = "clients-cancel" // all open requests are cancelled
+	ClientsIdle          FaultKind = "clients-idle"   // many connections that send nothing
+	ClientsCrowd         FaultKind = "clients-crowd"  // idle connections keep the descriptors filled
+	ClientsSendAndCancel FaultKind = "strangers"      // cancel all they send; raise no retry budget
 )
 
 // Faults of compute nodes.
@@ -72,7 +72,7 @@
 		DiscoveryDown, DiscoverySilent, DiscoverySlow, DiscoveryTruncated,
 		LinkDelay, LinkCut, LinkBytes, LinkReset, LinkSilenceIdle, LinkResetIdle,
 		ClientDelay, ClientBytes, ClientsDisconnect, ClientsCancel, ClientsIdle,
-		Pause, Pause, MalformedClients,
+		Pause, Pause, ClientsSendAndCancel,
 	}
 	nodeFaults = []FaultKind{
 		NodeDrain, NodeCrash, NodeHang, NodesHang, NodeFull, NodeErrors, NodeAnswersTwice,
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -58,13 +58,13 @@
 	LinkSilenceIdle: injectLinkSilenceIdle,
 	LinkResetIdle:   injectLinkResetIdle,
 
-	ClientDelay:       clientLinkFault(linkDelay, clientFaultDelay),
-	ClientBytes:       clientLinkFault(linkBytes, 0),
-	ClientsDisconnect: injectClientsDisconnect,
-	ClientsCancel:     injectClientsCancel,
-	ClientsIdle:       injectClientsIdle,
-	ClientsCrowd:      injectClientsCrowd,
-	MalformedClients:  injectMalformedClients,
+	ClientDelay:          clientLinkFault(linkDelay, clientFaultDelay),
+	ClientBytes:          clientLinkFault(linkBytes, 0),
+	ClientsDisconnect:    injectClientsDisconnect,
+	ClientsCancel:        injectClientsCancel,
+	ClientsIdle:          injectClientsIdle,
+	ClientsCrowd:         injectClientsCrowd,
+	ClientsSendAndCancel: injectClientsSendAndCancel,
 
 	ClockStep: injectClockStep,
 	CallsFail: processFault(processFaultConfig{FailingCallShare: failingCallShare}),
@@ -253,9 +253,9 @@
 	}
 }
 
-// injectMalformedClients opens one connection after another, sends as many requests on each as may be open,
-// and cancels them at once.
-func injectMalformedClients(f *fleet, fault Fault, d *dispatcher) {
+// injectClientsSendAndCancel opens one connection after another, sends as many requests on each as may be
+// open, and cancels them at once.
+func injectClientsSendAndCancel(f *fleet, fault Fault, d *dispatcher) {
 	random := rand.New(rand.NewPCG(f.plan.Seed, uint64(fault.At)))
 	until := time.Now().Add(fault.Duration)
 	for ; time.Now().Before(until) && d.acceptsConnections(); time.Sleep(sendAndCancelInterval) {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -204,7 +204,7 @@
 	switch f.Kind {
 	case NodesHang:
 		f.Duration = minNodesHang + f.Duration/4
-	case MalformedClients, NodeErrors:
+	case ClientsSendAndCancel, NodeErrors:
 		f.Duration += extraLongFault
 	case Pause:
 		f.Duration = min(f.Duration, maxPause)
--- a/internal/soak/stress.go
+++ b/internal/soak/stress.go
@@ -53,7 +53,7 @@
 	at := quietAtStart + exponential(r, meanStallInterval)
 	for at < p.Duration-quietAtEnd {
 		dispatcher := r.IntN(p.Dispatchers)
-		clients := Fault{At: at, Duration: extraLongFault, Kind: MalformedClients, Dispatcher: dispatcher}
+		clients := Fault{At: at, Duration: extraLongFault, Kind: ClientsSendAndCancel, Dispatcher: dispatcher}
 		stall := Fault{At: at + maxPause, Duration: maxPause, Kind: Pause, Dispatcher: dispatcher}
 		p.Faults = append(p.Faults, clients, stall)
 		at += exponential(r, meanStallInterval)
