--- a/internal/rehearsal/rulecheck/arrival.go
+++ b/internal/rehearsal/rulecheck/arrival.go
@@ -12,17 +12,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// timespecSize is the size of the kernel's time of arrival: seconds and nanoseconds of 8 bytes each.
+// timespecSize is the size in bytes of the kernel's arrival time: seconds and nanoseconds of 8 bytes each.
 const timespecSize = 16
 
-// arrivalReader reads a TCP connection and tells when the kernel received the bytes. The time at which a
-// goroutine gets to read them is later by as long as the goroutine had to wait for a processor.
+// arrivalReader reads a TCP connection and returns when the kernel received the bytes. A time taken by the
+// reading goroutine would be later, by as long as the goroutine had to wait for a processor.
 type arrivalReader struct {
 	raw     syscall.RawConn
-	control []byte // of a message with the time
+	control []byte // buffer for the control message with the time
 }
 
-// newArrivalReader has the kernel note when it receives the bytes of a connection, from now on.
+// newArrivalReader has the kernel record from now on when it receives the bytes of a connection
+// (SO_TIMESTAMPNS).
 func newArrivalReader(conn *net.TCPConn) (*arrivalReader, error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -62,8 +63,8 @@
 	return n, now.Add(-waitSince(now, r.control[:controlSize])), nil
 }
 
-// waitSince is how long bytes had arrived before a time, by the control message that came with them; 0: it
-// does not say.
+// waitSince returns how long before now the bytes arrived, according to the control message that came with
+// them; 0: the message has no time.
 func waitSince(now time.Time, control []byte) time.Duration {
 	messages, err := unix.ParseSocketControlMessage(control)
 	if err != nil {
--- a/internal/rehearsal/rulecheck/checker.go
+++ b/internal/rehearsal/rulecheck/checker.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// Effect is what repeating a query of a class may do.
+// Effect says whether a query of a class may run again without a second effect.
 type Effect string
 
-// The effects of classes.
+// The effects of classes, as stored evidence spells them.
 const (
 	EffectIdempotent        Effect = "safe"
 	EffectIdempotentWithKey Effect = "keyed"
 	EffectNotIdempotent     Effect = "unsafe"
 )
 
-// Scope is where repeats with an idempotency key are dropped.
+// Scope is the set of engines among which a repeat with the same idempotency key is dropped.
 type Scope string
 
-// The scopes of deduplication.
+// The scopes of deduplication, as stored evidence spells them.
 const (
 	ScopeAll  Scope = "all"
 	ScopeZone Scope = "zone"
 	ScopeCell Scope = "cell"
 )
 
-// Class holds the parameters of a class.
+// Class holds the settings of a query class on which the rules depend.
 type Class struct {
 	Effect              Effect
 	DeduplicationScope  Scope         `json:"Scope"` // "" is ScopeAll
@@ -37,7 +37,7 @@
 	AllowedZones        []string `json:"Zones"`
 }
 
-// Parameters are those of the rules.
+// Parameters holds the settings of the dispatchers on which the rules depend.
 type Parameters struct {
 	Classes                 map[string]Class
 	AnswerGrace             time.Duration
@@ -51,24 +51,24 @@
 	RetryBudgetFree         float64       `json:"BudgetFree"`
 	RetryBudgetRatio        float64       `json:"BudgetShare"`
 	RetryBudgetWindow       time.Duration `json:"BudgetLookBack"`
-	// ClockSkew is how much the times of two relays may differ for one moment: their goroutines may have to
-	// wait for a processor.
+	// ClockSkew is the largest difference between the times that two relays record for the same moment: their
+	// goroutines may have to wait for a processor.
 	ClockSkew time.Duration `json:"Skew"`
 }
 
-// Verdict is the result for one rule.
+// Verdict is the result of checking one rule.
 type Verdict struct {
 	Rule       int
 	Name       string
 	Kept       bool
-	Judged     bool
-	Checked    int      // the number of items
+	Judged     bool     // false: the log is incomplete, and Kept says nothing
+	Checked    int      // the number of items to which the rule was applied
 	Violations int      `json:"Broken"`
-	Evidence   []string // of the first few
+	Evidence   []string // the first maxEvidence violations, and why the rule cannot be judged
 	Note       string
 }
 
-// String is the verdict on one line.
+// String returns the verdict on one line, and each piece of evidence on a line after it.
 func (v Verdict) String() string {
 	word := "kept"
 	switch {
@@ -90,6 +90,7 @@
 // maxEvidence limits the violations that a verdict describes.
 const maxEvidence = 5
 
+// addViolation counts a violation, and describes it if it is one of the first maxEvidence.
 func (v *Verdict) addViolation(format string, args ...any) {
 	v.Kept = false
 	if v.Violations++; len(v.Evidence) < maxEvidence {
@@ -107,14 +108,17 @@
 	return true
 }
 
+// checker checks the rules on one log.
 type checker struct {
 	parameters Parameters
 	log        *Log
-	requests   map[string]*Request
-	attempts   map[string][]*Attempt // of a request, in the order of their sending
+	requests   map[string]*Request   // by request id
+	attempts   map[string][]*Attempt // by request id, in the order in which they were sent
 }
 
-// Check returns a verdict on each of the seven rules, and as an eighth on sessions, which stay on one engine.
+// Check checks a log against the seven rules, and as an eighth that each session stays on one engine
+// connection. It returns a verdict on each of the eight. It sorts the slices of the log, so that two
+// goroutines must not check the same log at once.
 func Check(p Parameters, log *Log) []Verdict {
 	c := newChecker(p, log)
 	rules := []struct {
@@ -142,7 +146,7 @@
 	return out
 }
 
-// newChecker sorts the log by time and indexes it by request.
+// newChecker sorts the log by time and indexes it by request id.
 func newChecker(p Parameters, log *Log) *checker {
 	slices.SortStableFunc(log.Attempts, func(a, b *Attempt) int { return a.At.Compare(b.At) })
 	slices.SortStableFunc(log.Requests, func(a, b *Request) int { return a.At.Compare(b.At) })
@@ -157,7 +161,8 @@
 	return c
 }
 
-// timeOfDay shows a time by its second within the log.
+// timeOfDay formats a time as the seconds since the log's first request, or as a clock time if the log has
+// no request.
 func (c *checker) timeOfDay(t time.Time) string {
 	if len(c.log.Requests) == 0 {
 		return t.Format("15:04:05.000")
@@ -165,7 +170,7 @@
 	return fmt.Sprintf("%.3fs", t.Sub(c.log.Requests[0].At).Seconds())
 }
 
-// endpoints is what the latest list says of each engine.
+// endpoints returns for each engine its entry in the latest list that names it.
 func (c *checker) endpoints() map[string]Endpoint {
 	out := map[string]Endpoint{}
 	for _, n := range c.log.Notifications {
--- a/internal/rehearsal/rulecheck/checker_test.go
+++ b/internal/rehearsal/rulecheck/checker_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// validLog is traffic that keeps every rule.
+// validLog returns traffic that keeps every rule.
 func validLog() *Log {
 	on := map[string]Endpoint{"e1": {Zone: "a", Cores: 4}, "e2": {Zone: "b", Cores: 4, Started: at(0)}}
 	return &Log{
@@ -83,7 +83,7 @@
 
 func TestEachRuleIsCaught(t *testing.T) {
 	if v := Check(testParameters(), validLog()); !AllKept(v) {
-		t.Fatalf("sound traffic: %v", v)
+		t.Fatalf("verdicts on valid traffic: %v, want all kept", v)
 	}
 	for name, c := range map[string]struct {
 		rule int
@@ -154,21 +154,22 @@
 				broken = append(broken, v.String())
 			}
 			if v.Rule == c.rule && v.Kept {
-				t.Errorf("%s: rule %d is said to be kept", name, c.rule)
+				t.Errorf("%s: rule %d counts as kept, want broken", name, c.rule)
 			}
 		}
 		if len(broken) > 1 && name != "rows after the answer" {
-			t.Errorf("%s: more than rule %d broke:\n%s", name, c.rule, strings.Join(broken, "\n"))
+			t.Errorf("%s: broken rules, want only rule %d:\n%s", name, c.rule, strings.Join(broken, "\n"))
 		}
 	}
 	l := validLog()
 	l.Unjudged = []string{"the relay fell behind"}
 	if v := Check(testParameters(), l); AllKept(v) || v[0].Judged {
-		t.Error("a log that cannot be judged is said to be kept")
+		t.Error("a log that cannot be judged counts as kept or judged")
 	}
 }
 
-// serveOneQuery answers a connection's start, and then one query with so many final answers.
+// serveOneQuery answers the startup of a connection, and then one query with the given number of final
+// answers.
 func serveOneQuery(c net.Conn, answers int) error {
 	b := pgproto3.NewBackend(c, c)
 	if _, err := b.ReceiveStartupMessage(); err != nil {
@@ -193,7 +194,8 @@
 	return nil
 }
 
-// A relay records what a server sends: with two answers, or none, rule 1 is broken.
+// TestRelaySeesBytes sends one query through a relay to a server that gives one, two or no final answers.
+// Rule 1 must be kept with one answer and broken otherwise.
 func TestRelaySeesBytes(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -258,12 +260,14 @@
 		v := Check(testParameters(), log)[0]
 		if len(log.Requests) != 1 || (want == "") != v.Kept ||
 			want != "" && !strings.Contains(v.String(), want) {
-			t.Errorf("%d answers: %d requests, %v", n, len(log.Requests), v)
+			t.Errorf("%d answers: %d requests (want 1), verdict %v", n, len(log.Requests), v)
 		}
 	}
 }
 
-// A dispatcher acts on a list as soon as it is sent, before its acknowledgement has come back.
+// TestListActedOnBeforeItsAcknowledgement guards against a false violation of rule 3: a dispatcher may use
+// an engine as soon as the list with it is sent, before discovery has received the acknowledgement. An
+// attempt before the list was sent is still a violation.
 func TestListActedOnBeforeItsAcknowledgement(t *testing.T) {
 	for _, c := range []struct {
 		sent, at int
@@ -277,23 +281,24 @@
 		l.Attempts = []*Attempt{testAttempt("l1", "lookup", "e1", 3010, 3050, "")}
 		l.Requests = []*Request{testRequest("l1", "lookup", "", 2990, 3060, "")}
 		if v := Check(testParameters(), l)[2]; v.Kept != c.kept {
-			t.Errorf("list sent at %d ms, send at 3010: %v", c.sent, v)
+			t.Errorf("list sent at %d ms, attempt at 3010 ms: %v", c.sent, v)
 		}
 	}
 }
 
-// A recorder that cannot keep up says so; nothing counts as kept that was not read.
+// TestLaggingRelayIsNotJudged checks that no rule counts as kept when traffic was not decoded in time, or was
+// decoded more than maxDecodingLag after its arrival.
 func TestLaggingRelayIsNotJudged(t *testing.T) {
 	rec := NewRecorder()
-	rec.pending.Add(1) // a stream that is never decoded to its end
+	rec.pending.Add(1) // a connection whose decoding never ends
 	log := rec.Stop(10 * time.Millisecond)
 	if v := Check(testParameters(), log); AllKept(v) || v[2].Judged || !strings.Contains(v[2].String(),
 		"CANNOT BE JUDGED") {
-		t.Errorf("verdicts of a log that is not whole: %v", v)
+		t.Errorf("verdicts on an incomplete log: %v, want none judged", v)
 	}
 	rec.pending.Done()
 	rec.recordLag(6 * time.Second)
 	if v := Check(testParameters(), rec.Stop(time.Second)); AllKept(v) {
-		t.Error("a relay that fell behind by 6 s is believed")
+		t.Error("a log that was decoded 6 s late counts as kept")
 	}
 }
--- a/internal/rehearsal/rulecheck/flightsql.go
+++ b/internal/rehearsal/rulecheck/flightsql.go
@@ -19,19 +19,19 @@
 	"google.golang.org/protobuf/types/known/anypb"
 )
 
-// The clients' side in Flight SQL: HTTP/2 frames, gRPC's messages in them, and Flight SQL's commands in
-// those. A query begins with the message that runs it (DoGet of a statement's ticket, DoPut of an update)
-// and ends with its call's trailers. A ticket or a handle stands for the statement for which the
-// dispatcher issued it.
+// Flight SQL is decoded on the clients' side only: HTTP/2 frames, the gRPC messages in them, and the Flight
+// SQL commands in those. A query begins with the message that runs it (DoGet with a statement's ticket, DoPut
+// of an update) and ends with the trailers of its call. A ticket or a handle stands for the statement for
+// which the dispatcher issued it.
 
 const (
-	maxFrameSize     = 1<<24 - 1 // HTTP/2's largest
-	headerTableSize  = 4096      // HPACK's default
-	messageHeaderLen = 5         // of gRPC's messages: a flag and the length
+	maxFrameSize     = 1<<24 - 1 // bytes; the largest that HTTP/2 allows
+	headerTableSize  = 4096      // bytes; the default of HPACK
+	messageHeaderLen = 5         // bytes before a gRPC message: a flag and the length
 	codeReset        = "reset"   // in place of a SQLSTATE: the dispatcher reset the stream
 )
 
-// The methods of Flight SQL's calls.
+// The methods of Flight SQL's gRPC service.
 const (
 	methodHandshake     = "Handshake"
 	methodGetFlightInfo = "GetFlightInfo"
@@ -40,29 +40,30 @@
 	methodDoPut         = "DoPut"
 )
 
-// rpc is one stream of a connection.
+// rpc is one gRPC call: one HTTP/2 stream of a connection.
 type rpc struct {
 	method   string
 	up       []byte // bytes of messages that are not complete yet
 	down     []byte
-	received bool   // the first message of the client was read
-	text     string // the statement for which its answer has a ticket or a handle
-	request  *Request
+	received bool     // the client's first message was read
+	text     string   // the statement whose ticket or handle the answer will contain
+	request  *Request // the query that the call runs; nil: none that has tags
 	finished bool
 }
 
-// grpcConn is one connection while it is decoded. Two goroutines decode its directions.
+// grpcConn decodes one gRPC connection. Two goroutines decode its two directions.
 type grpcConn struct {
 	recorder *Recorder
 	name     string
 
 	mu      sync.Mutex
 	changed *sync.Cond
-	streams map[uint32]*rpc
-	up      *tap // the requests
-	ended   bool // no more requests
+	streams map[uint32]*rpc // by HTTP/2 stream id
+	up      *tap            // the direction of the requests
+	ended   bool            // no more requests come
 }
 
+// decodeGRPC decodes both directions of a connection to a dispatcher's address for Flight SQL.
 func (rec *Recorder) decodeGRPC(name string, up, down *tap) {
 	c := &grpcConn{recorder: rec, name: name, streams: map[uint32]*rpc{}, up: up}
 	c.changed = sync.NewCond(&c.mu)
@@ -97,6 +98,7 @@
 	}
 }
 
+// newFramer returns a reader of HTTP/2 frames with decoded headers.
 func newFramer(r io.Reader) *http2.Framer {
 	f := http2.NewFramer(io.Discard, r)
 	f.SetMaxReadFrameSize(maxFrameSize)
@@ -127,7 +129,7 @@
 }
 
 // handleRequestFrame records a frame of the client. The caller holds c.mu, which is released while the
-// statement behind a ticket is awaited.
+// statement of a ticket is awaited.
 func (c *grpcConn) handleRequestFrame(frame http2.Frame, at time.Time) {
 	call := c.streams[frame.Header().StreamID]
 	switch frame := frame.(type) {
@@ -158,7 +160,7 @@
 	}
 }
 
-// firstMessage returns the first of gRPC's messages ("gRPC over HTTP2", Length-Prefixed-Message), if it is
+// firstMessage returns the first gRPC message in b ("gRPC over HTTP2", Length-Prefixed-Message), if it is
 // complete.
 func firstMessage(b []byte) (message []byte, ok bool) {
 	if len(b) < messageHeaderLen {
@@ -171,7 +173,7 @@
 	return b[messageHeaderLen:end], true
 }
 
-// decodeCommand decodes a command of Flight SQL; nil: it is none.
+// decodeCommand decodes a Flight SQL command; nil: b is none.
 func decodeCommand(b []byte) proto.Message {
 	var command anypb.Any
 	if proto.Unmarshal(b, &command) != nil {
@@ -184,7 +186,8 @@
 	return m
 }
 
-// handleRequest records a call's first message. A message that is none of Flight SQL's runs no statement.
+// handleRequest records the first message of a call. A message that is no Flight SQL command is ignored: it
+// runs no statement.
 func (c *grpcConn) handleRequest(call *rpc, message []byte, at time.Time) {
 	statements := &c.recorder.statements
 	switch call.method {
@@ -226,7 +229,7 @@
 	}
 }
 
-// recordRequest records a query, if its tags name it.
+// recordRequest records a query, if it has the tags id and class.
 func (c *grpcConn) recordRequest(call *rpc, text string, at time.Time) {
 	tags := statementTags(text, "")
 	if tags["id"] == "" || tags["class"] == "" {
@@ -236,8 +239,8 @@
 	c.recorder.addRequest(call.request)
 }
 
-// readAnswers reads the dispatcher's frames until an error, which may be the end of the stream. A call's
-// answer is handled once its request has been.
+// readAnswers reads the dispatcher's frames until an error, which may be the end of the stream. The answer
+// of a call is handled after its request.
 func (c *grpcConn) readAnswers(down *tap) error {
 	framer := newFramer(down)
 	for {
@@ -271,15 +274,16 @@
 	}
 }
 
-// awaitCall waits until a call's request was read: its own decoder may be behind. It returns nil for frames
-// of the connection, and for a call of which nothing has come. The caller holds c.mu.
+// awaitCall waits until the request of a call was read, as the decoder of the requests may lag. It returns
+// nil for frames that belong to the connection, and for a call whose request has not arrived. The caller
+// holds c.mu.
 func (c *grpcConn) awaitCall(id uint32) *rpc {
 	if id == 0 {
 		return nil
 	}
 	for {
 		call := c.streams[id]
-		// A handshake by header has no message to wait for.
+		// A handshake sends its credentials in a header and no message.
 		received := call != nil && (call.received || call.method == methodHandshake)
 		if received || c.ended || c.up.drained() {
 			return call
@@ -288,7 +292,7 @@
 	}
 }
 
-// handleData records bytes of an answer: rows of a query, or the ticket or handle of a statement.
+// handleData records the bytes of an answer: rows of a query, or the ticket or handle of a statement.
 func (c *grpcConn) handleData(call *rpc, data []byte) {
 	rec := c.recorder
 	if r := call.request; r != nil {
@@ -327,7 +331,7 @@
 	call.text, call.down = "", nil
 }
 
-// recordFinal records a call's end.
+// recordFinal records the end of a call; code "": it was served.
 func (c *grpcConn) recordFinal(call *rpc, code string, at time.Time) {
 	call.finished = true
 	if r := call.request; r != nil {
@@ -337,7 +341,8 @@
 	}
 }
 
-// sqlStateOf is the SQLSTATE of trailers; "": the query was served.
+// sqlStateOf returns the SQLSTATE in the details of a call's trailers, or else the gRPC code; "": the query
+// was served.
 func sqlStateOf(h *http2.MetaHeadersFrame) string {
 	code, details := "", ""
 	for _, f := range h.Fields {
--- a/internal/rehearsal/rulecheck/log.go
+++ b/internal/rehearsal/rulecheck/log.go
@@ -1,31 +1,31 @@
-// Package rulecheck checks the rules of the dispatcher from the bytes on the sockets. Relays stand on both
-// sides of the dispatchers and decode what passes with pgproto3, a decoder that the dispatcher does not
-// use. The checker knows the rules' parameters and which engine list each dispatcher received; it must not
-// use what the dispatchers say about themselves.
+// Package rulecheck checks the safety rules of dispatchers from the bytes on the sockets. Relays on both
+// sides of each dispatcher record the bytes, which are decoded with pgproto3, a decoder that the dispatcher
+// does not use. The checker knows the rules' parameters and which engine list each dispatcher received; it
+// must not use what the dispatchers say about themselves.
 //
-// Statements name themselves: the tag id is unique for each attempt of a client at a query, and class, key
-// and work_ms say what the query is.
+// Statements identify themselves by tags: id is unique for each time that a client sends a query, and class,
+// key and work_ms describe the query.
 package rulecheck
 
 import (
 	"time"
 )
 
-// Request is a query as a client sent it.
+// Request is a query as a dispatcher received it from a client, with its outcome.
 type Request struct {
 	ID, Class, Key string
 	Dispatcher     string
 	At             time.Time
 	Tags           map[string]string
 
-	FinalCount         int       `json:"Finals"` // final answers: must become one
-	FinalAt            time.Time `json:"Final"`
-	Code               string    // SQLSTATE of the final answer; "": served
+	FinalCount         int       `json:"Finals"` // final answers; rule 1 requires exactly one
+	FinalAt            time.Time `json:"Final"`  // of the first final answer
+	Code               string    // SQLSTATE of the first final answer; "": served
 	Rows               int
-	MessagesAfterFinal int       `json:"After"` // or a ReadyForQuery without a final answer
-	Skipped            bool      // behind an error, up to Sync
-	ConnectionEnded    time.Time `json:"Gone"`       // the connection ended before an answer
-	ServerClosed       bool      `json:"ServerGone"` // and it was the dispatcher that ended it
+	MessagesAfterFinal int       `json:"After"` // also counts a ReadyForQuery without a final answer
+	Skipped            bool      // sent after a failed message and before Sync, so that it must not run
+	ConnectionEnded    time.Time `json:"Gone"`       // when the connection ended without an answer
+	ServerClosed       bool      `json:"ServerGone"` // the dispatcher ended the connection
 }
 
 func newRequest(tags map[string]string, dispatcher string, at time.Time) *Request {
@@ -33,19 +33,19 @@
 		Tags: tags}
 }
 
-// Attempt is one execution of a query as an engine received it.
+// Attempt is a query as an engine received it from a dispatcher, with its outcome.
 type Attempt struct {
 	ID, Class, Key     string
 	Engine, Dispatcher string
-	PID                uint32
+	PID                uint32 // of the engine's connection, from BackendKeyData
 	At                 time.Time
-	Work               float64 // thread seconds, by its tag
+	Work               float64 // thread seconds, from the tag work_ms
 	End                time.Time
-	Code               string // SQLSTATE of its end
-	Done, Lost         bool   // it was answered; its connection ended first
-	Skipped            bool   // behind an error: it never ran
-	Session            string // by its tag: statements of one session share it
-	Cancel             time.Time
+	Code               string    // SQLSTATE of its final answer
+	Done, Lost         bool      // Done: it was served; Lost: its connection ended before an answer
+	Skipped            bool      // sent after a failed message and before Sync: it never ran
+	Session            string    // from the tag session, which the statements of one session share
+	Cancel             time.Time // when the engine received a cancel request for it; zero: it did not
 }
 
 // SQLSTATE codes that the checker reads.
@@ -56,22 +56,22 @@
 	stateQueryCanceled      = "57014"
 )
 
-// neverRan reports whether its end proves that the query did not run.
+// neverRan reports whether the outcome of the attempt proves that the query did not run.
 func (a *Attempt) neverRan() bool {
 	return a.Skipped || a.Code == stateTooManyConnections || a.Code == stateCannotConnectNow
 }
 
-// Notification is a list that a dispatcher received, with the engines on it. Between Sent and At, when it was
-// acknowledged, the dispatcher may or may not have known of it: it may use an engine that is new on it from
-// Sent, and must not use one that is no longer on it from At.
+// Notification is an engine list that was sent to a dispatcher at Sent and acknowledged by it at At. Between
+// the two times the dispatcher may or may not know the list: it may use an engine that is new on the list
+// from Sent, and must not use one that is no longer on it from At.
 type Notification struct {
-	Sent       time.Time // zero: as At
+	Sent       time.Time // zero: the same as At
 	At         time.Time
 	Dispatcher string
-	Engines    map[string]Endpoint // those that are active; all others are draining or removed
+	Engines    map[string]Endpoint // active engines by address; all others are draining or removed
 }
 
-// sentAt is when the dispatcher may have received the list.
+// sentAt returns the earliest time at which the dispatcher may have received the list.
 func (n *Notification) sentAt() time.Time {
 	if n.Sent.IsZero() {
 		return n.At
@@ -79,21 +79,22 @@
 	return n.Sent
 }
 
-// Endpoint is where and what an engine is.
+// Endpoint is the entry of an engine in an engine list.
 type Endpoint struct {
 	Zone, Kind string
 	Cell       int
 	Cores      float64
-	Started    time.Time // zero: long ago
+	Started    time.Time // zero: long ago, so that no slow start is checked
 }
 
-// Outage is when a dispatcher was stopped or killed, and when it was back.
+// Outage is the time from when a dispatcher was stopped or killed until it was back; Back is zero while it is
+// down.
 type Outage struct {
 	Dispatcher string
 	At, Back   time.Time
 }
 
-// Log is all that the relays saw, and what the services behind the dispatchers know.
+// Log is the decoded traffic of all relays, with what discovery and the stand-in engines recorded.
 type Log struct {
 	Requests          []*Request     `json:"Asks"`
 	Attempts          []*Attempt     `json:"Sends"`
@@ -101,6 +102,6 @@
 	Outages           []Outage       `json:"Killed"`
 	OverloadedEngines []string       `json:"Fallen"` // engines that fell over from overload
 	StrayAnswers      int            `json:"Stray"`  // answers that belong to no request
-	// Unjudged says why the log cannot be judged.
+	// Unjudged lists the reasons why the log cannot be judged; empty: it can.
 	Unjudged []string
 }
--- a/internal/rehearsal/rulecheck/postgres.go
+++ b/internal/rehearsal/rulecheck/postgres.go
@@ -8,7 +8,7 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// replyKind is the kind of message for which an answer is pending, as the message's type byte.
+// replyKind is the type byte of a client message for which an answer is pending.
 type replyKind byte
 
 const (
@@ -21,18 +21,17 @@
 	replyToSync     replyKind = 'S'
 )
 
-// pendingReply is a message on a connection for which an answer is pending, in order.
+// pendingReply is a client message for which an answer is pending.
 type pendingReply struct {
 	kind    replyKind
-	request *Request
-	attempt *Attempt
+	request *Request // the query, on the clients' side; nil: the message runs none that has tags
+	attempt *Attempt // the same on the engines' side
 }
 
 // portal is a statement with its first parameter.
 type portal struct{ text, firstParameter string }
 
-// stream is one connection of PostgreSQL's protocol while it is decoded. Two goroutines decode its
-// directions.
+// stream decodes one connection of PostgreSQL's protocol. Two goroutines decode its two directions.
 type stream struct {
 	recorder   *Recorder
 	side       Side
@@ -41,15 +40,14 @@
 	statements map[string]string
 
 	mu          sync.Mutex
-	decoded     *sync.Cond // a request was decoded, or all that have come are
+	decoded     *sync.Cond // signalled when a request is decoded, and when all that arrived are
 	stopWaiting bool       // no more requests come
 	portals     map[string]portal
-	pending     []pendingReply
-	failed      bool // after an error in the extended protocol, until Sync's answer
+	pending     []pendingReply // in the order of the messages
+	failed      bool           // an error in the extended protocol was answered before its Sync was decoded
 }
 
-// decodePostgreSQL reads both directions of a connection in the order of their bytes' times: a request always
-// comes before its answer.
+// decodePostgreSQL decodes both directions of a connection. A request is handled before its answer.
 func (rec *Recorder) decodePostgreSQL(side Side, name string, up, down *tap) {
 	s := &stream{recorder: rec, side: side, name: name, statements: map[string]string{},
 		portals: map[string]portal{}}
@@ -81,7 +79,8 @@
 	s.recordConnectionEnd(down, up)
 }
 
-// readStartup reads up to the StartupMessage. It returns false where no statements follow.
+// readStartup reads up to the StartupMessage. It returns false if no statements follow: on a cancel request,
+// and if the stream ended.
 func (s *stream) readStartup(from *pgproto3.Backend, up, down *tap) bool {
 	for {
 		m, err := from.ReceiveStartupMessage()
@@ -91,7 +90,7 @@
 		switch m := m.(type) {
 		case *pgproto3.SSLRequest, *pgproto3.GSSEncRequest:
 			var answer [1]byte
-			_, _ = io.ReadFull(down, answer[:]) // where it is missing, the stream has ended
+			_, _ = io.ReadFull(down, answer[:]) // fails only if the stream has ended
 			continue
 		case *pgproto3.CancelRequest:
 			s.recorder.recordCancel(s.side, s.name, m.ProcessID, up.at)
@@ -103,8 +102,8 @@
 	}
 }
 
-// readWelcome reads the answer to the StartupMessage, before any request: its ReadyForQuery belongs to none,
-// however far the decoder of the requests has got.
+// readWelcome reads the answer to the StartupMessage. It runs before any request is decoded, because the
+// ReadyForQuery of this answer belongs to no request.
 func (s *stream) readWelcome(to *pgproto3.Frontend, down *tap) bool {
 	for {
 		m, err := to.Receive()
@@ -118,6 +117,7 @@
 	}
 }
 
+// readRequests handles the client's messages until the direction ends.
 func (s *stream) readRequests(from *pgproto3.Backend, up *tap) {
 	for {
 		m, err := from.Receive()
@@ -138,6 +138,7 @@
 	}
 }
 
+// readAnswers handles the server's messages until the direction ends.
 func (s *stream) readAnswers(to *pgproto3.Frontend, up, down *tap) {
 	for {
 		m, err := to.Receive()
@@ -157,19 +158,20 @@
 	}
 }
 
-// awaitRequest waits until a request is pending: its own decoder may be behind. A request was recorded before
-// its answer, so that there is none once the decoder has handled all that came. The caller holds s.mu.
+// awaitRequest waits until a request is pending, as the decoder of the requests may lag. A request is
+// recorded before its answer: once that decoder has handled all bytes that arrived, no request will come for
+// this answer. The caller holds s.mu.
 func (s *stream) awaitRequest(up *tap) {
 	for len(s.pending) == 0 && !s.stopWaiting && !up.drained() {
 		s.decoded.Wait()
 	}
 }
 
-// expectsReply reports whether a message answers some request.
+// expectsReply reports whether a message of the server answers a request.
 func expectsReply(m pgproto3.BackendMessage) bool {
 	switch m := m.(type) {
 	case *pgproto3.ErrorResponse:
-		return m.Severity == "ERROR" // a FATAL one may be of the connection
+		return m.Severity == "ERROR" // a FATAL error may concern the connection as a whole
 	case *pgproto3.NoticeResponse, *pgproto3.NotificationResponse, *pgproto3.ParameterStatus,
 		*pgproto3.BackendKeyData:
 		return false
@@ -177,8 +179,8 @@
 	return true
 }
 
-// handleRequest records a message of the client. Messages between an error and Sync are skipped by the
-// server; their error may have been decoded first.
+// handleRequest records a message of the client. The server skips the messages between an error and Sync.
+// The error may have been decoded before them, so that they are marked as skipped here.
 func (s *stream) handleRequest(m pgproto3.FrontendMessage, at time.Time) {
 	if _, isSync := m.(*pgproto3.Sync); !s.failed || isSync {
 		s.failed = false
@@ -193,7 +195,7 @@
 	s.pending = s.pending[:n]
 }
 
-// addPending adds a message of the client to those for which an answer is pending.
+// addPending appends a message of the client to those for which an answer is pending.
 func (s *stream) addPending(m pgproto3.FrontendMessage, at time.Time) {
 	switch m := m.(type) {
 	case *pgproto3.Query:
@@ -219,7 +221,7 @@
 	}
 }
 
-// addQuery records a query, if its tags name it.
+// addQuery records a query as a request or an attempt, if it has the tags id and class.
 func (s *stream) addQuery(kind replyKind, p portal, at time.Time) {
 	reply := pendingReply{kind: kind}
 	tags := statementTags(p.text, p.firstParameter)
@@ -237,7 +239,7 @@
 	s.pending = append(s.pending, reply)
 }
 
-// handleAnswer records a message of the server against the request that it belongs to.
+// handleAnswer records a message of the server for the request that it answers.
 func (s *stream) handleAnswer(m pgproto3.BackendMessage, at time.Time) {
 	rec := s.recorder
 	rec.mu.Lock()
@@ -272,6 +274,7 @@
 	}
 }
 
+// handleRow counts a row of the query that is being answered.
 func (s *stream) handleRow() {
 	p := s.nextPending()
 	switch {
@@ -285,12 +288,12 @@
 	}
 }
 
-// handleError ends the query that runs. In the extended protocol what follows up to Sync is skipped,
-// unanswered.
+// handleError ends the query that is being answered. In the extended protocol the server skips the messages
+// that follow up to Sync, and does not answer them.
 func (s *stream) handleError(code string, at time.Time) {
 	p := s.nextPending()
 	if p == nil {
-		return // an error of the connection as a whole
+		return // the error concerns the connection as a whole
 	}
 	p.recordFinal(at, code)
 	if p.kind == replyToQuery {
@@ -303,17 +306,18 @@
 	s.failed = len(s.pending) == 0
 }
 
+// handleReady ends the Sync or simple query that is being answered.
 func (s *stream) handleReady() {
 	if len(s.pending) == 0 || s.pending[0].kind != replyToSync && s.pending[0].kind != replyToQuery {
 		return
 	}
 	if r := s.pending[0].request; r != nil && r.FinalCount == 0 {
-		r.MessagesAfterFinal++ // the server is ready again, and sent no answer
+		r.MessagesAfterFinal++ // the server is ready again but sent no answer
 	}
 	s.pending = s.pending[1:]
 }
 
-// recordSkipped marks a query behind an error.
+// recordSkipped marks a query that the server skips because a message before it failed.
 func (p *pendingReply) recordSkipped() {
 	if p.request != nil && p.request.FinalCount == 0 {
 		p.request.Skipped = true
@@ -322,27 +326,30 @@
 	}
 }
 
-// nextPending is the query that messages now belong to; nil: there is none.
+// nextPending returns the message that the server now answers; nil: there is none.
 func (s *stream) nextPending() *pendingReply {
-	s.popAll(replyToDescribe) // described by ParameterDescription alone
+	s.popAll(replyToDescribe) // those that got no RowDescription or NoData
 	if len(s.pending) == 0 {
 		return nil
 	}
 	return &s.pending[0]
 }
 
+// pop removes the first pending message if it is of a kind.
 func (s *stream) pop(kind replyKind) {
 	if len(s.pending) > 0 && s.pending[0].kind == kind {
 		s.pending = s.pending[1:]
 	}
 }
 
+// popAll removes the pending messages of a kind that come first.
 func (s *stream) popAll(kind replyKind) {
 	for len(s.pending) > 0 && s.pending[0].kind == kind {
 		s.pending = s.pending[1:]
 	}
 }
 
+// recordFinal records a final answer for the request or the attempt; code "": it was served.
 func (p *pendingReply) recordFinal(at time.Time, code string) {
 	if p.request != nil {
 		p.request.recordFinal(at, code)
@@ -353,7 +360,7 @@
 	}
 }
 
-// recordConnectionEnd records what became of the queries that were pending when the connection ended.
+// recordConnectionEnd records the end of the connection for the queries that were still pending.
 func (s *stream) recordConnectionEnd(down, up *tap) {
 	s.recorder.mu.Lock()
 	defer s.recorder.mu.Unlock()
--- a/internal/rehearsal/rulecheck/recorder.go
+++ b/internal/rehearsal/rulecheck/recorder.go
@@ -12,15 +12,15 @@
 // maxDecodingLag is how far decoding may fall behind before the log counts as not judged.
 const maxDecodingLag = 5 * time.Second
 
-// Recorder gathers what all relays of a rehearsal see.
+// Recorder collects the decoded traffic of all relays of a rehearsal. It may be used by several goroutines.
 type Recorder struct {
 	mu         sync.Mutex
 	log        Log
 	byID       map[string]*Request
 	statements statementCache
-	maxLag     time.Duration // the longest time from a byte's arrival to its decoding
-	unreadable []string      // streams that could not be decoded
-	pending    sync.WaitGroup
+	maxLag     time.Duration  // the longest time from a byte's arrival to its decoding
+	unreadable []string       // streams that could not be decoded
+	pending    sync.WaitGroup // connections that are still being decoded
 }
 
 // NewRecorder returns an empty recorder.
@@ -28,7 +28,7 @@
 	return &Recorder{byID: map[string]*Request{}, statements: statementCache{byKey: map[string]string{}}}
 }
 
-// Side is the side of the dispatchers on which a relay stands.
+// Side is the side of a dispatcher on which a relay listens.
 type Side int
 
 // The sides of a dispatcher.
@@ -37,15 +37,16 @@
 	Engines             // from dispatchers to an engine
 )
 
+// recordLag records how long bytes had arrived before they were decoded.
 func (rec *Recorder) recordLag(d time.Duration) {
 	rec.mu.Lock()
 	rec.maxLag = max(rec.maxLag, d)
 	rec.mu.Unlock()
 }
 
-// Stop waits until all that was recorded is decoded, and returns it. The relays must have been closed. A
-// log whose decoding does not end within the limit, or fell behind, says that it cannot be judged: nothing
-// may count as kept that was not read.
+// Stop waits until all recorded bytes are decoded, and returns the log. The relays must have been closed.
+// If decoding does not end within the limit, or lagged by more than maxDecodingLag, the log says that it
+// cannot be judged: a rule must not count as kept on traffic that was not read.
 func (rec *Recorder) Stop(limit time.Duration) *Log {
 	done := make(chan struct{})
 	go func() {
@@ -71,8 +72,8 @@
 	return &out
 }
 
-// recordUnreadable records a stream that is no protocol. On the engines' side that is one of the faults that
-// engines are given.
+// recordUnreadable records a stream that cannot be decoded. On the engines' side it is ignored: answers
+// that are no protocol are one of the faults that a rehearsal injects into engines.
 func (rec *Recorder) recordUnreadable(side Side, what, name string) {
 	if side == Engines {
 		return
@@ -82,7 +83,7 @@
 	rec.mu.Unlock()
 }
 
-// addRequest records a query of a client.
+// addRequest records a query that a dispatcher received from a client.
 func (rec *Recorder) addRequest(r *Request) {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
@@ -112,7 +113,8 @@
 	}
 }
 
-// recordFinal records a final answer; code "": the query was served.
+// recordFinal counts a final answer, and keeps the time and the SQLSTATE of the first one; code "": the
+// query was served.
 func (r *Request) recordFinal(at time.Time, code string) {
 	r.FinalCount++
 	if r.FinalCount == 1 {
@@ -120,7 +122,8 @@
 	}
 }
 
-// recordConnectionEnd records that a request without an answer lost its connection.
+// recordConnectionEnd records when a request without an answer lost its connection, and whether the
+// dispatcher ended it: down, the direction to the client, then ended before up.
 func (r *Request) recordConnectionEnd(down, up *tap) {
 	r.ConnectionEnded = up.ended
 	if down.ended.Before(up.ended) {
@@ -128,8 +131,8 @@
 	}
 }
 
-// statementTags returns the tags of a statement: of its comment, and of a first parameter such as
-// "id;name=value;...".
+// statementTags returns the tags of a statement: those in its comment, and those in its first parameter,
+// which has the form "id;name=value;...".
 func statementTags(text, first string) map[string]string {
 	out := sqlscan.Tags(text)
 	if out == nil {
--- a/internal/rehearsal/rulecheck/relay.go
+++ b/internal/rehearsal/rulecheck/relay.go
@@ -10,17 +10,17 @@
 
 const (
 	relayDialTimeout = time.Second
-	relayBufferSize  = 32 << 10
-	resetOnClose     = 0 // as SO_LINGER: closing the connection resets it
+	relayBufferSize  = 32 << 10 // bytes
+	resetOnClose     = 0        // seconds for SO_LINGER: closing the connection resets it
 )
 
-// Relay passes bytes on between two sockets and records them.
+// Relay forwards the bytes of TCP connections to a target and records them.
 type Relay struct {
 	recorder   *Recorder
 	side       Side
-	name       string // of the dispatcher, or the engine's listed address
+	name       string // the dispatcher's name, or the engine's address in the engine list
 	target     string
-	flight     bool // Flight SQL, not PostgreSQL
+	flight     bool // the protocol is Flight SQL, not PostgreSQL's
 	listener   *net.TCPListener
 	mu         sync.Mutex
 	conns      map[*net.TCPConn]struct{}
@@ -28,13 +28,13 @@
 	background sync.WaitGroup
 }
 
-// NewRelay starts a relay before target. name is the dispatcher's, or "" for an engine, which is named by the
-// relay's own address: the one in the list of engines.
+// NewRelay starts a relay that forwards to target, on a free port of 127.0.0.1. name is the dispatcher's
+// name, or "" for an engine: its name is then the relay's own address, which stands in the engine list.
 func (rec *Recorder) NewRelay(side Side, name, target string) (*Relay, error) {
 	return rec.newRelay(side, name, target, false)
 }
 
-// NewFlightRelay starts a relay before a dispatcher's address for Flight SQL.
+// NewFlightRelay starts a relay that forwards to a dispatcher's address for Flight SQL.
 func (rec *Recorder) NewFlightRelay(name, target string) (*Relay, error) {
 	return rec.newRelay(Clients, name, target, true)
 }
@@ -54,10 +54,10 @@
 	return r, nil
 }
 
-// Addr is where the relay listens.
+// Addr returns the address on which the relay listens.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Close ends the relay and its connections.
+// Close stops the relay, closes its connections and waits until their bytes are queued for decoding.
 func (r *Relay) Close() {
 	r.listener.Close()
 	r.mu.Lock()
@@ -84,7 +84,7 @@
 	}
 }
 
-// trackConn registers a connection to be closed with the relay; false: the relay is closed already.
+// trackConn registers a connection that Close closes. It returns false if the relay is closed already.
 func (r *Relay) trackConn(c *net.TCPConn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,7 +108,7 @@
 	defer client.Close()
 	conn, err := net.DialTimeout("tcp", r.target, relayDialTimeout)
 	if err != nil {
-		setResetOnClose(client) // as if the target itself had refused the connection
+		setResetOnClose(client) // as if the target had refused the connection
 		return
 	}
 	server := conn.(*net.TCPConn)
@@ -140,9 +140,10 @@
 	r.untrackConns(client, server)
 }
 
-// pipe passes one direction's bytes on until it ends, and then ends the other connection in the same way:
-// closed for writing, or reset. Bytes have the time at which the dispatcher wrote them, or before which it
-// could not read them.
+// pipe forwards the bytes of one direction until it ends, and then ends the other connection in the same
+// way: closed for writing, or reset. Bytes from the dispatcher are recorded with the time at which they
+// arrived, bytes to the dispatcher with the time at which they are forwarded: it cannot have read them
+// before.
 func pipe(to, from *net.TCPConn, t *tap, fromDispatcher bool) {
 	reader, err := newArrivalReader(from)
 	buf := make([]byte, relayBufferSize)
@@ -153,7 +154,8 @@
 			if !fromDispatcher {
 				arrived = time.Now()
 			}
-			t.add(arrived, buf[:n]) // recorded before it is passed on, so that causes come before effects
+			// Recorded before they are forwarded, so that a request is recorded before its answer.
+			t.add(arrived, buf[:n])
 			_, err = to.Write(buf[:n])
 		}
 	}
@@ -167,7 +169,7 @@
 	from.Close()
 }
 
-// setResetOnClose has a connection reset when it is closed.
+// setResetOnClose makes a later Close reset the connection.
 func setResetOnClose(c *net.TCPConn) {
 	_ = c.SetLinger(resetOnClose) // fails only on a connection that has ended already
 }
--- a/internal/rehearsal/rulecheck/rule_answers.go
+++ b/internal/rehearsal/rulecheck/rule_answers.go
@@ -37,7 +37,9 @@
 	}
 }
 
-// checkFinalAnswer returns when a request ended; ok is false where it did not end as it should have.
+// checkFinalAnswer checks that a request got one final answer in time, and returns when the request ended.
+// ok is false if it did not end, or if a dispatcher that was running closed its connection without an
+// answer.
 func (c *checker) checkFinalAnswer(v *Verdict, r *Request) (end time.Time, ok bool) {
 	latest := c.deadline(r)
 	switch {
@@ -59,7 +61,8 @@
 	return r.FinalAt, true
 }
 
-// deadline is when the client gives up: after the class's deadline, or the wait that the statement names.
+// deadline returns when the client gives up: after the class's deadline or the statement's tag wait_ms,
+// whichever is shorter.
 func (c *checker) deadline(r *Request) time.Time {
 	d := c.parameters.Classes[r.Class].Deadline
 	if ms := number(r.Tags["wait_ms"]); ms > 0 {
@@ -68,7 +71,7 @@
 	return r.At.Add(d)
 }
 
-// number is the value of a numeric tag; 0: the tag is missing or is no number.
+// number returns the value of a numeric tag; 0: the tag is missing or is no number.
 func number(s string) float64 {
 	v, _ := strconv.ParseFloat(s, 64)
 	return v
--- a/internal/rehearsal/rulecheck/rule_drains.go
+++ b/internal/rehearsal/rulecheck/rule_drains.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// checkDrains checks rule 3: nothing is sent to an engine once its dispatcher has been notified, a grace ago,
-// that the engine drains or is removed.
+// checkDrains checks rule 3: a dispatcher sends nothing to an engine later than DrainGrace after it
+// acknowledged a list on which the engine drains or is removed.
 func (c *checker) checkDrains(v *Verdict) {
 	notifications := map[string][]Notification{}
 	for _, n := range c.log.Notifications {
@@ -21,9 +21,9 @@
 	}
 }
 
-// inactiveSince is when the dispatcher acknowledged the first of the lists without the attempt's engine,
-// of those up to the attempt and after the last list with it. It is zero where the engine was active, or
-// where the dispatcher's lists came before the log begins.
+// inactiveSince returns when the dispatcher acknowledged the first list without the attempt's engine, among
+// the lists up to the attempt and after the last list that has the engine. It returns zero if the engine
+// was active, or if there is no such list in the log.
 func inactiveSince(notifications []Notification, a *Attempt) (since time.Time) {
 	for _, n := range notifications {
 		_, active := n.Engines[a.Engine]
--- a/internal/rehearsal/rulecheck/rule_effects.go
+++ b/internal/rehearsal/rulecheck/rule_effects.go
@@ -1,7 +1,7 @@
 package rulecheck
 
-// checkEffects checks rule 2: a query that may have run is sent again only where a repeat has no effect,
-// and is not rejected where it may have had one.
+// checkEffects checks rule 2: a query that may have run is sent again only if a repeat has no second effect,
+// and is not rejected unless it may be repeated on any engine.
 func (c *checker) checkEffects(v *Verdict) {
 	endpoints := c.endpoints()
 	for _, r := range c.log.Requests {
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// checkRepeat checks an attempt after another that may have run.
+// checkRepeat checks an attempt that follows a first one that may have run.
 func (c *checker) checkRepeat(v *Verdict, r *Request, class Class, first, repeat *Attempt,
 	endpoints map[string]Endpoint) {
 	from, to := endpoints[first.Engine], endpoints[repeat.Engine]
--- a/internal/rehearsal/rulecheck/rule_order.go
+++ b/internal/rehearsal/rulecheck/rule_order.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// checkOrder checks rule 5: queries of an ordered class with one key run one after another, in the order
-// in which their dispatcher received them.
+// checkOrder checks rule 5: queries of an ordered class with the same key run one after another, in the
+// order in which their dispatcher received them.
 func (c *checker) checkOrder(v *Verdict) {
 	type queue struct{ dispatcher, key string }
 	queues := map[queue][]*Request{}
@@ -20,8 +20,8 @@
 			for _, a := range c.attempts[later.ID] {
 				v.Checked++
 				for _, earlier := range requests[:n] {
-					// Of two requests at about one time it is not known which came first, and a dispatcher
-					// that was down in between has forgotten the earlier one.
+					// The order of two requests within the clock skew is not known, and a dispatcher that
+					// went down in between has lost the earlier one.
 					if later.At.Sub(earlier.At) < c.parameters.ClockSkew ||
 						c.wentDownBetween(q.dispatcher, earlier.At, a.At) {
 						continue
@@ -33,6 +33,7 @@
 	}
 }
 
+// wentDownBetween reports whether an outage of a dispatcher began between two times.
 func (c *checker) wentDownBetween(dispatcher string, from, to time.Time) bool {
 	for _, o := range c.log.Outages {
 		if o.Dispatcher == dispatcher && o.At.After(from) && o.At.Before(to) {
@@ -42,7 +43,8 @@
 	return false
 }
 
-// checkPrecedence checks an attempt at a later query against an earlier one with its key.
+// checkPrecedence checks that an attempt at a later query begins after an earlier query with the same key,
+// and all attempts at it, have ended.
 func (c *checker) checkPrecedence(v *Verdict, earlier, later *Request, a *Attempt) {
 	skewed := a.At.Add(c.parameters.ClockSkew)
 	end := earlier.FinalAt
@@ -70,7 +72,8 @@
 	}
 }
 
-// knownEnd is when an attempt ended or was cancelled, and whether the engine may still be running it then.
+// knownEnd returns when an attempt ended or was cancelled, and whether the engine may still run it after
+// that time.
 func (a *Attempt) knownEnd() (ended time.Time, uncertain bool) {
 	if !a.Cancel.IsZero() && (a.End.IsZero() || a.Cancel.Before(a.End)) {
 		return a.Cancel, true
--- a/internal/rehearsal/rulecheck/rule_placement.go
+++ b/internal/rehearsal/rulecheck/rule_placement.go
@@ -20,5 +20,5 @@
 	}
 }
 
-// allows reports whether a list contains a name; an empty list allows all.
+// allows reports whether a list contains a name; an empty list allows every name.
 func allows(list []string, name string) bool { return len(list) == 0 || slices.Contains(list, name) }
--- a/internal/rehearsal/rulecheck/rule_retry_budget.go
+++ b/internal/rehearsal/rulecheck/rule_retry_budget.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// checkRetryBudget checks rule 7: a dispatcher's retries within the budget's window stay below a number
-// plus a share of the requests that it received meanwhile.
+// checkRetryBudget checks rule 7: a dispatcher's retries within RetryBudgetWindow do not exceed
+// RetryBudgetFree plus RetryBudgetRatio of the requests that it received in that window.
 func (c *checker) checkRetryBudget(v *Verdict) {
 	if !c.parameters.HasRetryBudget {
 		v.Note = "no budget is set"
@@ -35,8 +35,8 @@
 	}
 }
 
-// retriesWithinWindow counts the retries in the window that ends with the last of them, and how many the
-// budget allows. The clock skew counts in the dispatcher's favour.
+// retriesWithinWindow counts the retries in the window that ends with the last retry, and returns how many
+// the budget allows there. The clock skew counts in the dispatcher's favour.
 func (c *checker) retriesWithinWindow(retries, requests []time.Time) (retried int, allowed float64) {
 	skew := c.parameters.ClockSkew
 	at := retries[len(retries)-1]
--- a/internal/rehearsal/rulecheck/rule_sessions.go
+++ b/internal/rehearsal/rulecheck/rule_sessions.go
@@ -6,8 +6,8 @@
 	pid    uint32
 }
 
-// checkSessions checks sessions that name themselves: all statements of one session run on one engine
-// connection, and none of another session on that connection between its first and its last.
+// checkSessions checks the statements that have the tag session: all of one session run on one engine
+// connection, and between the first and the last of them that connection runs no other statement.
 func (c *checker) checkSessions(v *Verdict) {
 	last := c.checkSessionConns(v)
 	holders := map[engineConn]string{}
@@ -27,8 +27,8 @@
 	}
 }
 
-// checkSessionConns checks that each session stays on one connection, and returns the index of its last
-// attempt.
+// checkSessionConns checks that each session stays on one connection, and returns for each session the
+// index of its last attempt in the log.
 func (c *checker) checkSessionConns(v *Verdict) (last map[string]int) {
 	conns := map[string]engineConn{}
 	last = map[string]int{}
--- a/internal/rehearsal/rulecheck/rule_slow_start.go
+++ b/internal/rehearsal/rulecheck/rule_slow_start.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// checkSlowStart checks rule 4: what all dispatchers together send an engine in a window after its start
-// stays below a multiple of what the engine can do while it warms up.
+// checkSlowStart checks rule 4: the work that all dispatchers together send an engine within any
+// SlowStartWindow of its slow start does not exceed SlowStartOverloadFactor times what the engine can do in
+// that window.
 func (c *checker) checkSlowStart(v *Verdict) {
 	for _, e := range c.log.OverloadedEngines {
 		v.addViolation("engine %s was pushed over", e)
@@ -24,7 +25,7 @@
 	v.Note = fmt.Sprintf("at most %.0f%% of the limit", worst*100)
 }
 
-// engineStarts is each start of each engine that the lists name.
+// engineStarts returns the starts of each engine, by address and time, that the engine lists name.
 func (c *checker) engineStarts() map[string]map[time.Time]Endpoint {
 	out := map[string]map[time.Time]Endpoint{}
 	for _, n := range c.log.Notifications {
@@ -41,7 +42,7 @@
 	return out
 }
 
-// checkStart checks one start of an engine, and returns the largest load as a share of the limit.
+// checkStart checks one start of an engine, and returns its largest load in a window as a share of the limit.
 func (c *checker) checkStart(v *Verdict, address string, e Endpoint) (worst float64) {
 	p := &c.parameters
 	var window []*Attempt
--- a/internal/rehearsal/rulecheck/statement_cache.go
+++ b/internal/rehearsal/rulecheck/statement_cache.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// statementWait limits the wait of a request's decoder for the answer that named its ticket, on another
-// connection.
+// statementWait limits how long the decoder of a request waits until the answer that issued the request's
+// ticket is decoded. The answer may have come on another connection.
 const statementWait = time.Second
 
-// statementCache has the statements behind tickets and handles of Flight SQL, of all connections.
+// statementCache maps the tickets and handles of Flight SQL to their statements, for all connections. It may
+// be used by several goroutines.
 type statementCache struct {
 	mu      sync.Mutex
-	byKey   map[string]string
-	changed chan struct{} // closed and made anew with each entry
+	byKey   map[string]string // statement text by ticket or handle
+	changed chan struct{}     // closed by the next put; nil: nothing waits
 }
 
-// put stores the statement behind a ticket or a handle.
+// put stores the statement of a ticket or a handle.
 func (t *statementCache) put(key []byte, text string) {
 	t.mu.Lock()
 	t.byKey[string(key)] = text
@@ -27,8 +28,9 @@
 	t.mu.Unlock()
 }
 
-// get waits for a statement: the answer that named its ticket came before the request that uses it, but the
-// decoder of the answer may be a moment behind. It returns "" where the statement does not come.
+// get returns the statement of a ticket or a handle. It waits for it: the answer that issued the ticket came
+// before the request that uses it, but may not be decoded yet. It returns "" if the statement is still
+// unknown after statementWait.
 func (t *statementCache) get(key []byte) string {
 	timeout := time.After(statementWait)
 	for {
--- a/internal/rehearsal/rulecheck/tap.go
+++ b/internal/rehearsal/rulecheck/tap.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// chunk is bytes with the time at which they arrived.
+// chunk holds bytes that arrived at one time.
 type chunk struct {
 	at   time.Time
 	data []byte
 }
 
-// tap keeps the bytes of one direction until they are decoded. It never blocks the relay that adds to it.
+// tap queues the bytes of one direction of a connection until they are decoded. The queue has no limit, so
+// that a slow decoder never blocks the relay.
 type tap struct {
 	recorder *Recorder
 	mu       sync.Mutex
 	changed  *sync.Cond
 	queue    []chunk
-	ended    time.Time
-	waiting  bool      // the decoder has read all and waits
-	onWait   func()    // called as the decoder begins to wait; nil: nothing is
-	at       time.Time // of the bytes read last
-	unread   []byte
+	ended    time.Time // when the direction ended; zero: it has not
+	waiting  bool      // the decoder has read everything and waits for more
+	onWait   func()    // called when the decoder begins to wait; may be nil
+	at       time.Time // arrival of the bytes that were read last
+	unread   []byte    // the rest of the chunk that is being read
 }
 
 func newTap(rec *Recorder) *tap {
@@ -32,7 +33,7 @@
 	return t
 }
 
-// add takes bytes that arrived at a time.
+// add queues a copy of bytes that arrived at the given time.
 func (t *tap) add(at time.Time, b []byte) {
 	t.mu.Lock()
 	t.queue = append(t.queue, chunk{at, append([]byte(nil), b...)})
@@ -40,6 +41,7 @@
 	t.changed.Signal()
 }
 
+// end records that the direction has ended.
 func (t *tap) end() {
 	t.mu.Lock()
 	t.ended = time.Now()
@@ -47,7 +49,8 @@
 	t.changed.Signal()
 }
 
-// Read returns bytes to the decoder. Its only error is io.EOF.
+// Read passes the queued bytes to the decoder, and waits for some if there are none. Its only error is
+// io.EOF.
 func (t *tap) Read(b []byte) (int, error) {
 	if len(t.unread) == 0 {
 		t.mu.Lock()
@@ -84,7 +87,7 @@
 	t.waiting = false
 }
 
-// drained reports whether the decoder has handled all that has come.
+// drained reports whether the decoder has handled all bytes that have arrived.
 func (t *tap) drained() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -92,9 +95,9 @@
 }
 
 // discard reads a tap to its end.
-func (t *tap) discard() { _, _ = io.Copy(io.Discard, t) } // neither side has an error but the end
+func (t *tap) discard() { _, _ = io.Copy(io.Discard, t) } // neither Read nor Write fails
 
-// isEndOfStream reports whether a direction ended, also within a message.
+// isEndOfStream reports whether an error says that a direction ended, between or within messages.
 func isEndOfStream(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
--- a/internal/rehearsal/testbed/testbed.go
+++ b/internal/rehearsal/testbed/testbed.go
@@ -1,5 +1,5 @@
-// Package testbed starts the peers of a dispatcher in one process: stand-in engines, a stand-in discovery
-// service that lists them and, where asked, the dispatcher itself. Only tests and rehearsals may use it.
+// Package testbed starts stand-in engines and a stand-in discovery service that lists them, and on request a
+// dispatcher, all in the calling process. Only tests and rehearsals may use it.
 package testbed
 
 import (
@@ -23,14 +23,15 @@
 // listTimeout limits the wait for a dispatcher's first engine list.
 const listTimeout = 10 * time.Second
 
-// Ports for dispatchers: below the range from which the system takes the ports of outgoing connections.
+// FreePort takes ports of this range, and tries so many of them.
 const (
 	firstPort    = 15000
 	portCount    = 15000
 	portAttempts = 50
 )
 
-// EngineKind describes a machine for stand-in engines with the usual costs of spilling and starting.
+// EngineKind returns the model of a stand-in engine with default costs of spilling and of slow start.
+// memoryMB is in megabytes.
 func EngineKind(cores, memoryMB float64) enginemodel.Kind {
 	return enginemodel.Kind{Cores: cores, MemoryMB: memoryMB, SpillCost: 2.5, CachedDataSets: 4,
 		CacheSaving:       0.3,
@@ -39,9 +40,9 @@
 		MaxJobs: int(8 * cores)}
 }
 
-// FreePort finds an address that a dispatcher keeps over its restarts. It lies below the range from which
-// the system takes ports of outgoing connections: a port of that range could be taken by some connection
-// while the dispatcher is down, and the dispatcher could not listen again.
+// FreePort returns an address on which a dispatcher can listen again after each restart. Its port lies below
+// the range from which the system takes the ports of outgoing connections: a port of that range could be
+// taken by a connection while the dispatcher is down, and the dispatcher could not listen again.
 func FreePort() (string, error) {
 	var last error
 	for range portAttempts {
@@ -54,23 +55,24 @@
 	return "", last
 }
 
-// Engine is a stand-in engine and its entry in the list, whose address is that of a relay where there is one.
+// Engine is a stand-in engine with its entry in the engine list. The entry's address is that of the relay
+// before the engine, if there is one.
 type Engine struct {
 	*standin.Engine
 	Entry eds.Engine
 }
 
-// Testbed is a set of engines with the service that lists them.
+// Testbed is a set of stand-in engines with the discovery service that lists them.
 type Testbed struct {
 	Discovery *standin.DiscoveryServer
 	Engines   []*Engine
 	Group     *standin.DeduplicationGroup
 
-	mu sync.Mutex // guards the engines' entries
+	mu sync.Mutex // guards Entry of all engines
 }
 
-// New starts engines, each by its configuration, and a discovery service that lists them. An engine
-// without an address gets one.
+// New starts one engine for each configuration, and a discovery service that lists them. An engine without
+// a listen address gets a free port of 127.0.0.1, and one without a deduplication group the testbed's.
 func New(engines ...standin.EngineConfig) (*Testbed, error) {
 	t := &Testbed{Group: standin.NewDeduplicationGroup()}
 	var err error
@@ -100,7 +102,7 @@
 	return t, nil
 }
 
-// UpdateEngine changes an engine's entry and publishes the list.
+// UpdateEngine changes the entry of engine i and publishes the list. It may be called by several goroutines.
 func (t *Testbed) UpdateEngine(i int, f func(e *eds.Engine)) {
 	t.mu.Lock()
 	f(&t.Engines[i].Entry)
@@ -108,14 +110,15 @@
 	t.Publish()
 }
 
-// State is the state of an engine in the list; "": the engine is not listed.
+// State returns the state of engine i in the list; "": the engine is not listed. It may be called by several
+// goroutines.
 func (t *Testbed) State(i int) eds.EngineState {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.Engines[i].Entry.State
 }
 
-// Publish sends the present entries to the discovery service, without those that have no state.
+// Publish sets the list of the discovery service to the current entries, without those that have no state.
 func (t *Testbed) Publish() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -128,15 +131,16 @@
 	t.Discovery.Set(list)
 }
 
-// StartDispatcher starts a dispatcher with settings in HCL, to which listen address and discovery service
-// are added.
+// StartDispatcher starts a dispatcher with settings in HCL, to which it adds a listen address and the
+// testbed's discovery service, and waits for the dispatcher's first engine list. With a nil log, what the
+// dispatcher logs is dropped.
 func (t *Testbed) StartDispatcher(settings string, log *slog.Logger) (*server.Server, error) {
 	return t.StartDispatcherWith(settings, log, func(m cresspass.Config) (dispatch.Decider, error) {
 		return cresspass.New(m)
 	})
 }
 
-// StartDispatcherWith starts a dispatcher around the decider that newDecider returns.
+// StartDispatcherWith does what StartDispatcher does, with the decider that newDecider returns.
 func (t *Testbed) StartDispatcherWith(settings string, log *slog.Logger,
 	newDecider func(cresspass.Config) (dispatch.Decider, error)) (*server.Server, error) {
 	cfg, err := config.Parse("test.hcl", []byte(settings+fmt.Sprintf(`
@@ -167,7 +171,7 @@
 	}
 }
 
-// Close ends all engines and the discovery service.
+// Close stops all engines and the discovery service.
 func (t *Testbed) Close() {
 	for _, e := range t.Engines {
 		e.Close()
