--- a/experiments/experiments.go
+++ b/experiments/experiments.go
@@ -1,9 +1,9 @@
-// Package experiments has the experiments of the model that ship with the program.
+// Package experiments embeds the experiments of the simulation that ship with the program.
 package experiments
 
 import "embed"
 
-// Files are the experiments, by name with the suffix .hcl, and in days what only they play.
+// Files holds the experiments as HCL files, and in the folder days the days that only experiments play.
 //
 //go:embed *.hcl days/*.hcl
 var Files embed.FS
--- a/internal/rehearsal/client.go
+++ b/internal/rehearsal/client.go
@@ -15,7 +15,7 @@
 // connectTimeout limits the time in which a client connects.
 const connectTimeout = 3 * time.Second
 
-// driver is the library by which a client connects.
+// driver is the client library with which a client connects.
 type driver int
 
 const (
@@ -25,23 +25,25 @@
 	driverFlightSQL        // Flight SQL's driver for database/sql
 )
 
-// client is a connection of some library.
+// client is one connection of a client library.
 type client interface {
-	// do runs a statement; the context's end cancels it.
+	// do runs a statement, and cancels it when the context ends. simple selects PostgreSQL's simple protocol;
+	// parameter is the only parameter of a prepared statement.
 	do(ctx context.Context, simple bool, text, parameter string) error
-	// close ends the connection. By force it does so at once, in the middle of a query too.
+	// close closes the connection. With force it closes the socket at once, even during a query.
 	close(force bool)
+	// broken reports whether the connection can no longer be used.
 	broken() bool
 	driver() driver
 }
 
-// pool keeps a dispatcher's idle clients.
+// pool holds the idle clients of one dispatcher.
 type pool struct {
 	mu   sync.Mutex
 	free []client
 }
 
-// client takes an idle connection to the arrival's dispatcher, or makes one.
+// client returns an idle connection to the arrival's dispatcher by the arrival's driver, or a new one.
 func (l *workload) client(ctx context.Context, a arrival) (client, error) {
 	if c := l.idle[a.dispatcher].take(a.driver); c != nil {
 		return c, nil
@@ -65,7 +67,7 @@
 	return &pgxClient{c}, nil
 }
 
-// take returns the client of a driver that was returned last; nil: there is none.
+// take removes and returns the client of a driver that was returned most recently; nil: there is none.
 func (p *pool) take(d driver) client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,6 +80,7 @@
 	return nil
 }
 
+// returnClient puts a client back into the pool of the arrival's dispatcher.
 func (l *workload) returnClient(a arrival, c client) {
 	p := l.idle[a.dispatcher]
 	p.mu.Lock()
@@ -85,6 +88,7 @@
 	p.mu.Unlock()
 }
 
+// pgxClient is one connection of pgx.
 type pgxClient struct{ conn *pgx.Conn }
 
 func (p *pgxClient) do(ctx context.Context, simple bool, text, parameter string) error {
@@ -112,7 +116,7 @@
 
 func (p *pgxClient) driver() driver { return driverPgx }
 
-// pqClient is one connection of lib/pq, through database/sql as its users have it.
+// pqClient is one connection of lib/pq, used through database/sql as applications use it.
 type pqClient struct {
 	db      *sql.DB
 	conn    *sql.Conn
@@ -120,25 +124,26 @@
 	closed  atomic.Bool
 }
 
-// DialContext keeps the network's connection, so that a client can disconnect in the middle of a query.
+// DialContext dials and keeps the network connection, so that close can end it during a query.
 func (p *pqClient) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	nc, err := (&net.Dialer{}).DialContext(ctx, network, address)
 	p.netConn = nc
 	return nc, err
 }
 
-// Dial and DialTimeout make it a pq.Dialer.
+// Dial dials without a time limit. With DialTimeout it makes pqClient a pq.Dialer.
 func (p *pqClient) Dial(network, address string) (net.Conn, error) {
 	return p.DialContext(context.Background(), network, address)
 }
 
-// DialTimeout dials within a time.
+// DialTimeout dials with a time limit.
 func (p *pqClient) DialTimeout(network, address string, limit time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	return p.DialContext(ctx, network, address)
 }
 
+// newPq connects to a dispatcher by lib/pq.
 func newPq(ctx context.Context, url string) (*pqClient, error) {
 	connector, err := pq.NewConnector(url)
 	if err != nil {
--- a/internal/rehearsal/day.go
+++ b/internal/rehearsal/day.go
@@ -1,8 +1,8 @@
-// Package rehearsal plays a day of faults through real dispatchers, each a process of its own, with
-// stand-in engines and discovery behind them and client libraries before them, and has the rules checked
-// from the bytes on the sockets (package rulecheck). It must not take a verdict from the dispatchers' own
-// books: those would agree with the dispatchers' own mistakes. Operators and tests use it; the product
-// does not import it.
+// Package rehearsal plays days: it sends traffic through real dispatchers, each a process of its own, while
+// faults are injected. Clients use real client libraries; engines and discovery are stand-ins. The rules are
+// checked from the bytes on the sockets (package rulecheck), never from what the dispatchers record about
+// themselves, because those records would repeat a dispatcher's mistakes. Operators and tests use the
+// package; the dispatcher does not import it.
 package rehearsal
 
 import (
@@ -15,67 +15,68 @@
 	"cresspass/internal/rehearsal/rulecheck"
 )
 
-// Traffic is what the clients of one class send.
+// Traffic describes what the clients of one class send.
 type Traffic struct {
 	Class      string
-	Rate       float64 // queries a second, all dispatchers together
-	Work       float64 // mean thread seconds
-	Spread     float64 // sigma of the logarithm of the work
+	Rate       float64 // queries per second, to all dispatchers together
+	Work       float64 // mean work of a query, in thread seconds
+	Spread     float64 // sigma of the work's log-normal distribution
 	Threads    float64
 	Rows       int
-	Keys       int // queries carry one of so many keys; 0: none
-	Tables     int // and one of so many table groups
-	Loads      bool
-	Writes     bool
-	Session    bool    // a transaction of several statements each time
-	Retries    int     // a rejected query is sent again so many times
-	CostFactor float64 // its cost is given as so many times its work; 0: it is not given
+	Keys       int     // number of keys, one of which each query has; 0: queries have no key
+	Tables     int     // number of table groups, one of which each query names; 0: none
+	Loads      bool    // queries are loads
+	Writes     bool    // queries are writes
+	Session    bool    // each arrival is a transaction of several statements
+	Retries    int     // how often a rejected query is sent again at most
+	CostFactor float64 // the cost that a query states, as a multiple of its work; 0: it states none
 }
 
-// Fault is one thing that goes wrong.
+// Fault is one fault of a day.
 type Fault struct {
-	Kind       string
-	At, For    time.Duration
+	Kind       string        // a key of faultKinds
+	At, For    time.Duration // start since the day's start, and duration
 	Engines    []int
 	Dispatcher int
-	Size       float64 // factor, share, seconds or rows, by kind
+	Size       float64 // factor, share, seconds or rows, depending on the kind
 	Class      string
 }
 
-// Day is a checked day.
+// Day is a day as ParseDay returns it: its fleet, traffic, faults and settings.
 type Day struct {
 	Name, Title string
 	Length      time.Duration
-	Short       float64 // --short plays the day so much shorter
-	Flight      float64 // share of the queries that come by Flight SQL
-	Gossip      string  // see Options
+	Short       float64 // factor by which --short scales the length
+	Flight      float64 // share of the queries that are sent by Flight SQL
+	Gossip      string  // as Options.Gossip
 	Engines     int
 	Dispatchers int
 	MemoryMB    float64
-	Kinds       []string // of the engines, in turn
-	Random      int      // the number of faults that are drawn from the seed
-	Expects     map[string]float64
+	Kinds       []string           // of the engines, in turn
+	Random      int                // the number of faults that are drawn from the seed
+	Expects     map[string]float64 // share of each class's requests that is to be served
 	Zones       int
 	Traffic     []Traffic
 	Faults      []Fault
-	Settings    string
+	Settings    string // of the dispatchers, in HCL
 	Module      cresspass.Config
 }
 
-// cores is the number of cores of an engine.
+// cores returns the number of cores of an engine.
 func (d *Day) cores(engine int) float64 {
 	return d.Module.KindCores[slices.Index(d.Module.KindNames, d.kind(engine))]
 }
 
+// kind returns the kind of an engine.
 func (d *Day) kind(engine int) string { return d.Kinds[engine%len(d.Kinds)] }
 
-// zone is the zone of an engine or a dispatcher: both go round the zones in the same way.
+// zone returns the zone of an engine or a dispatcher by its index: both are assigned to the zones in turn.
 func (d *Day) zone(i int) string { return string(rune('a' + i%d.Zones)) }
 
-// drawnFaultStream is the random stream of the faults that are drawn from a seed.
+// drawnFaultStream is the random stream from which Drawn draws faults.
 const drawnFaultStream = 23
 
-// Drawn returns the day with its random faults drawn from a seed.
+// Drawn returns a copy of the day to whose faults Random ones, drawn from the seed, are added.
 func (d *Day) Drawn(seed uint64) *Day {
 	out := *d
 	r := rand.New(rand.NewPCG(seed, drawnFaultStream))
@@ -96,7 +97,8 @@
 	return &out
 }
 
-// Scaled returns the day played so much shorter. Rates and the parameters of the rules stay.
+// Scaled returns a copy of the day in which the length and the times of the faults are multiplied by a
+// factor. Rates and the parameters of the rules stay.
 func (d *Day) Scaled(by float64) *Day {
 	out := *d
 	scale := func(t time.Duration) time.Duration { return time.Duration(float64(t) * by) }
@@ -109,15 +111,15 @@
 	return &out
 }
 
-// Parameters are those of the rules, for the checker.
+// Parameters returns the parameters of the rules for the day's settings.
 func (d *Day) Parameters() rulecheck.Parameters {
 	return ParametersFromConfig(&d.Module)
 }
 
-// clockSkew is how much the times of two relays may differ for one moment.
+// clockSkew is the largest difference between the times that two relays record for the same moment.
 const clockSkew = 50 * time.Millisecond
 
-// checkedEffects and checkedScopes are the checker's terms for the settings of a class.
+// checkedEffects and checkedScopes map the settings of a class to the checker's values.
 var (
 	checkedEffects = [...]rulecheck.Effect{
 		cresspass.Idempotent:        rulecheck.EffectIdempotent,
--- a/internal/rehearsal/day_test.go
+++ b/internal/rehearsal/day_test.go
@@ -14,11 +14,13 @@
 	"cresspass/rehearsals"
 )
 
+// shared reads a file of settings that days share.
 func shared(name string) ([]byte, error) {
 	return rehearsals.Settings.ReadFile("settings/" + name + ".hcl")
 }
 
-// All days that ship are good, and what is drawn from a seed is drawn again.
+// TestShippedDaysParse checks that all shipped days parse, that a seed always draws the same faults, and that
+// some faults overlap in time.
 func TestShippedDaysParse(t *testing.T) {
 	files, err := rehearsals.Days.ReadDir(".")
 	if err != nil || len(files) < 12 {
@@ -35,10 +37,10 @@
 		a, b := d.Drawn(7), d.Drawn(7)
 		if !reflect.DeepEqual(a.Faults, b.Faults) || len(a.Faults) != len(d.Faults)+d.Random ||
 			len(a.Faults) == 0 {
-			t.Errorf("%s: drawn %v, then %v", d.Name, a.Faults, b.Faults)
+			t.Errorf("%s: seed 7 draws faults %v, then %v", d.Name, a.Faults, b.Faults)
 		}
 		if s := d.Scaled(0.5); s.Length != d.Length/2 || len(s.Faults) != len(d.Faults) {
-			t.Errorf("%s: scaled to %v", d.Name, s.Length)
+			t.Errorf("%s: scaled by 0.5 to length %v, or another number of faults", d.Name, s.Length)
 		}
 		for i, t1 := range d.Faults {
 			for _, t2 := range d.Faults[i+1:] {
@@ -49,10 +51,11 @@
 		}
 	}
 	if overlapping < 3 {
-		t.Errorf("%d troubles overlap", overlapping)
+		t.Errorf("%d pairs of faults overlap, want at least 3", overlapping)
 	}
 }
 
+// TestInvalidDays checks the error for each kind of mistake in a day.
 func TestInvalidDays(t *testing.T) {
 	const good = `title = "x"
 length = "10s"
@@ -74,12 +77,13 @@
 		{"engines = [1]", "engines = [1]\n  dispatcher = 5", "no dispatcher 5"}} {
 		if _, err := ParseDay("d", []byte(strings.Replace(good, c[0], c[1], 1)), shared); err == nil ||
 			!strings.Contains(err.Error(), c[2]) {
-			t.Errorf("%s for %s: %v, want %q", c[1], c[0], err, c[2])
+			t.Errorf("%s in place of %s: error %v, want %q", c[1], c[0], err, c[2])
 		}
 	}
 }
 
-// A report has its plots and its numbers; kept traffic is judged again with the same verdicts.
+// TestReportAndStoredEvidence checks that a report has its plots and verdicts, and that CheckEvidence finds
+// the broken rule again in the stored traffic.
 func TestReportAndStoredEvidence(t *testing.T) {
 	src, _ := rehearsals.Days.ReadFile("deploy.hcl")
 	d, err := ParseDay("deploy", src, shared)
@@ -111,7 +115,7 @@
 	for _, want := range []string{"Answers by kind", "Time to answer", "Threads of each engine", "preemption",
 		"BROKEN"} {
 		if !strings.Contains(string(page), want) {
-			t.Errorf("the page lacks %q", want)
+			t.Errorf("the HTML page lacks %q", want)
 		}
 	}
 	if err := r.StoreEvidence(dir); err != nil {
@@ -119,9 +123,10 @@
 	}
 	name, seed, all, err := CheckEvidence(dir)
 	if err != nil || name != "deploy" || seed != 5 || rulecheck.AllKept(all) || all[0].Kept {
-		t.Errorf("judged again: %s, seed %d, %v, %v", name, seed, all, err)
+		t.Errorf("stored evidence: day %s, seed %d, verdicts %v, error %v; want deploy, 5, rule 1 broken",
+			name, seed, all, err)
 	}
 	if _, _, _, err := CheckEvidence(t.TempDir()); err == nil {
-		t.Error("an empty folder was judged")
+		t.Error("CheckEvidence of an empty folder returned no error")
 	}
 }
--- a/internal/rehearsal/dispatcher.go
+++ b/internal/rehearsal/dispatcher.go
@@ -18,7 +18,7 @@
 const (
 	listenPollInterval = 5 * time.Millisecond
 	dialTimeout        = time.Second
-	stopTimeout        = 10 * time.Second // then a dispatcher that was told to stop is killed
+	stopTimeout        = 10 * time.Second // a dispatcher that has not stopped by then is killed
 )
 
 // dispatcher is one dispatcher process.
@@ -29,12 +29,12 @@
 	args        []string
 	log         *os.File
 	relay       *rulecheck.Relay
-	flightRelay *rulecheck.Relay // for Flight SQL; nil: it is not served
+	flightRelay *rulecheck.Relay // for Flight SQL; nil: the day does not use it
 	up          atomic.Bool
 
 	mu      sync.Mutex
 	cmd     *exec.Cmd
-	stdin   io.Closer // kept open while the process is to run
+	stdin   io.Closer // held open for as long as the process is to run
 	outages []rulecheck.Outage
 }
 
@@ -48,7 +48,7 @@
 	d.cmd = exec.Command(program[0], append(append([]string(nil), program[1:]...), d.args...)...)
 	d.cmd.Env = append(os.Environ(), "CRESSPASS_RUN=1")
 	d.cmd.Stdout, d.cmd.Stderr = d.log, d.log
-	// A dispatcher ends when its standard input does, so that none outlives the rehearsal.
+	// A dispatcher exits when its standard input ends, so that none outlives the rehearsal.
 	stdin, err := d.cmd.StdinPipe()
 	if err != nil {
 		return err
@@ -69,22 +69,22 @@
 		d.log.Name())
 }
 
-// beginOutage records that the dispatcher goes down. The caller holds d.mu.
+// beginOutage records the start of an outage. The caller holds d.mu.
 func (d *dispatcher) beginOutage() {
 	d.outages = append(d.outages, rulecheck.Outage{Dispatcher: d.name(), At: time.Now()})
 }
 
-// kill kills the process as a crash does.
+// kill ends the process without warning, as a crash does.
 func (d *dispatcher) kill() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.beginOutage()
 	d.up.Store(false)
-	_ = d.cmd.Process.Kill() // fails only where the process has ended already
-	_ = d.cmd.Wait()         // its status is that of the kill
+	_ = d.cmd.Process.Kill() // fails only if the process has ended already
+	_ = d.cmd.Wait()         // the exit status is that of the kill
 }
 
-// shutDownForRestart ends the process gracefully, to be started again.
+// shutDownForRestart stops the process gracefully, and records an outage that startAgain ends.
 func (d *dispatcher) shutDownForRestart() {
 	d.mu.Lock()
 	d.beginOutage()
@@ -92,7 +92,7 @@
 	d.stop()
 }
 
-// startAgain starts the process after kill or shutDownForRestart.
+// startAgain starts the process after kill or shutDownForRestart, and records the end of the outage.
 func (d *dispatcher) startAgain(ctx context.Context) error {
 	err := d.start(ctx)
 	d.mu.Lock()
@@ -101,7 +101,7 @@
 	return err
 }
 
-// stop ends the process gracefully.
+// stop ends the process by SIGTERM, or kills it after stopTimeout. It does nothing if the process has ended.
 func (d *dispatcher) stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -109,11 +109,11 @@
 		return
 	}
 	d.up.Store(false)
-	_ = d.cmd.Process.Signal(syscall.SIGTERM) // fails only where the process has ended already
+	_ = d.cmd.Process.Signal(syscall.SIGTERM) // fails only if the process has ended already
 	timeout := time.AfterFunc(stopTimeout, func() {
-		_ = d.cmd.Process.Kill() // fails only where the process has ended already
+		_ = d.cmd.Process.Kill() // fails only if the process has ended already
 	})
-	_ = d.cmd.Wait() // the rules are checked from the bytes, not from its status
+	_ = d.cmd.Wait() // the rules are checked from the bytes, not from the exit status
 	timeout.Stop()
 }
 
--- a/internal/rehearsal/evaluate.go
+++ b/internal/rehearsal/evaluate.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	settleTime    = 200 * time.Millisecond // for what is on its way from dispatchers to engines
+	settleTime    = 200 * time.Millisecond // for messages in transit from dispatchers to engines
 	decodeTimeout = 10 * time.Second
 )
 
-// evaluate stops everything and checks what the relays saw.
+// evaluate stops dispatchers and relays, checks the rules on the log, and returns the day's result.
 func (r *run) evaluate() *Result {
 	time.Sleep(settleTime)
 	log := r.stopAndCollect()
@@ -56,7 +56,7 @@
 	return out
 }
 
-// stopAndCollect stops dispatchers and relays, and returns all that was seen.
+// stopAndCollect stops dispatchers and relays, and returns the complete log.
 func (r *run) stopAndCollect() *rulecheck.Log {
 	for _, d := range r.dispatchers {
 		d.stop()
@@ -80,7 +80,8 @@
 	return log
 }
 
-// ranTwice counts loads that had their effect, and names those that had it again within a window.
+// ranTwice returns the number of loads that ran, and the ids of those that ran again within a window of the
+// run before. ran holds the times at which each load ran, by its id.
 func ranTwice(ran map[string][]time.Time, window time.Duration) (n int, again []string) {
 	for id, times := range ran {
 		n++
@@ -94,10 +95,10 @@
 	return n, again
 }
 
-// nodePrefix comes before a dispatcher's ordinal in the node id that it sends to discovery.
+// nodePrefix precedes a dispatcher's ordinal in the node id that it sends to discovery.
 const nodePrefix = "cresspass-"
 
-// notifications is which list each dispatcher accepted, as the checker takes it.
+// notifications returns the engine lists that the dispatchers acknowledged, in the checker's form.
 func (r *run) notifications() (out []rulecheck.Notification) {
 	accepted, _ := r.testbed.Discovery.Notifications()
 	for _, n := range accepted {
--- a/internal/rehearsal/evidence.go
+++ b/internal/rehearsal/evidence.go
@@ -11,10 +11,11 @@
 	"cresspass/internal/rehearsal/rulecheck"
 )
 
-// evidenceFile is the name of the evidence within its folder.
+// evidenceFile is the name of the evidence file within its folder.
 const evidenceFile = "traffic.json.gz"
 
-// evidence is what is stored of a day on which a rule broke, to be checked again without playing the day.
+// evidence is the stored traffic of a day on which a rule broke, from which the rules can be checked again
+// without playing the day.
 type evidence struct {
 	Day        string
 	Seed       uint64
@@ -22,7 +23,8 @@
 	Log        *rulecheck.Log
 }
 
-// StoreEvidence writes what the relays saw, with seed and day, into a folder.
+// StoreEvidence writes the log of the relays, with the day's name and the seed, into a folder, which is
+// created if it does not exist.
 func (r *Result) StoreEvidence(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -37,7 +39,8 @@
 	})
 }
 
-// CheckEvidence checks the rules on a folder that StoreEvidence wrote.
+// CheckEvidence checks the rules again from a folder that StoreEvidence wrote, and returns the day's name,
+// the seed and the verdicts.
 func CheckEvidence(dir string) (day string, seed uint64, all []rulecheck.Verdict, err error) {
 	f, err := os.Open(filepath.Join(dir, evidenceFile))
 	if err != nil {
--- a/internal/rehearsal/fairness.go
+++ b/internal/rehearsal/fairness.go
@@ -21,11 +21,11 @@
 	"cresspass/internal/standin"
 )
 
-// Fairness of the protocols: clients of PostgreSQL and of Flight SQL both send at a steady pace; for a
-// while one of the two is flooded, then the other. What the steady clients of the other one get is the
-// measure.
+// The fairness experiment measures whether a flood by one protocol starves the clients of the other one.
+// Clients of PostgreSQL and of Flight SQL send at a steady rate; for a while one protocol is flooded, then
+// the other. The result is what the steady clients got in each phase.
 
-// fairnessSettings has a small queue, so that a flood fills it where nothing prevents that.
+// fairnessSettings has a small queue, so that a flood fills it unless shares prevent that.
 const fairnessSettings = `
 default_class = "lookup"
 max_held      = 40
@@ -40,10 +40,10 @@
 `
 
 const (
-	steadyRate    = 25   // queries a second of the steady clients of each protocol
-	floodRate     = 1500 // queries a second of a flood
-	sharePerFront = 0.25
-	noFlood       = -1
+	steadyRate    = 25   // queries per second of the steady clients of each protocol
+	floodRate     = 1500 // queries per second of a flood
+	sharePerFront = 0.25 // of the limits, reserved for each protocol
+	noFlood       = -1   // as fairnessPhase.flood: no protocol is flooded
 )
 
 // FairnessSample is what the steady clients of one protocol got in one phase.
@@ -55,8 +55,9 @@
 	P99      time.Duration // of the served ones
 }
 
-// Fairness plays the floods with and without shares, and writes a page with plots into a folder, if one is
-// named. It returns what the steady clients got, with shares first.
+// Fairness plays the floods with a share of the limits reserved for each protocol, and again without. It
+// returns what the steady clients got with and without shares. If dir is not "", it writes a page with plots
+// into that folder, which is created if it does not exist.
 func Fairness(ctx context.Context, dir string, seed uint64) (with, without []FairnessSample, err error) {
 	page := components.NewPage()
 	page.SetPageTitle("Fairness of the fronts")
@@ -95,7 +96,7 @@
 	fairnessFloodPhase = 8 * time.Second
 )
 
-// fairnessPhase is one phase of the play.
+// fairnessPhase is one phase of the experiment.
 type fairnessPhase struct {
 	name     string
 	flood    int // the protocol that is flooded, as an index into frontNames; noFlood: none
@@ -112,7 +113,7 @@
 
 var frontNames = [2]string{"PostgreSQL", "Flight SQL"}
 
-// playFairness plays all phases with a share of the limits for each protocol; 0: no shares.
+// playFairness plays all phases with a share of the limits reserved for each protocol; 0: no shares.
 func playFairness(ctx context.Context, share float64, seed uint64) ([]FairnessSample, *charts.Line, error) {
 	cfg := make([]standin.EngineConfig, 3)
 	for i := range cfg {
@@ -152,7 +153,7 @@
 	return fairnessSamples(steady), fairnessChart(title, steady, int(length/time.Second)), ctx.Err()
 }
 
-// fairnessLoad is the load of a protocol's clients.
+// fairnessLoad returns the workload of the clients of one protocol, by its index into frontNames.
 func fairnessLoad(s *server.Server, front int, rate float64, length time.Duration, seed uint64) *workload {
 	d := &Day{Length: length, Flight: float64(front),
 		Traffic: []Traffic{{Class: "lookup", Rate: rate, Work: 0.03, Spread: 0.5, Threads: 1, Rows: 3}}}
@@ -181,7 +182,7 @@
 	}
 }
 
-// fairnessSamples are what the steady clients got, by protocol and phase.
+// fairnessSamples returns what the steady clients got, by protocol and phase.
 func fairnessSamples(steady [2]*workload) (out []FairnessSample) {
 	for front, l := range steady {
 		begin := time.Duration(0)
@@ -195,7 +196,7 @@
 	return out
 }
 
-// fairnessChart plots the share of the steady clients' requests that were served, by second.
+// fairnessChart plots for each second the share of the steady clients' requests that were served.
 func fairnessChart(title string, steady [2]*workload, seconds int) *charts.Line {
 	chart := charts.NewLine()
 	chart.SetGlobalOptions(charts.WithTitleOpts(opts.Title{Title: title}),
@@ -217,7 +218,7 @@
 	return chart
 }
 
-// between is what the requests that began between two times got.
+// between sums up the requests that began in [from, to).
 func (l *workload) between(from, to time.Duration) (out FairnessSample) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/rehearsal/fault_engines.go
+++ b/internal/rehearsal/fault_engines.go
@@ -9,7 +9,7 @@
 	"cresspass/internal/standin"
 )
 
-// forEachEngine calls do for each engine side by side, and waits.
+// forEachEngine calls do concurrently for each engine, and waits until all calls have returned.
 func forEachEngine(engines []int, do func(i int)) {
 	var wg sync.WaitGroup
 	for _, i := range engines {
@@ -22,7 +22,8 @@
 	wg.Wait()
 }
 
-// setEngineFault changes what is wrong with an engine; faults of different kinds add up.
+// setEngineFault changes the faults in force on an engine. Faults of different kinds can be in force at once.
+// An engine that is down gets the change with the next call after its restart.
 func (r *run) setEngineFault(i int, change func(*standin.Faults)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -32,12 +33,14 @@
 	}
 }
 
-// faultSetter puts a fault on, or off with size 0.
+// faultSetter sets a fault in f, or clears it: then on is false and size is 0.
 type faultSetter func(f *standin.Faults, on bool, size float64)
 
+// setSlow is the faultSetter of slower engines.
 func setSlow(f *standin.Faults, _ bool, size float64) { f.Slow = size }
 
-// onEngines has a fault on the engines named for its time.
+// onEngines returns an injector that sets a fault on the engines that the fault names, and clears it after
+// the fault's time.
 func onEngines(set faultSetter) injector {
 	return func(ctx context.Context, r *run, f Fault) {
 		forEachEngine(f.Engines, func(i int) {
@@ -48,6 +51,7 @@
 	}
 }
 
+// slowAll makes all engines slower.
 func slowAll(ctx context.Context, r *run, f Fault) {
 	for i := range r.testbed.Engines {
 		f.Engines = append(f.Engines, i)
@@ -55,6 +59,7 @@
 	onEngines(setSlow)(ctx, r, f)
 }
 
+// noisyNeighbour makes engines slow and normal in turn.
 func noisyNeighbour(ctx context.Context, r *run, f Fault) {
 	forEachEngine(f.Engines, func(i int) {
 		for end := time.Now().Add(f.For); time.Now().Before(end) && ctx.Err() == nil; {
@@ -66,6 +71,7 @@
 	})
 }
 
+// degradeAndCrash makes engines slower step by step, and then crashes and restarts them.
 func degradeAndCrash(ctx context.Context, r *run, f Fault) {
 	forEachEngine(f.Engines, func(i int) {
 		for n := 1.0; n <= ageingSteps && sleep(ctx, f.For/ageingPhases); n++ {
@@ -77,10 +83,12 @@
 	})
 }
 
+// flushCaches empties the caches of engines.
 func flushCaches(_ context.Context, r *run, f Fault) {
 	forEachEngine(f.Engines, func(i int) { r.testbed.Engines[i].Flush() })
 }
 
+// crashEngines crashes engines, and restarts them after the fault's time.
 func crashEngines(ctx context.Context, r *run, f Fault) {
 	forEachEngine(f.Engines, func(i int) {
 		r.testbed.Engines[i].Crash()
@@ -88,6 +96,8 @@
 	})
 }
 
+// crashDuringAnswer has engines crash once an answer has reached the fault's size in rows, and restarts them
+// after the fault's time.
 func crashDuringAnswer(ctx context.Context, r *run, f Fault) {
 	forEachEngine(f.Engines, func(i int) {
 		r.setEngineFault(i, func(faults *standin.Faults) { faults.DieAfterRows = int(f.Size) })
@@ -100,16 +110,20 @@
 	})
 }
 
+// drainEngines drains and replaces engines, all at once.
 func drainEngines(ctx context.Context, r *run, f Fault) {
 	forEachEngine(f.Engines, func(i int) { r.drainEngine(ctx, i, f.For) })
 }
 
+// drainInTurn drains and replaces engines one after another, each for an equal part of the fault's time.
 func drainInTurn(ctx context.Context, r *run, f Fault) {
 	for _, i := range f.Engines {
 		r.drainEngine(ctx, i, f.For/time.Duration(len(f.Engines)))
 	}
 }
 
+// preemptEngines lists engines as draining, crashes them after preemptionNotice, and restarts them after the
+// fault's time.
 func preemptEngines(ctx context.Context, r *run, f Fault) {
 	forEachEngine(f.Engines, func(i int) {
 		r.listDraining(i)
@@ -120,6 +134,7 @@
 	})
 }
 
+// listDraining lists an engine as draining.
 func (r *run) listDraining(i int) {
 	r.testbed.UpdateEngine(i, func(v *eds.Engine) { v.State = eds.StateDraining })
 }
@@ -133,8 +148,9 @@
 	}
 }
 
-// restartEngine starts a crashed engine again after a time. Discovery lists the crash with a delay, as it
-// only learns from outside whether an engine runs.
+// restartEngine starts a crashed engine again after a time. Discovery lists the engine as removed with a
+// delay, since discovery only observes from outside whether an engine runs. restartEngine does nothing more
+// once another fault has restarted the engine.
 func (r *run) restartEngine(ctx context.Context, i int, after time.Duration) {
 	e := r.testbed.Engines[i]
 	if up, _ := e.Up(); up {
--- a/internal/rehearsal/fault_services.go
+++ b/internal/rehearsal/fault_services.go
@@ -10,19 +10,22 @@
 	"cresspass/internal/storage"
 )
 
-// restartDispatcherAfter starts a killed dispatcher again, also where the day ends meanwhile: its connections
-// are judged like all others.
+// restartDispatcherAfter starts a killed dispatcher again after a time, or at once if the day ends before:
+// its connections are judged like all others.
 func (r *run) restartDispatcherAfter(ctx context.Context, d *dispatcher, after time.Duration) {
 	sleep(ctx, after)
 	r.fail(d.startAgain(context.Background()))
 }
 
+// killDispatcher kills one dispatcher, and starts it again after the fault's time.
 func killDispatcher(ctx context.Context, r *run, f Fault) {
 	d := r.dispatchers[f.Dispatcher]
 	d.kill()
 	r.restartDispatcherAfter(ctx, d, f.For)
 }
 
+// killEverySecondDispatcher kills the dispatchers with odd indexes, removes the model state that they have
+// stored, and starts them again after the fault's time.
 func killEverySecondDispatcher(ctx context.Context, r *run, f Fault) {
 	var wg sync.WaitGroup
 	for i, d := range r.dispatchers {
@@ -42,6 +45,7 @@
 	wg.Wait()
 }
 
+// restartDispatchersInTurn stops and starts all dispatchers one after another, spread over the fault's time.
 func restartDispatchersInTurn(ctx context.Context, r *run, f Fault) {
 	for _, d := range r.dispatchers {
 		d.shutDownForRestart()
@@ -50,8 +54,8 @@
 	}
 }
 
-// loseZone crashes a zone's engines and dispatchers. The first dispatcher stays, to serve the clients of
-// those that are down.
+// loseZone crashes the engines and dispatchers of lostZone, and restarts them after the fault's time. The
+// first dispatcher stays up, so that it can serve the clients of those that are down.
 func loseZone(ctx context.Context, r *run, f Fault) {
 	for i := range r.testbed.Engines {
 		if r.day.zone(i) == lostZone {
@@ -74,19 +78,22 @@
 	wg.Wait()
 }
 
+// discoveryUnavailable makes discovery unavailable for the fault's time.
 func discoveryUnavailable(ctx context.Context, r *run, f Fault) {
 	r.testbed.Discovery.SetUnavailable(true)
 	sleep(ctx, f.For)
 	r.testbed.Discovery.SetUnavailable(false)
 }
 
+// discoveryLate delays what discovery sends by the fault's size in seconds.
 func discoveryLate(ctx context.Context, r *run, f Fault) {
 	r.testbed.Discovery.SetDelay(seconds(f.Size))
 	sleep(ctx, f.For)
 	r.testbed.Discovery.SetDelay(0)
 }
 
-// onLoad has a figure of the workload at the fault's size for its time, and at normal otherwise.
+// onLoad returns an injector that sets a parameter of the workload to the fault's size for the fault's time,
+// and then to normal.
 func onLoad(figure func(*workload) *atomic.Uint64, normal float64) injector {
 	return func(ctx context.Context, r *run, f Fault) {
 		v := figure(r.load)
@@ -96,6 +103,7 @@
 	}
 }
 
+// hotDispatcher sends the share size of all arrivals to one dispatcher.
 func hotDispatcher(ctx context.Context, r *run, f Fault) {
 	r.load.hotShare.Store(math.Float64bits(f.Size))
 	r.load.hotDispatcher.Store(int64(f.Dispatcher))
@@ -103,6 +111,8 @@
 	r.load.hotDispatcher.Store(noDispatcher)
 }
 
+// shiftTraffic raises the rate of one class and lowers that of the others. A fault without a class uses the
+// class of the day's first traffic.
 func shiftTraffic(ctx context.Context, r *run, f Fault) {
 	if f.Class == "" {
 		f.Class = r.day.Traffic[0].Class
--- a/internal/rehearsal/flight.go
+++ b/internal/rehearsal/flight.go
@@ -19,17 +19,18 @@
 	"google.golang.org/grpc/status"
 )
 
-// flightClient is a connection of Flight SQL's own client, with a session of its own.
+// flightClient is one connection of Flight SQL's own client, with one session.
 type flightClient struct {
 	client     *flightsql.Client
-	ctx        context.Context // has the session's token
-	tx         *flightsql.Txn
-	statements int
+	ctx        context.Context // carries the session's token
+	tx         *flightsql.Txn  // the open transaction; nil: none
+	statements int             // number of statements so far
 	closed     atomic.Bool
-	busy       sync.Mutex // held during a call: the library must not be closed meanwhile
+	busy       sync.Mutex // held during a call, because the library must not be closed meanwhile
 	netConn    atomic.Pointer[net.Conn]
 }
 
+// newFlight connects to a dispatcher by Flight SQL's own client and opens a session.
 func newFlight(ctx context.Context, addr string) (*flightClient, error) {
 	f := &flightClient{}
 	dial := func(ctx context.Context, addr string) (net.Conn, error) {
@@ -53,7 +54,8 @@
 	return f, nil
 }
 
-// do runs a statement in the call's time. Statements about transactions are calls of their own here.
+// do runs a statement until the caller's context ends. Flight SQL has no statements that begin or end a
+// transaction: they become calls.
 func (f *flightClient) do(ctx context.Context, _ bool, text, _ string) error {
 	f.busy.Lock()
 	defer f.busy.Unlock()
@@ -70,6 +72,7 @@
 	return err
 }
 
+// run runs a statement, every second query as a prepared statement.
 func (f *flightClient) run(ctx context.Context, text string) (err error) {
 	f.statements++
 	switch {
@@ -102,7 +105,7 @@
 		if e != nil {
 			return e
 		}
-		defer func() { _ = p.Close(ctx) }() // a statement ends with its session in any case
+		defer func() { _ = p.Close(ctx) }() // if it fails, the statement ends with the session
 		info, err = p.Execute(ctx)
 	default:
 		info, err = f.client.Execute(ctx, text)
@@ -136,13 +139,14 @@
 
 func (f *flightClient) driver() driver { return driverFlight }
 
-// sqlClient is one connection of the driver for database/sql.
+// sqlClient is one connection of Flight SQL's driver for database/sql.
 type sqlClient struct {
 	db     *sql.DB
 	conn   *sql.Conn
 	closed atomic.Bool
 }
 
+// newSQL connects to a dispatcher by Flight SQL's driver for database/sql.
 func newSQL(ctx context.Context, addr string) (*sqlClient, error) {
 	db, err := sql.Open("flightsql", "flightsql://client:p@"+addr)
 	if err != nil {
@@ -164,6 +168,7 @@
 	return err
 }
 
+// run runs a statement and reads its rows.
 func (p *sqlClient) run(ctx context.Context, text string) error {
 	if strings.HasPrefix(text, "insert") {
 		_, err := p.conn.ExecContext(ctx, text)
@@ -173,7 +178,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = rows.Close() }() // rows.Err has its error
+	defer func() { _ = rows.Close() }() // rows.Err returns the same error
 	for rows.Next() {
 	}
 	return rows.Err()
@@ -189,7 +194,8 @@
 
 func (p *sqlClient) driver() driver { return driverFlightSQL }
 
-// flightSQLState is the SQLSTATE in the details of a status, else its code; "": err is no status.
+// flightSQLState returns the SQLSTATE in the details of a gRPC status, or else the status code; "": err is no
+// status.
 func flightSQLState(err error) string {
 	s, ok := status.FromError(err)
 	if !ok {
@@ -203,7 +209,7 @@
 	return "gRPC " + s.Code().String()
 }
 
-// flightRetryDelay is the time after which a status says to retry; 0: it says none.
+// flightRetryDelay returns the retry delay in the details of a gRPC status; 0: it has none.
 func flightRetryDelay(err error) time.Duration {
 	for _, d := range status.Convert(err).Details() {
 		if r, ok := d.(*errdetails.RetryInfo); ok {
--- a/internal/rehearsal/golden_test.go
+++ b/internal/rehearsal/golden_test.go
@@ -14,7 +14,8 @@
 	"cresspass/internal/rehearsal/rulecheck"
 )
 
-// fill sets every field of a value, and of what it holds, to something that is not zero.
+// fill sets every field of a value, and of the values that it contains, to a non-zero value. next numbers
+// them, so that they differ.
 func fill(t *testing.T, v reflect.Value, next *int) {
 	t.Helper()
 	*next++
@@ -49,12 +50,12 @@
 	case reflect.Float64:
 		v.SetFloat(float64(*next) + 0.5)
 	default:
-		t.Fatalf("no value for %s", v.Type())
+		t.Fatalf("fill has no value for type %s", v.Type())
 	}
 }
 
-// TestGoldenEvidence keeps the form of the evidence that is stored of a day whose rules broke, and judges
-// evidence that an earlier version stored.
+// TestGoldenEvidence checks that the JSON form of stored evidence does not change, and that evidence which an
+// earlier version stored can still be read and checked.
 func TestGoldenEvidence(t *testing.T) {
 	var e evidence
 	next := 0
@@ -84,11 +85,11 @@
 	day, seed, verdicts, err := CheckEvidence(dir)
 	if err != nil || day != e.Day || seed != e.Seed ||
 		!reflect.DeepEqual(verdicts, rulecheck.Check(e.Parameters, e.Log)) {
-		t.Errorf("judged again: day %q, seed %d, %+v, %v", day, seed, verdicts, err)
+		t.Errorf("stored evidence: day %q, seed %d, verdicts %+v, error %v", day, seed, verdicts, err)
 	}
 }
 
-// TestGoldenReport keeps the form of the numbers that are written beside a day's plots.
+// TestGoldenReport checks that the JSON form of a report's data does not change.
 func TestGoldenReport(t *testing.T) {
 	var parts struct {
 		Verdicts []rulecheck.Verdict
--- a/internal/rehearsal/load.go
+++ b/internal/rehearsal/load.go
@@ -23,49 +23,50 @@
 // The outcomes of a request.
 const (
 	Served    Outcome = iota
-	Rejected          // by 53000
+	Rejected          // by SQLSTATE 53000
 	Failed            // by any other error
-	Abandoned         // the client cancelled it or closed the connection
+	Abandoned         // the client gave up: by a cancel, by closing the connection, or before sending
 	outcomeCount
 )
 
 const (
-	noDispatcher      = -1          // as workload.hotDispatcher: all get their part
+	noDispatcher      = -1          // as workload.hotDispatcher: arrivals are spread evenly
 	arrivalStream     = 11          // the random stream of arrivals
-	maxServedMicros   = 120_000_000 // of the histograms of times
-	histogramDigits   = 3
-	heavyTailOneIn    = 20
-	popularTableSkew  = 2 // exponent by which the first table groups are queried more often
+	maxServedMicros   = 120_000_000 // upper end of the latency histograms, in microseconds
+	histogramDigits   = 3           // significant digits of the latency histograms
+	heavyTailOneIn    = 20          // one of so many queries has its work multiplied by heavyTailFactor
+	popularTableSkew  = 2           // exponent by which the first table groups are queried more often
 	defaultRetryDelay = 200 * time.Millisecond
 	abandonGrace      = 2 * time.Second // after the deadline; ends a request that the dispatcher has lost
 )
 
-// workload sends queries at their times, whatever becomes of those before: arrivals never wait for answers.
+// workload sends queries at their arrival times, open loop: an arrival never waits for earlier answers.
 type workload struct {
 	day    *Day
-	addrs  []string // the relay before each dispatcher
+	addrs  []string // of the relay before each dispatcher
 	flight []string // the same for Flight SQL
 	random *rand.Rand
 	idle   []*pool // for each dispatcher
 	start  time.Time
 	work   sync.WaitGroup
 
-	// Figures that faults change, as math.Float64bits.
-	burstFactor     atomic.Uint64 // of all arrivals
-	heavyTailFactor atomic.Uint64 // of the work of one query in heavyTailOneIn
-	abandonShare    atomic.Uint64 // of the clients that give up early
-	hotKeyShare     atomic.Uint64 // of the keyed queries that have the first key
-	hotShare        atomic.Uint64 // of the arrivals that go to hotDispatcher
-	hotDispatcher   atomic.Int64
-	shift           atomic.Pointer[Fault]
+	// Parameters that faults change. Those of type Uint64 hold math.Float64bits.
+	burstFactor     atomic.Uint64         // multiplies the rate of all arrivals
+	heavyTailFactor atomic.Uint64         // multiplies the work of one query in heavyTailOneIn
+	abandonShare    atomic.Uint64         // share of the clients that give up early
+	hotKeyShare     atomic.Uint64         // share of the keyed queries that get the first key
+	hotShare        atomic.Uint64         // share of the arrivals that go to hotDispatcher
+	hotDispatcher   atomic.Int64          // index, or noDispatcher
+	shift           atomic.Pointer[Fault] // the fault of kind "shift" in force; nil: none
 
 	mu          sync.Mutex
-	counts      map[string]*Count
+	counts      map[string]*Count // by the class under which traffic is counted
 	nextID      int
-	errorCounts map[string]int // of errors that were no answer, by SQLSTATE
+	errorCounts map[string]int // failed requests by SQLSTATE, or as sqlState returns it
 	samples     []Sample
 }
 
+// newLoad returns the workload of a day against the dispatchers behind addrs.
 func newLoad(d *Day, seed uint64, addrs []string) *workload {
 	l := &workload{
 		day:         d,
@@ -87,7 +88,7 @@
 	return l
 }
 
-// countedClass is the class under which traffic is counted.
+// countedClass returns the class under which traffic is counted.
 func countedClass(t *Traffic) string {
 	if t.Session {
 		return sessionClass
@@ -95,7 +96,7 @@
 	return t.Class
 }
 
-// arrival is one query that a client will send.
+// arrival is one query, or one session, that a client sends.
 type arrival struct {
 	traffic     *Traffic
 	at          time.Duration
@@ -103,13 +104,13 @@
 	work        float64
 	key         string
 	tables      string
-	simple      bool // by the simple protocol
+	simple      bool // by PostgreSQL's simple protocol
 	driver      driver
-	abandon     time.Duration // the client gives up after this; 0: it does not
-	disconnects bool          // it gives up by closing the connection, not by a cancel
+	abandon     time.Duration // after which the client gives up; 0: it does not
+	disconnects bool          // the client gives up by closing the connection, not by a cancel
 }
 
-// run sends arrivals until the day is over, and waits for their answers.
+// run sends arrivals until the day is over or the context ends, and waits for their answers.
 func (l *workload) run(ctx context.Context, start time.Time) {
 	next := make([]time.Duration, len(l.day.Traffic))
 	for i := range l.day.Traffic {
@@ -150,7 +151,7 @@
 	}
 }
 
-// nextGap draws the time to a class's next arrival.
+// nextGap draws the time until a class's next arrival.
 func (l *workload) nextGap(t *Traffic) time.Duration {
 	if t.Rate <= 0 {
 		return l.day.Length
@@ -164,7 +165,8 @@
 	return time.Duration(l.random.ExpFloat64() / rate * float64(time.Second))
 }
 
-// drawArrival draws a query. The draws keep their order, so that a seed always gives the same day.
+// drawArrival draws a query. The order of the draws must not change, so that a seed always gives the same
+// day.
 func (l *workload) drawArrival(t *Traffic) arrival {
 	r := l.random
 	a := arrival{traffic: t, dispatcher: r.IntN(len(l.addrs)), simple: r.IntN(2) == 0,
@@ -198,7 +200,8 @@
 	return a
 }
 
-// sendWithRetries sends a query, again where it was rejected and the class's clients retry.
+// sendWithRetries sends a query, and sends it again after a rejection as often as the class's clients retry.
+// It stops early if the deadline would pass before the retry.
 func (l *workload) sendWithRetries(ctx context.Context, start time.Time, a arrival) {
 	intended := start.Add(a.at)
 	deadline := intended.Add(l.classDeadline(a.traffic.Class))
@@ -223,6 +226,7 @@
 	}
 }
 
+// classDeadline returns the deadline of a class.
 func (l *workload) classDeadline(class string) (deadline time.Duration) {
 	for _, c := range l.day.Module.Classes {
 		if c.Name == class {
@@ -232,7 +236,8 @@
 	return deadline
 }
 
-// retryDelay is the time after which a rejection of PostgreSQL's protocol says to retry.
+// retryDelay returns the delay that a rejection by PostgreSQL's protocol names in its hint, or
+// defaultRetryDelay.
 func retryDelay(err error) time.Duration {
 	var e *pgconn.PgError
 	if !errors.As(err, &e) || e.Hint == "" {
@@ -245,6 +250,7 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
+// recordOutcome counts the outcome of a request. took is from the intended start to the answer.
 func (l *workload) recordOutcome(a arrival, outcome Outcome, took time.Duration, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -254,7 +260,7 @@
 	c := l.counts[class]
 	c.Requests[outcome]++
 	if outcome == Served {
-		// A time beyond the histogram's range is missing from the percentiles alone; no deadline is that
+		// A time beyond the histogram's range is only missing from the percentiles; no deadline is that
 		// long.
 		_ = c.Times.RecordValue(took.Microseconds())
 	}
@@ -264,11 +270,11 @@
 }
 
 const (
-	stateRejected   = "53000"
+	stateRejected   = "53000"      // SQLSTATE of a rejection
 	stateConnection = "connection" // in place of a SQLSTATE: the error is no answer of the dispatcher
 )
 
-// sqlState is the SQLSTATE of an error, or stateConnection.
+// sqlState returns the SQLSTATE of an error, or else what flightSQLState returns, or stateConnection.
 func sqlState(err error) string {
 	var pgxError *pgconn.PgError
 	var pqError *pq.Error
@@ -284,7 +290,7 @@
 	return stateConnection
 }
 
-// sendOnce sends a query once, and returns what became of it.
+// sendOnce sends a query once, and returns its outcome.
 func (l *workload) sendOnce(ctx context.Context, a arrival, attempt int, deadline time.Time) (
 	Outcome, error) {
 	left := time.Until(deadline)
@@ -329,6 +335,7 @@
 	return Failed, err
 }
 
+// newID returns a new value of the tag id.
 func (l *workload) newID(attempt int) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -336,8 +343,8 @@
 	return fmt.Sprintf("q%d-%d", l.nextID, attempt)
 }
 
-// Load sends queries to dispatchers for a time, open loop, and returns what became of them by class, and the
-// number of failures by code.
+// Load sends queries to the dispatchers at addrs for a time, open loop, and returns the counts of outcomes
+// by class, and the number of failures by SQLSTATE or other code. deadline holds for all classes.
 func Load(ctx context.Context, addrs []string, traffic []Traffic, deadline, length time.Duration,
 	seed uint64) ([]Count, map[string]int) {
 	d := &Day{Traffic: traffic, Length: length}
--- a/internal/rehearsal/newcomers.go
+++ b/internal/rehearsal/newcomers.go
@@ -11,14 +11,15 @@
 	"cresspass/internal/simulation"
 )
 
-// returnArm is a way in which the dispatchers gossip.
+// returnArm is an arm of the comparison: a way in which the dispatchers gossip.
 type returnArm struct{ name, gossip string }
 
-// returnArms are the ways of gossip that are compared.
+// returnArms are the arms that CompareReturns compares.
 var returnArms = []returnArm{{"no talk", gossipOff}, {"cold", gossipCold}, {"newcomers", gossipAsk}}
 
-// CompareReturns plays a day on which dispatchers return, for each way of gossip, and sums up what the
-// clients of those dispatchers got in the times since. Each rule must hold on each day.
+// CompareReturns plays a day on which dispatchers are killed and return, for each arm and seed, and sums up
+// what the clients of those dispatchers got in the time after the return. At most jobs days are played at
+// once. A broken rule on any of the days is an error.
 func CompareReturns(ctx context.Context, d *Day, program []string, first, seeds, jobs int) (
 	*simulation.Comparison, error) {
 	i := slices.IndexFunc(d.Faults, func(f Fault) bool { return f.Kind == faultReturn })
@@ -36,7 +37,7 @@
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, max(jobs, 1))
 	errs := make(chan error, len(returnArms)*seeds)
-	for seed := range seeds { // the arms of one seed side by side: a busy machine then affects all of them
+	for seed := range seeds { // the arms of one seed run together, so that a busy machine affects all of them
 		for a, arm := range returnArms {
 			slots <- struct{}{}
 			wg.Add(1)
@@ -62,7 +63,7 @@
 	return out, nil
 }
 
-// playReturn plays a day with one way of gossip. A rule that broke is an error.
+// playReturn plays a day for one arm. A broken rule is an error.
 func playReturn(ctx context.Context, d *Day, program []string, seed uint64, arm returnArm) (*Result, error) {
 	dir, err := os.MkdirTemp("", "cresspass-rehearse-*")
 	if err != nil {
@@ -79,7 +80,7 @@
 	return r, nil
 }
 
-// simulationEnds are the simulation's terms for outcomes.
+// simulationEnds maps outcomes to those of the simulation.
 var simulationEnds = map[Outcome]simulation.Outcome{
 	Served:    simulation.Served,
 	Rejected:  simulation.Rejected,
@@ -87,8 +88,8 @@
 	Abandoned: simulation.Abandoned,
 }
 
-// AllRequests returns a day's requests in the simulation's terms, their classes numbered in the settings'
-// order; -1: sessions, which are of none.
+// AllRequests returns a day's requests in the simulation's form. Their classes are numbered in the order of
+// the settings; sessions, which are counted under no class of the settings, have -1.
 func (r *Result) AllRequests() (out []simulation.Request) {
 	numbers, objectives := map[string]int{}, map[string]time.Duration{}
 	for i, c := range r.Day.Module.Classes {
@@ -112,7 +113,8 @@
 	return out
 }
 
-// requestsBetween sums up what clients of every second dispatcher got, by when they began.
+// requestsBetween sums up the requests that began between two times, for the clients of the dispatchers with
+// odd indexes: those that the fault "return" kills.
 func (r *Result) requestsBetween(from, to time.Duration) simulation.WindowSummary {
 	all := simulation.Result{Requests: r.AllRequests()}
 	for _, w := range r.EngineSamples {
--- a/internal/rehearsal/parse.go
+++ b/internal/rehearsal/parse.go
@@ -14,7 +14,7 @@
 	"cresspass/internal/config"
 )
 
-// dayFile is a day as written.
+// dayFile is the HCL schema of a day.
 type dayFile struct {
 	Title    string            `hcl:"title"`
 	Length   string            `hcl:"length"`
@@ -70,17 +70,18 @@
 	Class      string  `hcl:"class,optional"`
 }
 
-// baseFile is what several days share: the fleet, the traffic and the settings' name.
+// baseFile is the HCL schema of a base, which several days share: the fleet, the traffic and the name of
+// the settings.
 type baseFile struct {
 	Fleet    *fleetFile    `hcl:"fleet,block"`
 	Traffic  []trafficFile `hcl:"traffic,block"`
 	Settings string        `hcl:"settings"`
 }
 
-// defaultShort is how much shorter --short plays a day that doesn't say so itself.
+// defaultShort is the factor by which --short scales a day that names none.
 const defaultShort = 0.2
 
-// decode decodes HCL. Its errors name the place in the source.
+// decode decodes HCL. Its errors name the position in the source.
 func decode(name string, src []byte, into any) error {
 	parsed, diags := hclparse.NewParser().ParseHCL(src, name)
 	if !diags.HasErrors() {
@@ -92,19 +93,21 @@
 	return nil
 }
 
-// readShared finds a file that several days share, by name.
+// readShared returns the contents of a file that several days share, by the file's name.
 type readShared func(name string) ([]byte, error)
 
-// dayParser gathers the errors of a day, so that all of them are reported together.
+// dayParser collects the errors of a day, so that all of them are reported together.
 type dayParser struct {
 	name string
 	errs []error
 }
 
+// errorf adds an error, with the name of the day's file before it.
 func (p *dayParser) errorf(format string, args ...any) {
 	p.errs = append(p.errs, fmt.Errorf(p.name+".hcl: "+format, args...))
 }
 
+// duration parses a duration, which must not be negative. what names it in the error.
 func (p *dayParser) duration(what, text string) time.Duration {
 	d, err := time.ParseDuration(text)
 	if err != nil || d < 0 {
@@ -113,8 +116,9 @@
 	return d
 }
 
-// ParseDay reads and checks a day. Its base, and settings that are a single word, name files that shared
-// finds.
+// ParseDay parses and checks a day in HCL. The day's base, and its settings if they are one line, are names
+// of files whose contents shared returns. ParseDay reports all errors of the traffic, faults and
+// expectations together.
 func ParseDay(name string, src []byte, shared func(name string) ([]byte, error)) (*Day, error) {
 	f, err := readDayFile(name, src, shared)
 	if err != nil {
@@ -164,7 +168,7 @@
 	return d, errors.Join(p.errs...)
 }
 
-// readDayFile decodes a day together with its base.
+// readDayFile decodes a day and merges its base into it.
 func readDayFile(name string, src []byte, shared readShared) (*dayFile, error) {
 	var f dayFile
 	if err := decode(name+".hcl", src, &f); err != nil {
@@ -187,7 +191,8 @@
 	return &f, nil
 }
 
-// addBase takes from the base what the day does not say itself. Its traffic comes before the day's own.
+// addBase takes the fleet and the settings from the base if the day has none, and puts the base's traffic
+// before the day's own.
 func (f *dayFile) addBase(shared readShared) error {
 	src, err := shared(f.Base)
 	if err != nil {
@@ -207,10 +212,10 @@
 	return nil
 }
 
-// parseSettings reads the dispatchers' settings, with what the day sets otherwise.
+// parseSettings reads the dispatchers' settings, after it has replaced the values that the day's set names.
 func (p *dayParser) parseSettings(d *Day, f *dayFile, shared readShared) error {
 	d.Settings = f.Settings
-	if !strings.Contains(d.Settings, "\n") { // a name, and not the text
+	if !strings.Contains(d.Settings, "\n") { // the name of a file, not its contents
 		src, err := shared(d.Settings)
 		if err != nil {
 			return err
@@ -237,6 +242,7 @@
 	return nil
 }
 
+// parseTraffic checks and converts one traffic block. Threads and rows are at least 1.
 func (p *dayParser) parseTraffic(t trafficFile, classes map[string]bool) Traffic {
 	if !classes[t.Class] {
 		p.errorf("traffic %q: the settings have no such class", t.Class)
@@ -261,6 +267,7 @@
 	}
 }
 
+// parseFault checks and converts the fault with index i. A fault without a size gets its kind's default.
 func (p *dayParser) parseFault(i int, t faultFile, d *Day) Fault {
 	kind, ok := faultKinds[t.Kind]
 	f := Fault{Kind: t.Kind, At: p.duration("at", t.At), Engines: t.Engines, Dispatcher: t.Dispatcher,
--- a/internal/rehearsal/report.go
+++ b/internal/rehearsal/report.go
@@ -17,9 +17,9 @@
 	"cresspass/internal/rehearsal/rulecheck"
 )
 
-// Sample is how one request ended.
+// Sample is the outcome of one request.
 type Sample struct {
-	At      time.Duration `json:"at"` // since the day's start
+	At      time.Duration `json:"at"` // of the outcome, since the day's start
 	Class   string        `json:"class"`
 	Outcome Outcome       `json:"end"`
 	Took    time.Duration `json:"took"` // from the intended start
@@ -29,8 +29,8 @@
 
 // EngineSample is the load of the engines at one time.
 type EngineSample struct {
-	At      time.Duration `json:"at"`
-	Threads []float64     `json:"threads"` // of each engine
+	At      time.Duration `json:"at"`      // since the day's start
+	Threads []float64     `json:"threads"` // in use on each engine
 }
 
 // outcomeNames are the names of outcomes in the plots.
@@ -39,7 +39,8 @@
 // plotInterval is the resolution of the plots.
 const plotInterval = time.Second
 
-// Report writes one HTML page with plots, and the same as JSON, into a folder.
+// Report writes an HTML page with plots and the printed result, and a JSON file with the data, into a folder,
+// which is created if it does not exist.
 func (r *Result) Report(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -75,7 +76,7 @@
 	})
 }
 
-// writeFile creates a file that write fills.
+// writeFile creates a file, and has write write its contents.
 func writeFile(path string, write func(w *bufio.Writer) error) (err error) {
 	f, err := os.Create(path)
 	if err != nil {
@@ -89,7 +90,7 @@
 	return w.Flush()
 }
 
-// newPlot starts a plot over the day's seconds, and returns their number.
+// newPlot returns an empty plot over the day, and its number of points, plotInterval apart.
 func (r *Result) newPlot(title, unit string) (*charts.Line, int) {
 	n := int(r.Day.Length/plotInterval) + 1
 	for _, s := range r.Samples {
@@ -108,7 +109,7 @@
 	return l, n
 }
 
-// faultBands marks the faults.
+// faultBands returns the options that mark the times of the faults in a plot of n points.
 func (r *Result) faultBands(n int) []charts.SeriesOpts {
 	var out []charts.SeriesOpts
 	for _, t := range r.Day.Faults {
@@ -121,6 +122,7 @@
 	return out
 }
 
+// lineData converts values to the points of a line.
 func lineData(v []float64) []opts.LineData {
 	out := make([]opts.LineData, len(v))
 	for i := range v {
@@ -129,7 +131,7 @@
 	return out
 }
 
-// plotOutcomes plots how requests ended, by the second in which they did.
+// plotOutcomes plots the number of requests by outcome, at the second in which they ended.
 func (r *Result) plotOutcomes() *charts.Line {
 	l, n := r.newPlot("Answers by kind", "tries a second")
 	for end, name := range outcomeNames {
@@ -148,7 +150,7 @@
 	return l
 }
 
-// plotQuantiles plots the time to answer of what was served.
+// plotQuantiles plots latency quantiles of the served requests.
 func (r *Result) plotQuantiles() *charts.Line {
 	l, n := r.newPlot("Time to answer, served", "ms")
 	times := make([][]float64, n)
@@ -174,7 +176,7 @@
 	return l
 }
 
-// plotThreads plots what runs in each engine.
+// plotThreads plots the threads in use on each engine.
 func (r *Result) plotThreads() *charts.Line {
 	l, n := r.newPlot("Threads of each engine", "threads")
 	for e := range r.Day.Engines {
--- a/internal/rehearsal/result.go
+++ b/internal/rehearsal/result.go
@@ -17,34 +17,35 @@
 // sessionClass is the class under which sessions are counted.
 const sessionClass = "session"
 
-// Result is the outcome of a day.
+// Result is the result of a day.
 type Result struct {
 	Day           *Day
 	Verdicts      []rulecheck.Verdict
 	Classes       []Count
-	LoggedErrors  map[string]int // failed requests by SQLSTATE
-	Loads         int            // loads with an idempotency key that had their effect
-	RanTwice      []string       // and those that had it twice within their window
-	Violations    []string       // invariants, as the dispatchers logged them
-	Missed        []string       // expectations beyond the rules that were missed
-	Requests      int
-	Attempts      int
+	LoggedErrors  map[string]int // failed requests by SQLSTATE or other code
+	Loads         int            // number of loads with an idempotency key that ran
+	RanTwice      []string       // ids of the loads that ran twice within the deduplication window
+	Violations    []string       // violations of invariants that the dispatchers logged
+	Missed        []string       // expectations of the day, beyond the rules, that were missed
+	Requests      int            // in the log
+	Attempts      int            // in the log
 	Seed          uint64
-	Log           *rulecheck.Log // what the relays saw
+	Log           *rulecheck.Log // the traffic that the relays recorded
 	Samples       []Sample
 	EngineSamples []EngineSample
 	Start         time.Time
 }
 
-// Kept reports whether every rule held, no load had its effect twice, and no dispatcher found a violation.
+// Kept reports whether every rule could be judged and was kept, no load had its effect twice, and no
+// dispatcher logged a violation of an invariant.
 func (r *Result) Kept() bool {
 	return rulecheck.AllKept(r.Verdicts) && len(r.RanTwice) == 0 && len(r.Violations) == 0
 }
 
-// afterKill is the time after a kill whose requests Print sums up.
+// afterKill is the time after a dispatcher's return whose requests Print sums up.
 const afterKill = 10 * time.Second
 
-// Print writes the result as lines.
+// Print writes the result as lines of text.
 func (r *Result) Print(to io.Writer) error {
 	w := bufio.NewWriter(to)
 	fmt.Fprintf(w, "%s: %s\n", r.Day.Name, r.Day.Title)
@@ -74,14 +75,14 @@
 	return w.Flush()
 }
 
-// Count is what became of a class's requests. Times are from the intended start to the answer.
+// Count holds the outcomes of a class's requests. Times are from the intended start to the answer.
 type Count struct {
 	Class    string
 	Requests [outcomeCount]int
 	Times    *hdrhistogram.Histogram // of served ones, in microseconds
 }
 
-// String is the count on one line.
+// String returns the count on one line.
 func (c *Count) String() string {
 	n := 0
 	for _, k := range c.Requests {
@@ -94,14 +95,16 @@
 		c.Requests[Abandoned], ms(50), ms(99))
 }
 
-// Share is the part of a class's requests that were served, of those that did not give up.
+// Share returns the share of a class's requests that were served, from 0 to 1, without those that their
+// clients abandoned.
 func (c *Count) Share() float64 {
 	n := c.Requests[Served] + c.Requests[Rejected] + c.Requests[Failed]
 	return float64(c.Requests[Served]) / math.Max(1, float64(n))
 }
 
-// FirstAttemptsAfter counts what a dispatcher served within a time after it was back from an outage, of all
-// requests to it, and the median time of what was served. n is 0 where no dispatcher had an outage.
+// FirstAttemptsAfter sums up the requests that clients began within a time after their dispatcher was back
+// from an outage, without abandoned ones: the share that was served, the median time of the served ones, and
+// the number of requests n. n is 0 if no dispatcher had an outage.
 func (r *Result) FirstAttemptsAfter(within time.Duration) (share float64, median time.Duration, n int) {
 	var times []time.Duration
 	for _, outage := range r.Log.Outages {
@@ -124,5 +127,5 @@
 	return float64(len(times)) / float64(n), times[len(times)/2], n
 }
 
-// dispatcherName is the name of a dispatcher in the log of the relays.
+// dispatcherName returns the name of a dispatcher in the log of the relays.
 func dispatcherName(index int) string { return "d" + strconv.Itoa(index) }
--- a/internal/rehearsal/run.go
+++ b/internal/rehearsal/run.go
@@ -17,45 +17,46 @@
 // The values of Options.Gossip and Day.Gossip.
 const (
 	gossipOff  = "no"
-	gossipCold = "cold" // a dispatcher that starts has learnt nothing
-	gossipAsk  = "ask"  // a dispatcher that starts asks others for what they have learnt
+	gossipCold = "cold" // dispatchers gossip, but one that starts does not ask the others for their model
+	gossipAsk  = "ask"  // dispatchers gossip, and one that starts asks the others for their model
 )
 
-// validGossip reports whether a word says how dispatchers gossip; "" leaves it to the day, else off.
+// validGossip reports whether v is a value of Options.Gossip or Day.Gossip, or "".
 func validGossip(v string) bool {
 	return slices.Contains([]string{"", gossipOff, gossipCold, gossipAsk}, v)
 }
 
-// Options say how a day is played.
+// Options says how a day is played.
 type Options struct {
 	Seed    uint64
-	Program []string // the dispatcher: a command to which its sub-command and flags are added
-	Policy  string   // a baseline in the module's place; "": the module
-	NoState bool     // dispatchers store nothing but their cached lists
-	// Gossip is how dispatchers gossip, in place of the day's: "no"; "cold", and one that starts has learnt
-	// nothing; "ask", and it asks others for what they have learnt; "": as the day says, else "no".
+	Program []string // the command of a dispatcher, to which a sub-command and flags are added
+	Policy  string   // a baseline policy that replaces the decision module; "": the module
+	NoState bool     // dispatchers store nothing but their cached engine lists
+	// Gossip replaces the day's value: "no": dispatchers do not gossip; "cold": they gossip, but one that
+	// starts does not ask the others for their model; "ask": one that starts asks the others for their model;
+	// "": as the day says, which is "no" if the day says nothing.
 	Gossip  string
-	Mutate  int    // the module without the guard of this rule; 0: all guards
-	Dir     string // for settings, cached lists and the dispatchers' logs
-	Log     *slog.Logger
-	Observe func(Status) // called twice a second; may be nil
+	Mutate  int          // the rule whose guard is removed from the decision module; 0: none
+	Dir     string       // for settings, cached lists, stored state and the dispatchers' logs
+	Log     *slog.Logger // may be nil
+	Observe func(Status) // called every sampleInterval; may be nil
 }
 
-// Status is how a day stands.
+// Status is the state of a day while it is played.
 type Status struct {
 	Day     *Day
-	At      time.Duration
+	At      time.Duration // since the day's start
 	Engines []EngineStatus
-	Up      []bool // of the dispatchers
-	Counts  map[string][outcomeCount]int
-	Faults  []Fault // in force
+	Up      []bool                       // of each dispatcher
+	Counts  map[string][outcomeCount]int // requests by class and outcome
+	Faults  []Fault                      // in force
 }
 
-// EngineStatus is how an engine stands.
+// EngineStatus is the state of an engine while a day is played.
 type EngineStatus struct {
-	Threads, Cores float64
-	Up, Fallen     bool
-	State          string // as the discovery service lists it
+	Threads, Cores float64 // Threads: in use
+	Up, Fallen     bool    // Fallen: the engine went down from overload
+	State          string  // as the discovery service lists it
 }
 
 // run is a day that is being played.
@@ -67,13 +68,13 @@
 	relays        []*rulecheck.Relay // before the engines
 	dispatchers   []*dispatcher
 	load          *workload
-	faultsWork    sync.WaitGroup
+	faultsWork    sync.WaitGroup // faults that are scheduled or in force
 	engineSamples []EngineSample
 	dedupWindow   time.Duration // the longest of any class
 
 	mu           sync.Mutex
 	engineFaults []standin.Faults // in force, for each engine
-	failures     []error
+	failures     []error          // errors that make the result unusable
 }
 
 const (
@@ -81,7 +82,8 @@
 	startTimeout   = 10 * time.Second // for a dispatcher to listen, and for its first engine list
 )
 
-// Play plays a day and checks the rules.
+// Play plays a day and checks the rules. A broken rule is no error: the result says so. An error means that
+// the day could not be played to its end.
 func Play(ctx context.Context, d *Day, o Options) (*Result, error) {
 	if o.Log == nil {
 		o.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -131,7 +133,7 @@
 	}
 }
 
-// sample records how the day stands, and passes it to the observer.
+// sample records the load of the engines, and passes the state of the day to the observer.
 func (r *run) sample(at time.Duration) {
 	status := Status{Day: r.day, At: at, Counts: map[string][outcomeCount]int{}}
 	sample := EngineSample{At: at}
@@ -165,7 +167,7 @@
 	r.options.Observe(status)
 }
 
-// sleep waits; false: the context ended first.
+// sleep waits for a time. It returns false if the context ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -177,7 +179,7 @@
 	}
 }
 
-// tearDown ends all that runs.
+// tearDown stops the dispatchers, relays and stand-ins.
 func (r *run) tearDown() {
 	for _, d := range r.dispatchers {
 		d.stop()
@@ -194,7 +196,7 @@
 	}
 }
 
-// fail records an error that makes the day's result worthless; nil is none.
+// fail records an error that makes the day's result unusable. A nil error is ignored.
 func (r *run) fail(err error) {
 	if err == nil {
 		return
--- a/internal/rehearsal/setup.go
+++ b/internal/rehearsal/setup.go
@@ -18,19 +18,19 @@
 // Parameters of the stand-in engines.
 const (
 	engineSpillCost    = 2.5
-	engineWarmSets     = 4
-	engineWarmSaves    = 0.3
-	jobsPerCore        = 8
+	engineWarmSets     = 4   // data sets in an engine's cache
+	engineWarmSaves    = 0.3 // share of the work that a cached data set saves
+	jobsPerCore        = 8   // limit of an engine's jobs
 	loadReportInterval = 200 * time.Millisecond
 	enginesPerCell     = 2
 )
 
 const (
 	listPollInterval = 10 * time.Millisecond
-	fullListVersion  = 2 // the list of the testbed before the relays is version 1
+	fullListVersion  = 2 // version 1 is the list from before the relays were started
 )
 
-// setUp starts engines, discovery, relays and dispatchers.
+// setUp starts engines, discovery, relays and dispatchers, and creates the workload.
 func (r *run) setUp(ctx context.Context) error {
 	for _, c := range r.day.Module.Classes {
 		r.dedupWindow = max(r.dedupWindow, c.DeduplicationWindow)
@@ -66,6 +66,7 @@
 	return nil
 }
 
+// engineConfigs returns the configuration of each stand-in engine.
 func (r *run) engineConfigs() []standin.EngineConfig {
 	rules := r.day.Module.Rules
 	cfg := make([]standin.EngineConfig, r.day.Engines)
@@ -93,7 +94,7 @@
 	return cfg
 }
 
-// startEngineRelays puts a relay before each engine, and lists the engines by their relays' addresses.
+// startEngineRelays starts a relay before each engine, and lists the engines under their relays' addresses.
 func (r *run) startEngineRelays() error {
 	for i, e := range r.testbed.Engines {
 		relay, err := r.recorder.NewRelay(rulecheck.Engines, "", e.Addr())
@@ -108,9 +109,10 @@
 	return nil
 }
 
-// settingsFile is the settings file of dispatchers that do not gossip.
+// settingsFile returns the path of the settings file for dispatchers that do not gossip.
 func (r *run) settingsFile() string { return filepath.Join(r.options.Dir, "settings.hcl") }
 
+// startDispatchers starts all dispatchers. Those that gossip get a settings file each.
 func (r *run) startDispatchers(ctx context.Context) error {
 	gossip := r.day.Gossip
 	if r.options.Gossip != "" {
@@ -140,7 +142,7 @@
 	return nil
 }
 
-// startDispatcher starts a dispatcher, and the relays before it.
+// startDispatcher starts a dispatcher and the relays before it.
 func (r *run) startDispatcher(ctx context.Context, i int, settings string) error {
 	addr, err := testbed.FreePort()
 	if err != nil {
@@ -172,7 +174,7 @@
 	return err
 }
 
-// dispatcherArgs are the sub-command and the flags of a dispatcher.
+// dispatcherArgs returns the sub-command and the flags of a dispatcher.
 func (r *run) dispatcherArgs(d *dispatcher, settings string) []string {
 	args := []string{"serve"}
 	if r.options.Policy != "" || r.options.Mutate != 0 {
@@ -189,11 +191,12 @@
 	return args
 }
 
+// stateDir returns the folder in which a dispatcher stores its state.
 func (r *run) stateDir(dispatcher int) string {
 	return filepath.Join(r.options.Dir, fmt.Sprintf("state-%d", dispatcher))
 }
 
-// awaitEngineLists waits until every dispatcher has the list with the relays' addresses.
+// awaitEngineLists waits until every dispatcher has acknowledged the list with the relays' addresses.
 func (r *run) awaitEngineLists() error {
 	for begin := time.Now(); ; time.Sleep(listPollInterval) {
 		notifications, _ := r.testbed.Discovery.Notifications()
@@ -213,11 +216,11 @@
 	}
 }
 
-// membershipKey is the key of the dispatchers' gossip, in hexadecimal.
+// membershipKey is the key for the dispatchers' gossip, in hexadecimal.
 var membershipKey = strings.Repeat("5c", 32)
 
-// membershipBlock is the settings block by which a dispatcher gossips, in HCL. The first has no seed, and is
-// the seed of all others.
+// membershipBlock returns the HCL settings block with which a dispatcher gossips. The first dispatcher has no
+// seed address and is the seed of all others.
 func membershipBlock(i int, addr, seedAddr, gossip string) string {
 	seeds, wait := "[]", "0s"
 	if seedAddr != "" {
--- a/internal/rehearsal/statement.go
+++ b/internal/rehearsal/statement.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// tag is what a statement says of itself, in its comment or in its parameter.
+// tag is a name with a value that describes a statement, in the statement's comment or parameter.
 type tag struct{ name, value string }
 
-// runTransaction is a session of its own: a transaction of some statements, the last of which commits. Each
-// statement has an id of its own, and the session's.
+// runTransaction runs a session: one transaction of several statements, the last of which commits. Each
+// statement has an id of its own and the id of the session, and half of the arrival's work.
 func runTransaction(ctx context.Context, c client, a arrival, id string) error {
 	for n, text := range []string{"begin", "insert into t select 1", "select n, value from t", "commit"} {
 		tags := fmt.Sprintf(" /*id='%s-%d',session='%s',class='%s',work_ms='%.3f'*/", id, n, id,
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// statementTags are the tags of a statement.
+// statementTags returns the tags of a statement. left is the time until its deadline.
 func statementTags(a arrival, id string, attempt int, left time.Duration) []tag {
 	out := []tag{{"id", id}, {"class", a.traffic.Class}, {"work_ms", fmt.Sprintf("%.3f", a.work*1000)},
 		{"threads", fmt.Sprint(a.traffic.Threads)}, {"rows", fmt.Sprint(a.traffic.Rows)}}
@@ -48,8 +48,9 @@
 	return out
 }
 
-// statementText is the statement. Prepared ones are alike for all of a class and have the tags in their
-// parameter, except those that the dispatcher must read: these are in a comment.
+// statementText returns the SQL text. A statement of the simple protocol has its tags in a comment. A
+// prepared statement has them in its parameter, so that its text can be the same for all queries of a class;
+// only the tags that the dispatcher must read are in a comment.
 func statementText(a arrival, id string, attempt int, left time.Duration) string {
 	head := "select n, value from t where id = "
 	if a.traffic.Loads || a.traffic.Writes {
@@ -72,7 +73,8 @@
 	return text + "*/"
 }
 
-// parameter is the parameter of a prepared statement: its id, and its tags.
+// parameter returns the parameter of a prepared statement, its id followed by its tags, or "" for the simple
+// protocol.
 func parameter(a arrival, id string, attempt int, left time.Duration) string {
 	if a.simple {
 		return ""
--- a/rehearsals/rehearsals.go
+++ b/rehearsals/rehearsals.go
@@ -1,14 +1,14 @@
-// Package rehearsals holds the days that ship with the program.
+// Package rehearsals embeds the days that ship with the program.
 package rehearsals
 
 import "embed"
 
-// Days are the days as HCL files.
+// Days holds the days as HCL files.
 //
 //go:embed *.hcl
 var Days embed.FS
 
-// Settings are the dispatchers' settings that days name.
+// Settings holds the files in the folder settings that days name: dispatchers' settings and bases.
 //
 //go:embed settings/*.hcl
 var Settings embed.FS
