--- a/internal/rehearsal/client.go
+++ b/internal/rehearsal/client.go
@@ -52,13 +52,13 @@
 	defer cancel()
 	switch a.driver {
 	case driverFlight:
-		return newFlight(connectCtx, l.flight[a.dispatcher])
+		return newFlightClient(connectCtx, l.flight[a.dispatcher])
 	case driverFlightSQL:
-		return newSQL(connectCtx, l.flight[a.dispatcher])
+		return newFlightSQLClient(connectCtx, l.flight[a.dispatcher])
 	}
 	url := "postgres://client@" + l.addrs[a.dispatcher] + "/search?sslmode=disable"
 	if a.driver == driverPq {
-		return newPq(connectCtx, url)
+		return newPqClient(connectCtx, url)
 	}
 	c, err := pgx.Connect(connectCtx, url)
 	if err != nil {
@@ -143,8 +143,8 @@
 	return p.DialContext(ctx, network, address)
 }
 
-// newPq connects to a dispatcher by lib/pq.
-func newPq(ctx context.Context, url string) (*pqClient, error) {
+// newPqClient connects to a dispatcher by lib/pq.
+func newPqClient(ctx context.Context, url string) (*pqClient, error) {
 	connector, err := pq.NewConnector(url)
 	if err != nil {
 		return nil, err
--- a/internal/rehearsal/day_test.go
+++ b/internal/rehearsal/day_test.go
@@ -34,17 +34,17 @@
 			t.Error(err)
 			continue
 		}
-		a, b := d.Drawn(7), d.Drawn(7)
-		if !reflect.DeepEqual(a.Faults, b.Faults) || len(a.Faults) != len(d.Faults)+d.Random ||
-			len(a.Faults) == 0 {
-			t.Errorf("%s: seed 7 draws faults %v, then %v", d.Name, a.Faults, b.Faults)
+		first, second := d.Drawn(7), d.Drawn(7)
+		if !reflect.DeepEqual(first.Faults, second.Faults) || len(first.Faults) != len(d.Faults)+d.Random ||
+			len(first.Faults) == 0 {
+			t.Errorf("%s: seed 7 draws faults %v, then %v", d.Name, first.Faults, second.Faults)
 		}
 		if s := d.Scaled(0.5); s.Length != d.Length/2 || len(s.Faults) != len(d.Faults) {
 			t.Errorf("%s: scaled by 0.5 to length %v, or another number of faults", d.Name, s.Length)
 		}
-		for i, t1 := range d.Faults {
-			for _, t2 := range d.Faults[i+1:] {
-				if t1.At < t2.At+t2.For && t2.At < t1.At+t1.For {
+		for i, fault := range d.Faults {
+			for _, other := range d.Faults[i+1:] {
+				if fault.At < other.At+other.For && other.At < fault.At+fault.For {
 					overlapping++
 				}
 			}
--- a/internal/rehearsal/fairness.go
+++ b/internal/rehearsal/fairness.go
@@ -40,10 +40,10 @@
 `
 
 const (
-	steadyRate    = 25   // queries per second of the steady clients of each protocol
-	floodRate     = 1500 // queries per second of a flood
-	sharePerFront = 0.25 // of the limits, reserved for each protocol
-	noFlood       = -1   // as fairnessPhase.flood: no protocol is flooded
+	steadyRate       = 25   // queries per second of the steady clients of each protocol
+	floodRate        = 1500 // queries per second of a flood
+	sharePerProtocol = 0.25 // of the limits, reserved for each protocol
+	noFlood          = -1   // as fairnessPhase.flood: no protocol is flooded
 )
 
 // FairnessSample is what the steady clients of one protocol got in one phase.
@@ -61,8 +61,8 @@
 func Fairness(ctx context.Context, dir string, seed uint64) (with, without []FairnessSample, err error) {
 	page := components.NewPage()
 	page.SetPageTitle("Fairness of the fronts")
-	for _, share := range []float64{sharePerFront, 0} {
-		samples, chart, err := playFairness(ctx, share, seed)
+	for _, share := range []float64{sharePerProtocol, 0} {
+		samples, chart, err := runFairnessPhases(ctx, share, seed)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -99,7 +99,7 @@
 // fairnessPhase is one phase of the experiment.
 type fairnessPhase struct {
 	name     string
-	flood    int // the protocol that is flooded, as an index into frontNames; noFlood: none
+	flood    int // the protocol that is flooded, as an index into protocolNames; noFlood: none
 	duration time.Duration
 }
 
@@ -111,10 +111,11 @@
 	{"calm at last", noFlood, fairnessCalmPhase},
 }
 
-var frontNames = [2]string{"PostgreSQL", "Flight SQL"}
+var protocolNames = [2]string{"PostgreSQL", "Flight SQL"}
 
-// playFairness plays all phases with a share of the limits reserved for each protocol; 0: no shares.
-func playFairness(ctx context.Context, share float64, seed uint64) ([]FairnessSample, *charts.Line, error) {
+// runFairnessPhases plays all phases with a share of the limits reserved for each protocol; 0: no shares.
+func runFairnessPhases(ctx context.Context, share float64, seed uint64) (
+	[]FairnessSample, *charts.Line, error) {
 	cfg := make([]standin.EngineConfig, 3)
 	for i := range cfg {
 		cfg[i] = standin.EngineConfig{Kind: testbed.EngineKind(8, 4096), Seed: seed}
@@ -137,8 +138,8 @@
 	}
 	var work sync.WaitGroup
 	steady := [2]*workload{
-		fairnessLoad(s, 0, steadyRate, length, seed),
-		fairnessLoad(s, 1, steadyRate, length, seed+1),
+		newFairnessWorkload(s, 0, steadyRate, length, seed),
+		newFairnessWorkload(s, 1, steadyRate, length, seed+1),
 	}
 	start := time.Now()
 	for _, l := range steady {
@@ -153,12 +154,13 @@
 	return fairnessSamples(steady), fairnessChart(title, steady, int(length/time.Second)), ctx.Err()
 }
 
-// fairnessLoad returns the workload of the clients of one protocol, by its index into frontNames.
-func fairnessLoad(s *server.Server, front int, rate float64, length time.Duration, seed uint64) *workload {
+// newFairnessWorkload returns the workload of the clients of one protocol, by its index into protocolNames.
+func newFairnessWorkload(s *server.Server, front int, rate float64, length time.Duration,
+	seed uint64) *workload {
 	d := &Day{Length: length, Flight: float64(front),
 		Traffic: []Traffic{{Class: "lookup", Rate: rate, Work: 0.03, Spread: 0.5, Threads: 1, Rows: 3}}}
 	d.Module.Classes = []cresspass.Class{{Name: "lookup", Deadline: 2 * time.Second}}
-	l := newLoad(d, seed, []string{s.Addr()})
+	l := newWorkload(d, seed, []string{s.Addr()})
 	l.flight, l.start = []string{s.FlightAddr()}, time.Now()
 	return l
 }
@@ -168,7 +170,7 @@
 	begin := start
 	for i, p := range fairnessPhases {
 		if p.flood != noFlood {
-			l := fairnessLoad(s, p.flood, floodRate, p.duration, seed+10+uint64(i))
+			l := newFairnessWorkload(s, p.flood, floodRate, p.duration, seed+10+uint64(i))
 			from := begin
 			work.Go(func() {
 				select {
@@ -188,7 +190,7 @@
 		begin := time.Duration(0)
 		for _, p := range fairnessPhases {
 			sample := l.between(begin, begin+p.duration)
-			sample.Front, sample.Phase = frontNames[front], p.name
+			sample.Front, sample.Phase = protocolNames[front], p.name
 			out = append(out, sample)
 			begin += p.duration
 		}
@@ -213,7 +215,7 @@
 			served := l.between(from, from+time.Second).Served
 			points = append(points, opts.LineData{Value: math.Round(served*1000) / 1000})
 		}
-		chart.AddSeries(frontNames[front], points)
+		chart.AddSeries(protocolNames[front], points)
 	}
 	return chart
 }
--- a/internal/rehearsal/fault.go
+++ b/internal/rehearsal/fault.go
@@ -72,13 +72,13 @@
 	// Dispatchers are shut down and started again, one after another.
 	"roll": {false, 0, restartDispatchersInTurn},
 	// The rate of arrivals is multiplied by size.
-	"burst": {false, 2, onLoad(func(l *workload) *atomic.Uint64 { return &l.burstFactor }, 1)},
+	"burst": {false, 2, onWorkload(func(l *workload) *atomic.Uint64 { return &l.burstFactor }, 1)},
 	// The work of one query in heavyTailOneIn is multiplied by size.
-	"heavy-tail": {false, 12, onLoad(func(l *workload) *atomic.Uint64 { return &l.heavyTailFactor }, 1)},
+	"heavy-tail": {false, 12, onWorkload(func(l *workload) *atomic.Uint64 { return &l.heavyTailFactor }, 1)},
 	// A share of the keyed queries has the same key.
-	"hot-key": {false, 0.7, onLoad(func(l *workload) *atomic.Uint64 { return &l.hotKeyShare }, 0)},
+	"hot-key": {false, 0.7, onWorkload(func(l *workload) *atomic.Uint64 { return &l.hotKeyShare }, 0)},
 	// A share of the clients gives up early, by a cancel or by closing the connection.
-	"give-up": {false, 0.3, onLoad(func(l *workload) *atomic.Uint64 { return &l.abandonShare }, 0)},
+	"give-up": {false, 0.3, onWorkload(func(l *workload) *atomic.Uint64 { return &l.abandonShare }, 0)},
 	// One dispatcher gets a share of all arrivals.
 	"hot": {false, 0.8, hotDispatcher},
 	// The rate of the class's arrivals is multiplied by size, that of the other classes is halved.
@@ -87,15 +87,15 @@
 
 // Timing within faults.
 const (
-	removalDelay     = time.Second            // until discovery lists a crashed engine as removed
-	drainRestart     = 500 * time.Millisecond // from the end of a drained engine to its restart
-	preemptionNotice = 2 * time.Second        // from the notice to the crash
-	crashPoll        = 5 * time.Millisecond   // between checks whether an engine has crashed
-	neighbourPhases  = 8                      // of a fault's time: slow and normal in turn
-	ageingPhases     = 14                     // of a fault's time: ageingSteps up, ageingDownPhases down
-	ageingSteps      = 10                     // phases in which the engine becomes slower
-	ageingDownPhases = 4                      // phases for which the crashed engine is down
-	lostZone         = "a"
+	removalDelay      = time.Second            // until discovery lists a crashed engine as removed
+	drainRestartDelay = 500 * time.Millisecond // from the end of a drained engine to its restart
+	preemptionNotice  = 2 * time.Second        // from the notice to the crash
+	crashPollInterval = 5 * time.Millisecond   // between checks whether an engine has crashed
+	neighbourPhases   = 8                      // of a fault's time: slow and normal in turn
+	ageingPhases      = 14                     // of a fault's time: ageingSteps up, ageingDownPhases down
+	ageingSteps       = 10                     // phases in which the engine becomes slower
+	ageingDownPhases  = 4                      // phases for which the crashed engine is down
+	lostZone          = "a"
 )
 
 // seconds returns a duration of s seconds.
--- a/internal/rehearsal/fault_engines.go
+++ b/internal/rehearsal/fault_engines.go
@@ -101,7 +101,7 @@
 func crashDuringAnswer(ctx context.Context, r *run, f Fault) {
 	forEachEngine(f.Engines, func(i int) {
 		r.setEngineFault(i, func(faults *standin.Faults) { faults.DieAfterRows = int(f.Size) })
-		for up := true; up && sleep(ctx, crashPoll); {
+		for up := true; up && sleep(ctx, crashPollInterval); {
 			up, _ = r.testbed.Engines[i].Up()
 		}
 		if ctx.Err() == nil {
@@ -144,7 +144,7 @@
 	r.listDraining(i)
 	if sleep(ctx, after) {
 		r.testbed.Engines[i].Crash()
-		r.restartEngine(ctx, i, drainRestart)
+		r.restartEngine(ctx, i, drainRestartDelay)
 	}
 }
 
--- a/internal/rehearsal/fault_services.go
+++ b/internal/rehearsal/fault_services.go
@@ -92,9 +92,9 @@
 	r.testbed.Discovery.SetDelay(0)
 }
 
-// onLoad returns an injector that sets a parameter of the workload to the fault's size for the fault's time,
-// and then to normal.
-func onLoad(figure func(*workload) *atomic.Uint64, normal float64) injector {
+// onWorkload returns an injector that sets a parameter of the workload to the fault's size for the fault's
+// time, and then to normal.
+func onWorkload(figure func(*workload) *atomic.Uint64, normal float64) injector {
 	return func(ctx context.Context, r *run, f Fault) {
 		v := figure(r.load)
 		v.Store(math.Float64bits(f.Size))
--- a/internal/rehearsal/flight.go
+++ b/internal/rehearsal/flight.go
@@ -30,8 +30,8 @@
 	netConn    atomic.Pointer[net.Conn]
 }
 
-// newFlight connects to a dispatcher by Flight SQL's own client and opens a session.
-func newFlight(ctx context.Context, addr string) (*flightClient, error) {
+// newFlightClient connects to a dispatcher by Flight SQL's own client and opens a session.
+func newFlightClient(ctx context.Context, addr string) (*flightClient, error) {
 	f := &flightClient{}
 	dial := func(ctx context.Context, addr string) (net.Conn, error) {
 		nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
@@ -45,12 +45,12 @@
 	if err != nil {
 		return nil, err
 	}
-	with, err := c.Client.AuthenticateBasicToken(ctx, "client", "")
+	sessionCtx, err := c.Client.AuthenticateBasicToken(ctx, "client", "")
 	if err != nil {
 		_ = c.Close() // the error before it is the result
 		return nil, err
 	}
-	f.client, f.ctx = c, context.WithoutCancel(with)
+	f.client, f.ctx = c, context.WithoutCancel(sessionCtx)
 	return f, nil
 }
 
@@ -59,13 +59,13 @@
 func (f *flightClient) do(ctx context.Context, _ bool, text, _ string) error {
 	f.busy.Lock()
 	defer f.busy.Unlock()
-	in, cancel := context.WithCancel(f.ctx)
+	callCtx, cancel := context.WithCancel(f.ctx)
 	if at, ok := ctx.Deadline(); ok {
-		in, cancel = context.WithDeadline(f.ctx, at)
+		callCtx, cancel = context.WithDeadline(f.ctx, at)
 	}
 	defer cancel()
 	defer context.AfterFunc(ctx, cancel)()
-	err := f.run(in, text)
+	err := f.run(callCtx, text)
 	if c := status.Code(err); c == codes.Unauthenticated || c == codes.Unavailable {
 		f.closed.Store(true)
 	}
@@ -139,15 +139,15 @@
 
 func (f *flightClient) driver() driver { return driverFlight }
 
-// sqlClient is one connection of Flight SQL's driver for database/sql.
-type sqlClient struct {
+// flightSQLClient is one connection of Flight SQL's driver for database/sql.
+type flightSQLClient struct {
 	db     *sql.DB
 	conn   *sql.Conn
 	closed atomic.Bool
 }
 
-// newSQL connects to a dispatcher by Flight SQL's driver for database/sql.
-func newSQL(ctx context.Context, addr string) (*sqlClient, error) {
+// newFlightSQLClient connects to a dispatcher by Flight SQL's driver for database/sql.
+func newFlightSQLClient(ctx context.Context, addr string) (*flightSQLClient, error) {
 	db, err := sql.Open("flightsql", "flightsql://client:p@"+addr)
 	if err != nil {
 		return nil, err
@@ -157,10 +157,10 @@
 		_ = db.Close() // it holds no connection
 		return nil, err
 	}
-	return &sqlClient{db: db, conn: c}, nil
+	return &flightSQLClient{db: db, conn: c}, nil
 }
 
-func (p *sqlClient) do(ctx context.Context, _ bool, text, _ string) error {
+func (p *flightSQLClient) do(ctx context.Context, _ bool, text, _ string) error {
 	err := p.run(ctx, text)
 	if c := status.Code(err); c == codes.Unauthenticated || c == codes.Unavailable {
 		p.closed.Store(true)
@@ -169,7 +169,7 @@
 }
 
 // run runs a statement and reads its rows.
-func (p *sqlClient) run(ctx context.Context, text string) error {
+func (p *flightSQLClient) run(ctx context.Context, text string) error {
 	if strings.HasPrefix(text, "insert") {
 		_, err := p.conn.ExecContext(ctx, text)
 		return err
@@ -184,15 +184,15 @@
 	return rows.Err()
 }
 
-func (p *sqlClient) close(bool) {
+func (p *flightSQLClient) close(bool) {
 	p.closed.Store(true)
 	_ = p.conn.Close() // the connection is given up in any case
 	_ = p.db.Close()
 }
 
-func (p *sqlClient) broken() bool { return p.closed.Load() }
+func (p *flightSQLClient) broken() bool { return p.closed.Load() }
 
-func (p *sqlClient) driver() driver { return driverFlightSQL }
+func (p *flightSQLClient) driver() driver { return driverFlightSQL }
 
 // flightSQLState returns the SQLSTATE in the details of a gRPC status, or else the status code; "": err is no
 // status.
--- a/internal/rehearsal/golden_test.go
+++ b/internal/rehearsal/golden_test.go
@@ -14,9 +14,9 @@
 	"cresspass/internal/rehearsal/rulecheck"
 )
 
-// fill sets every field of a value, and of the values that it contains, to a non-zero value. next numbers
-// them, so that they differ.
-func fill(t *testing.T, v reflect.Value, next *int) {
+// fillNonZero sets every field of a value, and of the values that it contains, to a non-zero value. next
+// numbers them, so that they differ.
+func fillNonZero(t *testing.T, v reflect.Value, next *int) {
 	t.Helper()
 	*next++
 	if at, ok := v.Addr().Interface().(*time.Time); ok {
@@ -26,17 +26,17 @@
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(t, v.Field(i), next)
+			fillNonZero(t, v.Field(i), next)
 		}
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(t, v.Elem(), next)
+		fillNonZero(t, v.Elem(), next)
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		fill(t, v.Index(0), next)
+		fillNonZero(t, v.Index(0), next)
 	case reflect.Map:
 		value := reflect.New(v.Type().Elem()).Elem()
-		fill(t, value, next)
+		fillNonZero(t, value, next)
 		v.Set(reflect.MakeMap(v.Type()))
 		v.SetMapIndex(reflect.ValueOf("key"), value)
 	case reflect.String:
@@ -59,7 +59,7 @@
 func TestGoldenEvidence(t *testing.T) {
 	var e evidence
 	next := 0
-	fill(t, reflect.ValueOf(&e).Elem(), &next)
+	fillNonZero(t, reflect.ValueOf(&e).Elem(), &next)
 	text, err := json.MarshalIndent(e, "", " ")
 	if err != nil {
 		t.Fatal(err)
@@ -98,7 +98,7 @@
 		Watches  []EngineSample
 	}
 	next := 0
-	fill(t, reflect.ValueOf(&parts).Elem(), &next)
+	fillNonZero(t, reflect.ValueOf(&parts).Elem(), &next)
 	text, err := json.MarshalIndent(parts, "", " ")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/rehearsal/load.go
+++ b/internal/rehearsal/load.go
@@ -66,8 +66,8 @@
 	samples     []Sample
 }
 
-// newLoad returns the workload of a day against the dispatchers behind addrs.
-func newLoad(d *Day, seed uint64, addrs []string) *workload {
+// newWorkload returns the workload of a day against the dispatchers behind addrs.
+func newWorkload(d *Day, seed uint64, addrs []string) *workload {
 	l := &workload{
 		day:         d,
 		addrs:       addrs,
@@ -351,7 +351,7 @@
 	for _, t := range traffic {
 		d.Module.Classes = append(d.Module.Classes, cresspass.Class{Name: t.Class, Deadline: deadline})
 	}
-	l := newLoad(d, seed, addrs)
+	l := newWorkload(d, seed, addrs)
 	l.start = time.Now()
 	l.run(ctx, l.start)
 	var out []Count
--- a/internal/rehearsal/newcomers.go
+++ b/internal/rehearsal/newcomers.go
@@ -80,8 +80,8 @@
 	return r, nil
 }
 
-// simulationEnds maps outcomes to those of the simulation.
-var simulationEnds = map[Outcome]simulation.Outcome{
+// simulationOutcomes maps outcomes to those of the simulation.
+var simulationOutcomes = map[Outcome]simulation.Outcome{
 	Served:    simulation.Served,
 	Rejected:  simulation.Rejected,
 	Failed:    simulation.Failed,
@@ -106,7 +106,7 @@
 			Dispatcher: v.Dispatcher,
 			At:         v.At - v.Took,
 			Elapsed:    v.Took,
-			Outcome:    simulationEnds[v.Outcome],
+			Outcome:    simulationOutcomes[v.Outcome],
 			Late:       objective > 0 && v.Took > objective,
 		})
 	}
--- a/internal/rehearsal/parse.go
+++ b/internal/rehearsal/parse.go
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// readShared returns the contents of a file that several days share, by the file's name.
-type readShared func(name string) ([]byte, error)
+// sharedReader returns the contents of a file that several days share, by the file's name.
+type sharedReader func(name string) ([]byte, error)
 
 // dayParser collects the errors of a day, so that all of them are reported together.
 type dayParser struct {
@@ -169,7 +169,7 @@
 }
 
 // readDayFile decodes a day and merges its base into it.
-func readDayFile(name string, src []byte, shared readShared) (*dayFile, error) {
+func readDayFile(name string, src []byte, shared sharedReader) (*dayFile, error) {
 	var f dayFile
 	if err := decode(name+".hcl", src, &f); err != nil {
 		return nil, err
@@ -193,7 +193,7 @@
 
 // addBase takes the fleet and the settings from the base if the day has none, and puts the base's traffic
 // before the day's own.
-func (f *dayFile) addBase(shared readShared) error {
+func (f *dayFile) addBase(shared sharedReader) error {
 	src, err := shared(f.Base)
 	if err != nil {
 		return err
@@ -213,7 +213,7 @@
 }
 
 // parseSettings reads the dispatchers' settings, after it has replaced the values that the day's set names.
-func (p *dayParser) parseSettings(d *Day, f *dayFile, shared readShared) error {
+func (p *dayParser) parseSettings(d *Day, f *dayFile, shared sharedReader) error {
 	d.Settings = f.Settings
 	if !strings.Contains(d.Settings, "\n") { // the name of a file, not its contents
 		src, err := shared(d.Settings)
--- a/internal/rehearsal/rulecheck/checker.go
+++ b/internal/rehearsal/rulecheck/checker.go
@@ -161,9 +161,9 @@
 	return c
 }
 
-// timeOfDay formats a time as the seconds since the log's first request, or as a clock time if the log has
+// formatTime formats a time as the seconds since the log's first request, or as a clock time if the log has
 // no request.
-func (c *checker) timeOfDay(t time.Time) string {
+func (c *checker) formatTime(t time.Time) string {
 	if len(c.log.Requests) == 0 {
 		return t.Format("15:04:05.000")
 	}
--- a/internal/rehearsal/rulecheck/checker_test.go
+++ b/internal/rehearsal/rulecheck/checker_test.go
@@ -60,9 +60,9 @@
 
 // validLog returns traffic that keeps every rule.
 func validLog() *Log {
-	on := map[string]Endpoint{"e1": {Zone: "a", Cores: 4}, "e2": {Zone: "b", Cores: 4, Started: at(0)}}
+	engines := map[string]Endpoint{"e1": {Zone: "a", Cores: 4}, "e2": {Zone: "b", Cores: 4, Started: at(0)}}
 	return &Log{
-		Notifications: []Notification{{At: at(-1000), Dispatcher: "d0", Engines: on}},
+		Notifications: []Notification{{At: at(-1000), Dispatcher: "d0", Engines: engines}},
 		Requests: []*Request{
 			testRequest("l1", "lookup", "", 0, 300, ""),
 			testRequest("w1", "write", "", 0, 300, "08007"),
--- a/internal/rehearsal/rulecheck/flightsql.go
+++ b/internal/rehearsal/rulecheck/flightsql.go
@@ -63,7 +63,8 @@
 	ended   bool            // no more requests come
 }
 
-// decodeGRPC decodes both directions of a connection to a dispatcher's address for Flight SQL.
+// decodeGRPC decodes both directions of a connection to a dispatcher's address for Flight SQL: up has the
+// bytes to the dispatcher, down those to the client.
 func (rec *Recorder) decodeGRPC(name string, up, down *tap) {
 	c := &grpcConn{recorder: rec, name: name, streams: map[uint32]*rpc{}, up: up}
 	c.changed = sync.NewCond(&c.mu)
@@ -263,7 +264,7 @@
 	switch frame := frame.(type) {
 	case *http2.MetaHeadersFrame:
 		if frame.StreamEnded() {
-			c.recordFinal(call, sqlStateOf(frame), at)
+			c.recordFinal(call, trailerSQLState(frame), at)
 		}
 	case *http2.DataFrame:
 		c.handleData(call, frame.Data())
@@ -341,9 +342,9 @@
 	}
 }
 
-// sqlStateOf returns the SQLSTATE in the details of a call's trailers, or else the gRPC code; "": the query
-// was served.
-func sqlStateOf(h *http2.MetaHeadersFrame) string {
+// trailerSQLState returns the SQLSTATE in the details of a call's trailers, or else the gRPC code; "": the
+// query was served.
+func trailerSQLState(h *http2.MetaHeadersFrame) string {
 	code, details := "", ""
 	for _, f := range h.Fields {
 		switch f.Name {
--- a/internal/rehearsal/rulecheck/postgres.go
+++ b/internal/rehearsal/rulecheck/postgres.go
@@ -31,8 +31,8 @@
 // portal is a statement with its first parameter.
 type portal struct{ text, firstParameter string }
 
-// stream decodes one connection of PostgreSQL's protocol. Two goroutines decode its two directions.
-type stream struct {
+// postgresConn decodes one connection of PostgreSQL's protocol. Two goroutines decode its two directions.
+type postgresConn struct {
 	recorder   *Recorder
 	side       Side
 	name, user string
@@ -47,9 +47,10 @@
 	failed      bool           // an error in the extended protocol was answered before its Sync was decoded
 }
 
-// decodePostgreSQL decodes both directions of a connection. A request is handled before its answer.
+// decodePostgreSQL decodes both directions of a connection: up has the bytes to the server, down those to the
+// client. A request is handled before its answer.
 func (rec *Recorder) decodePostgreSQL(side Side, name string, up, down *tap) {
-	s := &stream{recorder: rec, side: side, name: name, statements: map[string]string{},
+	s := &postgresConn{recorder: rec, side: side, name: name, statements: map[string]string{},
 		portals: map[string]portal{}}
 	s.decoded = sync.NewCond(&s.mu)
 	up.onWait = func() {
@@ -64,7 +65,7 @@
 		return
 	}
 	to := pgproto3.NewFrontend(down, io.Discard)
-	if !s.readWelcome(to, down) {
+	if !s.readStartupAnswer(to, down) {
 		up.discard()
 		return
 	}
@@ -81,7 +82,7 @@
 
 // readStartup reads up to the StartupMessage. It returns false if no statements follow: on a cancel request,
 // and if the stream ended.
-func (s *stream) readStartup(from *pgproto3.Backend, up, down *tap) bool {
+func (s *postgresConn) readStartup(from *pgproto3.Backend, up, down *tap) bool {
 	for {
 		m, err := from.ReceiveStartupMessage()
 		if err != nil {
@@ -102,9 +103,9 @@
 	}
 }
 
-// readWelcome reads the answer to the StartupMessage. It runs before any request is decoded, because the
-// ReadyForQuery of this answer belongs to no request.
-func (s *stream) readWelcome(to *pgproto3.Frontend, down *tap) bool {
+// readStartupAnswer reads the answer to the StartupMessage. It runs before any request is decoded, because
+// the ReadyForQuery of this answer belongs to no request.
+func (s *postgresConn) readStartupAnswer(to *pgproto3.Frontend, down *tap) bool {
 	for {
 		m, err := to.Receive()
 		if err != nil {
@@ -118,7 +119,7 @@
 }
 
 // readRequests handles the client's messages until the direction ends.
-func (s *stream) readRequests(from *pgproto3.Backend, up *tap) {
+func (s *postgresConn) readRequests(from *pgproto3.Backend, up *tap) {
 	for {
 		m, err := from.Receive()
 		s.mu.Lock()
@@ -139,7 +140,7 @@
 }
 
 // readAnswers handles the server's messages until the direction ends.
-func (s *stream) readAnswers(to *pgproto3.Frontend, up, down *tap) {
+func (s *postgresConn) readAnswers(to *pgproto3.Frontend, up, down *tap) {
 	for {
 		m, err := to.Receive()
 		s.mu.Lock()
@@ -161,7 +162,7 @@
 // awaitRequest waits until a request is pending, as the decoder of the requests may lag. A request is
 // recorded before its answer: once that decoder has handled all bytes that arrived, no request will come for
 // this answer. The caller holds s.mu.
-func (s *stream) awaitRequest(up *tap) {
+func (s *postgresConn) awaitRequest(up *tap) {
 	for len(s.pending) == 0 && !s.stopWaiting && !up.drained() {
 		s.decoded.Wait()
 	}
@@ -181,7 +182,7 @@
 
 // handleRequest records a message of the client. The server skips the messages between an error and Sync.
 // The error may have been decoded before them, so that they are marked as skipped here.
-func (s *stream) handleRequest(m pgproto3.FrontendMessage, at time.Time) {
+func (s *postgresConn) handleRequest(m pgproto3.FrontendMessage, at time.Time) {
 	if _, isSync := m.(*pgproto3.Sync); !s.failed || isSync {
 		s.failed = false
 		s.addPending(m, at)
@@ -196,7 +197,7 @@
 }
 
 // addPending appends a message of the client to those for which an answer is pending.
-func (s *stream) addPending(m pgproto3.FrontendMessage, at time.Time) {
+func (s *postgresConn) addPending(m pgproto3.FrontendMessage, at time.Time) {
 	switch m := m.(type) {
 	case *pgproto3.Query:
 		s.addQuery(replyToQuery, portal{text: m.String}, at)
@@ -222,7 +223,7 @@
 }
 
 // addQuery records a query as a request or an attempt, if it has the tags id and class.
-func (s *stream) addQuery(kind replyKind, p portal, at time.Time) {
+func (s *postgresConn) addQuery(kind replyKind, p portal, at time.Time) {
 	reply := pendingReply{kind: kind}
 	tags := statementTags(p.text, p.firstParameter)
 	if tags["id"] != "" && tags["class"] != "" {
@@ -231,7 +232,7 @@
 			s.recorder.addRequest(reply.request)
 		} else {
 			reply.attempt = &Attempt{ID: tags["id"], Class: tags["class"], Key: tags["key"], Engine: s.name,
-				Dispatcher: s.user, At: at, PID: s.pid, Work: number(tags["work_ms"]) / 1000,
+				Dispatcher: s.user, At: at, PID: s.pid, Work: numericTag(tags["work_ms"]) / 1000,
 				Session: tags["session"]}
 			s.recorder.addAttempt(reply.attempt)
 		}
@@ -240,7 +241,7 @@
 }
 
 // handleAnswer records a message of the server for the request that it answers.
-func (s *stream) handleAnswer(m pgproto3.BackendMessage, at time.Time) {
+func (s *postgresConn) handleAnswer(m pgproto3.BackendMessage, at time.Time) {
 	rec := s.recorder
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
@@ -275,7 +276,7 @@
 }
 
 // handleRow counts a row of the query that is being answered.
-func (s *stream) handleRow() {
+func (s *postgresConn) handleRow() {
 	p := s.nextPending()
 	switch {
 	case p != nil && p.request != nil:
@@ -290,7 +291,7 @@
 
 // handleError ends the query that is being answered. In the extended protocol the server skips the messages
 // that follow up to Sync, and does not answer them.
-func (s *stream) handleError(code string, at time.Time) {
+func (s *postgresConn) handleError(code string, at time.Time) {
 	p := s.nextPending()
 	if p == nil {
 		return // the error concerns the connection as a whole
@@ -307,7 +308,7 @@
 }
 
 // handleReady ends the Sync or simple query that is being answered.
-func (s *stream) handleReady() {
+func (s *postgresConn) handleReady() {
 	if len(s.pending) == 0 || s.pending[0].kind != replyToSync && s.pending[0].kind != replyToQuery {
 		return
 	}
@@ -327,7 +328,7 @@
 }
 
 // nextPending returns the message that the server now answers; nil: there is none.
-func (s *stream) nextPending() *pendingReply {
+func (s *postgresConn) nextPending() *pendingReply {
 	s.popAll(replyToDescribe) // those that got no RowDescription or NoData
 	if len(s.pending) == 0 {
 		return nil
@@ -336,14 +337,14 @@
 }
 
 // pop removes the first pending message if it is of a kind.
-func (s *stream) pop(kind replyKind) {
+func (s *postgresConn) pop(kind replyKind) {
 	if len(s.pending) > 0 && s.pending[0].kind == kind {
 		s.pending = s.pending[1:]
 	}
 }
 
 // popAll removes the pending messages of a kind that come first.
-func (s *stream) popAll(kind replyKind) {
+func (s *postgresConn) popAll(kind replyKind) {
 	for len(s.pending) > 0 && s.pending[0].kind == kind {
 		s.pending = s.pending[1:]
 	}
@@ -361,7 +362,7 @@
 }
 
 // recordConnectionEnd records the end of the connection for the queries that were still pending.
-func (s *stream) recordConnectionEnd(down, up *tap) {
+func (s *postgresConn) recordConnectionEnd(down, up *tap) {
 	s.recorder.mu.Lock()
 	defer s.recorder.mu.Unlock()
 	for _, p := range s.pending {
--- a/internal/rehearsal/rulecheck/rule_answers.go
+++ b/internal/rehearsal/rulecheck/rule_answers.go
@@ -47,11 +47,11 @@
 		v.addViolation("%s %s: %d final answers, %d messages out of place", r.Class, r.ID, r.FinalCount,
 			r.MessagesAfterFinal)
 	case r.FinalCount == 0 && r.ConnectionEnded.IsZero():
-		v.addViolation("%s %s at %s got no answer", r.Class, r.ID, c.timeOfDay(r.At))
+		v.addViolation("%s %s at %s got no answer", r.Class, r.ID, c.formatTime(r.At))
 		return time.Time{}, false
 	case r.FinalCount == 0 && r.ServerClosed && !c.dispatcherWasDown(r):
 		v.addViolation("%s %s: dispatcher %s closed its connection at %s without an answer", r.Class, r.ID,
-			r.Dispatcher, c.timeOfDay(r.ConnectionEnded))
+			r.Dispatcher, c.formatTime(r.ConnectionEnded))
 		return time.Time{}, false
 	case r.FinalCount == 0: // the client closed the connection, or the dispatcher was down
 		return r.ConnectionEnded, true
@@ -65,14 +65,14 @@
 // whichever is shorter.
 func (c *checker) deadline(r *Request) time.Time {
 	d := c.parameters.Classes[r.Class].Deadline
-	if ms := number(r.Tags["wait_ms"]); ms > 0 {
+	if ms := numericTag(r.Tags["wait_ms"]); ms > 0 {
 		d = min(d, time.Duration(ms*float64(time.Millisecond)))
 	}
 	return r.At.Add(d)
 }
 
-// number returns the value of a numeric tag; 0: the tag is missing or is no number.
-func number(s string) float64 {
+// numericTag returns the value of a numeric tag; 0: the tag is missing or is no number.
+func numericTag(s string) float64 {
 	v, _ := strconv.ParseFloat(s, 64)
 	return v
 }
--- a/internal/rehearsal/rulecheck/rule_order.go
+++ b/internal/rehearsal/rulecheck/rule_order.go
@@ -60,7 +60,7 @@
 		if !before.At.Before(a.At) {
 			continue
 		}
-		ended, uncertain := before.knownEnd()
+		ended, uncertain := before.endOrCancel()
 		switch {
 		case ended.IsZero() || skewed.Before(ended):
 			v.addViolation("key %s: %s sent to %s while an attempt of %s at %s had no outcome", later.Key,
@@ -72,9 +72,9 @@
 	}
 }
 
-// knownEnd returns when an attempt ended or was cancelled, and whether the engine may still run it after
+// endOrCancel returns when an attempt ended or was cancelled, and whether the engine may still run it after
 // that time.
-func (a *Attempt) knownEnd() (ended time.Time, uncertain bool) {
+func (a *Attempt) endOrCancel() (ended time.Time, uncertain bool) {
 	if !a.Cancel.IsZero() && (a.End.IsZero() || a.Cancel.Before(a.End)) {
 		return a.Cancel, true
 	}
--- a/internal/rehearsal/rulecheck/rule_retry_budget.go
+++ b/internal/rehearsal/rulecheck/rule_retry_budget.go
@@ -29,7 +29,7 @@
 			retried, allowed := c.retriesWithinWindow(times[:i+1], requests[dispatcher])
 			if float64(retried) > allowed {
 				v.addViolation("dispatcher %s at %s: %d further attempts within %v, %.1f allowed", dispatcher,
-					c.timeOfDay(at), retried, c.parameters.RetryBudgetWindow, allowed)
+					c.formatTime(at), retried, c.parameters.RetryBudgetWindow, allowed)
 			}
 		}
 	}
--- a/internal/rehearsal/setup.go
+++ b/internal/rehearsal/setup.go
@@ -17,12 +17,12 @@
 
 // Parameters of the stand-in engines.
 const (
-	engineSpillCost    = 2.5
-	engineWarmSets     = 4   // data sets in an engine's cache
-	engineWarmSaves    = 0.3 // share of the work that a cached data set saves
-	jobsPerCore        = 8   // limit of an engine's jobs
-	loadReportInterval = 200 * time.Millisecond
-	enginesPerCell     = 2
+	engineSpillCost      = 2.5
+	engineCachedDataSets = 4   // data sets in an engine's cache
+	engineCacheSaving    = 0.3 // share of the work that a cached data set saves
+	jobsPerCore          = 8   // limit of an engine's jobs
+	loadReportInterval   = 200 * time.Millisecond
+	enginesPerCell       = 2
 )
 
 const (
@@ -61,7 +61,7 @@
 			flightAddrs = append(flightAddrs, d.flightRelay.Addr())
 		}
 	}
-	r.load = newLoad(r.day, r.options.Seed, addrs)
+	r.load = newWorkload(r.day, r.options.Seed, addrs)
 	r.load.flight = flightAddrs
 	return nil
 }
@@ -77,8 +77,8 @@
 				Cores:                   cores,
 				MemoryMB:                r.day.MemoryMB,
 				SpillCost:               engineSpillCost,
-				CachedDataSets:          engineWarmSets,
-				CacheSaving:             engineWarmSaves,
+				CachedDataSets:          engineCachedDataSets,
+				CacheSaving:             engineCacheSaving,
 				SlowStartFrom:           rules.SlowStartFrom,
 				SlowStartDuration:       rules.SlowStartDuration,
 				SlowStartOverloadFactor: rules.SlowStartOverloadFactor,
