--- a/cmd/cresspass/rehearse_compare.go
+++ b/cmd/cresspass/rehearse_compare.go
@@ -68,7 +68,7 @@
 	fmt.Printf("%-12s %-20s %22s %22s\n", "calm clients", "stretch", "with shares", "without")
 	for i, a := range with {
 		b := without[i]
-		fmt.Printf("%-12s %-20s %6.1f%% of %4d, %5d ms %6.1f%% of %4d, %5d ms\n", a.Front, a.Phase,
+		fmt.Printf("%-12s %-20s %6.1f%% of %4d, %5d ms %6.1f%% of %4d, %5d ms\n", a.Protocol, a.Phase,
 			a.Served*100, a.Requests, a.P99.Milliseconds(),
 			b.Served*100, b.Requests, b.P99.Milliseconds())
 	}
--- a/internal/rehearsal/fairness.go
+++ b/internal/rehearsal/fairness.go
@@ -48,7 +48,7 @@
 
 // FairnessSample is what the steady clients of one protocol got in one phase.
 type FairnessSample struct {
-	Front    string
+	Protocol string
 	Phase    string
 	Requests int
 	Served   float64       // share of the requests
@@ -155,9 +155,9 @@
 }
 
 // newFairnessWorkload returns the workload of the clients of one protocol, by its index into protocolNames.
-func newFairnessWorkload(s *server.Server, front int, rate float64, length time.Duration,
+func newFairnessWorkload(s *server.Server, protocol int, rate float64, length time.Duration,
 	seed uint64) *workload {
-	d := &Day{Length: length, Flight: float64(front),
+	d := &Day{Length: length, Flight: float64(protocol),
 		Traffic: []Traffic{{Class: "lookup", Rate: rate, Work: 0.03, Spread: 0.5, Threads: 1, Rows: 3}}}
 	d.Module.Classes = []cresspass.Class{{Name: "lookup", Deadline: 2 * time.Second}}
 	l := newWorkload(d, seed, []string{s.Addr()})
@@ -186,11 +186,11 @@
 
 // fairnessSamples returns what the steady clients got, by protocol and phase.
 func fairnessSamples(steady [2]*workload) (out []FairnessSample) {
-	for front, l := range steady {
+	for protocol, l := range steady {
 		begin := time.Duration(0)
 		for _, p := range fairnessPhases {
 			sample := l.between(begin, begin+p.duration)
-			sample.Front, sample.Phase = protocolNames[front], p.name
+			sample.Protocol, sample.Phase = protocolNames[protocol], p.name
 			out = append(out, sample)
 			begin += p.duration
 		}
@@ -208,14 +208,14 @@
 		axis = append(axis, i)
 	}
 	chart.SetXAxis(axis)
-	for front, l := range steady {
+	for protocol, l := range steady {
 		var points []opts.LineData
 		for i := range seconds {
 			from := time.Duration(i) * time.Second
 			served := l.between(from, from+time.Second).Served
 			points = append(points, opts.LineData{Value: math.Round(served*1000) / 1000})
 		}
-		chart.AddSeries(protocolNames[front], points)
+		chart.AddSeries(protocolNames[protocol], points)
 	}
 	return chart
 }
