--- a/internal/rehearsal/golden_test.go
+++ b/internal/rehearsal/golden_test.go
@@ -50,7 +50,7 @@
 	case reflect.Float64:
 		v.SetFloat(float64(*next) + 0.5)
 	default:
-		t.Fatalf("fill has no value for type %s", v.Type())
+		t.Fatalf("fillNonZero has no value for type %s", v.Type())
 	}
 }
 
--- a/internal/rehearsal/run.go
+++ b/internal/rehearsal/run.go
@@ -17,8 +17,8 @@
 // The values of Options.Gossip and Day.Gossip.
 const (
 	gossipOff  = "no"
-	gossipCold = "cold" // dispatchers gossip, but one that starts does not ask the others for their model
-	gossipAsk  = "ask"  // dispatchers gossip, and one that starts asks the others for their model
+	gossipCold = "cold" // a dispatcher that starts does not wait for what the others have learnt
+	gossipAsk  = "ask"  // a dispatcher that starts asks the others for what they have learnt
 )
 
 // validGossip reports whether v is a value of Options.Gossip or Day.Gossip, or "".
@@ -32,14 +32,14 @@
 	Program []string // the command of a dispatcher, to which a sub-command and flags are added
 	Policy  string   // a baseline policy that replaces the decision module; "": the module
 	NoState bool     // dispatchers store nothing but their cached engine lists
-	// Gossip replaces the day's value: "no": dispatchers do not gossip; "cold": they gossip, but one that
-	// starts does not ask the others for their model; "ask": one that starts asks the others for their model;
-	// "": as the day says, which is "no" if the day says nothing.
+	// Gossip replaces the day's value. "no": dispatchers do not gossip. "cold": they gossip, but one that
+	// starts does not wait for what the others have learnt. "ask": one that starts asks the others for what
+	// they have learnt. "": as the day says, which is "no" if the day says nothing.
 	Gossip  string
 	Mutate  int          // the rule whose guard is removed from the decision module; 0: none
 	Dir     string       // for settings, cached lists, stored state and the dispatchers' logs
 	Log     *slog.Logger // may be nil
-	Observe func(Status) // called every sampleInterval; may be nil
+	Observe func(Status) // called every 500 ms (sampleInterval); may be nil
 }
 
 // Status is the state of a day while it is played.
