--- a/internal/rehearsal/fairness.go
+++ b/internal/rehearsal/fairness.go
@@ -21,11 +21,11 @@
 	"cresspass/internal/standin"
 )
 
-// Fairness of the protocols: clients of PostgreSQL and of Flight SQL both send at a steady pace; for a
-// while one of the two is flooded, then the other. What the steady clients of the other one get is the
-// measure.
+// The fairness experiment measures whether a flood by one protocol starves the clients of the other one.
+// Clients of PostgreSQL and of Flight SQL send at a steady rate; for a while one protocol is flooded, then
+// the other. The result is what the steady clients got in each phase.
 
-// fairnessSettings has a small queue, so that a flood fills it where nothing prevents that.
+// fairnessSettings has a small queue, so that a flood fills it unless shares prevent that.
 const fairnessSettings = `
 default_class = "lookup"
 max_held      = 40
@@ -40,28 +40,29 @@
 `
 
 const (
-	steadyRate    = 25   // queries a second of the steady clients of each protocol
-	floodRate     = 1500 // queries a second of a flood
-	sharePerFront = 0.25
-	noFlood       = -1
+	steadyRate       = 25   // queries per second of the steady clients of each protocol
+	floodRate        = 1500 // queries per second of a flood
+	sharePerProtocol = 0.25 // of the limits, reserved for each protocol
+	noFlood          = -1   // as fairnessPhase.flood: no protocol is flooded
 )
 
 // FairnessSample is what the steady clients of one protocol got in one phase.
 type FairnessSample struct {
-	Front    string
+	Protocol string
 	Phase    string
 	Requests int
 	Served   float64       // share of the requests
 	P99      time.Duration // of the served ones
 }
 
-// Fairness plays the floods with and without shares, and writes a page with plots into a folder, if one is
-// named. It returns what the steady clients got, with shares first.
+// Fairness plays the floods with a share of the limits reserved for each protocol, and again without. It
+// returns what the steady clients got with and without shares. If dir is not "", it writes a page with plots
+// into that folder, which is created if it does not exist.
 func Fairness(ctx context.Context, dir string, seed uint64) (with, without []FairnessSample, err error) {
 	page := components.NewPage()
 	page.SetPageTitle("Fairness of the fronts")
-	for _, share := range []float64{sharePerFront, 0} {
-		samples, chart, err := playFairness(ctx, share, seed)
+	for _, share := range []float64{sharePerProtocol, 0} {
+		samples, chart, err := runFairnessPhases(ctx, share, seed)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -95,10 +96,10 @@
 	fairnessFloodPhase = 8 * time.Second
 )
 
-// fairnessPhase is one phase of the play.
+// fairnessPhase is one phase of the experiment.
 type fairnessPhase struct {
 	name     string
-	flood    int // the protocol that is flooded, as an index into frontNames; noFlood: none
+	flood    int // the protocol that is flooded, as an index into protocolNames; noFlood: none
 	duration time.Duration
 }
 
@@ -110,10 +111,11 @@
 	{"calm at last", noFlood, fairnessCalmPhase},
 }
 
-var frontNames = [2]string{"PostgreSQL", "Flight SQL"}
+var protocolNames = [2]string{"PostgreSQL", "Flight SQL"}
 
-// playFairness plays all phases with a share of the limits for each protocol; 0: no shares.
-func playFairness(ctx context.Context, share float64, seed uint64) ([]FairnessSample, *charts.Line, error) {
+// runFairnessPhases plays all phases with a share of the limits reserved for each protocol; 0: no shares.
+func runFairnessPhases(ctx context.Context, share float64, seed uint64) (
+	[]FairnessSample, *charts.Line, error) {
 	cfg := make([]standin.EngineConfig, 3)
 	for i := range cfg {
 		cfg[i] = standin.EngineConfig{Kind: testbed.EngineKind(8, 4096), Seed: seed}
@@ -136,8 +138,8 @@
 	}
 	var work sync.WaitGroup
 	steady := [2]*workload{
-		fairnessLoad(s, 0, steadyRate, length, seed),
-		fairnessLoad(s, 1, steadyRate, length, seed+1),
+		newFairnessWorkload(s, 0, steadyRate, length, seed),
+		newFairnessWorkload(s, 1, steadyRate, length, seed+1),
 	}
 	start := time.Now()
 	for _, l := range steady {
@@ -152,12 +154,13 @@
 	return fairnessSamples(steady), fairnessChart(title, steady, int(length/time.Second)), ctx.Err()
 }
 
-// fairnessLoad is the load of a protocol's clients.
-func fairnessLoad(s *server.Server, front int, rate float64, length time.Duration, seed uint64) *workload {
-	d := &Day{Length: length, Flight: float64(front),
+// newFairnessWorkload returns the workload of the clients of one protocol, by its index into protocolNames.
+func newFairnessWorkload(s *server.Server, protocol int, rate float64, length time.Duration,
+	seed uint64) *workload {
+	d := &Day{Length: length, Flight: float64(protocol),
 		Traffic: []Traffic{{Class: "lookup", Rate: rate, Work: 0.03, Spread: 0.5, Threads: 1, Rows: 3}}}
 	d.Module.Classes = []cresspass.Class{{Name: "lookup", Deadline: 2 * time.Second}}
-	l := newLoad(d, seed, []string{s.Addr()})
+	l := newWorkload(d, seed, []string{s.Addr()})
 	l.flight, l.start = []string{s.FlightAddr()}, time.Now()
 	return l
 }
@@ -167,7 +170,7 @@
 	begin := start
 	for i, p := range fairnessPhases {
 		if p.flood != noFlood {
-			l := fairnessLoad(s, p.flood, floodRate, p.duration, seed+10+uint64(i))
+			l := newFairnessWorkload(s, p.flood, floodRate, p.duration, seed+10+uint64(i))
 			from := begin
 			work.Go(func() {
 				select {
@@ -181,13 +184,13 @@
 	}
 }
 
-// fairnessSamples are what the steady clients got, by protocol and phase.
+// fairnessSamples returns what the steady clients got, by protocol and phase.
 func fairnessSamples(steady [2]*workload) (out []FairnessSample) {
-	for front, l := range steady {
+	for protocol, l := range steady {
 		begin := time.Duration(0)
 		for _, p := range fairnessPhases {
 			sample := l.between(begin, begin+p.duration)
-			sample.Front, sample.Phase = frontNames[front], p.name
+			sample.Protocol, sample.Phase = protocolNames[protocol], p.name
 			out = append(out, sample)
 			begin += p.duration
 		}
@@ -195,7 +198,7 @@
 	return out
 }
 
-// fairnessChart plots the share of the steady clients' requests that were served, by second.
+// fairnessChart plots for each second the share of the steady clients' requests that were served.
 func fairnessChart(title string, steady [2]*workload, seconds int) *charts.Line {
 	chart := charts.NewLine()
 	chart.SetGlobalOptions(charts.WithTitleOpts(opts.Title{Title: title}),
@@ -205,19 +208,19 @@
 		axis = append(axis, i)
 	}
 	chart.SetXAxis(axis)
-	for front, l := range steady {
+	for protocol, l := range steady {
 		var points []opts.LineData
 		for i := range seconds {
 			from := time.Duration(i) * time.Second
 			served := l.between(from, from+time.Second).Served
 			points = append(points, opts.LineData{Value: math.Round(served*1000) / 1000})
 		}
-		chart.AddSeries(frontNames[front], points)
+		chart.AddSeries(protocolNames[protocol], points)
 	}
 	return chart
 }
 
-// between is what the requests that began between two times got.
+// between sums up the requests that began in [from, to).
 func (l *workload) between(from, to time.Duration) (out FairnessSample) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/rehearsal/flight.go
+++ b/internal/rehearsal/flight.go
@@ -19,18 +19,19 @@
 	"google.golang.org/grpc/status"
 )
 
-// flightClient is a connection of Flight SQL's own client, with a session of its own.
+// flightClient is one connection of Flight SQL's own client, with one session.
 type flightClient struct {
 	client     *flightsql.Client
-	ctx        context.Context // has the session's token
-	tx         *flightsql.Txn
-	statements int
+	ctx        context.Context // carries the session's token
+	tx         *flightsql.Txn  // the open transaction; nil: none
+	statements int             // number of statements so far
 	closed     atomic.Bool
-	busy       sync.Mutex // held during a call: the library must not be closed meanwhile
+	busy       sync.Mutex // held during a call, because the library must not be closed meanwhile
 	netConn    atomic.Pointer[net.Conn]
 }
 
-func newFlight(ctx context.Context, addr string) (*flightClient, error) {
+// newFlightClient connects to a dispatcher by Flight SQL's own client and opens a session.
+func newFlightClient(ctx context.Context, addr string) (*flightClient, error) {
 	f := &flightClient{}
 	dial := func(ctx context.Context, addr string) (net.Conn, error) {
 		nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
@@ -44,32 +45,34 @@
 	if err != nil {
 		return nil, err
 	}
-	with, err := c.Client.AuthenticateBasicToken(ctx, "client", "")
+	sessionCtx, err := c.Client.AuthenticateBasicToken(ctx, "client", "")
 	if err != nil {
 		_ = c.Close() // the error before it is the result
 		return nil, err
 	}
-	f.client, f.ctx = c, context.WithoutCancel(with)
+	f.client, f.ctx = c, context.WithoutCancel(sessionCtx)
 	return f, nil
 }
 
-// do runs a statement in the call's time. Statements about transactions are calls of their own here.
+// do runs a statement until the caller's context ends. Flight SQL has no statements that begin or end a
+// transaction: they become calls.
 func (f *flightClient) do(ctx context.Context, _ bool, text, _ string) error {
 	f.busy.Lock()
 	defer f.busy.Unlock()
-	in, cancel := context.WithCancel(f.ctx)
+	callCtx, cancel := context.WithCancel(f.ctx)
 	if at, ok := ctx.Deadline(); ok {
-		in, cancel = context.WithDeadline(f.ctx, at)
+		callCtx, cancel = context.WithDeadline(f.ctx, at)
 	}
 	defer cancel()
 	defer context.AfterFunc(ctx, cancel)()
-	err := f.run(in, text)
+	err := f.run(callCtx, text)
 	if c := status.Code(err); c == codes.Unauthenticated || c == codes.Unavailable {
 		f.closed.Store(true)
 	}
 	return err
 }
 
+// run runs a statement, every second query as a prepared statement.
 func (f *flightClient) run(ctx context.Context, text string) (err error) {
 	f.statements++
 	switch {
@@ -102,7 +105,7 @@
 		if e != nil {
 			return e
 		}
-		defer func() { _ = p.Close(ctx) }() // a statement ends with its session in any case
+		defer func() { _ = p.Close(ctx) }() // if it fails, the statement ends with the session
 		info, err = p.Execute(ctx)
 	default:
 		info, err = f.client.Execute(ctx, text)
@@ -136,14 +139,15 @@
 
 func (f *flightClient) driver() driver { return driverFlight }
 
-// sqlClient is one connection of the driver for database/sql.
-type sqlClient struct {
+// flightSQLClient is one connection of Flight SQL's driver for database/sql.
+type flightSQLClient struct {
 	db     *sql.DB
 	conn   *sql.Conn
 	closed atomic.Bool
 }
 
-func newSQL(ctx context.Context, addr string) (*sqlClient, error) {
+// newFlightSQLClient connects to a dispatcher by Flight SQL's driver for database/sql.
+func newFlightSQLClient(ctx context.Context, addr string) (*flightSQLClient, error) {
 	db, err := sql.Open("flightsql", "flightsql://client:p@"+addr)
 	if err != nil {
 		return nil, err
@@ -153,10 +157,10 @@
 		_ = db.Close() // it holds no connection
 		return nil, err
 	}
-	return &sqlClient{db: db, conn: c}, nil
+	return &flightSQLClient{db: db, conn: c}, nil
 }
 
-func (p *sqlClient) do(ctx context.Context, _ bool, text, _ string) error {
+func (p *flightSQLClient) do(ctx context.Context, _ bool, text, _ string) error {
 	err := p.run(ctx, text)
 	if c := status.Code(err); c == codes.Unauthenticated || c == codes.Unavailable {
 		p.closed.Store(true)
@@ -164,7 +168,8 @@
 	return err
 }
 
-func (p *sqlClient) run(ctx context.Context, text string) error {
+// run runs a statement and reads its rows.
+func (p *flightSQLClient) run(ctx context.Context, text string) error {
 	if strings.HasPrefix(text, "insert") {
 		_, err := p.conn.ExecContext(ctx, text)
 		return err
@@ -173,23 +178,24 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = rows.Close() }() // rows.Err has its error
+	defer func() { _ = rows.Close() }() // rows.Err returns the same error
 	for rows.Next() {
 	}
 	return rows.Err()
 }
 
-func (p *sqlClient) close(bool) {
+func (p *flightSQLClient) close(bool) {
 	p.closed.Store(true)
 	_ = p.conn.Close() // the connection is given up in any case
 	_ = p.db.Close()
 }
 
-func (p *sqlClient) broken() bool { return p.closed.Load() }
+func (p *flightSQLClient) broken() bool { return p.closed.Load() }
 
-func (p *sqlClient) driver() driver { return driverFlightSQL }
+func (p *flightSQLClient) driver() driver { return driverFlightSQL }
 
-// flightSQLState is the SQLSTATE in the details of a status, else its code; "": err is no status.
+// flightSQLState returns the SQLSTATE in the details of a gRPC status, or else the status code; "": err is no
+// status.
 func flightSQLState(err error) string {
 	s, ok := status.FromError(err)
 	if !ok {
@@ -203,7 +209,7 @@
 	return "gRPC " + s.Code().String()
 }
 
-// flightRetryDelay is the time after which a status says to retry; 0: it says none.
+// flightRetryDelay returns the retry delay in the details of a gRPC status; 0: it has none.
 func flightRetryDelay(err error) time.Duration {
 	for _, d := range status.Convert(err).Details() {
 		if r, ok := d.(*errdetails.RetryInfo); ok {
--- a/internal/rehearsal/golden_test.go
+++ b/internal/rehearsal/golden_test.go
@@ -14,8 +14,9 @@
 	"cresspass/internal/rehearsal/rulecheck"
 )
 
-// fill sets every field of a value, and of what it holds, to something that is not zero.
-func fill(t *testing.T, v reflect.Value, next *int) {
+// fillNonZero sets every field of a value, and of the values that it contains, to a non-zero value. next
+// numbers them, so that they differ.
+func fillNonZero(t *testing.T, v reflect.Value, next *int) {
 	t.Helper()
 	*next++
 	if at, ok := v.Addr().Interface().(*time.Time); ok {
@@ -25,17 +26,17 @@
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(t, v.Field(i), next)
+			fillNonZero(t, v.Field(i), next)
 		}
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(t, v.Elem(), next)
+		fillNonZero(t, v.Elem(), next)
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		fill(t, v.Index(0), next)
+		fillNonZero(t, v.Index(0), next)
 	case reflect.Map:
 		value := reflect.New(v.Type().Elem()).Elem()
-		fill(t, value, next)
+		fillNonZero(t, value, next)
 		v.Set(reflect.MakeMap(v.Type()))
 		v.SetMapIndex(reflect.ValueOf("key"), value)
 	case reflect.String:
@@ -49,16 +50,16 @@
 	case reflect.Float64:
 		v.SetFloat(float64(*next) + 0.5)
 	default:
-		t.Fatalf("no value for %s", v.Type())
+		t.Fatalf("fillNonZero has no value for type %s", v.Type())
 	}
 }
 
-// TestGoldenEvidence keeps the form of the evidence that is stored of a day whose rules broke, and judges
-// evidence that an earlier version stored.
+// TestGoldenEvidence checks that the JSON form of stored evidence does not change, and that evidence which an
+// earlier version stored can still be read and checked.
 func TestGoldenEvidence(t *testing.T) {
 	var e evidence
 	next := 0
-	fill(t, reflect.ValueOf(&e).Elem(), &next)
+	fillNonZero(t, reflect.ValueOf(&e).Elem(), &next)
 	text, err := json.MarshalIndent(e, "", " ")
 	if err != nil {
 		t.Fatal(err)
@@ -84,11 +85,11 @@
 	day, seed, verdicts, err := CheckEvidence(dir)
 	if err != nil || day != e.Day || seed != e.Seed ||
 		!reflect.DeepEqual(verdicts, rulecheck.Check(e.Parameters, e.Log)) {
-		t.Errorf("judged again: day %q, seed %d, %+v, %v", day, seed, verdicts, err)
+		t.Errorf("stored evidence: day %q, seed %d, verdicts %+v, error %v", day, seed, verdicts, err)
 	}
 }
 
-// TestGoldenReport keeps the form of the numbers that are written beside a day's plots.
+// TestGoldenReport checks that the JSON form of a report's data does not change.
 func TestGoldenReport(t *testing.T) {
 	var parts struct {
 		Verdicts []rulecheck.Verdict
@@ -97,7 +98,7 @@
 		Watches  []EngineSample
 	}
 	next := 0
-	fill(t, reflect.ValueOf(&parts).Elem(), &next)
+	fillNonZero(t, reflect.ValueOf(&parts).Elem(), &next)
 	text, err := json.MarshalIndent(parts, "", " ")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/rehearsal/rulecheck/rule_answers.go
+++ b/internal/rehearsal/rulecheck/rule_answers.go
@@ -37,7 +37,9 @@
 	}
 }
 
-// checkFinalAnswer returns when a request ended; ok is false where it did not end as it should have.
+// checkFinalAnswer checks that a request got one final answer in time, and returns when the request ended.
+// ok is false if it did not end, or if a dispatcher that was running closed its connection without an
+// answer.
 func (c *checker) checkFinalAnswer(v *Verdict, r *Request) (end time.Time, ok bool) {
 	latest := c.deadline(r)
 	switch {
@@ -45,11 +47,11 @@
 		v.addViolation("%s %s: %d final answers, %d messages out of place", r.Class, r.ID, r.FinalCount,
 			r.MessagesAfterFinal)
 	case r.FinalCount == 0 && r.ConnectionEnded.IsZero():
-		v.addViolation("%s %s at %s got no answer", r.Class, r.ID, c.timeOfDay(r.At))
+		v.addViolation("%s %s at %s got no answer", r.Class, r.ID, c.formatTime(r.At))
 		return time.Time{}, false
 	case r.FinalCount == 0 && r.ServerClosed && !c.dispatcherWasDown(r):
 		v.addViolation("%s %s: dispatcher %s closed its connection at %s without an answer", r.Class, r.ID,
-			r.Dispatcher, c.timeOfDay(r.ConnectionEnded))
+			r.Dispatcher, c.formatTime(r.ConnectionEnded))
 		return time.Time{}, false
 	case r.FinalCount == 0: // the client closed the connection, or the dispatcher was down
 		return r.ConnectionEnded, true
@@ -59,17 +61,18 @@
 	return r.FinalAt, true
 }
 
-// deadline is when the client gives up: after the class's deadline, or the wait that the statement names.
+// deadline returns when the client gives up: after the class's deadline or the statement's tag wait_ms,
+// whichever is shorter.
 func (c *checker) deadline(r *Request) time.Time {
 	d := c.parameters.Classes[r.Class].Deadline
-	if ms := number(r.Tags["wait_ms"]); ms > 0 {
+	if ms := numericTag(r.Tags["wait_ms"]); ms > 0 {
 		d = min(d, time.Duration(ms*float64(time.Millisecond)))
 	}
 	return r.At.Add(d)
 }
 
-// number is the value of a numeric tag; 0: the tag is missing or is no number.
-func number(s string) float64 {
+// numericTag returns the value of a numeric tag; 0: the tag is missing or is no number.
+func numericTag(s string) float64 {
 	v, _ := strconv.ParseFloat(s, 64)
 	return v
 }
