--- a/cmd/cresspass/demo.go
+++ b/cmd/cresspass/demo.go
@@ -16,7 +16,7 @@
 	"cresspass/internal/standin"
 )
 
-// demoCmd runs a dispatcher with all that it needs on this machine.
+// demoCmd runs a dispatcher, stand-in engines and a stand-in discovery service in one process.
 type demoCmd struct {
 	Listen string        `default:"127.0.0.1:6432" help:"Address for clients, on the loopback interface."`
 	Flight string        `default:"127.0.0.1:6433" help:"Address for clients of Flight SQL; empty: none."`
@@ -24,7 +24,7 @@
 	Level  string        `default:"warn" help:"Log level."`
 }
 
-// demoSettings are the settings of the dispatcher, which are read as any settings file is.
+// demoSettings is the dispatcher's settings file; it is parsed like any other.
 //
 //go:embed demo.hcl
 var demoSettings string
@@ -32,8 +32,8 @@
 // demoEngines is the number of stand-in engines.
 const demoEngines = 4
 
-// Run starts the stand-ins and the dispatcher, prints how to connect, and ends with a signal or after a
-// time.
+// Run starts the stand-ins and the dispatcher and prints how to connect. It ends on a signal, or after For
+// where that is not 0, and then prints how the queries ended.
 func (c demoCmd) Run(ctx context.Context) error {
 	cfg, err := c.settings()
 	if err != nil {
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// settings returns demoSettings with the addresses of the command line, which must be loopback ones.
+// settings parses demoSettings and sets the addresses of the command line, which must be loopback addresses.
 func (c demoCmd) settings() (*config.Config, error) {
 	cfg, err := config.Parse("demo.hcl", []byte(demoSettings))
 	if err != nil {
@@ -102,7 +102,7 @@
 	return cfg, config.CheckLoopback(c.Flight)
 }
 
-// newDemoEngine starts a stand-in engine.
+// newDemoEngine starts a stand-in engine, with the cores and the memory of kind "std" in demo.hcl.
 func newDemoEngine(seed uint64, group *standin.DeduplicationGroup) (*standin.Engine, error) {
 	return standin.NewEngine(standin.EngineConfig{
 		Listen:        "127.0.0.1:0",
@@ -115,7 +115,7 @@
 	})
 }
 
-// printConnect prints how clients connect to the dispatcher.
+// printConnect prints how clients connect to the dispatcher, over PostgreSQL's protocol and Flight SQL.
 func printConnect(s *server.Server) error {
 	host, port, err := net.SplitHostPort(s.Addr())
 	if err != nil {
--- a/cmd/cresspass/demo.hcl
+++ b/cmd/cresspass/demo.hcl
@@ -1,10 +1,10 @@
-# Settings of the demo: three classes of a code search on engines of one kind.
+# Settings of the demo: four classes of a code search on engines of one kind.
 default_class = "lookup"
 write_class   = "write"
 zone          = "a"
 
 roster {
-  eds = "127.0.0.1:18000" # the demo puts its own roster here
+  eds = "127.0.0.1:18000" # the demo replaces it by the address of its own service
 }
 
 engines {
--- a/cmd/cresspass/engine.go
+++ b/cmd/cresspass/engine.go
@@ -13,7 +13,7 @@
 	"cresspass/internal/standin"
 )
 
-// engineCmd runs a stand-in engine, with faults.
+// engineCmd runs a stand-in engine with the faults that its flags set.
 type engineCmd struct {
 	Listen   string        `default:"127.0.0.1:0" help:"Address on the loopback interface."`
 	Cores    float64       `default:"8" help:"Cores that queries share."`
@@ -32,11 +32,11 @@
 
 // Properties of stand-in engines that no flag sets.
 const (
-	engineReportInterval = 200 * time.Millisecond // between load reports
-	engineWindow         = 15 * time.Second       // of deduplication
+	engineReportInterval = 200 * time.Millisecond // between two load reports
+	engineWindow         = 15 * time.Second       // repeats of a keyed load are dropped for this long
 )
 
-// Run serves as an engine until a signal.
+// Run starts the engine, prints its address, and ends on a signal.
 func (c engineCmd) Run(ctx context.Context) error {
 	if err := config.CheckLoopback(c.Listen); err != nil {
 		return err
@@ -75,7 +75,7 @@
 	Engines []string `arg:"" help:"Engines as address[,kind[,zone[,state]]]."`
 }
 
-// Run serves an engine list until a signal.
+// Run validates the engine list, prints the service's address and serves the list until a signal.
 func (c rosterCmd) Run(ctx context.Context) error {
 	if err := config.CheckLoopback(c.Listen); err != nil {
 		return err
@@ -102,7 +102,8 @@
 	return nil
 }
 
-// parseEngine returns the engine of an argument address[,kind[,zone[,state]]].
+// parseEngine parses an argument of the form address[,kind[,zone[,state]]]. The state is active where it is
+// left out.
 func parseEngine(arg string) (eds.Engine, error) {
 	parts := append(strings.Split(arg, ","), "", "", "")
 	e := eds.Engine{Address: parts[0], Kind: parts[1], Zone: parts[2], State: eds.EngineState(parts[3])}
--- a/cmd/cresspass/health.go
+++ b/cmd/cresspass/health.go
@@ -10,15 +10,15 @@
 	"cresspass/internal/daemon"
 )
 
-// healthCmd asks a dispatcher for its health.
+// healthCmd fetches a dispatcher's health.
 type healthCmd struct {
 	Addr string `arg:"" help:"Health address of a running dispatcher."`
 }
 
-// healthTimeout bounds the request.
+// healthTimeout bounds the request, connecting included.
 const healthTimeout = 5 * time.Second
 
-// Run prints a dispatcher's health; the error is for one that is not ready.
+// Run prints a dispatcher's health as JSON. It returns an error unless the dispatcher answers and is ready.
 func (c healthCmd) Run(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, healthTimeout)
 	defer cancel()
@@ -26,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	// Where the output is closed, the exit status still has the result.
+	// A write fails where the output is closed; the exit status still reports readiness.
 	_ = json.NewEncoder(os.Stdout).Encode(h)
 	if !h.Ready {
 		return fmt.Errorf("%s is not ready: %s", c.Addr, h.State)
--- a/cmd/cresspass/help_test.go
+++ b/cmd/cresspass/help_test.go
@@ -12,9 +12,9 @@
 	"cresspass/internal/goldentest"
 )
 
-// The --help of the program and of each of its sub-commands, hidden ones included, is that of
-// testdata/help. Scripts and pages rely on commands, flags and defaults: a flag must not follow the name of
-// a field.
+// TestGoldenHelp compares the --help output of the program and of each sub-command, hidden ones included,
+// with testdata/help. kong derives the names of commands and flags from fields. Scripts and documentation
+// rely on these names and on the defaults, so renaming a field must not rename its flag.
 func TestGoldenHelp(t *testing.T) {
 	t.Setenv("COLUMNS", "100")
 	dir := filepath.Join("testdata", "help")
--- a/cmd/cresspass/load.go
+++ b/cmd/cresspass/load.go
@@ -8,7 +8,7 @@
 	"cresspass/internal/rehearsal"
 )
 
-// loadCmd sends queries to dispatchers.
+// loadCmd sends queries to dispatchers at a rate that does not depend on their answers (open loop).
 type loadCmd struct {
 	Addr     []string      `arg:"" help:"Addresses of dispatchers."`
 	Class    string        `default:"lookup" help:"Class that statements name."`
@@ -21,7 +21,7 @@
 	Seed     uint64        `default:"1" help:"Seed of arrivals and work."`
 }
 
-// Run sends queries at a rate and prints their outcomes.
+// Run sends the queries, then prints their outcomes and the codes of those that failed.
 //
 //nolint:unparam // kong requires that Run returns an error
 func (c loadCmd) Run(ctx context.Context) error {
--- a/cmd/cresspass/main.go
+++ b/cmd/cresspass/main.go
@@ -1,7 +1,8 @@
 // Command cresspass is the dispatcher and its tools. serve and node run a dispatcher, check verifies its
-// settings and health asks it for its state. engine, roster and load are stand-ins for what it talks to,
-// and demo puts them together on one machine. rehearse, soak and model test it: with processes and faults,
-// and in simulated time.
+// settings and health asks it for its state. engine, roster and load are stand-ins for its engines, its
+// discovery service and its clients; demo runs a dispatcher with stand-in engines on one machine. rehearse
+// and soak test dispatchers as processes under faults, and model tests them in simulated time. record works
+// on recordings of queries.
 //
 // Each sub-command is a struct that kong fills from the command line; its flags are the struct's fields.
 package main
@@ -17,7 +18,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// cli has the sub-commands.
+// cli is the command line; each field is a sub-command.
 type cli struct {
 	Serve    serveCmd    `cmd:"" help:"Run a dispatcher."`
 	Check    checkCmd    `cmd:"" help:"Verify a settings file; names faults by file:line:column."`
@@ -43,16 +44,16 @@
 	}
 }
 
-// parserOptions configure the parser of the command line.
+// parserOptions returns the options of the command-line parser.
 func parserOptions() []kong.Option {
 	return []kong.Option{kong.Name("cresspass"), kong.UsageOnError(),
 		kong.Description("Admits queries and routes them to analytic engines, by PostgreSQL's protocol."),
 		kong.BindSingletonProvider(signalContext)}
 }
 
-// signalContext returns the context of the commands that take one: it ends with SIGINT or SIGTERM. A
-// dispatcher's command must not take one: the context receives those signals, and one that comes before the
-// dispatcher itself listens for them would be lost.
+// signalContext returns the context that kong passes to a Run that takes one; SIGINT and SIGTERM cancel it.
+// The commands that run a dispatcher must not take it: the context catches those signals, and one that
+// arrives before the dispatcher itself listens for them would be lost.
 func signalContext() (context.Context, error) {
 	// The process ends with the command, so nothing needs to stop the notification.
 	ctx, _ := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
--- a/cmd/cresspass/model.go
+++ b/cmd/cresspass/model.go
@@ -18,7 +18,7 @@
 	Newcomers modelNewcomersCmd `cmd:"" help:"Half of the dispatchers return: newcomers against cold starts."`
 }
 
-// modelMembersCmd measures how fleets of different sizes come to agree.
+// modelMembersCmd measures how long simulated fleets of different sizes take until their members agree.
 type modelMembersCmd struct {
 	Sizes   []int  `default:"10,50,200,500" help:"Members."`
 	Engines int    `default:"63" help:"Engines."`
@@ -27,10 +27,10 @@
 	Report  string `help:"Folder for a page with plots."`
 }
 
-// maxModelMembers bounds a simulated fleet.
+// maxModelMembers bounds the size of a simulated fleet.
 const maxModelMembers = 5000
 
-// Run simulates a start of each fleet and prints its times and traffic.
+// Run simulates the start of a fleet of each size and prints its convergence times and its traffic.
 func (c modelMembersCmd) Run() error {
 	network := simulation.CalmNetwork()
 	if c.Storm {
@@ -38,7 +38,7 @@
 	}
 	for _, n := range c.Sizes {
 		if n < 1 || n > maxModelMembers || c.Engines < 1 {
-			return fmt.Errorf("model members: %d members, %d engines", n, c.Engines)
+			return fmt.Errorf("model members: %d members and %d engines are out of bounds", n, c.Engines)
 		}
 	}
 	all, err := simulation.Parallel(len(c.Sizes), func(i int) (simulation.Convergence, error) {
@@ -55,14 +55,15 @@
 	return writePage(c.Report, "members", plot.Convergence(all))
 }
 
-// modelNewcomersCmd compares how half of a fleet returns.
+// modelNewcomersCmd compares, in simulated time, ways in which half of the dispatchers return: without
+// gossip, cold with gossip, or as newcomers that learn from their peers, also where one member in five lies.
 type modelNewcomersCmd struct {
 	Seeds  int     `default:"12" help:"Independent days for each way."`
 	Told   float64 `default:"0.33" help:"Costs are told as so many times the truth; 0: not at all."`
 	Report string  `help:"Folder for a page with plots."`
 }
 
-// Bounds of the seeds of a comparison.
+// Bounds of the number of seeds of a comparison.
 const (
 	minModelSeeds = 2
 	maxModelSeeds = 1000
@@ -71,7 +72,8 @@
 // Run simulates independent days for each way and prints the figures of each.
 func (c modelNewcomersCmd) Run() error {
 	if c.Seeds < minModelSeeds || c.Seeds > maxModelSeeds || c.Told < 0 {
-		return fmt.Errorf("model newcomers: %d seeds, costs told as %g of the truth", c.Seeds, c.Told)
+		return fmt.Errorf("model newcomers: %d seeds, costs told as %g of the truth: out of bounds", c.Seeds,
+			c.Told)
 	}
 	arms := []simulation.Arm{
 		{Name: "no talk", Gossip: simulation.NoGossip},
@@ -88,7 +90,7 @@
 	return writePage(c.Report, "newcomers", plot.Newcomers(comparison, "model, simulated servers"))
 }
 
-// modelCalibrateCmd compares the simulation with processes.
+// modelCalibrateCmd compares the figures of the simulation with those of real processes on the same day.
 type modelCalibrateCmd struct {
 	Day   string `arg:"" help:"A day of the rehearsal."`
 	Seeds int    `default:"5" help:"Plays of each."`
@@ -96,7 +98,7 @@
 	Short bool   `help:"The day's short form."`
 }
 
-// Run plays a day through sockets and in the simulation, and prints both figures.
+// Run plays a day through sockets and in the simulation, and prints the figures of both.
 func (c modelCalibrateCmd) Run(ctx context.Context) error {
 	d, err := loadDay(c.Day)
 	if err != nil {
@@ -110,7 +112,7 @@
 		return err
 	}
 	if c.Seeds < minModelSeeds {
-		return fmt.Errorf("model calibrate: %d seeds", c.Seeds)
+		return fmt.Errorf("model calibrate: %d seeds are too few", c.Seeds)
 	}
 	rows, err := experiment.Calibrate(ctx, d, []string{self}, c.Seeds, c.Jobs)
 	if err != nil {
--- a/cmd/cresspass/model_run.go
+++ b/cmd/cresspass/model_run.go
@@ -22,7 +22,7 @@
 	Report      string   `help:"Folder for a page with plots and the figures as text."`
 }
 
-// experimentSources are the files that an experiment may refer to.
+// experimentSources reads what an experiment may refer to: days, shared settings and recordings.
 var experimentSources = experiment.Sources{
 	Day: readDay,
 	Shared: func(name string) ([]byte, error) {
@@ -34,7 +34,8 @@
 	},
 }
 
-// readDay reads a day that ships with the experiments or the rehearsals, or a file.
+// readDay returns the source of a day. It looks among the days that ship with the experiments, then among
+// those of the rehearsals, and then takes the name as a path.
 func readDay(name string) ([]byte, error) {
 	if src, err := experiments.Files.ReadFile("days/" + name + ".hcl"); err == nil {
 		return src, nil
@@ -45,8 +46,8 @@
 	return os.ReadFile(name)
 }
 
-// loadExperiment reads an experiment by the name it ships under, makes one of a day's name, or reads a
-// file.
+// loadExperiment reads the experiment that ships under the name. Where there is none, a day's name gives an
+// experiment that plays this day, and any other name is the path of a file.
 func loadExperiment(name string) (*experiment.Experiment, error) {
 	src, err := experiments.Files.ReadFile(name + ".hcl")
 	if err != nil {
@@ -62,8 +63,8 @@
 	return experiment.Parse(name, src, experimentSources)
 }
 
-// gcPercent is the garbage collector's target for experiments: what they keep is little against what their
-// events throw away.
+// gcPercent is the garbage collector's target for experiments. It is high because the live heap is small
+// against the garbage of the simulated events.
 const gcPercent = 400
 
 // Run plays the experiments one after another.
@@ -77,7 +78,7 @@
 	return nil
 }
 
-// play plays one experiment, prints its figures and writes its report.
+// play plays one experiment, prints its figures and, where a folder is named, writes its report.
 func (c modelRunCmd) play(name string) error {
 	e, err := loadExperiment(name)
 	if err != nil {
--- a/cmd/cresspass/record.go
+++ b/cmd/cresspass/record.go
@@ -19,7 +19,8 @@
 	Scale recordScaleCmd `cmd:"" help:"More or less traffic over other dispatchers, its unevenness kept."`
 }
 
-// loadRecording reads a recording, and prints what of it could not be read.
+// loadRecording reads a recording. Of a truncated or damaged one it returns the entries that can be read, and
+// reports the rest on standard error.
 func loadRecording(path string) (recording.Header, []recording.Entry, error) {
 	h, all, skipped, err := recording.Load(path)
 	if errors.Is(err, recording.ErrTruncated) || errors.Is(err, recording.ErrDamaged) {
@@ -35,7 +36,7 @@
 	return h, all, err
 }
 
-// loadMerged reads recordings as one, their times by the wall clock of the earliest.
+// loadMerged reads recordings and merges them. Times count from the start of the earliest, by wall clock.
 func loadMerged(paths []string) (recording.Header, []recording.Entry, error) {
 	var headers []recording.Header
 	var recordings [][]recording.Entry
@@ -59,11 +60,11 @@
 	return first, recording.Merge(recordings, shifts), nil
 }
 
-// saveRecording writes a recording to a file that must not exist, so that no recording is overwritten by
-// mistake.
+// saveRecording writes a recording to a new file and prints the number of its entries. It fails where the
+// path exists, so that no recording is overwritten by mistake.
 func saveRecording(path string, h recording.Header, all []recording.Entry) error {
 	if _, err := os.Stat(path); err == nil {
-		return fmt.Errorf("%s exists", path)
+		return fmt.Errorf("write recording: %s exists", path)
 	}
 	if err := recording.Save(path, h, all); err != nil {
 		return err
@@ -77,8 +78,8 @@
 	Files []string `arg:"" help:"Recordings."`
 }
 
-// Run prints the length and the rate of the recordings, a line for each class, and how even the
-// dispatchers' shares are.
+// Run prints the length and the rate of the recordings, a line for each class, the number of distinct
+// text fingerprints, and the share of the busiest tenth of the dispatchers.
 func (c recordShowCmd) Run() error {
 	header, entries, err := loadMerged(c.Files)
 	if err != nil {
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// classSummary is what entries of one class have in common.
+// classSummary holds the outcomes and the latencies of the entries of one class.
 type classSummary struct {
 	entries  int
 	outcomes [recordedOutcomes]int
@@ -116,7 +117,7 @@
 // recordedOutcomes is the number of values of recording.Outcome.
 const recordedOutcomes = 4
 
-// printClasses prints a line for each class: its outcomes, and how long served queries took.
+// printClasses prints a line for each class: its outcomes, and the median and p99 latency of served queries.
 func printClasses(entries []recording.Entry) {
 	classes := map[string]*classSummary{}
 	for _, e := range entries {
@@ -141,7 +142,7 @@
 	}
 }
 
-// quantile returns a quantile of sorted durations; 0 where there are none.
+// quantile returns the q-quantile of sorted durations, rounded to milliseconds; 0 where there are none.
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -157,14 +158,14 @@
 	To   time.Duration `default:"1000000h" help:"Since its start."`
 }
 
-// Run writes the entries from one time to another.
+// Run writes the entries that arrived from From on and before To.
 func (c recordCutCmd) Run() error {
 	h, all, err := loadRecording(c.File)
 	if err != nil {
 		return err
 	}
 	if c.To <= c.From {
-		return fmt.Errorf("record cut: from %v to %v is nothing", c.From, c.To)
+		return fmt.Errorf("record cut: from %v to %v is an empty range", c.From, c.To)
 	}
 	h.Start = h.Start.Add(c.From)
 	return saveRecording(c.Out, h, recording.Cut(all, c.From, c.To))
@@ -176,7 +177,7 @@
 	Files []string `arg:"" help:"Recordings."`
 }
 
-// Run writes the entries of all recordings.
+// Run writes the entries of all recordings, ordered by time.
 func (c recordMergeCmd) Run() error {
 	h, all, err := loadMerged(c.Files)
 	if err != nil {
@@ -191,7 +192,7 @@
 	maxScaleDispatchers = 100000
 )
 
-// recordScaleCmd writes a recording with more or less traffic.
+// recordScaleCmd writes a recording with more or less traffic, over other dispatchers.
 type recordScaleCmd struct {
 	File        string        `arg:"" help:"Recording."`
 	Out         string        `arg:"" help:"File to write."`
@@ -201,7 +202,8 @@
 	Seed        uint64        `default:"1" help:"Of what is left to chance."`
 }
 
-// Run writes copies of a part of the entries, or a part of them.
+// Run writes each entry as often as Times says, over so many dispatchers. The fraction of Times is the chance
+// of one more copy.
 func (c recordScaleCmd) Run() error {
 	h, all, err := loadRecording(c.File)
 	if err != nil {
--- a/cmd/cresspass/rehearse.go
+++ b/cmd/cresspass/rehearse.go
@@ -34,7 +34,7 @@
 	Check      rehearseCheckCmd      `cmd:"" help:"Read and verify a day's file."`
 }
 
-// loadDay reads a day by the name it ships under, or from a file.
+// loadDay reads the day that ships under the name, or else takes the name as the path of a file.
 func loadDay(name string) (*rehearsal.Day, error) {
 	src, err := rehearsals.Days.ReadFile(name + ".hcl")
 	if errors.Is(err, os.ErrNotExist) {
@@ -86,7 +86,7 @@
 	File string `arg:"" help:"A day's file."`
 }
 
-// Run prints that the file is good, or returns what is wrong with it.
+// Run prints that the file is good; the error says what is wrong with it.
 func (c rehearseCheckCmd) Run() error {
 	if _, err := loadDay(c.File); err != nil {
 		return err
@@ -101,10 +101,10 @@
 	Seed uint64 `default:"1" help:"Seed of random troubles."`
 }
 
-// timelineWidth is the length of a day in characters.
+// timelineWidth is the width of a timeline in characters; it stands for the day's whole length.
 const timelineWidth = 60
 
-// Run prints each fault of a day as a bar over the day's length.
+// Run prints a line for each fault of a day, with a bar from its start to its end.
 func (c rehearseShowCmd) Run() error {
 	d, err := loadDay(c.Day)
 	if err != nil {
@@ -124,12 +124,12 @@
 	return nil
 }
 
-// rehearseJudgeCmd judges kept traffic again.
+// rehearseJudgeCmd judges the rules again on the traffic that a broken day left.
 type rehearseJudgeCmd struct {
 	Folder string `arg:"" help:"Folder that a broken day left."`
 }
 
-// errRuleBroken is the error of kept traffic that broke a rule.
+// errRuleBroken is returned where the kept traffic breaks a rule.
 var errRuleBroken = errors.New("a rule broke")
 
 // Run prints the verdict of each rule on the kept traffic.
@@ -148,15 +148,16 @@
 	return nil
 }
 
-// rehearseDispatcherCmd is what rehearse run starts as a dispatcher: serve, with a policy or with a rule's
-// guard taken away.
+// rehearseDispatcherCmd runs a dispatcher as serve does, with another policy in place of the module or with
+// the module's guard of one rule removed. rehearse run starts its dispatchers with it where it is given
+// --policy or --mutate.
 type rehearseDispatcherCmd struct {
 	serveCmd
 	Policy string `help:"Policy in the module's place."`
 	Mutate int    `help:"Rule whose guard is taken away."`
 }
 
-// Run serves with a baseline decider in place of the module.
+// Run serves with the decider that Policy and Mutate choose in place of the module.
 func (c rehearseDispatcherCmd) Run() error {
 	options, err := c.options()
 	if err != nil {
--- a/cmd/cresspass/rehearse_compare.go
+++ b/cmd/cresspass/rehearse_compare.go
@@ -10,7 +10,8 @@
 	"cresspass/internal/simulation/plot"
 )
 
-// rehearseNewcomersCmd compares how dispatchers return: as new members that learn from peers, or cold.
+// rehearseNewcomersCmd compares ways in which dispatchers return: without gossip, cold with gossip, or as
+// newcomers that learn from their peers.
 type rehearseNewcomersCmd struct {
 	Day    string `default:"half-return" help:"The day; it has one return."`
 	Seeds  int    `default:"3" help:"Plays of each way."`
@@ -19,7 +20,7 @@
 	Report string `help:"Folder for a page with plots."`
 }
 
-// Run plays a day in each way and prints the figures of each.
+// Run plays the day in each way for each seed, and prints the figures of each way.
 func (c rehearseNewcomersCmd) Run(ctx context.Context) error {
 	d, err := loadDay(c.Day)
 	if err != nil {
@@ -37,7 +38,8 @@
 	return writePage(c.Report, "newcomers", plot.Newcomers(n, "processes on one machine, stand-in engines"))
 }
 
-// printNewcomers prints each figure, and its difference from one of the arms.
+// printNewcomers prints each figure of each arm with its error bar, and its difference from that of the arm
+// with the index against.
 func printNewcomers(n *simulation.Comparison, against int) {
 	for f := range simulation.Figures {
 		fmt.Println(simulation.Figures[f].Name)
@@ -53,13 +55,14 @@
 	}
 }
 
-// rehearseFairnessCmd floods each frontend in turn.
+// rehearseFairnessCmd floods each frontend in turn and measures what calm clients get.
 type rehearseFairnessCmd struct {
 	Report string `help:"Folder for a page with plots."`
 	Seed   uint64 `default:"1" help:"Seed of arrivals."`
 }
 
-// Run prints what calm clients of each frontend got in each phase, with and without quotas.
+// Run prints, for the calm clients of each frontend in each phase, the share of served requests and the p99
+// latency, with and without quotas.
 func (c rehearseFairnessCmd) Run(ctx context.Context) error {
 	with, without, err := rehearsal.Fairness(ctx, c.Report, c.Seed)
 	if err != nil {
--- a/cmd/cresspass/rehearse_run.go
+++ b/cmd/cresspass/rehearse_run.go
@@ -29,10 +29,10 @@
 	Speed   float64  `default:"1" help:"Times of a day are divided by this; rates stay."`
 }
 
-// allDays stands for all days that ship with the program.
+// allDays is the argument that stands for all days that ship with the program.
 const allDays = "all"
 
-// Values of --view.
+// Values of --view that the code tells apart; any other shows the day as log lines.
 const (
 	viewAuto     = "auto"
 	viewTerminal = "terminal"
@@ -78,7 +78,8 @@
 	return nil
 }
 
-// playAll plays the days, no more at once than Jobs, and returns a channel for the outcome of each.
+// playAll starts to play the days, at most Jobs at once, and returns a channel for the outcome of each, in
+// the order of the arguments.
 func (c rehearseRunCmd) playAll(ctx context.Context, self string, log *slog.Logger) []chan playedDay {
 	all := make([]chan playedDay, len(c.Days))
 	slots := make(chan struct{}, max(c.Jobs, 1))
@@ -94,7 +95,8 @@
 	return all
 }
 
-// play plays one day, writes its report, and keeps the traffic of one that broke a rule.
+// play plays one day and writes its report where a folder is named. It keeps the traffic of a day that broke
+// a rule.
 func (c rehearseRunCmd) play(ctx context.Context, self, name string,
 	log *slog.Logger) (*rehearsal.Result, error) {
 	day, err := c.prepare(name)
@@ -140,7 +142,7 @@
 	return result, nil
 }
 
-// prepare reads a day and applies the seed, the short form and the speed.
+// prepare reads a day, draws its random faults from the seed, and applies the short form and the speed.
 func (c rehearseRunCmd) prepare(name string) (*rehearsal.Day, error) {
 	day, err := loadDay(name)
 	if err != nil {
@@ -156,7 +158,7 @@
 	return day, nil
 }
 
-// keepTraffic writes the traffic of a day that broke a rule to a folder of its own.
+// keepTraffic writes the traffic of a day that broke a rule to a folder of its own, for rehearse judge.
 func (c rehearseRunCmd) keepTraffic(day *rehearsal.Day, result *rehearsal.Result) error {
 	folder := filepath.Join(c.Broken,
 		fmt.Sprintf("%s-%d-%s", day.Name, c.Seed, time.Now().Format("150405")))
--- a/cmd/cresspass/report.go
+++ b/cmd/cresspass/report.go
@@ -11,7 +11,7 @@
 	"cresspass/internal/simulation/plot"
 )
 
-// writePage writes a page with plots into a folder, where one is named.
+// writePage writes a page with plots to NAME.html in dir. It does nothing where dir is empty.
 func writePage(dir, name string, all []components.Charter) error {
 	if dir == "" {
 		return nil
@@ -21,7 +21,7 @@
 	})
 }
 
-// writeFile creates a file, and its folder, with what a function writes.
+// writeFile creates a file, and its directory where needed, and calls write to fill it.
 func writeFile(path string, write func(w io.Writer) error) error {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return err
--- a/cmd/cresspass/serve.go
+++ b/cmd/cresspass/serve.go
@@ -29,9 +29,9 @@
 	WithParent bool   `help:"Stop when standard input ends, as it does with the process that holds it."`
 }
 
-// Run serves until a signal, or a hand-over, ends the dispatcher.
+// Run serves until a signal or a hand-over ends the dispatcher.
 func (c serveCmd) Run() error {
-	received, stop := signals.Notify() // before anything else: a signal that comes earlier would be lost
+	received, stop := signals.Notify() // first: an earlier signal would be lost
 	defer stop()
 	options, err := c.options()
 	if err != nil {
@@ -63,7 +63,7 @@
 		stop := make(chan struct{})
 		options.Stop = stop
 		go func() {
-			_, _ = io.Copy(io.Discard, os.Stdin) // any end of the input is the parent's end
+			_, _ = io.Copy(io.Discard, os.Stdin) // an error, too, means that the parent has ended
 			close(stop)
 		}()
 	}
@@ -91,7 +91,8 @@
 	return cfg, overrides.Apply(cfg)
 }
 
-// newLogger returns a logger of a format. It sets the level in l, by which it can be changed later.
+// newLogger returns a logger that writes to w in the format "text" or "json". It sets l to level; the caller
+// may change l later.
 func newLogger(w io.Writer, level, format string, l *slog.LevelVar) (*slog.Logger, error) {
 	if err := l.UnmarshalText([]byte(level)); err != nil {
 		return nil, fmt.Errorf("log level %q: %w", level, err)
@@ -103,5 +104,5 @@
 	case "text":
 		return slog.New(slog.NewTextHandler(w, options)), nil
 	}
-	return nil, fmt.Errorf("log format %q: text or json", format)
+	return nil, fmt.Errorf("log format %q: want text or json", format)
 }
--- a/cmd/cresspass/soak.go
+++ b/cmd/cresspass/soak.go
@@ -26,16 +26,17 @@
 	Repeat      int           `default:"1" help:"Plays of each plan."`
 }
 
-// A soak needs peers, and one machine bears so many processes.
+// Bounds of the number of dispatchers: a soak needs peers, and one machine cannot run more processes well.
 const (
 	minSoakDispatchers = 2
 	maxSoakDispatchers = 40
 )
 
-// errRulesBroken is the error of a run in which a rule was broken.
+// errRulesBroken is wrapped by the error of a run in which a rule was broken.
 var errRulesBroken = errors.New("soak: rules were broken")
 
-// Run plays a plan of faults for each seed and prints its report; the error is for broken rules.
+// Run plays a plan of faults for each seed and prints its report. It returns errRulesBroken, wrapped, where a
+// rule was broken.
 func (c soakCmd) Run(ctx context.Context) error {
 	if c.Dispatchers < minSoakDispatchers || c.Dispatchers > maxSoakDispatchers {
 		return fmt.Errorf("soak: %d dispatchers, want %d to %d", c.Dispatchers, minSoakDispatchers,
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// playRepeatedly plays a plan as often as is asked and prints each report. It returns in how many plays a
+// playRepeatedly plays a plan Repeat times and prints each report. It returns the number of plays in which a
 // rule was broken.
 func (c soakCmd) playRepeatedly(ctx context.Context, plan *soak.Plan, program string) (int, error) {
 	broken := 0
@@ -94,7 +95,7 @@
 	return broken, nil
 }
 
-// play plays one plan, in the folder for logs or in a temporary one.
+// play plays one plan, with its logs in the Keep folder or in a temporary one.
 func (c soakCmd) play(ctx context.Context, plan *soak.Plan, program string,
 	number int) (*soak.Report, error) {
 	dir := c.Keep
--- a/cmd/cresspass/view.go
+++ b/cmd/cresspass/view.go
@@ -22,10 +22,10 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// statusLogInterval is how much of a day passes between two log lines.
+// statusLogInterval is the time of the day, at least, between two log lines.
 const statusLogInterval = 5 * time.Second
 
-// statusLogger shows a day as log lines.
+// statusLogger returns an observer that logs the progress of a day.
 func statusLogger(log *slog.Logger) func(rehearsal.Status) {
 	var last time.Duration
 	return func(s rehearsal.Status) {
@@ -49,14 +49,14 @@
 	}
 }
 
-// watchInTerminal shows a day in the terminal, by each status that look gets, until stop.
+// watchInTerminal shows a day in the terminal. look takes a new status; stop ends the view and waits for it.
 func watchInTerminal(d *rehearsal.Day) (look func(rehearsal.Status), stop func()) {
 	program := tea.NewProgram(&dayView{status: rehearsal.Status{Day: d}}, tea.WithInput(nil),
 		tea.WithoutSignalHandler())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_, _ = program.Run() // without its picture the day is played all the same
+		_, _ = program.Run() // the day is played even if the view fails
 	}()
 	look = func(s rehearsal.Status) { program.Send(s) }
 	stop = func() {
@@ -66,13 +66,13 @@
 	return look, stop
 }
 
-// dayView is the terminal's view of a day.
+// dayView is the tea.Model that shows a day in the terminal.
 type dayView struct{ status rehearsal.Status }
 
-// Init is tea.Model's.
+// Init implements tea.Model; there is nothing to start.
 func (v *dayView) Init() tea.Cmd { return nil }
 
-// Update takes the next status.
+// Update implements tea.Model: it stores the next status.
 func (v *dayView) Update(m tea.Msg) (tea.Model, tea.Cmd) {
 	if s, ok := m.(rehearsal.Status); ok {
 		v.status = s
@@ -88,13 +88,13 @@
 	downStyle    = lipgloss.NewStyle().Foreground(lipgloss.Color("1"))
 )
 
-// loadBarWidth is the length of an engine's bar in characters, at fullLoad threads a core.
+// An engine's load bar is loadBarWidth characters wide; it is full at fullLoad threads per core.
 const (
 	loadBarWidth = 30
 	fullLoad     = 2
 )
 
-// View is the picture of the last status.
+// View implements tea.Model: it renders the last status.
 func (v *dayView) View() string {
 	s := &v.status
 	var b strings.Builder
@@ -124,7 +124,7 @@
 	return b.String()
 }
 
-// viewEngine writes the line of an engine: its state, and a bar of its load.
+// viewEngine writes the line of one engine: its state and its load bar.
 func viewEngine(b *strings.Builder, number int, e rehearsal.EngineStatus) {
 	style, state := upStyle, e.State
 	switch {
--- a/cmd/cresspass/violation_log_test.go
+++ b/cmd/cresspass/violation_log_test.go
@@ -10,8 +10,9 @@
 	"cresspass/internal/invariant"
 )
 
-// TestViolationsAreFoundInTheLog: what a dispatcher logs of a violated invariant, through the program's own
-// logger, is what rehearsals and the soak count: one line for each violation, and none for its trace.
+// TestViolationsAreFoundInTheLog guards against violations that rehearsals and the soak miss or count twice
+// because the program's logger writes them in another form than ReadViolations expects. Each violated
+// invariant has to be found as one line; its trace, a second line, must not be counted.
 func TestViolationsAreFoundInTheLog(t *testing.T) {
 	for _, format := range []string{"text", "json"} {
 		path := filepath.Join(t.TempDir(), "log")
