--- a/internal/standin/answer.go
+++ b/internal/standin/answer.go
@@ -11,22 +11,23 @@
 )
 
 const (
-	flushBytes     = 8 << 10               // rows are flushed when about so many bytes wait
+	flushBytes     = 8 << 10               // buffered bytes of rows, about, at which they are flushed
 	rowOverhead    = 20                    // bytes of a row besides its value, about
-	crashDelay     = 20 * time.Millisecond // for the rows to leave before a crash resets the connection
+	crashDelay     = 20 * time.Millisecond // lets the rows leave before a crash resets the connection
 	garbageMessage = "\x00\xff!!! this is no protocol \x00\x01\x02\x03"
 )
 
-// answer is what is sent for a statement.
+// answer is the result of a statement, as it is sent to the client.
 type answer struct {
 	rows    int
-	tag     string              // of CommandComplete; "": the portal is suspended
+	tag     string              // command tag of CommandComplete; "": PortalSuspended is sent instead
 	value   []byte              // the second column of plain rows
-	typed   []*pgproto3.DataRow // rows of other columns, repeated in turn; nil: plain rows
+	typed   []*pgproto3.DataRow // rows of a table, repeated in turn; nil: plain rows
 	copyOut bool
 }
 
-// sendAnswer sends rows and the end of a statement, or what the faults have in their place.
+// sendAnswer sends the rows and the end of a statement, or what the faults in force demand instead. An error
+// ends the connection.
 func (c *engineConn) sendAnswer(x *execution, outcome Outcome) error {
 	faults := c.engine.currentFaults()
 	if faults.Garbage {
@@ -72,8 +73,8 @@
 	return nil
 }
 
-// prepareAnswer determines the rows of an answer, and sends what goes before them. An error is one of the
-// statement's parameters.
+// prepareAnswer determines the rows of an answer and sends the messages that precede them. An error means
+// that a parameter of the statement has no valid value.
 func (c *engineConn) prepareAnswer(x *execution, outcome Outcome) (answer, error) {
 	a := answer{rows: x.rows, tag: "SELECT " + strconv.Itoa(x.rows)}
 	if !returnsRows(x.text) {
@@ -102,7 +103,8 @@
 	return a, nil
 }
 
-// prepareTypedRows describes the rows, and encodes those of a statement that asks for columns of its own.
+// prepareTypedRows sends a RowDescription where one is due, and encodes the rows of a statement that asks for
+// a table (see tableFor).
 func (c *engineConn) prepareTypedRows(x *execution, a *answer) error {
 	table := tableFor(x.text)
 	var formats []int16
@@ -132,7 +134,8 @@
 	return nil
 }
 
-// sendRows sends rows, up to that at which a fault ends the engine or the connection.
+// sendRows sends rows, up to the row at which a fault crashes the engine (dieAfterRows) or ends the
+// connection (cutAt, -1: none).
 func (c *engineConn) sendRows(x *execution, a answer, dieAfterRows, cutAt int) error {
 	buffered := 0
 	for i := range a.rows {
@@ -171,7 +174,7 @@
 	return nil
 }
 
-// flushWhenFull counts a row that was put into the buffer, and sends the buffer when it is large.
+// flushWhenFull counts a row that was buffered, and flushes the buffer once it holds more than flushBytes.
 func (c *engineConn) flushWhenFull(x *execution, buffered *int, valueBytes int) error {
 	*buffered += valueBytes + rowOverhead
 	if *buffered <= flushBytes {
@@ -189,7 +192,7 @@
 	return &pgproto3.DataRow{Values: [][]byte{[]byte(strconv.Itoa(i)), value}}
 }
 
-// answerCopyIn receives the data of COPY FROM STDIN and answers it.
+// answerCopyIn receives the data of COPY FROM STDIN and completes the statement.
 func (c *engineConn) answerCopyIn(x *execution, outcome Outcome) error {
 	lines, ok, err := c.receiveCopy(x.tags)
 	switch {
@@ -206,7 +209,7 @@
 }
 
 // receiveCopy receives the data of COPY FROM STDIN and counts its lines; ok is false where an error was sent.
-// Tags: bad_line, at which it fails; chunk_ms, the time that each message takes.
+// The tag bad_line is the line at which the copy fails; chunk_ms is the time that each message takes.
 func (c *engineConn) receiveCopy(tags map[string]string) (lines int, ok bool, err error) {
 	c.backend.Send(&pgproto3.CopyInResponse{ColumnFormatCodes: []uint16{0, 0}})
 	if err := c.backend.Flush(); err != nil {
@@ -241,7 +244,7 @@
 	}
 }
 
-// fetch sends further rows of a suspended portal.
+// fetch sends the next rows of a suspended portal, at most limit where that is not 0.
 func (c *engineConn) fetch(p *enginePortal, limit int) {
 	n := p.remaining
 	if limit > 0 {
--- a/internal/standin/conn.go
+++ b/internal/standin/conn.go
@@ -10,7 +10,7 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// SQLSTATE codes that the stand-in gives ("PostgreSQL Error Codes").
+// SQLSTATE codes that the stand-in sends ("PostgreSQL Error Codes").
 const (
 	codeProtocolViolation         = "08P01"
 	codeFeatureNotSupported       = "0A000"
@@ -29,7 +29,7 @@
 	codeQueryCanceled             = "57014"
 	codeSystemError               = "58000"
 	messageCanceled               = "canceling statement due to user request"
-	syntaxErrorMarker             = "syntax error" // a text that contains it is rejected as one
+	syntaxErrorMarker             = "syntax error" // a statement that contains it is rejected with 42601
 )
 
 // The transaction status of a connection, as ReadyForQuery reports it.
@@ -46,42 +46,42 @@
 	backend         *pgproto3.Backend
 	pid             uint32
 	secret          []byte
-	cancel          chan struct{} // holds one cancel request
+	cancel          chan struct{} // buffers one cancel request
 	applicationName string        // guarded by the engine's mutex
 
 	statements    map[string]string
 	portals       map[string]*enginePortal
-	bound         *enginePortal // the portal that runs; nil: a simple query
+	bound         *enginePortal // the portal that is executed; nil: none, as in a simple query
 	limited       *enginePortal // the portal whose answer is suspended after limit rows
 	limit         int
-	simple        bool // a simple query runs
-	skipUntilSync bool // after an error
+	simple        bool // a simple query is executed
+	skipUntilSync bool // after an error, messages are ignored until Sync
 
 	grantMB      float64 // by SET work_mem
 	priority     int     // by SET cresspass.priority
 	reportedLoad string
 
 	tx              byte              // txIdle, txActive or txFailed
-	settings        map[string]string // session parameters by SET, without those of the dispatcher
+	settings        map[string]string // session parameters set by clients, not those of isDispatcherSetting
 	overridden      map[string]string // values that SET LOCAL replaced, until the transaction's end
-	temps           map[string]bool   // temporary tables, by name
+	temps           map[string]bool   // names of temporary tables
 	savepoints      []savepoint       // of the open transaction
-	beforeTx        *savepoint        // restored by a rollback; nil: no transaction
-	inTx            atomic.Bool       // a transaction is open
+	beforeTx        *savepoint        // the state that a rollback restores; nil: no transaction
+	inTx            atomic.Bool       // a transaction is open; read by other connections
 	hasSessionState atomic.Bool       // a transaction is open, or there is a temporary table
 }
 
-// enginePortal is a portal with the remainder of its answer.
+// enginePortal is a portal and, once it is suspended, what remains of its answer.
 type enginePortal struct {
 	text, firstParameter string
-	run                  bool
+	run                  bool   // it was executed
 	remaining            int    // rows that were not sent yet
-	value                string // the column value of these rows
+	value                string // the value column of these rows
 	formats              []int16
 	params               [][]byte // as text
 }
 
-var errConnectionEnded = errors.New("standin: connection is cut")
+var errConnectionEnded = errors.New("standin: the connection has ended")
 
 func (e *Engine) accept(ln net.Listener) {
 	defer e.background.Done()
@@ -109,7 +109,7 @@
 	}
 }
 
-// newConn registers a connection; nil: the engine has crashed.
+// newConn registers a connection. It returns nil where the engine has crashed.
 func (e *Engine) newConn(nc net.Conn) *engineConn {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -152,8 +152,8 @@
 	}
 }
 
-// startUp reads messages up to the StartupMessage. It returns false where the connection is none for
-// statements.
+// startUp reads messages up to the StartupMessage. It returns false where the connection failed or carried a
+// cancel request, so that no statements follow.
 func (c *engineConn) startUp() bool {
 	for {
 		m, err := c.backend.ReceiveStartupMessage()
@@ -187,7 +187,7 @@
 	return c.backend.Flush()
 }
 
-// handleCancel carries out a cancel request, late where the faults say so.
+// handleCancel carries out a cancel request, after the delay that the faults in force set.
 func (e *Engine) handleCancel(m *pgproto3.CancelRequest) {
 	if f := e.currentFaults(); f.SlowCancel > 0 {
 		time.Sleep(f.SlowCancel)
@@ -199,7 +199,7 @@
 	}
 }
 
-// signalCancel cancels the statement that runs, without waiting for it.
+// signalCancel cancels the statement that is executed, without waiting for its end.
 func (c *engineConn) signalCancel() {
 	select {
 	case c.cancel <- struct{}{}:
@@ -207,7 +207,7 @@
 	}
 }
 
-// dropStaleCancel forgets a cancel request that was meant for an earlier statement.
+// dropStaleCancel discards a cancel request that arrived after the end of the statement it was meant for.
 func (c *engineConn) dropStaleCancel() {
 	select {
 	case <-c.cancel:
@@ -215,7 +215,8 @@
 	}
 }
 
-// sendReady ends the answer to a query or a Sync, with the load report where it has changed.
+// sendReady sends ReadyForQuery, which ends the answer to a query or a Sync. Before it goes the load report,
+// if that has changed.
 func (c *engineConn) sendReady() error {
 	if load := c.engine.loadReport(); load != "" && load != c.reportedLoad {
 		c.reportedLoad = load
@@ -225,7 +226,7 @@
 	return c.backend.Flush()
 }
 
-// fail sends an error, which fails an open transaction and has what follows up to Sync skipped.
+// fail sends an error. It fails an open transaction, and messages up to the next Sync are skipped.
 func (c *engineConn) fail(code, message string) {
 	c.backend.Send(&pgproto3.ErrorResponse{Severity: "ERROR", SeverityUnlocalized: "ERROR", Code: code,
 		Message: message})
@@ -235,7 +236,7 @@
 	}
 }
 
-// complete sends the end of a statement.
+// complete sends CommandComplete, which ends a statement.
 func (c *engineConn) complete(tag string) {
 	c.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte(tag)})
 }
--- a/internal/standin/dedup.go
+++ b/internal/standin/dedup.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// DeduplicationGroup remembers which loads with an idempotency key ran, for all engines that share it.
+// DeduplicationGroup records when loads with an idempotency key ran, for all engines that share it. Its
+// methods may be called from several goroutines.
 type DeduplicationGroup struct {
 	mu      sync.Mutex
-	lastRun map[string]time.Time
-	runs    map[string][]time.Time
+	lastRun map[string]time.Time   // by the load's id
+	runs    map[string][]time.Time // by the load's id
 }
 
 // NewDeduplicationGroup returns a group in which nothing has run.
@@ -17,7 +18,7 @@
 	return &DeduplicationGroup{lastRun: map[string]time.Time{}, runs: map[string][]time.Time{}}
 }
 
-// first reports whether a load is no repeat within the window, and remembers that it ran.
+// first reports whether a load did not run within the window before now, and if so records that it runs now.
 func (g *DeduplicationGroup) first(id string, now time.Time, window time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -29,7 +30,7 @@
 	return true
 }
 
-// Ran returns when each load had its effect.
+// Ran returns, by the load's id, the times at which each load had its effect.
 func (g *DeduplicationGroup) Ran() map[string][]time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -20,11 +20,13 @@
 
 var errUnavailable = status.Error(codes.Unavailable, "out of reach")
 
-// acceptPings lets clients ping as often as gRPC's library allows them to.
+// acceptPings lets clients send keepalive pings every 10 s, the shortest interval that the gRPC library
+// allows.
 var acceptPings = grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 10 * time.Second})
 
-// DiscoveryServer is a stand-in for an endpoint discovery service: it pushes a list to all
-// subscribers. Changes can be delayed, and the service can be made unavailable.
+// DiscoveryServer is a stand-in for an endpoint discovery service (EDS): it pushes an engine list to all
+// subscribers. Changes can be delayed, and the service can be made unavailable. Its methods may be called
+// from several goroutines.
 type DiscoveryServer struct {
 	endpointservice.UnimplementedEndpointDiscoveryServiceServer
 	service string
@@ -36,21 +38,21 @@
 	list          eds.List
 	delay         time.Duration
 	unavailable   chan struct{} // closed while the service is unavailable
-	changed       chan struct{} // closed at each change
+	changed       chan struct{} // closed and replaced at each change of the list
 	notifications []Notification
 	rejections    int
 }
 
-// Notification is a list that one subscriber accepted, and when.
+// Notification records that one subscriber accepted a list.
 type Notification struct {
 	Sent    time.Time
 	At      time.Time // when it was accepted
-	Node    string
+	Node    string    // the subscriber's node id
 	Version int
 	List    []eds.Engine
 }
 
-// NewDiscoveryServer serves lists for one service on a loopback address.
+// NewDiscoveryServer listens on addr and starts to serve the lists of one service, the EDS resource.
 func NewDiscoveryServer(addr, service string) (*DiscoveryServer, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -61,15 +63,15 @@
 		unavailable: make(chan struct{})}
 	endpointservice.RegisterEndpointDiscoveryServiceServer(r.server, r)
 	go func() {
-		_ = r.server.Serve(ln) // nil after Close; otherwise subscribers lose their streams
+		_ = r.server.Serve(ln) // nil after Close; after another error subscribers lose their streams
 	}()
 	return r, nil
 }
 
-// Addr is the address on which the service listens.
+// Addr returns the address on which the service listens.
 func (r *DiscoveryServer) Addr() string { return r.addr }
 
-// Set changes the list.
+// Set replaces the list and pushes it to all subscribers.
 func (r *DiscoveryServer) Set(engines []eds.Engine) {
 	r.mu.Lock()
 	r.list = eds.List{Engines: append([]eds.Engine(nil), engines...)}
@@ -78,13 +80,14 @@
 	r.mu.Unlock()
 }
 
-// wake has all streams look at the list. The caller holds r.mu.
+// wake makes all streams send the new list. The caller holds r.mu.
 func (r *DiscoveryServer) wake() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// SetDelay delays further changes on their way to subscribers.
+// SetDelay delays later changes by so much before they are sent to subscribers. A subscriber's first list is
+// not delayed.
 func (r *DiscoveryServer) SetDelay(delay time.Duration) {
 	r.mu.Lock()
 	r.delay = delay
@@ -107,7 +110,7 @@
 	}
 }
 
-// Notifications returns which lists were accepted by whom, and how many were rejected.
+// Notifications returns the lists that subscribers accepted, and the number of those that they rejected.
 func (r *DiscoveryServer) Notifications() ([]Notification, int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -120,7 +123,8 @@
 // subscription is the stream of one subscriber.
 type subscription = endpointservice.EndpointDiscoveryService_StreamEndpointsServer
 
-// StreamEndpoints serves one subscriber (xDS protocol, "State of the World").
+// StreamEndpoints serves one subscriber (xDS protocol, the variant "State of the World"). The gRPC server
+// calls it for each stream.
 func (r *DiscoveryServer) StreamEndpoints(s subscription) error {
 	first, err := s.Recv()
 	if err != nil {
@@ -168,7 +172,7 @@
 	}
 }
 
-// receiveAcks passes a subscriber's requests on until its stream ends, and then closes acks.
+// receiveAcks forwards a subscriber's requests to acks until its stream ends, and then closes acks.
 func receiveAcks(s subscription, acks chan<- *discoveryv3.DiscoveryRequest) {
 	defer close(acks)
 	for {
@@ -184,8 +188,8 @@
 	}
 }
 
-// waitDelay waits before a change is sent, or until the service becomes unavailable. It returns false
-// where the subscriber is gone.
+// waitDelay waits for the delay of a change, or until the service becomes unavailable. It returns false if
+// the subscriber's stream ends first.
 func waitDelay(ctx context.Context, delay time.Duration, unavailable <-chan struct{}) bool {
 	if delay <= 0 {
 		return true
@@ -221,7 +225,7 @@
 		Resources: []*anypb.Any{resource}}, nil
 }
 
-// acknowledge records a list that the subscriber accepted, or counts one that it rejected.
+// acknowledge handles a subscriber's answer to a list: it records an accepted one and counts a rejected one.
 func (r *DiscoveryServer) acknowledge(m *discoveryv3.DiscoveryRequest,
 	unacknowledged map[string]Notification) {
 	r.mu.Lock()
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -1,7 +1,8 @@
-// Package standin has stand-ins for the peers of a dispatcher: an engine that speaks PostgreSQL around the
-// engine model, and an endpoint discovery service. Both can be given the faults that real ones have. The
-// engine decodes the protocol with pgproto3, which the dispatcher does not use, so that both sides cannot
-// share one misreading. Tests and rehearsals use this package; the product does not.
+// Package standin has stand-ins for the peers of a dispatcher: an engine that speaks PostgreSQL's protocol
+// and takes its timing from the engine model, and an endpoint discovery service. Both can be given faults
+// that real ones have. The engine decodes the protocol with pgproto3, which the dispatcher does not use, so
+// that the two sides cannot share a misreading of the protocol. Tests, rehearsals and the tools of the
+// command cresspass use this package; a dispatcher does not.
 package standin
 
 import (
@@ -15,22 +16,23 @@
 	"cresspass/internal/simulation/enginemodel"
 )
 
-// resetOnClose as SO_LINGER closes a TCP connection with a reset, as the crash of a process does.
+// resetOnClose is the SO_LINGER time in seconds with which closing a TCP connection resets it, as the crash
+// of a process does.
 const resetOnClose = 0
 
 // EngineConfig describes a stand-in engine.
 type EngineConfig struct {
 	Listen        string
 	Kind          enginemodel.Kind
-	Cold          bool // it starts with cold caches
-	Seed          uint64
+	Cold          bool                // it starts with cold caches
+	Seed          uint64              // of the engine's random choices
 	ProgressEvery time.Duration       // interval of progress notices; 0: none are sent
 	ReportEvery   time.Duration       // interval of load reports; 0: none are sent
 	Window        time.Duration       // repeats of a load with an idempotency key are dropped for this long
-	Group         *DeduplicationGroup // engines that drop repeats together; nil: this one alone
+	Group         *DeduplicationGroup // shared by engines that drop repeats together; nil: this one alone
 }
 
-// Engine is a stand-in engine.
+// Engine is a stand-in engine. All methods but Addr and Restart may be called from several goroutines.
 type Engine struct {
 	cfg  EngineConfig
 	addr string
@@ -41,22 +43,22 @@
 	epoch     time.Time // zero of the model's clock
 	started   time.Time
 	model     *enginemodel.Model
-	ended     map[*enginemodel.Running]chan Outcome // who waits for the end of each job
-	timer     *time.Timer                           // fires at the end of the next job
+	ended     map[*enginemodel.Running]chan Outcome // receives the outcome of each running job
+	timer     *time.Timer                           // fires at the model's next event
 	faults    Faults
 	random    *rand.Rand
 	conns     map[uint32]*engineConn
 	nextPID   uint32
 	runs      []*Run
-	load      string // the load report sent last
-	loadAt    time.Time
-	copyBytes int
-	locks     map[string]*engineConn // advisory locks of sessions, by key
+	load      string                 // the latest load report
+	loadAt    time.Time              // when load was made
+	copyBytes int                    // received by COPY FROM STDIN
+	locks     map[string]*engineConn // owners of advisory locks, by key
 
 	background sync.WaitGroup
 }
 
-// NewEngine starts an engine.
+// NewEngine starts an engine that listens on cfg.Listen.
 func NewEngine(cfg EngineConfig) (*Engine, error) {
 	if cfg.Group == nil {
 		cfg.Group = NewDeduplicationGroup()
@@ -65,10 +67,10 @@
 	return e, e.start(cfg.Cold)
 }
 
-// Addr is the address on which the engine listens.
+// Addr returns the address on which the engine listens; it stays the same after a restart.
 func (e *Engine) Addr() string { return e.addr }
 
-// Started is the start time of the present process.
+// Started returns the time of the last start or restart.
 func (e *Engine) Started() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -95,25 +97,26 @@
 	return nil
 }
 
-// Restart starts a crashed engine again under its address, as a new process with cold caches.
+// Restart starts a crashed engine again on the same address, as a new process with cold caches and no faults.
+// It returns an error where the engine is up.
 func (e *Engine) Restart() error {
 	e.mu.Lock()
 	up := e.up
 	e.mu.Unlock()
 	if up {
-		return errors.New("standin: engine " + e.addr + " is up")
+		return errors.New("standin: restart: engine " + e.addr + " is already up")
 	}
 	return e.start(true)
 }
 
-// Crash ends the engine at once: connections are reset, jobs are lost.
+// Crash ends the engine at once, as the crash of a process does: connections are reset and jobs are lost.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	e.crash()
 	e.mu.Unlock()
 }
 
-// crash ends the process at once: connections are reset, jobs are lost. The caller holds e.mu.
+// crash does what Crash says. The caller holds e.mu.
 func (e *Engine) crash() {
 	if !e.up {
 		return
@@ -125,7 +128,7 @@
 			_ = t.SetLinger(resetOnClose) // fails only on a connection that has ended already
 		}
 		c.netConn.Close()
-		c.signalCancel() // releases a statement that waits for a cancel
+		c.signalCancel() // releases a statement that waits only for a cancel
 	}
 	for r, done := range e.ended {
 		delete(e.ended, r)
@@ -136,13 +139,13 @@
 	}
 }
 
-// Close ends the engine and waits for its goroutines.
+// Close crashes the engine and waits until its goroutines have ended.
 func (e *Engine) Close() {
 	e.Crash()
 	e.background.Wait()
 }
 
-// Up reports whether the engine runs, and whether it fell over from overload.
+// Up reports whether the engine runs, and whether it has fallen over from overload since its last start.
 func (e *Engine) Up() (up, fallen bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -156,7 +159,7 @@
 	e.mu.Unlock()
 }
 
-// Sessions is the number of connections with an open transaction or a temporary table.
+// Sessions returns the number of connections with an open transaction or a temporary table.
 func (e *Engine) Sessions() (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -168,14 +171,14 @@
 	return n
 }
 
-// Threads is the number of threads that run in the engine now.
+// Threads returns the number of threads that run in the engine now.
 func (e *Engine) Threads() float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.model.Threads()
 }
 
-// Copied is the number of bytes that the engine has received by COPY FROM STDIN.
+// Copied returns the number of bytes that the engine has received by COPY FROM STDIN, over all its restarts.
 func (e *Engine) Copied() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -190,7 +193,7 @@
 
 func (e *Engine) now() time.Duration { return time.Since(e.epoch) }
 
-// finish notifies those who wait for jobs that have ended. The caller holds e.mu.
+// finish notifies the waiters of jobs that have ended. The caller holds e.mu.
 func (e *Engine) finish(ended []*enginemodel.Running) {
 	for _, r := range ended {
 		if done := e.ended[r]; done != nil {
@@ -200,7 +203,7 @@
 	}
 }
 
-// scheduleNext sets the timer for the next end. The caller holds e.mu.
+// scheduleNext sets the timer for the model's next event. The caller holds e.mu.
 func (e *Engine) scheduleNext() {
 	if e.timer != nil {
 		e.timer.Stop()
@@ -218,7 +221,8 @@
 	}
 }
 
-// loadReport is the load report, refreshed at its interval; "": none is sent.
+// loadReport returns the load report, "RUNNING,GRANTED": the number of jobs, and the share of memory granted.
+// It is refreshed at its interval. "" means that none is sent.
 func (e *Engine) loadReport() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -4,21 +4,21 @@
 	"time"
 )
 
-// Faults are what goes wrong with an engine. The zero value is an engine without faults.
+// Faults says which faults an engine has. The zero value is an engine without faults; shares are from 0 to 1.
 type Faults struct {
-	Slow         float64       // service times are multiplied by this; 0 means 1
+	Slow         float64       // factor of service times; 0 means 1
 	Hang         bool          // the engine accepts queries and answers none
 	LoseShare    float64       // share of the answers that are never sent
 	ErrorShare   float64       // share of the queries that fail at once
-	DieAfterRows int           // the next answer that reaches this number of rows crashes the engine
-	Garbage      bool          // answers are bytes that are no protocol
+	DieAfterRows int           // an answer that reaches this number of rows crashes the engine; 0: none
+	Garbage      bool          // answers are bytes that violate the protocol
 	Cut          float64       // share of the answers during which the connection is closed
 	Full         bool          // all queries are rejected with 53300
 	SlowCancel   time.Duration // delay before a cancel request is carried out
-	LateReports  time.Duration // additional age of load reports
+	LateReports  time.Duration // added to the interval of load reports
 }
 
-// SetFaults puts faults in force, in place of those before.
+// SetFaults replaces the faults in force.
 func (e *Engine) SetFaults(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -40,7 +40,7 @@
 	return e.faults
 }
 
-// chance draws whether one event belongs to a share of all events.
+// chance returns true, at random, for the given share of its calls.
 func (e *Engine) chance(share float64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/message.go
+++ b/internal/standin/message.go
@@ -11,7 +11,7 @@
 	"cresspass/internal/protocol/sqlscan"
 )
 
-// handleMessage carries out one message of the client. An error ends the connection.
+// handleMessage handles one message of the client. An error ends the connection.
 func (c *engineConn) handleMessage(m pgproto3.FrontendMessage) error {
 	if _, ok := m.(*pgproto3.Sync); ok {
 		if c.skipUntilSync = false; c.tx == txIdle {
@@ -41,7 +41,7 @@
 		c.handleClose(m)
 	case *pgproto3.Flush:
 		return c.backend.Flush()
-	case *pgproto3.CopyData, *pgproto3.CopyDone, *pgproto3.CopyFail: // of a copy that ended before
+	case *pgproto3.CopyData, *pgproto3.CopyDone, *pgproto3.CopyFail: // of a copy that failed before
 	case *pgproto3.Terminate:
 		return errConnectionEnded
 	default:
@@ -129,7 +129,7 @@
 	c.backend.Send(&pgproto3.CloseComplete{})
 }
 
-// handleQuery runs a simple query, or applies the settings that the dispatcher sends before one.
+// handleQuery executes a simple query, or applies the settings that the dispatcher sends before one.
 func (c *engineConn) handleQuery(text string) error {
 	all := sqlscan.Statements(text)
 	if len(all) == 0 {
@@ -150,7 +150,7 @@
 	c.simple = true
 	defer func() { c.simple = false }()
 	before, open := c.savepoint(), c.tx != txIdle
-	defer func() { // an error undoes the text, where the text is a transaction of its own
+	defer func() { // after an error, a text that is a transaction of its own is rolled back
 		if c.skipUntilSync && !open && c.tx == txIdle && all[0].Words[0] != "BEGIN" {
 			c.settings, c.temps = before.settings, before.temps
 		}
@@ -169,8 +169,8 @@
 	return nil
 }
 
-// isDispatcherSetting reports whether a statement, by its first words, is one by which the dispatcher sets
-// the memory grant or the priority of the next query.
+// isDispatcherSetting reports, from the first words of a statement, whether it sets the memory grant or the
+// priority of the next query. The dispatcher sends such statements before a query.
 func isDispatcherSetting(words [4]string) bool {
 	switch words[0] {
 	case "SET":
@@ -181,7 +181,7 @@
 	return false
 }
 
-// applySetting takes the memory grant or the priority. A value that is no number counts as 0.
+// applySetting sets the memory grant or the priority. A value that is not a number counts as 0.
 func (c *engineConn) applySetting(s sqlscan.Statement) {
 	_, value, _ := strings.Cut(s.Text, "=")
 	value = strings.Trim(strings.TrimSpace(value), "'")
--- a/internal/standin/run.go
+++ b/internal/standin/run.go
@@ -6,7 +6,7 @@
 	"cresspass/internal/protocol/sqlscan"
 )
 
-// Outcome is how a run ended; it is empty while the run lasts.
+// Outcome says how a run ended; it is empty while the run lasts.
 type Outcome string
 
 // The outcomes of a run.
@@ -15,14 +15,14 @@
 	OutcomeDropped   Outcome = "dropped" // a repeat within the deduplication window: no effect
 	OutcomeCancelled Outcome = "cancelled"
 	OutcomeFailed    Outcome = "failed"
-	OutcomeLost      Outcome = "lost" // its answer was withheld
+	OutcomeLost      Outcome = "lost" // its answer was never sent
 	OutcomeFull      Outcome = "full" // rejected with 53300
 	OutcomeDied      Outcome = "died" // the engine or the connection ended first
 	OutcomeGarbage   Outcome = "garbage"
 	OutcomeCut       Outcome = "cut" // the connection was closed in the middle of the answer
 )
 
-// Run is one query that an engine received.
+// Run records one query that an engine received. Class and Key are tags; statementID gives the ID.
 type Run struct {
 	ID, Class, Key string
 	Text           string
@@ -32,7 +32,8 @@
 	Priority       int
 }
 
-// Runs returns the queries that the engine received since it was made, over all its restarts.
+// Runs returns the queries that the engine has received, over all its restarts. Statements with no work are
+// not among them, except those about the session.
 func (e *Engine) Runs() []Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -43,8 +44,8 @@
 	return out
 }
 
-// recordSessionStatement records a statement about the session as a run, so that tests see which engine
-// got it.
+// recordSessionStatement records a statement about the session as a run of the class tag, so that tests see
+// which engine received it.
 func (e *Engine) recordSessionStatement(text, first, tag string) {
 	now := time.Now()
 	run := &Run{ID: statementID(sqlscan.Tags(text), first), Class: tag, Text: text, Begun: now, Ended: now,
--- a/internal/standin/sample.go
+++ b/internal/standin/sample.go
@@ -8,10 +8,10 @@
 	"github.com/jackc/pgx/v5/pgtype"
 )
 
-// nullRow is the row of each period in which all values are null.
+// nullRow is the index of the row in each samplePeriod whose values are all null.
 const nullRow = 5
 
-// numerics are the sample values of numeric, one of them null.
+// numerics holds the sample values of type numeric, one of them null.
 var numerics = []pgtype.Numeric{parseNumeric("0"), parseNumeric("-12.50"),
 	parseNumeric("123456789012345678901234.000001"), {} /* null */, parseNumeric("NaN")}
 
@@ -23,7 +23,8 @@
 	return n
 }
 
-// sample is the value of a type in a row; some are null, and some are at the edges of their range.
+// sample returns the value of a type in row i. Some values are null, and some are at the bounds of their
+// range.
 func sample(oid uint32, i int) any {
 	if i%samplePeriod == nullRow {
 		return nil
@@ -86,7 +87,7 @@
 	return nil
 }
 
-// sampleArray is the value of an array type; nil: the type is none.
+// sampleArray returns the value of an array type in row i; nil: the type is not a known array type.
 func sampleArray(oid uint32, i int) any {
 	switch oid {
 	case pgtype.BoolArrayOID:
--- a/internal/standin/session.go
+++ b/internal/standin/session.go
@@ -14,7 +14,7 @@
 // invalidValue is the parameter value that SET and set_config reject.
 const invalidValue = "wrong"
 
-// savepoint is the session state that a rollback restores.
+// savepoint holds the session state that a rollback restores.
 type savepoint struct {
 	settings map[string]string
 	temps    map[string]bool
@@ -24,17 +24,17 @@
 	return savepoint{maps.Clone(c.settings), maps.Clone(c.temps)}
 }
 
-// sessionResult is what became of a statement that may be about the session.
+// sessionResult says how far a statement that may be about the session has been handled.
 type sessionResult int
 
 const (
-	notAboutSession sessionResult = iota // the statement has to be run as a query
+	notAboutSession sessionResult = iota // the statement still has to be run as a query
 	completed                            // CommandComplete is still to be sent
-	answered                             // an error, or another complete answer, was sent
+	answered                             // an error or another complete answer was sent
 )
 
-// applySessionStatement carries out statements about the session, which need no work of the engine model. It
-// returns false for others.
+// applySessionStatement carries out a statement about the session, which takes no work in the engine model.
+// It returns false for any other statement.
 func (c *engineConn) applySessionStatement(st *sqlscan.Statement, text, first string) bool {
 	// The tag state_ms is the time that a statement about the session takes.
 	time.Sleep(time.Duration(numberTag(sqlscan.Tags(text), "state_ms", 0) * float64(time.Millisecond)))
@@ -52,8 +52,8 @@
 	return result != notAboutSession
 }
 
-// sessionStatement dispatches by the statement's first words. In a failed transaction all but its end is
-// rejected, as PostgreSQL does (25P02).
+// sessionStatement selects the handler by the statement's first words. In a failed transaction it rejects all
+// statements except those that end it, as PostgreSQL does (25P02).
 func (c *engineConn) sessionStatement(st *sqlscan.Statement) (tag string, result sessionResult) {
 	words := st.Words
 	switch words[0] {
@@ -144,7 +144,8 @@
 	return "ROLLBACK", completed
 }
 
-// setSavepoint carries out SAVEPOINT; RELEASE keeps the savepoint, which nothing here observes.
+// setSavepoint carries out SAVEPOINT and RELEASE. RELEASE keeps the savepoint: nothing observes that it
+// stays.
 func (c *engineConn) setSavepoint(word string) (tag string, result sessionResult) {
 	if c.tx == txIdle {
 		c.fail(codeNoActiveTransaction, word+" can only be used in transaction blocks")
@@ -190,8 +191,8 @@
 	c.fail(codeInvalidParameterValue, "invalid value for parameter "+name)
 }
 
-// reset carries out RESET. As SET does, it ends a SET LOCAL of the same transaction: COMMIT keeps the
-// default.
+// reset carries out RESET. Like SET, it overrides a SET LOCAL of the same transaction: the default stays
+// after COMMIT.
 func (c *engineConn) reset(st *sqlscan.Statement) string {
 	if change, ok := sessionparams.ChangeOf(st); ok && change.Name != "" {
 		delete(c.settings, change.Name)
@@ -235,7 +236,8 @@
 	return "SHOW"
 }
 
-// reportParameters sends the new values of settings that PostgreSQL reports.
+// reportParameters sends ParameterStatus for parameters that have changed since before and that PostgreSQL
+// reports.
 func (c *engineConn) reportParameters(before map[string]string) {
 	for _, name := range []string{"timezone", "datestyle"} {
 		if v := c.settings[name]; v != before[name] {
--- a/internal/standin/session_functions.go
+++ b/internal/standin/session_functions.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	allLocks         = "" // as a key: every advisory lock of the session
+	allLocks         = "" // as the key of unlock: every advisory lock of the session
 	lockPollInterval = 5 * time.Millisecond
 )
 
-// sessionFunctions carries out functions in a query that change or read the session. Where they answer the
-// query already the result is answered, otherwise the query still has to be run.
+// sessionFunctions carries out function calls in a query that change or read the session. The result is
+// answered where that has answered the query, and notAboutSession where the query still has to be run.
 func (c *engineConn) sessionFunctions(st *sqlscan.Statement) (tag string, result sessionResult) {
 	if c.applyLockFunctions(st.Text) || c.terminateBackends(st.Text) || !c.applySetConfig(st.Text) {
 		return "", answered
 	}
-	if strings.Contains(st.Text, "make_temp(") { // a function that leaves a temporary table
+	if strings.Contains(st.Text, "make_temp(") { // stands for a function that leaves a temporary table
 		c.temps["tmp_made"] = true
 	}
-	if strings.Contains(st.Text, "sneaky_set(") { // a function that sets a parameter which is reported
+	if strings.Contains(st.Text, "sneaky_set(") { // stands for a function that sets a reported parameter
 		c.settings["timezone"] = "Mars"
 	}
 	if name := c.missingTemporaryTable(st.Words); name != "" {
@@ -35,14 +35,16 @@
 	return "", notAboutSession
 }
 
-// functionArgument returns the argument of a function's first call in a text.
+// functionArgument returns the argument list of a function's first call in a text; ok is false where there is
+// no call.
 func functionArgument(text, name string) (arg string, ok bool) {
 	_, rest, ok := strings.Cut(text, name+"(")
 	arg, _, _ = strings.Cut(rest, ")")
 	return arg, ok
 }
 
-// applyLockFunctions takes and releases advisory locks. It returns true where the wait for one was cancelled.
+// applyLockFunctions acquires and releases advisory locks. It returns true where the wait for one was
+// cancelled.
 func (c *engineConn) applyLockFunctions(text string) (canceled bool) {
 	if key, ok := functionArgument(text, "pg_advisory_lock"); ok && !c.engine.lock(c, key) {
 		c.fail(codeQueryCanceled, messageCanceled)
@@ -54,8 +56,8 @@
 	return false
 }
 
-// terminateBackends carries out the dispatcher's query that ends sessions by application name, if they are
-// in a transaction or their process id is named. It returns false for other texts.
+// terminateBackends carries out the dispatcher's query that terminates sessions: those with a listed
+// application name that are in a transaction or whose process id is listed. It returns false for other texts.
 func (c *engineConn) terminateBackends(text string) bool {
 	if _, ok := functionArgument(text, "pg_terminate_backend"); !ok {
 		return false
@@ -77,7 +79,7 @@
 	return true
 }
 
-// terminate closes the connections that match, and returns their number.
+// terminate closes the connections that match and returns their number.
 func (e *Engine) terminate(matches func(*engineConn) bool) (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -91,7 +93,7 @@
 	return n
 }
 
-// applySetConfig carries out set_config('name', 'value', ...). It returns false where the value was rejected.
+// applySetConfig carries out set_config('name', 'value', ...). It returns false where it rejected the value.
 func (c *engineConn) applySetConfig(text string) bool {
 	_, args, found := strings.Cut(text, "set_config('")
 	parts := strings.Split(args, "'")
@@ -107,7 +109,8 @@
 	return true
 }
 
-// missingTemporaryTable is the temporary table that a query reads and its session does not have; "": none.
+// missingTemporaryTable returns the temporary table that a query reads and its session does not have; "":
+// none.
 func (c *engineConn) missingTemporaryTable(words [4]string) string {
 	for i, word := range words {
 		if word != "FROM" || i+1 == len(words) {
@@ -121,7 +124,8 @@
 	return ""
 }
 
-// lock waits for a session's advisory lock. It returns false where the wait was cancelled.
+// lock acquires an advisory lock for a session and waits while another has it. It returns false where the
+// wait was cancelled.
 func (e *Engine) lock(c *engineConn, key string) bool {
 	for {
 		e.mu.Lock()
@@ -140,7 +144,7 @@
 	}
 }
 
-// unlock releases an advisory lock of a session, or allLocks.
+// unlock releases one advisory lock of a session or, for the key allLocks, all of them.
 func (e *Engine) unlock(c *engineConn, key string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/session_test.go
+++ b/internal/standin/session_test.go
@@ -11,9 +11,9 @@
 	"cresspass/internal/standin"
 )
 
-// The value of a setting after COMMIT, where a transaction sets it for the session and for itself in some
-// order; "" stands for the default. PostgreSQL's documentation says so: after SET and SET LOCAL in one
-// transaction the value of SET takes effect at COMMIT, and RESET is SET to the default.
+// TestSettingAfterCommit checks the value of a parameter after a transaction that combines SET, SET LOCAL and
+// RESET; "" stands for the default. PostgreSQL's documentation: after SET and SET LOCAL in one transaction
+// the value of SET takes effect at COMMIT, and RESET is SET to the default.
 func TestSettingAfterCommit(t *testing.T) {
 	e, err := standin.NewEngine(standin.EngineConfig{Kind: testbed.EngineKind(8, 4096)})
 	if err != nil {
--- a/internal/standin/statement.go
+++ b/internal/standin/statement.go
@@ -15,30 +15,30 @@
 	defaultWorkMS   = 2
 	defaultRows     = 1
 	defaultRowBytes = 20
-	repeatWork      = 0.001 // thread seconds to find that a load is a repeat
+	repeatWork      = 0.001 // thread seconds that it takes to recognize a repeated load
 )
 
-// Codes of the notices that report progress.
+// SQLSTATE codes of the notices that report progress.
 const (
 	noticeProgress = "CP001"
 	noticeSpill    = "CP002"
 	noticeWaiting  = "CP003"
 )
 
-// waitingForMemory is the value of a notice that a query waits.
+// waitingForMemory is the value of a noticeWaiting: the query waits for memory.
 const waitingForMemory = 2
 
-// execution is one run of a statement.
+// execution holds the state of one execution of a statement.
 type execution struct {
 	engine   *Engine
 	text, id string
 	tags     map[string]string
-	describe bool // a RowDescription goes before the rows
+	describe bool // a RowDescription is sent before the rows
 	rows     int
 	job      enginemodel.Job
 	running  *enginemodel.Running
-	done     chan Outcome // the end of the job
-	repeat   bool         // of a load, within the deduplication window
+	done     chan Outcome // receives the job's outcome
+	repeat   bool         // it repeats a load within the deduplication window
 	run      *Run         // nil: the run is not recorded
 }
 
@@ -68,7 +68,7 @@
 	}
 }
 
-// end records the outcome.
+// end records the outcome and the time of the end.
 func (x *execution) end(outcome Outcome) {
 	if x.run == nil {
 		return
@@ -92,7 +92,7 @@
 	return tags
 }
 
-// statementID is the tag id or, where there is none, the beginning of the first parameter.
+// statementID returns the tag id or, where there is none, the first parameter up to its first ";".
 func statementID(tags map[string]string, first string) string {
 	if id := tags["id"]; id != "" {
 		return id
@@ -108,8 +108,8 @@
 	return otherwise
 }
 
-// runStatement carries out a statement. Its comment says what it needs (tags work_ms, threads, need_mb, rows,
-// row_bytes, tables, loads).
+// runStatement runs a statement through the engine model and answers it. The tags in its comment say what it
+// needs: work_ms, threads, need_mb, rows, row_bytes, tables, loads. An error ends the connection.
 func (c *engineConn) runStatement(text, first string, describe bool) error {
 	x := c.newExecution(text, first, describe)
 	faults := c.engine.currentFaults()
@@ -144,7 +144,7 @@
 	}
 	if c.engine.chance(faults.LoseShare) {
 		x.end(OutcomeLost)
-		<-c.cancel // the answer never comes; the connection stays as it is until somebody cancels
+		<-c.cancel // no answer is sent; the connection stays open until a cancel request
 		c.fail(codeQueryCanceled, messageCanceled)
 		return nil
 	}
@@ -154,16 +154,17 @@
 	return c.sendAnswer(x, outcome)
 }
 
-// jobAdmission is what the engine does with a job.
+// jobAdmission says what the engine does with a job.
 type jobAdmission int
 
 const (
 	jobAdmitted    jobAdmission = iota
 	jobRejected                 // the engine is full
-	jobNotModelled              // it has no work, and is answered at once
+	jobNotModelled              // it has no work and is answered at once
 )
 
-// startJob starts a job in the model. The engine may fall over from it.
+// startJob starts a job in the model. It returns an error where the engine is down or falls over from the
+// job.
 func (e *Engine) startJob(x *execution, faults Faults) (jobAdmission, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -180,7 +181,7 @@
 	if faults.Full {
 		return jobRejected, nil
 	}
-	if x.job.Work == 0 && !faults.Hang { // such statements measure the way to the engine alone
+	if x.job.Work == 0 && !faults.Hang { // a statement without work measures only the path to the engine
 		x.run = nil
 		return jobNotModelled, nil
 	}
@@ -200,7 +201,7 @@
 	return jobAdmitted, nil
 }
 
-// removeJob takes a job out of the model before its end.
+// removeJob removes a job from the model before its end.
 func (e *Engine) removeJob(r *enginemodel.Running) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -210,7 +211,8 @@
 	e.scheduleNext()
 }
 
-// awaitJob waits for a job's end, and sends notices of its progress meanwhile.
+// awaitJob waits for a job's end or a cancel request, and sends notices of progress meanwhile. An error ends
+// the connection.
 func (c *engineConn) awaitJob(r *enginemodel.Running, done <-chan Outcome) (Outcome, error) {
 	var progress <-chan time.Time
 	if every := c.engine.cfg.ProgressEvery; every > 0 {
--- a/internal/standin/table.go
+++ b/internal/standin/table.go
@@ -12,13 +12,13 @@
 	"cresspass/internal/protocol/sqlscan"
 )
 
-// A statement whose comment has columns='int8,text,...' gives rows of these types, one with echo_params
-// gives its parameters, and one with action='flight.…' gives a small catalog.
+// Tags in a statement's comment select a table as its answer: columns='int8,text,...' gives rows of these
+// types, echo_params gives the statement's parameters, and action='flight.…' gives a small catalog.
 
 // samplePeriod is the number of rows after which sample values repeat.
 const samplePeriod = 64
 
-// typeOIDs are the types that the stand-in can give, by name.
+// typeOIDs holds the OIDs of the types that the stand-in can return, by name.
 var typeOIDs = map[string]uint32{"bool": 16, "bytea": 17, "int8": 20, "int2": 21, "int4": 23, "text": 25,
 	"oid": 26, "json": 114, "float4": 700, "float8": 701, "varchar": 1043, "date": 1082, "time": 1083,
 	"timestamp": 1114, "timestamptz": 1184, "interval": 1186, "numeric": 1700, "uuid": 2950, "_bool": 1000,
@@ -26,14 +26,14 @@
 	"_float4": 1021, "_float8": 1022, "_timestamp": 1115, "_date": 1182, "_timestamptz": 1185,
 	"_numeric": 1231, "_uuid": 2951, "point": 600}
 
-// table is the shape of an answer, and its rows where they are fixed.
+// table holds the columns of an answer, and its rows where they are fixed.
 type table struct {
 	names []string
 	oids  []uint32
 	rows  [][]any // nil: sample values, or the statement's parameters
 }
 
-// catalog is the catalog of the stand-in, by action.
+// catalog holds the catalog tables of the stand-in, by the tag action.
 var catalog = map[string]table{
 	"flight.catalogs": {names: []string{"catalog_name"}, oids: []uint32{25}, rows: [][]any{{"db"}}},
 	"flight.schemas": {names: []string{"catalog_name", "db_schema_name"}, oids: []uint32{25, 25},
@@ -52,10 +52,11 @@
 		rows: [][]any{{"db", "public", "orders", "id", 1, "orders_pkey"}}},
 }
 
-// castPattern finds the parameters of a text that have a type.
+// castPattern matches a parameter with a cast, such as $1::int8.
 var castPattern = regexp.MustCompile(`\$(\d+)::(\w+)`)
 
-// parameterTypes are the types of a text's parameters, by their casts; text where there is none.
+// parameterTypes returns the type OIDs of a text's parameters, by their casts; a parameter without a cast is
+// of type text.
 func parameterTypes(text string) []uint32 {
 	var oids []uint32
 	for strings.Contains(text, "$"+strconv.Itoa(len(oids)+1)) {
@@ -69,7 +70,7 @@
 	return oids
 }
 
-// tableFor is the table that a text asks for; nil: the two plain columns of defaultDescription.
+// tableFor returns the table that a text asks for; nil: the two plain columns of defaultDescription.
 func tableFor(text string) *table {
 	tags := sqlscan.Tags(text)
 	if t, ok := catalog[tags["action"]]; ok {
@@ -94,20 +95,21 @@
 	return t
 }
 
-// returnsRows reports whether a text returns rows.
+// returnsRows reports whether a text returns rows: its first statement does not write.
 func returnsRows(text string) bool {
 	all := sqlscan.Statements(text)
 	return len(all) > 0 && !all[0].Writes
 }
 
-// defaultDescription is the shape of plain rows.
+// defaultDescription returns the description of plain rows: a number and a value, both as text.
 func defaultDescription() *pgproto3.RowDescription {
 	return &pgproto3.RowDescription{Fields: []pgproto3.FieldDescription{
 		{Name: []byte("n"), DataTypeOID: pgtype.TextOID, DataTypeSize: -1, TypeModifier: -1},
 		{Name: []byte("value"), DataTypeOID: pgtype.TextOID, DataTypeSize: -1, TypeModifier: -1}}}
 }
 
-// rowDescription describes the columns of a table, in the formats that a Bind asked for.
+// rowDescription describes the columns of a table, or of plain rows where it is nil, in the formats of a
+// Bind.
 func rowDescription(t *table, formats []int16) *pgproto3.RowDescription {
 	if t == nil {
 		d := defaultDescription()
@@ -124,7 +126,7 @@
 	return d
 }
 
-// format is the format of a column: Bind gives none, one for all, or one for each.
+// format returns the format of column i: a Bind gives no format (text), one for all columns, or one for each.
 func format(formats []int16, i int) int16 {
 	switch {
 	case len(formats) == 1:
@@ -135,8 +137,8 @@
 	return 0
 }
 
-// encode returns the rows of a table: its own, one of the statement's parameters, or a period of sample
-// values.
+// encode returns the encoded rows of a table: its fixed rows, one row of the statement's parameters, or
+// samplePeriod rows of sample values.
 func (t *table) encode(formats []int16, params [][]byte) ([]*pgproto3.DataRow, error) {
 	m := pgtype.NewMap()
 	n := samplePeriod
@@ -168,7 +170,7 @@
 	return out, nil
 }
 
-// value is the value of one column in a row; nil: null.
+// value returns the value of one column in a row; nil: null.
 func (t *table) value(m *pgtype.Map, params [][]byte, row, column int) (any, error) {
 	oid := t.oids[column]
 	switch {
@@ -181,7 +183,7 @@
 	}
 	typ, ok := m.TypeForOID(oid)
 	if !ok {
-		return nil, fmt.Errorf("no type %d", oid)
+		return nil, fmt.Errorf("no type with OID %d", oid)
 	}
 	return typ.Codec.DecodeValue(m, oid, pgtype.TextFormatCode, params[column])
 }
