--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,9 +1,9 @@
 // Package goldentest compares what a test produced with a golden file: bytes that an earlier version wrote,
-// kept under the testdata directory of the package that is tested. Golden files hold stored and sent forms,
-// so a golden file that changes is a change of a form that other versions read.
+// kept under the testdata directory of the package that is tested. Golden files hold formats that are stored
+// or sent, so a change to a golden file is a change to a format that other versions read.
 //
 // Tests never write a golden file unless the environment variable UPDATE_GOLDEN is 1. The package knows
-// nothing of the forms, and no code outside of tests may import it.
+// nothing of the formats, and no code outside of tests may import it.
 package goldentest
 
 import (
@@ -15,10 +15,11 @@
 )
 
 const (
-	// updateVariable is the environment variable that has golden files written anew where it is updateValue.
+	// updateVariable is the environment variable that makes tests rewrite golden files if it is updateValue.
 	updateVariable = "UPDATE_GOLDEN"
 	updateValue    = "1"
-	// excerptBytes is how much of a line a failure shows before and after the first difference.
+	// excerptBytes is the number of bytes of a line that a failure shows before, and from, the first
+	// difference.
 	excerptBytes = 100
 )
 
@@ -33,7 +34,7 @@
 	}
 }
 
-// Read returns the bytes of testdata/NAME, and ends the test if it can't.
+// Read returns the bytes of testdata/NAME, and ends the test if it cannot read them.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(path(name))
@@ -43,9 +44,9 @@
 	return data
 }
 
-// Update writes testdata/NAME if UPDATE_GOLDEN=1, and does nothing otherwise. It is for a test that has to
-// compare what the file means, as the bytes of its encoding, say compressed ones, depend on a library's
-// version; any other test uses Compare.
+// Update writes testdata/NAME if UPDATE_GOLDEN=1, and does nothing otherwise. It is for tests that must
+// compare decoded content, because the encoded bytes (compressed ones, for example) depend on a library's
+// version. Any other test uses Compare.
 func Update(t testing.TB, name string, current []byte) {
 	t.Helper()
 	if os.Getenv(updateVariable) != updateValue {
@@ -59,10 +60,10 @@
 	}
 }
 
-// path returns where a golden file lies; a test runs in the directory of its package.
+// path returns the path of a golden file; a test runs in the directory of its package.
 func path(name string) string { return filepath.Join("testdata", filepath.FromSlash(name)) }
 
-// firstDifference describes where two byte slices that differ do so first.
+// firstDifference describes the first difference of two byte slices, which must not be equal.
 func firstDifference(got, want []byte) string {
 	offset := 0
 	for offset < len(got) && offset < len(want) && got[offset] == want[offset] {
@@ -73,7 +74,7 @@
 		line, offset, len(got), len(want), excerpt(got, offset), excerpt(want, offset))
 }
 
-// excerpt returns the line that holds the byte at offset, cut to what lies around it.
+// excerpt returns the line that holds the byte at offset, or the part within excerptBytes around it.
 func excerpt(b []byte, offset int) []byte {
 	start := 1 + bytes.LastIndexByte(b[:offset], '\n')
 	end := len(b)
--- a/internal/goldentest/goldentest_test.go
+++ b/internal/goldentest/goldentest_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// failures is a test whose failures are noted instead of reported.
+// failures is a testing.TB that records failures instead of reporting them.
 type failures struct {
 	testing.TB
 	errors []string
@@ -29,7 +29,7 @@
 	runtime.Goexit()
 }
 
-// observe runs a test to its end, or to its Fatalf, and returns its failures.
+// observe runs a test function until it returns or calls Fatalf, and returns its failures.
 func observe(t *testing.T, test func(t testing.TB)) *failures {
 	f := &failures{TB: t}
 	done := make(chan struct{})
@@ -41,7 +41,7 @@
 	return f
 }
 
-// inNewDirectory has the test run where testdata holds one file, without UPDATE_GOLDEN.
+// inNewDirectory changes to a new directory whose testdata holds one file, and empties UPDATE_GOLDEN.
 func inNewDirectory(t *testing.T, name, content string) {
 	t.Helper()
 	t.Chdir(t.TempDir())
