--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,5 +1,6 @@
-// Command knownred checks the list of known failures and prints it: each entry has a test that exists or a
-// soak's command, a command with its seed, what was seen, and an issue.
+// Command knownred checks the list of known failures and prints it. Each line is an entry of four parts: an
+// existing test or the word soak, a command with its seed, what was seen, and an issue. With -tests it prints
+// a regular expression of the entries' tests instead.
 package main
 
 import (
@@ -14,14 +15,14 @@
 // entry is one known failure.
 type entry struct {
 	test    string // the name of a test function, or soakName
-	command string // with the seed
-	seen    string
-	issue   string
+	command string // the command that fails, with its seed
+	seen    string // what was seen
+	issue   string // as "issue 7"
 }
 
 const (
-	separator = " | "
-	// soakName stands in place of a test for a finding of the soak.
+	separator = " | " // between the parts of an entry
+	// soakName takes the place of a test in an entry for a finding of the soak.
 	soakName = "soak"
 )
 
@@ -39,6 +40,8 @@
 	}
 }
 
+// run checks the list at path against the tests below the current directory, and prints its entries or, for
+// testsOnly, the pattern of their tests.
 func run(path string, testsOnly bool) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -82,23 +85,24 @@
 	return entries, nil
 }
 
+// check returns the first fault of an entry.
 func (e entry) check(tests map[string]bool) error {
 	switch {
 	case e.test != soakName && !testName.MatchString(e.test):
-		return fmt.Errorf("%q is no test", e.test)
+		return fmt.Errorf("%q is not the name of a test", e.test)
 	case e.test != soakName && !tests[e.test]:
 		return fmt.Errorf("there is no test %s", e.test)
 	case !strings.Contains(e.command, "seed"):
-		return fmt.Errorf("%q does not say the seed", e.command)
+		return fmt.Errorf("command %q names no seed", e.command)
 	case strings.TrimSpace(e.seen) == "":
-		return fmt.Errorf("%s: it does not say what was seen", e.test)
+		return fmt.Errorf("%s: the entry does not say what was seen", e.test)
 	case !issueName.MatchString(e.issue):
 		return fmt.Errorf("%q is no issue", e.issue)
 	}
 	return nil
 }
 
-// testPattern returns a regular expression of the entries' tests; "": there are none.
+// testPattern returns a regular expression that matches exactly the entries' tests; "": there are none.
 func testPattern(entries []entry) string {
 	var names []string
 	for _, e := range entries {
@@ -112,6 +116,7 @@
 	return "^(" + strings.Join(names, "|") + ")$"
 }
 
+// testFunction matches the head of a test function; its group is the name.
 var testFunction = regexp.MustCompile(`(?m)^func (Test[A-Za-z0-9_]+)\(`)
 
 // testFunctions returns the names of the test functions below a directory.
--- a/internal/knownred/main_test.go
+++ b/internal/knownred/main_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Each entry has to name a test that exists, a command with its seed, what was seen and an issue.
+// TestEntriesAreWhole checks that an entry is accepted only if it names a test that exists or the soak, a
+// command with its seed, what was seen and an issue.
 func TestEntriesAreWhole(t *testing.T) {
 	tests := map[string]bool{"TestA": true, "TestB": true}
 	const good = "TestA | go test -run TestA; seed 7 | fails | issue 40\n" +
