--- a/internal/layers/architecture_test.go
+++ b/internal/layers/architecture_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// TestArchitectureNamesFunctions fails where docs/architecture.md names a function that its file does not
-// have.
+// TestArchitectureNamesFunctions fails where docs/architecture.md lists a function that the file in the same
+// row does not declare.
 func TestArchitectureNamesFunctions(t *testing.T) {
 	const root = "../.."
 	page, err := os.ReadFile(filepath.Join(root, "docs", "architecture.md"))
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -9,14 +9,15 @@
 	"testing"
 )
 
-// layers lists groups of packages from the programs down to what imports nothing of this module. A package
-// may import packages of its own group and of the groups below it. An entry stands for one package and, where
-// it ends in /..., for the packages below it as well; the longest entry that fits a package counts.
+// layers lists the layers, groups of packages, from the programs at the top down to the packages that import
+// nothing of this module. A package may import packages of its own layer and of the layers below it. An entry
+// matches one package and, where it ends in /..., the packages below it as well; the longest matching entry
+// counts.
 var layers = [][]string{
 	{"cmd/..."},
 	{"simulation/...", "rehearsal/...", "soak", "standin"}, // for tests and operators only
 	{"daemon"},             // the life cycle of `cresspass serve`
-	{"server", "platform"}, // the two shells that put a dispatcher together
+	{"server", "platform"}, // the two servers that assemble a dispatcher
 	{"frontend/..."},
 	{"config", "storage", "membership/..."},
 	{"backend/...", "affinity/...", "discovery/..."},
@@ -27,7 +28,7 @@
 	{"elfcheck", "goldentest", "tcptest", "knownred", "layers", "experiments", "rehearsals"},
 }
 
-// layerOf returns the index of a package's group, or -1 where no entry fits.
+// layerOf returns the index of a package's layer, or -1 where no entry matches it.
 func layerOf(name string) int {
 	layer, longest := -1, -1
 	for i, group := range layers {
@@ -42,7 +43,7 @@
 	return layer
 }
 
-// TestImportsPointDownwards fails on an import against the layers, and on a package that stands in no layer.
+// TestImportsPointDownwards fails where a package imports one of a higher layer, or belongs to no layer.
 func TestImportsPointDownwards(t *testing.T) {
 	const module = "cresspass"
 	out, err := exec.Command("go", "list", "-json=ImportPath,Imports", module+"/...").Output()
@@ -68,7 +69,7 @@
 		}
 		from := layerOf(short(p.ImportPath))
 		if from < 0 {
-			t.Errorf("%s stands in no layer", p.ImportPath)
+			t.Errorf("%s belongs to no layer", p.ImportPath)
 			continue
 		}
 		for _, imported := range p.Imports {
@@ -77,7 +78,7 @@
 			}
 			checked++
 			if layerOf(short(imported)) < from {
-				t.Errorf("%s imports %s, which stands above it", p.ImportPath, imported)
+				t.Errorf("%s imports %s, which is in a higher layer", p.ImportPath, imported)
 			}
 		}
 	}
