--- a/internal/elfcheck/main.go
+++ b/internal/elfcheck/main.go
@@ -1,5 +1,5 @@
-// Command elfcheck fails where a program has no ELF interpreter: it is then linked statically, and a
-// library that the platform preloads would silently not be in it.
+// Command elfcheck fails if a program has no ELF interpreter. Such a program is linked statically, so a
+// library that the platform preloads would not be loaded into it, and nothing would report that.
 package main
 
 import (
@@ -20,16 +20,17 @@
 	}
 }
 
+// check returns an error unless the program at path has an ELF interpreter.
 func check(path string) error {
 	f, err := elf.Open(path)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = f.Close() }() // it is only read
+	defer func() { _ = f.Close() }() // opened for reading only
 	for _, p := range f.Progs {
 		if p.Type == elf.PT_INTERP {
 			return nil
 		}
 	}
-	return errors.New("no ELF interpreter: it is linked statically")
+	return errors.New("no ELF interpreter: the program is linked statically")
 }
