--- a/internal/standin/answer.go
+++ b/internal/standin/answer.go
@@ -19,11 +19,11 @@
 
 // answer is the result of a statement, as it is sent to the client.
 type answer struct {
-	rows    int
-	tag     string              // command tag of CommandComplete; "": PortalSuspended is sent instead
-	value   []byte              // the second column of plain rows
-	typed   []*pgproto3.DataRow // rows of a table, repeated in turn; nil: plain rows
-	copyOut bool
+	rows      int
+	tag       string              // command tag of CommandComplete; "": PortalSuspended is sent instead
+	value     []byte              // the second column of plain rows
+	tableRows []*pgproto3.DataRow // rows of a table, repeated in turn; nil: plain rows
+	copyOut   bool
 }
 
 // sendAnswer sends the rows and the end of a statement, or what the faults in force demand instead. An error
@@ -31,7 +31,7 @@
 func (c *engineConn) sendAnswer(x *execution, outcome Outcome) error {
 	faults := c.engine.currentFaults()
 	if faults.Garbage {
-		x.end(OutcomeGarbage)
+		x.recordOutcome(OutcomeGarbage)
 		_, _ = c.netConn.Write([]byte(garbageMessage)) // the connection ends next, whether it arrives or not
 		return errConnectionEnded
 	}
@@ -45,7 +45,7 @@
 	}
 	a, err := c.prepareAnswer(x, outcome)
 	if err != nil {
-		x.end(OutcomeFailed)
+		x.recordOutcome(OutcomeFailed)
 		c.fail(codeInvalidTextRepresentation, err.Error())
 		return nil
 	}
@@ -58,13 +58,13 @@
 		return err
 	}
 	if cutAt >= 0 && a.rows == 0 {
-		x.end(OutcomeCut)
+		x.recordOutcome(OutcomeCut)
 		return errConnectionEnded
 	}
 	if a.copyOut {
 		c.backend.Send(&pgproto3.CopyDone{})
 	}
-	x.end(outcome)
+	x.recordOutcome(outcome)
 	if a.tag == "" {
 		c.backend.Send(&pgproto3.PortalSuspended{})
 		return nil
@@ -83,16 +83,16 @@
 			a.tag = "INSERT 0 0"
 		}
 	}
-	if err := c.prepareTypedRows(x, &a); err != nil {
+	if err := c.prepareTableRows(x, &a); err != nil {
 		return a, err
 	}
 	a.value = []byte(strings.Repeat("v", max(int(numberTag(x.tags, "row_bytes", defaultRowBytes)), 0)))
 	if echo := x.tags["echo"]; echo != "" {
 		a.value = []byte(echo)
 	}
-	if p := c.limited; p != nil && a.rows > c.limit {
-		p.remaining, p.value = a.rows-c.limit, string(a.value)
-		a.rows, a.tag = c.limit, ""
+	if p := c.limitedPortal; p != nil && a.rows > c.rowLimit {
+		p.remaining, p.value = a.rows-c.rowLimit, string(a.value)
+		a.rows, a.tag = c.rowLimit, ""
 	}
 	if strings.HasPrefix(strings.ToUpper(strings.TrimSpace(x.text)), "COPY") {
 		a.copyOut = true
@@ -103,13 +103,13 @@
 	return a, nil
 }
 
-// prepareTypedRows sends a RowDescription where one is due, and encodes the rows of a statement that asks for
+// prepareTableRows sends a RowDescription where one is due, and encodes the rows of a statement that asks for
 // a table (see tableFor).
-func (c *engineConn) prepareTypedRows(x *execution, a *answer) error {
+func (c *engineConn) prepareTableRows(x *execution, a *answer) error {
 	table := tableFor(x.text)
 	var formats []int16
 	var params [][]byte
-	if p := c.bound; p != nil {
+	if p := c.runningPortal; p != nil {
 		formats, params = p.formats, p.params
 	}
 	hasColumns := x.tags["columns"] != ""
@@ -122,13 +122,13 @@
 	if table == nil || a.rows == 0 {
 		return nil
 	}
-	typed, err := table.encode(formats, params)
+	encodedRows, err := table.encode(formats, params)
 	if err != nil {
 		return err
 	}
-	a.typed = typed
+	a.tableRows = encodedRows
 	if !hasColumns {
-		a.rows = len(typed)
+		a.rows = len(encodedRows)
 		a.tag = "SELECT " + strconv.Itoa(a.rows)
 	}
 	return nil
@@ -139,8 +139,8 @@
 func (c *engineConn) sendRows(x *execution, a answer, dieAfterRows, cutAt int) error {
 	buffered := 0
 	for i := range a.rows {
-		if a.typed != nil {
-			c.backend.Send(a.typed[i%len(a.typed)])
+		if a.tableRows != nil {
+			c.backend.Send(a.tableRows[i%len(a.tableRows)])
 		} else {
 			c.backend.Send(plainRow(i, a.value))
 		}
@@ -150,13 +150,13 @@
 		if dieAfterRows > 0 && i+1 == dieAfterRows {
 			_ = c.backend.Flush() // the connection ends next in any case
 			time.Sleep(crashDelay)
-			x.end(OutcomeDied)
+			x.recordOutcome(OutcomeDied)
 			c.engine.Crash()
 			return errConnectionEnded
 		}
 		if i == cutAt {
 			_ = c.backend.Flush() // the connection ends next in any case
-			x.end(OutcomeCut)
+			x.recordOutcome(OutcomeCut)
 			return errConnectionEnded
 		}
 	}
@@ -182,7 +182,7 @@
 	}
 	*buffered = 0
 	if c.backend.Flush() != nil {
-		x.end(OutcomeDied)
+		x.recordOutcome(OutcomeDied)
 		return errConnectionEnded
 	}
 	return nil
@@ -197,13 +197,13 @@
 	lines, ok, err := c.receiveCopy(x.tags)
 	switch {
 	case err != nil:
-		x.end(OutcomeDied)
+		x.recordOutcome(OutcomeDied)
 		return err
 	case !ok:
-		x.end(OutcomeFailed)
+		x.recordOutcome(OutcomeFailed)
 		return nil
 	}
-	x.end(outcome)
+	x.recordOutcome(outcome)
 	c.complete("COPY " + strconv.Itoa(lines))
 	return nil
 }
--- a/internal/standin/conn.go
+++ b/internal/standin/conn.go
@@ -51,20 +51,20 @@
 
 	statements    map[string]string
 	portals       map[string]*enginePortal
-	bound         *enginePortal // the portal that is executed; nil: none, as in a simple query
-	limited       *enginePortal // the portal whose answer is suspended after limit rows
-	limit         int
-	simple        bool // a simple query is executed
+	runningPortal *enginePortal // the portal that is executed; nil: none, as in a simple query
+	limitedPortal *enginePortal // the portal whose answer is suspended after rowLimit rows
+	rowLimit      int
+	inSimpleQuery bool // a simple query is executed
 	skipUntilSync bool // after an error, messages are ignored until Sync
 
 	grantMB      float64 // by SET work_mem
 	priority     int     // by SET cresspass.priority
 	reportedLoad string
 
-	tx              byte              // txIdle, txActive or txFailed
+	txStatus        byte              // txIdle, txActive or txFailed
 	settings        map[string]string // session parameters set by clients, not those of isDispatcherSetting
 	overridden      map[string]string // values that SET LOCAL replaced, until the transaction's end
-	temps           map[string]bool   // names of temporary tables
+	temporaryTables map[string]bool   // names of temporary tables
 	savepoints      []savepoint       // of the open transaction
 	beforeTx        *savepoint        // the state that a rollback restores; nil: no transaction
 	inTx            atomic.Bool       // a transaction is open; read by other connections
@@ -74,7 +74,7 @@
 // enginePortal is a portal and, once it is suspended, what remains of its answer.
 type enginePortal struct {
 	text, firstParameter string
-	run                  bool   // it was executed
+	executed             bool   // it was executed
 	remaining            int    // rows that were not sent yet
 	value                string // the value column of these rows
 	formats              []int16
@@ -118,18 +118,18 @@
 	}
 	e.nextPID++
 	c := &engineConn{
-		engine:     e,
-		netConn:    nc,
-		pid:        e.nextPID,
-		secret:     binary.BigEndian.AppendUint32(nil, e.random.Uint32()),
-		cancel:     make(chan struct{}, 1),
-		statements: map[string]string{},
-		portals:    map[string]*enginePortal{},
-		priority:   1,
-		tx:         txIdle,
-		settings:   map[string]string{},
-		overridden: map[string]string{},
-		temps:      map[string]bool{},
+		engine:          e,
+		netConn:         nc,
+		pid:             e.nextPID,
+		secret:          binary.BigEndian.AppendUint32(nil, e.random.Uint32()),
+		cancel:          make(chan struct{}, 1),
+		statements:      map[string]string{},
+		portals:         map[string]*enginePortal{},
+		priority:        1,
+		txStatus:        txIdle,
+		settings:        map[string]string{},
+		overridden:      map[string]string{},
+		temporaryTables: map[string]bool{},
 	}
 	e.conns[c.pid] = c
 	e.background.Add(1)
@@ -138,7 +138,7 @@
 
 func (c *engineConn) serve() {
 	c.backend = pgproto3.NewBackend(c.netConn, c.netConn)
-	if !c.startUp() || c.sendWelcome() != nil {
+	if !c.startUp() || c.sendStartupResponse() != nil {
 		return
 	}
 	for {
@@ -178,7 +178,7 @@
 	}
 }
 
-func (c *engineConn) sendWelcome() error {
+func (c *engineConn) sendStartupResponse() error {
 	c.backend.Send(&pgproto3.AuthenticationOk{})
 	c.backend.Send(&pgproto3.ParameterStatus{Name: "server_version", Value: "16.0 (stand-in)"})
 	c.backend.Send(&pgproto3.ParameterStatus{Name: "client_encoding", Value: "UTF8"})
@@ -222,7 +222,7 @@
 		c.reportedLoad = load
 		c.backend.Send(&pgproto3.ParameterStatus{Name: "cresspass.load", Value: load})
 	}
-	c.backend.Send(&pgproto3.ReadyForQuery{TxStatus: c.tx})
+	c.backend.Send(&pgproto3.ReadyForQuery{TxStatus: c.txStatus})
 	return c.backend.Flush()
 }
 
@@ -231,8 +231,8 @@
 	c.backend.Send(&pgproto3.ErrorResponse{Severity: "ERROR", SeverityUnlocalized: "ERROR", Code: code,
 		Message: message})
 	c.skipUntilSync = true
-	if c.tx == txActive {
-		c.tx = txFailed
+	if c.txStatus == txActive {
+		c.txStatus = txFailed
 	}
 }
 
--- a/internal/standin/dedup.go
+++ b/internal/standin/dedup.go
@@ -18,8 +18,9 @@
 	return &DeduplicationGroup{lastRun: map[string]time.Time{}, runs: map[string][]time.Time{}}
 }
 
-// first reports whether a load did not run within the window before now, and if so records that it runs now.
-func (g *DeduplicationGroup) first(id string, now time.Time, window time.Duration) bool {
+// recordFirst reports whether a load did not run within the window before now, and if so records that it runs
+// now.
+func (g *DeduplicationGroup) recordFirst(id string, now time.Time, window time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if at, ok := g.lastRun[id]; ok && now.Sub(at) < window {
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -76,12 +76,12 @@
 	r.mu.Lock()
 	r.list = eds.List{Engines: append([]eds.Engine(nil), engines...)}
 	r.version++
-	r.wake()
+	r.notifyStreams()
 	r.mu.Unlock()
 }
 
-// wake makes all streams send the new list. The caller holds r.mu.
-func (r *DiscoveryServer) wake() {
+// notifyStreams makes all streams send the new list. The caller holds r.mu.
+func (r *DiscoveryServer) notifyStreams() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -37,23 +37,23 @@
 	cfg  EngineConfig
 	addr string
 
-	mu        sync.Mutex
-	up        bool
-	listener  net.Listener
-	epoch     time.Time // zero of the model's clock
-	started   time.Time
-	model     *enginemodel.Model
-	ended     map[*enginemodel.Running]chan Outcome // receives the outcome of each running job
-	timer     *time.Timer                           // fires at the model's next event
-	faults    Faults
-	random    *rand.Rand
-	conns     map[uint32]*engineConn
-	nextPID   uint32
-	runs      []*Run
-	load      string                 // the latest load report
-	loadAt    time.Time              // when load was made
-	copyBytes int                    // received by COPY FROM STDIN
-	locks     map[string]*engineConn // owners of advisory locks, by key
+	mu             sync.Mutex
+	up             bool
+	listener       net.Listener
+	epoch          time.Time // zero of the model's clock
+	started        time.Time
+	model          *enginemodel.Model
+	waiters        map[*enginemodel.Running]chan Outcome // receives the outcome of each running job
+	timer          *time.Timer                           // fires at the model's next event
+	faults         Faults
+	random         *rand.Rand
+	conns          map[uint32]*engineConn
+	nextPID        uint32
+	runs           []*Run
+	lastLoadReport string                 // see loadReport
+	loadReportedAt time.Time              // when lastLoadReport was made
+	copyBytes      int                    // received by COPY FROM STDIN
+	locks          map[string]*engineConn // owners of advisory locks, by key
 
 	background sync.WaitGroup
 }
@@ -88,7 +88,7 @@
 	e.started = time.Now()
 	e.epoch = e.started
 	e.model = enginemodel.New(e.cfg.Kind, 0, cold)
-	e.ended = map[*enginemodel.Running]chan Outcome{}
+	e.waiters = map[*enginemodel.Running]chan Outcome{}
 	e.conns = map[uint32]*engineConn{}
 	e.locks = map[string]*engineConn{}
 	e.faults = Faults{}
@@ -130,8 +130,8 @@
 		c.netConn.Close()
 		c.signalCancel() // releases a statement that waits only for a cancel
 	}
-	for r, done := range e.ended {
-		delete(e.ended, r)
+	for r, done := range e.waiters {
+		delete(e.waiters, r)
 		done <- OutcomeDied
 	}
 	if e.timer != nil {
@@ -193,11 +193,11 @@
 
 func (e *Engine) now() time.Duration { return time.Since(e.epoch) }
 
-// finish notifies the waiters of jobs that have ended. The caller holds e.mu.
-func (e *Engine) finish(ended []*enginemodel.Running) {
+// notifyWaiters sends OutcomeDone to the waiters of jobs that have ended. The caller holds e.mu.
+func (e *Engine) notifyWaiters(ended []*enginemodel.Running) {
 	for _, r := range ended {
-		if done := e.ended[r]; done != nil {
-			delete(e.ended, r)
+		if done := e.waiters[r]; done != nil {
+			delete(e.waiters, r)
 			done <- OutcomeDone
 		}
 	}
@@ -214,7 +214,7 @@
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			if e.up && e.model == model {
-				e.finish(e.model.Advance(e.now()))
+				e.notifyWaiters(e.model.Advance(e.now()))
 				e.scheduleNext()
 			}
 		})
@@ -229,9 +229,10 @@
 	if e.cfg.ReportEvery <= 0 {
 		return ""
 	}
-	if now := time.Now(); now.Sub(e.loadAt) >= e.cfg.ReportEvery+e.faults.LateReports || e.load == "" {
-		e.loadAt = now
-		e.load = fmt.Sprintf("%d,%.3f", len(e.model.Jobs()), e.model.GrantedShare())
+	if now := time.Now(); now.Sub(e.loadReportedAt) >= e.cfg.ReportEvery+e.faults.LateReports ||
+		e.lastLoadReport == "" {
+		e.loadReportedAt = now
+		e.lastLoadReport = fmt.Sprintf("%d,%.3f", len(e.model.Jobs()), e.model.GrantedShare())
 	}
-	return e.load
+	return e.lastLoadReport
 }
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -28,7 +28,7 @@
 	if slow == 0 {
 		slow = 1
 	}
-	e.finish(e.model.Advance(now))
+	e.notifyWaiters(e.model.Advance(now))
 	e.model.SetSlowdown(now, slow)
 	e.model.SetHalted(now, f.Hang)
 	e.scheduleNext()
--- a/internal/standin/message.go
+++ b/internal/standin/message.go
@@ -14,7 +14,7 @@
 // handleMessage handles one message of the client. An error ends the connection.
 func (c *engineConn) handleMessage(m pgproto3.FrontendMessage) error {
 	if _, ok := m.(*pgproto3.Sync); ok {
-		if c.skipUntilSync = false; c.tx == txIdle {
+		if c.skipUntilSync = false; c.txStatus == txIdle {
 			clear(c.portals)
 		}
 		return c.sendReady()
@@ -99,7 +99,7 @@
 		c.fail(codeInvalidCursorName, "portal "+m.Portal+" does not exist")
 		return nil
 	}
-	if p.run {
+	if p.executed {
 		c.fetch(p, int(m.MaxRows))
 		return nil
 	}
@@ -111,11 +111,11 @@
 	if len(statements) == 1 && c.applySessionStatement(&statements[0], p.text, p.firstParameter) {
 		return nil
 	}
-	p.run, c.bound = true, p
-	defer func() { c.bound = nil }()
+	p.executed, c.runningPortal = true, p
+	defer func() { c.runningPortal = nil }()
 	if m.MaxRows > 0 {
-		c.limited, c.limit = p, int(m.MaxRows)
-		defer func() { c.limited = nil }()
+		c.limitedPortal, c.rowLimit = p, int(m.MaxRows)
+		defer func() { c.limitedPortal = nil }()
 	}
 	return c.runStatement(p.text, p.firstParameter, false)
 }
@@ -138,7 +138,7 @@
 	}
 	if isDispatcherSetting(all[0].Words) {
 		for _, s := range all {
-			c.applySetting(s)
+			c.applyDispatcherSetting(s)
 			c.complete(s.Words[0])
 		}
 		return nil
@@ -147,12 +147,12 @@
 		c.fail(codeSyntaxError, "syntax error, as the text asks for")
 		return nil
 	}
-	c.simple = true
-	defer func() { c.simple = false }()
-	before, open := c.savepoint(), c.tx != txIdle
+	c.inSimpleQuery = true
+	defer func() { c.inSimpleQuery = false }()
+	before, open := c.savepoint(), c.txStatus != txIdle
 	defer func() { // after an error, a text that is a transaction of its own is rolled back
-		if c.skipUntilSync && !open && c.tx == txIdle && all[0].Words[0] != "BEGIN" {
-			c.settings, c.temps = before.settings, before.temps
+		if c.skipUntilSync && !open && c.txStatus == txIdle && all[0].Words[0] != "BEGIN" {
+			c.settings, c.temporaryTables = before.settings, before.temporaryTables
 		}
 	}()
 	for i := range all {
@@ -181,8 +181,8 @@
 	return false
 }
 
-// applySetting sets the memory grant or the priority. A value that is not a number counts as 0.
-func (c *engineConn) applySetting(s sqlscan.Statement) {
+// applyDispatcherSetting sets the memory grant or the priority. A value that is not a number counts as 0.
+func (c *engineConn) applyDispatcherSetting(s sqlscan.Statement) {
 	_, value, _ := strings.Cut(s.Text, "=")
 	value = strings.Trim(strings.TrimSpace(value), "'")
 	switch {
--- a/internal/standin/run.go
+++ b/internal/standin/run.go
@@ -46,10 +46,10 @@
 
 // recordSessionStatement records a statement about the session as a run of the class tag, so that tests see
 // which engine received it.
-func (e *Engine) recordSessionStatement(text, first, tag string) {
+func (e *Engine) recordSessionStatement(text, firstParameter, tag string) {
 	now := time.Now()
-	run := &Run{ID: statementID(sqlscan.Tags(text), first), Class: tag, Text: text, Begun: now, Ended: now,
-		Outcome: OutcomeDone}
+	run := &Run{ID: statementID(sqlscan.Tags(text), firstParameter), Class: tag, Text: text, Begun: now,
+		Ended: now, Outcome: OutcomeDone}
 	e.mu.Lock()
 	e.runs = append(e.runs, run)
 	e.mu.Unlock()
--- a/internal/standin/session.go
+++ b/internal/standin/session.go
@@ -16,12 +16,12 @@
 
 // savepoint holds the session state that a rollback restores.
 type savepoint struct {
-	settings map[string]string
-	temps    map[string]bool
+	settings        map[string]string
+	temporaryTables map[string]bool
 }
 
 func (c *engineConn) savepoint() savepoint {
-	return savepoint{maps.Clone(c.settings), maps.Clone(c.temps)}
+	return savepoint{maps.Clone(c.settings), maps.Clone(c.temporaryTables)}
 }
 
 // sessionResult says how far a statement that may be about the session has been handled.
@@ -35,26 +35,26 @@
 
 // applySessionStatement carries out a statement about the session, which takes no work in the engine model.
 // It returns false for any other statement.
-func (c *engineConn) applySessionStatement(st *sqlscan.Statement, text, first string) bool {
+func (c *engineConn) applySessionStatement(st *sqlscan.Statement, text, firstParameter string) bool {
 	// The tag state_ms is the time that a statement about the session takes.
 	time.Sleep(time.Duration(numberTag(sqlscan.Tags(text), "state_ms", 0) * float64(time.Millisecond)))
 	before := maps.Clone(c.settings)
 	defer func() {
 		c.reportParameters(before)
-		c.inTx.Store(c.tx != txIdle)
-		c.hasSessionState.Store(c.tx != txIdle || len(c.temps) > 0)
+		c.inTx.Store(c.txStatus != txIdle)
+		c.hasSessionState.Store(c.txStatus != txIdle || len(c.temporaryTables) > 0)
 	}()
-	tag, result := c.sessionStatement(st)
+	tag, result := c.executeSessionStatement(st)
 	if result == completed {
-		c.engine.recordSessionStatement(text, first, tag)
+		c.engine.recordSessionStatement(text, firstParameter, tag)
 		c.complete(tag)
 	}
 	return result != notAboutSession
 }
 
-// sessionStatement selects the handler by the statement's first words. In a failed transaction it rejects all
-// statements except those that end it, as PostgreSQL does (25P02).
-func (c *engineConn) sessionStatement(st *sqlscan.Statement) (tag string, result sessionResult) {
+// executeSessionStatement selects the handler by the statement's first words. In a failed transaction it
+// rejects all statements except those that end it, as PostgreSQL does (25P02).
+func (c *engineConn) executeSessionStatement(st *sqlscan.Statement) (tag string, result sessionResult) {
 	words := st.Words
 	switch words[0] {
 	case "BEGIN", "START":
@@ -66,10 +66,10 @@
 			return c.rollBackToSavepoint()
 		}
 		c.rollBack()
-		c.tx = txIdle
+		c.txStatus = txIdle
 		return "ROLLBACK", completed
 	}
-	if c.tx == txFailed {
+	if c.txStatus == txFailed {
 		c.fail(codeInFailedTransaction,
 			"current transaction is aborted, commands ignored until end of transaction block")
 		return "", answered
@@ -95,21 +95,21 @@
 	case "SHOW":
 		return c.show(st), completed
 	}
-	return c.sessionFunctions(st)
+	return c.executeSessionFunctions(st)
 }
 
 func (c *engineConn) begin() string {
-	if c.tx == txIdle {
+	if c.txStatus == txIdle {
 		before := c.savepoint()
 		c.beforeTx, c.savepoints = &before, nil
 	}
-	c.tx = txActive
+	c.txStatus = txActive
 	return "BEGIN"
 }
 
 func (c *engineConn) commit() string {
 	tag := "COMMIT"
-	if c.tx == txFailed {
+	if c.txStatus == txFailed {
 		tag = "ROLLBACK"
 		c.rollBack()
 	}
@@ -119,19 +119,19 @@
 		}
 	}
 	clear(c.overridden)
-	c.tx, c.beforeTx = txIdle, nil
+	c.txStatus, c.beforeTx = txIdle, nil
 	return tag
 }
 
 func (c *engineConn) rollBack() {
 	clear(c.overridden)
 	if c.beforeTx != nil {
-		c.settings, c.temps, c.beforeTx = c.beforeTx.settings, c.beforeTx.temps, nil
+		c.settings, c.temporaryTables, c.beforeTx = c.beforeTx.settings, c.beforeTx.temporaryTables, nil
 	}
 }
 
 func (c *engineConn) rollBackToSavepoint() (tag string, result sessionResult) {
-	if c.tx == txIdle {
+	if c.txStatus == txIdle {
 		c.fail(codeNoActiveTransaction, "ROLLBACK TO SAVEPOINT can only be used in transaction blocks")
 		return "", answered
 	}
@@ -140,14 +140,15 @@
 		return "", answered
 	}
 	last := c.savepoints[len(c.savepoints)-1]
-	c.settings, c.temps, c.tx = maps.Clone(last.settings), maps.Clone(last.temps), txActive
+	c.settings, c.temporaryTables, c.txStatus = maps.Clone(last.settings),
+		maps.Clone(last.temporaryTables), txActive
 	return "ROLLBACK", completed
 }
 
 // setSavepoint carries out SAVEPOINT and RELEASE. RELEASE keeps the savepoint: nothing observes that it
 // stays.
 func (c *engineConn) setSavepoint(word string) (tag string, result sessionResult) {
-	if c.tx == txIdle {
+	if c.txStatus == txIdle {
 		c.fail(codeNoActiveTransaction, word+" can only be used in transaction blocks")
 		return "", answered
 	}
@@ -178,7 +179,7 @@
 
 // setLocal sets a parameter until the end of the transaction; outside one it has no effect.
 func (c *engineConn) setLocal(name, value string) {
-	if c.tx == txIdle {
+	if c.txStatus == txIdle {
 		return
 	}
 	if _, ok := c.overridden[name]; !ok {
@@ -206,7 +207,7 @@
 
 func (c *engineConn) discard(what string) (tag string, result sessionResult) {
 	if what == "ALL" {
-		if c.tx != txIdle {
+		if c.txStatus != txIdle {
 			c.fail(codeActiveTransaction, "DISCARD ALL cannot run inside a transaction block")
 			return "", answered
 		}
@@ -214,7 +215,7 @@
 		c.engine.unlock(c, allLocks)
 	}
 	if what == "ALL" || what == "TEMP" || what == "TEMPORARY" {
-		clear(c.temps)
+		clear(c.temporaryTables)
 	}
 	return strings.TrimSpace("DISCARD " + what), completed
 }
@@ -223,12 +224,12 @@
 	if words[1] != "TEMP" && words[1] != "TEMPORARY" {
 		return "", notAboutSession
 	}
-	c.temps[strings.ToLower(words[3])] = true
+	c.temporaryTables[strings.ToLower(words[3])] = true
 	return "CREATE TABLE", completed
 }
 
 func (c *engineConn) show(st *sqlscan.Statement) string {
-	if c.simple {
+	if c.inSimpleQuery {
 		c.backend.Send(defaultDescription())
 	}
 	name := strings.ToLower(strings.TrimSpace(st.Text[len("SHOW"):]))
--- a/internal/standin/session_functions.go
+++ b/internal/standin/session_functions.go
@@ -16,14 +16,14 @@
 	lockPollInterval = 5 * time.Millisecond
 )
 
-// sessionFunctions carries out function calls in a query that change or read the session. The result is
-// answered where that has answered the query, and notAboutSession where the query still has to be run.
-func (c *engineConn) sessionFunctions(st *sqlscan.Statement) (tag string, result sessionResult) {
+// executeSessionFunctions carries out function calls in a query that change or read the session. The result
+// is answered where that has answered the query, and notAboutSession where the query still has to be run.
+func (c *engineConn) executeSessionFunctions(st *sqlscan.Statement) (tag string, result sessionResult) {
 	if c.applyLockFunctions(st.Text) || c.terminateBackends(st.Text) || !c.applySetConfig(st.Text) {
 		return "", answered
 	}
 	if strings.Contains(st.Text, "make_temp(") { // stands for a function that leaves a temporary table
-		c.temps["tmp_made"] = true
+		c.temporaryTables["tmp_made"] = true
 	}
 	if strings.Contains(st.Text, "sneaky_set(") { // stands for a function that sets a reported parameter
 		c.settings["timezone"] = "Mars"
@@ -117,7 +117,7 @@
 			continue
 		}
 		name := words[i+1]
-		if strings.HasPrefix(name, "TMP_") && !c.temps[strings.ToLower(name)] {
+		if strings.HasPrefix(name, "TMP_") && !c.temporaryTables[strings.ToLower(name)] {
 			return strings.ToLower(name)
 		}
 	}
--- a/internal/standin/statement.go
+++ b/internal/standin/statement.go
@@ -42,10 +42,10 @@
 	run      *Run         // nil: the run is not recorded
 }
 
-func (c *engineConn) newExecution(text, first string, describe bool) *execution {
+func (c *engineConn) newExecution(text, firstParameter string, describe bool) *execution {
 	tags := sqlscan.Tags(text)
-	id := statementID(tags, first)
-	tags = addParameterTags(tags, first)
+	id := statementID(tags, firstParameter)
+	tags = addParameterTags(tags, firstParameter)
 	return &execution{
 		engine:   c.engine,
 		text:     text,
@@ -68,8 +68,8 @@
 	}
 }
 
-// end records the outcome and the time of the end.
-func (x *execution) end(outcome Outcome) {
+// recordOutcome records the outcome of the run, and now as its end.
+func (x *execution) recordOutcome(outcome Outcome) {
 	if x.run == nil {
 		return
 	}
@@ -80,8 +80,8 @@
 
 // addParameterTags adds the tags of a first parameter, such as "id;work_ms=20;rows=3", to those of the
 // comment.
-func addParameterTags(tags map[string]string, first string) map[string]string {
-	for _, pair := range strings.Split(first, ";") {
+func addParameterTags(tags map[string]string, firstParameter string) map[string]string {
+	for _, pair := range strings.Split(firstParameter, ";") {
 		if name, value, ok := strings.Cut(pair, "="); ok {
 			if tags == nil {
 				tags = map[string]string{}
@@ -93,25 +93,25 @@
 }
 
 // statementID returns the tag id or, where there is none, the first parameter up to its first ";".
-func statementID(tags map[string]string, first string) string {
+func statementID(tags map[string]string, firstParameter string) string {
 	if id := tags["id"]; id != "" {
 		return id
 	}
-	id, _, _ := strings.Cut(first, ";")
+	id, _, _ := strings.Cut(firstParameter, ";")
 	return id
 }
 
-func numberTag(tags map[string]string, name string, otherwise float64) float64 {
+func numberTag(tags map[string]string, name string, defaultValue float64) float64 {
 	if v, err := strconv.ParseFloat(tags[name], 64); err == nil {
 		return v
 	}
-	return otherwise
+	return defaultValue
 }
 
 // runStatement runs a statement through the engine model and answers it. The tags in its comment say what it
 // needs: work_ms, threads, need_mb, rows, row_bytes, tables, loads. An error ends the connection.
-func (c *engineConn) runStatement(text, first string, describe bool) error {
-	x := c.newExecution(text, first, describe)
+func (c *engineConn) runStatement(text, firstParameter string, describe bool) error {
+	x := c.newExecution(text, firstParameter, describe)
 	faults := c.engine.currentFaults()
 	c.dropStaleCancel()
 	admitted, err := c.engine.startJob(x, faults)
@@ -120,7 +120,7 @@
 	}
 	switch admitted {
 	case jobRejected:
-		x.end(OutcomeFull)
+		x.recordOutcome(OutcomeFull)
 		c.fail(codeTooManyConnections, "the engine takes no more queries")
 		return nil
 	case jobNotModelled:
@@ -128,22 +128,22 @@
 	}
 	if c.engine.chance(faults.ErrorShare) {
 		c.engine.removeJob(x.running)
-		x.end(OutcomeFailed)
+		x.recordOutcome(OutcomeFailed)
 		c.fail(codeSystemError, "the engine failed")
 		return nil
 	}
 	outcome, err := c.awaitJob(x.running, x.done)
 	if err != nil {
-		x.end(OutcomeDied)
+		x.recordOutcome(OutcomeDied)
 		return err
 	}
 	if outcome == OutcomeCancelled {
-		x.end(outcome)
+		x.recordOutcome(outcome)
 		c.fail(codeQueryCanceled, messageCanceled)
 		return nil
 	}
 	if c.engine.chance(faults.LoseShare) {
-		x.end(OutcomeLost)
+		x.recordOutcome(OutcomeLost)
 		<-c.cancel // no answer is sent; the connection stays open until a cancel request
 		c.fail(codeQueryCanceled, messageCanceled)
 		return nil
@@ -174,7 +174,7 @@
 	if x.job.Work > 0 {
 		e.runs = append(e.runs, x.run)
 	}
-	x.repeat = x.job.IsLoad && !faults.Full && !e.cfg.Group.first(x.id, x.run.Begun, e.cfg.Window)
+	x.repeat = x.job.IsLoad && !faults.Full && !e.cfg.Group.recordFirst(x.id, x.run.Begun, e.cfg.Window)
 	if x.repeat {
 		x.job.Work = repeatWork
 	}
@@ -185,10 +185,10 @@
 		x.run = nil
 		return jobNotModelled, nil
 	}
-	e.finish(e.model.Advance(e.now()))
+	e.notifyWaiters(e.model.Advance(e.now()))
 	x.running = e.model.Start(e.now(), x.job)
 	if x.running != nil {
-		e.ended[x.running] = x.done
+		e.waiters[x.running] = x.done
 	}
 	if e.model.Collapsed() {
 		e.crash()
@@ -205,8 +205,8 @@
 func (e *Engine) removeJob(r *enginemodel.Running) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.ended, r)
-	e.finish(e.model.Advance(e.now()))
+	delete(e.waiters, r)
+	e.notifyWaiters(e.model.Advance(e.now()))
 	e.model.End(e.now(), r)
 	e.scheduleNext()
 }
@@ -244,7 +244,7 @@
 
 func (c *engineConn) sendProgress(r *enginemodel.Running) error {
 	c.engine.mu.Lock()
-	c.engine.finish(c.engine.model.Advance(c.engine.now()))
+	c.engine.notifyWaiters(c.engine.model.Advance(c.engine.now()))
 	share, spilledMB, waits := r.Progress(), r.SpillMB(), r.IsBlocked()
 	c.engine.mu.Unlock()
 	c.sendNotice(noticeProgress, share)
--- a/internal/standin/table.go
+++ b/internal/standin/table.go
@@ -114,20 +114,21 @@
 	if t == nil {
 		d := defaultDescription()
 		for i := range d.Fields {
-			d.Fields[i].Format = format(formats, i)
+			d.Fields[i].Format = columnFormat(formats, i)
 		}
 		return d
 	}
 	d := &pgproto3.RowDescription{}
 	for i, oid := range t.oids {
 		d.Fields = append(d.Fields, pgproto3.FieldDescription{Name: []byte(t.names[i]), DataTypeOID: oid,
-			DataTypeSize: -1, TypeModifier: -1, Format: format(formats, i)})
+			DataTypeSize: -1, TypeModifier: -1, Format: columnFormat(formats, i)})
 	}
 	return d
 }
 
-// format returns the format of column i: a Bind gives no format (text), one for all columns, or one for each.
-func format(formats []int16, i int) int16 {
+// columnFormat returns the format code of column i: a Bind gives none (text), one for all columns, or one for
+// each.
+func columnFormat(formats []int16, i int) int16 {
 	switch {
 	case len(formats) == 1:
 		return formats[0]
@@ -159,7 +160,7 @@
 				row.Values = append(row.Values, nil)
 				continue
 			}
-			b, err := m.Encode(oid, format(formats, column), v, []byte{})
+			b, err := m.Encode(oid, columnFormat(formats, column), v, []byte{})
 			if err != nil {
 				return nil, err
 			}
