--- a/cmd/cresspass/demo.go
+++ b/cmd/cresspass/demo.go
@@ -43,11 +43,11 @@
 	if err != nil {
 		return err
 	}
-	list, err := standin.NewDiscoveryServer("127.0.0.1:0", cfg.DiscoveryService)
+	discovery, err := standin.NewDiscoveryServer("127.0.0.1:0", cfg.DiscoveryService)
 	if err != nil {
 		return err
 	}
-	defer list.Close()
+	defer discovery.Close()
 	group := standin.NewDeduplicationGroup()
 	var engines []eds.Engine
 	for i := range demoEngines {
@@ -59,8 +59,8 @@
 		engines = append(engines,
 			eds.Engine{Address: e.Addr(), State: eds.StateActive, Kind: "std", Zone: "a"})
 	}
-	list.Set(engines)
-	cfg.DiscoveryAddr = list.Addr()
+	discovery.Set(engines)
+	cfg.DiscoveryAddr = discovery.Addr()
 	s, err := server.Start(cfg, log)
 	if err != nil {
 		return err
@@ -110,7 +110,7 @@
 		Seed:          seed,
 		ProgressEvery: 2 * time.Second,
 		ReportEvery:   engineReportInterval,
-		Window:        engineWindow,
+		Window:        engineDeduplicationWindow,
 		Group:         group,
 	})
 }
--- a/cmd/cresspass/engine.go
+++ b/cmd/cresspass/engine.go
@@ -32,8 +32,8 @@
 
 // Properties of stand-in engines that no flag sets.
 const (
-	engineReportInterval = 200 * time.Millisecond // between two load reports
-	engineWindow         = 15 * time.Second       // repeats of a keyed load are dropped for this long
+	engineReportInterval      = 200 * time.Millisecond // between two load reports
+	engineDeduplicationWindow = 15 * time.Second       // repeats of a keyed load are dropped for this long
 )
 
 // Run starts the engine, prints its address, and ends on a signal.
@@ -47,7 +47,7 @@
 		Cold:          c.Cold,
 		ProgressEvery: c.Progress,
 		ReportEvery:   engineReportInterval,
-		Window:        engineWindow,
+		Window:        engineDeduplicationWindow,
 	})
 	if err != nil {
 		return err
--- a/cmd/cresspass/model.go
+++ b/cmd/cresspass/model.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	printNewcomers(comparison, 1)
+	printComparison(comparison, coldArm)
 	return writePage(c.Report, "newcomers", plot.Newcomers(comparison, "model, simulated servers"))
 }
 
--- a/cmd/cresspass/record.go
+++ b/cmd/cresspass/record.go
@@ -110,12 +110,12 @@
 // classSummary holds the outcomes and the latencies of the entries of one class.
 type classSummary struct {
 	entries  int
-	outcomes [recordedOutcomes]int
+	outcomes [outcomeCount]int
 	latency  []time.Duration // of served queries
 }
 
-// recordedOutcomes is the number of values of recording.Outcome.
-const recordedOutcomes = 4
+// outcomeCount is the number of values of recording.Outcome.
+const outcomeCount = 4
 
 // printClasses prints a line for each class: its outcomes, and the median and p99 latency of served queries.
 func printClasses(entries []recording.Entry) {
--- a/cmd/cresspass/rehearse_compare.go
+++ b/cmd/cresspass/rehearse_compare.go
@@ -34,22 +34,26 @@
 	if err != nil {
 		return err
 	}
-	printNewcomers(n, 1)
+	printComparison(n, coldArm)
 	return writePage(c.Report, "newcomers", plot.Newcomers(n, "processes on one machine, stand-in engines"))
 }
 
-// printNewcomers prints each figure of each arm with its error bar, and its difference from that of the arm
+// coldArm is the index of the arm "cold" in the comparisons of rehearse newcomers and model newcomers.
+const coldArm = 1
+
+// printComparison prints each figure of each arm with its error bar, and its difference from that of the arm
 // with the index against.
-func printNewcomers(n *simulation.Comparison, against int) {
+func printComparison(n *simulation.Comparison, against int) {
 	for f := range simulation.Figures {
 		fmt.Println(simulation.Figures[f].Name)
 		for w, since := range n.Windows {
 			for a, arm := range n.Arms {
-				b := simulation.EstimateMean(n.Samples(a, w, f))
+				estimate := simulation.EstimateMean(n.Samples(a, w, f))
 				differences := simulation.Differences(n.Samples(a, w, f), n.Samples(against, w, f))
-				d := simulation.EstimateMean(differences)
+				difference := simulation.EstimateMean(differences)
 				fmt.Printf("  %4.0f s  %-24s %6.1f%% ±%4.1f   against cold %+6.1f ±%4.1f\n",
-					since.Seconds(), arm.Name, 100*b.Mean, 100*b.HalfWidth, 100*d.Mean, 100*d.HalfWidth)
+					since.Seconds(), arm.Name, 100*estimate.Mean, 100*estimate.HalfWidth,
+					100*difference.Mean, 100*difference.HalfWidth)
 			}
 		}
 	}
--- a/cmd/cresspass/soak.go
+++ b/cmd/cresspass/soak.go
@@ -61,11 +61,11 @@
 			fmt.Print(plan)
 			continue
 		}
-		plays, err := c.playRepeatedly(ctx, plan, program)
+		brokenPlays, err := c.playRepeatedly(ctx, plan, program)
 		if err != nil {
 			return err
 		}
-		broken += plays
+		broken += brokenPlays
 	}
 	if broken > 0 {
 		return fmt.Errorf("%w: %d of %d plays", errRulesBroken, broken, c.Seeds*c.Repeat)
--- a/cmd/cresspass/view.go
+++ b/cmd/cresspass/view.go
@@ -49,8 +49,9 @@
 	}
 }
 
-// watchInTerminal shows a day in the terminal. look takes a new status; stop ends the view and waits for it.
-func watchInTerminal(d *rehearsal.Day) (look func(rehearsal.Status), stop func()) {
+// watchInTerminal shows a day in the terminal. showStatus replaces what is shown; stopView ends the view and
+// waits until it has ended.
+func watchInTerminal(d *rehearsal.Day) (showStatus func(rehearsal.Status), stopView func()) {
 	program := tea.NewProgram(&dayView{status: rehearsal.Status{Day: d}}, tea.WithInput(nil),
 		tea.WithoutSignalHandler())
 	done := make(chan struct{})
@@ -58,12 +59,12 @@
 		defer close(done)
 		_, _ = program.Run() // the day is played even if the view fails
 	}()
-	look = func(s rehearsal.Status) { program.Send(s) }
-	stop = func() {
+	showStatus = func(s rehearsal.Status) { program.Send(s) }
+	stopView = func() {
 		program.Quit()
 		<-done
 	}
-	return look, stop
+	return showStatus, stopView
 }
 
 // dayView is the tea.Model that shows a day in the terminal.
@@ -88,10 +89,10 @@
 	downStyle    = lipgloss.NewStyle().Foreground(lipgloss.Color("1"))
 )
 
-// An engine's load bar is loadBarWidth characters wide; it is full at fullLoad threads per core.
+// An engine's load bar is loadBarWidth characters wide; it is full at fullLoadThreads per core.
 const (
-	loadBarWidth = 30
-	fullLoad     = 2
+	loadBarWidth    = 30
+	fullLoadThreads = 2
 )
 
 // View implements tea.Model: it renders the last status.
@@ -135,8 +136,8 @@
 	case e.State != string(eds.StateActive):
 		style = warningStyle
 	}
-	full := min(int(e.Threads/e.Cores/fullLoad*float64(loadBarWidth)), loadBarWidth)
+	filled := min(int(e.Threads/e.Cores/fullLoadThreads*float64(loadBarWidth)), loadBarWidth)
 	fmt.Fprintf(b, "engine %d %s %s%s %.0f threads on %.0f cores\n", number,
-		style.Render(fmt.Sprintf("%-9s", state)), strings.Repeat("#", full),
-		strings.Repeat(".", loadBarWidth-full), e.Threads, e.Cores)
+		style.Render(fmt.Sprintf("%-9s", state)), strings.Repeat("#", filled),
+		strings.Repeat(".", loadBarWidth-filled), e.Threads, e.Cores)
 }
