--- a/internal/goldentest/goldentest_test.go
+++ b/internal/goldentest/goldentest_test.go
@@ -10,28 +10,28 @@
 	"testing"
 )
 
-// failures is a testing.TB that records failures instead of reporting them.
-type failures struct {
+// failureRecorder is a testing.TB that records failures instead of reporting them.
+type failureRecorder struct {
 	testing.TB
 	errors []string
 	fatal  bool
 }
 
-func (f *failures) Helper() {}
+func (f *failureRecorder) Helper() {}
 
-func (f *failures) Errorf(format string, args ...any) {
+func (f *failureRecorder) Errorf(format string, args ...any) {
 	f.errors = append(f.errors, fmt.Sprintf(format, args...))
 }
 
-func (f *failures) Fatalf(format string, args ...any) {
+func (f *failureRecorder) Fatalf(format string, args ...any) {
 	f.Errorf(format, args...)
 	f.fatal = true
 	runtime.Goexit()
 }
 
 // observe runs a test function until it returns or calls Fatalf, and returns its failures.
-func observe(t *testing.T, test func(t testing.TB)) *failures {
-	f := &failures{TB: t}
+func observe(t *testing.T, test func(t testing.TB)) *failureRecorder {
+	f := &failureRecorder{TB: t}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
