--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -34,8 +34,8 @@
 	for i, group := range layers {
 		for _, entry := range group {
 			base, tree := strings.CutSuffix(entry, "/...")
-			fits := name == base || tree && strings.HasPrefix(name, base+"/")
-			if fits && len(base) > longest {
+			matches := name == base || tree && strings.HasPrefix(name, base+"/")
+			if matches && len(base) > longest {
 				layer, longest = i, len(base)
 			}
 		}
