--- a/cmd/cresspass/view.go
+++ b/cmd/cresspass/view.go
@@ -22,10 +22,10 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// statusLogInterval is how much of a day passes between two log lines.
+// statusLogInterval is the time of the day, at least, between two log lines.
 const statusLogInterval = 5 * time.Second
 
-// statusLogger shows a day as log lines.
+// statusLogger returns an observer that logs the progress of a day.
 func statusLogger(log *slog.Logger) func(rehearsal.Status) {
 	var last time.Duration
 	return func(s rehearsal.Status) {
@@ -49,30 +49,31 @@
 	}
 }
 
-// watchInTerminal shows a day in the terminal, by each status that look gets, until stop.
-func watchInTerminal(d *rehearsal.Day) (look func(rehearsal.Status), stop func()) {
+// watchInTerminal shows a day in the terminal. showStatus replaces what is shown; stopView ends the view and
+// waits until it has ended.
+func watchInTerminal(d *rehearsal.Day) (showStatus func(rehearsal.Status), stopView func()) {
 	program := tea.NewProgram(&dayView{status: rehearsal.Status{Day: d}}, tea.WithInput(nil),
 		tea.WithoutSignalHandler())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_, _ = program.Run() // without its picture the day is played all the same
+		_, _ = program.Run() // the day is played even if the view fails
 	}()
-	look = func(s rehearsal.Status) { program.Send(s) }
-	stop = func() {
+	showStatus = func(s rehearsal.Status) { program.Send(s) }
+	stopView = func() {
 		program.Quit()
 		<-done
 	}
-	return look, stop
+	return showStatus, stopView
 }
 
-// dayView is the terminal's view of a day.
+// dayView is the tea.Model that shows a day in the terminal.
 type dayView struct{ status rehearsal.Status }
 
-// Init is tea.Model's.
+// Init implements tea.Model; there is nothing to start.
 func (v *dayView) Init() tea.Cmd { return nil }
 
-// Update takes the next status.
+// Update implements tea.Model: it stores the next status.
 func (v *dayView) Update(m tea.Msg) (tea.Model, tea.Cmd) {
 	if s, ok := m.(rehearsal.Status); ok {
 		v.status = s
@@ -88,13 +89,13 @@
 	downStyle    = lipgloss.NewStyle().Foreground(lipgloss.Color("1"))
 )
 
-// loadBarWidth is the length of an engine's bar in characters, at fullLoad threads a core.
+// An engine's load bar is loadBarWidth characters wide; it is full at fullLoadThreads per core.
 const (
-	loadBarWidth = 30
-	fullLoad     = 2
+	loadBarWidth    = 30
+	fullLoadThreads = 2
 )
 
-// View is the picture of the last status.
+// View implements tea.Model: it renders the last status.
 func (v *dayView) View() string {
 	s := &v.status
 	var b strings.Builder
@@ -124,7 +125,7 @@
 	return b.String()
 }
 
-// viewEngine writes the line of an engine: its state, and a bar of its load.
+// viewEngine writes the line of one engine: its state and its load bar.
 func viewEngine(b *strings.Builder, number int, e rehearsal.EngineStatus) {
 	style, state := upStyle, e.State
 	switch {
@@ -135,8 +136,8 @@
 	case e.State != string(eds.StateActive):
 		style = warningStyle
 	}
-	full := min(int(e.Threads/e.Cores/fullLoad*float64(loadBarWidth)), loadBarWidth)
+	filled := min(int(e.Threads/e.Cores/fullLoadThreads*float64(loadBarWidth)), loadBarWidth)
 	fmt.Fprintf(b, "engine %d %s %s%s %.0f threads on %.0f cores\n", number,
-		style.Render(fmt.Sprintf("%-9s", state)), strings.Repeat("#", full),
-		strings.Repeat(".", loadBarWidth-full), e.Threads, e.Cores)
+		style.Render(fmt.Sprintf("%-9s", state)), strings.Repeat("#", filled),
+		strings.Repeat(".", loadBarWidth-filled), e.Threads, e.Cores)
 }
--- a/internal/goldentest/goldentest_test.go
+++ b/internal/goldentest/goldentest_test.go
@@ -10,28 +10,28 @@
 	"testing"
 )
 
-// failures is a test whose failures are noted instead of reported.
-type failures struct {
+// failureRecorder is a testing.TB that records failures instead of reporting them.
+type failureRecorder struct {
 	testing.TB
 	errors []string
 	fatal  bool
 }
 
-func (f *failures) Helper() {}
+func (f *failureRecorder) Helper() {}
 
-func (f *failures) Errorf(format string, args ...any) {
+func (f *failureRecorder) Errorf(format string, args ...any) {
 	f.errors = append(f.errors, fmt.Sprintf(format, args...))
 }
 
-func (f *failures) Fatalf(format string, args ...any) {
+func (f *failureRecorder) Fatalf(format string, args ...any) {
 	f.Errorf(format, args...)
 	f.fatal = true
 	runtime.Goexit()
 }
 
-// observe runs a test to its end, or to its Fatalf, and returns its failures.
-func observe(t *testing.T, test func(t testing.TB)) *failures {
-	f := &failures{TB: t}
+// observe runs a test function until it returns or calls Fatalf, and returns its failures.
+func observe(t *testing.T, test func(t testing.TB)) *failureRecorder {
+	f := &failureRecorder{TB: t}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -41,7 +41,7 @@
 	return f
 }
 
-// inNewDirectory has the test run where testdata holds one file, without UPDATE_GOLDEN.
+// inNewDirectory changes to a new directory whose testdata holds one file, and empties UPDATE_GOLDEN.
 func inNewDirectory(t *testing.T, name, content string) {
 	t.Helper()
 	t.Chdir(t.TempDir())
--- a/internal/standin/statement.go
+++ b/internal/standin/statement.go
@@ -15,37 +15,37 @@
 	defaultWorkMS   = 2
 	defaultRows     = 1
 	defaultRowBytes = 20
-	repeatWork      = 0.001 // thread seconds to find that a load is a repeat
+	repeatWork      = 0.001 // thread seconds that it takes to recognize a repeated load
 )
 
-// Codes of the notices that report progress.
+// SQLSTATE codes of the notices that report progress.
 const (
 	noticeProgress = "CP001"
 	noticeSpill    = "CP002"
 	noticeWaiting  = "CP003"
 )
 
-// waitingForMemory is the value of a notice that a query waits.
+// waitingForMemory is the value of a noticeWaiting: the query waits for memory.
 const waitingForMemory = 2
 
-// execution is one run of a statement.
+// execution holds the state of one execution of a statement.
 type execution struct {
 	engine   *Engine
 	text, id string
 	tags     map[string]string
-	describe bool // a RowDescription goes before the rows
+	describe bool // a RowDescription is sent before the rows
 	rows     int
 	job      enginemodel.Job
 	running  *enginemodel.Running
-	done     chan Outcome // the end of the job
-	repeat   bool         // of a load, within the deduplication window
+	done     chan Outcome // receives the job's outcome
+	repeat   bool         // it repeats a load within the deduplication window
 	run      *Run         // nil: the run is not recorded
 }
 
-func (c *engineConn) newExecution(text, first string, describe bool) *execution {
+func (c *engineConn) newExecution(text, firstParameter string, describe bool) *execution {
 	tags := sqlscan.Tags(text)
-	id := statementID(tags, first)
-	tags = addParameterTags(tags, first)
+	id := statementID(tags, firstParameter)
+	tags = addParameterTags(tags, firstParameter)
 	return &execution{
 		engine:   c.engine,
 		text:     text,
@@ -68,8 +68,8 @@
 	}
 }
 
-// end records the outcome.
-func (x *execution) end(outcome Outcome) {
+// recordOutcome records the outcome of the run, and now as its end.
+func (x *execution) recordOutcome(outcome Outcome) {
 	if x.run == nil {
 		return
 	}
@@ -80,8 +80,8 @@
 
 // addParameterTags adds the tags of a first parameter, such as "id;work_ms=20;rows=3", to those of the
 // comment.
-func addParameterTags(tags map[string]string, first string) map[string]string {
-	for _, pair := range strings.Split(first, ";") {
+func addParameterTags(tags map[string]string, firstParameter string) map[string]string {
+	for _, pair := range strings.Split(firstParameter, ";") {
 		if name, value, ok := strings.Cut(pair, "="); ok {
 			if tags == nil {
 				tags = map[string]string{}
@@ -92,26 +92,26 @@
 	return tags
 }
 
-// statementID is the tag id or, where there is none, the beginning of the first parameter.
-func statementID(tags map[string]string, first string) string {
+// statementID returns the tag id or, where there is none, the first parameter up to its first ";".
+func statementID(tags map[string]string, firstParameter string) string {
 	if id := tags["id"]; id != "" {
 		return id
 	}
-	id, _, _ := strings.Cut(first, ";")
+	id, _, _ := strings.Cut(firstParameter, ";")
 	return id
 }
 
-func numberTag(tags map[string]string, name string, otherwise float64) float64 {
+func numberTag(tags map[string]string, name string, defaultValue float64) float64 {
 	if v, err := strconv.ParseFloat(tags[name], 64); err == nil {
 		return v
 	}
-	return otherwise
+	return defaultValue
 }
 
-// runStatement carries out a statement. Its comment says what it needs (tags work_ms, threads, need_mb, rows,
-// row_bytes, tables, loads).
-func (c *engineConn) runStatement(text, first string, describe bool) error {
-	x := c.newExecution(text, first, describe)
+// runStatement runs a statement through the engine model and answers it. The tags in its comment say what it
+// needs: work_ms, threads, need_mb, rows, row_bytes, tables, loads. An error ends the connection.
+func (c *engineConn) runStatement(text, firstParameter string, describe bool) error {
+	x := c.newExecution(text, firstParameter, describe)
 	faults := c.engine.currentFaults()
 	c.dropStaleCancel()
 	admitted, err := c.engine.startJob(x, faults)
@@ -120,7 +120,7 @@
 	}
 	switch admitted {
 	case jobRejected:
-		x.end(OutcomeFull)
+		x.recordOutcome(OutcomeFull)
 		c.fail(codeTooManyConnections, "the engine takes no more queries")
 		return nil
 	case jobNotModelled:
@@ -128,23 +128,23 @@
 	}
 	if c.engine.chance(faults.ErrorShare) {
 		c.engine.removeJob(x.running)
-		x.end(OutcomeFailed)
+		x.recordOutcome(OutcomeFailed)
 		c.fail(codeSystemError, "the engine failed")
 		return nil
 	}
 	outcome, err := c.awaitJob(x.running, x.done)
 	if err != nil {
-		x.end(OutcomeDied)
+		x.recordOutcome(OutcomeDied)
 		return err
 	}
 	if outcome == OutcomeCancelled {
-		x.end(outcome)
+		x.recordOutcome(outcome)
 		c.fail(codeQueryCanceled, messageCanceled)
 		return nil
 	}
 	if c.engine.chance(faults.LoseShare) {
-		x.end(OutcomeLost)
-		<-c.cancel // the answer never comes; the connection stays as it is until somebody cancels
+		x.recordOutcome(OutcomeLost)
+		<-c.cancel // no answer is sent; the connection stays open until a cancel request
 		c.fail(codeQueryCanceled, messageCanceled)
 		return nil
 	}
@@ -154,16 +154,17 @@
 	return c.sendAnswer(x, outcome)
 }
 
-// jobAdmission is what the engine does with a job.
+// jobAdmission says what the engine does with a job.
 type jobAdmission int
 
 const (
 	jobAdmitted    jobAdmission = iota
 	jobRejected                 // the engine is full
-	jobNotModelled              // it has no work, and is answered at once
+	jobNotModelled              // it has no work and is answered at once
 )
 
-// startJob starts a job in the model. The engine may fall over from it.
+// startJob starts a job in the model. It returns an error where the engine is down or falls over from the
+// job.
 func (e *Engine) startJob(x *execution, faults Faults) (jobAdmission, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -173,21 +174,21 @@
 	if x.job.Work > 0 {
 		e.runs = append(e.runs, x.run)
 	}
-	x.repeat = x.job.IsLoad && !faults.Full && !e.cfg.Group.first(x.id, x.run.Begun, e.cfg.Window)
+	x.repeat = x.job.IsLoad && !faults.Full && !e.cfg.Group.recordFirst(x.id, x.run.Begun, e.cfg.Window)
 	if x.repeat {
 		x.job.Work = repeatWork
 	}
 	if faults.Full {
 		return jobRejected, nil
 	}
-	if x.job.Work == 0 && !faults.Hang { // such statements measure the way to the engine alone
+	if x.job.Work == 0 && !faults.Hang { // a statement without work measures only the path to the engine
 		x.run = nil
 		return jobNotModelled, nil
 	}
-	e.finish(e.model.Advance(e.now()))
+	e.notifyWaiters(e.model.Advance(e.now()))
 	x.running = e.model.Start(e.now(), x.job)
 	if x.running != nil {
-		e.ended[x.running] = x.done
+		e.waiters[x.running] = x.done
 	}
 	if e.model.Collapsed() {
 		e.crash()
@@ -200,17 +201,18 @@
 	return jobAdmitted, nil
 }
 
-// removeJob takes a job out of the model before its end.
+// removeJob removes a job from the model before its end.
 func (e *Engine) removeJob(r *enginemodel.Running) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.ended, r)
-	e.finish(e.model.Advance(e.now()))
+	delete(e.waiters, r)
+	e.notifyWaiters(e.model.Advance(e.now()))
 	e.model.End(e.now(), r)
 	e.scheduleNext()
 }
 
-// awaitJob waits for a job's end, and sends notices of its progress meanwhile.
+// awaitJob waits for a job's end or a cancel request, and sends notices of progress meanwhile. An error ends
+// the connection.
 func (c *engineConn) awaitJob(r *enginemodel.Running, done <-chan Outcome) (Outcome, error) {
 	var progress <-chan time.Time
 	if every := c.engine.cfg.ProgressEvery; every > 0 {
@@ -242,7 +244,7 @@
 
 func (c *engineConn) sendProgress(r *enginemodel.Running) error {
 	c.engine.mu.Lock()
-	c.engine.finish(c.engine.model.Advance(c.engine.now()))
+	c.engine.notifyWaiters(c.engine.model.Advance(c.engine.now()))
 	share, spilledMB, waits := r.Progress(), r.SpillMB(), r.IsBlocked()
 	c.engine.mu.Unlock()
 	c.sendNotice(noticeProgress, share)
