--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -16,7 +16,7 @@
 	query       cresspass.QueryID
 	attempt     int
 	sentAt      time.Duration
-	running     *enginemodel.Running // nil: on its way
+	running     *enginemodel.Running // nil: not at the engine yet
 	engine      *engine
 }
 
@@ -34,7 +34,7 @@
 	return d.incarnation == j.incarnation && d.jobs[j.key()] == j
 }
 
-// done is the event of the job's end, without its outcome.
+// done returns the AttemptDone event of the job, without its outcome.
 func (j *job) done() cresspass.Event {
 	return cresspass.Event{Type: cresspass.AttemptDone, Query: j.query, Attempt: j.attempt,
 		Engine: j.engine.id}
@@ -55,13 +55,13 @@
 	d.jobs[j.key()] = j
 	informed := e.listedAt > 0
 	f.queue.In(f.cfg.TransitTime, func() {
-		if j.isCurrent() { // else it was withdrawn on its way
+		if j.isCurrent() { // otherwise it was withdrawn in transit
 			f.arriveAtEngine(j, a, o, informed)
 		}
 	})
 }
 
-// arriveAtEngine starts a query at its engine. informed: the dispatcher had heard of the engine's present
+// arriveAtEngine starts a query at its engine. informed means that the dispatcher knew the engine's current
 // state when it sent the query.
 func (f *Fleet) arriveAtEngine(j *job, a *request, o dispatch.Output, informed bool) {
 	d, e := j.dispatcher, j.engine
@@ -111,7 +111,7 @@
 		Engine: o.Engine, Outcome: o.Outcome})
 }
 
-// withdraw takes a job from its engine.
+// withdraw removes a job from its engine and its dispatcher.
 func (d *dispatcher) withdraw(j *job) {
 	f := d.fleet
 	if j.running != nil {
@@ -122,7 +122,7 @@
 	delete(d.jobs, j.key())
 }
 
-// attemptEnded sends the answer of a finished job to its dispatcher, and so to the client.
+// attemptEnded sends the answer of a finished job to its dispatcher, which passes it on to the client.
 func (d *dispatcher) attemptEnded(j *job) {
 	f := d.fleet
 	if j.engine.faults.lostShare > 0 && f.random.Float64() < j.engine.faults.lostShare {
@@ -148,7 +148,7 @@
 	})
 }
 
-// checkHealth sends a health check to an engine.
+// checkHealth checks an engine's health and hands the result to the core after a round trip.
 func (d *dispatcher) checkHealth(id cresspass.EngineID) {
 	f := d.fleet
 	e := f.byID[id]
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -9,10 +9,11 @@
 	"cresspass"
 )
 
-// Clients' queries that a fault of kind heavy-tail makes longer.
+// heavyTailShare is the share of queries that a fault of kind heavy-tail makes longer.
 const heavyTailShare = 0.05
 
-// costEstimateSigma is the sigma of the logarithm of the error of clients' cost estimates.
+// costEstimateSigma is the standard deviation of the logarithm of the relative error of clients' cost
+// estimates.
 const costEstimateSigma = 0.2
 
 // request is a client's query.
@@ -21,15 +22,15 @@
 	traffic      int // index in Config.Traffic
 	class        *cresspass.Class
 	firstArrival time.Duration
-	work         float64
+	work         float64 // thread seconds
 	key          string
 	tableGroup   int     // 0: none
 	costEstimate float64 // thread seconds; 0: none
-	attempts     int     // of the client
+	attempts     int     // answered attempts of the client
 	done         bool
 }
 
-// scheduleClients schedules the clients that are drawn at random, and those that were recorded.
+// scheduleClients schedules the random arrivals of all traffic, and the recorded clients.
 func (f *Fleet) scheduleClients() error {
 	for i := range f.cfg.Traffic {
 		f.startArrivals(i)
@@ -44,8 +45,8 @@
 	return nil
 }
 
-// startArrivals schedules the clients of one traffic, one after another. All that is drawn for them comes
-// from a stream of their own; otherwise, two ways of deciding would be compared on different clients.
+// startArrivals schedules the Poisson arrivals of one traffic, each after the one before it. All their random
+// draws come from a stream of their own; otherwise, two policies would be compared on different clients.
 func (f *Fleet) startArrivals(i int) {
 	t := &f.cfg.Traffic[i]
 	r := rand.New(rand.NewPCG(f.cfg.Seed, uint64(trafficStream+i)))
@@ -77,7 +78,7 @@
 	if t.Tables > 0 {
 		a.tableGroup = 1 + r.IntN(t.Tables)
 	}
-	// Drawn in any case, so that clients with and without an estimate are otherwise the same.
+	// Always drawn, so that the later draws are the same with and without cost estimates.
 	a.costEstimate = t.CostEstimateFactor * a.work * math.Exp(costEstimateSigma*r.NormFloat64())
 	if t.CostEstimateFactor == 0 {
 		a.costEstimate = 0
@@ -102,7 +103,7 @@
 	return int(y * float64(n))
 }
 
-// scheduleReplay schedules the recorded clients from an index on, one after another.
+// scheduleReplay schedules the recorded client at an index, whose arrival schedules the next one.
 func (f *Fleet) scheduleReplay(i int) {
 	if i >= len(f.cfg.Replay) {
 		return
@@ -117,7 +118,8 @@
 	})
 }
 
-// handleArrival sends a request to a dispatcher; if that is down, to the next that is up.
+// handleArrival sends a request to a dispatcher or, if that is down, to the next one that is up. It fails the
+// request if all are down.
 func (f *Fleet) handleArrival(a *request, at int) {
 	if a.attempts == 0 {
 		f.openRequests++
@@ -132,7 +134,7 @@
 	f.finishRequest(a, f.dispatchers[at], Failed, 0)
 }
 
-// finishRequest delivers a dispatcher's answer to the client, who may retry a rejected query.
+// finishRequest delivers the outcome of a request to the client, who may retry a rejected query.
 func (f *Fleet) finishRequest(a *request, d *dispatcher, end Outcome, retryAfter time.Duration) {
 	if a.done {
 		return
--- a/internal/simulation/comparison.go
+++ b/internal/simulation/comparison.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Arm is one of the variants that are compared.
+// Arm is one of the variants that a Comparison compares.
 type Arm struct {
 	Name      string
 	Gossip    GossipMode
 	Byzantine int
 }
 
-// Comparison is how clients of restarted dispatchers were served, by arm, seed and time.
+// Comparison holds how clients of restarted dispatchers were served, by arm, seed and window of time.
 type Comparison struct {
 	Arms      []Arm
-	Windows   []time.Duration
+	Windows   []time.Duration     // lengths, from the return of the dispatchers on
 	Summaries [][][]WindowSummary // by arm, seed and window
 }
 
-// CompareNewcomers simulates HalfRestart for each arm, on the same seeds.
+// CompareNewcomers simulates HalfRestart for each arm, all with the seeds 1 to seeds.
 func CompareNewcomers(arms []Arm, seeds int, costFactor float64) (*Comparison, error) {
 	out := &Comparison{Arms: arms, Windows: []time.Duration{10 * time.Second, 30 * time.Second,
 		60 * time.Second}}
@@ -43,7 +43,7 @@
 	return out, nil
 }
 
-// Figures are compared, in this order.
+// Figures are the metrics that a Comparison compares, in the order of their indices.
 var Figures = []struct {
 	Name string
 	Of   func(s *WindowSummary) float64
@@ -54,7 +54,7 @@
 	{"engines over two threads a core", func(s *WindowSummary) float64 { return s.Overload }},
 }
 
-// Samples are the values of a figure, one for each seed.
+// Samples returns the values of a figure for an arm and a window, one for each seed.
 func (n *Comparison) Samples(arm, window, figure int) (out []float64) {
 	for i := range n.Summaries[arm] {
 		out = append(out, Figures[figure].Of(&n.Summaries[arm][i][window]))
--- a/internal/simulation/converge.go
+++ b/internal/simulation/converge.go
@@ -9,8 +9,9 @@
 	"cresspass/internal/membership/observation"
 )
 
-// Agreed reports whether all members that are up have the same count of members, distinct ordinals below the
-// count (or minCount, if that is more), and fleet clocks that differ by less than a tolerance.
+// Agreed reports whether all members that are up count exactly the members that are up, have distinct
+// ordinals below that count (or minCount, if that is more), and have fleet clocks that differ by less than
+// tolerance.
 func (f *Members) Agreed(minCount int, tolerance time.Duration) bool {
 	up, seen := 0, map[int]bool{}
 	var earliest, latest time.Duration
@@ -41,7 +42,7 @@
 	return latest-earliest < tolerance
 }
 
-// Propagated is the share of members that know a value that one of them observed.
+// Propagated returns the share of the members that are up that know a value that one member observed.
 func (f *Members) Propagated(k observation.Key, value float64) float64 {
 	up, known := 0.0, 0.0
 	for _, m := range f.All {
@@ -55,15 +56,15 @@
 	return known / max(up, 1)
 }
 
-// Convergence is how fast a fleet that starts at once agrees. A time of notReached was not reached within
-// convergenceTimeout.
+// Convergence holds how fast the members of a fleet that start together agree. A time of notReached (-1)
+// means that the state was not reached within convergenceTimeout.
 type Convergence struct {
 	Members     int
 	Agreed      time.Duration // on ordinals, count and clock
 	Propagated  time.Duration // from one member's observation of an engine until all know it
 	Reconverged time.Duration // from the return of a tenth of the members until all agree again
-	// BytesSecond is what a member sends a second when nothing happens, without the module's messages: the
-	// mean and the maximum.
+	// BytesSecond and MaxBytesSecond are the bytes per second that a member sends in a steady state, without
+	// the module's messages: the mean and the maximum over the members.
 	BytesSecond, MaxBytesSecond float64
 	Events                      uint64
 }
@@ -71,14 +72,14 @@
 const (
 	convergenceTimeout = 2 * time.Minute
 	notReached         = time.Duration(-1)
-	startSpread        = 2 * time.Second // within which the members start
+	startSpread        = 2 * time.Second // members start at random times within it
 	trafficWarmup      = 10 * time.Second
 	trafficWindow      = 20 * time.Second // over which BytesSecond is measured
-	returnDelay        = 3 * time.Second  // of the tenth that stops
+	returnDelay        = 3 * time.Second  // until the stopped tenth starts again
 	observedValue      = 77
 )
 
-// Converge starts a fleet at once and measures how fast it agrees.
+// Converge starts all members of a fleet within startSpread and measures how fast they agree.
 func Converge(seed uint64, n, engines int, w NetworkConditions) Convergence {
 	q := &Queue{}
 	cores := map[cresspass.EngineID]float64{}
@@ -110,7 +111,7 @@
 	return out
 }
 
-// timeUntil lets time pass until a condition holds, and returns how long it took, or notReached.
+// timeUntil advances the simulation until a condition holds, and returns how long that took, or notReached.
 func (f *Members) timeUntil(ok func() bool) time.Duration {
 	const pollInterval = 100 * time.Millisecond
 	q := f.Queue
@@ -122,8 +123,8 @@
 	return notReached
 }
 
-// observeEngines makes all members observe all engines now and then, as in service: this is what digests
-// carry.
+// observeEngines makes every member record an attempt at a random engine every second, as in production.
+// Gossip digests carry these observations.
 func (f *Members) observeEngines(engines int) {
 	var observe func(m *Member)
 	observe = func(m *Member) {
@@ -137,7 +138,7 @@
 	}
 }
 
-// measureTraffic returns how many bytes a second members send: the mean and the maximum.
+// measureTraffic returns the bytes per second that members send: the mean and the maximum over the members.
 func (f *Members) measureTraffic() (mean, most float64) {
 	f.Queue.Run(f.Queue.Now() + trafficWarmup)
 	before := slices.Clone(f.Net.Bytes)
@@ -150,7 +151,7 @@
 	return mean, most
 }
 
-// measurePropagation returns the time from one member's observation until all know it.
+// measurePropagation returns the time from one member's observation until all members know it.
 func (f *Members) measurePropagation() time.Duration {
 	k := observation.Key{Engine: string(engineID(0)), Property: observation.Uptime}
 	first := f.All[0]
--- a/internal/simulation/dispatcher.go
+++ b/internal/simulation/dispatcher.go
@@ -10,21 +10,21 @@
 	"cresspass/internal/dispatch"
 )
 
-// bootstrapTimeout is how long a dispatcher that starts waits for what others have learnt.
+// bootstrapTimeout is how long a starting dispatcher waits for the model state of other dispatchers.
 const bootstrapTimeout = time.Second
 
-// minTimerDelay keeps a timer that is due already from firing at the moment that set it.
+// minTimerDelay keeps a timer that is already due from firing at the very time at which it is set.
 const minTimerDelay = time.Microsecond
 
-// dispatcher is one simulated dispatcher: the core of the program, with simulated engines, clients and
-// members in place of sockets.
+// dispatcher is one simulated dispatcher: the production core, with simulated engines, clients and members in
+// place of sockets.
 type dispatcher struct {
 	fleet              *Fleet
 	number             int
 	zone               string
 	up                 bool
 	incarnation        uint64
-	epoch              time.Duration // simulated time at which its clock is zero
+	epoch              time.Duration // simulated time at which the dispatcher's clock is zero
 	core               *dispatch.Core
 	decider            dispatch.Decider
 	nextWakeup         time.Duration // of the scheduled timer
@@ -32,15 +32,16 @@
 	requests           map[cresspass.QueryID]*request
 	jobs               map[jobKey]*job
 	waiting            []*request        // arrived before the bootstrap completed
-	pendingOutputs     []dispatch.Output // of steps, not executed yet
+	pendingOutputs     []dispatch.Output // of earlier steps, not executed yet
 	bootstrapRequested bool
 	snapshot           []byte // from its last stop
 	stoppedAt          time.Duration
-	retryTimes         []time.Duration // within the retry budget's window
+	retryTimes         []time.Duration // of retries, within the retry budget's window
 	acceptTimes        []time.Duration // of queries, within the same window
 }
 
-// start begins an incarnation. first: the whole fleet starts, so there is nobody to learn from.
+// start begins an incarnation. first means that the whole fleet starts, so no other dispatcher has model
+// state to bootstrap from.
 func (d *dispatcher) start(now time.Duration, first bool) error {
 	f := d.fleet
 	d.incarnation++
@@ -66,12 +67,12 @@
 	return nil
 }
 
-// completeBootstrap restores what is known from others and from its own snapshot, in this order, and accepts
-// clients from now on.
+// completeBootstrap restores first the model state of other dispatchers and then the dispatcher's own
+// snapshot, and accepts clients from now on.
 func (d *dispatcher) completeBootstrap() {
 	f := d.fleet
 	d.bootstrapRequested = false
-	// As in the program, a dispatcher whose snapshot can't be restored serves without it.
+	// As in production, a dispatcher whose snapshot can't be restored serves without it.
 	if d.member != nil {
 		if data, age := d.assembleModelState(); data != nil {
 			_ = d.core.Restore(data, age)
@@ -87,7 +88,7 @@
 	d.waiting = nil
 }
 
-// stop ends an incarnation: its jobs end with their connections, and its clients' connections break.
+// stop ends an incarnation: its jobs are withdrawn from their engines, and its open requests fail.
 func (d *dispatcher) stop() {
 	f := d.fleet
 	d.up = false
@@ -99,7 +100,7 @@
 	for _, j := range d.jobs {
 		jobs = append(jobs, j)
 	}
-	// Sorted, as the order of a map is random and comes from no seed: the same seed would have two results.
+	// Sorted, because map iteration order does not depend on the seed: one seed would have several results.
 	slices.SortFunc(jobs, func(a, b *job) int {
 		return cmp.Or(cmp.Compare(a.query, b.query), cmp.Compare(a.attempt, b.attempt))
 	})
@@ -119,12 +120,12 @@
 	}
 }
 
-// memberID is its place in the order of events of one time.
+// memberID is the dispatcher's owner number in the event queue, which orders simultaneous events.
 func (d *dispatcher) memberID() uint64 { return uint64(d.number) + 1 }
 
 func (d *dispatcher) clock() time.Duration { return d.fleet.queue.Now() - d.epoch }
 
-// admit accepts a client's query.
+// admit accepts a client's query, or holds it back until the bootstrap completes.
 func (d *dispatcher) admit(a *request) {
 	f := d.fleet
 	if d.bootstrapRequested {
@@ -161,7 +162,7 @@
 	d.scheduleTimer()
 }
 
-// scheduleTimer schedules the core's next wakeup, unless an earlier one is scheduled.
+// scheduleTimer schedules the core's next wakeup, unless one at the same time or earlier is scheduled.
 func (d *dispatcher) scheduleTimer() {
 	next, ok := d.core.NextWakeup()
 	at := max(next+d.epoch, d.fleet.queue.Now()+minTimerDelay)
@@ -169,7 +170,7 @@
 		return
 	}
 	d.nextWakeup = at
-	d.stepAt(at, func() bool { // unless another was scheduled since
+	d.stepAt(at, func() bool { // false if an earlier wakeup was scheduled since
 		due := d.nextWakeup == at
 		if due {
 			d.nextWakeup = math.MaxInt64
@@ -178,14 +179,14 @@
 	})
 }
 
-// post hands an event to the core after a time.
+// post hands an event to the core after a delay.
 func (d *dispatcher) post(after time.Duration, ev cresspass.Event) {
 	d.stepAt(d.fleet.queue.Now()+after, func() bool { return true }, ev)
 }
 
-// stepAt hands events to the core at a time, if this incarnation is still up and the events are still due.
-// Where dispatchers decide independently, the core's steps of one moment run side by side, and their outputs
-// are executed afterwards, in the queue's order.
+// stepAt hands events to the core at a given time, if this incarnation is still up and due returns true. If
+// dispatchers decide independently, simultaneous steps of their cores run in parallel, and their outputs are
+// executed afterwards, in the queue's order.
 func (d *dispatcher) stepAt(at time.Duration, due func() bool, events ...cresspass.Event) {
 	f, incarnation := d.fleet, d.incarnation
 	isDue := func() bool { return d.incarnation == incarnation && d.up && due() }
@@ -204,7 +205,7 @@
 	}, func() { d.executePending(incarnation) })
 }
 
-// executePending executes the outputs of earlier steps and reuses their memory.
+// executePending executes the outputs of earlier steps and reuses their slice.
 func (d *dispatcher) executePending(incarnation uint64) {
 	outputs := d.pendingOutputs
 	if d.pendingOutputs = nil; d.incarnation != incarnation || !d.up {
--- a/internal/simulation/dispatcher_gossip.go
+++ b/internal/simulation/dispatcher_gossip.go
@@ -15,10 +15,11 @@
 	forgeInterval    = 500 * time.Millisecond
 )
 
-// forgedParameter is what a Byzantine dispatcher says of each learnt parameter.
+// forgedParameter is the value that a Byzantine dispatcher publishes for each learned parameter.
 const forgedParameter = 100
 
-// join makes the dispatcher a member of the fleet. bootstrap: it waits for what others have learnt.
+// join makes the dispatcher a member of the fleet. With bootstrap set, it waits for the model state of other
+// dispatchers.
 func (d *dispatcher) join(bootstrap bool) {
 	f := d.fleet
 	wait := time.Duration(0)
@@ -32,7 +33,8 @@
 	d.saveSnapshots(d.incarnation)
 }
 
-// assembleModelState returns what others have learnt as a snapshot, and its age; nil: nothing is known.
+// assembleModelState returns the model state of other dispatchers as a snapshot, and its age; the snapshot is
+// nil if no state is known.
 func (d *dispatcher) assembleModelState() ([]byte, time.Duration) {
 	cfg := &d.fleet.cfg.Module
 	var names []string
@@ -49,7 +51,7 @@
 	return data, age
 }
 
-// handleGossip carries out an action of the gossip node that concerns the core.
+// handleGossip executes an action of the gossip node that concerns the core.
 func (d *dispatcher) handleGossip(o gossip.Action) {
 	switch o.Type {
 	case gossip.DeliverMessage:
@@ -76,7 +78,7 @@
 	members.ApplyActions(d.member)
 }
 
-// saveSnapshots publishes what the module has learnt, every snapshotInterval of an incarnation.
+// saveSnapshots publishes the module's learned parameters every snapshotInterval, until the incarnation ends.
 func (d *dispatcher) saveSnapshots(incarnation uint64) {
 	f := d.fleet
 	f.queue.In(snapshotInterval, func() {
@@ -95,12 +97,13 @@
 	})
 }
 
-// forgedMessages are the messages of a Byzantine dispatcher. Their loads are 255 and 254 in turn, so one
-// aggregate says that all engines are full, and the other that they are ejected.
+// forgedMessages are the types of the messages of a Byzantine dispatcher. Their loads alternate between 255
+// and 254, so that one aggregate reports all engines as full and the other reports them as ejected.
 var forgedMessages = []cresspass.PeerMessageType{cresspass.PeerLoadReport, cresspass.PeerAggregate,
 	cresspass.PeerAggregate, cresspass.PeerSendNotice, cresspass.PeerForwardedSends}
 
-// forgedLoads is a message that gives all engines one load. A load report also says that attempts failed.
+// forgedLoads returns a message that reports the same load for all engines. A load report also reports that
+// attempts failed.
 func (f *Fleet) forgedLoads(messageType cresspass.PeerMessageType, load byte) []byte {
 	const onlyFailures = 0x0f
 	data := []byte{byte(messageType)}
@@ -114,8 +117,8 @@
 	return data
 }
 
-// forgeMessage makes a dispatcher tell the others, every forgeInterval, that all engines are full, ejected
-// or down.
+// forgeMessage makes a dispatcher report to the others, every forgeInterval, that all engines are full,
+// ejected or down.
 func (f *Fleet) forgeMessage(d *dispatcher) {
 	f.queue.In(forgeInterval, func() {
 		if d.up && d.member != nil {
--- a/internal/simulation/engine.go
+++ b/internal/simulation/engine.go
@@ -11,17 +11,18 @@
 	"cresspass/internal/simulation/enginemodel"
 )
 
-// reportInterval is how often an engine draws up a load report.
+// reportInterval is the minimum time between two load reports of an engine.
 const reportInterval = 200 * time.Millisecond
 
-// Load reports of an engine are kept up to maxReports, of which the older half is then dropped.
+// maxReports is the number of load reports kept for an engine. When there are more, the oldest half is
+// dropped.
 const maxReports = 100
 
-// Times of an engine that restarts.
+// Delays of crashes and restarts of engines.
 const (
 	collapseRestartDelay = 5 * time.Second        // after a collapse
 	drainRestartDelay    = 500 * time.Millisecond // after a drain
-	maxRemovalDelay      = time.Second            // until the engine list shows a crash
+	maxRemovalDelay      = time.Second            // until the engine list shows a crash, at most
 )
 
 // engine is one simulated engine.
@@ -32,21 +33,21 @@
 	state     cresspass.EngineState // in the engine list
 	up        bool
 	startedAt time.Duration // 0: before the day
-	listedAt  time.Duration // when dispatchers heard of its present state; 0: not yet
+	listedAt  time.Duration // when dispatchers received its current state; 0: not yet
 	faults    engineFaults
 	reports   []loadReport
-	arrivals  []arrival // while it warms up
+	arrivals  []arrival // during the warm-up
 	model     *enginemodel.Model
 	jobs      map[*enginemodel.Running]*job
-	nextEvent time.Duration // of the model, as scheduled
+	nextEvent time.Duration // time of the model's scheduled event
 }
 
-// engineFaults are the faults that an engine has now.
+// engineFaults are the current faults of an engine.
 type engineFaults struct {
-	errorShare, lostShare float64
+	errorShare, lostShare float64 // shares of attempts that fail, and of answers that are lost
 }
 
-// loadReport is what an engine reported of itself at a time.
+// loadReport is an engine's load report of a given time, with the values of Config.Module.LoadReportFields.
 type loadReport struct {
 	at     time.Duration
 	values []float64
@@ -59,7 +60,7 @@
 	return cresspass.EngineID(fmt.Sprintf("10.0.%d.%d:5432", i/enginesPerSubnet, i%enginesPerSubnet))
 }
 
-// scheduleEngine schedules the model's next event, unless an earlier one is scheduled.
+// scheduleEngine schedules the model's next event, unless one at the same time or earlier is scheduled.
 func (f *Fleet) scheduleEngine(e *engine) {
 	next, ok := e.model.NextEvent()
 	if !ok || next >= e.nextEvent && e.nextEvent > f.queue.Now() {
@@ -68,7 +69,7 @@
 	e.nextEvent = next
 	f.queue.AtFor(uint64(len(f.dispatchers)+e.number)+1, next, func() {
 		if e.nextEvent != next {
-			return // another was scheduled since
+			return // an earlier event was scheduled since
 		}
 		e.nextEvent = math.MaxInt64
 		for _, r := range e.model.Advance(f.queue.Now()) {
@@ -81,14 +82,14 @@
 	})
 }
 
-// reschedule schedules the model's next event anew, where that may have become later.
+// reschedule replaces the model's scheduled event, after a change that may have delayed it.
 func (f *Fleet) reschedule(e *engine) {
 	e.nextEvent = math.MaxInt64
 	f.scheduleEngine(e)
 }
 
-// latestReport returns the load report that comes with an answer: the newest that is as old as the configured
-// delay.
+// latestReport returns the load report that is sent with an answer: the newest that is at least as old as the
+// report delay.
 func (f *Fleet) latestReport(e *engine) ([]float64, bool) {
 	if len(f.cfg.Module.LoadReportFields) == 0 {
 		return nil, false
@@ -108,8 +109,8 @@
 	return nil, false
 }
 
-// reportValues are the fields of a load report, in the order of the settings. Those that the model does not
-// know are zero.
+// reportValues returns the values of a load report, in the order of LoadReportFields. Fields that the model
+// does not have are zero.
 func (f *Fleet) reportValues(e *engine) []float64 {
 	fields := f.cfg.Module.LoadReportFields
 	values := make([]float64, len(fields))
@@ -131,7 +132,7 @@
 	for _, j := range e.jobs {
 		jobs = append(jobs, j)
 	}
-	// Sorted, as the order of a map is random and comes from no seed.
+	// Sorted, because map iteration order does not depend on the seed.
 	slices.SortFunc(jobs, func(a, b *job) int { return cmp.Compare(a.crashOrder(), b.crashOrder()) })
 	clear(e.jobs)
 	for _, j := range jobs {
@@ -151,13 +152,14 @@
 	e.nextEvent = math.MaxInt64
 }
 
-// crashOrder is the order in which dispatchers notice that their jobs broke: by dispatcher, then by query.
+// crashOrder is a sort key: dispatchers notice that their jobs broke in the order of dispatcher, query and
+// attempt.
 func (j *job) crashOrder() int {
 	const perDispatcher, perQuery = 1_000_000, 10
 	return j.dispatcher.number*perDispatcher + int(j.query)*perQuery + j.attempt
 }
 
-// engineCollapsed handles an engine that collapsed under work while it warmed up.
+// engineCollapsed handles the collapse of an engine that was overloaded during its warm-up.
 func (f *Fleet) engineCollapsed(e *engine) {
 	f.checkCollapse(e)
 	e.arrivals = nil
@@ -165,7 +167,7 @@
 	f.queue.In(collapseRestartDelay, func() { f.engineRestarted(e) })
 }
 
-// engineRestarted starts an engine that is down. It warms up.
+// engineRestarted starts an engine that is down. The engine warms up.
 func (f *Fleet) engineRestarted(e *engine) {
 	if e.up {
 		return
@@ -175,7 +177,7 @@
 	f.setState(e, cresspass.EngineActive)
 }
 
-// crashEngine stops an engine without notice for a time.
+// crashEngine stops an engine without notice, and starts it again after downtime.
 func (f *Fleet) crashEngine(e *engine, downtime time.Duration) {
 	if !e.up {
 		return
@@ -189,7 +191,7 @@
 	f.queue.In(downtime, func() { f.engineRestarted(e) })
 }
 
-// drainEngine announces an engine's drain, and restarts it after a time.
+// drainEngine announces an engine's drain, and stops and restarts the engine after the given time.
 func (f *Fleet) drainEngine(e *engine, after time.Duration) {
 	if !e.up {
 		return
--- a/internal/simulation/engine_faults.go
+++ b/internal/simulation/engine_faults.go
@@ -5,13 +5,14 @@
 // preemptionNotice is the time between the notice of a preemption and the engine's end.
 const preemptionNotice = 2 * time.Second
 
+// forEachEngine calls do for the engines with the given indices.
 func (f *Fleet) forEachEngine(engines []int, do func(e *engine)) {
 	for _, i := range engines {
 		do(f.engines[i])
 	}
 }
 
-// slowDown makes engines slower by a factor for a time.
+// slowDown makes engines slower by a factor for the given length of time.
 func (f *Fleet) slowDown(engines []int, factor float64, length time.Duration) {
 	set := func(e *engine, v float64) {
 		e.model.SetSlowdown(f.queue.Now(), v)
@@ -39,7 +40,7 @@
 
 // ageEngines makes engines slower step by step, and then crashes them.
 func (f *Fleet) ageEngines(t Fault) {
-	const steps, crashSteps = 10, 4 // that the crash lasts
+	const steps, crashSteps = 10, 4 // of increasing slowdown, and of downtime
 	const allSteps = steps + crashSteps
 	for n := range steps {
 		f.queue.In(time.Duration(n)*t.For/allSteps, func() {
@@ -72,7 +73,7 @@
 	f.applyFault(t, func(e *engine, on float64) { e.faults.lostShare = on * t.Size })
 }
 
-// applyFault sets a fault of engines, by a factor of 1, and clears it after a time, by a factor of 0.
+// applyFault turns a fault of engines on for t.For: it calls set with 1, and then with 0.
 func (f *Fleet) applyFault(t Fault, set func(e *engine, on float64)) {
 	f.forEachEngine(t.Engines, func(e *engine) { set(e, 1) })
 	f.queue.In(t.For, func() { f.forEachEngine(t.Engines, func(e *engine) { set(e, 0) }) })
--- a/internal/simulation/engine_list.go
+++ b/internal/simulation/engine_list.go
@@ -6,16 +6,16 @@
 	"cresspass"
 )
 
-// minListDelay is the least time until dispatchers hear of a change.
+// minListDelay is the minimum time until dispatchers receive a change of the engine list.
 const minListDelay = 10 * time.Millisecond
 
-// listEntry is how an engine stood in the engine list.
+// listEntry is the state of an engine in a published engine list.
 type listEntry struct {
 	state     cresspass.EngineState
 	startedAt time.Duration
 }
 
-// engineList is the engine list as it is now.
+// engineList returns the current engine list.
 func (f *Fleet) engineList() (list []listEntry) {
 	for _, e := range f.engines {
 		list = append(list, listEntry{e.state, e.startedAt})
@@ -23,7 +23,7 @@
 	return list
 }
 
-// engineListEvent is the event of an engine list, by the dispatcher's own clock.
+// engineListEvent returns the event of an engine list, with start times by the dispatcher's own clock.
 func (d *dispatcher) engineListEvent(list []listEntry) cresspass.Event {
 	ev := cresspass.Event{Type: cresspass.EngineListReceived, ListType: cresspass.ListComplete}
 	for i, e := range d.fleet.engines {
@@ -36,15 +36,15 @@
 	return ev
 }
 
-// setState changes an engine's entry in the engine list.
+// setState changes an engine's state in the engine list and publishes the list.
 func (f *Fleet) setState(e *engine, state cresspass.EngineState) {
 	e.state = state
 	e.listedAt = 0
 	f.publishList(e)
 }
 
-// publishList sends the present engine list to all dispatchers. The list is taken now and not when they hear
-// of it; otherwise each change would also bring later ones before their time.
+// publishList sends the current engine list to all dispatchers. The list is copied now and not when it
+// arrives; otherwise each change would also deliver later changes too early.
 func (f *Fleet) publishList(changed *engine) {
 	delay := f.cfg.ListDelay + f.disturbance.listDelay + minListDelay
 	list := f.engineList()
--- a/internal/simulation/estimate.go
+++ b/internal/simulation/estimate.go
@@ -7,13 +7,14 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Estimate is a mean over independent seeds with half the width of its 95% interval (Student's t).
+// Estimate is a mean over N independent samples with half the width of its 95% confidence interval, infinite
+// if the samples do not determine one. EstimateMean computes the interval from Student's t distribution.
 type Estimate struct {
 	Mean, HalfWidth float64
 	N               int
 }
 
-// EstimateMean returns the mean of samples from independent seeds.
+// EstimateMean returns the mean of samples from independent seeds with its 95% confidence interval.
 func EstimateMean(samples []float64) Estimate {
 	b := Estimate{N: len(samples)}
 	switch len(samples) {
@@ -31,11 +32,12 @@
 	return b
 }
 
-// IsSignificant reports whether the interval excludes zero: for a difference, that there is one.
+// IsSignificant reports whether the interval excludes zero. For an estimated difference, this means that the
+// difference is significant.
 func (b Estimate) IsSignificant() bool { return math.Abs(b.Mean) > b.HalfWidth }
 
-// Differences are the differences of samples with the same seeds, one by one, so that the effect of the seeds
-// on both cancels out.
+// Differences returns the pairwise differences a[i]-b[i] of samples with the same seeds. Pairing cancels out
+// the effect that a seed has on both samples.
 func Differences(a, b []float64) []float64 {
 	out := make([]float64, min(len(a), len(b)))
 	for i := range out {
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// Fault is something that goes wrong for a time. Its kind has the name that rehearsals use.
+// Fault is a fault that begins at At and lasts for For. Its kind has the name that rehearsals use.
 type Fault struct {
 	Kind       string
 	At, For    time.Duration
 	Engines    []int
 	Dispatcher int
-	Size       float64 // factor, share or seconds, by kind
+	Size       float64 // a factor, a share or seconds, depending on the kind
 	Class      string
 }
 
-// disturbance is what faults have changed about clients and delays.
+// disturbance holds the current effects of faults on clients and delays.
 type disturbance struct {
 	burstFactor   float64 // on the rate of all traffic
 	tailFactor    float64 // on the work of the longest queries
 	hotShare      float64 // of clients that connect to hotDispatcher
 	hotDispatcher int     // -1: none
-	shift         *Fault  // traffic moves to its class; nil: none
+	shift         *Fault  // the fault that shifts traffic to its class; nil: none
 	reportDelay   time.Duration
 	listDelay     time.Duration
 }
 
 var noDisturbance = disturbance{burstFactor: 1, tailFactor: 1, hotDispatcher: -1}
 
-// shiftedAwayFactor is the factor on the rate of the other classes while traffic moves to one.
+// shiftedAwayFactor is the factor on the rates of the other classes while traffic is shifted to one class.
 const shiftedAwayFactor = 0.5
 
-// rateFactor is the factor on the rate of a class.
+// rateFactor returns the current factor on the rate of a class.
 func (d *disturbance) rateFactor(class string) float64 {
 	factor := d.burstFactor
 	if d.shift != nil {
@@ -46,7 +46,7 @@
 	return factor
 }
 
-// faultActions begin a fault of each kind, and schedule its end.
+// faultActions are the functions that begin a fault and schedule its end, by kind.
 var faultActions = map[string]func(f *Fleet, t Fault){
 	"ageing":       (*Fleet).ageEngines,
 	"burst":        func(f *Fleet, t Fault) { f.setFor(t.For, &f.disturbance.burstFactor, t.Size, 1) },
@@ -72,7 +72,7 @@
 	"zone-loss":    (*Fleet).loseZone,
 }
 
-// FaultKinds are the kinds that the simulation has, sorted.
+// FaultKinds returns the kinds of faults that the simulation models, sorted.
 func FaultKinds() []string { return slices.Sorted(maps.Keys(faultActions)) }
 
 // scheduleFault checks a fault and schedules its beginning.
@@ -87,31 +87,31 @@
 	}
 	begin := faultActions[t.Kind]
 	if begin == nil {
-		return fmt.Errorf("model: there is no trouble %q here", t.Kind)
+		return fmt.Errorf("model: trouble %q is not simulated", t.Kind)
 	}
 	f.queue.At(t.At, func() { begin(f, t) })
 	return nil
 }
 
-// setFor gives a figure a value for a time.
+// setFor sets *figure to value, and back to normal after length.
 func (f *Fleet) setFor(length time.Duration, figure *float64, value, normal float64) {
 	*figure = value
 	f.queue.In(length, func() { *figure = normal })
 }
 
-// delayFor sets a delay, in seconds, for a time.
+// delayFor sets a delay of t.Size seconds, and removes it after t.For.
 func (f *Fleet) delayFor(t Fault, delay *time.Duration) {
 	*delay = time.Duration(t.Size * float64(time.Second))
 	f.queue.In(t.For, func() { *delay = 0 })
 }
 
-// heatDispatcher sends a share of all clients to one dispatcher.
+// heatDispatcher makes a share of all clients connect to one dispatcher.
 func (f *Fleet) heatDispatcher(t Fault) {
 	f.disturbance.hotDispatcher = t.Dispatcher
 	f.setFor(t.For, &f.disturbance.hotShare, t.Size, 0)
 }
 
-// shiftTraffic raises the rate of one class, and lowers that of the others.
+// shiftTraffic raises the rate of one class, the first one by default, and lowers the rates of the others.
 func (f *Fleet) shiftTraffic(t Fault) {
 	if t.Class == "" {
 		t.Class = f.cfg.Traffic[0].Class
@@ -120,18 +120,18 @@
 	f.queue.In(t.For, func() { f.disturbance.shift = nil })
 }
 
-// killDispatcher stops a dispatcher for a time.
+// killDispatcher stops a dispatcher, which returns with its snapshot after t.For.
 func (f *Fleet) killDispatcher(t Fault) {
 	f.restartDispatchers(Restart{After: t.For, Dispatchers: []int{t.Dispatcher}})
 }
 
-// restartHalf stops every second dispatcher at once; they return without their snapshots.
+// restartHalf stops every other dispatcher at once. They return without their snapshots after t.For.
 func (f *Fleet) restartHalf(t Fault) {
 	half := everySecond(len(f.dispatchers))
 	f.restartDispatchers(Restart{After: t.For, WithoutState: true, Dispatchers: half})
 }
 
-// everySecond is every second number below n.
+// everySecond returns the odd numbers below n.
 func everySecond(n int) (numbers []int) {
 	for i := 1; i < n; i += 2 {
 		numbers = append(numbers, i)
@@ -139,7 +139,7 @@
 	return numbers
 }
 
-// rollDispatchers restarts the dispatchers one after another.
+// rollDispatchers performs a rolling restart of all dispatchers.
 func (f *Fleet) rollDispatchers(t Fault) {
 	each := t.For / time.Duration(len(f.dispatchers))
 	for i := range f.dispatchers {
@@ -149,7 +149,7 @@
 	}
 }
 
-// lostZone is the zone that a fault of kind zone-loss takes.
+// lostZone is the zone that a fault of kind zone-loss takes down.
 const lostZone = "a"
 
 // loseZone crashes the engines and stops the dispatchers of a zone, except the first dispatcher.
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -7,21 +7,21 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever faults come together in whatever order, each client gets one answer within its deadline, no query
-// goes to a drained engine after the grace, no engine collapses while it warms up, and retries stay within
-// their budget; and one seed has one result.
+// Under random combinations of faults, each client gets one answer within its deadline, no query is sent to a
+// drained engine after the grace, no engine collapses while it warms up, and retries stay within their
+// budget. Two runs of a seed have the same numbers of requests and events.
 func TestRulesHoldUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := smallFleet(rapid.Uint64().Draw(t, "seed"), GossipMode(rapid.IntRange(0, 2).Draw(t, "talk")), 0)
+		c := smallFleet(rapid.Uint64().Draw(t, "seed"), GossipMode(rapid.IntRange(0, 2).Draw(t, "gossip")), 0)
 		c.Restarts = nil
 		c.Length = 12 * time.Second
 		setSlowStart(&c, 10*time.Second, 3)
-		for range rapid.IntRange(0, 4).Draw(t, "troubles") {
+		for range rapid.IntRange(0, 4).Draw(t, "faults") {
 			c.Faults = append(c.Faults, Fault{Kind: rapid.SampledFrom(FaultKinds()).Draw(t, "kind"),
 				At:         time.Duration(rapid.IntRange(0, 8000).Draw(t, "at")) * time.Millisecond,
 				For:        time.Duration(rapid.IntRange(1000, 5000).Draw(t, "for")) * time.Millisecond,
 				Engines:    []int{rapid.IntRange(0, 2).Draw(t, "engine")},
-				Dispatcher: rapid.IntRange(0, 4).Draw(t, "d"),
+				Dispatcher: rapid.IntRange(0, 4).Draw(t, "dispatcher"),
 				Size:       0.3})
 		}
 		f, err := NewFleet(c)
@@ -30,17 +30,17 @@
 		}
 		got := f.Run()
 		if got.Violations.Total() > 0 {
-			t.Fatalf("%+v with %+v", got.Violations, c.Faults)
+			t.Fatalf("violations %+v with faults %+v", got.Violations, c.Faults)
 		}
 		again, _ := NewFleet(c)
 		if b := again.Run(); len(b.Requests) != len(got.Requests) || b.Events != got.Events {
-			t.Fatalf("the same seed: %d requests and %d events, then %d and %d", len(got.Requests),
+			t.Fatalf("two runs of one seed: %d requests and %d events, then %d and %d", len(got.Requests),
 				got.Events, len(b.Requests), b.Events)
 		}
 	})
 }
 
-// All policies run; under overload, the oracle serves no less in time than the others.
+// All policies run. Under overload, the oracle serves about as large a share in time as any other, or more.
 func TestPolicies(t *testing.T) {
 	served := map[string]float64{}
 	for _, p := range Policies {
@@ -64,13 +64,13 @@
 	c := smallFleet(1, NoGossip, 0)
 	c.Policy = "best"
 	if _, err := NewFleet(c); err == nil {
-		t.Error("an unknown policy, and no error")
+		t.Error("no error for an unknown policy")
 	}
 }
 
-// A newly started engine looks empty to all dispatchers, and they flood it: with the module it does not
-// collapse, and with a plain policy it does, which shows that the model would notice. The same holds where a
-// tenth of the dispatchers has nine tenths of the clients.
+// A newly started engine looks empty to all dispatchers, so without slow start they overload it. With the
+// module the engine does not collapse, also if a tenth of the dispatchers has nine tenths of the clients.
+// With a plain policy it does, which shows that the simulation detects the fault.
 func TestNewEngineIsNotFlooded(t *testing.T) {
 	late := time.Duration(0)
 	play := func(policy string, uneven float64) *Result {
@@ -91,30 +91,30 @@
 	for _, uneven := range []float64{0, 0.9} {
 		r := play("", uneven)
 		if r.Violations.Total() > 0 {
-			t.Errorf("busiest tenth %g: %+v", uneven, r.Violations)
+			t.Errorf("share of the busiest tenth %g: violations %+v", uneven, r.Violations)
 		}
 		s := r.Between(0, 30*time.Second, nil)
 		if busy := r.Between(0, 30*time.Second, []int{0, 1}); uneven > 0 &&
 			float64(busy.Requests) < 0.8*float64(s.Requests) {
-			t.Errorf("%d of %d tries at the busiest tenth", busy.Requests, s.Requests)
+			t.Errorf("%d of %d requests at the busiest tenth, want at least 80%%", busy.Requests, s.Requests)
 		}
 		if s.Served < 0.5 {
-			t.Errorf("busiest tenth %g: %+v", uneven, s)
+			t.Errorf("share of the busiest tenth %g: fewer than half of the requests served: %+v", uneven, s)
 		}
 	}
 	v := play("least-connections", 0).Violations
 	if v.InformedCollapses == 0 || v.UninformedCollapses > 0 {
-		t.Errorf("a plain policy makes no cold engine collapse: %+v", v)
+		t.Errorf("with a plain policy, want only informed collapses of the cold engine: %+v", v)
 	}
-	late = time.Minute // nobody hears that the engine is new before the day is over
+	late = time.Minute // no dispatcher knows of the engine's start before the day is over
 	v = play("least-connections", 0).Violations
 	if v.InformedCollapses > 0 || v.UninformedCollapses == 0 {
-		t.Errorf("collapses are blamed on dispatchers that could not know: %+v", v)
+		t.Errorf("want only uninformed collapses, as no dispatcher knew of the start: %+v", v)
 	}
 }
 
-// setSlowStart gives the module's rules and all machines the same slow start, from 0.3 of the capacity and
-// with a window of a second.
+// setSlowStart configures the same slow start in the module's rules and in all machines, starting at 0.3 of
+// the capacity and with an overload window of a second.
 func setSlowStart(c *Config, duration time.Duration, overloadFactor float64) {
 	r := &c.Module.Rules
 	r.SlowStartFrom, r.SlowStartDuration = 0.3, duration
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -11,20 +11,20 @@
 	"cresspass/internal/simulation/enginemodel"
 )
 
-// Streams of random numbers of one seed. Each concern draws from its own, so that a change to one leaves the
-// draws of the others as they are.
+// Random number streams of one seed. Each concern draws from a stream of its own, so that a change to one
+// does not change the draws of the others.
 const (
 	fleetStream   = 1
 	policyStream  = 3
 	networkStream = 77
 	membersStream = 78
-	trafficStream = 100 // plus the index of the traffic
+	trafficStream = 100 // plus the index in Config.Traffic
 )
 
 // incarnationSeedStep is added to a dispatcher's seed at each start.
 const incarnationSeedStep = 1000
 
-// Fleet is a simulated fleet. Make one with NewFleet.
+// Fleet is a simulated fleet. It is created by NewFleet and must not be used by several goroutines at once.
 type Fleet struct {
 	cfg           Config
 	queue         *Queue
@@ -36,19 +36,22 @@
 	result        Result
 	err           error
 	byID          map[cresspass.EngineID]*engine
-	openRequests  int // without an answer
-	independent   bool
+	openRequests  int  // requests without an answer
+	independent   bool // dispatchers decide independently: their steps may run in parallel
 	disturbance   disturbance
 }
 
-// NewFleet returns a fleet at the beginning of its day.
+// NewFleet returns a fleet at the beginning of its day, with all its events scheduled. It returns an error
+// if the configuration is invalid or a dispatcher's decider can't be created.
 func NewFleet(cfg Config) (*Fleet, error) {
 	f := &Fleet{cfg: cfg, queue: &Queue{}, random: rand.New(rand.NewPCG(cfg.Seed, fleetStream)),
 		byID: map[cresspass.EngineID]*engine{}, disturbance: noDisturbance}
 	if cfg.Dispatchers < 1 || len(cfg.Engines) == 0 {
-		return nil, fmt.Errorf("model: %d dispatchers, %d engines", cfg.Dispatchers, len(cfg.Engines))
+		return nil, fmt.Errorf("model: %d dispatchers and %d engines, want at least one of each",
+			cfg.Dispatchers, len(cfg.Engines))
 	}
-	// The oracle and a binary decide by what others do, or together: their steps can't run side by side.
+	// The oracle reads the state of the whole fleet, and all instances of a binary share one process: their
+	// steps can't run in parallel.
 	f.independent = cfg.Policy == "" && cfg.Decide == nil
 	f.queue.Workers(cfg.Workers)
 	for _, t := range cfg.Traffic {
@@ -116,7 +119,7 @@
 	return nil
 }
 
-// Run simulates the day to its end.
+// Run simulates the day to its end and returns the result. It must be called once.
 func (f *Fleet) Run() *Result {
 	f.queue.Run(f.cfg.Length)
 	f.result.Events = f.queue.Executed()
@@ -128,7 +131,8 @@
 	return &f.result
 }
 
-// Err returns the first error of Config.Decide at a dispatcher's restart. A run with one has no meaning.
+// Err returns the first error of creating a decider when a dispatcher restarted. The result of a run with an
+// error is meaningless.
 func (f *Fleet) Err() error { return f.err }
 
 // sampleLoads records the engines' load and the open requests, and schedules the next sample.
@@ -144,7 +148,7 @@
 	f.queue.In(sampleInterval, f.sampleLoads)
 }
 
-// restartDispatchers stops dispatchers, and starts them again after a time.
+// restartDispatchers stops dispatchers, and starts them again after r.After.
 func (f *Fleet) restartDispatchers(r Restart) {
 	var stopped []*dispatcher
 	for _, i := range r.Dispatchers {
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -12,7 +12,7 @@
 	"cresspass/internal/simulation/baseline"
 )
 
-// smallFleet is a short day of a small fleet.
+// smallFleet configures a short day of a small fleet.
 func smallFleet(seed uint64, mode GossipMode, byzantine int) Config {
 	c := HalfRestart(seed, mode, byzantine, 0.33)
 	c.Dispatchers, c.Engines = 5, c.Engines[:3]
@@ -26,7 +26,7 @@
 	return c
 }
 
-// One seed has one result, whatever else runs, and on any number of cores; each client gets one answer,
+// A seed gives the same result whatever else runs and on any number of cores, and each client gets one answer
 // within its deadline.
 func TestFleetIsDeterministic(t *testing.T) {
 	run := func(i int) (*Result, error) {
@@ -43,10 +43,11 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(all[0], all[1]) || !reflect.DeepEqual(all[2], all[3]) {
-		t.Error("the same seed had two results")
+		t.Error("two runs of the same seed have different results")
 	}
 	if reflect.DeepEqual(all[0], all[2]) || len(all[0].Requests) < 200 {
-		t.Errorf("%d requests", len(all[0].Requests))
+		t.Errorf("two seeds have the same result, or too few requests: %d, want at least 200",
+			len(all[0].Requests))
 	}
 	f, err := NewFleet(smallFleet(1, GossipAndBootstrap, 1))
 	if err != nil {
@@ -56,7 +57,7 @@
 	for _, a := range f.Run().Requests {
 		class := f.cfg.class(f.cfg.Traffic[a.Class].Class)
 		if a.Elapsed > class.Deadline+f.cfg.Module.Rules.AnswerGrace {
-			t.Errorf("%+v after its deadline of %v", a, class.Deadline)
+			t.Errorf("%+v was answered after its deadline of %v", a, class.Deadline)
 		}
 		if a.Outcome == Served {
 			served++
@@ -64,15 +65,15 @@
 	}
 	requests, s := len(f.result.Requests), f.result.Stats[1]
 	if served < requests/2 || s.PacketsSent == 0 || s.PacketsAccepted == 0 {
-		t.Errorf("%d of %d served, %+v", served, requests, s)
+		t.Errorf("%d of %d requests served, gossip %+v", served, requests, s)
 	}
 	machine := smallFleet(1, NoGossip, 0).Engines[0].Machine
 	if _, err := NewFleet(Config{Dispatchers: 1, Engines: UniformEngines(1, "none", machine)}); err == nil {
-		t.Error("an unknown kind, and no error")
+		t.Error("no error for an unknown engine kind")
 	}
 }
 
-// Err returns the first error of a decider that could not be made at a restart.
+// Err returns the first error of creating a decider at a restart.
 func TestDeciderErrorAtRestart(t *testing.T) {
 	c := smallFleet(1, NoGossip, 0)
 	failed := errors.New("no decider")
@@ -88,16 +89,16 @@
 		t.Fatal(err)
 	}
 	if f.Run(); !errors.Is(f.Err(), failed) || f.Err().Error() != "6: no decider" {
-		t.Errorf("%v", f.Err())
+		t.Errorf("Err() = %v, want the error of the sixth decider", f.Err())
 	}
 }
 
-// With costs estimated as a third of the truth, dispatchers that return and ask others for what they learnt
-// serve at least as many queries in time as those that return without it, with one Byzantine dispatcher of
-// five or without.
+// With costs estimated at a third of their true values, restarted dispatchers that bootstrap from the model
+// state of others serve at least as many queries in time as those that start cold, also with four Byzantine
+// dispatchers of twenty.
 func TestBootstrapAgainstColdStarts(t *testing.T) {
 	if testing.Short() {
-		t.Skip("statistics: nothing runs side by side that the race detector does not see elsewhere")
+		t.Skip("statistical test: the race detector sees the same concurrent code in other tests")
 	}
 	n, err := CompareNewcomers([]Arm{{"cold", GossipOnly, 0}, {"newcomers", GossipAndBootstrap, 0},
 		{"newcomers, Byzantine", GossipAndBootstrap, 4}}, 2, 0.33)
@@ -107,7 +108,8 @@
 	for arm := 1; arm < len(n.Arms); arm++ {
 		d := EstimateMean(Differences(n.Samples(arm, 0, 0), n.Samples(0, 0, 0)))
 		if d.Mean < 0 {
-			t.Errorf("%s served %.1f points less in their first ten seconds", n.Arms[arm].Name, -100*d.Mean)
+			t.Errorf("%s: %.1f points fewer served in time in the first ten seconds than after a cold start",
+				n.Arms[arm].Name, -100*d.Mean)
 		}
 	}
 }
--- a/internal/simulation/half_restart.go
+++ b/internal/simulation/half_restart.go
@@ -7,14 +7,15 @@
 	"cresspass/internal/simulation/enginemodel"
 )
 
-// When the dispatchers of HalfRestart stop, and how long the day goes on.
+// The times of HalfRestart: when the dispatchers stop, and how long the day continues afterwards.
 const (
 	halfRestartAt   = 60 * time.Second
 	halfRestartRest = 62 * time.Second
 )
 
-// HalfRestart is a day on which half of a fleet's dispatchers stop at once and start again without their
-// snapshots. Clients estimate their costs as costFactor times the truth; 0: not at all.
+// HalfRestart returns the configuration of a day on which half of a fleet's dispatchers stop at once and
+// start again without their snapshots. Clients estimate their costs at costFactor times the true cost; 0:
+// they send no estimates.
 func HalfRestart(seed uint64, mode GossipMode, byzantine int, costFactor float64) Config {
 	c := Config{
 		Seed:        seed,
@@ -38,6 +39,7 @@
 	return c
 }
 
+// halfRestartModule returns the module's configuration in HalfRestart.
 func halfRestartModule() cresspass.Config {
 	return cresspass.Config{
 		BatchInterval:     5 * time.Millisecond,
--- a/internal/simulation/members.go
+++ b/internal/simulation/members.go
@@ -11,43 +11,45 @@
 	"cresspass/internal/membership/validation"
 )
 
-// Detection is how fast membership learns of its members. SWIM is modelled by its delays and not packet by
-// packet. A link that is cut in one direction loses no member, as other members probe for each other.
+// Detection holds the delays with which membership detects changes of its members. SWIM is modeled by these
+// delays and not packet by packet. A link that is cut in one direction loses no member, because SWIM members
+// also probe on behalf of one another.
 type Detection struct {
 	MetadataDelay time.Duration // until a member's metadata reaches another, at most
 	MinLossDelay  time.Duration // until a loss is detected, at least
 	MaxLossDelay  time.Duration // and at most
 }
 
-// DefaultDetection is that of the program, which probes once a second.
+// DefaultDetection returns the delays of a dispatcher in production, which probes once a second.
 func DefaultDetection() Detection {
 	return Detection{MetadataDelay: time.Second, MinLossDelay: 2 * time.Second, MaxLossDelay: 6 * time.Second}
 }
 
 const (
 	tickInterval = 50 * time.Millisecond
-	clockStart   = 24 * time.Hour // what members' own clocks show at a start, as in the program
+	clockStart   = 24 * time.Hour // reading of a member's own clock at its start, as in production
 )
 
 // Member is a dispatcher as a member of the fleet.
 type Member struct {
 	Number       int
 	Name         string
-	Node         *gossip.Node // of its present or last incarnation
+	Node         *gossip.Node // of the current or last incarnation
 	Up           bool
-	HandleAction func(o gossip.Action) // actions that Members does not carry out itself; nil: none
+	HandleAction func(o gossip.Action) // gets the actions that Members does not execute itself; may be nil
 	incarnation  uint64
-	epoch        time.Duration // simulated time at which its clock is zero
-	lag          time.Duration // by which it handles everything later
+	epoch        time.Duration // simulated time at which the member's clock is zero
+	lag          time.Duration // added to the time at which the member handles anything
 }
 
-// now is the member's own clock.
+// now returns the reading of the member's own clock.
 func (m *Member) now(q *Queue) time.Duration { return q.Now() - m.epoch }
 
-// isCurrent reports whether an incarnation is up.
+// isCurrent reports whether the member is up with the given incarnation.
 func (m *Member) isCurrent(incarnation uint64) bool { return m.Up && m.incarnation == incarnation }
 
-// Members are the members of a fleet, with their network. Make them with NewMembers.
+// Members holds the members of a fleet and their network. It is created by NewMembers and must not be used by
+// several goroutines at once.
 type Members struct {
 	Queue        *Queue
 	Net          *Network
@@ -60,8 +62,8 @@
 	engines      func(t *gossip.Node)
 }
 
-// NewMembers returns a number of members, none of which is up. What differs between members is set in their
-// copies of config; engines tells a new node which engines there are.
+// NewMembers returns n members, none of which is up. Each node gets a copy of config with the settings of its
+// member filled in. engines, if not nil, is called to give a new node the list of engines.
 func NewMembers(q *Queue, seed uint64, n int, w NetworkConditions, d Detection, config gossip.Config,
 	engines func(t *gossip.Node)) *Members {
 	f := &Members{Queue: q, Net: NewNetwork(q, seed, n, w), config: config, detection: d, engines: engines,
@@ -73,7 +75,8 @@
 	return f
 }
 
-// GossipConfig is the program's, with a least count of dispatchers.
+// GossipConfig returns the production configuration of gossip, with a minimum count of dispatchers and the
+// largest number of threads of a query.
 func GossipConfig(minCount int, threads float64) gossip.Config {
 	return gossip.Config{
 		OrdinalClaim:     -1,
@@ -89,8 +92,8 @@
 	}
 }
 
-// Start begins an incarnation of a member, with a claim to an ordinal (-1: none) and the time that it waits
-// for what others have learnt. Its clock starts now, whatever the others' show.
+// Start begins an incarnation of a member, with a claim to an ordinal (-1: none) and the time for which it
+// waits for the model state of others. Its clock starts at clockStart, independently of the other clocks.
 func (f *Members) Start(i, claim int, bootstrapTimeout time.Duration) *Member {
 	m := f.All[i]
 	f.incarnations++
@@ -102,7 +105,7 @@
 	if f.engines != nil {
 		f.engines(m.Node)
 	}
-	for _, o := range f.All { // a seed member tells it of all others
+	for _, o := range f.All { // as a SWIM seed member would inform it of all others
 		if o != m && o.Up && f.Net.IsOpen(o.Number, i) && f.Net.IsOpen(i, o.Number) {
 			m.Node.MemberAlive(m.now(f.Queue), o.Node.Self())
 		}
@@ -112,7 +115,8 @@
 	return m
 }
 
-// Stop ends an incarnation. left: the member announces that it leaves.
+// Stop ends an incarnation. left means that the member announces that it leaves; otherwise the others detect
+// its loss.
 func (f *Members) Stop(i int, left bool) {
 	m := f.All[i]
 	m.Up = false
@@ -130,7 +134,7 @@
 	}
 }
 
-// randomDelay draws a time up to a limit.
+// randomDelay draws a duration below limit, uniformly.
 func (f *Members) randomDelay(limit time.Duration) time.Duration {
 	return time.Duration(f.random.Float64() * float64(limit))
 }
@@ -140,8 +144,8 @@
 	return f.detection.MinLossDelay + f.randomDelay(f.detection.MaxLossDelay-f.detection.MinLossDelay)
 }
 
-// broadcast carries a member's metadata to the others. SWIM numbers metadata and drops older ones that come
-// late, so what arrives is the metadata as it stands at that time.
+// broadcast sends a member's metadata to the others. SWIM numbers metadata and drops an older version that
+// arrives late, so the member's metadata at the time of arrival is what is delivered.
 func (f *Members) broadcast(m *Member) {
 	incarnation := m.incarnation
 	for _, o := range f.All {
@@ -153,11 +157,12 @@
 	}
 }
 
-// reachable reports whether two members are on one side of the network. One direction is enough, as others
-// pass metadata on.
+// reachable reports whether two members are on the same side of a partition. A link in one direction is
+// enough, because other members relay metadata.
 func (f *Members) reachable(a, b int) bool { return f.Net.IsOpen(a, b) || f.Net.IsOpen(b, a) }
 
-// Split partitions the network by the side of each member, and has the losses detected; nil heals it.
+// Split partitions the network by the side of each member and schedules the detection of the losses. A nil
+// side heals the network.
 func (f *Members) Split(side func(i int) int) {
 	if side == nil {
 		f.Net.SetLinks(nil)
@@ -178,7 +183,7 @@
 	}
 }
 
-// scheduleLoss has a member detect that it lost another, unless the network heals before.
+// scheduleLoss schedules that a member detects the loss of another, unless the network heals before.
 func (f *Members) scheduleLoss(lost, by *Member) {
 	f.Queue.In(f.lossDelay(), func() {
 		if by.Up && !f.reachable(lost.Number, by.Number) {
@@ -187,10 +192,10 @@
 	})
 }
 
-// SetLag makes a member handle everything later.
+// SetLag delays everything that a member handles by lag.
 func (f *Members) SetLag(i int, lag time.Duration) { f.All[i].lag = lag }
 
-// tick ticks a member's node, and schedules the next tick.
+// tick runs the first tick of a member's node, and schedules the next one.
 func (f *Members) tick(m *Member, incarnation uint64) {
 	if !m.isCurrent(incarnation) {
 		return
@@ -212,7 +217,7 @@
 	}, func() { f.finishTick(m, incarnation) })
 }
 
-// ApplyActions carries out the actions that a member's node has ready.
+// ApplyActions executes the actions that a member's node has ready.
 func (f *Members) ApplyActions(m *Member) {
 	for _, o := range m.Node.Ready() {
 		switch o.Type {
--- a/internal/simulation/members_test.go
+++ b/internal/simulation/members_test.go
@@ -14,8 +14,8 @@
 
 const s = time.Second
 
-// newTestMembers starts n members within a short time, with the ordinals that they claim. Their clocks differ
-// by the times between their starts.
+// newTestMembers starts n members 10 ms apart, with the ordinals that they claim. Their clocks differ by the
+// times between their starts.
 func newTestMembers(seed uint64, n int, w NetworkConditions, claim func(i int) int) *Members {
 	q := &Queue{}
 	f := NewMembers(q, seed, n, w, DefaultDetection(), GossipConfig(1, 2), func(t *gossip.Node) {
@@ -28,7 +28,7 @@
 	return f
 }
 
-// waitUntil lets time pass until something holds.
+// waitUntil advances the simulation until ok returns true, and fails the test after limit.
 func (f *Members) waitUntil(t interface {
 	Fatalf(string, ...any)
 	Helper()
@@ -43,8 +43,8 @@
 
 func (f *Members) ordinalOf(i int) int { return f.All[i].Node.Stats().Ordinal }
 
-// Events are executed in the order of their times, and those of one time in the order in which they were
-// scheduled, whatever is scheduled meanwhile.
+// Events are executed in time order, and simultaneous ones in the order in which they were scheduled, also
+// when events schedule further events.
 func TestQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := &Queue{}
@@ -59,7 +59,7 @@
 			q.At(at, func() {
 				open--
 				if q.Now() < last || q.Now() == last && mine < lastSeq || q.Now() < at {
-					t.Fatalf("%d at %v after %d at %v", mine, q.Now(), lastSeq, last)
+					t.Fatalf("event %d executed at %v after event %d at %v", mine, q.Now(), lastSeq, last)
 				}
 				if last, lastSeq = q.Now(), mine; seq < 300 && rapid.Bool().Draw(t, "more") {
 					set()
@@ -70,12 +70,13 @@
 			set()
 		}
 		if q.Run(1 << 30); open != 0 || q.Len() != 0 || q.Now() != 1<<30 {
-			t.Fatalf("%d never happened, at %v", open, q.Now())
+			t.Fatalf("%d events not executed, clock at %v", open, q.Now())
 		}
 	})
 }
 
-// Events of one time with different owners are executed in one order, in whatever order they were scheduled.
+// Simultaneous events of different owners are executed in the same order, whatever order they were scheduled
+// in.
 func TestSimultaneousEventsHaveOneOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "events")
@@ -93,7 +94,7 @@
 		}
 		want := play(order)
 		if got := play(rapid.Permutation(order).Draw(t, "order")); !reflect.DeepEqual(got, want) {
-			t.Fatalf("%v, else %v", got, want)
+			t.Fatalf("executed in order %v, want %v", got, want)
 		}
 	})
 }
@@ -103,15 +104,15 @@
 	agreed := func(f *Members) func() bool { return func() bool { return f.Agreed(1, s) } }
 	for name, w := range map[string]NetworkConditions{"calm": CalmNetwork(), "storm": StormyNetwork()} {
 		t.Run(name, func(t *testing.T) {
-			f := newTestMembers(1, 9, w, func(i int) int { return i / 2 }) // each ordinal is claimed by two
-			f.waitUntil(t, "two with one ordinal", 30*s, agreed(f))
+			f := newTestMembers(1, 9, w, func(i int) int { return i / 2 }) // each is claimed by two
+			f.waitUntil(t, "two members claim each ordinal", 30*s, agreed(f))
 
 			before := f.ordinalOf(3)
 			f.Stop(3, false)
 			f.Queue.Run(f.Queue.Now() + s)
 			f.Start(3, before, 0)
 			others := f.ordinalOf(4)
-			f.waitUntil(t, "a return with its old ordinal", 30*s, agreed(f))
+			f.waitUntil(t, "a member returns with its old ordinal", 30*s, agreed(f))
 			if f.ordinalOf(3) != before || f.ordinalOf(4) != others {
 				t.Errorf("ordinal %d came back as %d", before, f.ordinalOf(3))
 			}
@@ -119,45 +120,46 @@
 			f.Stop(5, false)
 			f.Queue.Run(f.Queue.Now() + 5*s)
 			if n := f.All[0].Node.Stats().Members; n != 9 {
-				t.Errorf("one lost for 5 s: %d count, within the grace", n)
+				t.Errorf("one lost for 5 s, within the loss grace: %d members, want 9", n)
 			}
-			f.waitUntil(t, "one lost for long", 60*s, agreed(f))
+			f.waitUntil(t, "a member is lost for longer than the grace", 60*s, agreed(f))
 			f.Start(5, -1, 0)
-			f.waitUntil(t, "it returns without a claim", 30*s, agreed(f))
+			f.waitUntil(t, "the lost member returns without a claim", 30*s, agreed(f))
 
 			f.Split(func(i int) int { return i % 2 })
 			f.Queue.Run(f.Queue.Now() + 20*s)
 			if n := f.All[0].Node.Stats().Members; n != 9 {
-				t.Errorf("a split of 20 s: %d count; each side would take the other's part", n)
+				t.Errorf("after a partition of 20 s: %d members, want 9: each would take the other's share",
+					n)
 			}
 			f.Queue.Run(f.Queue.Now() + 40*s)
 			if a, b := f.All[0].Node.Stats().Members, f.All[1].Node.Stats().Members; a != 5 || b != 4 {
-				t.Errorf("a split of a minute: %d and %d count", a, b)
+				t.Errorf("after a partition of a minute: %d and %d members, want 5 and 4", a, b)
 			}
 			f.Split(nil)
-			f.waitUntil(t, "a split that heals", 40*s, agreed(f))
+			f.waitUntil(t, "a partition heals", 40*s, agreed(f))
 
 			f.Net.SetLinks(func(from, to int) bool { return from != 2 || to != 6 })
 			f.Queue.Run(f.Queue.Now() + 40*s)
 			if !f.Agreed(1, s) {
-				t.Error("a link one way")
+				t.Error("no agreement with one link cut in one direction")
 			}
 			f.Net.SetLinks(nil)
 			f.SetLag(1, 2*s)
 			f.Queue.Run(f.Queue.Now() + 40*s)
 			if n := f.All[0].Node.Stats().Members; n != 9 {
-				t.Errorf("one that is alive but slow: %d count", n)
+				t.Errorf("one member alive but slow: %d members, want 9", n)
 			}
-			// Its clock is behind by its delay, nobody follows it, and its observations of engines count by
-			// their age.
+			// The slow member's clock is behind by its delay. No other member follows it, and its
+			// observations of engines are weighted by their age.
 			f.SetLag(1, 0)
-			f.waitUntil(t, "it is quick again", 60*s, agreed(f))
+			f.waitUntil(t, "the slow member is no longer slow", 60*s, agreed(f))
 		})
 	}
 }
 
-// Whatever faults a fleet of up to 40 members has on any network: once they are over, and the grace too, all
-// agree, and what one member then observes becomes known to all.
+// After random faults in a fleet of up to 40 members on a random network, and once the loss grace has passed,
+// all members agree, and what one member then observes becomes known to all.
 func TestMembersAgreeAfterRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 40).Draw(t, "members")
@@ -167,9 +169,9 @@
 		f := newTestMembers(rapid.Uint64().Draw(t, "seed"), n, w, func(int) int {
 			return rapid.IntRange(-1, 5).Draw(t, "claim")
 		})
-		for range rapid.IntRange(0, 12).Draw(t, "troubles") {
-			i := rapid.IntRange(0, n-1).Draw(t, "who")
-			switch rapid.IntRange(0, 5).Draw(t, "what") {
+		for range rapid.IntRange(0, 12).Draw(t, "faults") {
+			i := rapid.IntRange(0, n-1).Draw(t, "member")
+			switch rapid.IntRange(0, 5).Draw(t, "fault") {
 			case 0:
 				f.Stop(i, rapid.Bool().Draw(t, "leaves"))
 			case 1:
@@ -183,7 +185,7 @@
 			case 4:
 				f.Net.SetLinks(func(from, to int) bool { return from != i })
 			case 5:
-				f.SetLag(i, time.Duration(rapid.IntRange(0, 3).Draw(t, "slow"))*s)
+				f.SetLag(i, time.Duration(rapid.IntRange(0, 3).Draw(t, "lag, s"))*s)
 			}
 			pause := time.Duration(rapid.IntRange(0, 20000).Draw(t, "ms")) * time.Millisecond
 			f.Queue.Run(f.Queue.Now() + pause)
@@ -195,18 +197,18 @@
 				f.Start(i, -1, 0)
 			}
 		}
-		f.waitUntil(t, "agreed", 90*s, func() bool { return f.Agreed(1, s) })
+		f.waitUntil(t, "all members agree", 90*s, func() bool { return f.Agreed(1, s) })
 		k := observation.Key{Engine: "e1", Property: observation.Uptime}
 		f.All[0].Node.Store().Observe(f.All[0].now(f.Queue), k, 9)
-		f.waitUntil(t, "known to all", 120*s, func() bool { return f.Propagated(k, 9) == 1 })
+		f.waitUntil(t, "observation known to all", 120*s, func() bool { return f.Propagated(k, 9) == 1 })
 	})
 }
 
-// A hundred members that start at once agree, and what one observes becomes known to all, within a minute of
-// simulated time.
+// A hundred members that start together agree, and what one observes becomes known to all, each within a
+// minute of simulated time.
 func TestLargeFleetConverges(t *testing.T) {
 	if testing.Short() {
-		t.Skip("statistics: nothing runs side by side that the race detector does not see elsewhere")
+		t.Skip("statistical test: the race detector sees the same concurrent code in other tests")
 	}
 	c := Converge(1, 100, 30, CalmNetwork())
 	if c.Agreed < 0 || c.Propagated < 0 || c.Reconverged < 0 || c.Agreed > time.Minute ||
--- a/internal/simulation/parallel.go
+++ b/internal/simulation/parallel.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// parallelRunner runs the local parts of events that are due at one moment on several cores: dispatchers
-// tick together, and most of the work of a large fleet is in these ticks. Their other parts are executed in
-// the queue's order, so a run has the same result on any number of cores.
+// parallelRunner runs the local parts of simultaneous events on several cores. Dispatchers tick at the same
+// time, and most of the work of a large fleet is in these ticks. The apply parts run one after another in the
+// queue's order, so a run has the same result on any number of cores.
 type parallelRunner struct {
-	workers int // 0: as many as there are cores
+	workers int // goroutines that run local parts, the queue's own included; 0: GOMAXPROCS
 	batch   []event
 	starts  []int // index in batch of each owner's first event
 	next    atomic.Int64
@@ -19,21 +19,21 @@
 	busy    sync.WaitGroup
 }
 
-// minParallelOwners is the number of owners at one moment from which it is worth waking workers.
+// minParallelOwners is the smallest number of owners with simultaneous events for which workers are woken.
 const minParallelOwners = 8
 
-// Workers sets the number of cores that a run may use; 1: only its own goroutine. It must be called before
-// Run.
+// Workers sets the number of goroutines that execute events in parallel: 1 uses only the goroutine that calls
+// Run, 0 uses GOMAXPROCS. It must be called before Run.
 func (q *Queue) Workers(n int) { q.workers = n }
 
-// AtParallel schedules an event in two parts. local may read and change only what belongs to the owner, and
-// may run side by side with those of other owners; apply runs afterwards, alone.
+// AtParallel schedules an event in two parts. local may read and change only the owner's state, and may run
+// concurrently with the local parts of other owners. apply runs afterwards, with no other part running.
 func (q *Queue) AtParallel(owner uint64, at time.Duration, local, apply func()) {
 	q.push(event{at: max(at, q.now), owner: owner, apply: apply, local: local})
 }
 
-// runSimultaneous executes an event that has a local part, with those like it that directly follow at the
-// same time: first all local parts, then the others.
+// runSimultaneous executes an event that has a local part, together with the events that directly follow it
+// at the same time and have one too: first all local parts, then all apply parts.
 func (q *Queue) runSimultaneous(first event) {
 	q.batch, q.starts = append(q.batch[:0], first), append(q.starts[:0], 0)
 	for len(q.heap) > 0 && q.heap[0].at == first.at && q.heap[0].local != nil {
@@ -57,7 +57,7 @@
 	clear(q.batch)
 }
 
-// runLocalPartsInParallel wakes the workers, shares the local parts with them, and waits for them.
+// runLocalPartsInParallel runs the local parts of the batch on all workers and waits for them.
 func (q *Queue) runLocalPartsInParallel() {
 	q.next.Store(0)
 	for range q.workers - 1 {
@@ -68,7 +68,7 @@
 	q.busy.Wait()
 }
 
-// runLocalParts takes one owner after another and runs the local parts of its events in their order.
+// runLocalParts claims one owner after another and runs the local parts of its events in their order.
 func (q *Queue) runLocalParts() {
 	for {
 		i := int(q.next.Add(1)) - 1
@@ -85,7 +85,7 @@
 	}
 }
 
-// startWorkers starts the workers, once in a run. It reports whether there are any.
+// startWorkers starts the workers unless they are running. It reports whether there are any.
 func (q *Queue) startWorkers() bool {
 	if q.workers == 0 {
 		q.workers = runtime.GOMAXPROCS(0)
@@ -104,7 +104,7 @@
 	return q.workers > 1
 }
 
-// stopWorkers ends the workers.
+// stopWorkers ends the worker goroutines.
 func (q *Queue) stopWorkers() {
 	if q.wake != nil {
 		close(q.wake)
--- a/internal/simulation/parallel_runs.go
+++ b/internal/simulation/parallel_runs.go
@@ -5,8 +5,9 @@
 	"sync"
 )
 
-// Parallel runs a function for each number below n, on all cores. The results stand in the order of the
-// numbers, whichever was done first.
+// Parallel calls run for each number from 0 to n-1, on up to GOMAXPROCS goroutines, and returns the results
+// in the order of the numbers. If calls fail, it returns the error of the lowest number, after all calls have
+// ended.
 func Parallel[T any](n int, run func(i int) (T, error)) ([]T, error) {
 	out, errs := make([]T, n), make([]error, n)
 	next := make(chan int)
--- a/internal/simulation/policy.go
+++ b/internal/simulation/policy.go
@@ -11,20 +11,20 @@
 	"cresspass/internal/simulation/baseline"
 )
 
-// Names of the policies that only the simulation has.
+// Names of the policies that exist only in the simulation.
 const (
 	twoChoices = "two-choices"
 	oracle     = "oracle"
 )
 
-// Policies are the deciders that a fleet can have: "" is the module, the others are for comparison. The
-// oracle sees the true state of every engine and the work of each query, which no real decider can.
+// Policies are the valid values of Config.Policy: "" is the module, the others are baselines for comparison.
+// The oracle reads the true state of every engine and the true work of each query, which no real decider can.
 var Policies = []string{"", "round-robin", "least-connections", twoChoices, oracle}
 
 // answerMargin is how long before a query's deadline a choiceDecider rejects it.
 const answerMargin = 20 * time.Millisecond
 
-// newDecider returns the decider of a dispatcher that starts.
+// newDecider creates the decider of a dispatcher that starts.
 func newDecider(f *Fleet, module *cresspass.Config, now time.Duration) (dispatch.Decider, error) {
 	if f.cfg.Decide != nil {
 		return f.cfg.Decide(module, now)
@@ -43,9 +43,9 @@
 	return d, nil
 }
 
-// choiceDecider sends each query at once. Of two engines drawn at random it takes the one to which it has
-// sent fewer running queries. As an oracle, it takes the engine where the query would end first, or rejects a
-// query that would end too late anywhere.
+// choiceDecider sends each query immediately. Of two engines drawn at random it chooses the one that runs
+// fewer of its queries. As an oracle, it chooses the engine on which the query would end first, and rejects a
+// query that would end too late on every engine.
 type choiceDecider struct {
 	fleet   *Fleet
 	cfg     cresspass.Config
@@ -58,6 +58,7 @@
 	actions []cresspass.Action
 }
 
+// pendingQuery is a query without an answer.
 type pendingQuery struct {
 	class    *cresspass.Class
 	deadline time.Duration
@@ -140,7 +141,8 @@
 	c.actions = append(c.actions, cresspass.Action{Type: cresspass.Send, Query: id, Engine: best.ID})
 }
 
-// lessLoadedEngine draws two engines and returns the one with fewer running queries; nil: there are none.
+// lessLoadedEngine draws two active engines and returns the one with fewer running queries; nil if no engine
+// is active.
 func (c *choiceDecider) lessLoadedEngine() (best *cresspass.EngineInfo) {
 	if len(c.engines) == 0 {
 		return nil
@@ -154,8 +156,8 @@
 	return best
 }
 
-// fastestEngine returns the engine where a query would end first, if the cores are shared evenly with what
-// runs there; nil: it would be late everywhere.
+// fastestEngine returns the engine on which a query would end first, assuming that it shares the cores evenly
+// with the jobs that run there; nil if it would be late on every engine.
 func (c *choiceDecider) fastestEngine(id cresspass.QueryID, q *pendingQuery) (best *cresspass.EngineInfo) {
 	a := c.findRequest(id)
 	if a == nil {
@@ -181,7 +183,7 @@
 	return best
 }
 
-// findRequest returns a client's query, at whichever dispatcher it is; nil: there is no such query.
+// findRequest returns a client's query from the dispatcher that holds it; nil if none does.
 func (c *choiceDecider) findRequest(id cresspass.QueryID) *request {
 	for _, d := range c.fleet.dispatchers {
 		if a := d.requests[id]; a != nil {
--- a/internal/simulation/queue.go
+++ b/internal/simulation/queue.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// event is something that happens at a time. Events of one time happen in the order of their owners, and
-// those of one owner in the order in which they were scheduled.
+// event is a function that is executed at a given time. Simultaneous events are executed in the order of
+// their owners, and those of one owner in the order in which they were scheduled.
 type event struct {
 	at    time.Duration
 	owner uint64
 	seq   uint64
 	apply func()
-	local func() // runs before apply and concerns the owner alone; nil: none
+	local func() // runs before apply and uses only the owner's state; may be nil
 }
 
 func (e *event) before(o *event) bool {
@@ -22,43 +22,43 @@
 	return e.seq < o.seq
 }
 
-// Queue holds the scheduled events, and the clock. The zero value is empty, at time zero. It is for one
-// goroutine at a time.
+// Queue holds the scheduled events and the simulated clock. The zero value is an empty queue at time zero. It
+// must not be used by several goroutines at once.
 type Queue struct {
-	heap     []event // see push
+	heap     []event // a heap with heapArity children for each node
 	seq      uint64
 	now      time.Duration
 	executed uint64
 	parallelRunner
 }
 
-// heapArity is the number of children of a node of the heap. Four instead of two give fewer levels, and the
-// children of a node lie together in memory.
+// heapArity is the number of children of a node of the heap. Four children instead of two need fewer levels,
+// and the children of a node are adjacent in memory.
 const heapArity = 4
 
-// Now is the time of the event that is being executed.
+// Now returns the simulated time: that of the event being executed or, between runs, the end of the last run.
 func (q *Queue) Now() time.Duration { return q.now }
 
-// Executed is the number of events so far.
+// Executed returns the number of events executed so far.
 func (q *Queue) Executed() uint64 { return q.executed }
 
-// Len is the number of scheduled events.
+// Len returns the number of scheduled events.
 func (q *Queue) Len() int { return len(q.heap) }
 
-// At schedules an event without an owner; a time in the past means now.
+// At schedules an event of owner 0. A time in the past means now.
 func (q *Queue) At(at time.Duration, do func()) { q.AtFor(0, at, do) }
 
-// AtFor schedules an event of an owner. Many dispatchers tick at the same time. Without owners, they would do
-// so in the order in which their ticks were scheduled, and an unrelated change to the program would change
-// the results.
+// AtFor schedules an event of an owner. Many dispatchers tick at the same time. Without owners, their ticks
+// would be executed in the order in which they were scheduled, and an unrelated change to the program would
+// change the results.
 func (q *Queue) AtFor(owner uint64, at time.Duration, do func()) {
 	q.push(event{at: max(at, q.now), owner: owner, apply: do})
 }
 
-// In schedules an event after a time.
+// In schedules an event of owner 0 after a delay.
 func (q *Queue) In(after time.Duration, do func()) { q.At(q.now+after, do) }
 
-// Run executes all events that are due up to a time, and sets the clock to it.
+// Run executes all events that are due by until, and then sets the clock to until.
 func (q *Queue) Run(until time.Duration) {
 	for len(q.heap) > 0 && q.heap[0].at <= until {
 		e := q.pop()
@@ -96,7 +96,7 @@
 	top := q.heap[0]
 	n := len(q.heap) - 1
 	last := q.heap[n]
-	q.heap[n] = event{} // its functions must not keep memory alive
+	q.heap[n] = event{} // so that its functions can be garbage collected
 	q.heap = q.heap[:n]
 	if n == 0 {
 		return top
--- a/internal/simulation/queue_bench_test.go
+++ b/internal/simulation/queue_bench_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// plainHeap is a heap of the standard library, to compare Queue with.
+// plainHeap is a binary heap for container/heap, the reference for Queue.
 type plainHeap []event
 
 func (h plainHeap) Len() int           { return len(h) }
@@ -23,7 +23,8 @@
 	return e
 }
 
-// BenchmarkQueue executes one event and schedules another, with a number of events in the queue.
+// BenchmarkQueue measures executing one event and scheduling another while the queue holds a constant number
+// of events.
 func BenchmarkQueue(b *testing.B) {
 	for _, n := range []int{1000, 100000} {
 		b.Run(fmt.Sprint("ours/", n), func(b *testing.B) {
@@ -61,13 +62,14 @@
 	}
 }
 
-// calendar is a calendar queue, to compare Queue with: days of one width, each a sorted list, that repeat
-// every year. It doubles its days as it fills, and takes their width from the events that wait.
+// calendar is a calendar queue, an alternative to Queue: buckets ("days") of equal width, each a sorted list,
+// that are reused every year. It doubles the number of days as it fills, and derives their width from the
+// times of the queued events.
 type calendar struct {
 	days  [][]event
 	width time.Duration
 	n     int
-	at    time.Duration // time of the last one taken
+	at    time.Duration // time of the last event popped
 }
 
 func newCalendar() *calendar { return &calendar{days: make([][]event, 2), width: time.Second} }
@@ -120,8 +122,8 @@
 	}
 }
 
-// BenchmarkCalendar compares both queues; mixed: half of the events are due in microseconds, half in seconds,
-// as in a fleet.
+// BenchmarkCalendar compares Queue with a calendar queue. In the mixed cases half of the events are due in
+// microseconds and half in seconds, as in a fleet.
 func BenchmarkCalendar(b *testing.B) {
 	for _, mixed := range []bool{false, true} {
 		for _, n := range []int{1000, 100000} {
--- a/internal/simulation/reference.go
+++ b/internal/simulation/reference.go
@@ -8,18 +8,20 @@
 	"cresspass/internal/simulation/enginemodel"
 )
 
-// ReferenceCase is a queue with a known mean response time, to check the engine model and the estimates.
+// ReferenceCase is a queueing system with a known mean response time, used to check the engine model and the
+// confidence intervals.
 type ReferenceCase struct {
 	Name         string
 	Cores        int
-	Load         float64 // of the cores
+	Load         float64 // utilization of the cores
 	Spread       float64 // sigma of the logarithm of the work; 0: exponential work
-	ResponseTime float64 // mean time in the system, in mean works
+	ResponseTime float64 // known mean time in the system, as a multiple of the mean work
 	Queries      int
 }
 
-// MMC is an engine with a number of cores, and queries of one thread and exponential work. Processor sharing
-// holds as many of them as first come, first served does, so the mean is that of Erlang's C formula.
+// MMC returns an M/M/c case: an engine with c cores, and single-threaded queries with exponential work. The
+// number of queries in the system has the same distribution under processor sharing as under first come,
+// first served, so the mean response time follows from Erlang's C formula.
 func MMC(cores int, load float64, queries int) ReferenceCase {
 	c, a := float64(cores), load*float64(cores)
 	sum, term := 0.0, 1.0
@@ -32,19 +34,19 @@
 	return ReferenceCase{Name: "M/M/c", Cores: cores, Load: load, ResponseTime: 1 + wait, Queries: queries}
 }
 
-// MG1PS is an engine of one core, with processor sharing and log-normal work. Its mean does not depend on the
-// spread.
+// MG1PS returns an M/G/1 case with processor sharing: an engine with one core, and log-normal work. Its mean
+// response time does not depend on the spread.
 func MG1PS(load, spread float64, queries int) ReferenceCase {
 	return ReferenceCase{Name: "M/G/1-PS", Cores: 1, Load: load, Spread: spread, ResponseTime: 1 / (1 - load),
 		Queries: queries}
 }
 
-// Parts of the run of a reference case.
+// Settings of the run of a reference case.
 const (
-	referenceStream     = 7   // of the random numbers of a seed
-	referenceWarmUpPart = 5   // the first of so many parts of the queries is left out
-	referenceSamples    = 200 // of the open queries
-	referenceMaxLengths = 4   // a run ends after so many times its expected length
+	referenceStream     = 7   // random number stream
+	referenceWarmUpPart = 5   // the first 1/referenceWarmUpPart of the queries is left out
+	referenceSamples    = 200 // samples of the number of open queries
+	referenceMaxLengths = 4   // a run ends at the latest after this multiple of its expected length
 )
 
 // referenceRun is a run of a reference case.
@@ -53,14 +55,14 @@
 	random        *rand.Rand
 	queue         Queue
 	engine        *enginemodel.Model
-	nextEvent     time.Duration // of the engine, as scheduled
+	nextEvent     time.Duration // time of the engine's scheduled event
 	startedAt     map[*enginemodel.Running]time.Duration
 	finished      int
 	responseTimes []float64
 }
 
-// Simulate returns the response times of a run, in mean works and without the warm-up, and the number of
-// queries in the system at even times.
+// Simulate runs the case and returns the response times as multiples of the mean work, without the warm-up,
+// and the number of queries in the system at regular intervals.
 func (k ReferenceCase) Simulate(seed uint64) (responseTimes, openQueries []float64) {
 	kind := enginemodel.Kind{Cores: float64(k.Cores), ContentionKnee: 1e9} // without contention
 	r := &referenceRun{
@@ -84,7 +86,7 @@
 
 func (r *referenceRun) done() bool { return len(r.responseTimes) >= r.Queries }
 
-// arrive starts a query and schedules the next arrival.
+// arrive starts a query and, unless the run is done, schedules the next arrival.
 func (r *referenceRun) arrive() {
 	j := r.engine.Start(r.queue.Now(), enginemodel.Job{Work: r.drawWork(), Threads: 1})
 	r.startedAt[j] = r.queue.Now()
@@ -110,7 +112,7 @@
 	r.nextEvent = at
 	r.queue.At(at, func() {
 		if r.nextEvent != at {
-			return // another was scheduled since
+			return // an earlier event was scheduled since
 		}
 		r.nextEvent = math.MaxInt64
 		r.finish(r.engine.Advance(r.queue.Now()))
@@ -128,7 +130,8 @@
 	}
 }
 
-// Coverage is the share of runs in which the interval of BatchMeans holds the known mean.
+// Coverage returns the share of runs in which the interval of BatchMeans contains the known mean. The runs
+// have the seeds 1 to runs.
 func (k ReferenceCase) Coverage(runs, batches int) (share float64, err error) {
 	held, err := Parallel(runs, func(i int) (float64, error) {
 		responseTimes, _ := k.Simulate(uint64(i + 1))
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -11,7 +11,7 @@
 // Outcome is how a client's request ended.
 type Outcome int
 
-// The ends.
+// The outcomes of a request.
 const (
 	Served Outcome = iota
 	Rejected
@@ -21,25 +21,25 @@
 
 // Request is a client's request that has ended.
 type Request struct {
-	Class      int
+	Class      int // index in Config.Traffic
 	Dispatcher int
 	At         time.Duration // when the client first sent it
-	Elapsed    time.Duration
+	Elapsed    time.Duration // from At to the answer, with the client's retries
 	Outcome    Outcome
-	Late       bool // after its class's latency objective
+	Late       bool // answered after its class's latency objective
 }
 
-// LoadSample is the engines' load at one time.
+// LoadSample holds the load of all engines at one time.
 type LoadSample struct {
 	At      time.Duration
-	Threads []float64 // threads a core, by engine
+	Threads []float64 // threads per core, by engine
 }
 
-// Result is the outcome of a run.
+// Result holds everything that a run recorded.
 type Result struct {
 	Requests     []Request
-	Loads        []LoadSample
-	Events       uint64
+	Loads        []LoadSample // empty with Config.OmitLoads
+	Events       uint64       // events executed
 	Stats        []gossip.Stats
 	Violations   RuleViolations
 	OpenRequests []float64 // requests without an answer, sampled every sampleInterval
@@ -48,19 +48,20 @@
 // sampleInterval is how often loads and open requests are sampled.
 const sampleInterval = 500 * time.Millisecond
 
-// overloadThreads is the number of threads a core above which an engine counts as overloaded.
+// overloadThreads is the number of threads per core above which an engine counts as overloaded.
 const overloadThreads = 2
 
-// WindowSummary sums up the requests to some dispatchers, and the engines' load, in a window of time.
+// WindowSummary summarizes the requests to some dispatchers, and the engines' load, in a window of time.
 type WindowSummary struct {
-	Requests                 int     // requests
-	Served, Rejected, Failed float64 // shares
-	Late                     float64 // share of those served
-	Overload                 float64 // share of the samples with more than overloadThreads
-	Mean                     time.Duration
+	Requests                 int           // number of requests
+	Served, Rejected, Failed float64       // shares of the requests
+	Late                     float64       // share of those served
+	Overload                 float64       // share of the load samples with more than overloadThreads
+	Mean                     time.Duration // mean time to the answer of those served
 }
 
-// Between sums up the requests that were first sent in a window to the given dispatchers; nil: to any.
+// Between summarizes the requests that were first sent at or after from and before to, and were answered by
+// one of the given dispatchers; nil: by any.
 func (r *Result) Between(from, to time.Duration, at []int) (s WindowSummary) {
 	var elapsed time.Duration
 	for _, a := range r.Requests {
@@ -89,7 +90,7 @@
 	return s
 }
 
-// overloadShare is the share of load samples in a window that show an overloaded engine.
+// overloadShare returns the share of the engines' load samples in a window that show an overloaded engine.
 func (r *Result) overloadShare(from, to time.Duration) float64 {
 	overloaded, all := 0.0, 0.0
 	for _, l := range r.Loads {
--- a/internal/simulation/statistics.go
+++ b/internal/simulation/statistics.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	bootstrapStream = 95    // of the random numbers of Bootstrap
-	minDrawings     = 20    // of Bootstrap, for an interval
-	minTrendSamples = 20    // of IsUnstable
-	minRuns         = 3     // from which AdditionalRuns expects a width
-	normalQuantile  = 1.96  // of 97.5%
-	upperTail       = 0.975 // quantile at the upper end of a 95% interval
+	bootstrapStream = 95    // random number stream of Bootstrap
+	minDrawings     = 20    // resamples that Bootstrap needs for an interval
+	minTrendSamples = 20    // samples in the second half that IsUnstable needs
+	minRuns         = 3     // runs from which AdditionalRuns extrapolates
+	normalQuantile  = 1.96  // 97.5% quantile of the standard normal distribution
+	upperTail       = 0.975 // probability at the upper end of a 95% interval
 )
 
-// When IsUnstable calls a run unstable.
+// Thresholds of IsUnstable, all of which an unstable run exceeds or reaches.
 const (
-	minGrowthShare  = 0.3 // the trend over the second half, as a share of the mean at the end
+	minGrowthShare  = 0.3 // growth by the trend over the second half, as a share of the last quarter's mean
 	minGrowthFactor = 3   // from the mean of the first quarter to that of the last
-	trendParts      = 8   // of a run, whose means are compared
-	minRisingParts  = 6   // of the steps between them
+	trendParts      = 8   // parts of a run whose means are compared
+	minRisingParts  = 6   // parts with a higher mean than the part before
 )
 
-// BatchMeans estimates the mean of one long run, whose samples depend on those before them, from the means of
-// batches, which hardly do. The caller leaves out the samples of the run's warm-up.
+// BatchMeans estimates the mean of one long run, whose successive samples are correlated, from the means of
+// batches, which are nearly independent. The caller leaves out the samples of the run's warm-up.
 func BatchMeans(samples []float64, batches int) Estimate {
 	size := len(samples) / max(batches, 1)
 	if size == 0 || batches < 2 {
@@ -41,8 +41,8 @@
 	return EstimateMean(means)
 }
 
-// Bootstrap estimates a quantile over independent runs. Runs are drawn with replacement a number of times;
-// the interval holds the middle 95% of the quantiles of the drawings.
+// Bootstrap estimates the q-quantile of the samples of independent runs. It resamples whole runs with
+// replacement, times times; the interval covers the middle 95% of the resampled quantiles.
 func Bootstrap(runs [][]float64, times int, seed uint64, q float64) Estimate {
 	r := rand.New(rand.NewPCG(seed, bootstrapStream))
 	type sample struct {
@@ -50,14 +50,14 @@
 		run   int
 	}
 	var all []sample
-	drawn := make([]int, len(runs)) // how often a run counts
+	drawn := make([]int, len(runs)) // how often each run is drawn
 	for i, run := range runs {
 		drawn[i] = 1
 		for _, v := range run {
 			all = append(all, sample{v, i})
 		}
 	}
-	// Sorted once: a drawing counts each sample as often as its run is drawn.
+	// Sorted once: each resample counts a sample as often as its run is drawn.
 	slices.SortFunc(all, func(a, b sample) int { return cmp.Compare(a.value, b.value) })
 	quantile := func() float64 {
 		total, sum := 0, 0
@@ -89,9 +89,9 @@
 	return b
 }
 
-// IsUnstable reports whether the number of requests in the system, sampled at even times, grew to the run's
-// end, so that means would depend on the run's length only. A run near its capacity wanders far, so it is
-// called unstable only where it has grown all along.
+// IsUnstable reports whether the number of requests in the system, sampled at regular intervals, grew until
+// the end of the run, so that means depend only on the length of the run. The number varies widely in a run
+// near its capacity, so a run counts as unstable only if the number grew nearly throughout.
 func IsUnstable(waiting []float64) bool {
 	half := waiting[len(waiting)/2:]
 	if len(half) < minTrendSamples {
@@ -107,7 +107,7 @@
 	return grown > minGrowthShare*last && last > minGrowthFactor*math.Max(first, 1) && isRising(waiting)
 }
 
-// isRising reports whether the means of eighths grow from nearly each to the next.
+// isRising reports whether the means of trendParts equal parts increase in at least minRisingParts steps.
 func isRising(v []float64) bool {
 	n, up := len(v)/trendParts, 0
 	for i := 1; i < trendParts; i++ {
@@ -118,8 +118,10 @@
 	return up >= minRisingParts
 }
 
-// AdditionalRuns is the number of further runs until the half width of an estimate is as small as wanted: 0
-// once it is, else as many as its present width lets expect, at least two, and at most maxRuns in all.
+// AdditionalRuns returns how many more runs are needed until the half width of an estimate is at most
+// halfWidth: 0 if it is already, otherwise the number extrapolated from the current half width, at least two.
+// It returns minRuns if there are too few runs to extrapolate from, or halfWidth is not positive. The total
+// never exceeds maxRuns.
 func AdditionalRuns(b Estimate, halfWidth float64, maxRuns int) int {
 	if b.HalfWidth <= halfWidth || b.N >= maxRuns {
 		return 0
--- a/internal/simulation/statistics_test.go
+++ b/internal/simulation/statistics_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// The engine model and the estimates against queues with known means: the means lie within their 95%
-// intervals about as often as that says, as far as a few runs can show. BenchmarkCoverage does 400 runs.
+// The engine model and the confidence intervals agree with queueing systems whose means are known: the 95%
+// intervals contain the known mean in at least 85% of 60 runs, a bound that allows for the small number of
+// runs. BenchmarkCoverage does 400 runs.
 func TestReferenceCases(t *testing.T) {
 	if testing.Short() {
 		t.Skip("statistics: nothing runs side by side that the race detector does not see elsewhere")
@@ -20,8 +21,8 @@
 	}
 }
 
-// Two equal cases are called equal in about 95% of pairs; a small difference is found; an overload is called
-// unstable.
+// In about 95% of the pairs of equal cases the difference is not significant. A small difference is found
+// with paired seeds. Only an overloaded case is unstable.
 func TestDifferencesBetweenCases(t *testing.T) {
 	if testing.Short() {
 		t.Skip("statistics: nothing runs side by side that the race detector does not see elsewhere")
@@ -49,11 +50,11 @@
 			equal++
 		}
 	}
-	if equal < 182 || equal > 198 { // 190 expected, three deviations
-		t.Errorf("%d of 200 pairs without a difference are called equal", equal)
+	if equal < 182 || equal > 198 { // 190 expected, within about three standard deviations
+		t.Errorf("%d of 200 pairs without a difference are not significant, want 182 to 198", equal)
 	}
-	// With the same seeds on both sides their effect cancels out, and a difference of a fiftieth in load is
-	// significant.
+	// With the same seeds on both sides, the effect of the seeds cancels out, and a difference in load of one
+	// fiftieth is significant.
 	var x, y []float64
 	for i := range 8 {
 		x, y = append(x, mean(MMC(2, 0.60, 3000), uint64(i))), append(y, mean(MMC(2, 0.612, 3000), uint64(i)))
@@ -66,12 +67,13 @@
 		unstable bool
 	}{{0.5, false}, {0.9, false}, {1.3, true}} {
 		if _, waiting := MMC(2, c.load, 3000).Simulate(3); IsUnstable(waiting) != c.unstable {
-			t.Errorf("load %g: unstable is %v", c.load, !c.unstable)
+			t.Errorf("load %g: IsUnstable is %v", c.load, !c.unstable)
 		}
 	}
 }
 
-// Intervals get narrower with more runs, until they are as narrow as wanted; that of a quantile holds it.
+// AdditionalRuns adds runs until the interval is as narrow as wanted. The interval of a quantile has a
+// plausible width.
 func TestEstimates(t *testing.T) {
 	b := Estimate{HalfWidth: math.Inf(1)}
 	var all []float64
@@ -84,23 +86,24 @@
 		}
 		b = EstimateMean(all)
 		if rounds++; rounds > 20 {
-			t.Fatal("no end")
+			t.Fatal("AdditionalRuns asks for more runs after 20 rounds")
 		}
 	}
 	if b.HalfWidth > 0.05 || math.Abs(b.Mean-2) > 0.15 || len(all) < 10 {
-		t.Errorf("%+v of %d runs", b, len(all))
+		t.Errorf("mean %+v of %d runs, want about 2", b, len(all))
 	}
-	// Time in an M/M/1 with processor sharing has no simple median; that of the work is ln 2.
+	// The response time of an M/M/1 queue with processor sharing has no simple median, so fixed samples are
+	// used here. (The median of the work is ln 2.)
 	q := Bootstrap([][]float64{{1, 2, 3}, {2, 3, 4}, {1, 3, 5}}, 200, 1, 0.5)
 	if q.Mean != 3 || q.HalfWidth < 0 || q.HalfWidth > 2 || !math.IsNaN(Bootstrap(nil, 200, 1, 0.5).Mean) {
-		t.Errorf("%+v", q)
+		t.Errorf("median %+v, want 3", q)
 	}
 	if p := Bootstrap(runs, 100, 1, 0.9); p.HalfWidth <= 0 || p.HalfWidth > 1 {
-		t.Errorf("%+v", p)
+		t.Errorf("90%% quantile %+v", p)
 	}
 }
 
-// BenchmarkCoverage reports the share of 400 runs whose 95% interval holds the known mean.
+// BenchmarkCoverage reports the share of 400 runs whose 95% interval contains the known mean.
 func BenchmarkCoverage(b *testing.B) {
 	cases := []ReferenceCase{MMC(1, 0.6, 40000), MMC(4, 0.7, 40000), MMC(16, 0.8, 40000),
 		MG1PS(0.6, 1, 40000)}
--- a/internal/simulation/violations.go
+++ b/internal/simulation/violations.go
@@ -7,24 +7,24 @@
 	"cresspass"
 )
 
-// RuleViolations counts what broke a rule of the module. The numbers are those of docs/design.md.
+// RuleViolations counts violations of the module's rules. The rules have the numbers of docs/design.md.
 type RuleViolations struct {
 	LateAnswers         int // after the client's deadline (rule 1)
-	SendsToDrained      int // to an engine, after the grace that follows its drain (rule 3)
-	InformedCollapses   int // of warming engines, by dispatchers that had heard of their start (rule 4)
+	SendsToDrained      int // to a draining or removed engine, after the drain grace (rule 3)
+	InformedCollapses   int // of engines that warm up, by dispatchers that knew of their start (rule 4)
 	RetriesOverBudget   int // rule 7
-	UninformedCollapses int // mostly by dispatchers that had not: breaks no rule
+	UninformedCollapses int // mostly by dispatchers that did not know: no violation
 }
 
-// Total is the number of violations.
+// Total returns the number of violations.
 func (r RuleViolations) Total() int {
 	return r.LateAnswers + r.SendsToDrained + r.InformedCollapses + r.RetriesOverBudget
 }
 
-// lateTolerance covers the way to the client and the resolution of timers.
+// lateTolerance allows for the transit time to the client and the resolution of timers.
 const lateTolerance = 100 * time.Millisecond
 
-// checkSend counts violations by the send of a query to an engine.
+// checkSend counts the violations of rules 3 and 7 by sending a query to an engine.
 func (f *Fleet) checkSend(d *dispatcher, e *engine, attempt int) {
 	now, rules := f.queue.Now(), &f.cfg.Module.Rules
 	if e.state != cresspass.EngineActive && e.listedAt > 0 && now > e.listedAt+rules.DrainGrace {
@@ -43,14 +43,14 @@
 	}
 }
 
-// arrival is work that reached an engine while it warmed up.
+// arrival is work that reached an engine during its warm-up.
 type arrival struct {
 	at       time.Duration
 	work     float64
-	informed bool // its dispatcher had heard of the engine's start
+	informed bool // its dispatcher knew of the engine's start
 }
 
-// recordArrival keeps what reaches an engine while it warms up, for the overload window.
+// recordArrival records work that reaches an engine during its warm-up, and keeps the overload window's part.
 func (f *Fleet) recordArrival(e *engine, work float64, informed bool) {
 	now := f.queue.Now()
 	if e.startedAt == 0 || now-e.startedAt > e.Machine.SlowStartDuration {
@@ -62,8 +62,8 @@
 	e.arrivals = append(e.arrivals, arrival{now, work, informed})
 }
 
-// checkCollapse counts the collapse of a warming engine. It breaks the rule where at least two thirds of the
-// work came from dispatchers that had heard of the engine's start.
+// checkCollapse counts the collapse of an engine that warms up. It violates rule 4 if at least two thirds of
+// the work came from dispatchers that knew of the engine's start.
 func (f *Fleet) checkCollapse(e *engine) {
 	informed, all := 0.0, 0.0
 	for _, a := range e.arrivals {
