--- a/internal/simulation/baseline/baseline_test.go
+++ b/internal/simulation/baseline/baseline_test.go
@@ -8,7 +8,8 @@
 	"cresspass/internal/dispatch"
 )
 
-// Each decider, and each mutant, serves queries through the core and leaves none open.
+// Each policy, and each mutant, serves queries through the core and leaves none open. No query is sent to a
+// removed engine, and round robin uses both active engines.
 func TestDecidersServe(t *testing.T) {
 	cfg := cresspass.Config{
 		Seed:          1,
@@ -40,12 +41,13 @@
 		}
 	}
 	if _, err := New("other", 0, cfg); err == nil {
-		t.Error("an unknown policy")
+		t.Error("no error for an unknown policy")
 	}
 }
 
 // serveQueries sends 100 queries through a core with two active engines and a removed one. A tenth of them
-// lose their first attempt. It returns the core's figures a minute later, and the first attempts by engine.
+// lose their first attempt. It returns the core's statistics a minute later, and the number of first attempts
+// by engine.
 func serveQueries(core *dispatch.Core) (dispatch.Stats, map[cresspass.EngineID]int) {
 	now := time.Hour
 	core.Step(now, []cresspass.Event{{
@@ -79,7 +81,7 @@
 	return core.Stats(), sent
 }
 
-// finished is the event of an attempt that served its query.
+// finished returns the event of an attempt that served its query.
 func finished(o dispatch.Output, elapsed time.Duration) cresspass.Event {
 	return cresspass.Event{Type: cresspass.AttemptDone, Query: o.Query, Attempt: o.Attempt, Engine: o.Engine,
 		Outcome: cresspass.OutcomeOK, Elapsed: elapsed, QueryFinished: true}
--- a/internal/simulation/baseline/mutant.go
+++ b/internal/simulation/baseline/mutant.go
@@ -19,19 +19,21 @@
 	ignoreRetryBudget
 )
 
-// deadlineStretch is the factor on the deadlines that a mutant with ignoreDeadline gets.
+// deadlineStretch is the factor on the deadlines that the module of an ignoreDeadline mutant sees.
 const deadlineStretch = 3
 
-// loosenedAnswerGrace is the answer grace in place of the configured one, see LoosenRule.
+// loosenedAnswerGrace replaces the configured answer grace, see LoosenRule.
 const loosenedAnswerGrace = time.Minute
 
 // Mutant is the module without the guard of one rule.
 type Mutant struct {
 	*cresspass.Gateway
 	mutation int
-	events   []cresspass.Event // as the module gets them
+	events   []cresspass.Event // as the module gets them; reused by Handle
 }
 
+// newMutant returns the module without the guard that the mutation removes, or the unchanged module for
+// noMutation.
 func newMutant(mutation int, cfg cresspass.Config) (dispatch.Decider, error) {
 	cfg.Classes = append([]cresspass.Class(nil), cfg.Classes...)
 	for i := range cfg.Classes {
@@ -58,7 +60,7 @@
 	return &Mutant{Gateway: g, mutation: mutation}, nil
 }
 
-// Handle hides from the module what its guard would act on.
+// Handle passes the events to the module, without the information that the removed guard would act on.
 func (m *Mutant) Handle(now time.Duration, events []cresspass.Event,
 	actions []cresspass.Action) []cresspass.Action {
 	m.events = append(m.events[:0], events...)
@@ -84,10 +86,11 @@
 	return engines
 }
 
-// LoosenRule removes the dispatcher's own guard behind the module's guard of a rule.
+// LoosenRule removes the dispatcher's own guard of a rule, which would otherwise cover for the module's
+// removed guard. It affects rule 1 only.
 func LoosenRule(rule int, cfg *cresspass.Config) {
 	if rule == ignoreDeadline {
-		// After this, the dispatcher answers a query that the module has not.
+		// The dispatcher answers a query itself if the module has not answered it within the answer grace.
 		cfg.Rules.AnswerGrace = loosenedAnswerGrace
 	}
 }
--- a/internal/simulation/baseline/plain.go
+++ b/internal/simulation/baseline/plain.go
@@ -10,27 +10,28 @@
 // answerMargin is how long before a query's deadline a plainDecider answers it.
 const answerMargin = 20 * time.Millisecond
 
-// plainDecider admits every query and sends it at once. It follows the engine list, retries idempotent
+// plainDecider admits every query and sends it immediately. It follows the engine list, retries idempotent
 // queries on other engines, and answers before the deadline. It knows nothing of query mixes, slow start,
 // ordering, placement constraints or retry budgets.
 type plainDecider struct {
 	cfg              cresspass.Config
-	leastConnections bool // else round robin
+	leastConnections bool // otherwise round robin
 	now              time.Duration
 	classes          map[string]cresspass.Class
-	engines          []cresspass.EngineID // the active ones, sorted
-	running          map[cresspass.EngineID]int
-	cursor           int
+	engines          []cresspass.EngineID       // the active ones, sorted
+	running          map[cresspass.EngineID]int // attempts in flight
+	cursor           int                        // of the round robin over engines
 	queries          map[cresspass.QueryID]*plainQuery
 	actions          []cresspass.Action
 }
 
+// plainQuery is a query that is open or has an attempt in flight.
 type plainQuery struct {
 	id         cresspass.QueryID
 	class      cresspass.Class
 	deadline   time.Duration
 	attempts   int
-	mayHaveRun bool
+	mayHaveRun bool // an attempt may have run at an engine
 	inFlight   bool // an attempt has no outcome yet
 	done       bool
 }
@@ -115,14 +116,15 @@
 	}
 }
 
-// forget drops a query that is done, once no attempt of it is in flight.
+// forget deletes a query that is done, unless an attempt of it is still in flight.
 func (p *plainDecider) forget(q *plainQuery) {
 	if !q.inFlight {
 		delete(p.queries, q.id)
 	}
 }
 
-// finish answers a query without an engine's answer, and cancels its attempt.
+// finish answers a query without an engine's answer, and cancels its attempt in flight. It rejects queries
+// that are safe to repeat and fails the others.
 func (p *plainDecider) finish(q *plainQuery) {
 	q.done = true
 	if q.class.Effect == cresspass.Idempotent || !q.mayHaveRun && !q.inFlight {
@@ -144,7 +146,7 @@
 	p.cursor++
 	e := p.engines[p.cursor%len(p.engines)]
 	if p.leastConnections {
-		for i := range p.engines { // from the cursor on, so that ties are spread
+		for i := range p.engines { // from the cursor on, so that ties are distributed
 			if c := p.engines[(p.cursor+i)%len(p.engines)]; p.running[c] < p.running[e] {
 				e = c
 			}
--- a/internal/simulation/enginemodel/clock.go
+++ b/internal/simulation/enginemodel/clock.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// warmupStep is how long speeds are taken as constant while an engine warms up.
+// warmupStep is how long speeds are assumed to be constant while an engine warms up.
 const warmupStep = 100 * time.Millisecond
 
 // remainderTolerance is the remaining work, in thread seconds, at which a job counts as finished.
 const remainderTolerance = 1e-9
 
-// maxStepSeconds bounds the time to a job's end, so that a very slow one does not overflow a duration.
+// maxStepSeconds bounds the time to a job's end, so that a very slow job does not overflow a time.Duration.
 const maxStepSeconds = 1e6
 
-// Advance lets time pass and returns the jobs that finished, in the order of their ends.
+// Advance moves the clock to now and returns the jobs that finished since the last Advance, in the order of
+// their ends.
 func (m *Model) Advance(now time.Duration) (finished []*Running) {
 	m.advance(now)
 	finished, m.finished = m.finished, nil
 	return finished
 }
 
-// advance lets time pass and keeps the jobs that finish for the next Advance. Every method that takes a
-// time calls it, and those that return no finished jobs would otherwise lose them: their clients would wait
-// forever (TestJobFinishedBetweenAdvancesIsReported).
+// advance moves the clock to now and keeps the jobs that finish for the next Advance. Every method that takes
+// the time calls it. Methods that do not return finished jobs would otherwise lose them, and their clients
+// would wait forever (TestJobFinishedBetweenAdvancesIsReported).
 func (m *Model) advance(now time.Duration) {
 	for m.now < now {
 		until := now
@@ -40,7 +41,7 @@
 	}
 }
 
-// work moves the clock forward, with speeds that are constant until then.
+// work moves the clock to until, at constant speeds.
 func (m *Model) work(until time.Duration, speeds []float64) {
 	elapsed := (until - m.now).Seconds()
 	m.now = until
@@ -58,12 +59,12 @@
 	m.finished = append(m.finished, finished...)
 }
 
-// toDuration rounds up, to a nanosecond at least: a step of none would not move the clock.
+// toDuration rounds up, and to at least a nanosecond: a step of zero would not move the clock.
 func toDuration(seconds float64) time.Duration {
 	return max(time.Duration(math.Ceil(math.Min(seconds, maxStepSeconds)*1e9)), 1)
 }
 
-// NextEvent is when Advance should be called next, and whether anything is to be expected.
+// NextEvent returns the time at which Advance should be called next; false if no job will finish.
 func (m *Model) NextEvent() (time.Duration, bool) {
 	if len(m.finished) > 0 {
 		return m.now, true
--- a/internal/simulation/enginemodel/model.go
+++ b/internal/simulation/enginemodel/model.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Kind describes a machine. A zero value switches the effect off.
+// Kind describes a machine. A zero value turns the effect of a field off, unless its comment says otherwise.
 type Kind struct {
 	Cores                   float64
 	MemoryMB                float64
-	ContentionKnee          float64       // threads a core above which throughput falls; 0: defaultKnee
-	SpillCost               float64       // extra work, as a multiple, of a query that gets no memory at all
+	ContentionKnee          float64       // threads per core above which throughput falls; 0: defaultKnee
+	SpillCost               float64       // extra work, as a multiple, of a query that gets no memory
 	CachedDataSets          int           // data sets that the cache holds
 	CacheSaving             float64       // share of the work that a cached data set saves
 	SlowStartFrom           float64       // share of its capacity right after a start
 	SlowStartDuration       time.Duration // until it has its full capacity
-	SlowStartOverloadFactor float64       // sent more than this multiple of its present capacity...
-	SlowStartWindow         time.Duration // ...over this long, it collapses
-	MaxJobs                 int           // jobs beyond these are rejected
+	SlowStartOverloadFactor float64       // if sent more than this multiple of its current capacity...
+	SlowStartWindow         time.Duration // ...within this time, it collapses
+	MaxJobs                 int           // jobs beyond this number are rejected
 }
 
 // Lower bounds that keep speeds and durations finite.
@@ -28,10 +28,10 @@
 	minSlowdown = 1e-3
 )
 
-// minMemoryShare is the share of its need that a query gets even where no memory is free.
+// minMemoryShare is the share of its need that a query gets even if no memory is free.
 const minMemoryShare = 0.1
 
-// Model is one engine. It is for one goroutine at a time.
+// Model models one engine. It must not be used by several goroutines at once.
 type Model struct {
 	kind           Kind
 	started        time.Duration
@@ -46,7 +46,8 @@
 	workDone       float64 // thread seconds, of all jobs
 }
 
-// New returns an engine that starts now. cold false: it started long ago.
+// New returns the model of an engine whose clock shows now. A cold engine starts now and warms up; otherwise
+// the engine started so long ago that it is warm.
 func New(kind Kind, now time.Duration, cold bool) *Model {
 	m := &Model{kind: kind, started: now, now: now, slowdown: 1}
 	if !cold {
@@ -55,16 +56,16 @@
 	return m
 }
 
-// Jobs are the jobs in the engine, in the order of their start.
+// Jobs returns the jobs in the engine, in the order of their start. The caller must not modify the slice.
 func (m *Model) Jobs() []*Running { return m.jobs }
 
-// WorkDone is the work done so far, in thread seconds.
+// WorkDone returns the work of all jobs done so far, in thread seconds.
 func (m *Model) WorkDone() float64 { return m.workDone }
 
 // Collapsed reports whether the engine collapsed under load while it was warming up. It stays down.
 func (m *Model) Collapsed() bool { return m.collapsed }
 
-// Threads is the number of threads that run or are ready to.
+// Threads returns the number of threads of all jobs that are not blocked.
 func (m *Model) Threads() (sum float64) {
 	for _, r := range m.jobs {
 		if !r.blocked {
@@ -74,7 +75,7 @@
 	return sum
 }
 
-// GrantedShare is the granted memory as a share of the machine's; 0 where that is not known.
+// GrantedShare returns the granted memory as a share of the machine's memory; 0 if MemoryMB is 0.
 func (m *Model) GrantedShare() float64 {
 	if m.kind.MemoryMB <= 0 {
 		return 0
@@ -89,13 +90,13 @@
 	return sum
 }
 
-// SetSlowdown makes the engine slower by a factor.
+// SetSlowdown makes the engine slower by a factor, from now on.
 func (m *Model) SetSlowdown(now time.Duration, factor float64) {
 	m.advance(now)
 	m.slowdown = math.Max(factor, minSlowdown)
 }
 
-// SetHalted stops all work, or resumes it.
+// SetHalted stops all work, or resumes it, from now on.
 func (m *Model) SetHalted(now time.Duration, halted bool) {
 	m.advance(now)
 	m.halted = halted
@@ -104,8 +105,8 @@
 // FlushCache empties the cache of data sets.
 func (m *Model) FlushCache() { m.cachedSets = nil }
 
-// Start adds a job. It returns nil where the engine rejects the job or is down. A cold engine may collapse
-// under the job; Collapsed tells.
+// Start adds a job. It returns nil if the engine rejects the job or has collapsed. An engine that is warming
+// up may collapse under the job; Collapsed reports it.
 func (m *Model) Start(now time.Duration, j Job) *Running {
 	m.advance(now)
 	m.recordArrivedWork(j.Work)
@@ -124,7 +125,7 @@
 	return r
 }
 
-// grantMemory gives a new job its memory and adds the work of spills for what it lacks.
+// grantMemory grants a new job its memory, and adds the work of spilling what it lacks.
 func (m *Model) grantMemory(r *Running) {
 	if r.NeedMB <= 0 {
 		return
@@ -154,7 +155,7 @@
 	return false
 }
 
-// End removes a job, done or not.
+// End removes a job, finished or not.
 func (m *Model) End(now time.Duration, r *Running) {
 	m.advance(now)
 	m.remove(r)
@@ -171,7 +172,8 @@
 	m.updateBlockedJobs()
 }
 
-// updateBlockedJobs marks the jobs that wait: all of a data set that is being loaded, except the first load.
+// updateBlockedJobs marks the blocked jobs: all jobs of a data set that is being loaded, except the first
+// load.
 func (m *Model) updateBlockedJobs() {
 	loads := map[string]*Running{}
 	for _, r := range m.jobs {
--- a/internal/simulation/enginemodel/model_test.go
+++ b/internal/simulation/enginemodel/model_test.go
@@ -10,8 +10,8 @@
 
 const ms = time.Millisecond
 
-// However time is cut into steps, the same jobs finish at the same times, and the work done never exceeds
-// what the cores can do.
+// Whatever the steps in which time advances, the same number of jobs finish, the same work is done, and it
+// never exceeds what the cores can do.
 func TestResultIndependentOfStepSize(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kind := Kind{Cores: 4, MemoryMB: 100, SpillCost: 2, CachedDataSets: 2, CacheSaving: 0.3}
@@ -56,15 +56,15 @@
 			}
 		}
 		if len(endA) != len(endB) || len(a.Jobs()) != 0 || math.Abs(a.WorkDone()-b.WorkDone()) > 1e-6 {
-			t.Fatalf("%d ended with work %v, in steps %d with %v", len(endA), a.WorkDone(), len(endB),
-				b.WorkDone())
+			t.Fatalf("%d jobs finished with work %v, in small steps %d with %v", len(endA), a.WorkDone(),
+				len(endB), b.WorkDone())
 		}
 		last := time.Duration(0)
 		for _, v := range endB {
 			last = max(last, v)
 		}
 		if b.WorkDone() > kind.Cores*last.Seconds()+1e-6 {
-			t.Fatalf("work %v by %v on %v cores", b.WorkDone(), last, kind.Cores)
+			t.Fatalf("work %v done by %v exceeds the capacity of %v cores", b.WorkDone(), last, kind.Cores)
 		}
 	})
 }
@@ -82,7 +82,7 @@
 	}
 	m.SetHalted(0, true)
 	if _, ok := m.NextEvent(); ok {
-		t.Error("a halted engine expects an end")
+		t.Error("a halted engine expects a job to finish")
 	}
 }
 
@@ -92,10 +92,10 @@
 	read := m.Start(0, Job{Work: 0.1, Threads: 1, DataSet: "x"})
 	other := m.Start(0, Job{Work: 0.1, Threads: 1, DataSet: "y"})
 	if load.IsBlocked() || !read.IsBlocked() || other.IsBlocked() {
-		t.Fatal("who waits is wrong")
+		t.Fatal("want only the reader of the loaded data set to be blocked")
 	}
 	if got := m.Advance(1100 * ms); len(got) != 3 || got[0] != other || got[1] != load || got[2] != read {
-		t.Errorf("ended %v", got)
+		t.Errorf("finished jobs %v, want the other reader, the load and the blocked reader", got)
 	}
 }
 
@@ -112,7 +112,7 @@
 		t.Fatal("collapsed within its budget of 2")
 	}
 	if r := m.Start(900*ms, Job{Work: 0.5, Threads: 1}); r != nil || !m.Collapsed() {
-		t.Fatal("took 2.4 in a window with a budget of 2")
+		t.Fatal("accepted work of 2.4 in a window with a budget of 2")
 	}
 	if m = New(kind, 0, false); m.Start(0, Job{Work: 50, Threads: 1}) == nil {
 		t.Fatal("a warm engine collapsed")
@@ -125,9 +125,9 @@
 	r := m.Start(0, Job{Work: 0.01, Threads: 1})
 	m.Start(20*ms, Job{Work: 1, Threads: 1})
 	if next, ok := m.NextEvent(); !ok || next > 20*ms {
-		t.Errorf("an unreported end is due at %v, %v", next, ok)
+		t.Errorf("finished job not returned yet: next event at %v, %v, want at most 20ms", next, ok)
 	}
 	if finished := m.Advance(21 * ms); len(finished) != 1 || finished[0] != r {
-		t.Errorf("%d finished jobs returned", len(finished))
+		t.Errorf("%d finished jobs returned, want the first job alone", len(finished))
 	}
 }
--- a/internal/simulation/enginemodel/scheduling.go
+++ b/internal/simulation/enginemodel/scheduling.go
@@ -2,18 +2,19 @@
 
 import "math"
 
-// priorityWeights are the weights of a job's share of the cores, by its priority.
+// priorityWeights are the weights of a thread's share of the cores, by the priority of its job.
 var priorityWeights = [4]float64{1, 4, 8, 16}
 
-// How throughput falls under contention for cores and under paging.
+// Parameters of the loss of throughput by contention for cores and by paging. Throughput is multiplied by
+// a ratio to the power of its exponent.
 const (
-	defaultKnee        = 1.7  // threads a core above which throughput falls
-	contentionExponent = 0.3  // of how far threads exceed the knee
-	pagingExponent     = -2.5 // of how far granted memory exceeds the machine's
+	defaultKnee        = 1.7  // threads per core above which throughput falls
+	contentionExponent = 0.3  // of the knee divided by the threads per core
+	pagingExponent     = -2.5 // of the granted memory divided by the machine's memory
 )
 
-// speeds returns each job's speed in thread seconds a second, in the order of jobs. Cores are shared by
-// water-filling: what a job cannot use of its weighted share is left to the others.
+// speeds returns each job's speed in thread seconds per second, in the order of m.jobs. Cores are shared by
+// water-filling: the part of its weighted share that a job cannot use is left to the others.
 func (m *Model) speeds() []float64 {
 	speeds := make([]float64, len(m.jobs))
 	threads := m.Threads()
@@ -21,7 +22,7 @@
 		return speeds
 	}
 	capacity := m.capacity(threads)
-	threadSpeed := math.Min(1, m.RampFraction()) / m.slowdown // what one thread can do at most
+	threadSpeed := math.Min(1, m.RampFraction()) / m.slowdown // maximum speed of one thread
 	open := make([]int, 0, len(m.jobs))
 	for i, r := range m.jobs {
 		if !r.blocked {
@@ -55,7 +56,8 @@
 	return speeds
 }
 
-// capacity is the speed of all jobs together, in thread seconds a second, with so many threads.
+// capacity returns the total speed of all jobs, in thread seconds per second, with the given number of
+// threads.
 func (m *Model) capacity(threads float64) float64 {
 	knee := m.kind.ContentionKnee
 	if knee <= 0 {
--- a/internal/simulation/enginemodel/warmup.go
+++ b/internal/simulation/enginemodel/warmup.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// arrival is work that was sent to an engine while it warmed up.
+// arrival is work that was sent to an engine during its warm-up.
 type arrival struct {
 	at   time.Duration
 	work float64
 }
 
-// RampFraction is the share of its capacity that the engine has now.
+// RampFraction returns the share of its full capacity that the engine has now: 1 once it is warm.
 func (m *Model) RampFraction() float64 {
 	k := &m.kind
 	age := m.now - m.started
@@ -18,8 +18,8 @@
 	return k.SlowStartFrom + (1-k.SlowStartFrom)*age.Seconds()/k.SlowStartDuration.Seconds()
 }
 
-// recordArrivedWork counts work that was sent to the engine, rejected or not. An engine that is warming up
-// collapses under too much of it.
+// recordArrivedWork records work that was sent to the engine, rejected or not. An engine that is warming up
+// collapses if too much work arrives within the overload window.
 func (m *Model) recordArrivedWork(work float64) {
 	k := &m.kind
 	if k.SlowStartOverloadFactor <= 0 || k.SlowStartWindow <= 0 || m.RampFraction() >= 1 {
--- a/internal/simulation/experiment/bench_test.go
+++ b/internal/simulation/experiment/bench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// BenchmarkLargeFleet plays 220 dispatchers, 63 engines and 540 queries a second for a simulated minute.
+// BenchmarkLargeFleet simulates 220 dispatchers, 63 engines and 540 queries per second for a minute of
+// simulated time.
 func BenchmarkLargeFleet(b *testing.B) {
 	read := func(path string) func(string) ([]byte, error) {
 		return func(name string) ([]byte, error) { return os.ReadFile(path + name + ".hcl") }
--- a/internal/simulation/experiment/binary_test.go
+++ b/internal/simulation/experiment/binary_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// buildAdapter builds the repository's own adapter: the module as a binary.
+// buildAdapter builds cmd/adapter, which serves the module as a separate program, and returns its path.
 func buildAdapter(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "adapter")
@@ -19,8 +19,8 @@
 	return path
 }
 
-// TestBinaryArm checks that the module as a binary serves as the module in the process does, on the same
-// seeds.
+// TestBinaryArm checks that the module in a separate program has the same figures as the module in the
+// process, on the same seeds.
 func TestBinaryArm(t *testing.T) {
 	e, err := Parse("x.hcl", []byte(`
 day = "little"
@@ -40,23 +40,25 @@
 		t.Fatal(err)
 	}
 	for f, name := range Figures {
-		// Times are cut to microseconds on the wire, which changes single queries but not the figures.
+		// Times are truncated to microseconds on the wire, which changes individual queries but not the
+		// figures.
 		if d := r.Difference(1, 0, f); d.IsSignificant() && (d.Mean > 0.01 || d.Mean < -0.01) {
 			t.Errorf("%s differs by %.4f ±%.4f", name, d.Mean, d.HalfWidth)
 		}
 	}
-	// An instance that lost its first timer serves, but no timer of it fires any more: it has fewer events.
+	// An instance that lost its first timer still serves queries, but none of its timers fires, so it has
+	// fewer events.
 	if a, b := float64(r.Cells[0][0].Events), float64(r.Cells[1][0].Events); b < 0.95*a || b > 1.05*a {
-		t.Errorf("%.0f events, %.0f in the process", b, a)
+		t.Errorf("%.0f events with a binary, %.0f in the process", b, a)
 	}
 	if c := &r.Cells[1][0]; c.Estimate(0).Mean < 0.5 || c.Estimate(len(Figures)-1).Mean != 0 {
-		t.Errorf("served in time %.3f, rules broken %.1f", c.Estimate(0).Mean,
+		t.Errorf("with a binary: served in time %.3f, rules broken %.1f", c.Estimate(0).Mean,
 			c.Estimate(len(Figures)-1).Mean)
 	}
 }
 
-// TestFailingBinary checks that a program that is missing, exits, gives up or replies with nonsense ends the
-// experiment with an error that says so.
+// TestFailingBinary checks that a program that exits, reports an error or sends an invalid reply ends the
+// experiment with an error that contains the reason and the path of the program.
 func TestFailingBinary(t *testing.T) {
 	each := `while read l; do test "$l" = eob && `
 	for script, want := range map[string]string{
--- a/internal/simulation/experiment/calibrate.go
+++ b/internal/simulation/experiment/calibrate.go
@@ -15,24 +15,24 @@
 	"cresspass/internal/simulation"
 )
 
-// Row is a figure of a class as measured with real processes and in the simulation.
+// Row is a figure of a class, as estimated from runs with real processes and from the simulation.
 type Row struct {
 	Class, Figure        string
 	OnSockets, Simulated simulation.Estimate
 }
 
-// Differs reports whether the intervals of a row do not overlap.
+// Differs reports whether the confidence intervals of a row do not overlap.
 func (r *Row) Differs() bool {
 	return math.Abs(r.OnSockets.Mean-r.Simulated.Mean) > r.OnSockets.HalfWidth+r.Simulated.HalfWidth
 }
 
-// rowNames are the names of outcomeCounts.figures.
+// rowNames are the names of the values that outcomeCounts.figures returns, in its order.
 var rowNames = []string{"served", "refused", "failed", "p50, s", "p95, s"}
 
-// outcomeCounts are the outcomes of a class in one run.
+// outcomeCounts counts the outcomes of the requests of a class in one run.
 type outcomeCounts struct {
 	total, served, rejected, failed int
-	responseTimes                   []float64 // of the served, in seconds
+	responseTimes                   []float64 // of the served requests, in seconds
 }
 
 func (t *outcomeCounts) add(a *simulation.Request) {
@@ -48,6 +48,8 @@
 	}
 }
 
+// figures returns the figures named by rowNames: shares of the requests, and quantiles of response times in
+// seconds.
 func (t *outcomeCounts) figures() []float64 {
 	n := math.Max(float64(t.total), 1)
 	slices.Sort(t.responseTimes)
@@ -61,7 +63,7 @@
 		quantile(0.95)}
 }
 
-// countsByClass are the outcomes of one run.
+// countsByClass holds the outcome counts of one run by class.
 type countsByClass map[string]*outcomeCounts
 
 func (by countsByClass) add(class string, a *simulation.Request) {
@@ -71,8 +73,8 @@
 	by[class].add(a)
 }
 
-// Calibrate plays a day with real processes, as many at once as jobs says, and in the simulation, on the same
-// number of seeds, and compares the figures of each class.
+// Calibrate plays a day with real processes, up to jobs runs at once, and in the simulation, each with the
+// seeds 1 to seeds, and returns the figures of each class. It returns the first error of a run.
 func Calibrate(ctx context.Context, d *rehearsal.Day, program []string, seeds, jobs int) ([]Row, error) {
 	onSockets, err := playOnSockets(ctx, d, program, seeds, jobs)
 	if err != nil {
@@ -95,10 +97,10 @@
 	return rows, nil
 }
 
-// warmUp is the part of a day that a calibration leaves out.
+// warmUp returns the length of the beginning of a day that a calibration leaves out.
 func warmUp(d *rehearsal.Day) time.Duration { return d.Length / 10 }
 
-// playOnSockets plays a day with real processes, and returns the outcomes of each seed.
+// playOnSockets plays a day with real processes, and returns the outcome counts of each seed.
 func playOnSockets(ctx context.Context, d *rehearsal.Day, program []string, seeds,
 	jobs int) (all []countsByClass, failed error) {
 	type played struct {
@@ -117,13 +119,13 @@
 				results[i] <- played{nil, err}
 				return
 			}
-			defer func() { _ = os.RemoveAll(dir) }() // a temporary folder that stays does no harm
+			defer func() { _ = os.RemoveAll(dir) }() // a temporary directory that remains does no harm
 			options := rehearsal.Options{Seed: uint64(i + 1), Program: program, Dir: dir}
 			r, err := rehearsal.Play(ctx, d, options)
 			results[i] <- played{r, err}
 		}()
 	}
-	for _, ch := range results { // all of them, so that no process outlives the calibration
+	for _, ch := range results { // wait for all of them, so that no process outlives the calibration
 		p := <-ch
 		if p.err != nil {
 			failed = p.err
@@ -140,7 +142,7 @@
 	return all, failed
 }
 
-// simulateDay simulates a day and returns its outcomes.
+// simulateDay simulates a day and returns its outcome counts.
 func simulateDay(d *rehearsal.Day, seed uint64) (countsByClass, error) {
 	c := FromDay(d, seed)
 	c.Length += calibrationTail
@@ -158,7 +160,7 @@
 	return by, nil
 }
 
-// figuresByClass are the figures of each class, one list for each run that has the class.
+// figuresByClass returns the figures of each class, one list for each run that has requests of the class.
 func figuresByClass(runs []countsByClass) map[string][][]float64 {
 	figures := map[string][][]float64{}
 	for _, by := range runs {
@@ -169,6 +171,7 @@
 	return figures
 }
 
+// estimateFigure estimates a figure, given by its index in rowNames, from the figures of several runs.
 func estimateFigure(runs [][]float64, figure int) simulation.Estimate {
 	var v []float64
 	for _, r := range runs {
--- a/internal/simulation/experiment/day.go
+++ b/internal/simulation/experiment/day.go
@@ -10,25 +10,27 @@
 	"cresspass/internal/simulation/enginemodel"
 )
 
-// The simulated engines of a day: as in a rehearsal, with a bound on their jobs.
+// Parameters of the simulated engines of a day. They are those of a rehearsal, plus a bound on the number of
+// jobs.
 const (
-	spillCost       = 2.5
+	spillCost       = 2.5 // see enginemodel.Kind
 	cachedSets      = 4
 	cacheSaving     = 0.3
-	jobsPerCore     = 8
+	jobsPerCore     = 8 // more are rejected
 	enginesPerCell  = 2
-	transitTime     = 300 * time.Microsecond
-	calibrationTail = 20 * time.Second // after a day's length, for the last clients' answers
+	transitTime     = 300 * time.Microsecond // from a dispatcher to an engine, one way
+	calibrationTail = 20 * time.Second       // added to a day's length, for the answers to the last clients
 )
 
-// gossipModes are the modes by their names in days and experiments; "" and "no": none.
+// gossipModes are the gossip modes by their names in days and experiments. The names "" and "no" mean
+// NoGossip.
 var gossipModes = map[string]simulation.GossipMode{
 	"cold": simulation.GossipOnly,
 	"ask":  simulation.GossipAndBootstrap,
 }
 
-// FromDay returns a rehearsal's day as the model simulates it. Sessions of several statements, Flight SQL and
-// clients that give up are not modelled, nor are faults of bytes on the wire; these are left out.
+// FromDay returns the simulation of a rehearsal's day. Sessions of several statements, Flight SQL, clients
+// that give up and faults of bytes on the wire are not modeled; they are left out.
 func FromDay(d *rehearsal.Day, seed uint64) simulation.Config {
 	c := simulation.Config{
 		Seed:        seed,
@@ -65,7 +67,7 @@
 	return c
 }
 
-// machine is an engine that warms up as the rules say.
+// machine returns the machine of an engine that warms up according to the slow start of the rules.
 func machine(cores, memoryMB float64, rules *cresspass.Rules) enginemodel.Kind {
 	return enginemodel.Kind{
 		Cores:                   cores,
@@ -81,7 +83,7 @@
 	}
 }
 
-// OmittedFaults are the kinds of faults of a day that the model does not have.
+// OmittedFaults returns the kinds of faults of a day that the simulation does not model.
 func OmittedFaults(d *rehearsal.Day) (out []string) {
 	for _, t := range d.Faults {
 		if !slices.Contains(simulation.FaultKinds(), t.Kind) && !slices.Contains(out, t.Kind) {
--- a/internal/simulation/experiment/experiment.go
+++ b/internal/simulation/experiment/experiment.go
@@ -1,6 +1,6 @@
-// Package experiment reads experiments and runs them in the simulation. An experiment names a day of a
-// rehearsal or a recording, and the arms that are compared on the same seeds. It is run until its estimates
-// are as narrow as wanted. The package also calibrates the simulation against real processes.
+// Package experiment reads experiments and runs them in the simulation. An experiment names a rehearsal's
+// day, optionally a recording, and the arms that are compared on the same seeds. Seeds are added until the
+// confidence intervals are narrow enough. The package also calibrates the simulation against real processes.
 package experiment
 
 import (
@@ -12,36 +12,36 @@
 	"cresspass/internal/simulation"
 )
 
-// Arm is one of the variants that are compared.
+// Arm is one of the variants that an experiment compares.
 type Arm struct {
 	Name string
 	file armFile
 	day  *rehearsal.Day // with the arm's settings
 }
 
-// Experiment is a checked experiment.
+// Experiment is an experiment that Parse has checked.
 type Experiment struct {
 	Name, Title string
 	Day         *rehearsal.Day
-	Length      time.Duration
+	Length      time.Duration // simulated
 	WarmUp      time.Duration // left out of all figures
-	Seeds       int           // at most
-	SeedOffset  uint64        // the first seed is the next
-	HalfWidth   float64       // of an estimate, in shares, that is narrow enough; 0: use all seeds
+	Seeds       int           // maximum number of seeds
+	SeedOffset  uint64        // seeds start at SeedOffset+1
+	HalfWidth   float64       // sufficient half width of an estimate, in shares; 0: use all seeds
 	Arms        []Arm
 	SweptField  string // "": none
 	SweptValues []float64
-	Recorded    []recording.Entry // replace the clients of the day; nil: they do not
+	Recorded    []recording.Entry // queries that replace the clients of the day; nil: the day's clients
 }
 
-// Sources reads what an experiment names.
+// Sources holds the functions that read the files that an experiment names.
 type Sources struct {
 	Day       func(name string) ([]byte, error)
 	Shared    func(name string) ([]byte, error) // settings that days share
 	Recording func(path string) ([]recording.Entry, error)
 }
 
-// Config returns the simulation of an arm at a swept value, with a seed.
+// Config returns the configuration of the simulation of an arm at a swept value, with a seed.
 func (e *Experiment) Config(arm int, value float64, seed uint64) (simulation.Config, error) {
 	a := e.Arms[arm].file
 	if e.SweptField != "" {
@@ -66,7 +66,7 @@
 		}
 	}
 	c.Imbalance = a.Imbalance
-	c.ListDelay, _ = time.ParseDuration(a.ListDelay) // Parse has checked it; "" is none
+	c.ListDelay, _ = time.ParseDuration(a.ListDelay) // Parse has checked it; "" gives 0
 	c.ReportDelay, _ = time.ParseDuration(a.ReportDelay)
 	c.Network.Loss = math.Max(c.Network.Loss, a.Loss)
 	if a.OmitFaults {
@@ -83,7 +83,7 @@
 	return c, nil
 }
 
-// resize returns n engines that repeat the given ones.
+// resize returns n engines, which repeat the given ones in their order.
 func resize(engines []simulation.Engine, n int) (out []simulation.Engine) {
 	for i := range n {
 		e := engines[i%len(engines)]
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// The error of Parse says what is wrong with an experiment, and where.
+// Parse returns an error that describes what is wrong with an experiment.
 func TestParse(t *testing.T) {
 	for text, want := range map[string]string{
 		`day = "none"`: "no day",
@@ -87,8 +87,8 @@
 	}
 }
 
-// Two equal arms are equal on each seed; half of the engines make a significant difference; the swept field
-// changes the figures.
+// Two equal arms have equal figures on each seed. Halving the engines makes a significant difference. The
+// swept field changes the figures.
 func TestRun(t *testing.T) {
 	e, err := Parse("x", []byte(`
 day    = "little"
@@ -111,14 +111,14 @@
 	}
 	for f := range Figures {
 		if d := r.Difference(1, 0, f); d.Mean != 0 || d.IsSignificant() {
-			t.Errorf("%s of the same: %+v", Figures[f], d)
+			t.Errorf("difference of %s between equal arms: %+v", Figures[f], d)
 		}
 	}
 	if a, b := r.Cells[0][0].Estimate(0), r.Cells[0][1].Estimate(0); a.Mean < 0.95 || b.Mean > a.Mean-0.1 {
 		t.Errorf("served in time at a fifth of capacity %+v, at eight times that %+v", a, b)
 	}
 	if d := r.Difference(2, 1, 0); !d.IsSignificant() || d.Mean > 0 {
-		t.Errorf("half of the engines: %+v", d)
+		t.Errorf("difference in time served by half of the engines: %+v", d)
 	}
 	var b strings.Builder
 	err = r.Print(&b)
@@ -127,7 +127,8 @@
 	}
 }
 
-// A recording is replayed: its clients arrive when and where they did; two runs have one result.
+// A recording replaces the random arrivals, the work of its queries follows from their response times, and
+// two runs have the same result.
 func TestReplay(t *testing.T) {
 	e, err := Parse("x", []byte("day = \"little\"\nrecording = \"r\"\nseeds = 2\nwarm_up = \"1s\""),
 		sources(t))
@@ -136,10 +137,10 @@
 	}
 	c, err := e.Config(0, 0, 1)
 	if err != nil || len(c.Replay) != 200 || c.Traffic[0].Rate != 0 {
-		t.Fatalf("%d replayed, %v", len(c.Replay), err)
+		t.Fatalf("%d queries replayed, want 200, error %v", len(c.Replay), err)
 	}
 	if w := c.Replay[5].Work; math.Abs(w-0.6) > 1e-9 {
-		t.Errorf("0.3 s with two threads are %g thread seconds", w)
+		t.Errorf("work of a query of 0.3 s with two threads: %g thread seconds, want 0.6", w)
 	}
 	a, err := e.Run(nil)
 	if err != nil {
@@ -151,6 +152,6 @@
 	}
 	if x, y := a.Cells[0][0].Samples[0], again.Cells[0][0].Samples[0]; len(x) != 2 || x[0] != y[0] ||
 		x[0] < 0.9 {
-		t.Errorf("%v, then %v", x, y)
+		t.Errorf("served in time: %v, then %v", x, y)
 	}
 }
--- a/internal/simulation/experiment/parse.go
+++ b/internal/simulation/experiment/parse.go
@@ -15,15 +15,15 @@
 	"cresspass/internal/simulation"
 )
 
-// What holds where an experiment does not say.
+// Defaults and bounds of the settings of an experiment.
 const (
 	defaultSeeds  = 20
 	minSeeds      = 2
-	maxWarmUp     = 10 * time.Second
-	warmUpDivisor = 6 // the warm-up is at most this part of the length
+	maxWarmUp     = 10 * time.Second // of the default warm-up
+	warmUpDivisor = 6                // the default warm-up is at most the length divided by this
 )
 
-// experimentFile is an experiment as written.
+// experimentFile holds the settings of an experiment file.
 type experimentFile struct {
 	Title     string    `hcl:"title,optional"`
 	Day       string    `hcl:"day"`
@@ -39,7 +39,7 @@
 	} `hcl:"sweep,block"`
 }
 
-// armFile is an arm as written.
+// armFile holds the settings of an arm block.
 type armFile struct {
 	Name        string            `hcl:"name,label"`
 	Policy      string            `hcl:"policy,optional"`
@@ -57,7 +57,7 @@
 	Set         map[string]string `hcl:"set,optional"`
 }
 
-// sweepableFields are the fields that can be swept, with how each changes an arm.
+// sweepableFields are the functions that set a field of an arm to a swept value, by field.
 var sweepableFields = map[string]func(a *armFile, v float64){
 	"rate":        func(a *armFile, v float64) { a.Rate = v },
 	"dispatchers": func(a *armFile, v float64) { a.Dispatchers = int(v) },
@@ -68,7 +68,7 @@
 	"loss":        func(a *armFile, v float64) { a.Loss = v },
 }
 
-// parser checks an experiment and collects what is wrong with it.
+// parser checks an experiment and collects its errors.
 type parser struct {
 	name string
 	file experimentFile
@@ -76,7 +76,8 @@
 	errs []error
 }
 
-// Parse reads and checks an experiment. Its error names everything that is wrong.
+// Parse reads and checks an experiment. Unless the file can't be read or decoded, the error joins everything
+// that is wrong with it.
 func Parse(name string, src []byte, from Sources) (*Experiment, error) {
 	p := &parser{name: name, from: from}
 	parsed, diags := hclparse.NewParser().ParseHCL(src, name)
@@ -98,7 +99,7 @@
 		e.Seeds = defaultSeeds
 	}
 	if e.Seeds < minSeeds || e.HalfWidth < 0 || e.WarmUp >= e.Length {
-		p.fail("seeds are 2 at least, half_width 0 at least, warm_up within the length")
+		p.fail("seeds must be at least 2, half_width at least 0, and warm_up shorter than the length")
 	}
 	e.Arms = p.arms()
 	if f.Sweep != nil {
@@ -119,7 +120,7 @@
 	p.errs = append(p.errs, fmt.Errorf("%s: "+format, append([]any{p.name}, args...)...))
 }
 
-// duration reads a time; "" is the default.
+// duration parses a duration that is not negative; "" means byDefault.
 func (p *parser) duration(field, text string, byDefault time.Duration) time.Duration {
 	if text == "" {
 		return byDefault
@@ -131,7 +132,7 @@
 	return d
 }
 
-// day reads the day with an arm's settings.
+// day reads the experiment's day with the settings that an arm overrides.
 func (p *parser) day(arm *armFile) (*rehearsal.Day, error) {
 	src, err := p.from.Day(p.file.Day)
 	if err != nil {
@@ -144,7 +145,7 @@
 	for setting, value := range arm.Set {
 		line := regexp.MustCompile(`(?m)^(\s*` + regexp.QuoteMeta(setting) + `\s*=\s*).*$`)
 		if len(line.FindAllString(d.Settings, -1)) != 1 {
-			// The text begins with the setting, unlike others, which begin with the experiment's name.
+			// Unlike other errors, which begin with the experiment's name, this one begins with the setting.
 			return nil, fmt.Errorf("%s: arm %q: the settings do not have one %s", setting, arm.Name, setting)
 		}
 		d.Settings = line.ReplaceAllString(d.Settings, "${1}"+value)
@@ -157,7 +158,7 @@
 	return d, nil
 }
 
-// arms checks the arms. Without any, there is one that changes nothing.
+// arms checks and returns the arms. If the file has none, it returns one arm that changes nothing.
 func (p *parser) arms() (arms []Arm) {
 	files := p.file.Arms
 	if len(files) == 0 {
@@ -177,12 +178,13 @@
 	return arms
 }
 
+// checkArm checks the settings of an arm.
 func (p *parser) checkArm(a *armFile) {
 	if !slices.Contains(simulation.Policies, a.Policy) {
 		p.fail("arm %q: there is no policy %q", a.Name, a.Policy)
 	}
 	if a.Binary != "" && a.Policy != "" {
-		p.fail("arm %q: a binary and a policy both decide", a.Name)
+		p.fail("arm %q: binary and policy are mutually exclusive", a.Name)
 	}
 	if !slices.Contains([]string{"", "no", "cold", "ask"}, a.Gossip) {
 		p.fail("arm %q: talk is no, cold or ask", a.Name)
--- a/internal/simulation/experiment/print.go
+++ b/internal/simulation/experiment/print.go
@@ -8,13 +8,13 @@
 	"cresspass/internal/simulation"
 )
 
-// bootstrapDrawings is the number of drawings for the interval of a quantile.
+// bootstrapDrawings is the number of resamples for the confidence interval of a quantile.
 const bootstrapDrawings = 200
 
 // printedQuantiles are the quantiles of response times that Print shows.
 var printedQuantiles = []float64{0.5, 0.99}
 
-// Print writes the result as a table.
+// Print writes the result as a table for each swept value.
 func (r *Result) Print(w io.Writer) error {
 	out := bufio.NewWriter(w)
 	for value := range r.Cells[0] {
@@ -28,6 +28,8 @@
 	return out.Flush()
 }
 
+// printCell writes the figures of an arm at a swept value and, except for the first arm, their differences
+// from the first arm.
 func (r *Result) printCell(out *bufio.Writer, arm, value int) {
 	c := &r.Cells[arm][value]
 	fmt.Fprintf(out, "  %s: %d seeds, %.1f million events, %.1f s\n", r.Arms[arm].Name, len(c.Samples[0]),
--- a/internal/simulation/experiment/recording.go
+++ b/internal/simulation/experiment/recording.go
@@ -9,13 +9,13 @@
 	"cresspass/internal/simulation"
 )
 
-// maxSlowdown bounds the work of a recorded query, as a multiple of the mean of the quickest tenth of its
-// shape: what took longer has waited.
+// maxSlowdown bounds the response time from which the work of a recorded query is derived, as a multiple of
+// the mean of the quickest tenth of its shape. Queries that took longer have waited.
 const maxSlowdown = 40
 
-// applyRecording replaces the clients that are drawn by recorded ones. The work of a query follows from its
-// own time where it was served, waits included, and otherwise from the quickest tenth of its shape, as these
-// queries met the fewest others.
+// applyRecording replaces the random arrivals by recorded queries. The work of a query is derived from its
+// own response time, waits included, if it was served, and otherwise from the quickest tenth of its shape,
+// because these queries had the least contention.
 func applyRecording(c *simulation.Config, entries []recording.Entry) error {
 	traffic := map[string]int{}
 	for i := range c.Traffic {
@@ -30,7 +30,7 @@
 		}
 		i, known := traffic[e.Class]
 		if !known {
-			return fmt.Errorf("experiment: the recording has class %q, the day has no traffic of it", e.Class)
+			return fmt.Errorf("experiment: class %q of the recording has no traffic in the day", e.Class)
 		}
 		r := simulation.Replay{
 			At:           e.ArrivedAt,
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// recordedWork estimates a query's thread seconds. quickest is the mean time of the quickest tenth of its
-// shape, in seconds; 0: none was served.
+// recordedWork estimates a query's work in thread seconds. quickest is the mean response time of the quickest
+// tenth of its shape, in seconds; 0 if no query of the shape was served.
 func recordedWork(e *recording.Entry, t *simulation.Traffic, quickest float64) float64 {
 	threads := t.Threads
 	if e.Threads > 0 {
@@ -58,15 +58,16 @@
 	case quickest <= 0:
 		return t.Work
 	case e.Outcome == recording.Served:
-		// One shape has quick and long queries that differ by far. With a bound of only a few times the
-		// quickest, a recording would ask for a fraction of its work.
+		// Response times within one shape differ widely. If the bound were only a few times the quickest, the
+		// replay would have a fraction of the recorded work.
 		return threads * math.Min(e.Elapsed.Seconds(), maxSlowdown*quickest)
 	default:
 		return threads * quickest
 	}
 }
 
-// quickestTimes is the mean of the quickest tenth of the served queries' times, in seconds, by shape.
+// quickestTimes returns the mean response time of the quickest tenth of the served queries, in seconds, by
+// shape.
 func quickestTimes(entries []recording.Entry) map[uint64]float64 {
 	times := map[uint64][]float64{}
 	for _, e := range entries {
--- a/internal/simulation/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -12,27 +12,27 @@
 	"cresspass/internal/simulation/wirehost"
 )
 
-// Figures are the names of what is reported of each arm, in the order of Cell.Samples.
+// Figures are the names of the figures that are reported for each arm, in the order of Cell.Samples.
 var Figures = []string{"served in time", "served", "refused", "failed", "mean time to answer, s",
 	"engines over two threads a core", "rules broken"}
 
-// servedInTime is the index of the figure whose estimates decide how many seeds are run.
+// servedInTime is the index of the figure whose estimates determine how many seeds are run.
 const servedInTime = 0
 
-// firstSeeds is how many seeds are run before the estimates decide about more.
+// firstSeeds is how many seeds are run before the estimates determine how many more are needed.
 const firstSeeds = 5
 
-// Cell is one arm at one swept value.
+// Cell holds the results of one arm at one swept value.
 type Cell struct {
 	Value    float64
 	Samples  [][]float64 // by figure, one for each seed
 	Times    [][]float64 // response times of served requests, by seed, in seconds
-	Unstable int         // runs whose number of open requests grew all along
-	Events   uint64
+	Unstable int         // number of runs for which simulation.IsUnstable is true
+	Events   uint64      // executed in all runs
 	WallTime time.Duration
 }
 
-// Estimate is the estimate of a figure.
+// Estimate returns the estimate of a figure.
 func (c *Cell) Estimate(figure int) simulation.Estimate {
 	return simulation.EstimateMean(c.Samples[figure])
 }
@@ -55,15 +55,16 @@
 	Cells [][]Cell // by arm and value
 }
 
-// Difference is the estimate of a figure's difference between an arm and the first, seed by seed.
+// Difference returns the estimate of the difference of a figure between an arm and the first arm, paired by
+// seed.
 func (r *Result) Difference(arm, value, figure int) simulation.Estimate {
 	return simulation.EstimateMean(simulation.Differences(r.Cells[arm][value].Samples[figure],
 		r.Cells[0][value].Samples[figure]))
 }
 
-// Run runs all arms on the same seeds. It adds seeds until the estimates of the first figure, and of its
-// differences from the first arm, are as narrow as wanted, or there are as many seeds as allowed. onProgress
-// is called after each round; it may be nil.
+// Run runs all arms on the same seeds. It adds seeds until the half widths of the first arm's estimate of the
+// first figure, and of the other arms' differences from it, are at most HalfWidth, or the number of seeds is
+// Seeds. onProgress is called after each round; it may be nil.
 func (e *Experiment) Run(onProgress func(done string)) (*Result, error) {
 	values := e.SweptValues
 	if e.SweptField == "" {
@@ -94,7 +95,7 @@
 	return out, nil
 }
 
-// runSeeds runs an arm at a value with more seeds than it has been run with, side by side.
+// runSeeds runs an arm at a value with more seeds in parallel, after the ones already done.
 func (r *Result) runSeeds(arm, value, done, more int) error {
 	begin := time.Now()
 	c := &r.Cells[arm][value]
@@ -112,10 +113,10 @@
 	return nil
 }
 
-// additionalSeeds is how many more seeds the arms need at a value.
+// additionalSeeds returns how many more seeds the arms need at a value.
 func (r *Result) additionalSeeds(value int) (more int) {
 	halfWidth := r.HalfWidth
-	if halfWidth == 0 { // all seeds
+	if halfWidth == 0 { // use all seeds
 		halfWidth = math.SmallestNonzeroFloat64
 	}
 	for arm := range r.Arms {
@@ -128,10 +129,10 @@
 	return more
 }
 
-// seedResult is the result of one seed.
+// seedResult is the result of one run with one seed.
 type seedResult struct {
 	figures  []float64 // see Figures
-	times    []float64
+	times    []float64 // response times of served requests, in seconds
 	unstable bool
 	events   uint64
 }
@@ -148,7 +149,7 @@
 		if startErr != nil {
 			return r, startErr
 		}
-		defer func() { // the results of a program that failed mean nothing
+		defer func() { // the results of a program that failed are meaningless
 			if hostErr := host.Close(); hostErr != nil {
 				err = hostErr
 			}
@@ -168,8 +169,8 @@
 	return e.summarize(&cfg, result), nil
 }
 
-// summarize returns the figures of a run. Requests that came so late that they may still be open at the end
-// are left out.
+// summarize returns the figures of a run. Requests that arrived so late that they may still be open at the
+// end are left out.
 func (e *Experiment) summarize(cfg *simulation.Config, result *simulation.Result) (r seedResult) {
 	last := cfg.Length
 	for _, c := range cfg.Module.Classes {
--- a/internal/simulation/plot/plot.go
+++ b/internal/simulation/plot/plot.go
@@ -1,4 +1,4 @@
-// Package plot draws results of the simulation as charts with error bars, on pages of HTML.
+// Package plot draws results of the simulation as charts with error bars, on HTML pages.
 package plot
 
 import (
@@ -14,17 +14,19 @@
 	"cresspass/internal/simulation/experiment"
 )
 
-// Curve is a line of points with the half widths of their intervals; nil HalfWidths: it has no error bars.
+// Curve is a line of points with the half widths of their confidence intervals. With nil HalfWidths it has no
+// error bars.
 type Curve struct {
 	Name       string
 	Values     []float64
 	HalfWidths []float64
 }
 
-// edgeOpacity is the opacity of the lines along the ends of the intervals.
+// edgeOpacity is the opacity of the lines along the ends of the confidence intervals.
 const edgeOpacity = 0.6
 
-// Chart draws curves over an axis.
+// Chart returns a line chart of curves. x and y are the names of the axes; axis holds the labels of the
+// points along the x axis.
 func Chart(title, subtitle, x, y string, axis []string, curves ...Curve) components.Charter {
 	l := charts.NewLine()
 	l.SetGlobalOptions(charts.WithTitleOpts(opts.Title{Title: title, Subtitle: subtitle}),
@@ -52,7 +54,7 @@
 	return l
 }
 
-// points rounds values to what a chart can show; NaN and infinity are gaps.
+// points rounds values to the precision that a chart can show. NaN and infinity become gaps.
 func points(values []float64) []opts.LineData {
 	out := make([]opts.LineData, len(values))
 	for i, v := range values {
@@ -63,7 +65,7 @@
 	return out
 }
 
-// Page writes charts as one page.
+// Page writes charts as one HTML page.
 func Page(w io.Writer, title string, all ...components.Charter) error {
 	page := components.NewPage()
 	page.SetPageTitle(title)
@@ -71,7 +73,7 @@
 	return page.Render(w)
 }
 
-// Convergence charts fleets of several sizes.
+// Convergence charts the convergence times and the traffic of fleets over their size.
 func Convergence(all []simulation.Convergence) []components.Charter {
 	var axis []string
 	var agreed, known, back, mean, most []float64
@@ -91,7 +93,7 @@
 	}
 }
 
-// Newcomers charts a comparison: each figure over the time since the restart.
+// Newcomers charts a comparison: each figure, by arm, over the windows of time since the restart.
 func Newcomers(n *simulation.Comparison, where string) (out []components.Charter) {
 	var axis []string
 	for _, w := range n.Windows {
@@ -113,7 +115,8 @@
 	return out
 }
 
-// Experiment charts each figure over the swept field, or by arm where nothing is swept.
+// Experiment charts each figure, by arm, over the values of the swept field. Without a sweep, each arm has a
+// single point.
 func Experiment(r *experiment.Result) (out []components.Charter) {
 	for f, name := range experiment.Figures {
 		var axis []string
--- a/internal/simulation/wirehost/host.go
+++ b/internal/simulation/wirehost/host.go
@@ -1,6 +1,7 @@
-// Package wirehost lets another program decide. It runs a command that speaks the simulator's protocol, as
-// cmd/adapter does, and makes each of its instances a dispatch.Decider. So a version of the module that was
-// built earlier can be compared with this one. The protocol has no place for membership or snapshots.
+// Package wirehost lets an external program make the decisions of dispatchers. It runs a command that speaks
+// the simulator's protocol, as cmd/adapter does, and provides each of the program's instances as a
+// dispatch.Decider. This allows an earlier build of the module to be compared with the current one. The
+// protocol does not support membership or snapshots.
 package wirehost
 
 import (
@@ -15,10 +16,10 @@
 	"cresspass/internal/wire"
 )
 
-// exitTimeout is how long the program may take to exit once its input has ended.
+// exitTimeout is how long the program may take to exit after the end of its input.
 const exitTimeout = 5 * time.Second
 
-// Host is a running program. It is for one goroutine at a time, except Close.
+// Host is a running program. Except for Close, it must not be used by several goroutines at once.
 type Host struct {
 	command      string
 	cmd          *exec.Cmd
@@ -26,12 +27,12 @@
 	in           io.WriteCloser
 	out          *wire.BatchWriter
 	replies      *wire.ReplyReader
-	lastInstance int // its number
-	err          error
+	lastInstance int   // number of the last instance started
+	err          error // the first one
 	stderrTail   tailBuffer
 }
 
-// Start runs a command, which /bin/sh reads. The caller must call Close.
+// Start runs a command through /bin/sh. The caller must call Close.
 func Start(command string) (*Host, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	h := &Host{command: command, stop: stop, cmd: exec.CommandContext(ctx, "/bin/sh", "-c", "exec "+command)}
@@ -52,22 +53,22 @@
 	return h, nil
 }
 
-// Close ends the program's input, waits until it exits, and returns its first error. A program that does not
-// exit within exitTimeout is killed.
+// Close closes the program's input, waits until the program exits, and returns the host's first error or the
+// program's exit status. A program that does not exit within exitTimeout is killed.
 func (h *Host) Close() error {
-	_ = h.in.Close() // fails only where the program has ended, which Wait reports
+	_ = h.in.Close() // fails only if the program has ended, which Wait reports
 	killTimer := time.AfterFunc(exitTimeout, h.stop)
 	defer killTimer.Stop()
 	defer h.stop()
 	var exit *exec.ExitError
 	if err := h.cmd.Wait(); h.err == nil || errors.As(err, &exit) && exit.Exited() {
-		h.err = errors.Join(h.err, err) // the exit status says more than the end of its output
+		h.err = errors.Join(h.err, err) // the exit status is more informative than the end of its output
 	}
 	return h.Err()
 }
 
-// Err returns the first error, with the end of what the program wrote to its standard error. After an error
-// no instance does anything.
+// Err returns the first error, with the end of the program's standard error output. After an error, instances
+// do nothing.
 func (h *Host) Err() error {
 	if h.err == nil {
 		return nil
@@ -82,20 +83,20 @@
 type Instance struct {
 	host         *Host
 	number       int
-	firstActions []cresspass.Action // of its start, returned by the next Handle
+	firstActions []cresspass.Action // actions at its start, returned by the next Handle
 }
 
-// New starts an instance, with a clock that shows now.
+// New starts an instance whose clock shows now. Err reports whether that failed.
 func (h *Host) New(cfg *cresspass.Config, now time.Duration) *Instance {
 	h.lastInstance++
 	it := &Instance{host: h, number: h.lastInstance}
-	// The actions of its start hold its first timer; if they were lost, no timer of it would ever fire.
+	// The actions at its start set its first timer. If they were lost, none of its timers would ever fire.
 	it.firstActions = it.exchange(now, nil, func() { h.out.Start(it.number, cfg) })
 	return it
 }
 
-// exchange sends a batch and reads the reply. The end of the program's output is an error of the reply;
-// otherwise, a program that exited would leave the simulation waiting forever.
+// exchange sends a batch, written by write, and appends the actions of the reply to actions. The end of the
+// program's output is an error; otherwise, a program that exited would leave the simulation waiting forever.
 func (it *Instance) exchange(now time.Duration, actions []cresspass.Action, write func()) []cresspass.Action {
 	h := it.host
 	if h.err != nil {
@@ -109,7 +110,8 @@
 	return actions
 }
 
-// Handle lets the instance decide. An instance acts on events only, so without any there is no exchange.
+// Handle passes events to the instance and appends its actions. An instance acts only on events, so there is
+// no exchange without them.
 func (it *Instance) Handle(now time.Duration, events []cresspass.Event,
 	actions []cresspass.Action) []cresspass.Action {
 	actions, it.firstActions = append(actions, it.firstActions...), nil
@@ -123,13 +125,13 @@
 	})
 }
 
-// Retire ends the instance.
+// Retire stops the instance in the program.
 func (it *Instance) Retire(now time.Duration) {
 	it.exchange(now, nil, func() { it.host.out.Stop(it.number) })
 }
 
-// Snapshot returns nothing, as the protocol has no snapshots.
+// Snapshot returns nil, because the protocol has no snapshots.
 func (it *Instance) Snapshot() []byte { return nil }
 
-// Restore does nothing, as the protocol has no snapshots.
+// Restore does nothing, because the protocol has no snapshots.
 func (it *Instance) Restore([]byte, time.Duration) error { return nil }
--- a/internal/simulation/wirehost/tail.go
+++ b/internal/simulation/wirehost/tail.go
@@ -5,10 +5,10 @@
 	"sync"
 )
 
-// maxTailBytes is how much of a program's standard error is kept for its error.
+// maxTailBytes is how much of the end of a program's standard error is kept for error messages.
 const maxTailBytes = 2000
 
-// tailBuffer is a writer that keeps the last maxTailBytes. It is safe for concurrent use.
+// tailBuffer is a writer that keeps the last maxTailBytes bytes written. It is safe for concurrent use.
 type tailBuffer struct {
 	mu   sync.Mutex
 	text []byte
@@ -22,6 +22,7 @@
 	return len(b), nil
 }
 
+// String returns the kept bytes without leading and trailing white space.
 func (t *tailBuffer) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
