--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -34,8 +34,8 @@
 	return d.incarnation == j.incarnation && d.jobs[j.key()] == j
 }
 
-// done returns the AttemptDone event of the job, without its outcome.
-func (j *job) done() cresspass.Event {
+// doneEvent returns the AttemptDone event of the job, without its outcome.
+func (j *job) doneEvent() cresspass.Event {
 	return cresspass.Event{Type: cresspass.AttemptDone, Query: j.query, Attempt: j.attempt,
 		Engine: j.engine.id}
 }
@@ -43,8 +43,8 @@
 // startAttempt sends a query to an engine.
 func (d *dispatcher) startAttempt(o dispatch.Output) {
 	f := d.fleet
-	a, e := d.requests[o.Query], f.byID[o.Engine]
-	if a == nil || e == nil {
+	req, e := d.requests[o.Query], f.byID[o.Engine]
+	if req == nil || e == nil {
 		d.post(0, cresspass.Event{Type: cresspass.AttemptDone, Query: o.Query, Attempt: o.Attempt,
 			Engine: o.Engine, Outcome: cresspass.OutcomeConnectFailed})
 		return
@@ -56,18 +56,18 @@
 	informed := e.listedAt > 0
 	f.queue.In(f.cfg.TransitTime, func() {
 		if j.isCurrent() { // otherwise it was withdrawn in transit
-			f.arriveAtEngine(j, a, o, informed)
+			f.arriveAtEngine(j, req, o, informed)
 		}
 	})
 }
 
 // arriveAtEngine starts a query at its engine. informed means that the dispatcher knew the engine's current
 // state when it sent the query.
-func (f *Fleet) arriveAtEngine(j *job, a *request, o dispatch.Output, informed bool) {
+func (f *Fleet) arriveAtEngine(j *job, req *request, o dispatch.Output, informed bool) {
 	d, e := j.dispatcher, j.engine
 	refuse := func(outcome cresspass.Outcome) {
 		delete(d.jobs, j.key())
-		ev := j.done()
+		ev := j.doneEvent()
 		ev.Outcome = outcome
 		d.post(f.cfg.TransitTime, ev)
 	}
@@ -79,13 +79,13 @@
 		refuse(cresspass.OutcomeFailed)
 		return
 	}
-	f.recordArrival(e, a.work, informed)
+	f.recordArrival(e, req.work, informed)
 	tables := ""
-	if a.tableGroup > 0 {
-		tables = fmt.Sprint(a.tableGroup)
+	if req.tableGroup > 0 {
+		tables = fmt.Sprint(req.tableGroup)
 	}
-	t := &f.cfg.Traffic[a.traffic]
-	j.running = e.model.Start(f.queue.Now(), enginemodel.Job{Work: a.work, Threads: t.Threads,
+	t := &f.cfg.Traffic[req.traffic]
+	j.running = e.model.Start(f.queue.Now(), enginemodel.Job{Work: req.work, Threads: t.Threads,
 		NeedMB: t.NeedMB, GrantMB: o.MemoryGrantMB, DataSet: tables, IsLoad: t.IsLoad,
 		Priority: max(o.Priority, 0)})
 	if e.model.Collapsed() {
@@ -134,14 +134,14 @@
 			return
 		}
 		delete(d.jobs, j.key())
-		if a := d.requests[j.query]; a != nil {
+		if req := d.requests[j.query]; req != nil {
 			delete(d.requests, j.query)
-			f.finishRequest(a, d, Served, 0)
+			f.finishRequest(req, d, Served, 0)
 		}
 		if d.member != nil {
 			d.member.Node.RecordAttempt(d.member.now(f.queue), j.engine.id, true, -1)
 		}
-		ev := j.done()
+		ev := j.doneEvent()
 		ev.Outcome, ev.Elapsed, ev.QueryFinished = cresspass.OutcomeOK, f.queue.Now()-j.sentAt, true
 		ev.LoadReport, ev.HasLoadReport = report, hasReport
 		d.step(ev)
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -67,23 +67,23 @@
 // drawRequest draws a client's query.
 func (f *Fleet) drawRequest(traffic int, r *rand.Rand) *request {
 	t := &f.cfg.Traffic[traffic]
-	a := &request{traffic: traffic, class: f.cfg.class(t.Class), firstArrival: f.queue.Now(),
+	req := &request{traffic: traffic, class: f.cfg.class(t.Class), firstArrival: f.queue.Now(),
 		work: t.Work * math.Exp(t.Spread*r.NormFloat64()-t.Spread*t.Spread/2)}
 	if r.Float64() < heavyTailShare {
-		a.work *= f.disturbance.tailFactor
+		req.work *= f.disturbance.tailFactor
 	}
 	if t.Keys > 0 {
-		a.key = fmt.Sprint(t.Class, " ", r.IntN(t.Keys))
+		req.key = fmt.Sprint(t.Class, " ", r.IntN(t.Keys))
 	}
 	if t.Tables > 0 {
-		a.tableGroup = 1 + r.IntN(t.Tables)
+		req.tableGroup = 1 + r.IntN(t.Tables)
 	}
 	// Always drawn, so that the later draws are the same with and without cost estimates.
-	a.costEstimate = t.CostEstimateFactor * a.work * math.Exp(costEstimateSigma*r.NormFloat64())
+	req.costEstimate = t.CostEstimateFactor * req.work * math.Exp(costEstimateSigma*r.NormFloat64())
 	if t.CostEstimateFactor == 0 {
-		a.costEstimate = 0
+		req.costEstimate = 0
 	}
-	return a
+	return req
 }
 
 // pickDispatcher draws the dispatcher that a client connects to.
@@ -111,48 +111,48 @@
 	r := &f.cfg.Replay[i]
 	f.queue.At(r.At, func() {
 		class := f.cfg.class(f.cfg.Traffic[r.Traffic].Class)
-		a := &request{traffic: r.Traffic, class: class, firstArrival: f.queue.Now(), work: r.Work,
+		req := &request{traffic: r.Traffic, class: class, firstArrival: f.queue.Now(), work: r.Work,
 			costEstimate: r.CostEstimate, key: r.Key}
-		f.handleArrival(a, r.Dispatcher%len(f.dispatchers))
+		f.handleArrival(req, r.Dispatcher%len(f.dispatchers))
 		f.scheduleReplay(i + 1)
 	})
 }
 
 // handleArrival sends a request to a dispatcher or, if that is down, to the next one that is up. It fails the
 // request if all are down.
-func (f *Fleet) handleArrival(a *request, at int) {
-	if a.attempts == 0 {
+func (f *Fleet) handleArrival(req *request, number int) {
+	if req.attempts == 0 {
 		f.openRequests++
 	}
 	for range f.dispatchers {
-		if d := f.dispatchers[at]; d.up {
-			d.admit(a)
+		if d := f.dispatchers[number]; d.up {
+			d.admit(req)
 			return
 		}
-		at = (at + 1) % len(f.dispatchers)
+		number = (number + 1) % len(f.dispatchers)
 	}
-	f.finishRequest(a, f.dispatchers[at], Failed, 0)
+	f.finishRequest(req, f.dispatchers[number], Failed, 0)
 }
 
 // finishRequest delivers the outcome of a request to the client, who may retry a rejected query.
-func (f *Fleet) finishRequest(a *request, d *dispatcher, end Outcome, retryAfter time.Duration) {
-	if a.done {
+func (f *Fleet) finishRequest(req *request, d *dispatcher, outcome Outcome, retryAfter time.Duration) {
+	if req.done {
 		return
 	}
-	t := &f.cfg.Traffic[a.traffic]
-	left := a.class.Deadline - (f.queue.Now() - a.firstArrival)
-	a.attempts++
-	if end == Rejected && a.attempts <= t.Retries && retryAfter > 0 && left > 2*retryAfter {
+	t := &f.cfg.Traffic[req.traffic]
+	left := req.class.Deadline - (f.queue.Now() - req.firstArrival)
+	req.attempts++
+	if outcome == Rejected && req.attempts <= t.Retries && retryAfter > 0 && left > 2*retryAfter {
 		jitter := time.Duration(f.random.Float64() * float64(retryAfter) / 2)
-		f.queue.In(retryAfter+jitter, func() { f.handleArrival(a, d.number) })
+		f.queue.In(retryAfter+jitter, func() { f.handleArrival(req, d.number) })
 		return
 	}
-	a.done = true
+	req.done = true
 	f.openRequests--
-	elapsed := f.queue.Now() - a.firstArrival
-	if elapsed > a.class.Deadline+f.cfg.Module.Rules.AnswerGrace+lateTolerance {
+	elapsed := f.queue.Now() - req.firstArrival
+	if elapsed > req.class.Deadline+f.cfg.Module.Rules.AnswerGrace+lateTolerance {
 		f.result.Violations.LateAnswers++
 	}
-	f.result.Requests = append(f.result.Requests, Request{Class: a.traffic, Dispatcher: d.number,
-		At: a.firstArrival, Elapsed: elapsed, Outcome: end, Late: elapsed > a.class.LatencyObjective})
+	f.result.Requests = append(f.result.Requests, Request{Class: req.traffic, Dispatcher: d.number,
+		At: req.firstArrival, Elapsed: elapsed, Outcome: outcome, Late: elapsed > req.class.LatencyObjective})
 }
--- a/internal/simulation/comparison.go
+++ b/internal/simulation/comparison.go
@@ -55,9 +55,9 @@
 }
 
 // Samples returns the values of a figure for an arm and a window, one for each seed.
-func (n *Comparison) Samples(arm, window, figure int) (out []float64) {
-	for i := range n.Summaries[arm] {
-		out = append(out, Figures[figure].Of(&n.Summaries[arm][i][window]))
+func (c *Comparison) Samples(arm, window, figure int) (out []float64) {
+	for i := range c.Summaries[arm] {
+		out = append(out, Figures[figure].Of(&c.Summaries[arm][i][window]))
 	}
 	return out
 }
--- a/internal/simulation/config.go
+++ b/internal/simulation/config.go
@@ -18,7 +18,7 @@
 	GossipAndBootstrap                   // they gossip; a starting one asks for the model state of others
 )
 
-func (t GossipMode) String() string { return [...]string{"silent", "talking", "newcomers"}[t] }
+func (m GossipMode) String() string { return [...]string{"silent", "talking", "newcomers"}[m] }
 
 // Traffic describes the queries that clients of one class send.
 type Traffic struct {
--- a/internal/simulation/converge.go
+++ b/internal/simulation/converge.go
@@ -80,13 +80,13 @@
 )
 
 // Converge starts all members of a fleet within startSpread and measures how fast they agree.
-func Converge(seed uint64, n, engines int, w NetworkConditions) Convergence {
+func Converge(seed uint64, n, engines int, conditions NetworkConditions) Convergence {
 	q := &Queue{}
 	cores := map[cresspass.EngineID]float64{}
 	for i := range engines {
 		cores[engineID(i)] = 16
 	}
-	f := NewMembers(q, seed, n, w, DefaultDetection(), GossipConfig(1, 4),
+	f := NewMembers(q, seed, n, conditions, DefaultDetection(), GossipConfig(1, 4),
 		func(t *gossip.Node) { t.SetEngines(cores) })
 	out := Convergence{Members: n}
 	for i := range n {
@@ -139,16 +139,16 @@
 }
 
 // measureTraffic returns the bytes per second that members send: the mean and the maximum over the members.
-func (f *Members) measureTraffic() (mean, most float64) {
+func (f *Members) measureTraffic() (mean, maximum float64) {
 	f.Queue.Run(f.Queue.Now() + trafficWarmup)
 	before := slices.Clone(f.Net.Bytes)
 	f.Queue.Run(f.Queue.Now() + trafficWindow)
 	for i := range f.All {
 		b := float64(f.Net.Bytes[i]-before[i]) / trafficWindow.Seconds()
 		mean += b / float64(len(f.All))
-		most = max(most, b)
+		maximum = max(maximum, b)
 	}
-	return mean, most
+	return mean, maximum
 }
 
 // measurePropagation returns the time from one member's observation until all members know it.
--- a/internal/simulation/dispatcher.go
+++ b/internal/simulation/dispatcher.go
@@ -82,8 +82,8 @@
 		_ = d.core.Restore(d.snapshot, f.queue.Now()-d.stoppedAt)
 	}
 	d.step(d.engineListEvent(f.engineList()))
-	for _, a := range d.waiting {
-		d.admit(a)
+	for _, req := range d.waiting {
+		d.admit(req)
 	}
 	d.waiting = nil
 }
@@ -108,12 +108,12 @@
 		d.withdraw(j)
 	}
 	var open []*request
-	for _, a := range d.requests {
-		open = append(open, a)
+	for _, req := range d.requests {
+		open = append(open, req)
 	}
 	slices.SortFunc(open, func(a, b *request) int { return cmp.Compare(a.id, b.id) })
-	for _, a := range append(open, d.waiting...) {
-		f.finishRequest(a, d, Failed, 0)
+	for _, req := range append(open, d.waiting...) {
+		f.finishRequest(req, d, Failed, 0)
 	}
 	if d.member != nil {
 		f.members.Stop(d.number, false)
@@ -126,28 +126,28 @@
 func (d *dispatcher) clock() time.Duration { return d.fleet.queue.Now() - d.epoch }
 
 // admit accepts a client's query, or holds it back until the bootstrap completes.
-func (d *dispatcher) admit(a *request) {
+func (d *dispatcher) admit(req *request) {
 	f := d.fleet
 	if d.bootstrapRequested {
-		d.waiting = append(d.waiting, a)
+		d.waiting = append(d.waiting, req)
 		return
 	}
 	f.lastRequestID++
-	a.id = cresspass.QueryID(f.lastRequestID)
-	d.requests[a.id] = a
+	req.id = cresspass.QueryID(f.lastRequestID)
+	d.requests[req.id] = req
 	d.acceptTimes = append(d.acceptTimes, f.queue.Now())
-	left := a.class.Deadline - (f.queue.Now() - a.firstArrival)
+	left := req.class.Deadline - (f.queue.Now() - req.firstArrival)
 	d.step(cresspass.Event{
 		Type:              cresspass.QueryArrived,
-		Query:             a.id,
-		Class:             a.class.Name,
+		Query:             req.id,
+		Class:             req.class.Name,
 		RemainingDeadline: max(left, 1),
-		HasCostEstimate:   a.costEstimate > 0,
-		CostEstimate:      time.Duration(a.costEstimate * float64(time.Second)),
-		Key:               a.key,
-		TableGroup:        float64(a.tableGroup),
-		IsRetry:           a.attempts > 0,
-		IsWrite:           a.class.Effect != cresspass.Idempotent,
+		HasCostEstimate:   req.costEstimate > 0,
+		CostEstimate:      time.Duration(req.costEstimate * float64(time.Second)),
+		Key:               req.key,
+		TableGroup:        float64(req.tableGroup),
+		IsRetry:           req.attempts > 0,
+		IsWrite:           req.class.Effect != cresspass.Idempotent,
 	})
 }
 
@@ -238,10 +238,10 @@
 }
 
 // answer ends a query without an engine's answer.
-func (d *dispatcher) answer(o dispatch.Output, end Outcome) {
-	a := d.requests[o.Query]
+func (d *dispatcher) answer(o dispatch.Output, outcome Outcome) {
+	req := d.requests[o.Query]
 	delete(d.requests, o.Query)
-	if a != nil {
-		d.fleet.finishRequest(a, d, end, o.RetryAfter)
+	if req != nil {
+		d.fleet.finishRequest(req, d, outcome, o.RetryAfter)
 	}
 }
--- a/internal/simulation/dispatcher_gossip.go
+++ b/internal/simulation/dispatcher_gossip.go
@@ -52,15 +52,16 @@
 }
 
 // handleGossip executes an action of the gossip node that concerns the core.
-func (d *dispatcher) handleGossip(o gossip.Action) {
-	switch o.Type {
+func (d *dispatcher) handleGossip(action gossip.Action) {
+	switch action.Type {
 	case gossip.DeliverMessage:
-		d.post(0, cresspass.Event{Type: cresspass.PeerMessageReceived, Peer: o.From, Data: o.Data})
+		d.post(0, cresspass.Event{Type: cresspass.PeerMessageReceived, Peer: action.From, Data: action.Data})
 	case gossip.UpdateView:
-		d.post(0, cresspass.Event{Type: cresspass.MembershipChanged, Peer: o.View.Ordinal,
-			Value: float64(o.View.Count), Elapsed: o.Clock})
+		d.post(0, cresspass.Event{Type: cresspass.MembershipChanged, Peer: action.View.Ordinal,
+			Value: float64(action.View.Count), Elapsed: action.Clock})
 	case gossip.ReportEngineDown:
-		d.post(0, cresspass.Event{Type: cresspass.EngineReportedDown, Engine: cresspass.EngineID(o.Engine)})
+		d.post(0, cresspass.Event{Type: cresspass.EngineReportedDown,
+			Engine: cresspass.EngineID(action.Engine)})
 	case gossip.CompleteBootstrap:
 		if d.bootstrapRequested {
 			d.completeBootstrap()
@@ -97,9 +98,9 @@
 	})
 }
 
-// forgedMessages are the types of the messages of a Byzantine dispatcher. Their loads alternate between 255
-// and 254, so that one aggregate reports all engines as full and the other reports them as ejected.
-var forgedMessages = []cresspass.PeerMessageType{cresspass.PeerLoadReport, cresspass.PeerAggregate,
+// forgedMessageTypes are the types of the messages of a Byzantine dispatcher. Their loads alternate between
+// 255 and 254, so that one aggregate reports all engines as full and the other reports them as ejected.
+var forgedMessageTypes = []cresspass.PeerMessageType{cresspass.PeerLoadReport, cresspass.PeerAggregate,
 	cresspass.PeerAggregate, cresspass.PeerSendNotice, cresspass.PeerForwardedSends}
 
 // forgedLoads returns a message that reports the same load for all engines. A load report also reports that
@@ -117,13 +118,13 @@
 	return data
 }
 
-// forgeMessage makes a dispatcher report to the others, every forgeInterval, that all engines are full,
-// ejected or down.
-func (f *Fleet) forgeMessage(d *dispatcher) {
+// scheduleForgedMessages makes a dispatcher report to the others, every forgeInterval, that all engines are
+// full, ejected or down.
+func (f *Fleet) scheduleForgedMessages(d *dispatcher) {
 	f.queue.In(forgeInterval, func() {
 		if d.up && d.member != nil {
 			now := d.member.now(f.queue)
-			for i, messageType := range forgedMessages {
+			for i, messageType := range forgedMessageTypes {
 				d.member.Node.SendMessage(now, -1, f.forgedLoads(messageType, byte(255-i%2)))
 			}
 			for _, e := range f.engines {
@@ -132,6 +133,6 @@
 			}
 			f.members.ApplyActions(d.member)
 		}
-		f.forgeMessage(d)
+		f.scheduleForgedMessages(d)
 	})
 }
--- a/internal/simulation/engine.go
+++ b/internal/simulation/engine.go
@@ -144,7 +144,7 @@
 		if d.member != nil {
 			d.member.Node.RecordAttempt(d.member.now(f.queue), e.id, false, -1)
 		}
-		ev := j.done()
+		ev := j.doneEvent()
 		ev.Outcome = cresspass.OutcomeConnectionReset
 		d.post(f.cfg.TransitTime, ev)
 	}
--- a/internal/simulation/estimate.go
+++ b/internal/simulation/estimate.go
@@ -16,25 +16,25 @@
 
 // EstimateMean returns the mean of samples from independent seeds with its 95% confidence interval.
 func EstimateMean(samples []float64) Estimate {
-	b := Estimate{N: len(samples)}
+	e := Estimate{N: len(samples)}
 	switch len(samples) {
 	case 0:
-		b.HalfWidth = math.Inf(1)
-		return b
+		e.HalfWidth = math.Inf(1)
+		return e
 	case 1:
-		b.Mean, b.HalfWidth = samples[0], math.Inf(1)
-		return b
+		e.Mean, e.HalfWidth = samples[0], math.Inf(1)
+		return e
 	}
 	mean, dev := stat.MeanStdDev(samples, nil)
 	n := float64(len(samples))
-	b.Mean = mean
-	b.HalfWidth = distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(upperTail) * dev / math.Sqrt(n)
-	return b
+	e.Mean = mean
+	e.HalfWidth = distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(upperTail) * dev / math.Sqrt(n)
+	return e
 }
 
 // IsSignificant reports whether the interval excludes zero. For an estimated difference, this means that the
 // difference is significant.
-func (b Estimate) IsSignificant() bool { return math.Abs(b.Mean) > b.HalfWidth }
+func (e Estimate) IsSignificant() bool { return math.Abs(e.Mean) > e.HalfWidth }
 
 // Differences returns the pairwise differences a[i]-b[i] of samples with the same seeds. Pairing cancels out
 // the effect that a seed has on both samples.
--- a/internal/simulation/experiment/calibrate.go
+++ b/internal/simulation/experiment/calibrate.go
@@ -17,13 +17,13 @@
 
 // Row is a figure of a class, as estimated from runs with real processes and from the simulation.
 type Row struct {
-	Class, Figure        string
-	OnSockets, Simulated simulation.Estimate
+	Class, Figure       string
+	Measured, Simulated simulation.Estimate
 }
 
 // Differs reports whether the confidence intervals of a row do not overlap.
 func (r *Row) Differs() bool {
-	return math.Abs(r.OnSockets.Mean-r.Simulated.Mean) > r.OnSockets.HalfWidth+r.Simulated.HalfWidth
+	return math.Abs(r.Measured.Mean-r.Simulated.Mean) > r.Measured.HalfWidth+r.Simulated.HalfWidth
 }
 
 // rowNames are the names of the values that outcomeCounts.figures returns, in its order.
@@ -35,63 +35,63 @@
 	responseTimes                   []float64 // of the served requests, in seconds
 }
 
-func (t *outcomeCounts) add(a *simulation.Request) {
-	t.total++
-	switch a.Outcome {
+func (c *outcomeCounts) add(req *simulation.Request) {
+	c.total++
+	switch req.Outcome {
 	case simulation.Served:
-		t.served++
-		t.responseTimes = append(t.responseTimes, a.Elapsed.Seconds())
+		c.served++
+		c.responseTimes = append(c.responseTimes, req.Elapsed.Seconds())
 	case simulation.Rejected:
-		t.rejected++
+		c.rejected++
 	default:
-		t.failed++
+		c.failed++
 	}
 }
 
 // figures returns the figures named by rowNames: shares of the requests, and quantiles of response times in
 // seconds.
-func (t *outcomeCounts) figures() []float64 {
-	n := math.Max(float64(t.total), 1)
-	slices.Sort(t.responseTimes)
+func (c *outcomeCounts) figures() []float64 {
+	n := math.Max(float64(c.total), 1)
+	slices.Sort(c.responseTimes)
 	quantile := func(q float64) float64 {
-		if len(t.responseTimes) == 0 {
+		if len(c.responseTimes) == 0 {
 			return 0
 		}
-		return t.responseTimes[int(q*float64(len(t.responseTimes)-1))]
+		return c.responseTimes[int(q*float64(len(c.responseTimes)-1))]
 	}
-	return []float64{float64(t.served) / n, float64(t.rejected) / n, float64(t.failed) / n, quantile(0.5),
+	return []float64{float64(c.served) / n, float64(c.rejected) / n, float64(c.failed) / n, quantile(0.5),
 		quantile(0.95)}
 }
 
 // countsByClass holds the outcome counts of one run by class.
 type countsByClass map[string]*outcomeCounts
 
-func (by countsByClass) add(class string, a *simulation.Request) {
+func (by countsByClass) add(class string, req *simulation.Request) {
 	if by[class] == nil {
 		by[class] = &outcomeCounts{}
 	}
-	by[class].add(a)
+	by[class].add(req)
 }
 
 // Calibrate plays a day with real processes, up to jobs runs at once, and in the simulation, each with the
 // seeds 1 to seeds, and returns the figures of each class. It returns the first error of a run.
 func Calibrate(ctx context.Context, d *rehearsal.Day, program []string, seeds, jobs int) ([]Row, error) {
-	onSockets, err := playOnSockets(ctx, d, program, seeds, jobs)
+	measuredRuns, err := playWithProcesses(ctx, d, program, seeds, jobs)
 	if err != nil {
 		return nil, err
 	}
-	simulated, err := simulation.Parallel(seeds, func(i int) (countsByClass, error) {
+	simulatedRuns, err := simulation.Parallel(seeds, func(i int) (countsByClass, error) {
 		return simulateDay(d, uint64(i+1))
 	})
 	if err != nil {
 		return nil, err
 	}
-	measured, modelled := figuresByClass(onSockets), figuresByClass(simulated)
+	measured, modelled := figuresByClass(measuredRuns), figuresByClass(simulatedRuns)
 	var rows []Row
 	for _, class := range slices.Sorted(maps.Keys(modelled)) {
 		for f, figure := range rowNames {
 			rows = append(rows, Row{Class: class, Figure: figure,
-				OnSockets: estimateFigure(measured[class], f), Simulated: estimateFigure(modelled[class], f)})
+				Measured: estimateFigure(measured[class], f), Simulated: estimateFigure(modelled[class], f)})
 		}
 	}
 	return rows, nil
@@ -100,8 +100,8 @@
 // warmUp returns the length of the beginning of a day that a calibration leaves out.
 func warmUp(d *rehearsal.Day) time.Duration { return d.Length / 10 }
 
-// playOnSockets plays a day with real processes, and returns the outcome counts of each seed.
-func playOnSockets(ctx context.Context, d *rehearsal.Day, program []string, seeds,
+// playWithProcesses plays a day with real processes, and returns the outcome counts of each seed.
+func playWithProcesses(ctx context.Context, d *rehearsal.Day, program []string, seeds,
 	jobs int) (all []countsByClass, failed error) {
 	type played struct {
 		result *rehearsal.Result
@@ -132,9 +132,9 @@
 			continue
 		}
 		by := countsByClass{}
-		for _, a := range p.result.AllRequests() {
-			if a.At >= warmUp(d) && a.Class >= 0 { // sessions have no class
-				by.add(d.Module.Classes[a.Class].Name, &a)
+		for _, req := range p.result.AllRequests() {
+			if req.At >= warmUp(d) && req.Class >= 0 { // sessions have no class
+				by.add(d.Module.Classes[req.Class].Name, &req)
 			}
 		}
 		all = append(all, by)
@@ -152,9 +152,9 @@
 		return nil, err
 	}
 	by := countsByClass{}
-	for _, a := range f.Run().Requests {
-		if a.At >= warmUp(d) && a.At < d.Length {
-			by.add(c.Traffic[a.Class].Class, &a)
+	for _, req := range f.Run().Requests {
+		if req.At >= warmUp(d) && req.At < d.Length {
+			by.add(c.Traffic[req.Class].Class, &req)
 		}
 	}
 	return by, nil
@@ -190,8 +190,8 @@
 		if r.Differs() {
 			word = "  apart"
 		}
-		fmt.Fprintf(out, "%-12s %-8s %12.4f ±%8.4f %12.4f ±%8.4f%s\n", r.Class, r.Figure, r.OnSockets.Mean,
-			r.OnSockets.HalfWidth, r.Simulated.Mean, r.Simulated.HalfWidth, word)
+		fmt.Fprintf(out, "%-12s %-8s %12.4f ±%8.4f %12.4f ±%8.4f%s\n", r.Class, r.Figure, r.Measured.Mean,
+			r.Measured.HalfWidth, r.Simulated.Mean, r.Simulated.HalfWidth, word)
 	}
 	return out.Flush()
 }
--- a/internal/simulation/experiment/parse.go
+++ b/internal/simulation/experiment/parse.go
@@ -120,10 +120,10 @@
 	p.errs = append(p.errs, fmt.Errorf("%s: "+format, append([]any{p.name}, args...)...))
 }
 
-// duration parses a duration that is not negative; "" means byDefault.
-func (p *parser) duration(field, text string, byDefault time.Duration) time.Duration {
+// duration parses a duration that is not negative; "" means defaultValue.
+func (p *parser) duration(field, text string, defaultValue time.Duration) time.Duration {
 	if text == "" {
-		return byDefault
+		return defaultValue
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d < 0 {
--- a/internal/simulation/experiment/print.go
+++ b/internal/simulation/experiment/print.go
@@ -39,8 +39,8 @@
 			c.Unstable)
 	}
 	for f, name := range Figures {
-		b := c.Estimate(f)
-		fmt.Fprintf(out, "    %-32s %8.4f ±%.4f", name, b.Mean, b.HalfWidth)
+		e := c.Estimate(f)
+		fmt.Fprintf(out, "    %-32s %8.4f ±%.4f", name, e.Mean, e.HalfWidth)
 		if arm > 0 {
 			d := r.Difference(arm, value, f)
 			word := "equal"
@@ -52,7 +52,7 @@
 		fmt.Fprintln(out)
 	}
 	for _, q := range printedQuantiles {
-		b := simulation.Bootstrap(c.Times, bootstrapDrawings, 1, q)
-		fmt.Fprintf(out, "    time to answer, p%-14g  %8.3f ±%.3f s\n", 100*q, b.Mean, b.HalfWidth)
+		e := simulation.Bootstrap(c.Times, bootstrapDrawings, 1, q)
+		fmt.Fprintf(out, "    time to answer, p%-14g  %8.3f ±%.3f s\n", 100*q, e.Mean, e.HalfWidth)
 	}
 }
--- a/internal/simulation/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -179,9 +179,9 @@
 	s := result.Between(e.WarmUp, last, nil)
 	r.figures = []float64{s.Served * (1 - s.Late), s.Served, s.Rejected, s.Failed, s.Mean.Seconds(),
 		s.Overload, float64(result.Violations.Total())}
-	for _, a := range result.Requests {
-		if a.Outcome == simulation.Served && a.At >= e.WarmUp && a.At < last {
-			r.times = append(r.times, a.Elapsed.Seconds())
+	for _, req := range result.Requests {
+		if req.Outcome == simulation.Served && req.At >= e.WarmUp && req.At < last {
+			r.times = append(r.times, req.Elapsed.Seconds())
 		}
 	}
 	r.unstable, r.events = simulation.IsUnstable(result.OpenRequests), result.Events
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -47,28 +47,32 @@
 }
 
 // faultActions are the functions that begin a fault and schedule its end, by kind.
-var faultActions = map[string]func(f *Fleet, t Fault){
-	"ageing":       (*Fleet).ageEngines,
-	"burst":        func(f *Fleet, t Fault) { f.setFor(t.For, &f.disturbance.burstFactor, t.Size, 1) },
-	"crash":        (*Fleet).crashEngines,
-	"deploy":       (*Fleet).deployEngines,
-	"drain":        func(f *Fleet, t Fault) { f.drainEngines(t.Engines, t.For) },
-	"errors":       (*Fleet).failAttempts,
-	"flush":        (*Fleet).flushCaches,
-	"hang":         (*Fleet).hangEngines,
-	"heavy-tail":   func(f *Fleet, t Fault) { f.setFor(t.For, &f.disturbance.tailFactor, t.Size, 1) },
-	"hot":          (*Fleet).heatDispatcher,
+var faultActions = map[string]func(f *Fleet, fault Fault){
+	"ageing": (*Fleet).ageEngines,
+	"burst": func(f *Fleet, fault Fault) {
+		f.setTemporarily(fault.For, &f.disturbance.burstFactor, fault.Size, 1)
+	},
+	"crash":  (*Fleet).crashEngines,
+	"deploy": (*Fleet).deployEngines,
+	"drain":  func(f *Fleet, fault Fault) { f.drainEngines(fault.Engines, fault.For) },
+	"errors": (*Fleet).failAttempts,
+	"flush":  (*Fleet).flushCaches,
+	"hang":   (*Fleet).hangEngines,
+	"heavy-tail": func(f *Fleet, fault Fault) {
+		f.setTemporarily(fault.For, &f.disturbance.tailFactor, fault.Size, 1)
+	},
+	"hot":          (*Fleet).concentrateClients,
 	"kill":         (*Fleet).killDispatcher,
 	"lost":         (*Fleet).loseAnswers,
-	"neighbour":    (*Fleet).disturbEngines,
-	"preemption":   func(f *Fleet, t Fault) { f.drainEngines(t.Engines, preemptionNotice) },
-	"reports-late": func(f *Fleet, t Fault) { f.delayFor(t, &f.disturbance.reportDelay) },
+	"neighbour":    (*Fleet).slowIntermittently,
+	"preemption":   func(f *Fleet, fault Fault) { f.drainEngines(fault.Engines, preemptionNotice) },
+	"reports-late": func(f *Fleet, fault Fault) { f.delayTemporarily(fault, &f.disturbance.reportDelay) },
 	"return":       (*Fleet).restartHalf,
-	"roll":         (*Fleet).rollDispatchers,
-	"roster-late":  func(f *Fleet, t Fault) { f.delayFor(t, &f.disturbance.listDelay) },
+	"roll":         (*Fleet).rollingRestart,
+	"roster-late":  func(f *Fleet, fault Fault) { f.delayTemporarily(fault, &f.disturbance.listDelay) },
 	"shared":       (*Fleet).slowAllEngines,
 	"shift":        (*Fleet).shiftTraffic,
-	"slow":         func(f *Fleet, t Fault) { f.slowDown(t.Engines, t.Size, t.For) },
+	"slow":         func(f *Fleet, fault Fault) { f.slowDown(fault.Engines, fault.Size, fault.For) },
 	"zone-loss":    (*Fleet).loseZone,
 }
 
@@ -76,72 +80,72 @@
 func FaultKinds() []string { return slices.Sorted(maps.Keys(faultActions)) }
 
 // scheduleFault checks a fault and schedules its beginning.
-func (f *Fleet) scheduleFault(t Fault) error {
-	for _, i := range t.Engines {
+func (f *Fleet) scheduleFault(fault Fault) error {
+	for _, i := range fault.Engines {
 		if i < 0 || i >= len(f.engines) {
-			return fmt.Errorf("model: trouble %s: there is no engine %d", t.Kind, i)
+			return fmt.Errorf("model: trouble %s: there is no engine %d", fault.Kind, i)
 		}
 	}
-	if t.Dispatcher < 0 || t.Dispatcher >= len(f.dispatchers) {
-		return fmt.Errorf("model: trouble %s: there is no dispatcher %d", t.Kind, t.Dispatcher)
+	if fault.Dispatcher < 0 || fault.Dispatcher >= len(f.dispatchers) {
+		return fmt.Errorf("model: trouble %s: there is no dispatcher %d", fault.Kind, fault.Dispatcher)
 	}
-	begin := faultActions[t.Kind]
+	begin := faultActions[fault.Kind]
 	if begin == nil {
-		return fmt.Errorf("model: trouble %q is not simulated", t.Kind)
+		return fmt.Errorf("model: trouble %q is not simulated", fault.Kind)
 	}
-	f.queue.At(t.At, func() { begin(f, t) })
+	f.queue.At(fault.At, func() { begin(f, fault) })
 	return nil
 }
 
-// setFor sets *figure to value, and back to normal after length.
-func (f *Fleet) setFor(length time.Duration, figure *float64, value, normal float64) {
-	*figure = value
-	f.queue.In(length, func() { *figure = normal })
+// setTemporarily sets *target to value, and back to normal after length.
+func (f *Fleet) setTemporarily(length time.Duration, target *float64, value, normal float64) {
+	*target = value
+	f.queue.In(length, func() { *target = normal })
 }
 
-// delayFor sets a delay of t.Size seconds, and removes it after t.For.
-func (f *Fleet) delayFor(t Fault, delay *time.Duration) {
-	*delay = time.Duration(t.Size * float64(time.Second))
-	f.queue.In(t.For, func() { *delay = 0 })
+// delayTemporarily sets a delay of fault.Size seconds, and removes it after fault.For.
+func (f *Fleet) delayTemporarily(fault Fault, delay *time.Duration) {
+	*delay = time.Duration(fault.Size * float64(time.Second))
+	f.queue.In(fault.For, func() { *delay = 0 })
 }
 
-// heatDispatcher makes a share of all clients connect to one dispatcher.
-func (f *Fleet) heatDispatcher(t Fault) {
-	f.disturbance.hotDispatcher = t.Dispatcher
-	f.setFor(t.For, &f.disturbance.hotShare, t.Size, 0)
+// concentrateClients makes a share of all clients connect to one dispatcher.
+func (f *Fleet) concentrateClients(fault Fault) {
+	f.disturbance.hotDispatcher = fault.Dispatcher
+	f.setTemporarily(fault.For, &f.disturbance.hotShare, fault.Size, 0)
 }
 
 // shiftTraffic raises the rate of one class, the first one by default, and lowers the rates of the others.
-func (f *Fleet) shiftTraffic(t Fault) {
-	if t.Class == "" {
-		t.Class = f.cfg.Traffic[0].Class
+func (f *Fleet) shiftTraffic(fault Fault) {
+	if fault.Class == "" {
+		fault.Class = f.cfg.Traffic[0].Class
 	}
-	f.disturbance.shift = &t
-	f.queue.In(t.For, func() { f.disturbance.shift = nil })
+	f.disturbance.shift = &fault
+	f.queue.In(fault.For, func() { f.disturbance.shift = nil })
 }
 
-// killDispatcher stops a dispatcher, which returns with its snapshot after t.For.
-func (f *Fleet) killDispatcher(t Fault) {
-	f.restartDispatchers(Restart{After: t.For, Dispatchers: []int{t.Dispatcher}})
+// killDispatcher stops a dispatcher, which returns with its snapshot after fault.For.
+func (f *Fleet) killDispatcher(fault Fault) {
+	f.restartDispatchers(Restart{After: fault.For, Dispatchers: []int{fault.Dispatcher}})
 }
 
-// restartHalf stops every other dispatcher at once. They return without their snapshots after t.For.
-func (f *Fleet) restartHalf(t Fault) {
-	half := everySecond(len(f.dispatchers))
-	f.restartDispatchers(Restart{After: t.For, WithoutState: true, Dispatchers: half})
+// restartHalf stops every other dispatcher at once. They return without their snapshots after fault.For.
+func (f *Fleet) restartHalf(fault Fault) {
+	half := oddNumbers(len(f.dispatchers))
+	f.restartDispatchers(Restart{After: fault.For, WithoutState: true, Dispatchers: half})
 }
 
-// everySecond returns the odd numbers below n.
-func everySecond(n int) (numbers []int) {
+// oddNumbers returns the odd numbers below n.
+func oddNumbers(n int) (numbers []int) {
 	for i := 1; i < n; i += 2 {
 		numbers = append(numbers, i)
 	}
 	return numbers
 }
 
-// rollDispatchers performs a rolling restart of all dispatchers.
-func (f *Fleet) rollDispatchers(t Fault) {
-	each := t.For / time.Duration(len(f.dispatchers))
+// rollingRestart restarts the dispatchers one after another.
+func (f *Fleet) rollingRestart(fault Fault) {
+	each := fault.For / time.Duration(len(f.dispatchers))
 	for i := range f.dispatchers {
 		f.queue.In(time.Duration(i)*each, func() {
 			f.restartDispatchers(Restart{After: min(time.Second, each/2), Dispatchers: []int{i}})
@@ -153,15 +157,15 @@
 const lostZone = "a"
 
 // loseZone crashes the engines and stops the dispatchers of a zone, except the first dispatcher.
-func (f *Fleet) loseZone(t Fault) {
+func (f *Fleet) loseZone(fault Fault) {
 	for _, e := range f.engines {
 		if e.Zone == lostZone {
-			f.crashEngine(e, t.For)
+			f.crashEngine(e, fault.For)
 		}
 	}
 	for i, d := range f.dispatchers {
 		if i > 0 && d.zone == lostZone {
-			f.restartDispatchers(Restart{After: t.For, Dispatchers: []int{i}})
+			f.restartDispatchers(Restart{After: fault.For, Dispatchers: []int{i}})
 		}
 	}
 }
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -72,11 +72,12 @@
 // module the engine does not collapse, also if a tenth of the dispatchers has nine tenths of the clients.
 // With a plain policy it does, which shows that the simulation detects the fault.
 func TestNewEngineIsNotFlooded(t *testing.T) {
-	late := time.Duration(0)
-	play := func(policy string, uneven float64) *Result {
+	listDelay := time.Duration(0)
+	simulate := func(policy string, imbalance float64) *Result {
 		c := smallFleet(2, GossipOnly, 0)
-		c.ListDelay = late
-		c.Restarts, c.Policy, c.Imbalance, c.Dispatchers, c.Length = nil, policy, uneven, 20, 40*time.Second
+		c.ListDelay = listDelay
+		c.Restarts, c.Policy, c.Imbalance, c.Dispatchers, c.Length = nil, policy, imbalance, 20,
+			40*time.Second
 		setSlowStart(&c, 15*time.Second, 2)
 		for i := range c.Traffic {
 			c.Traffic[i].Rate *= 0.75
@@ -88,26 +89,27 @@
 		}
 		return f.Run()
 	}
-	for _, uneven := range []float64{0, 0.9} {
-		r := play("", uneven)
+	for _, imbalance := range []float64{0, 0.9} {
+		r := simulate("", imbalance)
 		if r.Violations.Total() > 0 {
-			t.Errorf("share of the busiest tenth %g: violations %+v", uneven, r.Violations)
+			t.Errorf("share of the busiest tenth %g: violations %+v", imbalance, r.Violations)
 		}
 		s := r.Between(0, 30*time.Second, nil)
-		if busy := r.Between(0, 30*time.Second, []int{0, 1}); uneven > 0 &&
+		if busy := r.Between(0, 30*time.Second, []int{0, 1}); imbalance > 0 &&
 			float64(busy.Requests) < 0.8*float64(s.Requests) {
 			t.Errorf("%d of %d requests at the busiest tenth, want at least 80%%", busy.Requests, s.Requests)
 		}
 		if s.Served < 0.5 {
-			t.Errorf("share of the busiest tenth %g: fewer than half of the requests served: %+v", uneven, s)
+			t.Errorf("share of the busiest tenth %g: fewer than half of the requests served: %+v",
+				imbalance, s)
 		}
 	}
-	v := play("least-connections", 0).Violations
+	v := simulate("least-connections", 0).Violations
 	if v.InformedCollapses == 0 || v.UninformedCollapses > 0 {
 		t.Errorf("with a plain policy, want only informed collapses of the cold engine: %+v", v)
 	}
-	late = time.Minute // no dispatcher knows of the engine's start before the day is over
-	v = play("least-connections", 0).Violations
+	listDelay = time.Minute // no dispatcher knows of the engine's start before the day is over
+	v = simulate("least-connections", 0).Violations
 	if v.InformedCollapses > 0 || v.UninformedCollapses == 0 {
 		t.Errorf("want only uninformed collapses, as no dispatcher knew of the start: %+v", v)
 	}
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -77,7 +77,7 @@
 		}
 	}
 	for i := range cfg.Byzantine {
-		f.forgeMessage(f.dispatchers[i])
+		f.scheduleForgedMessages(f.dispatchers[i])
 	}
 	f.sampleLoads()
 	return f, nil
--- a/internal/simulation/half_restart.go
+++ b/internal/simulation/half_restart.go
@@ -35,7 +35,7 @@
 		},
 	}
 	c.Restarts = []Restart{{At: halfRestartAt, After: time.Second, WithoutState: true,
-		Dispatchers: everySecond(c.Dispatchers)}}
+		Dispatchers: oddNumbers(c.Dispatchers)}}
 	return c
 }
 
--- a/internal/simulation/members.go
+++ b/internal/simulation/members.go
@@ -64,10 +64,10 @@
 
 // NewMembers returns n members, none of which is up. Each node gets a copy of config with the settings of its
 // member filled in. engines, if not nil, is called to give a new node the list of engines.
-func NewMembers(q *Queue, seed uint64, n int, w NetworkConditions, d Detection, config gossip.Config,
+func NewMembers(q *Queue, seed uint64, n int, conditions NetworkConditions, d Detection, config gossip.Config,
 	engines func(t *gossip.Node)) *Members {
-	f := &Members{Queue: q, Net: NewNetwork(q, seed, n, w), config: config, detection: d, engines: engines,
-		random: rand.New(rand.NewPCG(seed, membersStream)), byName: map[string]*Member{}}
+	f := &Members{Queue: q, Net: NewNetwork(q, seed, n, conditions), config: config, detection: d,
+		engines: engines, random: rand.New(rand.NewPCG(seed, membersStream)), byName: map[string]*Member{}}
 	for i := range n {
 		m := &Member{Number: i, Name: fmt.Sprintf("d%03d", i)}
 		f.All, f.byName[m.Name] = append(f.All, m), m
@@ -115,20 +115,20 @@
 	return m
 }
 
-// Stop ends an incarnation. left means that the member announces that it leaves; otherwise the others detect
-// its loss.
-func (f *Members) Stop(i int, left bool) {
+// Stop ends an incarnation. graceful means that the member announces that it leaves; otherwise the others
+// detect its loss.
+func (f *Members) Stop(i int, graceful bool) {
 	m := f.All[i]
 	m.Up = false
 	incarnation := m.incarnation
 	for _, o := range f.All {
 		after := f.lossDelay()
-		if left {
+		if graceful {
 			after = f.randomDelay(f.detection.MetadataDelay)
 		}
 		f.Queue.In(after, func() {
 			if o.Up && m.incarnation == incarnation && o != m {
-				o.Node.MemberLost(o.now(f.Queue), m.Name, left)
+				o.Node.MemberLost(o.now(f.Queue), m.Name, graceful)
 			}
 		})
 	}
@@ -219,15 +219,15 @@
 
 // ApplyActions executes the actions that a member's node has ready.
 func (f *Members) ApplyActions(m *Member) {
-	for _, o := range m.Node.Ready() {
-		switch o.Type {
+	for _, action := range m.Node.Ready() {
+		switch action.Type {
 		case gossip.SendPacket:
-			f.deliver(m, f.byName[o.To], o.Data)
+			f.deliver(m, f.byName[action.To], action.Data)
 		case gossip.BroadcastMetadata:
 			f.broadcast(m)
 		default:
 			if m.HandleAction != nil {
-				m.HandleAction(o)
+				m.HandleAction(action)
 			}
 		}
 	}
--- a/internal/simulation/members_test.go
+++ b/internal/simulation/members_test.go
@@ -16,9 +16,9 @@
 
 // newTestMembers starts n members 10 ms apart, with the ordinals that they claim. Their clocks differ by the
 // times between their starts.
-func newTestMembers(seed uint64, n int, w NetworkConditions, claim func(i int) int) *Members {
+func newTestMembers(seed uint64, n int, conditions NetworkConditions, claim func(i int) int) *Members {
 	q := &Queue{}
-	f := NewMembers(q, seed, n, w, DefaultDetection(), GossipConfig(1, 2), func(t *gossip.Node) {
+	f := NewMembers(q, seed, n, conditions, DefaultDetection(), GossipConfig(1, 2), func(t *gossip.Node) {
 		t.SetEngines(map[cresspass.EngineID]float64{"e0": 8, "e1": 8})
 	})
 	for i := range n {
@@ -49,28 +49,28 @@
 	rapid.Check(t, func(t *rapid.T) {
 		q := &Queue{}
 		var last time.Duration
-		lastSeq, seq, open := 0, 0, 0
-		var set func()
-		set = func() {
+		lastSeq, seq, pending := 0, 0, 0
+		var schedule func()
+		schedule = func() {
 			at := q.Now() + time.Duration(rapid.IntRange(-2, 6).Draw(t, "in"))
 			seq++
-			mine := seq
-			open++
+			eventSeq := seq
+			pending++
 			q.At(at, func() {
-				open--
-				if q.Now() < last || q.Now() == last && mine < lastSeq || q.Now() < at {
-					t.Fatalf("event %d executed at %v after event %d at %v", mine, q.Now(), lastSeq, last)
+				pending--
+				if q.Now() < last || q.Now() == last && eventSeq < lastSeq || q.Now() < at {
+					t.Fatalf("event %d executed at %v after event %d at %v", eventSeq, q.Now(), lastSeq, last)
 				}
-				if last, lastSeq = q.Now(), mine; seq < 300 && rapid.Bool().Draw(t, "more") {
-					set()
+				if last, lastSeq = q.Now(), eventSeq; seq < 300 && rapid.Bool().Draw(t, "more") {
+					schedule()
 				}
 			})
 		}
 		for range rapid.IntRange(0, 100).Draw(t, "events") {
-			set()
+			schedule()
 		}
-		if q.Run(1 << 30); open != 0 || q.Len() != 0 || q.Now() != 1<<30 {
-			t.Fatalf("%d events not executed, clock at %v", open, q.Now())
+		if q.Run(1 << 30); pending != 0 || q.Len() != 0 || q.Now() != 1<<30 {
+			t.Fatalf("%d events not executed, clock at %v", pending, q.Now())
 		}
 	})
 }
@@ -80,7 +80,7 @@
 func TestSimultaneousEventsHaveOneOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "events")
-		play := func(order []int) (done []int) {
+		execute := func(order []int) (done []int) {
 			q := &Queue{}
 			for _, i := range order {
 				q.AtFor(uint64(i), time.Duration(i%3), func() { done = append(done, i) })
@@ -92,8 +92,8 @@
 		for i := range n {
 			order = append(order, i)
 		}
-		want := play(order)
-		if got := play(rapid.Permutation(order).Draw(t, "order")); !reflect.DeepEqual(got, want) {
+		want := execute(order)
+		if got := execute(rapid.Permutation(order).Draw(t, "order")); !reflect.DeepEqual(got, want) {
 			t.Fatalf("executed in order %v, want %v", got, want)
 		}
 	})
--- a/internal/simulation/plot/plot.go
+++ b/internal/simulation/plot/plot.go
@@ -76,36 +76,36 @@
 // Convergence charts the convergence times and the traffic of fleets over their size.
 func Convergence(all []simulation.Convergence) []components.Charter {
 	var axis []string
-	var agreed, known, back, mean, most []float64
+	var agreed, propagated, reconverged, mean, maximum []float64
 	for _, c := range all {
 		axis = append(axis, fmt.Sprint(c.Members))
-		agreed, known = append(agreed, c.Agreed.Seconds()), append(known, c.Propagated.Seconds())
-		back = append(back, c.Reconverged.Seconds())
-		mean, most = append(mean, c.BytesSecond/1000), append(most, c.MaxBytesSecond/1000)
+		agreed, propagated = append(agreed, c.Agreed.Seconds()), append(propagated, c.Propagated.Seconds())
+		reconverged = append(reconverged, c.Reconverged.Seconds())
+		mean, maximum = append(mean, c.BytesSecond/1000), append(maximum, c.MaxBytesSecond/1000)
 	}
 	return []components.Charter{
 		Chart("Convergence", "model, simulated network", "members", "s", axis,
 			Curve{Name: "all that begin agree", Values: agreed},
-			Curve{Name: "news is known to all", Values: known},
-			Curve{Name: "a tenth returns, all agree", Values: back}),
+			Curve{Name: "news is known to all", Values: propagated},
+			Curve{Name: "a tenth returns, all agree", Values: reconverged}),
 		Chart("What each says", "model, membership itself left out", "members", "kB/s", axis,
-			Curve{Name: "mean", Values: mean}, Curve{Name: "most", Values: most}),
+			Curve{Name: "mean", Values: mean}, Curve{Name: "most", Values: maximum}),
 	}
 }
 
 // Newcomers charts a comparison: each figure, by arm, over the windows of time since the restart.
-func Newcomers(n *simulation.Comparison, where string) (out []components.Charter) {
+func Newcomers(comparison *simulation.Comparison, where string) (out []components.Charter) {
 	var axis []string
-	for _, w := range n.Windows {
+	for _, w := range comparison.Windows {
 		axis = append(axis, fmt.Sprintf("first %d s", int(w.Seconds())))
 	}
 	for f := range simulation.Figures {
 		var curves []Curve
-		for a, arm := range n.Arms {
+		for a, arm := range comparison.Arms {
 			c := Curve{Name: arm.Name}
-			for w := range n.Windows {
-				b := simulation.EstimateMean(n.Samples(a, w, f))
-				c.Values, c.HalfWidths = append(c.Values, b.Mean), append(c.HalfWidths, b.HalfWidth)
+			for w := range comparison.Windows {
+				e := simulation.EstimateMean(comparison.Samples(a, w, f))
+				c.Values, c.HalfWidths = append(c.Values, e.Mean), append(c.HalfWidths, e.HalfWidth)
 			}
 			curves = append(curves, c)
 		}
@@ -127,8 +127,8 @@
 		for arm := range r.Arms {
 			c := Curve{Name: r.Arms[arm].Name}
 			for i := range r.Cells[arm] {
-				b := r.Cells[arm][i].Estimate(f)
-				c.Values, c.HalfWidths = append(c.Values, b.Mean), append(c.HalfWidths, b.HalfWidth)
+				e := r.Cells[arm][i].Estimate(f)
+				c.Values, c.HalfWidths = append(c.Values, e.Mean), append(c.HalfWidths, e.HalfWidth)
 			}
 			curves = append(curves, c)
 		}
--- a/internal/simulation/policy.go
+++ b/internal/simulation/policy.go
@@ -159,11 +159,11 @@
 // fastestEngine returns the engine on which a query would end first, assuming that it shares the cores evenly
 // with the jobs that run there; nil if it would be late on every engine.
 func (c *choiceDecider) fastestEngine(id cresspass.QueryID, q *pendingQuery) (best *cresspass.EngineInfo) {
-	a := c.findRequest(id)
-	if a == nil {
+	req := c.findRequest(id)
+	if req == nil {
 		return nil
 	}
-	threads := c.fleet.cfg.Traffic[a.traffic].Threads
+	threads := c.fleet.cfg.Traffic[req.traffic].Threads
 	least := math.Inf(1) // seconds
 	for i := range c.engines {
 		e := c.fleet.byID[c.engines[i].ID]
@@ -171,12 +171,12 @@
 			continue
 		}
 		contention := math.Max(1, (e.model.Threads()+threads)/(e.Machine.Cores*e.model.RampFraction()))
-		if duration := a.work / threads * contention; duration < least {
+		if duration := req.work / threads * contention; duration < least {
 			best, least = &c.engines[i], duration
 		}
 	}
 	left := math.Min((q.deadline - c.now).Seconds(),
-		(q.class.LatencyObjective - (c.fleet.queue.Now() - a.firstArrival)).Seconds())
+		(q.class.LatencyObjective - (c.fleet.queue.Now() - req.firstArrival)).Seconds())
 	if least > left {
 		return nil
 	}
@@ -186,8 +186,8 @@
 // findRequest returns a client's query from the dispatcher that holds it; nil if none does.
 func (c *choiceDecider) findRequest(id cresspass.QueryID) *request {
 	for _, d := range c.fleet.dispatchers {
-		if a := d.requests[id]; a != nil {
-			return a
+		if req := d.requests[id]; req != nil {
+			return req
 		}
 	}
 	return nil
--- a/internal/simulation/reference.go
+++ b/internal/simulation/reference.go
@@ -63,17 +63,17 @@
 
 // Simulate runs the case and returns the response times as multiples of the mean work, without the warm-up,
 // and the number of queries in the system at regular intervals.
-func (k ReferenceCase) Simulate(seed uint64) (responseTimes, openQueries []float64) {
-	kind := enginemodel.Kind{Cores: float64(k.Cores), ContentionKnee: 1e9} // without contention
+func (c ReferenceCase) Simulate(seed uint64) (responseTimes, openQueries []float64) {
+	kind := enginemodel.Kind{Cores: float64(c.Cores), ContentionKnee: 1e9} // without contention
 	r := &referenceRun{
-		ReferenceCase: k,
+		ReferenceCase: c,
 		random:        rand.New(rand.NewPCG(seed, referenceStream)),
 		engine:        enginemodel.New(kind, 0, false),
 		nextEvent:     math.MaxInt64,
 		startedAt:     map[*enginemodel.Running]time.Duration{},
 	}
 	r.queue.At(0, r.arrive)
-	length := time.Duration(float64(k.Queries) / (k.Load * float64(k.Cores)) * 1e9)
+	length := time.Duration(float64(c.Queries) / (c.Load * float64(c.Cores)) * 1e9)
 	end := referenceMaxLengths * length
 	for at := time.Duration(0); !r.done() && at < end; at += length / referenceSamples {
 		r.queue.Run(at)
@@ -132,10 +132,10 @@
 
 // Coverage returns the share of runs in which the interval of BatchMeans contains the known mean. The runs
 // have the seeds 1 to runs.
-func (k ReferenceCase) Coverage(runs, batches int) (share float64, err error) {
+func (c ReferenceCase) Coverage(runs, batches int) (share float64, err error) {
 	held, err := Parallel(runs, func(i int) (float64, error) {
-		responseTimes, _ := k.Simulate(uint64(i + 1))
-		if b := BatchMeans(responseTimes, batches); math.Abs(b.Mean-k.ResponseTime) <= b.HalfWidth {
+		responseTimes, _ := c.Simulate(uint64(i + 1))
+		if e := BatchMeans(responseTimes, batches); math.Abs(e.Mean-c.ResponseTime) <= e.HalfWidth {
 			return 1, nil
 		}
 		return 0, nil
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -62,18 +62,19 @@
 
 // Between summarizes the requests that were first sent at or after from and before to, and were answered by
 // one of the given dispatchers; nil: by any.
-func (r *Result) Between(from, to time.Duration, at []int) (s WindowSummary) {
+func (r *Result) Between(from, to time.Duration, dispatchers []int) (s WindowSummary) {
 	var elapsed time.Duration
-	for _, a := range r.Requests {
-		if a.At < from || a.At >= to || at != nil && !slices.Contains(at, a.Dispatcher) {
+	for _, req := range r.Requests {
+		if req.At < from || req.At >= to ||
+			dispatchers != nil && !slices.Contains(dispatchers, req.Dispatcher) {
 			continue
 		}
 		s.Requests++
-		switch a.Outcome {
+		switch req.Outcome {
 		case Served:
 			s.Served++
-			elapsed += a.Elapsed
-			if a.Late {
+			elapsed += req.Elapsed
+			if req.Late {
 				s.Late++
 			}
 		case Rejected:
--- a/internal/simulation/statistics.go
+++ b/internal/simulation/statistics.go
@@ -71,9 +71,9 @@
 		}
 		return math.NaN()
 	}
-	b := Estimate{Mean: quantile(), N: len(runs), HalfWidth: math.Inf(1)}
+	e := Estimate{Mean: quantile(), N: len(runs), HalfWidth: math.Inf(1)}
 	if len(runs) < 2 || times < minDrawings {
-		return b
+		return e
 	}
 	var got []float64
 	for range times {
@@ -85,15 +85,15 @@
 	}
 	slices.Sort(got)
 	low, high := got[int(0.025*float64(times))], got[min(int(0.975*float64(times)), times-1)]
-	b.HalfWidth = math.Max(high-b.Mean, b.Mean-low)
-	return b
+	e.HalfWidth = math.Max(high-e.Mean, e.Mean-low)
+	return e
 }
 
 // IsUnstable reports whether the number of requests in the system, sampled at regular intervals, grew until
 // the end of the run, so that means depend only on the length of the run. The number varies widely in a run
 // near its capacity, so a run counts as unstable only if the number grew nearly throughout.
-func IsUnstable(waiting []float64) bool {
-	half := waiting[len(waiting)/2:]
+func IsUnstable(openRequests []float64) bool {
+	half := openRequests[len(openRequests)/2:]
 	if len(half) < minTrendSamples {
 		return false
 	}
@@ -103,8 +103,8 @@
 	}
 	_, slope := stat.LinearRegression(x, half, nil, false)
 	grown := slope * float64(len(half))
-	first, last := stat.Mean(waiting[:len(waiting)/4], nil), stat.Mean(half[len(half)/2:], nil)
-	return grown > minGrowthShare*last && last > minGrowthFactor*math.Max(first, 1) && isRising(waiting)
+	first, last := stat.Mean(openRequests[:len(openRequests)/4], nil), stat.Mean(half[len(half)/2:], nil)
+	return grown > minGrowthShare*last && last > minGrowthFactor*math.Max(first, 1) && isRising(openRequests)
 }
 
 // isRising reports whether the means of trendParts equal parts increase in at least minRisingParts steps.
@@ -122,16 +122,16 @@
 // halfWidth: 0 if it is already, otherwise the number extrapolated from the current half width, at least two.
 // It returns minRuns if there are too few runs to extrapolate from, or halfWidth is not positive. The total
 // never exceeds maxRuns.
-func AdditionalRuns(b Estimate, halfWidth float64, maxRuns int) int {
-	if b.HalfWidth <= halfWidth || b.N >= maxRuns {
+func AdditionalRuns(e Estimate, halfWidth float64, maxRuns int) int {
+	if e.HalfWidth <= halfWidth || e.N >= maxRuns {
 		return 0
 	}
-	if b.N < minRuns || halfWidth <= 0 {
-		return min(minRuns, maxRuns-b.N)
+	if e.N < minRuns || halfWidth <= 0 {
+		return min(minRuns, maxRuns-e.N)
 	}
-	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(b.N - 1)}.Quantile(upperTail)
-	dev := b.HalfWidth * math.Sqrt(float64(b.N)) / t
+	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(e.N - 1)}.Quantile(upperTail)
+	dev := e.HalfWidth * math.Sqrt(float64(e.N)) / t
 	ratio := normalQuantile * dev / halfWidth
-	want := int(math.Ceil(ratio*ratio)) - b.N
-	return min(max(want, 2), maxRuns-b.N)
+	want := int(math.Ceil(ratio*ratio)) - e.N
+	return min(max(want, 2), maxRuns-e.N)
 }
--- a/internal/simulation/statistics_test.go
+++ b/internal/simulation/statistics_test.go
@@ -10,7 +10,7 @@
 // runs. BenchmarkCoverage does 400 runs.
 func TestReferenceCases(t *testing.T) {
 	if testing.Short() {
-		t.Skip("statistics: nothing runs side by side that the race detector does not see elsewhere")
+		t.Skip("statistical test: the race detector sees the same concurrent code in other tests")
 	}
 	for _, k := range []ReferenceCase{MMC(1, 0.6, 4000), MMC(4, 0.7, 4000), MG1PS(0.6, 1, 4000)} {
 		share, err := k.Coverage(60, 10)
@@ -25,11 +25,11 @@
 // with paired seeds. Only an overloaded case is unstable.
 func TestDifferencesBetweenCases(t *testing.T) {
 	if testing.Short() {
-		t.Skip("statistics: nothing runs side by side that the race detector does not see elsewhere")
+		t.Skip("statistical test: the race detector sees the same concurrent code in other tests")
 	}
 	mean := func(k ReferenceCase, seed uint64) float64 {
-		took, _ := k.Simulate(seed)
-		return EstimateMean(took).Mean
+		responseTimes, _ := k.Simulate(seed)
+		return EstimateMean(responseTimes).Mean
 	}
 	pair := func(a, b ReferenceCase, seed int) Estimate {
 		var x, y []float64
@@ -66,7 +66,7 @@
 		load     float64
 		unstable bool
 	}{{0.5, false}, {0.9, false}, {1.3, true}} {
-		if _, waiting := MMC(2, c.load, 3000).Simulate(3); IsUnstable(waiting) != c.unstable {
+		if _, openRequests := MMC(2, c.load, 3000).Simulate(3); IsUnstable(openRequests) != c.unstable {
 			t.Errorf("load %g: IsUnstable is %v", c.load, !c.unstable)
 		}
 	}
@@ -81,8 +81,8 @@
 	rounds := 0
 	for more := AdditionalRuns(b, 0.05, 400); more > 0; more = AdditionalRuns(b, 0.05, 400) {
 		for range more {
-			took, _ := MMC(1, 0.5, 500).Simulate(uint64(len(all)))
-			all, runs = append(all, EstimateMean(took).Mean), append(runs, took)
+			responseTimes, _ := MMC(1, 0.5, 500).Simulate(uint64(len(all)))
+			all, runs = append(all, EstimateMean(responseTimes).Mean), append(runs, responseTimes)
 		}
 		b = EstimateMean(all)
 		if rounds++; rounds > 20 {
