--- a/internal/simulation/experiment/print.go
+++ b/internal/simulation/experiment/print.go
@@ -8,13 +8,13 @@
 	"cresspass/internal/simulation"
 )
 
-// bootstrapDrawings is the number of drawings for the interval of a quantile.
+// bootstrapDrawings is the number of resamples for the confidence interval of a quantile.
 const bootstrapDrawings = 200
 
 // printedQuantiles are the quantiles of response times that Print shows.
 var printedQuantiles = []float64{0.5, 0.99}
 
-// Print writes the result as a table.
+// Print writes the result as a table for each swept value.
 func (r *Result) Print(w io.Writer) error {
 	out := bufio.NewWriter(w)
 	for value := range r.Cells[0] {
@@ -28,6 +28,8 @@
 	return out.Flush()
 }
 
+// printCell writes the figures of an arm at a swept value and, except for the first arm, their differences
+// from the first arm.
 func (r *Result) printCell(out *bufio.Writer, arm, value int) {
 	c := &r.Cells[arm][value]
 	fmt.Fprintf(out, "  %s: %d seeds, %.1f million events, %.1f s\n", r.Arms[arm].Name, len(c.Samples[0]),
@@ -37,8 +39,8 @@
 			c.Unstable)
 	}
 	for f, name := range Figures {
-		b := c.Estimate(f)
-		fmt.Fprintf(out, "    %-32s %8.4f ±%.4f", name, b.Mean, b.HalfWidth)
+		e := c.Estimate(f)
+		fmt.Fprintf(out, "    %-32s %8.4f ±%.4f", name, e.Mean, e.HalfWidth)
 		if arm > 0 {
 			d := r.Difference(arm, value, f)
 			word := "equal"
@@ -50,7 +52,7 @@
 		fmt.Fprintln(out)
 	}
 	for _, q := range printedQuantiles {
-		b := simulation.Bootstrap(c.Times, bootstrapDrawings, 1, q)
-		fmt.Fprintf(out, "    time to answer, p%-14g  %8.3f ±%.3f s\n", 100*q, b.Mean, b.HalfWidth)
+		e := simulation.Bootstrap(c.Times, bootstrapDrawings, 1, q)
+		fmt.Fprintf(out, "    time to answer, p%-14g  %8.3f ±%.3f s\n", 100*q, e.Mean, e.HalfWidth)
 	}
 }
--- a/internal/simulation/statistics.go
+++ b/internal/simulation/statistics.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	bootstrapStream = 95    // of the random numbers of Bootstrap
-	minDrawings     = 20    // of Bootstrap, for an interval
-	minTrendSamples = 20    // of IsUnstable
-	minRuns         = 3     // from which AdditionalRuns expects a width
-	normalQuantile  = 1.96  // of 97.5%
-	upperTail       = 0.975 // quantile at the upper end of a 95% interval
+	bootstrapStream = 95    // random number stream of Bootstrap
+	minDrawings     = 20    // resamples that Bootstrap needs for an interval
+	minTrendSamples = 20    // samples in the second half that IsUnstable needs
+	minRuns         = 3     // runs from which AdditionalRuns extrapolates
+	normalQuantile  = 1.96  // 97.5% quantile of the standard normal distribution
+	upperTail       = 0.975 // probability at the upper end of a 95% interval
 )
 
-// When IsUnstable calls a run unstable.
+// Thresholds of IsUnstable, all of which an unstable run exceeds or reaches.
 const (
-	minGrowthShare  = 0.3 // the trend over the second half, as a share of the mean at the end
+	minGrowthShare  = 0.3 // growth by the trend over the second half, as a share of the last quarter's mean
 	minGrowthFactor = 3   // from the mean of the first quarter to that of the last
-	trendParts      = 8   // of a run, whose means are compared
-	minRisingParts  = 6   // of the steps between them
+	trendParts      = 8   // parts of a run whose means are compared
+	minRisingParts  = 6   // parts with a higher mean than the part before
 )
 
-// BatchMeans estimates the mean of one long run, whose samples depend on those before them, from the means of
-// batches, which hardly do. The caller leaves out the samples of the run's warm-up.
+// BatchMeans estimates the mean of one long run, whose successive samples are correlated, from the means of
+// batches, which are nearly independent. The caller leaves out the samples of the run's warm-up.
 func BatchMeans(samples []float64, batches int) Estimate {
 	size := len(samples) / max(batches, 1)
 	if size == 0 || batches < 2 {
@@ -41,8 +41,8 @@
 	return EstimateMean(means)
 }
 
-// Bootstrap estimates a quantile over independent runs. Runs are drawn with replacement a number of times;
-// the interval holds the middle 95% of the quantiles of the drawings.
+// Bootstrap estimates the q-quantile of the samples of independent runs. It resamples whole runs with
+// replacement, times times; the interval covers the middle 95% of the resampled quantiles.
 func Bootstrap(runs [][]float64, times int, seed uint64, q float64) Estimate {
 	r := rand.New(rand.NewPCG(seed, bootstrapStream))
 	type sample struct {
@@ -50,14 +50,14 @@
 		run   int
 	}
 	var all []sample
-	drawn := make([]int, len(runs)) // how often a run counts
+	drawn := make([]int, len(runs)) // how often each run is drawn
 	for i, run := range runs {
 		drawn[i] = 1
 		for _, v := range run {
 			all = append(all, sample{v, i})
 		}
 	}
-	// Sorted once: a drawing counts each sample as often as its run is drawn.
+	// Sorted once: each resample counts a sample as often as its run is drawn.
 	slices.SortFunc(all, func(a, b sample) int { return cmp.Compare(a.value, b.value) })
 	quantile := func() float64 {
 		total, sum := 0, 0
@@ -71,9 +71,9 @@
 		}
 		return math.NaN()
 	}
-	b := Estimate{Mean: quantile(), N: len(runs), HalfWidth: math.Inf(1)}
+	e := Estimate{Mean: quantile(), N: len(runs), HalfWidth: math.Inf(1)}
 	if len(runs) < 2 || times < minDrawings {
-		return b
+		return e
 	}
 	var got []float64
 	for range times {
@@ -85,15 +85,15 @@
 	}
 	slices.Sort(got)
 	low, high := got[int(0.025*float64(times))], got[min(int(0.975*float64(times)), times-1)]
-	b.HalfWidth = math.Max(high-b.Mean, b.Mean-low)
-	return b
+	e.HalfWidth = math.Max(high-e.Mean, e.Mean-low)
+	return e
 }
 
-// IsUnstable reports whether the number of requests in the system, sampled at even times, grew to the run's
-// end, so that means would depend on the run's length only. A run near its capacity wanders far, so it is
-// called unstable only where it has grown all along.
-func IsUnstable(waiting []float64) bool {
-	half := waiting[len(waiting)/2:]
+// IsUnstable reports whether the number of requests in the system, sampled at regular intervals, grew until
+// the end of the run, so that means depend only on the length of the run. The number varies widely in a run
+// near its capacity, so a run counts as unstable only if the number grew nearly throughout.
+func IsUnstable(openRequests []float64) bool {
+	half := openRequests[len(openRequests)/2:]
 	if len(half) < minTrendSamples {
 		return false
 	}
@@ -103,11 +103,11 @@
 	}
 	_, slope := stat.LinearRegression(x, half, nil, false)
 	grown := slope * float64(len(half))
-	first, last := stat.Mean(waiting[:len(waiting)/4], nil), stat.Mean(half[len(half)/2:], nil)
-	return grown > minGrowthShare*last && last > minGrowthFactor*math.Max(first, 1) && isRising(waiting)
+	first, last := stat.Mean(openRequests[:len(openRequests)/4], nil), stat.Mean(half[len(half)/2:], nil)
+	return grown > minGrowthShare*last && last > minGrowthFactor*math.Max(first, 1) && isRising(openRequests)
 }
 
-// isRising reports whether the means of eighths grow from nearly each to the next.
+// isRising reports whether the means of trendParts equal parts increase in at least minRisingParts steps.
 func isRising(v []float64) bool {
 	n, up := len(v)/trendParts, 0
 	for i := 1; i < trendParts; i++ {
@@ -118,18 +118,20 @@
 	return up >= minRisingParts
 }
 
-// AdditionalRuns is the number of further runs until the half width of an estimate is as small as wanted: 0
-// once it is, else as many as its present width lets expect, at least two, and at most maxRuns in all.
-func AdditionalRuns(b Estimate, halfWidth float64, maxRuns int) int {
-	if b.HalfWidth <= halfWidth || b.N >= maxRuns {
+// AdditionalRuns returns how many more runs are needed until the half width of an estimate is at most
+// halfWidth: 0 if it is already, otherwise the number extrapolated from the current half width, at least two.
+// It returns minRuns if there are too few runs to extrapolate from, or halfWidth is not positive. The total
+// never exceeds maxRuns.
+func AdditionalRuns(e Estimate, halfWidth float64, maxRuns int) int {
+	if e.HalfWidth <= halfWidth || e.N >= maxRuns {
 		return 0
 	}
-	if b.N < minRuns || halfWidth <= 0 {
-		return min(minRuns, maxRuns-b.N)
+	if e.N < minRuns || halfWidth <= 0 {
+		return min(minRuns, maxRuns-e.N)
 	}
-	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(b.N - 1)}.Quantile(upperTail)
-	dev := b.HalfWidth * math.Sqrt(float64(b.N)) / t
+	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(e.N - 1)}.Quantile(upperTail)
+	dev := e.HalfWidth * math.Sqrt(float64(e.N)) / t
 	ratio := normalQuantile * dev / halfWidth
-	want := int(math.Ceil(ratio*ratio)) - b.N
-	return min(max(want, 2), maxRuns-b.N)
+	want := int(math.Ceil(ratio*ratio)) - e.N
+	return min(max(want, 2), maxRuns-e.N)
 }
