--- a/internal/backend/enginequery/query.go
+++ b/internal/backend/enginequery/query.go
@@ -1,6 +1,6 @@
-// Package enginequery describes a query in terms of the PostgreSQL protocol, which all engines speak,
-// whichever front the query came from. It holds data only: other packages decide where and when the query
-// runs.
+// Package enginequery describes a query in terms of the PostgreSQL protocol. All engines speak this
+// protocol, and queries of every front are sent with it. The package holds data only: other packages decide
+// where and when the query runs.
 package enginequery
 
 import (
@@ -8,7 +8,7 @@
 	"cresspass/internal/protocol/sqlscan"
 )
 
-// Kind says which protocol messages send a query to an engine.
+// Kind specifies which protocol messages send a query to an engine.
 type Kind int
 
 // The kinds of query.
--- a/internal/backend/pgbackend/attempt.go
+++ b/internal/backend/pgbackend/attempt.go
@@ -43,13 +43,14 @@
 
 	// Lease ties the session to an engine connection; nil: there is no session.
 	Lease *Lease
-	// Stateful says that the query needs its session's state on the connection, or may leave state there.
+	// Stateful reports whether the query needs its session's state on the connection, or may leave state
+	// there.
 	Stateful bool
 	// Settle is called when the engine has ended a query that may have left session state, and returns what
 	// happens to the connection.
 	Settle func(QueryEnd) Disposition
-	// OnConnectionLost ends the session of a query whose leased connection was lost. sent says that the query
-	// had been sent.
+	// OnConnectionLost ends the session of a query whose leased connection was lost. sent reports whether
+	// the query had been sent.
 	OnConnectionLost func(sent bool)
 
 	done      atomic.Bool
@@ -76,14 +77,14 @@
 	TransactionStatus byte               // of ReadyForQuery
 	CommandTags       []string           // of the completed statements
 	SettingReported   bool               // a ParameterStatus arrived while the query ran
-	Settings          *sessionparams.Set // in force on the connection before the query
+	Settings          *sessionparams.Set // active on the connection before the query
 }
 
-// Disposition says what happens to an engine connection after a query. The zero value closes it.
+// Disposition specifies what happens to an engine connection after a query. The zero value closes it.
 type Disposition struct {
 	Known    bool               // the state left on the connection is known
 	Keep     bool               // the session keeps the connection
-	Settings *sessionparams.Set // in force on the connection now
+	Settings *sessionparams.Set // active on the connection after the query
 }
 
 // mayStart reports whether the attempt may be sent now. If not, it returns the outcome with which it ends.
--- a/internal/backend/pgbackend/cancel.go
+++ b/internal/backend/pgbackend/cancel.go
@@ -11,7 +11,7 @@
 )
 
 // cancelAttempt asks the engine to cancel a withdrawn attempt. PostgreSQL's cancel request names a
-// connection, not a query, and gets no reply: it cancels whatever runs on that connection when the engine
+// connection, not a query, and gets no reply: it cancels the query that runs there when the engine
 // processes the request. Therefore the connection is not reused until the engine has closed the cancel
 // request's own connection.
 func (c *conn) cancelAttempt(a *Attempt) {
--- a/internal/backend/pgbackend/classify.go
+++ b/internal/backend/pgbackend/classify.go
@@ -23,8 +23,8 @@
 	"3F": true, "40": true, "42": true, "44": true, "54": true, "55": true, "72": true, "P0": true,
 }
 
-// classifySQLState returns the outcome that an engine's error stands for. queryError says that the query
-// itself is at fault: the error is its response, and the engine is healthy.
+// classifySQLState returns the outcome that an engine's error stands for. queryError reports whether the
+// query itself is at fault: the error is then its response, and the engine is healthy.
 func classifySQLState(code string) (outcome cresspass.Outcome, queryError bool) {
 	switch {
 	case provesNotRun(code):
--- a/internal/backend/pgbackend/conn.go
+++ b/internal/backend/pgbackend/conn.go
@@ -63,7 +63,7 @@
 	description []byte // response to a Describe of the statement
 	loadReport  []float64
 
-	// What is in force on the connection.
+	// The settings that are active on the connection, and the statements prepared there.
 
 	settings      *sessionparams.Set // the replayed settings
 	workMemMB     float64            // 0: the engine's default; -1: unknown
@@ -237,7 +237,7 @@
 	if a.Response != nil {
 		r.ResponseFinished = a.Response.FailAttempt(a.Number, a.FailureVerdict())
 		if r.ResponseFinished && r.Outcome.NeverRan() {
-			r.Outcome = cresspass.OutcomeFailed // rows were sent, so it did run, whatever the error says
+			r.Outcome = cresspass.OutcomeFailed // rows were sent, so the query ran despite this outcome
 		}
 	}
 	a.end(r)
--- a/internal/backend/pgbackend/conn_test.go
+++ b/internal/backend/pgbackend/conn_test.go
@@ -129,7 +129,7 @@
 	}
 }
 
-// Guards against a memory grant that counts as in force although the engine rejected it or a rollback undid
+// Guards against a memory grant that counts as active although the engine rejected it or a rollback undid
 // it.
 func TestMemoryGrantIsSetAgain(t *testing.T) {
 	ready := pgwire.Message{Type: 'Z', Body: []byte("I")}
--- a/internal/backend/pgbackend/connect.go
+++ b/internal/backend/pgbackend/connect.go
@@ -46,8 +46,8 @@
 	return &net.Dialer{Timeout: p.cfg.ConnectTimeout, Control: p.cfg.Control}
 }
 
-// connect opens a connection and completes its startup. On failure the connection is nil and the result says
-// why.
+// connect opens a connection and completes its startup. On failure the connection is nil and the result holds
+// the reason.
 func connect(p *Pool, e *engine) (*conn, Result) {
 	netConn, err := p.dialWithRetry(string(e.id))
 	switch {
--- a/internal/backend/pgbackend/copyin.go
+++ b/internal/backend/pgbackend/copyin.go
@@ -97,7 +97,7 @@
 }
 
 // finishCopyIn stops the writer when the engine has ended the statement, so that no more copy data is sent on
-// the connection. failed says that a CopyFail was sent, by the client or because the client is gone.
+// the connection. failed reports whether a CopyFail was sent, by the client or because the client is gone.
 func (c *conn) finishCopyIn() (failed bool) {
 	w := c.activeCopy
 	if w == nil {
--- a/internal/backend/pgbackend/message.go
+++ b/internal/backend/pgbackend/message.go
@@ -22,7 +22,7 @@
 	noticeBlocked      = "CP003"
 )
 
-// errCopyInTwice says that the engine opened copy-in mode while a copy-in was active.
+// errCopyInTwice means that the engine opened copy-in mode while a copy-in was active.
 var errCopyInTwice = errors.New("CopyInResponse in copy-in mode")
 
 // handleMessage handles one message of the engine. If it returns an error, the connection is closed.
@@ -227,7 +227,7 @@
 
 // sendGatedQuery sends the query that waited for the session's settings, unless it may no longer start. It
 // returns false if the query must end without having been sent, because the engine rejected the settings or
-// the attempt was withdrawn. The settings in force on the connection are then unknown.
+// the attempt was withdrawn. The active settings of the connection are then unknown.
 func (c *conn) sendGatedQuery(a *Attempt) bool {
 	q := c.gatedQuery
 	c.gatedQuery = nil
--- a/internal/backend/pgbackend/pool.go
+++ b/internal/backend/pgbackend/pool.go
@@ -20,7 +20,7 @@
 	MaxPrepared      int    // statements prepared on one connection
 	MaxMessage       int    // largest message body from an engine, in bytes
 	LoadReportFields int    // values in a load report
-	CopyBufferBytes  int    // of a COPY's data that may wait for the engine before reading its client pauses
+	CopyBufferBytes  int    // buffered data of a COPY at which reading from its client pauses
 
 	ConnectTimeout time.Duration
 	IdleTimeout    time.Duration // idle connections are closed after this time; 0: never
@@ -125,8 +125,8 @@
 }
 
 // startOnIdle sends an attempt on the idle connection c, or on a new connection if c is nil. If an idle
-// connection has closed in the meantime, nothing ran on it and this is no failure of the engine: the next
-// idle connection is used.
+// connection has closed in the meantime, nothing ran on it and the engine has not failed: the next idle
+// connection is used.
 func (p *Pool) startOnIdle(e *engine, c *conn, a *Attempt) {
 	defer p.background.Done()
 	for c != nil {
@@ -227,7 +227,7 @@
 	}
 }
 
-// Drain notifies the sessions on an engine that it drains and that they are ended after the given time.
+// Drain notifies the sessions on an engine that the engine drains and that they end after the given time.
 func (p *Pool) Drain(id cresspass.EngineID, within time.Duration) {
 	p.mu.Lock()
 	var leases []*Lease
--- a/internal/backend/pgbackend/ready.go
+++ b/internal/backend/pgbackend/ready.go
@@ -56,7 +56,8 @@
 }
 
 // settleSession determines what state a query left on the connection, and whether its session keeps the
-// connection. tainted says that the state is unknown: no other session may use the connection.
+// connection. tainted reports whether the state is unknown: then no other session may use the
+// connection.
 func (c *conn) settleSession(a *Attempt, status byte, retryable bool) (keep, tainted bool) {
 	if a.Response == nil || !a.Stateful && !c.settingReported {
 		return false, c.tainted
@@ -87,7 +88,7 @@
 }
 
 // detach ends the attempt's use of the connection and returns the connection to the pool if other sessions
-// may use it. An error says that the connection must be closed.
+// may use it. An error means that the connection must be closed.
 func (c *conn) detach(status byte, keep, tainted bool) error {
 	var err error
 	c.mu.Lock()
--- a/internal/backend/pgbackend/request.go
+++ b/internal/backend/pgbackend/request.go
@@ -9,7 +9,7 @@
 	"cresspass/internal/protocol/pgwire"
 )
 
-// unknownSetting stands for a work_mem or priority that may no longer be in force on the connection. It
+// unknownSetting stands for a work_mem or priority that may no longer be active on the connection. It
 // differs from every requested value, so the setting is sent again.
 const unknownSetting = -1
 
@@ -44,7 +44,7 @@
 }
 
 // resourceStatements returns the statements that set the attempt's memory and priority if they differ from
-// what is in force.
+// the active values of the connection.
 func (c *conn) resourceStatements(a *Attempt) (statements []string) {
 	if a.MemoryMB != c.workMemMB {
 		statement := "RESET work_mem"
@@ -70,7 +70,7 @@
 		return pgwire.AppendSync(pgwire.AppendExecute(out, q.Portal, q.MaxRows))
 	}
 	out, name := c.appendPrepare(out, q)
-	if q.Portal != "" { // a portal of that name may exist; closing a missing one is no error
+	if q.Portal != "" { // a portal of that name may exist; closing a missing one is not an error
 		out = pgwire.AppendTarget(out, 'C', 'P', q.Portal)
 	}
 	switch q.Kind {
--- a/internal/backend/sessionparams/change.go
+++ b/internal/backend/sessionparams/change.go
@@ -9,7 +9,7 @@
 // Change is the effect of one statement on the replayed settings.
 type Change struct {
 	Name      string // of the setting, in lower case; "": all settings
-	Statement string // puts the new value in force; "": back to the default
+	Statement string // sets the new value; "": back to the default
 }
 
 // ChangeOf returns the effect of a statement on the replayed settings. ok is false if the statement changes
@@ -60,7 +60,7 @@
 }
 
 // ParseAssignment splits a SET statement into the setting's name in lower case and the text of its value. ok
-// is false if the statement is no assignment ("SET").
+// is false if the statement is not an assignment ("SET").
 func ParseAssignment(st *sqlscan.Statement) (name, value string, ok bool) {
 	rest := trimScope(strings.TrimSpace(st.Text[len("SET"):]))
 	name, value, ok = strings.Cut(rest, "=")
--- a/internal/backend/sessionparams/set.go
+++ b/internal/backend/sessionparams/set.go
@@ -6,14 +6,15 @@
 	"strings"
 )
 
-// Param is a setting and the statement that puts its value in force.
+// Param is a setting and the statement that sets its value.
 type Param struct{ Name, Statement string }
 
-// Set holds the settings in force, ordered by name. It is immutable, so goroutines may share it. A nil *Set
-// is empty.
+// Set holds the replayed settings of a session or of a connection, ordered by name. A setting that is not in
+// the set has the engine's default. A Set is immutable, so goroutines may share it. A nil *Set is empty.
 type Set struct{ list []Param }
 
-// Statement returns the statement that puts a setting in force, or "" if the engine's default is in force.
+// Statement returns the statement that sets a setting's value, or "" if the setting has the engine's
+// default.
 func (s *Set) Statement(name string) string {
 	if s != nil {
 		for _, p := range s.list {
--- a/internal/backend/sessionparams/settings.go
+++ b/internal/backend/sessionparams/settings.go
@@ -1,5 +1,6 @@
-// Package sessionparams tracks the settings of a client's session that are replayed on whichever engine
-// connection runs the session's next statement, so that setting them does not tie the session to one engine.
+// Package sessionparams tracks the settings of a client's session that are replayed on the engine
+// connection that runs the session's next statement, so that setting them does not tie the session to one
+// engine.
 // It decides which settings are replayed, when a SET takes effect, and which statements give a connection the
 // settings of a session. It does no I/O.
 //
--- a/internal/backend/sessionparams/tracker.go
+++ b/internal/backend/sessionparams/tracker.go
@@ -6,12 +6,12 @@
 	"cresspass/internal/protocol/sqlscan"
 )
 
-// Tracker tracks a session's replayed settings. The zero value is ready to use and has none set. It is not
-// safe for concurrent use.
+// Tracker tracks a session's replayed settings. The zero value is ready to use and has no settings. It is
+// not safe for concurrent use.
 type Tracker struct {
 	startup      *Set // from the startup packet; RESET returns to these
-	desired      *Set // in force for the session
-	onConnection *Set // in force on the connection that ran its last statement
+	desired      *Set // that the session's next transaction must start with
+	onConnection *Set // active on the connection that ran its last statement
 
 	pendingInTx    []Change // of the open transaction's earlier queries
 	pendingInQuery []Change // of the running query
@@ -29,8 +29,8 @@
 	t.desired, t.onConnection = t.startup, t.startup
 }
 
-// ChangeSetting changes a startup setting of a running session and puts it in force. Other settings stay as
-// they are.
+// ChangeSetting changes a startup setting of a running session, and the desired setting with it. Other
+// settings stay as they are.
 func (t *Tracker) ChangeSetting(name, value string) {
 	t.startup = t.startup.With(name, SetConfigStatement(name, value))
 	t.desired = t.desired.With(name, SetConfigStatement(name, value))
@@ -42,10 +42,10 @@
 	t.desired = t.desired.With(name, "")
 }
 
-// Desired returns the settings in force for the session.
+// Desired returns the settings that the session's next transaction must start with.
 func (t *Tracker) Desired() *Set { return t.desired }
 
-// OnConnection returns the settings in force on the connection that ran the session's last statement. They
+// OnConnection returns the settings active on the connection that ran the session's last statement. They
 // differ from Desired after a RESET, which restores the engine's own default and not the startup packet's
 // value.
 func (t *Tracker) OnConnection() *Set { return t.onConnection }
@@ -88,7 +88,7 @@
 	return st.Words[1] == "TO" || st.Words[2] == "TO"
 }
 
-// apply puts changes in force.
+// apply applies changes that have taken effect to the desired settings and to those of the connection.
 func (t *Tracker) apply(changes []Change) {
 	for _, ch := range changes {
 		switch {
@@ -104,11 +104,11 @@
 	}
 }
 
-// ConnectionHad records the settings that were in force on the query's connection before the query.
+// ConnectionHad records the settings that were active on the query's connection before the query.
 func (t *Tracker) ConnectionHad(settings *Set) { t.onConnection = settings }
 
-// ReadyForQuery records the end of the query, with its transaction status. uncertain says that the settings
-// in force are not known: the session must keep its connection.
+// ReadyForQuery records the end of the query, with its transaction status. uncertain reports whether
+// the session's settings are no longer known: it must then keep its connection.
 func (t *Tracker) ReadyForQuery(status byte) (uncertain bool) {
 	switch {
 	case status != 'I':
@@ -125,7 +125,7 @@
 	return uncertain
 }
 
-// Reset records that the query did not run, and that there is no open transaction any more.
+// Reset records that the query did not run, and that no transaction is open any more.
 func (t *Tracker) Reset() {
 	t.pendingInTx, t.pendingInQuery, t.sent, t.uncertain = nil, nil, nil, false
 }
--- a/internal/backend/sessionparams/tracker_test.go
+++ b/internal/backend/sessionparams/tracker_test.go
@@ -90,9 +90,9 @@
 	return tag
 }
 
-// TestReplayMatchesSingleServer: a session moves between engines between its transactions. Whatever it sets
-// and resets, each statement runs on its engine with the settings that a single server would have in force,
-// as long as the tracker is certain of them.
+// TestReplayMatchesSingleServer: a session moves between engines between its transactions. After any sequence
+// of SETs and RESETs, each statement runs on its engine with the settings that would be active on a single
+// server, as long as the tracker is certain of them.
 func TestReplayMatchesSingleServer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		single := &modelServer{settings: map[string]string{}}
--- a/internal/frontend/pgfrontend/client.go
+++ b/internal/frontend/pgfrontend/client.go
@@ -41,7 +41,7 @@
 	mu             sync.Mutex
 	session        *pgsession.Session
 	current        *frontend.Query
-	nextQuery      *enginequery.Query // submitted once the decision module knows of current's end
+	nextQuery      *enginequery.Query // submitted after the decision module is notified of current's end
 	closed         bool
 	admitted       bool // AdmitUser has admitted the user
 	readPaused     bool // the client has sent too much ahead
@@ -61,8 +61,8 @@
 	}
 }
 
-// rejectIfOverLimit replaces the response to the startup packet by an error if the client is beyond a limit.
-// The caller holds c.mu.
+// rejectIfOverLimit replaces the response to the startup packet with an error if the client exceeds a
+// limit. The caller holds c.mu.
 func (c *client) rejectIfOverLimit() {
 	c.registration.User = c.session.User
 	if c.session.Closing() {
--- a/internal/frontend/pgfrontend/pgsession/extended.go
+++ b/internal/frontend/pgfrontend/pgsession/extended.go
@@ -60,7 +60,7 @@
 }
 
 // answersLocally reports whether the dispatcher answers a prepared statement in the session's present state.
-// The answer may differ from that at Parse, because other settings may have been in force then.
+// The result may differ from the one at Parse, because the session's settings may have changed since then.
 func (s *Session) answersLocally(st *statement) bool {
 	return len(st.parsed) == 0 || s.allLocal(st.parsed)
 }
--- a/internal/frontend/pgfrontend/pgsession/local.go
+++ b/internal/frontend/pgfrontend/pgsession/local.go
@@ -13,12 +13,12 @@
 	"cresspass/internal/protocol/sqlstate"
 )
 
-// Statements that the dispatcher answers itself: those about values that are always in force, or about state
-// that the session stores here.
+// Statements that the dispatcher answers itself: those about settings that have a single value, or about
+// state that the session stores here.
 
-// allLocal reports whether the dispatcher answers a text. While the session holds an engine connection,
-// statements go there because the engine's own settings count, except for prepared statements, which are
-// stored here.
+// allLocal reports whether the dispatcher answers all statements of a query text. While the session holds an
+// engine connection, statements go to that engine because its settings apply. Exceptions are DEALLOCATE of a
+// prepared statement, which is stored here, and SHOW of the dispatcher's own settings.
 func (s *Session) allLocal(parsed []sqlscan.Statement) bool {
 	if len(parsed) == 1 && parsed[0].Words[0] == "DEALLOCATE" &&
 		s.statements[deallocateName(&parsed[0])] != nil {
@@ -35,8 +35,8 @@
 	return len(parsed) > 0
 }
 
-// allShowDispatcherSettings reports whether the dispatcher answers a text of a session that holds an engine
-// connection, because it only asks for the dispatcher's own settings, for which the engine would return its
+// allShowDispatcherSettings reports whether the dispatcher answers a query text of a session that holds an
+// engine connection, because the text only shows the dispatcher's own settings: the engine would return its
 // own values. If a function may have set one of them, or in a failed transaction, the engine must answer.
 func (s *Session) allShowDispatcherSettings(parsed []sqlscan.Statement) bool {
 	if s.Affinity.Status() == enginequery.StatusFailedTransaction ||
--- a/internal/frontend/pgfrontend/pgsession/localsettings.go
+++ b/internal/frontend/pgfrontend/pgsession/localsettings.go
@@ -44,8 +44,8 @@
 
 func unquoted(value string) string { return strings.Trim(strings.TrimSpace(value), "'\"") }
 
-// isFixedValue reports whether the value of a setting is the one that is always in force, at engines and
-// here. No other value is accepted here: accepting a setting and ignoring it would silently change results.
+// isFixedValue reports whether a value equals the only value that the setting has, at engines and here. No
+// other value is accepted here: accepting a setting and ignoring it would silently change results.
 func isFixedValue(name, value string) bool {
 	value = normalizedValue(value)
 	switch name {
@@ -126,7 +126,7 @@
 }
 
 // parseTimeout parses a timeout as PostgreSQL does: a number of milliseconds, or a number with a unit. It
-// returns false if the value is no valid timeout.
+// returns false if the value is not a valid timeout.
 func parseTimeout(value string) (time.Duration, bool) {
 	value = strings.TrimSpace(value)
 	if n, err := strconv.ParseInt(value, 10, 32); err == nil && n >= 0 {
--- a/internal/frontend/pgfrontend/pgsession/query.go
+++ b/internal/frontend/pgfrontend/pgsession/query.go
@@ -32,8 +32,8 @@
 	return nil
 }
 
-// executeAllLocal answers all statements of a text. An error ends the text and undoes the settings it has
-// changed.
+// executeAllLocal answers all statements of a query text. After an error it skips the remaining statements
+// and undoes the setting changes of the text.
 func (s *Session) executeAllLocal(parsed []sqlscan.Statement) {
 	before := s.settings.settingScopes
 	for i := range parsed {
--- a/internal/frontend/pgfrontend/pgsession/session.go
+++ b/internal/frontend/pgfrontend/pgsession/session.go
@@ -140,7 +140,7 @@
 	}
 }
 
-// Backlogged reports whether the client has sent so much ahead while a query runs that it should not be read
+// Backlogged reports whether the client has sent so much ahead while a query runs that reading should pause
 // until QueryEnded or StartCopyIn.
 func (s *Session) Backlogged() bool {
 	return s.phase == phaseBusy && !s.copyIn && 2*s.bytesAhead > s.maxPending()
@@ -154,7 +154,7 @@
 }
 
 // QueryEnded ends the query of the last TakeQuery. b holds the last messages of its response, without
-// ReadyForQuery; failed says that an ErrorResponse ended it.
+// ReadyForQuery; failed reports whether an ErrorResponse ended it.
 func (s *Session) QueryEnded(kind enginequery.Kind, b []byte, failed bool) {
 	if s.phase != phaseBusy {
 		return
@@ -184,8 +184,8 @@
 }
 
 // ReadyForQuery records the transaction status of the engine's ReadyForQuery at the time now. It is called
-// after the query's command tags. changed says that the session has become bound to its engine connection, or
-// is no longer bound.
+// after the query's command tags. changed reports whether the session has become bound to its engine
+// connection, or is no longer bound.
 func (s *Session) ReadyForQuery(now time.Duration, status byte) (changed bool) {
 	s.settings.readyForQuery(status)
 	return s.Affinity.ReadyForQuery(now, status)
--- a/internal/frontend/pgfrontend/pgsession/settingscope.go
+++ b/internal/frontend/pgfrontend/pgsession/settingscope.go
@@ -64,10 +64,10 @@
 	return v
 }
 
-// settingScopes holds the values in force now and those in force after the transaction commits.
+// settingScopes holds the current values and those that apply after the transaction commits.
 type settingScopes struct {
-	current settingValues // in force now, including SET LOCAL
-	session settingValues // in force after a COMMIT
+	current settingValues // include those of SET LOCAL
+	session settingValues // apply after a COMMIT
 }
 
 // savepoint holds the values at the time of a SAVEPOINT.
@@ -81,8 +81,8 @@
 // The engine's command tags show which statements have run.
 type settingTracker struct {
 	settingScopes
-	startup       settingValues // in force after RESET ALL or DISCARD ALL
-	beforeTx      settingValues // in force after a ROLLBACK
+	startup       settingValues // apply after RESET ALL or DISCARD ALL
+	beforeTx      settingValues // apply after a ROLLBACK
 	inTransaction bool
 	savepoints    []savepoint
 
--- a/internal/frontend/pgfrontend/query.go
+++ b/internal/frontend/pgfrontend/query.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// rejectIfStickyLimit ends a query that would make its session sticky when no more sessions may be, or whose
-// sticky session has lost its connection. It returns true if it has ended the query; nothing of the query
-// ran.
+// rejectIfStickyLimit ends a query that would make its session sticky when a limit allows no more sticky
+// sessions, or whose sticky session has lost its connection. It returns true if it has ended the query;
+// nothing of the query ran.
 func (c *client) rejectIfStickyLimit(q *frontend.Query) bool {
 	switch {
 	case !q.EngineQuery.Stateful || q.Lease.Engine() != "":
--- a/internal/frontend/pgfrontend/server.go
+++ b/internal/frontend/pgfrontend/server.go
@@ -59,7 +59,7 @@
 	// ReleaseConnection frees it.
 	AcquireConnection func() bool
 	ReleaseConnection func()
-	// AdmitUser reports whether a user may have one more connection, or the reason why not. ReleaseUser is
+	// AdmitUser reports whether a user may open one more connection and, if not, the reason. ReleaseUser is
 	// called when an admitted connection has closed.
 	AdmitUser   func(user string) (reason string, ok bool)
 	ReleaseUser func(user string)
@@ -83,7 +83,7 @@
 	draining    bool
 	nextPID     uint32
 	acceptLoops sync.WaitGroup
-	opened      atomic.Uint64 // connections opened so far; clientOf says what it orders
+	opened      atomic.Uint64 // connections opened so far; see clientOf for its role in synchronization
 }
 
 // New returns a running server that submits queries to dispatcher. It has no listener until Serve; Close
@@ -92,7 +92,7 @@
 	logging.SetLevel(logging.LevelNone)
 	s := &Server{dispatcher: dispatcher, log: log, clients: map[uint32]*client{},
 		budget: response.BufferBudget{MaxBytes: cfg.HoldBackTotal},
-		// Edge-triggered, so that not reading from a client for a while costs nothing.
+		// Edge-triggered, so that pausing reads from a client costs nothing.
 		poller: nbio.NewEngine(nbio.Config{Name: Name, EpollMod: nbio.EPOLLET})}
 	s.cfg.Store(&cfg)
 	s.poller.OnOpen(s.onOpen)
@@ -232,8 +232,8 @@
 	c.mu.Unlock()
 }
 
-// register assigns a PID to a client and adds it to s.clients. rejected says that the connection must be
-// closed without a message.
+// register assigns a PID to a client and adds it to s.clients. rejected reports whether the connection must
+// be closed without a message.
 func (s *Server) register(c *client, cfg *Config) (rejected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/pgfrontend/sink.go
+++ b/internal/frontend/pgfrontend/sink.go
@@ -36,7 +36,8 @@
 	k.WriteFinal(pgwire.AppendFields(nil, 'E', f), true)
 }
 
-// WriteFinal ends the response with its last messages. failed says that the last one is an ErrorResponse.
+// WriteFinal ends the response with its last messages. failed reports whether the last one is an
+// ErrorResponse.
 func (k *sink) WriteFinal(b []byte, failed bool) {
 	c := k.client
 	c.mu.Lock()
@@ -61,8 +62,8 @@
 	}
 }
 
-// updateAffinityAtEnd updates the session's affinity at the end of a response. ended says that the session
-// ends with t, because the engine connection was lost while the query ran. The caller holds c.mu.
+// updateAffinityAtEnd updates the session's affinity at the end of a response. ended reports whether the
+// session ends with t, because the engine connection was lost while the query ran. The caller holds c.mu.
 func (c *client) updateAffinityAtEnd() (t affinity.Termination, ended bool) {
 	switch {
 	case c.connectionLost:
