--- a/action.go
+++ b/action.go
@@ -21,7 +21,7 @@
 	SubscribeEngineList                    // Enabled
 )
 
-// Reason is why a gateway ended a query without a result. It is only logged.
+// Reason is why a gateway ended a query without a result. It is only logged; clients do not receive it.
 type Reason string
 
 // The reasons.
--- a/admission.go
+++ b/admission.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// deadlineQueue holds the queries that wait for an engine, earliest deadline first.
+// deadlineQueue holds the queries that wait for an engine, sorted by deadline and then by ID.
 type deadlineQueue []*query
 
 func (w *deadlineQueue) push(q *query) {
@@ -57,8 +57,9 @@
 	}
 }
 
-// remainingTime returns the time within which a query should end, in seconds: until its client gives up or
-// until its latency objective, whichever is earlier. It may be negative.
+// remainingTime returns the time within which a query should end, in seconds: until replyMargin before its
+// deadline or until its latency objective, whichever is earlier. The objective counts from the client's first
+// request. The result may be negative.
 func (g *Gateway) remainingTime(q *query) float64 {
 	deadline := (q.deadline - g.now - g.replyMargin()).Seconds()
 	waited := (g.now - q.arrivedAt + q.priorWait).Seconds()
@@ -88,8 +89,9 @@
 	}
 }
 
-// decide returns the engine to send a query to now. Without one, wait reports whether the query stays
-// queued, and reason is why it is ended otherwise.
+// decide returns the engine to send a query to now, or nil. If e is nil, the query stays queued if wait is
+// true, and is ended for reason if wait is false. blocked holds the engines that keep their capacity for
+// queries decided earlier in the same call of dequeue.
 func (g *Gateway) decide(q *query, blocked map[*engine]bool) (e *engine, wait bool, reason Reason) {
 	switch {
 	case !g.mayAttempt(q):
@@ -104,7 +106,8 @@
 }
 
 // rejectOrFail ends a query without a result (rules 1 and 2): with Reject if a repeat is known to be
-// harmless, else with Fail. Only handleArrival ends queries elsewhere, those of an unknown class.
+// harmless, else with Fail. All such answers come from here, except that handleArrival fails queries of an
+// unknown class.
 func (g *Gateway) rejectOrFail(q *query, reason Reason) {
 	if q.done {
 		return
@@ -123,7 +126,7 @@
 	g.removeQuery(q)
 }
 
-// mayReject reports whether it is harmless if the client repeats the query.
+// mayReject reports whether a repeat of the query by its client is known to be harmless.
 func (g *Gateway) mayReject(q *query) bool {
 	maybeRan := q.firstMaybeRan != nil || len(q.inFlight) > 0
 	switch q.class.Effect {
--- a/admission_test.go
+++ b/admission_test.go
@@ -78,8 +78,8 @@
 }
 
 // TestOverQuotaQueuesUnlessOverloaded: if clients are spread unevenly, this gateway's share of a quota is a
-// guess. So a query over quota is rejected only in an overload and otherwise queued like any other (Quebec,
-// a rolling restart).
+// guess. So a query over quota is rejected only in an overload, and otherwise queued like any other query
+// (Quebec, a rolling restart).
 func TestOverQuotaQueuesUnlessOverloaded(t *testing.T) {
 	for _, overload := range []bool{false, true} {
 		cfg := singleClassConfig()
--- a/attempt.go
+++ b/attempt.go
@@ -12,11 +12,11 @@
 	engine         *engine
 	number         int
 	sentAt         time.Duration
-	notedAt        time.Duration // time of the last progress note
+	notedAt        time.Duration // time of the last progress note; 0: none yet
 	base, estimate float64       // seconds, both as of sentAt
 	grantMB        float64
 	runningSeconds []float64 // copy of the engine's runningSeconds as of sentAt
-	overdueRatio   float64   // next multiple of the estimate at which it counts as overdue
+	overdueRatio   float64   // next multiple of the estimate at which the attempt counts as overdue
 
 	cancelled, spilled, presumedLost bool
 }
@@ -76,8 +76,8 @@
 	e.running, q.inFlight = slices.DeleteFunc(e.running, same), slices.DeleteFunc(q.inFlight, same)
 }
 
-// releaseThreads removes an attempt from the running counts, unless that happened when it was presumed
-// lost.
+// releaseThreads removes an attempt from the running counts. It does nothing for an attempt presumed lost,
+// which was removed from them at that time.
 func (g *Gateway) releaseThreads(a *attempt) {
 	if a.presumedLost {
 		return
@@ -128,7 +128,7 @@
 		e.lastSeenAt = g.now
 		e.outlier.recordSuccess()
 		g.learn(a, ev.Elapsed.Seconds())
-		if c := a.query.class; ev.ActualCost > 0 && !a.query.hasCostEstimate { // meanWork was a guess
+		if c := a.query.class; ev.ActualCost > 0 && !a.query.hasCostEstimate { // the query's work was a guess
 			c.meanWork += meanWorkGain * (ev.ActualCost.Seconds() - c.meanWork)
 		}
 		g.adaptGrant(a, ev.ActualMemoryMB)
@@ -156,8 +156,8 @@
 	}
 }
 
-// handleProgress handles a progress note on a running attempt. Each attempt gets a new query plan, so an
-// attempt with a bad plan is cancelled if a new one is expected to end well before it.
+// handleProgress handles a progress note on a running attempt. Each attempt gets a new query plan. So if the
+// note shows a bad plan and a new attempt is expected to end well before this one, this one is cancelled.
 func (g *Gateway) handleProgress(ev *Event) {
 	a := g.attempts[attemptKey{ev.Query, ev.Attempt}]
 	if a == nil {
--- a/engine.go
+++ b/engine.go
@@ -9,30 +9,32 @@
 // kind holds what all engines of one machine kind share.
 type kind struct {
 	cores, memoryMB float64
-	reportedLoad    float64     // threads per core, as peers or engines report
-	grantedMemory   float64     // granted memory over memory, as engines report
-	weights         [][]float64 // per class: time a running query of each class adds, over base, per core
+	reportedLoad    float64 // threads per core, as peers or engines report
+	grantedMemory   float64 // granted memory over an engine's memory, as engines report
+	// weights[i][j] is the time that one running query of class j per core adds to a query of class i, as a
+	// multiple of its base. The last column is for threads of other gateways.
+	weights [][]float64
 }
 
 // engine holds what a gateway knows about one engine.
 type engine struct {
 	EngineInfo
 	kind          *kind
-	tag           uint16        // identifies it in peer messages
+	tag           uint16        // identifies the engine in peer messages
 	active        bool          // on the current list, neither draining nor removed
 	inactiveSince time.Duration // when its current draining or removed period began
-	lastSeenAt    time.Duration // when it last responded
-	knownSince    time.Duration // when it was added or last reset
+	lastSeenAt    time.Duration // of its last note, answer, rejection or failure; at first knownSince
+	knownSince    time.Duration // when the engine was added or last reset
 
 	running        []*attempt
-	runningCount   []float64     // own running queries per class; last: threads of other gateways
+	runningCount   []float64     // own running queries per class; last: see othersThreads
 	runningSeconds []float64     // integral of runningCount over time, in seconds
 	integratedAt   time.Duration // until when runningSeconds includes runningCount
 	ownThreads     float64       // threads of this gateway's running attempts
 	sessions       float64       // open sticky sessions of this gateway
 
-	ownWeights        [][]float64 // its deviation from the kind's weights
-	logSlowness       float64     // logarithm of its slowness: recent times over Est
+	ownWeights        [][]float64 // the engine's deviation from the kind's weights
+	logSlowness       float64     // logarithm of recent times over those by weights and fleet slowness
 	excessLogSlowness float64     // logSlowness less the median, at the last tick
 
 	limiter   threadLimiter
@@ -40,12 +42,12 @@
 	slowStart slowStartState
 
 	loadKnownAt   time.Duration // when other gateways' threads were last reported
-	recentSends   float64       // threads others announced as just sent; decays as sums include them
-	grantedMemory float64       // granted memory over memory, as reported
+	recentSends   float64       // threads of others' announced sends; decays, as sums come to include them
+	grantedMemory float64       // granted memory over the engine's memory, as reported
 
 	succeeded, failed           int     // answers; failures and lost answers; since the last peer report
 	aggregateLoad               float64 // threads of all gateways, while this gateway is aggregator
-	succeededTotal, failedTotal float64 // of all gateways, decaying, while it is aggregator
+	succeededTotal, failedTotal float64 // of all gateways, decaying, while this gateway is aggregator
 }
 
 func (g *Gateway) handleEngineList(ev *Event) {
@@ -76,7 +78,7 @@
 	if e == nil {
 		e = g.addEngine(info)
 	} else if info.StartedAt > e.StartedAt || info.Kind != e.Kind {
-		g.resetEngine(e, info) // new process or machine: what was learnt does not apply
+		g.resetEngine(e, info) // new process or machine: learnt values do not apply
 	}
 	if info.State != EngineActive && (e.State == EngineActive || e.inactiveSince == 0) {
 		e.inactiveSince = g.now
@@ -99,7 +101,8 @@
 	return e
 }
 
-// resetEngine sets an engine to its initial state. Its own weights become zero, so its kind's weights apply.
+// resetEngine forgets what was learnt about an engine. The engine's own weights become zero, so its kind's
+// weights apply. Its running attempts, its known load and its slow start sends stay.
 func (g *Gateway) resetEngine(e *engine, info *EngineInfo) {
 	k := g.kinds[info.Kind]
 	if k == nil {
@@ -115,7 +118,7 @@
 }
 
 // pruneEngines drops engines that left the list and run no attempts. An engine in slow start is kept, because
-// its record of what it was sent still counts.
+// the work that it was sent still counts.
 func (g *Gateway) pruneEngines() {
 	g.engineList = slices.DeleteFunc(g.engineList, func(e *engine) bool {
 		if e.active || e.State == EngineDraining || len(e.running) > 0 || g.rampFraction(e) < 1 {
@@ -137,7 +140,8 @@
 	e.integratedAt = g.now
 }
 
-// othersThreads returns the entry of runningCount that holds the threads of other gateways.
+// othersThreads returns the entry of runningCount for other gateways: their known threads on the engine,
+// times unobservedShare.
 func (e *engine) othersThreads() *float64 { return &e.runningCount[len(e.runningCount)-1] }
 
 // queryCount returns the number of this gateway's queries that run on the engine.
--- a/estimator.go
+++ b/estimator.go
@@ -5,7 +5,7 @@
 // A gain is the share of an error that one outcome corrects.
 const (
 	baseGain            = 0.04 // least gain of a class's base; it is higher after few outcomes
-	kindGain            = 0.10 // gain of a kind's average weights
+	kindGain            = 0.10 // gain of a kind's weights
 	engineGain          = 0.05 // gain of an engine's own deviation from its kind
 	minBaseShare        = 0.02 // least base, as a share of the objective: below, network time dominates
 	maxErrorRatio       = 4.0  // an outcome counts as at most this many times its estimate, or 1/this
@@ -18,8 +18,8 @@
 var maxLogError = math.Log(maxErrorRatio)
 
 // newWeights returns weights of zero, except in the last column, which is set to others. That column is for
-// the threads of other gateways, all classes together. No gateway sees these run, so where they are reported
-// their weight does not start at zero.
+// the threads of other gateways, all classes together. This gateway knows these only from reports and does
+// not see them run, so their weight in a kind does not start at zero.
 func (g *Gateway) newWeights(others float64) [][]float64 {
 	w := make([][]float64, len(g.classList))
 	for i := range w {
@@ -29,7 +29,8 @@
 	return w
 }
 
-// interference returns the time that running queries add to a query of class i, over its base.
+// interference returns the time that running queries add to a query of class i, as a multiple of its base.
+// counts has the layout of runningCount.
 func (e *engine) interference(i int, counts []float64) float64 {
 	sum := 0.0
 	for j, n := range counts {
@@ -54,7 +55,8 @@
 	return est
 }
 
-// addBulkLoadWait adds to an estimate how long a bulk load waits for others that lock its tables there.
+// addBulkLoadWait adds to a bulk load's estimate how long it waits for this gateway's other bulk loads on the
+// engine that lock the same table group.
 func (g *Gateway) addBulkLoadWait(est float64, q *query, e *engine) float64 {
 	for _, a := range e.running {
 		if a.query.class.bulkLoad && a.query.tableGroup == q.tableGroup {
@@ -64,8 +66,8 @@
 	return est
 }
 
-// averageMix returns the average mix of running queries during an attempt, and as norm one plus the squared
-// length of that mix over cores. mix is valid until the next call.
+// averageMix returns the average mix of running queries during an attempt, and norm: one plus the squared
+// length of the vector mix/cores. took is in seconds. mix is valid until the next call.
 func (g *Gateway) averageMix(a *attempt, took float64) (mix []float64, norm float64) {
 	mix, norm = g.mixBuffer[:0], 1
 	for j := range a.engine.runningSeconds {
@@ -78,7 +80,8 @@
 }
 
 // learn updates the model from an answered attempt: the class's base, the weights of the mix it ran in and,
-// faster, the engine's slowness. Only slowness beyond the fleet's median is kept out of the weights.
+// faster, the engine's slowness. Only slowness beyond the fleet's median is kept out of the weights. took is
+// in seconds.
 func (g *Gateway) learn(a *attempt, took float64) {
 	c, e := a.query.class, a.engine
 	if took <= 0 || a.base <= 0 {
@@ -101,7 +104,7 @@
 	}
 	ownRatio := clipError(logRatio - g.unobservedShare(e)*g.fleetLogSlowness)
 	e.logSlowness += slownessGain * (ownRatio - e.logSlowness)
-	if a.overdueRatio == firstOverdueRatio { // else learnOverdue has counted it already
+	if a.overdueRatio == firstOverdueRatio { // else learnOverdue has counted the attempt already
 		g.learnFleetSlowness(logRatio - e.logSlowness)
 	}
 	g.adaptThreadLimit(e, c, min(max(math.Log(observed), -maxLogError), 2*maxLogError), took)
@@ -139,29 +142,30 @@
 	e.limiter.logLatency += latencyGain * math.Max(0, clipped-e.limiter.logLatency)
 }
 
-// learnFleetSlowness updates the fleet's slowness from an attempt: once if it ends before it is overdue, else
-// each time it reaches its overdueRatio.
+// learnFleetSlowness updates the fleet's slowness from an attempt. learn calls it if the attempt ends before
+// it is overdue; learnOverdue calls it each time the attempt reaches its overdueRatio, unless engines report
+// load.
 func (g *Gateway) learnFleetSlowness(logRatio float64) {
 	g.fleetLogSlowness += fleetSlownessGain * clipError(logRatio-g.fleetLogSlowness)
 }
 
-// unobservedShare returns how much of an engine's load our own queries do not show. It is near 1 if our share
-// of its cores is small.
+// unobservedShare returns how much of an engine's load our own queries do not show, as a share below 1. The
+// result is near 1 if our share of the engine's cores is small.
 func (g *Gateway) unobservedShare(e *engine) float64 {
 	return math.Pow(1+e.kind.cores/g.gatewayCount, -2)
 }
 
 // logSlowness returns the logarithm of how much slower an engine is than its weights predict. The fleet's
-// slowness counts as far as the engine is unobserved.
+// slowness is weighted with the engine's unobservedShare.
 func (g *Gateway) logSlowness(e *engine) float64 {
 	return e.logSlowness + g.unobservedShare(e)*g.fleetLogSlowness
 }
 
-// clipError limits a logarithmic error to what one outcome may count for.
+// clipError limits a logarithmic error to what one outcome may count for: maxLogError in either direction.
 func clipError(logError float64) float64 { return min(max(logError, -maxLogError), maxLogError) }
 
-// expectedWork returns the work that slow start counts for a query, in thread seconds: the mean of its class
-// or, if that is higher, the work by its cost estimate.
+// expectedWork returns the work that slow start counts for a query, in thread seconds: the mean work of its
+// class or, if that is higher, the work according to its cost estimate.
 func (g *Gateway) expectedWork(q *query) float64 {
 	if q.hasCostEstimate {
 		return math.Max(q.class.meanWork, g.baseTime(q)*q.class.threads)
--- a/estimator_test.go
+++ b/estimator_test.go
@@ -60,7 +60,7 @@
 	e := h.g.engineList[0]
 	var early float64
 	for i := range 180 {
-		e.lastSeenAt = h.now // other answers arrive
+		e.lastSeenAt = h.now // as if other answers arrived
 		h.advance(50*ms, Event{Type: TimerFired})
 		if i == 40 {
 			early = e.logSlowness
@@ -73,7 +73,7 @@
 }
 
 // TestMeanWorkComesFromAnswers: without cost estimates a class's mean work remained at its latency objective,
-// whatever the answers reported (Tallinn).
+// regardless of the costs that answers reported (Tallinn).
 func TestMeanWorkComesFromAnswers(t *testing.T) {
 	cfg := singleClassConfig()
 	cfg.ReportsCost = true
--- a/event.go
+++ b/event.go
@@ -6,7 +6,7 @@
 // has a new ID.
 type QueryID uint64
 
-// EngineID is the address of an engine. Its text carries no zone, kind or age.
+// EngineID identifies an engine; it may be the engine's address. Its text carries no zone, kind or age.
 type EngineID string
 
 // EventType determines which fields of an Event are valid.
@@ -24,7 +24,7 @@
 	ResponseStarted                      // Query, Attempt, Engine, Elapsed
 	QueryAbandoned                       // Query: its client disconnected or cancelled it
 	SessionCountChanged                  // Engine, Value: 1: a sticky session was opened there; -1: closed
-	MembershipChanged                    // Peer: our ordinal; Value: gateways; Elapsed: their shared clock
+	MembershipChanged                    // Peer: our ordinal; Value: gateways; Elapsed: time on their clock
 	EngineReportedDown                   // Engine: other gateways report that it does not respond
 	ShutdownScheduled                    // RemainingDeadline: all queries, new ones too, must end within it
 )
@@ -107,15 +107,15 @@
 	TableGroup        float64       // the group of tables the query uses
 	RemainingDeadline time.Duration // until the client gives up this request
 	Key               string
-	StickyEngine      EngineID // the only engine that may run it: it holds its session; "": any
-	OpensSession      bool     // its session will stay on the engine that runs it
+	StickyEngine      EngineID // holds the query's session, so only it may run the query; "": any may
+	OpensSession      bool     // the query opens a session, which will stay on the engine that runs it
 	Tenant            string
 	HasCostEstimate   bool // CostEstimate is valid
 	CostEstimate      time.Duration
 	MemoryEstimateMB  float64 // 0: unknown
 	IsRetry           bool
 	IsWrite           bool
-	AddsNoRetryBudget bool          // not a request of a client's own: it adds no retries to the budget
+	AddsNoRetryBudget bool          // not a request of a client's own, so it allows no retries
 	QueryFinished     bool          // the query has its final answer
 	ActualCost        time.Duration // with OutcomeOK, where answers carry costs
 	ActualMemoryMB    float64       // with OutcomeOK, where answers carry costs
--- a/gateway.go
+++ b/gateway.go
@@ -9,7 +9,7 @@
 const (
 	tickInterval       = 50 * time.Millisecond  // interval of the review of engines and attempts
 	tickLabel          = 0                      // timer label of the tick; a query's is its ID plus 1
-	replyMarginBatches = 2                      // final answers leave this many batches before the deadline
+	replyMarginBatches = 2                      // batch intervals between the last answer and the deadline
 	listPollRetryDelay = 500 * time.Millisecond // after a failed poll; also the least poll interval
 )
 
@@ -82,8 +82,8 @@
 }
 
 // Handle processes the events since the last call, in order, and appends the resulting actions to actions.
-// now is the gateway's clock: a value before that of the last call counts as that one. The gateway keeps
-// neither slice.
+// now is the time on the gateway's clock; if it is before that of the last call, that one is used again. The
+// gateway keeps neither slice.
 func (g *Gateway) Handle(now time.Duration, events []Event, actions []Action) []Action {
 	g.now, g.actions = max(now, g.now), actions
 	if !g.started {
@@ -156,7 +156,7 @@
 	counts := g.reviewEngines()
 	g.updateSessionActivity(counts)
 	g.updateExcessSlowness()
-	// If most engines fail at once, none of them is an outlier, and ejecting them all would serve nobody.
+	// If most engines fail at once, none of them is an outlier, and no client gains if all are ejected.
 	g.mostEjected = counts.ejected*2 > counts.active
 	g.pressure.update(g.now, g.fleetLogSlowness, counts)
 }
@@ -164,7 +164,7 @@
 // fleetCounts holds what a tick counts over all engines.
 type fleetCounts struct {
 	active, ejected, underPressure int     // numbers of active engines
-	sessions, busySessions         float64 // sticky sessions; attempts that run in one
+	sessions, busySessions         float64 // sticky sessions; attempts that run in such a session
 }
 
 // reviewEngines updates each engine's state to the current time and detects overdue attempts and outliers.
@@ -205,9 +205,9 @@
 	}
 }
 
-// pollEngineList renews the engine list subscription where the list must be polled. It does so well within
-// EngineListPollInterval: after that time the rules count a list as known even if the gateway has not seen
-// it.
+// pollEngineList renews the engine list subscription where the list must be polled. It does so every half
+// EngineListPollInterval, but not more often than every listPollRetryDelay: after EngineListPollInterval
+// the rules count a list as known even if the gateway has not seen it.
 func (g *Gateway) pollEngineList() {
 	if !g.cfg.PollEngineList || g.now < g.listPollAt {
 		return
@@ -222,7 +222,7 @@
 	g.emit(Action{Type: SetTimer, Wait: max(in, time.Microsecond), Label: label})
 }
 
-// replyMargin is how long before its deadline a query gets its final answer at the latest.
+// replyMargin returns how long before its deadline a query gets its final answer at the latest.
 func (g *Gateway) replyMargin() time.Duration {
 	return replyMarginBatches * max(g.cfg.BatchInterval, time.Millisecond)
 }
--- a/gossip.go
+++ b/gossip.go
@@ -22,7 +22,7 @@
 	peerLoadHalfLife       = 2 * time.Second  // of load that peers report
 	minPeerFailuresToEject = 3.0              // an engine with more failures may be broadcast as failing
 	peerOutcomeRetention   = 0.8              // share of the outcome counts kept at each broadcast
-	kindLoadHalfLife       = 10 * time.Second // of a kind's load while nothing is reported
+	kindLoadHalfLife       = 10 * time.Second // of a kind's load
 )
 
 // gossipState is a gateway's state of the gossip protocol.
@@ -31,7 +31,7 @@
 	clockOffset time.Duration // the gateways' shared clock minus ours
 	toForward   []PeerLoad    // announced sends to forward at the next tick
 	reports     map[int]receivedReport
-	rounds      int // rounds since this gateway became aggregator; 0: it is not aggregator
+	rounds      int // rounds as aggregator of this or the next term; 0: not aggregator of either
 }
 
 // receivedReport is a peer's latest report.
@@ -78,7 +78,7 @@
 	}
 	s.nextAt = g.now + peerReportInterval
 	own := g.ownReport()
-	// The aggregator may be down, so the one of the next term aggregates and broadcasts too.
+	// The aggregator may be down, so the aggregator of the next term aggregates and broadcasts too.
 	rounds := 0
 	for term := g.aggregatorTerm(); term <= g.aggregatorTerm()+1; term++ {
 		if to := g.aggregator(term); to == g.cfg.Ordinal {
@@ -98,8 +98,8 @@
 	}
 }
 
-// ownReport returns the threads that this gateway runs on each engine and how attempts ended since the last
-// report. It resets the counts of these.
+// ownReport returns the threads that this gateway runs on each engine, and how many attempts succeeded and
+// failed since the last report. It resets these two counts.
 func (g *Gateway) ownReport() (own []PeerLoad) {
 	for _, e := range g.engineList {
 		if e.ownThreads > 0 || e.succeeded+e.failed > 0 {
@@ -110,8 +110,8 @@
 	return own
 }
 
-// announceSend reports the send of a large query at once. Sums would show it too late, and meanwhile other
-// gateways would fill the same engine.
+// announceSend reports the send of a large query without waiting for the next report. Sums would show the
+// send too late, and meanwhile other gateways would fill the same engine.
 func (g *Gateway) announceSend(a *attempt) {
 	threads := a.query.class.threads
 	if !g.cfg.MayGossip || g.gatewayCount <= 1 || a.base*threads < minAnnouncedWork {
@@ -199,10 +199,11 @@
 	}
 }
 
-// loadToBroadcast returns an engine's load as the aggregate reports it. An engine that fails at once, or
-// whose attempts are presumed lost, looks empty and would attract all queries. So failures raise its load, to
-// maxPeerLoad if most attempts fail. Failures that affect all engines alike, such as answers lost in the
-// network, are no engine's fault and would look like an overload, so only those above the fleet's rate count.
+// loadToBroadcast returns an engine's load as the aggregate reports it, in threads. An engine whose attempts
+// fail immediately or are presumed lost looks empty and would attract all queries. So failures raise its
+// load, to maxPeerLoad if most of its attempts fail while most of the fleet's succeed. Failures that affect
+// all engines alike, such as answers lost in the network, are no engine's fault and would look like an
+// overload, so only those above the fleet's rate raise the load.
 func (e *engine) loadToBroadcast(fleetSucceeded, fleetFailed float64) float64 {
 	own := e.failedTotal / (e.failedTotal + e.succeededTotal + 1)
 	excess := math.Max(0, own-fleetFailed/(fleetFailed+fleetSucceeded+1))
@@ -212,7 +213,8 @@
 	return math.Min(e.aggregateLoad*(1+failureCostWeight*excess), maxPeerLoad-1)
 }
 
-// applySends adds announced sends to the known load of their engines until the sums include them.
+// applySends adds the threads of announced sends to the known load of their engines. What was added decays,
+// as the sums come to include these sends.
 func (g *Gateway) applySends(entries []PeerLoad) {
 	for _, entry := range entries {
 		e := g.enginesByTag[entry.Tag]
--- a/load_report.go
+++ b/load_report.go
@@ -8,7 +8,7 @@
 const (
 	loadReportGain     = 0.2                    // gain of a kind's load, per report
 	loadReportHalfLife = 500 * time.Millisecond // of a report, decaying towards the kind's average
-	maxReportedLoad    = 16.0                   // a report counts as at most this many threads per core
+	maxReportedLoad    = 16.0                   // bound of reported threads per core and of x0
 )
 
 // The names of the load report values that are used.
@@ -17,9 +17,10 @@
 	loadReportMemory     = "x0"         // granted memory over the engine's memory
 )
 
-// applyLoadReport applies an engine's report of the queries it runs, unless peers report load. It sets the
-// threads of other gateways in the engine's mix. Engines of one kind that report seldom are assumed to have
-// the same load. Reports are late, noisy and possibly wrong, so they are clipped and decay.
+// applyLoadReport applies an engine's report of the queries that it runs and the memory that it granted,
+// unless peers report load. It sets the threads of other gateways in the engine's mix. Engines of one kind
+// that report seldom are assumed to have the same load. Reports are late, noisy and possibly wrong, so they
+// are clipped and decay.
 func (g *Gateway) applyLoadReport(e *engine, values []float64) {
 	if g.pressure.peersReport(g.now) || len(values) != len(g.cfg.LoadReportFields) {
 		return
@@ -28,7 +29,7 @@
 	for i, name := range g.cfg.LoadReportFields {
 		switch v := values[i]; {
 		case math.IsNaN(v) || v < 0:
-		case name == loadReportConcurrent: // our queries show how many threads one has
+		case name == loadReportConcurrent: // our own queries show how many threads a query has
 			threads = math.Max(0, v-e.queryCount()) * g.meanThreadsPerQuery(e.kind)
 		case name == loadReportMemory:
 			e.grantedMemory = math.Min(v, maxReportedLoad)
@@ -45,7 +46,8 @@
 	*e.othersThreads(), e.loadKnownAt = threads*g.unobservedShare(e), g.now
 }
 
-// meanThreadsPerQuery returns the mean threads of our queries that ran on engines of a kind.
+// meanThreadsPerQuery returns the mean threads of our queries that ran on engines of a kind, weighted by
+// their running time. It counts an additional second of one thread, so it is 1 if none ran.
 func (g *Gateway) meanThreadsPerQuery(k *kind) float64 {
 	queries, threads := 1.0, 1.0
 	for _, e := range g.engineList {
@@ -77,7 +79,7 @@
 // loadDecay holds the factors by which values of engines decay in one tick.
 type loadDecay struct {
 	slowness, latency, recentSends, others float64
-	freshFor                               time.Duration // how long others' load does not decay
+	freshFor                               time.Duration // after a report, others' load stays for this time
 }
 
 func (g *Gateway) newLoadDecay() loadDecay {
@@ -86,7 +88,8 @@
 		recentSends: decayFactor(peerReportInterval), others: decayFactor(peerLoadHalfLife),
 		freshFor: peerLoadHalfLife,
 	}
-	if g.pressure.loadReportAt > g.pressure.peerLoadAt { // others act on it too, so it is soon out of date
+	if g.pressure.loadReportAt > g.pressure.peerLoadAt {
+		// Other gateways act on load reports too, so a report is soon out of date.
 		d.freshFor, d.others = 0, decayFactor(loadReportHalfLife)
 	}
 	return d
@@ -101,8 +104,8 @@
 	}
 }
 
-// decayLoad decays the values of an engine by one tick. Without reports its load moves to that of its kind,
-// not to zero, as the engine would otherwise come to look free.
+// decayLoad decays the values of an engine by one tick. Without reports the engine's load moves to that of
+// its kind: if it moved to zero, the engine would come to look free.
 func (g *Gateway) decayLoad(e *engine, d loadDecay) {
 	e.logSlowness, e.limiter.logLatency = e.logSlowness*d.slowness, e.limiter.logLatency*d.latency
 	others := e.othersThreads()
--- a/membership.go
+++ b/membership.go
@@ -9,7 +9,7 @@
 	if !(count >= 1 && count < math.MaxInt32) || ordinal < 0 || float64(ordinal) >= count {
 		return
 	}
-	if ordinal != g.cfg.Ordinal || count != g.gatewayCount { // the ordinal may be another's now
+	if ordinal != g.cfg.Ordinal || count != g.gatewayCount { // an ordinal may now be another gateway's
 		clear(g.gossip.reports)
 		g.gossip.rounds = 0
 	}
--- a/memory_test.go
+++ b/memory_test.go
@@ -6,8 +6,8 @@
 )
 
 // TestGrantShrinksOnlyOnEvidence: a class's grant is lowered only if progress notes or costs report spills,
-// as nothing else would raise it again. Queries too short for a note lower it too, because longer ones of
-// their class report.
+// as nothing else would raise it again. Queries too short for a note lower it too, because longer queries of
+// their class send notes.
 func TestGrantShrinksOnlyOnEvidence(t *testing.T) {
 	for name, c := range map[string]struct {
 		noteInterval time.Duration
--- a/outlier.go
+++ b/outlier.go
@@ -6,7 +6,7 @@
 	failureRateGain          = 0.2                    // gain of an engine's share of failed attempts
 	ejectFailureRate         = 0.4                    // an engine is ejected from this share of failures
 	ejectConsecutiveFailures = 3                      // ...or from this many consecutive failures
-	silenceEstimateRatio     = 3.0                    // beyond this multiple an attempt may show silence
+	silenceEstimateRatio     = 3.0                    // multiple of the estimate beyond which silence counts
 	minSilence               = 700 * time.Millisecond // a shorter pause of the engine is not silence
 	silentAttemptsToEject    = 2                      // attempts that must show silence for an ejection
 	probationSuccessesNeeded = 2                      // answers on probation that end an ejection
@@ -24,7 +24,7 @@
 	onProbation         bool
 	probationSuccesses  int
 	ejectedUntil        time.Duration
-	ejectionTime        time.Duration // of the last ejection; doubles with each in a row
+	ejectionTime        time.Duration // of the last ejection; doubles with each further one in a row
 }
 
 // recordSuccess and recordFailure record the result of an attempt. Failures are evidence about the engine,
@@ -107,9 +107,9 @@
 	}
 }
 
-// handleReportedDown handles other gateways' report that an engine is down. It counts only if this gateway
-// has not seen the engine respond. The report may be old or false, so it causes one ejection, which a
-// health check ends, and no more.
+// handleReportedDown handles other gateways' report that an engine is down. The report counts only if this
+// gateway has had no response from the engine and runs no attempt on it. The report may be old or false, so
+// it causes no more than one ejection, which a health check and a probation can end like any other.
 func (g *Gateway) handleReportedDown(e *engine) {
 	if e != nil && e.lastSeenAt == e.knownSince && !e.outlier.ejected && len(e.running) == 0 {
 		e.outlier.eject(g.now)
--- a/outlier_test.go
+++ b/outlier_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestOutlierState: consecutive failures eject an engine, for longer after each failed probation. Two answers
-// on probation end the ejection.
+// TestOutlierState: consecutive failures eject an engine, and each failed probation ejects it for longer, up
+// to maxEjectionTime. Two answers on probation end the ejection.
 func TestOutlierState(t *testing.T) {
 	var o outlierState
 	now := time.Hour
--- a/peer_message.go
+++ b/peer_message.go
@@ -13,9 +13,9 @@
 // The peer message types.
 const (
 	PeerMessageUnknown PeerMessageType = 0
-	PeerLoadReport     PeerMessageType = 1 // gateway to aggregator: what it runs, how attempts ended
+	PeerLoadReport     PeerMessageType = 1 // gateway to aggregator: its threads, how its attempts ended
 	PeerAggregate      PeerMessageType = 2 // aggregator to all: the load of every active engine
-	PeerSendNotice     PeerMessageType = 3 // gateway to aggregator: a query it just sent
+	PeerSendNotice     PeerMessageType = 3 // gateway to aggregator: a query that it just sent
 	PeerForwardedSends PeerMessageType = 4 // aggregator to all: queries just sent
 )
 
--- a/placement.go
+++ b/placement.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	maxIdleMargin         = 2.0                   // above this sizeMargin idle engines must fit too
-	unseenEngineRetryTime = baseEjectionTime      // while nothing runs, one unseen this long is tried
+	maxIdleMargin         = 2.0                   // above this sizeMargin a query must fit an idle engine too
+	unseenEngineRetryTime = baseEjectionTime      // if we run nothing, an engine unseen this long is tried
 	fairSizeRatio         = 0.7                   // share of the mean work from which sizeMargin grows
-	largeQueryPower       = 2.0                   // power of the size over that share
+	largeQueryPower       = 2.0                   // power of the size over fairSizeRatio in sizeMargin
 	balanceWeight         = 1.0                   // added to the cost factor when our share is full
 	tieBreakSpread        = 1.0                   // random share of a cost, which decides near-ties
-	minIdleSessionThreads = 0.05                  // least share of its threads that an idle session counts
-	sessionBalancePower   = 2.0                   // power of the excess of sessions that a cost grows with
+	minIdleSessionThreads = 0.05                  // least share of a query's threads, per idle session
+	sessionBalancePower   = 2.0                   // a cost grows with this power of sessions over fair share
 	failureCostWeight     = 4.0                   // a cost grows by this times the failure rate...
 	finalFailureWeight    = 16.0                  // ...or by this, if the query must not be repeated
 	previousEngineCost    = 16.0                  // cost factor of the engine of the previous attempt
@@ -22,11 +22,11 @@
 	loadProbeWait         = 25 * time.Millisecond // how long the query waits for their load reports
 )
 
-// mayUse reports whether the rules allow a query on an engine: drains (rule 3), placement (rule 6), the
-// group that drops repeats (rule 2) and slow start (rule 4).
+// mayUse reports whether the rules that depend on the engine allow a query there: drains (rule 3), placement
+// (rule 6), the group that drops repeats (rule 2) and slow start (rule 4).
 func (g *Gateway) mayUse(q *query, e *engine) bool {
 	if q.stickyEngine != "" {
-		// A session's queries go to its engine, to a draining one only within the drain grace.
+		// A session's queries go only to its engine, and once that drains only within the drain grace.
 		graceOver := g.now >= e.inactiveSince+g.cfg.Rules.DrainGrace-g.replyMargin()
 		if e.ID != q.stickyEngine || !e.active && graceOver {
 			return false
@@ -58,8 +58,8 @@
 }
 
 // probeLoad requests load reports from a few engines that a long query may use, if neither peers nor our own
-// queries show their load. The query waits for the reports. Without the probes an overloaded engine, which
-// answers no query and so reports nothing, would look as free as in its last report.
+// queries show their load. The query waits loadProbeWait for the reports. Without the probes an overloaded
+// engine, which answers no query and so reports nothing, would look as free as in its last report.
 func (g *Gateway) probeLoad(q *query) {
 	reports := g.cfg.MayCheckHealth && slices.Contains(g.cfg.LoadReportFields, loadReportConcurrent)
 	if !reports || g.pressure.peersReport(g.now) || g.baseTime(q)*q.class.threads < minAnnouncedWork {
@@ -101,8 +101,8 @@
 		}
 	}
 	if g.pressure.overloaded && q.hasCostEstimate {
-		// In an overload a few very long queries would take the capacity of many others. Each of them
-		// earns no more than one of these.
+		// In an overload a few very long queries would take the capacity of many others. A very long query
+		// earns no more than one of the others.
 		size := g.baseTime(q) * q.class.threads / q.class.meanWork
 		p.sizeMargin = math.Pow(math.Max(1, size/fairSizeRatio), largeQueryPower)
 	}
@@ -111,7 +111,8 @@
 
 // chooseEngine returns the engine with the lowest cost among those on which the query fits its remaining
 // time. Engines that run none of our queries come first. Engines in blocked keep their capacity for queries
-// with earlier deadlines. If there is no engine, wait reports whether the query stays queued or is rejected.
+// with earlier deadlines; chooseEngine adds those on which the query fits but our threads have reached a
+// limit. If best is nil, wait reports whether the query stays queued; otherwise the query is ended.
 func (g *Gateway) chooseEngine(q *query, blocked map[*engine]bool) (best *engine, wait bool) {
 	p := g.newPlacement(q)
 	var bestCost float64
@@ -138,8 +139,8 @@
 			best, bestCost, bestIdle = e, cost, idle
 		}
 	}
-	// If clients are spread unevenly over gateways, our share of a quota is a guess. So quotas are enforced
-	// only in an overload.
+	// If clients are spread unevenly over gateways, our share of a quota is a guess. So a query over quota
+	// may wait, except in an overload.
 	overQuota := q.overQuota && g.pressure.overloaded
 	return best, wait && !overQuota || !usable && g.baseTime(q) <= p.remaining
 }
@@ -158,7 +159,10 @@
 }
 
 // mayTryIdle reports whether a query that does not fit may still go to an engine that runs none of ours. It
-// may if our share of the engine's cores holds its threads, else with a probability of share over threads.
+// may if our share of the engine's cores is at least the query's threads, else with a probability of that
+// share over the threads. It may not if its remaining time is over and late answers have no value, nor if
+// sizeMargin exceeds maxIdleMargin, unless this gateway runs nothing and has not seen the engine for
+// unseenEngineRetryTime.
 func (g *Gateway) mayTryIdle(p *placement, e *engine) bool {
 	q := p.query
 	// A gateway that runs nothing learns nothing, so a wrong estimate of an engine would never be corrected.
@@ -170,8 +174,9 @@
 
 // loadGuard returns the factor by which a query's time on an engine is assumed to grow with the threads per
 // core there. Weights learn of load late, and not at all while nothing ends, so admission uses this factor.
-// The choice among engines does not: reported loads are old, and a cost that grows steeply with them would
-// make all gateways choose the same engine. Slow start limits what an engine gets and needs no guard.
+// The choice among engines does not use it: reported loads are old, and a cost that grows steeply with them
+// would make all gateways choose the same engine. For an engine in slow start the factor is 1, because slow
+// start already limits what the engine gets.
 func (g *Gateway) loadGuard(p *placement, e *engine) float64 {
 	if g.rampFraction(e) < 1 {
 		return 1
@@ -181,14 +186,16 @@
 	return p.loadMargin * math.Pow(math.Max(1, load/expected), g.unobservedShare(e))
 }
 
-// placementCost returns the cost by which engines that a query fits on are compared. idle ones are preferred.
+// placementCost returns the cost by which engines that a query fits on are compared. idle reports whether the
+// engine runs none of our queries and, for a query that opens a session, holds none of our sessions;
+// chooseEngine prefers such engines.
 func (g *Gateway) placementCost(p *placement, e *engine, est float64) (cost float64, idle bool) {
 	q := p.query
 	idle = e.ownThreads == 0
 	sessionThreads := 0.0
 	if q.opensSession {
 		// An engine full of idle sessions looks free and would attract new sessions too. A session cannot
-		// move, and it will run queries again, as often as others do.
+		// move, and it will run queries again, as often as other sessions do.
 		sessions := e.sessionCount()
 		sessionThreads = sessions * math.Max(minIdleSessionThreads, g.sessionActivity) * q.class.threads
 		idle = idle && sessionThreads == 0
@@ -199,12 +206,12 @@
 	if q.class.Effect == NotIdempotent {
 		failureWeight = finalFailureWeight
 	}
-	// While weights are small, the engine that looks slightly faster would get all queries. So our threads
-	// there over our share of its cores raise the cost.
+	// While weights are small, the engine that looks slightly faster would get all queries. So the cost grows
+	// with our threads on the engine, divided by our share of its cores.
 	threads := e.ownThreads + q.class.threads + sessionThreads
 	balance := 1 + balanceWeight*threads/g.initialThreadLimit(e)
 	cost = est * (1 + failureWeight*e.outlier.failureRate) * balance
-	if e == q.previousEngine { // used only if no other engine fits
+	if e == q.previousEngine { // chosen only if all others cost much more
 		cost, idle = cost*previousEngineCost, false
 	}
 	// Without randomness, gateways with similar information would all choose the same engine.
--- a/placement_test.go
+++ b/placement_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestStickyEngine: a query of a session is sent only to the engine of that session and only once; to a
-// draining engine only within the grace.
+// TestStickyEngine: a query of a session is sent only to the engine of that session, and only once. While
+// that engine drains, the query is sent only within the drain grace.
 func TestStickyEngine(t *testing.T) {
 	cfg := singleClassConfig()
 	cfg.Rules.DrainGrace = time.Second
--- a/pressure.go
+++ b/pressure.go
@@ -20,7 +20,7 @@
 // need because of it.
 type loadPressure struct {
 	level          float64       // load over capacity; above 1: too much
-	margin         float64       // factor by which estimates must fit; grows while level is above 1
+	margin         float64       // factor by which estimates must fit; grows while peers report level above 1
 	overloaded     bool          // level is above 1, or many engines are under pressure
 	threadsPerCore float64       // of the whole fleet, as reported
 	peerLoadAt     time.Duration // when peers last reported load
@@ -43,7 +43,7 @@
 	if now-max(p.peerLoadAt, p.loadReportAt) < peerLoadHalfLife {
 		p.level = p.threadsPerCore / targetThreadsPerCore
 	}
-	step := -1.0 // without peers' reports it falls: lasting slowness may be no overload
+	step := -1.0 // without peers' reports the margin falls: lasting slowness may be no overload
 	if p.peersReport(now) {
 		step = math.Log(math.Max(p.level, minPressure))
 	}
@@ -51,8 +51,9 @@
 	p.overloaded = p.level > 1 || counts.underPressure*overloadedOneIn > counts.active
 }
 
-// updateExcessSlowness sets how much slower each engine is than the median. Median and slowness are of the
-// same tick: with many outcomes per tick, current slowness against an earlier median would be unstable.
+// updateExcessSlowness sets how much slower each engine is than the median. The median and the slownesses are
+// of the same tick: with many outcomes per tick, comparing current slowness with an earlier median would be
+// unstable.
 func (g *Gateway) updateExcessSlowness() {
 	if sort.Float64s(g.slownesses); len(g.slownesses) > 0 {
 		g.medianLogSlowness = g.slownesses[len(g.slownesses)/2]
--- a/pressure_test.go
+++ b/pressure_test.go
@@ -128,8 +128,8 @@
 	}
 }
 
-// TestLostAnswersAreNoPressureWhereEnginesReport: attempts overdue because their answers were lost counted as
-// an overload, though the engines were half used (register, big-1).
+// TestLostAnswersAreNoPressureWhereEnginesReport: attempts that were overdue because their answers were lost
+// counted as an overload, though the engines were half used (register, big-1).
 func TestLostAnswersAreNoPressureWhereEnginesReport(t *testing.T) {
 	h := newHarness(t, loadReportConfig("concurrent"), standardEngines(3)...)
 	for id := range QueryID(30) {
@@ -153,8 +153,8 @@
 	}
 }
 
-// TestUseOfCoresGivesNoPressure: load_share, the cores in use, never exceeds one, so it does not show load
-// beyond the cores and must not replace the level that follows from slowness (Montreal grown).
+// TestUseOfCoresGivesNoPressure: load_share, the share of the cores in use, never exceeds one. So it does not
+// show load beyond the cores, and must not replace the level that follows from slowness (Montreal grown).
 func TestUseOfCoresGivesNoPressure(t *testing.T) {
 	h := newHarness(t, loadReportConfig("load_share"), standardEngines(3)...)
 	h.g.fleetLogSlowness = 3 // outcomes show a fleet twenty times slower than its bases
--- a/query.go
+++ b/query.go
@@ -34,7 +34,7 @@
 	return c
 }
 
-// query is a client's query. It has a final answer, or needs none, once done is set.
+// query is a client's query. Once done is set, it has its final answer or needs none.
 type query struct {
 	id              QueryID
 	class           *class
@@ -42,8 +42,8 @@
 	orderKey        *orderKey
 	inFlight        []*attempt
 	previousEngine  *engine  // engine of the attempt that ended last
-	firstMaybeRan   *attempt // ended attempt, sent first, that may have run
-	stickyEngine    EngineID // the only engine that may run it; "": any
+	firstMaybeRan   *attempt // of the ended attempts that may have run, the one sent first; nil: none
+	stickyEngine    EngineID // the only engine that may run the query; "": any
 	opensSession    bool
 	hasCostEstimate bool
 	overQuota       bool
@@ -55,7 +55,7 @@
 	awaitReportsUntil   time.Duration // queued until then: it waits for requested load reports
 	rawBase             float64       // cost estimate over threads, or the objective, in seconds
 	estimateSpread      float64       // factor by which its overrun limits are wider than with a known cost
-	memoryMB            float64       // memory estimate of its arrival
+	memoryMB            float64       // memory estimate at its arrival; 0: unknown
 	attemptCount        int
 	earlyCancels        int // attempts cancelled in order to retry
 }
--- a/retry.go
+++ b/retry.go
@@ -9,11 +9,11 @@
 const (
 	firstOverdueRatio  = 2.0  // a running query is overdue from this multiple of its estimate
 	presumedLostRatio  = 4.0  // beyond this multiple its answer is presumed lost
-	overdueStep        = 2.0  // each time it is overdue, its next ratio is this times higher
+	overdueStep        = 2.0  // each time an attempt is overdue, its next ratio is this times higher
 	badPlanRatio       = 2.5  // a projected run of this multiple of its estimate is a bad plan
-	overdueCancelRatio = 3.0  // without notes, so is a run of this multiple, or its answer is lost
-	retryAdvantage     = 1.3  // the remaining run must exceed the estimate of a new one by this
-	maxEarlyCancels    = 2    // per query: one that is slow every time is simply long
+	overdueCancelRatio = 3.0  // without notes, a run of this multiple has a bad plan or a lost answer
+	retryAdvantage     = 1.3  // the remaining run must exceed the estimate of a new one by this factor
+	maxEarlyCancels    = 2    // per query: a query that is slow every time is simply long
 	unknownCostSpread  = 2.0  // factor on the limits of a bad plan without a cost estimate
 	minFractionDone    = 1e-3 // a smaller fraction counts as this
 )
@@ -28,7 +28,8 @@
 func (b *retryBudget) recordRetry(now time.Duration) { b.retries = append(b.retries, now) }
 
 // allowsRetry reports whether one more retry is within the budget. Arrivals are counted over the window
-// less a margin and retries over the window plus a margin, so the rule holds however its edges are read.
+// less a margin and retries over the window plus a margin, so the rule holds whether or not events at the
+// window's edges count.
 func (b *retryBudget) allowsRetry(r *Rules, now, margin time.Duration) bool {
 	if !r.HasRetryBudget {
 		b.arrivals, b.retries = b.arrivals[:0], b.retries[:0]
@@ -44,8 +45,9 @@
 	return g.retryBudget.allowsRetry(&g.cfg.Rules, g.now, g.replyMargin())
 }
 
-// mayAttempt reports whether a query may be sent, as far as the query alone decides: rule 1 (nothing after
-// its end), the effects of a repeat (rule 2) and the retry budget (rule 7). Every send checks it.
+// mayAttempt reports whether a query may be sent, as far as that does not depend on the engine: rule 1
+// (nothing after its end), the effects of a repeat (rule 2) and the retry budget (rule 7). It also enforces
+// MaxAttempts, and a single attempt for a query of a sticky session. Every send checks mayAttempt.
 func (g *Gateway) mayAttempt(q *query) bool {
 	if q.done || g.now >= q.deadline {
 		return false
@@ -88,7 +90,8 @@
 }
 
 // hasBadPlan reports whether an attempt should be cancelled and its query retried, because its projected
-// total time shows a bad plan. ran and total are in seconds.
+// total time shows a bad plan. It returns false if the query's class is not Idempotent. ran, the time so far,
+// and total, the projected time, are in seconds.
 func (g *Gateway) hasBadPlan(a *attempt, ran, total float64) bool {
 	q := a.query
 	return g.mayCancelForRetry(a) && q.class.Effect == Idempotent &&
@@ -117,8 +120,8 @@
 }
 
 // reviewOverdue updates the model if an attempt has reached its next overdue ratio. An attempt presumed lost
-// no longer counts, as a lost answer says nothing about slowness; where engines send progress notes it still
-// counts.
+// no longer counts, as a lost answer shows nothing about slowness. Where engines send progress notes, the
+// attempt still counts. age is in seconds.
 func (g *Gateway) reviewOverdue(a *attempt, age float64) {
 	lost := a.presumedLost && g.cfg.ProgressInterval == 0
 	if age <= a.overdueRatio*a.estimate || a.cancelled || lost {
@@ -134,10 +137,10 @@
 	}
 }
 
-// isOverdueForRetry reports whether an attempt should be cancelled and its query retried: it is far over its
-// current estimate, and no progress note shows that it runs. Its answer was lost, or it has a bad plan.
-// Either way a new attempt should end first, provided that one fits the remaining time. If engines are only
-// slow, this doubles the work.
+// isOverdueForRetry reports whether an attempt should be cancelled and its query retried: the attempt is far
+// over its current estimate, and no recent progress note shows that it runs. Its answer was lost, or it has a
+// bad plan. Either way a new attempt should end first, provided that it fits the remaining time. If engines
+// are only slow, the retry doubles the work. age is in seconds.
 func (g *Gateway) isOverdueForRetry(a *attempt, age float64) bool {
 	q := a.query
 	switch {
--- a/rule_checker_test.go
+++ b/rule_checker_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestRulesHoldOnRandomEvents delivers long random sequences of valid and stray events. Its checker tracks
-// queries and engines by itself and checks every action against rules 1 to 7.
+// TestRulesHoldOnRandomEvents delivers long random sequences of valid and stray events. Its checker keeps its
+// own state of queries and engines and checks every action against rules 1 to 7.
 func TestRulesHoldOnRandomEvents(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { newRuleChecker(t, seed).play(1500) })
@@ -286,7 +286,8 @@
 	}[c.random.IntN(12)]
 }
 
-// deliver passes events to the gateway and checks its actions. It repeats that with the events these cause.
+// deliver passes events to the gateway and checks its actions. It then does the same with the events that
+// these actions cause, until they cause none.
 func (c *ruleChecker) deliver(events ...Event) {
 	for len(events) > 0 || c.g != nil {
 		actions := c.g.Handle(c.now, events, nil)
--- a/rules_test.go
+++ b/rules_test.go
@@ -156,8 +156,8 @@
 	}
 }
 
-// TestRule4SlowStartSendExpires: a send to an engine in slow start must start within half of the window; a
-// send to a warm engine has no limit but its query's deadline.
+// TestRule4SlowStartSendExpires: a send to an engine in slow start must start within half of the window. For
+// a send to a warm engine, only the query's deadline limits the start.
 func TestRule4SlowStartSendExpires(t *testing.T) {
 	cfg := allRulesConfig()
 	cold, warm := standardEngine("e1"), standardEngine("e2")
@@ -213,7 +213,7 @@
 }
 
 func TestRule7RetryBudget(t *testing.T) {
-	var engines []EngineInfo // many, as one that rejected work is under pressure for a while
+	var engines []EngineInfo // many, as an engine that rejected work is under pressure for a while
 	for i := range 20 {
 		engines = append(engines, standardEngine(fmt.Sprintf("e%02d", i)))
 	}
--- a/settings.go
+++ b/settings.go
@@ -89,8 +89,8 @@
 
 	Classes               []Class
 	ClassThreads          []float64 // per class; empty: 1 each
-	ClassIsBulkLoad       []bool    // per class: it locks its table group while it runs
-	ClassWaitsForBulkLoad []bool    // per class: it blocks while a bulk load locks its table group
+	ClassIsBulkLoad       []bool    // per class: its queries lock their table group while they run
+	ClassWaitsForBulkLoad []bool    // per class: its queries block while a bulk load locks their table group
 	KindNames             []string
 	KindCores             []float64 // per kind; empty: unknown
 	KindMemoryMB          []float64 // per kind; empty: unknown
@@ -110,7 +110,7 @@
 	LoadReportFields     []string // names of the values in a load report; only concurrent and x0 are used
 	AcceptsMemoryGrants  bool
 	AcceptsPriority      bool
-	MaxGrantShare        float64
+	MaxGrantShare        float64 // largest memory grant over the engine's memory
 	OnMemoryShortage     MemoryShortage
 	ProgressInterval     time.Duration // between progress notes of an attempt; 0: no notes are sent
 	ReportsCost          bool          // answers carry the measured cost of their query
--- a/slowstart.go
+++ b/slowstart.go
@@ -8,8 +8,8 @@
 
 const (
 	slowStartBudgetShare = 0.5  // share of the budget used: reserve for chance and wrong work estimates
-	slowStartSigmas      = 5.0  // standard deviations between the mean sent by slots and the budget
-	slowStartMaxSize     = 3.0  // most work of a query sent by a slot, over the smallest mean work
+	slowStartSigmas      = 5.0  // standard deviations between the mean work sent in slots and the budget
+	slowStartMaxSize     = 3.0  // most work of a query sent in a slot, over the smallest mean work
 	capacityCPUShare     = 0.85 // at full capacity this share of the cores is busy
 )
 
@@ -18,7 +18,7 @@
 type slowStartState struct {
 	sends        []slowStartSend // within the window
 	slotProgress float64         // share of the current slot period that has passed
-	slotEndsAt   time.Duration   // one query may be sent by the slot until then
+	slotEndsAt   time.Duration   // the slot, in which one query may be sent, ends then; 0: no slot is open
 }
 
 type slowStartSend struct {
@@ -26,7 +26,8 @@
 	work float64
 }
 
-// resetSlots starts a slot period at the given share of it. Earlier sends stay counted.
+// resetSlots starts a slot period of which the given share has passed, and closes the current slot. Earlier
+// sends still count.
 func (s *slowStartState) resetSlots(progress float64) { s.slotProgress, s.slotEndsAt = progress, 0 }
 
 // workSince drops sends before from and returns the work of the others plus work, in thread seconds.
@@ -49,7 +50,7 @@
 
 // hasSlowStartCapacity enforces rule 4: it reports whether a query is within this gateway's share of the work
 // that an engine in slow start may be sent in any window. With many gateways the share is less than one
-// query, and the engine would idle until it is warm. Small queries are then sent by slots: each gateway may
+// query, and the engine would idle until it is warm. Small queries are then sent in slots: each gateway may
 // send one per period, and periods are so long that all gateways together send what is allowed. Slots start
 // at random times and expire unused, so they neither accumulate nor coincide.
 func (g *Gateway) hasSlowStartCapacity(e *engine, q *query) bool {
@@ -103,9 +104,9 @@
 	}
 }
 
-// slowStartSendLimit returns the time within which a send to an engine must start; 0: before the query's
-// deadline. What slow start allows is valid only for a short time: sends that wait for a connection would
-// otherwise start together with later ones.
+// slowStartSendLimit returns the time within which a send to an engine must start; 0: any time before the
+// query's deadline. What slow start allows is valid only for a short time: sends that wait for a connection
+// would otherwise start together with later sends.
 func (g *Gateway) slowStartSendLimit(e *engine) time.Duration {
 	if g.rampFraction(e) < 1 && g.cfg.Rules.SlowStartOverloadFactor > 0 {
 		return g.cfg.Rules.SlowStartWindow / 2
