--- a/internal/platform/accept_test.go
+++ b/internal/platform/accept_test.go
@@ -23,7 +23,7 @@
 }
 
 // TestAcceptErrors checks that transient accept errors neither lose a client's connection nor delay it, and
-// that an idle connection is evicted if the error says that descriptors have run out.
+// that an idle connection is evicted if the error shows that descriptors have run out.
 func TestAcceptErrors(t *testing.T) {
 	for errno, room := range map[syscall.Errno]bool{syscall.ECONNABORTED: false, syscall.ENOBUFS: false,
 		syscall.ENETDOWN: false, syscall.EMFILE: true, syscall.ENFILE: true} {
--- a/internal/platform/apachethrift_test.go
+++ b/internal/platform/apachethrift_test.go
@@ -97,7 +97,7 @@
 	})
 }
 
-// TestApacheThriftClient checks that Apache's library reads each kind of reply as the definitions say: a
+// TestApacheThriftClient checks that Apache's library reads each kind of reply as the platform defines it: a
 // result of several pages, a rejection with a retry time, a fault with a reason, an application exception,
 // and no reply to a cancelled request.
 func TestApacheThriftClient(t *testing.T) {
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -33,8 +33,8 @@
 	priority       string    // empty if none
 	clientDeadline time.Time // until which the client waits
 	decidedAt      time.Time // zero of the machine's clock
-	startBy        time.Time // the query must not be sent later
-	exclusive      bool      // the query must not run twice, or beside others of its key
+	startBy        time.Time // the query must not be sent after this time
+	exclusive      bool      // the query must not run twice, nor while another of its key runs
 
 	ctx    context.Context // cancelled by stop
 	cancel context.CancelFunc
@@ -74,7 +74,8 @@
 	return a
 }
 
-// stop makes the attempt end with an outcome, once its compute node has been told to cancel the query.
+// stop makes the attempt end with an outcome, unless a response ends it first. If the compute node may have
+// the query, the attempt ends only when the query is known to be over there.
 func (a *attempt) stop(outcome cresspass.Outcome) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -103,7 +104,8 @@
 	return a.stopped
 }
 
-// release returns the connection of the last call to the pool. A nil connection is ignored.
+// release returns the connection of the last call to the pool, for reuse or to be closed. A nil connection is
+// ignored.
 func (a *attempt) release(conn *nodeConn, reusable bool) {
 	if conn != nil {
 		a.attach(nil)
@@ -183,8 +185,8 @@
 
 // mayStart checks again, right before the query is written, whether it may be sent. If not, it returns the
 // event that ends the attempt. Since the decision the attempt may have waited for a descriptor and for a
-// dial; without this check a query would be sent although its client or compute node has gone, or its time or
-// the retry budget is used up. The check is valid for startCheckTTL.
+// dial; without this check a query would be sent although its client or compute node has gone, or although
+// its time or the retry budget is used up. The check is valid for startCheckTTL.
 func (a *attempt) mayStart() (computenode.EventType, bool) {
 	if mutantEnabled(mutantNoStartRecheck) {
 		a.checkedAt = time.Now()
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -266,7 +266,7 @@
 }
 
 // TestCancelReadLatePreventsSend guards against a query that was sent although its cancel was in the client's
-// socket: the dispatcher waited only 20 ms for the client's reader to read it.
+// socket: the dispatcher waited only 20 ms for the client's reader to read the cancel.
 func TestCancelReadLatePreventsSend(t *testing.T) {
 	arm, done := missNextPeek(t)
 	h, client, seq := startHeldAttempt(t)
--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -27,7 +27,7 @@
 	lingerTimeout       = 200 * time.Millisecond // for a client to close a half-closed connection
 )
 
-// closeReason says in the log why a client's connection was closed.
+// closeReason is why a client's connection was closed, as the log shows it.
 type closeReason string
 
 // Reasons for closing a client's connection.
@@ -60,9 +60,9 @@
 )
 
 // clientConn is a client's connection: the socket of a connection in thriftserver.Registry. One goroutine, in
-// serve, reads it, and only that goroutine closes it, except for evictions and write errors. Any goroutine
-// may send; if the socket does not accept all of the output at once, flush writes the rest in its own
-// goroutine.
+// serve, reads the socket. Only that goroutine closes it, except for evictions, write errors, clients that do
+// not read their output, and closeAll. Any goroutine may send; if the socket does not accept all of the
+// output at once, flush writes the rest in its own goroutine.
 type clientConn struct {
 	frontend     *frontend
 	id           thriftserver.ConnID
@@ -244,7 +244,7 @@
 	}
 }
 
-// cleanUp cancels the requests that are open on a connection that has ended, and closes it.
+// cleanUp closes a connection that has ended, and cancels the requests that are open on it.
 func (c *clientConn) cleanUp() {
 	c.frontend.mu.Lock()
 	if c.frontend.registry.PhaseOf(c.id) == thriftserver.Serving {
--- a/internal/platform/clientread.go
+++ b/internal/platform/clientread.go
@@ -24,7 +24,8 @@
 // errMalformedFrame is the error for bytes that are not a valid message.
 var errMalformedFrame = errors.New("platform: malformed frame")
 
-// readFrame reads a message, without its length, and returns it. It uses the buffer frame if it can.
+// readFrame reads a message and returns it without its length. It reuses the buffer frame, unless that is
+// much larger than the message.
 func (c *clientConn) readFrame(frame []byte) ([]byte, error) {
 	var head [thrift.FrameHeaderBytes]byte
 	if _, err := io.ReadFull(c.reader, head[:]); err != nil {
--- a/internal/platform/clientwrite.go
+++ b/internal/platform/clientwrite.go
@@ -12,9 +12,10 @@
 // writeChunkBytes is the size of a chunk of output, which a client must accept within its write timeout.
 const writeChunkBytes = 16 << 10
 
-// send writes b, which holds that number of messages, without waiting for the client. It writes what the
+// send writes b, which holds the given number of messages, without waiting for the client. It writes what the
 // socket accepts at once: on busy cores the goroutine of flush would have to wait to be scheduled, and
-// answers would be late.
+// answers would be late. If more than maxPendingBytes of output wait for the client, send closes the
+// connection.
 func (c *clientConn) send(b []byte, messages int) {
 	c.mu.Lock()
 	c.pendingMessages += messages
@@ -43,7 +44,7 @@
 }
 
 // writeNow writes what the socket accepts at once, and returns the rest. It ignores errors, because flush
-// will get them again.
+// will encounter them again.
 func (c *clientConn) writeNow(b []byte) []byte {
 	_ = c.raw.Write(func(fd uintptr) bool {
 		if n, err := syscall.Write(int(fd), b); err == nil && n > 0 {
--- a/internal/platform/descriptorbudget.go
+++ b/internal/platform/descriptorbudget.go
@@ -6,7 +6,7 @@
 const (
 	evictAboveShare     = 0.42 // of all; with more client connections, new ones evict old ones
 	reservedDescriptors = 24   // for discovery, the listener, the log, overflow and reading a file
-	headroomDivisor     = 16   // 1/headroomDivisor of all is kept free of calls to compute nodes
+	headroomDivisor     = 16   // 1/headroomDivisor of all is kept free of ordinary calls to compute nodes
 	minNodeConns        = 8    // connections to compute nodes that are always allowed
 )
 
@@ -16,7 +16,7 @@
 type descriptorBudget struct {
 	total       int // for client connections and connections to compute nodes together
 	evictAbove  int // number of client connections above which new ones evict old ones
-	headroom    int // kept free of calls to compute nodes, for connecting clients and urgent calls
+	headroom    int // kept free of ordinary calls to compute nodes, for new clients and urgent calls
 	clientConns atomic.Int32
 }
 
@@ -35,9 +35,9 @@
 // checks and for calls that cancel a query.
 func (b *descriptorBudget) urgentNodeConns() int { return b.headroom / 2 }
 
-// clientsExhausted reports whether clients hold all descriptors that are left beside nodeConns connections to
-// compute nodes. Without this limit a flood of idle clients would take the descriptors of the urgent calls
-// and then that of discovery.
+// clientsExhausted reports whether clients hold all descriptors that are left to them. Compute nodes get
+// nodeConns connections, or minNodeConns and those of the urgent calls if that is more. Without this limit a
+// flood of idle clients would take the descriptors of the urgent calls and then that of discovery.
 func (b *descriptorBudget) clientsExhausted(nodeConns int) bool {
 	return int(b.clientConns.Load()) >= b.total-max(nodeConns, minNodeConns+b.urgentNodeConns())
 }
--- a/internal/platform/descriptorbudget_test.go
+++ b/internal/platform/descriptorbudget_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestDescriptorBudget checks that client connections and calls together never use the reserved descriptors,
-// however they come and go, once there are so many clients that new ones evict old ones.
+// in any sequence of new and closed ones, while there are so many clients that new ones evict old ones.
 func TestDescriptorBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newDescriptorBudget(rapid.IntRange(128, 1024).Draw(t, "sockets"))
--- a/internal/platform/discoverycall.go
+++ b/internal/platform/discoverycall.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	// connectOverdueAfter is how long a call may take to connect before another is made beside it.
+	// connectOverdueAfter is how long a call may take to connect before it is overdue. Another call is then
+	// made while it continues.
 	connectOverdueAfter = 500 * time.Millisecond
-	// callTimeout is how long a call may take in all until it is answered, overdue or not.
+	// callTimeout is how long a call, overdue or not, may take in all until it is answered.
 	callTimeout = 5 * time.Second
-	// pollPath is the path of the discovery service.
+	// pollPath is the path at which the discovery service is polled.
 	pollPath = "/board/poll"
 )
 
-// pendingCall is a call to the discovery service that is not answered yet. Its goroutine sends one result;
-// everything else belongs to the goroutine of watcher.run.
+// pendingCall is a call to the discovery service that is not answered yet. Its goroutine sets connected and
+// sends one result. The other fields do not change once that goroutine runs.
 type pendingCall struct {
 	addr      string
 	lastEvent uint64
@@ -52,7 +53,8 @@
 	s.conn.Close()
 }
 
-// untilOverdue returns how long to wait for a call before another is made beside it.
+// untilOverdue returns how long to wait before the call is overdue: connectOverdueAfter from its start or,
+// once it has connected, streamSilenceTimeout longer.
 func (c *pendingCall) untilOverdue() time.Duration {
 	if c.connected.Load() {
 		return time.Until(c.startedAt.Add(connectOverdueAfter + streamSilenceTimeout))
--- a/internal/platform/eviction.go
+++ b/internal/platform/eviction.go
@@ -12,7 +12,8 @@
 	maxEvictionTries = 4
 )
 
-// makeRoom reports whether one more connection may stay. If there are many, it evicts another one for it.
+// makeRoom reports whether one more connection may stay. If there are evictAbove already, it evicts another
+// connection. If none can be evicted, the new connection may stay while descriptors are left for clients.
 func (f *frontend) makeRoom() bool {
 	if f.connCount() < f.descriptors.evictAbove || f.evict(silentClientGrace) {
 		return true
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -15,9 +15,9 @@
 	"cresspass/internal/protocol/thrift"
 )
 
-// maxMessagesAhead is the number of further messages of a client after which what was in its socket when a
-// wait began counts as handled. It bounds the wait for a client that writes faster than its messages are
-// read.
+// maxMessagesAhead limits how many messages of a client are handled while clientWaiting waits: after so many,
+// the input that was in the socket when the wait began counts as handled. Without the limit, the wait for a
+// client that writes faster than its messages are read would last until its time is over.
 const maxMessagesAhead = 1024
 
 // retryAfterField is the field of a rejection with the time after which to retry, in milliseconds.
@@ -145,11 +145,11 @@
 type clientCheck struct {
 	frontend     *frontend
 	request      *thriftserver.Request
-	messageLimit uint64 // of clientConn.messages, see maxMessagesAhead; 0 before the first check
+	messageLimit uint64 // value of clientConn.messages that ends the wait; 0 before the first check
 }
 
-// poll checks whether the client waits, as far as the messages that were handled tell. handled reports
-// whether all input that was there at the first check counts as handled.
+// poll checks whether the client waits, judging by its connection and the messages that were handled. handled
+// reports whether all input that was there at the first check counts as handled.
 func (c *clientCheck) poll() (waiting, handled bool) {
 	f := c.frontend
 	f.mu.Lock()
@@ -167,7 +167,8 @@
 	return true, !client.mayHoldMessage() || client.messages >= c.messageLimit
 }
 
-// respond writes a request's only answer. It returns false if the request has ended already.
+// respond writes a request's only answer. It returns false, and writes nothing, if the request has ended
+// already or the guard forbids the answer.
 func (f *frontend) respond(id cresspass.QueryID, kind eventlog.Kind, reason string,
 	message func(seq int32) []byte) bool {
 	f.mu.Lock()
@@ -197,8 +198,8 @@
 	})
 }
 
-// respondError answers a request with an exception: a rejection or a failure. A rejection tells the client
-// when to retry if retryAfter is above 0.
+// respondError answers a request with an exception: a rejection or a failure. If retryAfter is above 0, the
+// answer contains the time after which to retry, in milliseconds.
 func (f *frontend) respondError(id cresspass.QueryID, exception thrift.DispatchExceptionType,
 	retryAfter time.Duration, reason cresspass.Reason) {
 	kind := eventlog.RequestFailed
--- a/internal/platform/guard.go
+++ b/internal/platform/guard.go
@@ -32,7 +32,8 @@
 		Deadline: request.Deadline}, request.Ticket)
 }
 
-// complete records the end of a request, which has one only. If it returns false, no answer may be written.
+// complete records the end of a request, which may end only once. If it returns false, no answer may be
+// written.
 func (g *requestGuard) complete(request *thriftserver.Request, served bool) bool {
 	return g.guard.Complete(request.ID, served, request.Ticket)
 }
--- a/internal/platform/guard_test.go
+++ b/internal/platform/guard_test.go
@@ -10,8 +10,8 @@
 	"cresspass/internal/protocol/thrift"
 )
 
-// retryBudgetSettings returns settings with which each request allows one retry for the time lookBack after
-// it was accepted.
+// retryBudgetSettings returns settings with which each request allows one retry, for the time lookBack after
+// the request was accepted.
 func retryBudgetSettings(lookBack time.Duration) string {
 	return fmt.Sprintf(`"grace-to-answer-us":5000,"free-resends":0,"further-ratio":1,"look-back-us":%d`,
 		lookBack.Microseconds())
@@ -49,7 +49,7 @@
 		eventually(t, "the long queries run", func() bool { return h.node.callCount("POST") == minNodeConns })
 		other := h.dial()
 		other.mustServe(99, 1)         // a served request allows one retry for the time lookBack
-		time.Sleep(3 * reuseDelay / 2) // its connection can be reused, so that no other one is idle
+		time.Sleep(3 * reuseDelay / 2) // until its connection may be reused; no other one is idle
 		seq := client.send(requestFields(lastTicket, "quick", "5000"))
 		got := client.receive()
 		if kind := []string{"", "shed", "answer"}[want]; got.kind != kind || got.seq != seq {
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -245,8 +245,8 @@
 }
 
 // missNextPeek replaces peek. After a call of arm, the next peek at a socket with input reports that there is
-// none, as on a busy core where the reader has not been scheduled since the input arrived. done reports
-// whether that has happened.
+// no input, as on a busy core where the reader has not been scheduled since the input arrived. done reports
+// whether such a peek has happened.
 func missNextPeek(t *testing.T) (arm func(), done func() bool) {
 	var toMiss atomic.Int32
 	withSystem(t, func(s *system) {
--- a/internal/platform/healthcheck.go
+++ b/internal/platform/healthcheck.go
@@ -25,9 +25,9 @@
 	s.loop.Post(result)
 }
 
-// healthCheckConn returns a connection for a health check, and the time of the last request for it. It waits
-// for a descriptor as long as the service runs: the lack of one is not a fault of the compute node, which
-// would be ejected for it.
+// healthCheckConn returns a connection for a health check, and the time at which that was last requested. It
+// waits for a descriptor as long as the service runs: a lack of descriptors is not a fault of the compute
+// node, which would otherwise be ejected.
 func (s *service) healthCheckConn(engine cresspass.EngineID, addr string) (*nodeConn, time.Time, error) {
 	for {
 		begun := time.Now()
--- a/internal/platform/latecopy_test.go
+++ b/internal/platform/latecopy_test.go
@@ -31,8 +31,8 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s\r\nContent-Length: %d\r\n\r\n%s", header, len(body), body)
 }
 
-// TestLateCopyOfNumberedPage guards against rows of another client's query: a late copy of a page was
-// taken for the page with that number of the next query on the connection.
+// TestLateCopyOfNumberedPage guards against an answer with rows of another client's query: a late copy of a
+// page was taken for the page with the same number of the next query on the connection.
 func TestLateCopyOfNumberedPage(t *testing.T) {
 	const rounds, queries, sockets = 8, 24, 32 // so few sockets that polls wait for connections in the pool
 	h := newHarness(t, sockets)
@@ -66,9 +66,9 @@
 }
 
 // TestLateCopyOfRejection guards against a repeated effect: a late copy of a rejection or an error was taken
-// for the response to the next query, which was running but then counted as not run or as ended.
+// for the response to the next query. That query ran, but counted as not run or as ended.
 func TestLateCopyOfRejection(t *testing.T) {
-	const rejectionForgotten = 1500 * time.Millisecond // after it the compute node gets queries again
+	const rejectionForgotten = 1500 * time.Millisecond // after this time the compute node gets queries again
 	for name, response := range map[string]string{
 		"rejection": "HTTP/1.1 503 Full\r\nX-Shed: 1\r\nContent-Length: 0\r\n\r\n",
 		"late":      "HTTP/1.1 504 Late\r\nX-Shed: 1\r\nContent-Length: 0\r\n\r\n",
--- a/internal/platform/lifecycle.go
+++ b/internal/platform/lifecycle.go
@@ -13,7 +13,7 @@
 const (
 	acceptAfterTerm  = 650 * time.Millisecond // after SIGTERM, for accepting connections and requests
 	maxShutdownWait  = 3 * time.Second        // the longest deadline that the platform waits for
-	answerMargin     = 400 * time.Millisecond // after it, until the core has answered every query...
+	answerMargin     = 400 * time.Millisecond // after the longest deadline, until all queries have answers...
 	lastAnswerMargin = 500 * time.Millisecond // ...until requests that are still open are failed...
 	exitMargin       = 600 * time.Millisecond // ...and until the process exits
 )
@@ -34,7 +34,7 @@
 	// Timers of a shutdown, nil until SIGTERM.
 	drainBacklog <-chan time.Time // drain the backlog and close the listener; nil again after it fired
 	failOpen     <-chan time.Time // fail the requests that are still open
-	exit         <-chan time.Time // end the process, whatever is open; nil until failOpen fires
+	exit         <-chan time.Time // end the process even if requests are open; nil until failOpen fires
 
 	shuttingDown bool
 	exitAfter    time.Duration // from failOpen to exit
@@ -112,8 +112,8 @@
 }
 
 // sweepDone does the periodic work, and reports whether a shutdown is complete. It is not complete until
-// every attempt has ended: a cancelled query keeps running until its compute node knows, and the next process
-// of this name would send the next query of the same key beside it.
+// every attempt has ended: a cancelled query keeps running until its compute node receives the cancel, and
+// the next process of this name would send the next query of the same key while it runs.
 func (l *lifecycle) sweepDone() bool {
 	s := l.service
 	s.pool.sweep()
--- a/internal/platform/mutant.go
+++ b/internal/platform/mutant.go
@@ -23,7 +23,7 @@
 	mutantIgnoreCancel      mutant = "lost-cancel"        // cancels are ignored
 	mutantAcceptDuplicates  mutant = "believe-copies"     // every response is taken as the last call's
 	mutantNoStallDetection  mutant = "no-stalls"          // input is taken as received when it is read
-	mutantNoClientCheck     mutant = "no-client-look"     // a client waits while its request is registered
+	mutantNoClientCheck     mutant = "no-client-look"     // an open request counts as a waiting client
 	mutantNoOverflow        mutant = "no-overflow"        // connections over capacity are closed unread
 	mutantAcceptPages       mutant = "believe-pages"      // every numbered page is taken as the last call's
 	mutantAcceptFailures    mutant = "believe-failures"   // any query may use a connection after a failure
--- a/internal/platform/nodeconn.go
+++ b/internal/platform/nodeconn.go
@@ -81,8 +81,9 @@
 	return silent
 }
 
-// inspect checks an idle connection without waiting. silent: it is open and has no input. unsolicited: its
-// compute node sent bytes without a request. Neither: it is closed.
+// inspect checks an idle connection without waiting. silent means that it is open and has no input,
+// unsolicited that its compute node sent bytes without a request. If both are false, it is closed or could
+// not be checked.
 func (c *nodeConn) inspect() (silent, unsolicited bool) {
 	if c.reader.Buffered() > 0 {
 		return false, true
@@ -109,8 +110,8 @@
 // roundTrip sends a request and reads its response.
 //
 // If a write fails after part of the request was written, the compute node may run the query; the error does
-// not tell. If not a byte was written, as on a connection that was just closed, nothing runs and the error is
-// errNotWritten. After writeBy nothing is written and the error is errChecksExpired.
+// not show whether it does. If not a byte was written, as on a connection that was just closed, nothing runs
+// and the error is errNotWritten. After writeBy nothing is written and the error is errChecksExpired.
 func (c *nodeConn) roundTrip(timeout time.Duration, method, path string, body []byte,
 	headers ...string) (*nodehttp.Response, error) {
 	if !c.idleSince.IsZero() && !c.usable() || !c.setTimeout(timeout) {
--- a/internal/platform/nodepool.go
+++ b/internal/platform/nodepool.go
@@ -56,7 +56,7 @@
 type poolCounters struct {
 	dials, reused, queued uint64        // dials, reuses of connections, and requests that had to wait
 	suspected             uint64        // responses that may be duplicates
-	longestWait           time.Duration // for a connection, since the last call of statistics
+	longestWait           time.Duration // of a call for a connection, since the last call of statistics
 }
 
 // connRequest is a call's request for a connection.
@@ -224,8 +224,8 @@
 	return newNodeConn(p.lastID, wanted.engine, wanted.addr, conn, raw, p.system), nil
 }
 
-// put returns a connection to the pool. reusable says that its last response was complete and leaves it open;
-// otherwise the connection is closed.
+// put returns a connection to the pool. reusable means that its last response was complete and leaves it
+// open. If reusable is false, or the connection turns out to be unusable, it is closed.
 func (p *nodePool) put(conn *nodeConn, reusable bool) {
 	reusable = reusable && conn.usable() // without the lock, because it is a system call
 	p.mu.Lock()
@@ -265,7 +265,7 @@
 	return fingerprint, suspect
 }
 
-// recordRetry tells the detector which response a new connection returned in place of a suspected one.
+// recordRetry passes to the detector the response that a new connection returned in place of a suspected one.
 func (p *nodePool) recordRetry(suspected duplicateresponse.Fingerprint, response *nodehttp.Response) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/platform/nodepool_test.go
+++ b/internal/platform/nodepool_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// truncatingConn writes only the first bytes of a write, as many as after says, then resets the connection
-// and returns EPIPE.
+// truncatingConn writes only the first bytes of a write, after in number, then resets the connection and
+// returns EPIPE.
 type truncatingConn struct {
 	net.Conn
 	after int
@@ -78,8 +78,8 @@
 }
 
 // TestConnectionClosedOnReuse checks a call on an idle connection that its compute node closes at that
-// moment. If not a byte was written, the query is simply sent again. If some bytes were written, the query
-// may have run and is polled.
+// moment. If not a byte was written, the query is sent again. If some bytes were written, the query may have
+// run and is polled.
 func TestConnectionClosedOnReuse(t *testing.T) {
 	for after, polls := range map[int]int{0: 0, 20: 1} {
 		h := newHarness(t, 256)
--- a/internal/platform/overflow.go
+++ b/internal/platform/overflow.go
@@ -33,7 +33,8 @@
 }
 
 // rejectMessages answers the messages on a connection until there is no more input, and half-closes it.
-// Replies are small enough for the socket's buffer; if a client does not read them, a timeout ends it.
+// Replies are small enough for the socket's buffer; if a client does not read them, a timeout ends the
+// connection.
 func (c *clientConn) rejectMessages() {
 	deadline := time.Now().Add(overflowTimeout)
 	c.conn.SetReadDeadline(deadline)
--- a/internal/platform/overflow_test.go
+++ b/internal/platform/overflow_test.go
@@ -11,8 +11,8 @@
 	"cresspass/internal/protocol/thrift"
 )
 
-// holdAccepts keeps the dispatcher that a test starts from accepting connections until the function that it
-// returns is called, like a process that is not scheduled.
+// holdAccepts prevents dispatchers that the test starts later from accepting connections, as if the process
+// were not scheduled, until release is called.
 func holdAccepts(t *testing.T) (release func()) {
 	gate := make(chan struct{})
 	withSystem(t, func(s *system) {
@@ -35,7 +35,7 @@
 	})
 }
 
-// sendFrom opens that number of connections and sends one request on each.
+// sendFrom opens the given number of client connections and sends one request on each.
 func (h *harness) sendFrom(clients int, limit string) (waiting []*testClient) {
 	for n := range clients {
 		client := h.dial()
--- a/internal/platform/process_test.go
+++ b/internal/platform/process_test.go
@@ -57,7 +57,7 @@
 	return b.text.String()
 }
 
-// startProgram starts the program after prepare has set up the harness, and waits until its log says that it
+// startProgram starts the program after prepare has set up the harness, and waits until its log shows that it
 // is serving. A connection that succeeds would not prove that: another process may have taken the free port
 // first.
 func startProgram(t *testing.T, prepare func(h *harness)) *testProcess {
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -79,7 +79,7 @@
 
 // TestShutdownWaitsForDeletes checks that a dispatcher does not exit before its compute nodes have answered
 // the DELETEs of cancelled queries. Otherwise the next process of its name could send the next query of a key
-// beside one that still runs.
+// while a query of that key still runs.
 func TestShutdownWaitsForDeletes(t *testing.T) {
 	h := newHarness(t, 256)
 	client := h.dial()
--- a/internal/platform/stall_test.go
+++ b/internal/platform/stall_test.go
@@ -153,7 +153,7 @@
 	}
 }
 
-// stallPoint says that connections to an address stall, and how.
+// stallPoint describes how connections to an address stall.
 type stallPoint struct {
 	addr  string
 	stall func()
--- a/internal/platform/watcher.go
+++ b/internal/platform/watcher.go
@@ -19,7 +19,7 @@
 	// streamSilenceTimeout is how long a stream may send nothing before it counts as broken. The discovery
 	// service sends a comment each second.
 	streamSilenceTimeout = 1700 * time.Millisecond
-	// replayWindow is how long after the start of a stream its events may be replayed ones.
+	// replayWindow is how long after the start of a stream its events may be replays of old events.
 	replayWindow = 500 * time.Millisecond
 	// minReconnectDelay and maxReconnectDelay are the bounds of the pause between calls.
 	minReconnectDelay = 50 * time.Millisecond
@@ -80,7 +80,7 @@
 	return w.follower.AcceptsQueries(engine, addr)
 }
 
-// placement returns the compute node at an address as the invariants see it.
+// placement returns the compute node at an address in the form in which the guard checks it.
 func (w *watcher) placement(engine cresspass.EngineID, addr string) invariant.Target {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// run polls until stop.
+// run polls until stop is called.
 func (w *watcher) run() {
 	for w.ctx.Err() == nil {
 		ctx, addr := w.target()
@@ -156,8 +156,9 @@
 	return ctx, w.discoveryAddr
 }
 
-// watchAddr polls at one address until the context ends. A slow discovery service can't be told from one that
-// is cut off and never answers. So an overdue call continues while others are made beside it, one at a time.
+// watchAddr polls at one address until the context ends. A slow discovery service can't be distinguished from
+// one that is cut off and never answers. So an overdue call continues while other calls are made, one at a
+// time.
 func (w *watcher) watchAddr(ctx context.Context, addr string) {
 	var older *pendingCall
 	defer func() { older.abandon() }()
@@ -228,7 +229,7 @@
 }
 
 // handleEvent applies an event, posts its list, and closes the idle connections to removed compute nodes.
-// replayed says that the event may be an old one.
+// replayed means that the event may be an old one.
 func (w *watcher) handleEvent(event sse.Event, replayed bool) error {
 	result, removed, err := w.follow(event, replayed)
 	for _, engine := range removed {
