--- a/internal/frontend/thriftserver/conn.go
+++ b/internal/frontend/thriftserver/conn.go
@@ -11,8 +11,8 @@
 	unwritten   int                // replies that were claimed and not written yet
 	closing     bool               // no further messages are accepted
 	sentMessage bool               // a complete message has arrived
-	midMessage  bool               // a message has begun to arrive
-	lastActive  time.Time
+	midMessage  bool               // a message has begun to arrive and is not handled yet
+	lastActive  time.Time          // of the last message or reply, or else of the registration
 }
 
 func (c *conn) inUse() bool { return len(c.open) > 0 || c.unwritten > 0 || c.closing }
@@ -83,10 +83,10 @@
 	return open
 }
 
-// ReadTimedOut handles a connection on which nothing more arrived in time. A silent one without open requests
-// is retired, one that stopped in the middle of a message is ended as malformed. One whose client waits for
-// replies stays, because such a client sends nothing while its queries run. ReadTimedOut returns the requests
-// that it ended, and whether the connection is closing.
+// ReadTimedOut handles a connection on which nothing more arrived in time. If its client stopped in the
+// middle of a message, the connection is ended as malformed. If it is not in use, it is retired. If its
+// client waits for replies it stays, because such a client sends nothing while its queries run. ReadTimedOut
+// returns the requests that it ended, and whether the connection is closing or not registered.
 func (r *Registry) ReadTimedOut(id ConnID) (open []*Request, end bool) {
 	c := r.conns[id]
 	switch {
@@ -120,8 +120,8 @@
 	return open
 }
 
-// UnusedConns returns the connections without an open request, an unwritten reply or the beginning of a
-// message, which are not closing.
+// UnusedConns returns the connections that are not closing and have no open request, no unwritten reply and
+// no message that has begun to arrive.
 func (r *Registry) UnusedConns() (ids []ConnID) {
 	for id, c := range r.conns {
 		if !c.inUse() && !c.midMessage {
@@ -151,8 +151,8 @@
 	return bestID, best != nil
 }
 
-// evictedBefore reports whether c is evicted before other. older, which says that c was registered first,
-// breaks a tie.
+// evictedBefore reports whether c is evicted before other. older means that c was registered before other; it
+// decides if both have been silent for equally long.
 func (c *conn) evictedBefore(other *conn, older bool) bool {
 	if c.sentMessage != other.sentMessage {
 		return !c.sentMessage
--- a/internal/frontend/thriftserver/message.go
+++ b/internal/frontend/thriftserver/message.go
@@ -23,12 +23,12 @@
 	Cancelled *Request        // the request that its client has cancelled, or nil
 	Reply     []byte          // to be written at once; nil if there is none
 
-	// Invalid is set if the request itself is invalid, for the Reason that Reply gives the client. Ticket
+	// Invalid is set if the request itself is invalid. Reason is why, as Reply gives it to the client. Ticket
 	// identifies the request.
 	Invalid        bool
 	Ticket, Reason string
 
-	Rejected bool // the request with that Ticket was rejected
+	Rejected bool // the request with Ticket is valid, but was rejected
 
 	EndOfInput bool // no further input on this connection can be read
 }
@@ -44,9 +44,9 @@
 	return m
 }
 
-// HandleMessage handles a message that arrived on a connection. If its request is invalid, the reply says
-// why. If the message can't be read, or the connection is closing, the result has EndOfInput set.
-// HandleMessage keeps no reference to the frame.
+// HandleMessage handles a message that arrived on a connection. If its request is invalid, the reply contains
+// the reason. If the message can't be read, or the connection is closing or not registered, the result has
+// EndOfInput set. HandleMessage keeps no reference to the frame.
 func (r *Registry) HandleMessage(now time.Time, id ConnID, m Message) (result MessageResult) {
 	c := r.conns[id]
 	if c == nil || c.closing {
--- a/internal/frontend/thriftserver/params.go
+++ b/internal/frontend/thriftserver/params.go
@@ -28,7 +28,7 @@
 	fieldNonce  = "unique"
 	fieldRepeat = "second" // "1" marks a retry of an earlier request
 	fieldLimit  = "limit"  // the client's deadline in ms
-	fieldCost   = "cpu"    // estimate in ms
+	fieldCost   = "cpu"    // estimate of the work in ms
 	fieldMemory = "heap_mb"
 	fieldTenant = "team"
 	fieldKey    = "item" // ordering key
@@ -82,7 +82,8 @@
 	return ev, params, nil
 }
 
-// check returns an error if a forwarded value, the class, the tenant or the ordering key is invalid.
+// check returns an error if a forwarded value, the class, the statement, the tenant or the ordering key is
+// invalid. effect is that of the class; knownClass is false for a class that is not in the settings.
 func (p *Params) check(fields thrift.Fields, effect cresspass.Effect, knownClass bool) error {
 	switch {
 	case !isHex(p.Ticket, ticketDigits):
@@ -106,7 +107,8 @@
 	return len(s) == digits && strings.Trim(s, "0123456789abcdefABCDEF") == ""
 }
 
-// parseNumber parses the field name, a number from 0 to most. It returns 0 if the field is missing.
+// parseNumber parses the field with the given name, a number from 0 to maxValue. It returns 0 if the field is
+// missing.
 func parseNumber(fields thrift.Fields, name string, maxValue float64) (float64, error) {
 	text, ok := fields.Lookup(name)
 	if !ok {
--- a/internal/frontend/thriftserver/registry.go
+++ b/internal/frontend/thriftserver/registry.go
@@ -42,9 +42,9 @@
 	effects   map[string]cresspass.Effect // by class
 	conns     map[ConnID]*conn
 	requests  map[cresspass.QueryID]*Request // all open requests
-	byTicket  map[string]*Request            // the same by ticket
+	byTicket  map[string]*Request            // all open requests, by ticket
 	lastID    cresspass.QueryID
-	draining  bool // alive is answered with false
+	draining  bool // calls of the method alive are answered with false
 	rejectNew bool // all new requests are rejected
 }
 
@@ -73,7 +73,7 @@
 // Draining reports whether Drain was called.
 func (r *Registry) Draining() bool { return r.draining }
 
-// RejectNew makes the registry reject every further request, because it could not be answered in time.
+// RejectNew makes the registry reject every further request, because none could be answered in time.
 func (r *Registry) RejectNew() { r.rejectNew = true }
 
 // AddConn registers a new connection.
@@ -90,7 +90,7 @@
 	return open
 }
 
-// accept opens a request, or returns an error that says why it is not accepted.
+// accept opens a request, or returns as an error why the request is not accepted.
 func (r *Registry) accept(now time.Time, id ConnID, c *conn, m *Message) (*Request, error) {
 	seq := m.request.Seq
 	switch {
--- a/internal/frontend/thriftserver/registry_test.go
+++ b/internal/frontend/thriftserver/registry_test.go
@@ -267,9 +267,10 @@
 	return false
 }
 
-// TestRequestEndsOnce checks that each accepted request ends exactly once, whatever clients send, cancel and
-// break off: it is replied to on its connection, is cancelled, or ends with its connection. No two open
-// requests share a ticket, or a sequence number on a connection, and no connection in use is evicted.
+// TestRequestEndsOnce checks that each accepted request ends exactly once, in any sequence of messages,
+// cancels and broken connections: it is replied to on its connection, is cancelled, or ends with its
+// connection. No two open requests share a ticket, or a sequence number on a connection, and no connection in
+// use is evicted.
 func TestRequestEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newRegistryModel(t)
