--- a/internal/frontend/classify/classify.go
+++ b/internal/frontend/classify/classify.go
@@ -21,7 +21,7 @@
 type Client struct {
 	User, Database, Application string
 	Timeout                     time.Duration // 0 if the client sets none
-	IsRetry                     bool          // its protocol says that it sent the statement before
+	IsRetry                     bool          // its protocol marks the statement as sent before
 }
 
 // Classifier classifies statements according to the settings. It does not change and is safe for concurrent
@@ -30,7 +30,7 @@
 	matchRules    []config.MatchRule
 	defaultClass  string
 	writeClass    string // replaces an idempotent class for statements that write; "" if there is none
-	describeClass string // of descriptions
+	describeClass string // class of requests for a description
 	classes       map[string]cresspass.Class
 }
 
@@ -55,7 +55,7 @@
 	codeInvalidParameterValue = "22023"
 )
 
-// StatementError says why a statement is rejected before it is sent to an engine.
+// StatementError is the reason for which a statement is rejected before it is sent to an engine.
 type StatementError struct {
 	Code    string // SQLSTATE
 	Message string // for the client
@@ -129,8 +129,9 @@
 		(rule.Pattern == nil || rule.Pattern.MatchString(text))
 }
 
-// chooseClass sets the class of an event: the one in the tags, else the one from the match rules, else the
-// default class. Descriptions, and statements that write, may get another class.
+// chooseClass sets the class of an event: the class in the tags, else the class from the match rules, else
+// the default class. Descriptions get describeClass instead, and statements that write get writeClass if
+// their class is idempotent.
 func (c *Classifier) chooseClass(event *cresspass.Event, query *enginequery.Query,
 	tags map[string]string) *StatementError {
 	if name, ok := tags[tagClass]; ok {
@@ -155,8 +156,8 @@
 	if !event.IsWrite || c.classes[event.Class].Effect != cresspass.Idempotent {
 		return nil
 	}
-	// In an idempotent class, a statement that writes could be run twice if the outcome of its first attempt
-	// is not known.
+	// In an idempotent class, a statement that writes could run twice if the outcome of its first attempt is
+	// not known.
 	if c.writeClass == "" {
 		return &StatementError{codeFeatureNotSupported, "the statement may write, its class " +
 			strconv.Quote(event.Class) + " is one that is repeated, and the settings name no write_class"}
