--- a/internal/overload/limiter.go
+++ b/internal/overload/limiter.go
@@ -1,6 +1,6 @@
 // Package overload decides how a dispatcher protects itself: when to reject new connections and queries so
-// that those already admitted can be served, and when the event loop lags. It does no I/O and reads no clock.
-// It does not deal with engines, which belong to the decision module.
+// that those already admitted can be served, and when the event loop lags. The package does no I/O and reads
+// no clock. It does not deal with the load of engines, which is the decision module's concern.
 package overload
 
 import (
@@ -21,7 +21,7 @@
 	ConnectionsPerUser  int
 	FileDescriptors     int           // of the process
 	ReservedDescriptors int           // kept free for engines, discovery and the log
-	LoopLag             time.Duration // a batch of the event loop that takes longer is late
+	LoopLag             time.Duration // a batch of the event loop that takes longer counts as late
 }
 
 // Limiter counts the load of a dispatcher and enforces its limits. It must not be used concurrently.
--- a/internal/overload/quota/capacity.go
+++ b/internal/overload/quota/capacity.go
@@ -1,6 +1,6 @@
 // Package quota divides a limit between the fronts: a part is reserved for each front, and the rest is shared
-// in order of demand. What is reserved for one front is never given to another, so that a front under attack
-// takes no more than its own part and the rest. The package does no I/O and reads no clock.
+// in order of demand. A part that is reserved for one front is never given to another, so that a front under
+// attack takes no more than its own part and the rest. The package does no I/O and reads no clock.
 package quota
 
 import "math"
--- a/internal/overload/quota/capacity_test.go
+++ b/internal/overload/quota/capacity_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestReservedCapacity checks that the use never exceeds the limit, and that a front which uses less than is
-// reserved for it can always acquire more, whatever the others do.
+// reserved for it can always acquire more, however much the others acquire.
 func TestReservedCapacity(t *testing.T) {
 	fronts := []string{"a", "b", "other"}
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/overload/rapidreset/limiter.go
+++ b/internal/overload/rapidreset/limiter.go
@@ -8,7 +8,7 @@
 // Limits are the limits of early cancellations on a connection: the parameters of a token bucket that each
 // early cancellation takes a token from.
 type Limits struct {
-	Burst  float64 // size of the bucket: cancellations at once
+	Burst  float64 // size of the bucket: most early cancellations at once
 	Rate   float64 // tokens added per second
 	Refund float64 // tokens added for each call that was not cancelled
 	// EarlyCancel is the duration of a call below which its cancellation takes a token. A client that cancels
