--- a/concurrency.go
+++ b/concurrency.go
@@ -39,8 +39,9 @@
 	l.limit = math.Max(1, ownThreads*threadLimitCutFactor)
 }
 
-// fairShare returns our share of all cores, at least 1. It limits our threads on all engines together: the
-// limit of each engine is at least one thread, which never takes effect if gateways outnumber cores.
+// fairShare returns our share of all cores, at least 1. fleetThreadsFull limits our threads on all engines by
+// it, because the limit of each engine is at least one thread, which never takes effect if gateways outnumber
+// cores.
 func (g *Gateway) fairShare() float64 { return math.Max(1, g.cores/g.gatewayCount) }
 
 // initialThreadLimit returns our share of an engine's cores, at least 1. Cuts for latency do not lower the
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -16,8 +16,8 @@
 )
 
 // maxMessagesAhead limits how many messages of a client are handled while clientWaiting waits: after so many,
-// the input that was in the socket when the wait began counts as handled. Without the limit, the wait for a
-// client that writes faster than its messages are read would last until its time is over.
+// the input that was in the socket when the wait began counts as handled. Without the limit, clientWaiting
+// would wait until its time limit for a client that writes faster than its messages are read.
 const maxMessagesAhead = 1024
 
 // retryAfterField is the field of a rejection with the time after which to retry, in milliseconds.
