--- a/internal/dispatch/response/buffer_budget.go
+++ b/internal/dispatch/response/buffer_budget.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// BufferBudget limits the bytes that the responses that share it buffer together. The zero value allows none.
-// It is safe for concurrent use.
+// BufferBudget limits the total number of bytes that several responses buffer. The zero value allows none. It
+// is safe for concurrent use.
 type BufferBudget struct {
 	MaxBytes int64 // must not change once responses use the budget
 	used     atomic.Int64
--- a/internal/dispatch/response/response.go
+++ b/internal/dispatch/response/response.go
@@ -3,7 +3,7 @@
 // client's departure. It does no I/O: bytes leave through a Sink.
 //
 // A response is buffering (no byte was passed on, so another attempt can still replace the current one),
-// streaming (bytes were passed on or Commit was called, so the response belongs to its attempt for good) or
+// streaming (bytes were passed on or Commit was called, so no other attempt can replace the current one) or
 // finished.
 package response
 
@@ -20,7 +20,8 @@
 	WritePartial(b []byte)
 	// WriteFinal writes an engine's last messages. failed means that they end with an ErrorResponse.
 	WriteFinal(b []byte, failed bool)
-	// WriteVerdict ends the response with a verdict of the dispatcher, whatever was written before.
+	// WriteVerdict ends the response with a verdict of the dispatcher. Partial messages may have been written
+	// before.
 	WriteVerdict(v *verdict.Verdict)
 }
 
@@ -51,9 +52,9 @@
 // Done returns a channel that is closed once the response is finished.
 func (r *Response) Done() <-chan struct{} { return r.doneSignal }
 
-// BeginAttempt makes an attempt the response's owner: from now on only its bytes are accepted. What was
-// buffered for the previous owner is discarded. BeginAttempt returns false if the response is streaming or
-// finished.
+// BeginAttempt makes an attempt the response's owner: from now on only its bytes are accepted. Bytes that
+// were buffered for the previous owner are discarded. BeginAttempt returns false if the response is streaming
+// or finished.
 func (r *Response) BeginAttempt(attempt int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,8 +90,8 @@
 	return true
 }
 
-// WriteThrough accepts bytes from an attempt and passes them on at once, so that the response belongs to the
-// attempt for good. It returns false if the response does not belong to the attempt.
+// WriteThrough accepts bytes from an attempt and passes them on at once, after any buffered bytes. From then
+// on no other attempt can replace this one. It returns false if the response does not belong to the attempt.
 func (r *Response) WriteThrough(attempt int, b []byte) (owner bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -104,9 +105,8 @@
 	return true
 }
 
-// Commit makes the response belong to an attempt for good, before the attempt's last bytes: from now on it
-// cannot be revoked and no other attempt can begin. It returns false if the response does not belong to the
-// attempt.
+// Commit binds the response to its attempt before the attempt's last bytes: from now on the response cannot
+// be revoked and no other attempt can begin. It returns false if the response does not belong to the attempt.
 func (r *Response) Commit(attempt int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -137,8 +137,9 @@
 }
 
 // FailAttempt records that an attempt ended without a complete response. If the response is streaming, the
-// client gets the verdict and the response is finished. Otherwise what was buffered is discarded and another
-// attempt may begin. FailAttempt returns whether it has finished the response.
+// client gets the verdict and the response is finished. Otherwise the buffered bytes are discarded and
+// another attempt may begin. If the response does not belong to the attempt, FailAttempt does nothing.
+// FailAttempt returns whether it has finished the response.
 func (r *Response) FailAttempt(attempt int, failure *verdict.Verdict) (finished bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -153,8 +154,9 @@
 	return r.finished
 }
 
-// Revoke takes the response away from an attempt, whose bytes are no longer accepted. It returns false if the
-// response is streaming and belongs to the attempt, which can then no longer be replaced, and true otherwise.
+// Revoke takes the response away from an attempt, whose bytes are then no longer accepted. If the response
+// belongs to the attempt and is streaming, the attempt can no longer be replaced: Revoke changes nothing and
+// returns false. Otherwise it returns true.
 func (r *Response) Revoke(attempt int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
