--- a/internal/dispatch/verdict/verdict.go
+++ b/internal/dispatch/verdict/verdict.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Kind tells what a verdict promises about its query.
+// Kind is what a verdict promises about its query.
 type Kind int
 
 // The kinds of verdict.
@@ -53,12 +53,12 @@
 	Kind            Kind
 	Code            string // SQLSTATE
 	Message, Detail string
-	RetryAfter      time.Duration // 0: the client is not told when to retry
+	RetryAfter      time.Duration // 0: the client gets no retry time
 	MayHaveRun      bool          // an attempt may have run
 }
 
-// Reject returns the verdict on a query that the decision module rejects. mayHaveRun says that an attempt may
-// have run and that a retry is harmless. lastError is the last error of an attempt, "" if there was none.
+// Reject returns the verdict on a query that the decision module rejects. If mayHaveRun is set, an attempt
+// may have run, but a retry is harmless. lastError is the last error of an attempt, "" if there was none.
 func Reject(retryAfter time.Duration, mayHaveRun bool, lastError string) *Verdict {
 	v := &Verdict{Kind: Rejected, Code: codeInsufficientResources,
 		Message: "query refused: no engine would answer it in time", Detail: detailNotRun,
@@ -84,16 +84,16 @@
 		Detail: detailNotRun}
 }
 
-// RejectAfterRestart returns the verdict on a query of which an attempt may have run before the dispatcher
-// restarted.
+// RejectAfterRestart returns the verdict on a query that did not run, but of which an earlier try may have
+// run before the dispatcher restarted.
 func RejectAfterRestart(retryAfter time.Duration) *Verdict {
 	v := Reject(retryAfter, false, "")
 	v.Detail = "An earlier try may have run before the dispatcher restarted; this one did not."
 	return v
 }
 
-// ShuttingDown returns the verdict on a query that the dispatcher's shutdown ends. started says whether an
-// attempt was started: if so the query may have run, and the verdict is Failed instead of Rejected.
+// ShuttingDown returns the verdict on a query that the dispatcher's shutdown ends. started means that an
+// attempt was started: the query may have run, and the verdict is Failed instead of Rejected.
 func ShuttingDown(started bool) *Verdict {
 	v := &Verdict{Kind: Rejected, Code: codeAdminShutdown, Message: "the dispatcher is shutting down",
 		Detail: "The query did not run."}
