--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -80,8 +80,9 @@
 		StartWithin: startWithin})
 }
 
-// reportNotStarted reports to the decision module that an attempt was not started because its query has
-// ended (rule 1). A query may end while the module decides to start an attempt of it.
+// reportNotStarted reports to the decision module that an attempt was not started because its query has ended
+// (rule 1). A query may end while the module decides to start an attempt of it. If the query is no longer
+// known, the attempt is only counted.
 func (c *Core) reportNotStarted(action *cresspass.Action, q *query) {
 	c.stats.NotStarted++
 	if q == nil {
@@ -94,9 +95,9 @@
 }
 
 // startWithin returns how long an attempt may take to reach its engine. The time is bounded by the query's
-// deadline, by how long the decision is valid, and by the deduplication window of earlier attempts that may
-// have run. After the decision the attempt may still wait for a connection and a dial. A retry that was
-// decided on within the window but reaches the engine after it would have its effect twice.
+// deadline, by how long the decision is valid, and by the deduplication window, less windowMargin, of earlier
+// attempts that may have run. After the decision the attempt may still wait for a connection and a dial. A
+// retry that was decided on within the window but reaches the engine after it would have its effect twice.
 func (c *Core) startWithin(action *cresspass.Action, q *query) time.Duration {
 	within := q.deadline - c.now
 	if action.StartWithin > 0 {
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -18,9 +18,9 @@
 // TimerResolution is the resolution of a Core's timers.
 const TimerResolution = time.Millisecond
 
-// Decider is the decision module: it handles events and returns actions. The program uses cresspass.Gateway.
-// The rehearsal replaces it by other deciders, to compare their results and to test that the rule checker
-// finds the rules that they break.
+// Decider is the decision module: it handles events and returns actions. The program uses cresspass.Gateway,
+// whose methods document the contract. The rehearsal uses other deciders in its place, to compare their
+// results and to test that the rule checker finds the rules that these deciders break.
 type Decider interface {
 	Handle(now time.Duration, events []cresspass.Event, actions []cresspass.Action) []cresspass.Action
 	Snapshot() []byte
@@ -46,11 +46,12 @@
 	overdueQueries []cresspass.QueryID // whose answer grace ended in this step
 }
 
-// noAttempt is the attempt of a timerTarget that is about the query as a whole.
+// noAttempt is the attempt of a timerTarget that belongs to the query as a whole.
 const noAttempt = -1
 
-// timerTarget tells what a timer is for: a timer of the decision module, by its label; otherwise the timeout
-// of an attempt, or the deadline of a query if attempt is noAttempt.
+// timerTarget identifies what a timer is for. If isModuleTimer is set, it is a timer of the decision module
+// with the given label. Otherwise it is the timeout of an attempt or, if attempt is noAttempt, the end of a
+// query's answer grace.
 type timerTarget struct {
 	isModuleTimer bool
 	label         uint64
@@ -96,16 +97,16 @@
 // Snapshot returns the decision module's learned state.
 func (c *Core) Snapshot() []byte { return c.decider.Snapshot() }
 
-// Restore makes the decision module adopt a snapshot of the given age.
+// Restore makes the decision module adopt a snapshot that was taken age ago.
 func (c *Core) Restore(data []byte, age time.Duration) error { return c.decider.Restore(data, age) }
 
 // NextWakeup returns the latest time for the next call of Step, and false if no timer is pending.
 func (c *Core) NextWakeup() (time.Duration, bool) { return c.timers.NextExpiry() }
 
 // Step handles the events since the last call, in order, and the timers that are due at now. It returns the
-// outputs to execute, which are valid until the next call. An earlier time than that of the last call counts
-// as that time. Events that name an unknown query or attempt are dropped. A QueryAbandoned event with
-// OutcomeCancelled means that the client asked for a cancel.
+// outputs to execute, which are valid until the next call. If now is earlier than in the last call, the time
+// of the last call is used. Events that name an unknown query or attempt are dropped. A QueryAbandoned event
+// with OutcomeCancelled means that the client asked for a cancel.
 func (c *Core) Step(now time.Duration, events []cresspass.Event) []Output {
 	c.now = max(now, c.now)
 	c.outputs, c.events, c.overdueQueries = c.outputs[:0], c.events[:0], c.overdueQueries[:0]
@@ -148,9 +149,10 @@
 	}
 }
 
-// failOverdue fails a query whose deadline and answer grace have passed. Without it, the client of a query
-// that the decision module lost would wait forever. It runs after the decision module's own timers, which are
-// due in the same step if the process was paused for long. Each query that ends here is a defect.
+// failOverdue fails a query whose deadline and answer grace have passed. Without this, the client of a query
+// that the decision module lost would wait forever. failOverdue runs after the decision module's own timers,
+// which are due in the same step if the process was paused for long. Each query that ends here shows a
+// defect.
 func (c *Core) failOverdue(id cresspass.QueryID) {
 	q := c.queries[id]
 	if q == nil || q.ended {
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -56,7 +56,7 @@
 	mayHaveRun     bool
 	startedAt      map[int]time.Duration // start times of attempts
 	firstRunAt     time.Duration         // start time of the first attempt that may have run
-	endedThisBatch int                   // number of the attempt whose outcome came in this batch, plus 1
+	endedThisBatch int                   // 1 + number of the attempt with an outcome in this batch; 0: none
 }
 
 // contractChecker drives a Core with random events and checks each output against the contract of Core.
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -21,7 +21,8 @@
 	}
 }
 
-// queryArrived adds a query and schedules its deadline. It returns false if the query's ID is already in use.
+// queryArrived adds a query and schedules the end of its answer grace. It returns false if the query's ID is
+// already in use.
 func (c *Core) queryArrived(event *cresspass.Event) bool {
 	if c.queries[event.Query] != nil {
 		return false
@@ -51,9 +52,9 @@
 	return true
 }
 
-// attemptDone records an attempt's outcome. It adds to the event what the shell does not know: the elapsed
-// time of a failed attempt, and whether the query has ended. It returns false if the attempt is not running
-// on the event's engine.
+// attemptDone records an attempt's outcome. It completes the event: it sets the elapsed time of an attempt
+// that did not succeed, if that is missing, and whether the query has ended. It returns false if the attempt
+// is not running on the event's engine.
 func (c *Core) attemptDone(event *cresspass.Event) bool {
 	q := c.queries[event.Query]
 	i := q.attemptIndex(event.Attempt)
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -8,8 +8,8 @@
 	"cresspass"
 )
 
-// Clock returns the time since an arbitrary origin. It never goes back. The decision module's times are
-// readings of it.
+// Clock returns the time since an arbitrary origin. The time that it returns never decreases. The decision
+// module's times are readings of a Clock.
 type Clock func() time.Duration
 
 // clockOffset is the first reading of a monotonic clock.
@@ -50,13 +50,17 @@
 
 // SetMinStepInterval paces the loop: consecutive steps start at least an interval apart, and further apart
 // while steps take long. The decision module looks at every queued query in each step. One step per event
-// would therefore use up a CPU core as the queue grows, and answers would come too late. It must be called
-// before Run.
+// would therefore use up a CPU core as the queue grows, and answers would come too late. SetMinStepInterval
+// must be called before Run.
 func (l *Loop) SetMinStepInterval(interval time.Duration) { l.minStepInterval = interval }
 
 const (
-	stepCostFactor  = 3                     // steps of a paced loop use at most a third of a CPU core
-	maxStepInterval = 10 * time.Millisecond // between the starts of two steps, unless one takes longer
+	// stepCostFactor limits the steps of a paced loop to a third of a CPU core, as long as a step takes no
+	// more than a third of maxStepInterval.
+	stepCostFactor = 3
+	// maxStepInterval is the longest interval between the starts of two steps that follows from the duration
+	// of a step.
+	maxStepInterval = 10 * time.Millisecond
 )
 
 // stepInterval returns the minimum time between the start of a step that took the given time and the start of
@@ -115,7 +119,7 @@
 // be called from any goroutine.
 func (l *Loop) TakeLongestStep() time.Duration { return time.Duration(l.longestStep.Swap(0)) }
 
-// Close ends the loop and waits until Run returns. Run must have been called, or Close does not return.
+// Close ends the loop and waits until Run returns. If Run is never called, Close does not return.
 func (l *Loop) Close() {
 	l.mu.Lock()
 	l.closed = true
@@ -172,8 +176,8 @@
 	}
 }
 
-// takePending replaces a batch, which has been handled, by what was queued since the last call. It reports
-// whether the loop is closed. The queue reuses the memory of the old batch.
+// takePending moves what was queued since the last call into a batch, whose old contents have been handled.
+// It reports whether the loop is closed. The queue reuses the memory of the old batch.
 func (l *Loop) takePending(batch *pendingBatch) (closed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/dispatch/output.go
+++ b/internal/dispatch/output.go
@@ -14,8 +14,8 @@
 	// StartAttempt starts an attempt: Query, Attempt, Engine, Priority, MemoryGrantMB and StartWithin. The
 	// shell must post exactly one AttemptDone event for it.
 	StartAttempt OutputType = iota
-	// StopAttempt stops an attempt, whose response no longer counts and whose AttemptDone event is to carry
-	// the given outcome: Query, Attempt, Engine and Outcome.
+	// StopAttempt stops an attempt: Query, Attempt, Engine and Outcome. The attempt's response no longer
+	// counts, and its AttemptDone event must have the given outcome.
 	StopAttempt
 	// RejectQuery ends a query that may be sent again: Query, RetryAfter, MayHaveRun and Reason.
 	RejectQuery
@@ -65,7 +65,7 @@
 	Attempt       int
 	Engine        cresspass.EngineID
 	Outcome       cresspass.Outcome
-	RetryAfter    time.Duration // 0: the client is not told when to retry
+	RetryAfter    time.Duration // 0: the client gets no retry time
 	StartWithin   time.Duration // an attempt that takes longer to reach its engine must not start
 	Priority      int           // -1: not set
 	MemoryGrantMB float64
--- a/internal/dispatch/query.go
+++ b/internal/dispatch/query.go
@@ -14,11 +14,11 @@
 	deduplicationWindow time.Duration // 0: its class has no idempotency key
 	ended               bool
 	mayHaveRun          bool          // one or more attempts that have ended may have run
-	firstRunAt          time.Duration // when the first of them was started, if mayHaveRun
+	firstRunAt          time.Duration // start time of the earliest of these attempts, if mayHaveRun
 	nextAttempt         int           // number of the next attempt
 	priority            int
 	memoryGrantMB       float64
-	running             []attempt // that were started and have no outcome yet
+	running             []attempt // attempts that were started and have no outcome yet
 }
 
 // attempt is a running attempt of a query.
@@ -42,7 +42,8 @@
 	return -1
 }
 
-// firstPossibleRun returns the start time of the first attempt that has run, may have run or may still run.
+// firstPossibleRun returns the start time of the first attempt that has run, may have run or may still run,
+// and false if there is none.
 func (q *query) firstPossibleRun() (startedAt time.Duration, ok bool) {
 	startedAt, ok = q.firstRunAt, q.mayHaveRun
 	for _, running := range q.running {
@@ -54,8 +55,8 @@
 }
 
 // endQuery ends a query that has its answer or whose client is gone. If the query is idempotent, its running
-// attempts are stopped, as nobody waits for their rows. A query that changes data runs to completion, as in
-// PostgreSQL itself, unless its client cancelled it.
+// attempts are stopped, as no client waits for their rows. Any other query may change data. It runs to
+// completion, as in PostgreSQL itself, unless its client cancelled it.
 func (c *Core) endQuery(q *query, cancelled bool) {
 	q.ended = true
 	for _, running := range q.running {
@@ -66,7 +67,8 @@
 	c.removeIfFinished(q)
 }
 
-// stopAttempt tells the shell to stop a running attempt, at most once, and which outcome to report.
+// stopAttempt adds an output that makes the shell stop a running attempt and report the given outcome.
+// Further calls for the same attempt do nothing.
 func (c *Core) stopAttempt(q *query, number int, outcome cresspass.Outcome) {
 	i := q.attemptIndex(number)
 	if i < 0 || q.running[i].stopRequested {
--- a/internal/dispatch/stats.go
+++ b/internal/dispatch/stats.go
@@ -8,9 +8,9 @@
 
 	Attempts   uint64 // attempts that were started
 	Retries    uint64 // of these, all but the first of each query; includes hedged requests
-	Stopped    uint64 // attempts that the shell was told to stop
+	Stopped    uint64 // attempts with a StopAttempt output
 	NotStarted uint64 // attempts that were decided on after their query had ended
-	Overdue    uint64 // queries that the decision module did not end in time: each is a defect
+	Overdue    uint64 // queries that the decision module did not end in time: each shows a defect
 
 	Open    int // queries that have not ended
 	Running int // attempts without an outcome
