--- a/internal/server/attempt.go
+++ b/internal/server/attempt.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// startAttempt starts an attempt to run a query on an engine. For a write it waits for the write's record to
-// be durable, but no longer than maxDurableWait.
+// startAttempt starts an attempt to run a query on an engine. An attempt at a write starts once the write's
+// record is durable, or after maxDurableWait.
 func (s *Server) startAttempt(o *dispatch.Output) {
 	q := s.lookup(o.Query)
 	if q == nil || !q.Response.BeginAttempt(o.Attempt) {
@@ -152,9 +152,9 @@
 }
 
 // checkBeforeSend checks whether an attempt may still be sent, right before it is written to its connection:
-// the client must still wait, the time to start must not have passed, and no invariant may be violated, as
-// the engine may be draining by now. It returns true if the attempt may be sent, and otherwise the attempt's
-// outcome and false.
+// the query's response must not have ended, the time to start must not have passed, and no invariant may be
+// violated, as the engine may be draining by now. With AllowViolations set, a violation does not prevent the
+// attempt. It returns true if the attempt may be sent, and otherwise the attempt's outcome and false.
 func (s *Server) checkBeforeSend(q *query, attempt int, engine cresspass.EngineID,
 	startBy time.Time) (cresspass.Outcome, bool) {
 	recordStale := func(name invariant.Name) bool {
@@ -179,8 +179,8 @@
 	return cresspass.OutcomeNotStarted, false // forbidden on every engine
 }
 
-// invariantTarget returns what the invariant guard needs to know about an engine. An engine that drains still
-// accepts the statements of its sticky sessions.
+// invariantTarget returns what the invariant guard checks about a query's engine. Statements of sticky
+// sessions count as accepted, as an engine that drains still accepts them.
 func (s *Server) invariantTarget(q *query, engine cresspass.EngineID) invariant.Target {
 	target := invariant.Target{Engine: engine, Accepting: q.EngineQuery.Sticky}
 	if e := s.listedEngine(string(engine)); e != nil {
--- a/internal/server/copy_in_test.go
+++ b/internal/server/copy_in_test.go
@@ -110,7 +110,7 @@
 		}
 	}()
 	other := dialServer(t, s)
-	midCopyClient := dialServer(t, s) // sends a query during its copy, which fails the copy and does not run
+	midCopyClient := dialServer(t, s) // its query during a copy fails the copy and does not run
 	midCopyClient.send(&pgproto3.Query{String: "copy t from stdin"}, &pgproto3.CopyData{Data: []byte("a\n")},
 		&pgproto3.Query{String: "insert into t values (1) /*id='odd'*/"}, &pgproto3.Query{String: "select 1"})
 	if seen := append(midCopyClient.readUntil("Z"), midCopyClient.readUntil("Z")...); countPrefix(seen,
--- a/internal/server/dispatcher_setting_test.go
+++ b/internal/server/dispatcher_setting_test.go
@@ -9,8 +9,9 @@
 	"github.com/jackc/pgx/v5/pgxpool"
 )
 
-// TestDispatcherSettingsEnd guards against settings kept by the dispatcher that stay in force after the
-// RESET, DISCARD ALL, ROLLBACK or end of transaction that ends them, or that are lost at one that does not.
+// TestDispatcherSettingsEnd guards against two faults of the settings that the dispatcher keeps: a setting
+// still applies after the RESET, DISCARD ALL, ROLLBACK or end of transaction that ends it, or is lost at one
+// of these that does not end it.
 func TestDispatcherSettingsEnd(t *testing.T) {
 	_, s := startDispatcher(t, 2, baseSettings)
 	const options = "&application_name=started&statement_timeout=9s"
@@ -44,7 +45,7 @@
 	} {
 		conn := connect(t, s, options)
 		for _, text := range strings.Split(c.statements, ";;") {
-			// Some cases include an error. Only the settings in force afterwards are checked.
+			// Some cases include an error. Only the settings that apply afterwards are checked.
 			_, _ = conn.PgConn().Exec(context.Background(), text).ReadAll()
 		}
 		timeout, timeoutErr := showSetting(context.Background(), conn, "statement_timeout")
@@ -58,7 +59,7 @@
 }
 
 // TestPoolUsersDoNotShareSettings guards against timeouts and settings of one user of a connection pool that
-// stay in force for the next user.
+// still apply to the next user.
 func TestPoolUsersDoNotShareSettings(t *testing.T) {
 	_, s := startDispatcher(t, 2, baseSettings)
 	ctx := context.Background()
@@ -95,8 +96,8 @@
 	}
 }
 
-// TestPreparedDiscardSeesLaterSettings guards against a prepared RESET ALL that resets only the settings in
-// force when it was prepared.
+// TestPreparedDiscardSeesLaterSettings guards against a prepared RESET ALL that resets only the settings that
+// applied when it was prepared.
 func TestPreparedDiscardSeesLaterSettings(t *testing.T) {
 	_, s := startDispatcher(t, 2, baseSettings)
 	c := connect(t, s, "")
--- a/internal/server/fault_test.go
+++ b/internal/server/fault_test.go
@@ -18,14 +18,14 @@
 		e.SetFaults(standin.Faults{DieAfterRows: 5})
 	}
 	c := dialServer(t, s)
-	// An engine that dies after 5 rows of 20 bytes, which are still buffered, is replaced by another attempt.
-	// One engine has to survive: if both died, none would be left.
+	// An engine dies after 5 rows of 20 bytes, which are still buffered, so another attempt follows on the
+	// other engine. That engine has to survive: if both died, none would be left.
 	r.Engines[0].SetFaults(standin.Faults{})
 	seen := c.query("select 1 /*rows='20'*/")
 	if countPrefix(seen, "D") != 20 || countPrefix(seen, "E") != 0 {
 		t.Fatalf("response after an engine's death: got %v, want 20 rows and no error", seen)
 	}
-	// More rows than are buffered have been passed on when the engine dies.
+	// 50 rows of 500 bytes are more than the dispatcher buffers, so some were passed on when the engine dies.
 	r.Engines[0].SetFaults(standin.Faults{DieAfterRows: 50})
 	if up, _ := r.Engines[1].Up(); up {
 		r.Engines[1].SetFaults(standin.Faults{DieAfterRows: 50})
@@ -128,7 +128,7 @@
 	if served < 50 {
 		t.Errorf("served %d of 60 queries with one good engine of four, want at least 50", served)
 	}
-	// A write is sent at most once, whatever its outcome, unless the engine rejected it and it did not run.
+	// A write is sent at most once, with any outcome, unless the engine rejected it and it did not run.
 	for i := range 20 {
 		_, _ = c.Exec(context.Background(), // any outcome is allowed
 			fmt.Sprintf("insert into t values (1) /*id='w%d'*/", i))
--- a/internal/server/flight_fault_test.go
+++ b/internal/server/flight_fault_test.go
@@ -25,8 +25,8 @@
 	"cresspass/internal/standin"
 )
 
-// reportedRun returns the reason of an error's ErrorInfo and what it says about whether the statement ran, or
-// the error's message if there is no ErrorInfo.
+// reportedRun returns the reason in an error's ErrorInfo and its "ran" field, which is whether the statement
+// ran. It returns the error's message if there is no ErrorInfo.
 func reportedRun(err error) string {
 	if i := errorInfo(err); i != nil {
 		return i.Reason + " " + i.Metadata["ran"]
@@ -36,7 +36,7 @@
 
 // TestFlightEngineDiesAfterThreeBatches checks the response of an engine that dies after three batches of
 // rows. The client gets some of those rows, because the error may overtake the last ones, and no row that the
-// engine did not send. It gets one error, whose code no retry policy retries, and which says that it is
+// engine did not send. It gets one error, whose code no retry policy retries, and which reports that it is
 // unknown whether the statement ran. The test counts rows instead of batches, because a pause between rows
 // ends a batch early.
 func TestFlightEngineDiesAfterThreeBatches(t *testing.T) {
--- a/internal/server/flight_test.go
+++ b/internal/server/flight_test.go
@@ -125,7 +125,7 @@
 		_, g := c.query(t, "select 1 from tmp_s")
 		return []string{a, b, d, e, f, g}
 	})
-	compareFrontends(func(c suiteClient) any { // a session's settings are in force on every engine
+	compareFrontends(func(c suiteClient) any { // a session's settings apply on every engine
 		c.set(t, "search_path", "mine")
 		var out []any
 		for range 6 {
--- a/internal/server/learned_state.go
+++ b/internal/server/learned_state.go
@@ -11,8 +11,8 @@
 	"cresspass/internal/storage"
 )
 
-// This file handles what the module learns about costs and engines. It is kept with the observations, stored
-// in the state folder and exchanged with peers, and a new process starts with it.
+// This file handles what the module learns about costs and engines. The learned values are kept with the
+// observations, stored in the state folder and exchanged with peers, and a new process starts with them.
 
 // withObservations calls f with the observations, under the lock that guards them.
 func (s *Server) withObservations(f func(now time.Duration, observations *observation.Store)) {
@@ -25,8 +25,8 @@
 	f(s.clock(), s.observations)
 }
 
-// initializeEstimates waits for what peers have learned, no longer than the settings allow. It restores the
-// module's state from that and from what an earlier incarnation had learned.
+// initializeEstimates waits for what peers have learned, at most for the time in the settings. It restores
+// the module's state from what the peers and an earlier incarnation have learned.
 func (s *Server) initializeEstimates(core *dispatch.Core) {
 	reportingPeers := 0
 	if p := s.membership.Load(); p != nil {
@@ -57,8 +57,8 @@
 	s.log.Info("learned state restored", "age", oldest.Round(time.Second), "reporting_peers", reportingPeers)
 }
 
-// restoreLearned adds what an earlier incarnation had learned to the observations, as those of one observer
-// among others. age is the time since it was stored.
+// restoreLearned adds what an earlier incarnation had learned to the observations, as those of the observer
+// PreviousIncarnation. age is the time since data was stored.
 func (s *Server) restoreLearned(data []byte, age time.Duration) error {
 	learned, err := decodeLearned(data)
 	if err != nil {
--- a/internal/server/maintenance.go
+++ b/internal/server/maintenance.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// takeOver opens the state folder and joins membership once the predecessor has released the folder and the
-// address. It does nothing if that is done already.
+// takeOver opens the state folder and joins membership, each once the predecessor has released the folder or
+// the address. What is already open or joined stays as it is.
 func (s *Server) takeOver(ctx context.Context) {
 	if s.cfg.StateDir != "" && s.store.Load() == nil {
 		s.takeOverState()
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -129,7 +129,8 @@
 	}
 }
 
-// publishEngineList stores the last engine list and passes the engines and their cores to membership.
+// publishEngineList stores the last engine list and passes the engines and their cores to membership. An
+// engine whose kind the settings do not have counts as one core.
 func (s *Server) publishEngineList(l *eds.List) {
 	s.engineList.Store(l)
 	p := s.membership.Load()
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -14,8 +14,8 @@
 )
 
 // TestDispatchersGossip checks that messages of the module arrive among three dispatchers of a fleet, and
-// that what one has observed of an engine reaches the others. A dispatcher whose gossip address is in use
-// does not start.
+// that what one dispatcher has observed of an engine reaches the others. A dispatcher whose gossip address is
+// in use does not start.
 func TestDispatchersGossip(t *testing.T) {
 	r := startEngines(t, 2)
 	seeds := ""
--- a/internal/server/mixed_load_test.go
+++ b/internal/server/mixed_load_test.go
@@ -104,8 +104,8 @@
 	t.Logf("outcomes %v, stats %+v", outcomes, st)
 }
 
-// runMixedRequests sends requests from concurrent clients. It calls before with a request's number before the
-// request is sent. It returns the number of requests by SQLSTATE or error text.
+// runMixedRequests sends requests from concurrent clients. Before it sends a request, it calls the function
+// before with the request's number. It returns the number of requests by SQLSTATE or error text.
 func runMixedRequests(t *testing.T, addr string, total int, before func(i int)) map[string]int {
 	t.Helper()
 	var wg sync.WaitGroup
--- a/internal/server/overload.go
+++ b/internal/server/overload.go
@@ -11,7 +11,8 @@
 	"cresspass/internal/overload"
 )
 
-// This file applies the dispatcher's own limits. Package overload decides; this file locks its limiter.
+// This file applies the dispatcher's own limits. The limiter of package overload decides what is admitted;
+// this file guards it with overloadLock.
 
 const (
 	// reservedDescriptors is the number of file descriptors that clients cannot use. They are kept for engine
--- a/internal/server/query.go
+++ b/internal/server/query.go
@@ -70,8 +70,8 @@
 	}
 	select {
 	case <-clientQuery.Response.Done():
-		// The client left before its query had an ID, so its frontend could not withdraw the query. Without
-		// this the module would keep the query.
+		// The client may have left before its query had an ID, when its frontend could not withdraw the
+		// query. Without this call the module would keep the query.
 		s.Withdraw(clientQuery, false)
 	default:
 	}
@@ -105,8 +105,8 @@
 func (s *Server) finishUnserved(q *query) { s.finishQuery(q, true, false) }
 
 // finishQuery is called when a query's response ends and when an attempt has its outcome. It deletes the
-// query once the response has ended and no attempt is without an outcome. finished says that the response has
-// ended, and served that it was the query's result.
+// query once the response has ended and each attempt has an outcome. finished means that the response has
+// ended, served that the response was the query's result.
 func (s *Server) finishQuery(q *query, finished, served bool) {
 	s.mu.Lock()
 	first := finished && !q.finished
--- a/internal/server/replayed_setting_test.go
+++ b/internal/server/replayed_setting_test.go
@@ -10,9 +10,9 @@
 )
 
 // TestSettingsAreReplayed checks that settings that the dispatcher replays do not make a session sticky. They
-// are in force for each of the session's statements, on any engine, and for no other session. Settings that
-// were rolled back or failed are not in force. After an invalid value in the startup packet each statement
-// gets the engine's error, and no query runs without its session's settings.
+// apply to each of the session's statements, on any engine, and to no other session. Settings that were
+// rolled back or failed do not apply. After an invalid value in the startup packet each statement gets the
+// engine's error, and no query runs without its session's settings.
 func TestSettingsAreReplayed(t *testing.T) {
 	r, s := startDispatcher(t, 3, baseSettings)
 	sessions := []*wireClient{dialServer(t, s), dialServer(t, s), dialServer(t, s)}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -39,7 +39,7 @@
 
 // Server is a running dispatcher.
 type Server struct {
-	cfg             *config.Config // the settings at the start; activeConfig has those in force
+	cfg             *config.Config // the settings at the start; activeConfig has the current ones
 	log             *slog.Logger
 	clock           dispatch.Clock
 	address         string
--- a/internal/server/session_balance_test.go
+++ b/internal/server/session_balance_test.go
@@ -25,8 +25,8 @@
 }
 
 // TestStickySessionsAreBalanced restarts a third of the engines; their clients and new ones open sessions
-// again. As the module counts idle sessions, these are balanced. Without the counts they would accumulate on
-// engines where no query runs.
+// again. It checks that the sessions are balanced, as the module counts idle sessions. Without the counts
+// they would accumulate on engines where no query runs.
 func TestStickySessionsAreBalanced(t *testing.T) {
 	sessionRange := func(reportSessions bool) (maxSessions, minSessions int) {
 		r := startEngines(t, 6)
@@ -59,7 +59,7 @@
 			}
 		}
 		r.Publish()
-		time.Sleep(300 * time.Millisecond) // until the clients of the lost sessions are told
+		time.Sleep(300 * time.Millisecond) // until the clients of the lost sessions have got an error
 		lost := 0
 		for c := range open {
 			c.conn.SetReadDeadline(time.Now().Add(time.Millisecond))
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -2,8 +2,9 @@
 
 import "cresspass/internal/dispatch/verdict"
 
-// Drain starts the graceful shutdown: no more clients are accepted, idle clients are told to leave, and
-// queries in flight run to completion. Idle returns true once no client or query is left.
+// Drain starts the graceful shutdown: no more clients are accepted, the frontends disconnect idle clients
+// that have no sticky session, and queries in flight run to completion. Idle returns true once no client or
+// query is left.
 func (s *Server) Drain() {
 	s.pgFrontend.Drain()
 	if s.flightFrontend != nil {
@@ -57,8 +58,8 @@
 		if s.recorder != nil {
 			s.recorder.Close()
 		}
-		// Closed after the background goroutines, as the maintenance goroutine of a process that takes over
-		// may join membership until it ends.
+		// Membership is closed after the background goroutines have ended, as the maintenance goroutine of a
+		// process that takes over may join membership until then.
 		if p := s.membership.Load(); p != nil {
 			p.Close()
 		}
--- a/internal/server/stale_statement_test.go
+++ b/internal/server/stale_statement_test.go
@@ -19,7 +19,7 @@
 	opened   chan struct{} // connections are forwarded once it is closed
 }
 
-// newGatedProxy returns a proxy for an engine's address, with its gate shut.
+// newGatedProxy returns a proxy for an engine's address that does not forward connections yet.
 func newGatedProxy(t *testing.T, engine string) *gatedProxy {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/server/sticky_session.go
+++ b/internal/server/sticky_session.go
@@ -12,7 +12,8 @@
 // This file handles sticky sessions, which are bound to an engine. Package affinity decides which sessions
 // are sticky; the module places them.
 
-// stickySessionChanged tells the module that a session has become sticky on an engine, or no longer is.
+// stickySessionChanged reports to the module that a session has become sticky on an engine, or is no longer
+// sticky there.
 func (s *Server) stickySessionChanged(engine cresspass.EngineID, sticky bool) {
 	change := -1.0
 	if sticky {
@@ -21,7 +22,8 @@
 	s.loop.Post(cresspass.Event{Type: cresspass.SessionCountChanged, Engine: engine, Value: change})
 }
 
-// persistSession records a sticky session for the next incarnation, or removes its record.
+// persistSession records a sticky session for the next incarnation, or removes its record. It sets the ID and
+// the incarnation name of a session that it records.
 func (s *Server) persistSession(session *orphanedsession.Session, sticky bool) {
 	store := s.store.Load()
 	if store == nil {
--- a/internal/server/sticky_session_benchmark_test.go
+++ b/internal/server/sticky_session_benchmark_test.go
@@ -52,7 +52,7 @@
 }
 
 // BenchmarkIdleStickySession measures the memory per idle session in a transaction, in kB. The client, the
-// dispatcher and the stand-in engine share the process, so it is the memory of all three.
+// dispatcher and the stand-in engine share the process, so the figure includes all three.
 func BenchmarkIdleStickySession(b *testing.B) {
 	r, err := testbed.New(standin.EngineConfig{Kind: testbed.EngineKind(64, 4096)})
 	if err != nil {
--- a/internal/server/sticky_session_fault_test.go
+++ b/internal/server/sticky_session_fault_test.go
@@ -177,7 +177,7 @@
 }
 
 // TestDrainAndEngineLossAtCommit checks a COMMIT that is in flight while its engine drains or dies. The
-// client gets the engine's result, or an error that says that the outcome is not known.
+// client gets the engine's result, or an error that reports that the outcome is not known.
 func TestDrainAndEngineLossAtCommit(t *testing.T) {
 	r, s := startDispatcher(t, 1, baseSettings)
 	ends := map[string]int{}
@@ -207,7 +207,7 @@
 			reported == "E:08007" && engineLost,
 			reported == "CE:57P02" && engineLost:
 		case reported == "E:08006" && engineLost && !committed:
-			// The COMMIT was not sent and the transaction was rolled back, as the error says.
+			// The COMMIT was not sent and the transaction was rolled back, as this code reports.
 		default:
 			t.Errorf(
 				"%d: the client got %q, the engine committed: %v, engine lost: %v",
@@ -232,7 +232,7 @@
 }
 
 // TestClientStopsReadingInATransaction guards against a transaction that holds its locks on the engine for as
-// long as its client does not read a response. It has to end at the query's deadline.
+// long as its client does not read a response. The transaction has to end at the query's deadline.
 func TestClientStopsReadingInATransaction(t *testing.T) {
 	r, s := startDispatcher(t, 1, strings.Replace(baseSettings, `deadline = "5s"`, `deadline = "1s"`, 1))
 	c := dialServer(t, s)
@@ -316,7 +316,7 @@
 		if i%2 == 0 {
 			text = "begin"
 		}
-		for range 50 { // a thousand at once are more than are admitted, so a rejected one is retried
+		for range 50 { // not all of a thousand are admitted at once, so rejected ones are sent again
 			c.send(&pgproto3.Query{String: text})
 			if seen := c.readToEnd(); seen[0] == "C" {
 				break
--- a/internal/server/sticky_session_test.go
+++ b/internal/server/sticky_session_test.go
@@ -96,7 +96,7 @@
 // TestSessionsEndOnDrainAndEngineLoss checks sessions on a draining engine. A transaction may finish within
 // the grace, and otherwise ends with 57P01. A session that is sticky because of its state gets a notice at
 // once and ends at the end of the grace. New sessions are opened on other engines. The test also checks that
-// the error says that the outcome is unknown if an engine dies after COMMIT was sent.
+// the error reports an unknown outcome if an engine dies after COMMIT was sent.
 func TestSessionsEndOnDrainAndEngineLoss(t *testing.T) {
 	r, s := startDispatcher(t, 2, baseSettings)
 	beginAndLocate := func(c *wireClient, id string) int {
@@ -167,7 +167,8 @@
 
 // TestUnknownEffectsMakeSessionSticky checks that a function that creates a temporary table makes its session
 // sticky, and that only this session sees the table. The same holds for a function that changes a setting. It
-// also checks that a query that was answered before its result leaves no state on its engine connection.
+// also checks that a query that the dispatcher answered before its result arrived leaves no state on its
+// engine connection.
 func TestUnknownEffectsMakeSessionSticky(t *testing.T) {
 	_, s := startDispatcher(t, 2, baseSettings+"sessions {\n  harmless = [\"geo_*\"]\n}\n")
 	a, b := dialServer(t, s), dialServer(t, s)
--- a/internal/server/write_recovery.go
+++ b/internal/server/write_recovery.go
@@ -44,9 +44,9 @@
 	}))
 }
 
-// maxDurableWait is the longest time that an attempt waits for its record to be durable. An attempt that is
-// sent earlier is not known after a crash, and could be sent again within its deduplication window. But a
-// failing disk must not stop queries, so these attempts are sent and counted.
+// maxDurableWait is the longest time that an attempt waits for its record to be durable. After a crash, an
+// attempt that was sent before its record was durable is not known, and could be sent again within its
+// deduplication window. But a failing disk must not stop queries, so these attempts are sent and counted.
 const maxDurableWait = 100 * time.Millisecond
 
 // afterDurable calls start once the record with an ID is durable, or after maxDurableWait. It calls start at
@@ -75,7 +75,7 @@
 	}()
 }
 
-// countUnrecordedWrite counts a write that is sent before its record is durable.
+// countUnrecordedWrite counts a write that is sent before its record is durable, and logs the first one.
 func (s *Server) countUnrecordedWrite() {
 	if s.unrecordedWrites.Add(1) == 1 {
 		s.log.Error("write sent before its record is durable; a crash now may send it twice",
@@ -86,8 +86,8 @@
 // UnrecordedWrites returns the number of attempts at writes that were sent before their record was durable.
 func (s *Server) UnrecordedWrites() uint64 { return s.unrecordedWrites.Load() }
 
-// recordSentOutcome records the end of an attempt that has succeeded or never ran. The record of any other
-// attempt, which may have run, stays in force until its window is over.
+// recordSentOutcome records the end of an attempt that has succeeded or never ran. Any other attempt may have
+// run, so its record counts until its window is over.
 func (s *Server) recordSentOutcome(id uint64, r pgbackend.Result) {
 	store := s.store.Load()
 	if id == noWriteRecord || store == nil {
@@ -98,7 +98,7 @@
 	}
 }
 
-// classByName returns the class of the settings with a name, or nil.
+// classByName returns the class that has the name in the settings, or nil.
 func (s *Server) classByName(name string) *cresspass.Class {
 	for i := range s.cfg.Module.Classes {
 		if s.cfg.Module.Classes[i].Name == name {
