--- a/internal/backend/computenode/event.go
+++ b/internal/backend/computenode/event.go
@@ -15,12 +15,12 @@
 	Begin            EventType = iota // the first event
 	ResponseReceived                  // Response is complete
 	ResponseLost                      // the request may have arrived; no readable response came
-	ConnRefused                       // an address that should accept connections refused one
-	Unreachable                       // no connection came up, or it broke before anything was written
+	ConnRefused                       // a compute node that is not known to drain refused the connection
+	Unreachable                       // no connection came up, or it broke before the call was written
 	NoDescriptor                      // no file descriptor was left for a connection
 	NotNeeded                         // nothing was written: no client waits for the query any more
 	Withheld                          // nothing was written: the node accepts nothing new, or it is too late
-	Stop                              // end with Outcome; the outcome of the last call was reported before
+	Stop                              // end with Outcome; the outcome of a call that was written comes first
 )
 
 // Event is the outcome of the last Step, or the beginning or the stop of an attempt.
@@ -47,11 +47,11 @@
 type Step struct {
 	Type      StepType
 	Page      int           // the page to fetch, from 0
-	FreshConn bool          // not on the last connection
+	FreshConn bool          // needs a new connection
 	Due       time.Duration // the latest time to make the call; orders the calls that wait for a connection
 	Delay     time.Duration // how long to wait before the call
 	Timeout   time.Duration // how long to wait for the response
-	Deadline  time.Duration // no later than this
+	Deadline  time.Duration // the latest time at which the call may still be made
 	Outcome   cresspass.Outcome
 	Pages     [][]byte
 	Progress  Progress // with any step: what the last response reported
--- a/internal/backend/computenode/machine.go
+++ b/internal/backend/computenode/machine.go
@@ -15,8 +15,8 @@
 
 // Timeouts, delays and limits of the protocol and of the dispatcher's side of it.
 const (
-	longPollTimeout = 250 * time.Millisecond // a compute node then reports that the query still runs
-	abandonAfter    = 2 * time.Second        // a compute node drops a query that was not polled for so long
+	longPollTimeout = 250 * time.Millisecond // after this, a compute node answers that the query runs
+	abandonAfter    = 2 * time.Second        // a compute node drops a query that was not polled for this long
 	abandonSlack    = 100 * time.Millisecond // added to abandonAfter: the compute node's clock may differ
 
 	initialTransitTimeout = 100 * time.Millisecond // for a response in transit; doubles with each failure
@@ -27,14 +27,16 @@
 	// calls get connections in the order in which they arrive.
 	dueWithin = time.Second
 
-	initialBackoff = 10 * time.Millisecond // before the second repeat of a call; doubles with each repeat
+	initialBackoff = 10 * time.Millisecond // before the first delayed repeat; doubles with each repeat
 	maxBackoff     = 160 * time.Millisecond
 	maxDoublings   = 8 // limits the shift
 
 	maxQuickPolls   = 3                     // consecutive polls answered at once before polls are paced
 	minPollInterval = 25 * time.Millisecond // between polls that are paced
 
-	maxFailures = 8 // consecutive calls without a good response before the result counts as lost
+	// maxFailures is how many consecutive calls may get no good response before the result counts as lost.
+	// The result does not count as lost before abandonAfter has passed since Begin.
+	maxFailures = 8
 )
 
 // Machine is the state machine of one attempt. The zero value is ready for a Begin event. All times are on
@@ -47,13 +49,13 @@
 	startedAt time.Duration
 	postedAt  time.Duration // Start had been written by this time
 	reachedAt time.Duration // the last time at which a Start or a Poll may have reached the compute node
-	calledAt  time.Duration // when the last call was made
+	calledAt  time.Duration // when Next returned the last step, plus the delay of a poll
 
 	posted            bool // the compute node may have the query
 	startUnanswered   bool // the response to Start was lost or invalid
 	nodeOutlivedStart bool // Start was not answered, although the compute node's process did not die then
-	confirmed         bool // a response showed that the compute node has the query
-	responseLost      bool // a response was lost, so the compute node may never have received the query
+	confirmed         bool // Start was answered, or a response showed that the compute node has the query
+	responseLost      bool // a call got no good response; unless confirmed, Start may never have arrived
 	lastCallReset     bool // the last call that was written ended with a connection reset
 
 	cancelling    bool
@@ -101,7 +103,8 @@
 	}
 	switch {
 	case !m.posted && (ev.Type == ResponseLost || classify(ev.Response, 0) == kindInvalid):
-		// An invalid response may be a late duplicate of an earlier one: it shows no more than a lost one.
+		// An invalid response may be a late duplicate of an earlier one: it shows no more than a lost
+		// response.
 		m.startUnanswered, m.nodeOutlivedStart = true, !ev.Reset
 	case ev.Type == ResponseReceived:
 		m.nodeOutlivedStart = m.nodeOutlivedStart || m.startUnanswered
@@ -126,10 +129,11 @@
 
 // processDead reports whether a refused connection shows that the process that had the query is dead. A
 // compute node also refuses connections while it drains or is at its connection limit, and still runs its
-// queries. If that counted as its death, a retry of the query or the next query of its key would run
-// concurrently with it. A process that dies resets its connections, so a refusal shows its death only after
-// a reset. Where Start was never answered although the process lived on, even that does not end the attempt
-// for the platform: it stays in flight until the query has not been polled for abandonAfter.
+// queries. If a refusal counted as the process's death, a retry of the query or the next query of its key
+// would run concurrently with the query. A process that dies resets its connections, so a refusal shows its
+// death only after a reset. If Start was not answered although the process lived on, even a refusal after a
+// reset does not end the attempt for the platform: the attempt stays in flight until the query has not been
+// polled for abandonAfter.
 func (m *Machine) processDead() bool { return m.lastCallReset && !m.nodeOutlivedStart }
 
 // handleResponse handles a response to Start or Poll.
@@ -152,8 +156,9 @@
 			return m.poll(resp.Close, delay, Progress{})
 		}
 		if m.responseLost {
-			// The compute node works and does not know the query: Start was lost in transit. A reset would
-			// count against the compute node, which would be ejected, and its load would go to the others.
+			// The compute node works. It may not know the query because Start was lost in transit.
+			// OutcomeConnectionReset would count against the compute node, which would be ejected, and its
+			// load would go to the others.
 			return Step{Type: End, Outcome: cresspass.OutcomeTimedOut}
 		}
 		return Step{Type: End, Outcome: cresspass.OutcomeFailed}
@@ -171,7 +176,8 @@
 	return m.Exclusive && m.responseLost && !m.confirmed && now < m.startArrivedBy()
 }
 
-// addPage adds a page of the result, and polls for the next page or ends the attempt.
+// addPage adds a page of the result, and polls for the next page or ends the attempt. If the result is longer
+// than maxResultBytes, it cancels the query.
 func (m *Machine) addPage(resp *nodehttp.Response) Step {
 	if len(m.pages) == 0 {
 		m.pageCount, _ = strconv.Atoi(resp.Header[nodehttp.HeaderPageCount]) // validPage has checked it
@@ -202,7 +208,8 @@
 }
 
 // retry polls again after a failed call, on a new connection or on any open one. A query keeps running when
-// its connection is lost, and its result can be fetched again.
+// its connection is lost, and its result can be fetched again. After more than maxFailures calls and a time
+// of abandonAfter, the query is cancelled instead.
 func (m *Machine) retry(now time.Duration, freshConn bool) Step {
 	m.responseLost = true
 	m.failures++
@@ -230,8 +237,8 @@
 	return step
 }
 
-// cancel makes the compute node drop the query. The attempt stays in flight until that is confirmed: another
-// attempt before then could run the query twice.
+// cancel makes the compute node drop the query. The attempt stays in flight until the drop is confirmed:
+// another attempt before then could run the query twice.
 func (m *Machine) cancel(outcome cresspass.Outcome) Step {
 	m.cancelling, m.cancelOutcome, m.failures = true, outcome, 0
 	if !m.posted {
@@ -248,8 +255,8 @@
 	over := ev.Type == ConnRefused && m.processDead() ||
 		ev.Type == ResponseReceived && confirmsDelete(ev.Response)
 	// An unconfirmed Start may still be in transit on its own connection and arrive after the Delete. Only a
-	// Delete that is sent when the Start can no longer be in transit shows that an exclusive query is over.
-	// A query that is not exclusive may run concurrently with such a Start: waiting would gain it nothing.
+	// Delete that is sent when the Start can no longer be in transit shows that an exclusive query is over. A
+	// query that is not exclusive may run concurrently with such a Start, so it does not have to wait.
 	if arrived := m.reachedAt + maxTransitTimeout; over && m.Exclusive && !m.confirmed && now < arrived {
 		return Step{Type: Delete, Due: arrived, Timeout: transitTimeout(0), Deadline: m.abandonedAt(),
 			Delay: arrived - now}
--- a/internal/backend/computenode/machine_test.go
+++ b/internal/backend/computenode/machine_test.go
@@ -110,7 +110,8 @@
 	}
 	switch {
 	case node.draining && !node.dead && !reused && node.reset:
-		// After a reset, only a reported drain distinguishes this from a death.
+		// After a reset, a ConnRefused would count as the node's death. The caller knows that the node
+		// drains, and reports Unreachable instead.
 		return Event{Type: Unreachable}
 	case node.dead || node.draining && !reused:
 		return Event{Type: ConnRefused}
@@ -148,7 +149,7 @@
 	return Event{Type: ResponseReceived, Response: resp}
 }
 
-// TestAttempt checks that an attempt, whatever faults its calls meet, posts once, ends within 200 calls, does
+// TestAttempt checks that an attempt whose calls meet random faults posts once, ends within 200 calls, does
 // not leave its query running, reports that the query never ran only if it did not, and returns exactly the
 // query's pages, in order.
 func TestAttempt(t *testing.T) {
@@ -254,9 +255,9 @@
 	}
 }
 
-// TestDeleteOvertakesStart: an unanswered Start may still be in transit when a Delete on another connection
-// is answered. An exclusive attempt ends only after a Delete that was sent when the Start can no longer be in
-// transit.
+// TestDeleteOvertakesStart checks that an exclusive attempt whose Start was not answered ends only after a
+// Delete that was sent when the Start can no longer be in transit. Before that time, the Start may arrive
+// after a Delete on another connection was answered.
 func TestDeleteOvertakesStart(t *testing.T) {
 	deleted := Event{Type: ResponseReceived, Response: &nodehttp.Response{Status: 204}}
 	stop := Event{Type: Stop, Outcome: cresspass.OutcomeCancelled}
