--- a/internal/backend/connpool/pool.go
+++ b/internal/backend/connpool/pool.go
@@ -15,8 +15,9 @@
 const (
 	// sweepInterval is the delay of a scheduled sweep; it limits how often the whole queue is scanned.
 	sweepInterval = 5 * time.Millisecond
-	// nearDueMargin is how long before its due time a queued request may have idle connections to other
-	// compute nodes closed for it. A call that holds a connection ends within this time.
+	// nearDueMargin is the time before its due time from which a queued request may dial in place of an idle
+	// connection to another compute node, which is closed. A call that holds a connection ends within this
+	// time.
 	nearDueMargin = 300 * time.Millisecond
 )
 
@@ -47,7 +48,9 @@
 // Waiting returns the number of queued requests.
 func (p *Pool) Waiting() int { return len(p.queue) }
 
-// NextSweep returns the latest time at which Sweep must be called, and whether it must be called at all.
+// NextSweep returns the latest time at which Sweep must be called for queued requests, and false if no
+// request needs it. It does not consider idle connections that reach maxIdle: they are closed by the next
+// Sweep.
 func (p *Pool) NextSweep() (time.Duration, bool) { return p.nextSweep, p.sweepScheduled }
 
 // Acquire requests a connection. The request's grant is among those returned, or is returned by a later
@@ -83,7 +86,8 @@
 	}
 }
 
-// Closed tells the pool that a granted connection was closed or could not be established.
+// Closed records that a granted connection was closed or could not be established. It returns grants for
+// queued requests that can now dial.
 func (p *Pool) Closed(limits Limits) []Grant {
 	p.grants = p.grants[:0]
 	p.open--
@@ -91,7 +95,8 @@
 	return p.grants
 }
 
-// CloseIdle returns grants that close all idle connections to a compute node.
+// CloseIdle returns grants that close all idle connections to a compute node, and grants for queued requests
+// that can then dial.
 func (p *Pool) CloseIdle(engine cresspass.EngineID, limits Limits) []Grant {
 	p.grants = p.grants[:0]
 	for len(p.idle[engine]) > 0 {
@@ -120,9 +125,10 @@
 }
 
 // serveQueue grants idle connections to queued requests for the same compute node. Dialing for each request
-// would spend the core on handshakes. But while other requests reuse their connections, one whose compute
-// node has no idle connection would wait forever, and its query would be dropped there for lack of polls. A
-// request that is close to its due time therefore has any idle connection closed for it.
+// would spend the CPU core on handshakes. But while other requests reuse their connections, a request whose
+// compute node has no idle connection would wait forever, and the compute node would drop its query for lack
+// of polls. For a request within nearDueMargin of its due time, the connection that has been idle longest is
+// therefore closed, so that the request can dial.
 func (p *Pool) serveQueue(now time.Duration, limits Limits) {
 	remaining := p.queue[:0]
 	for i, req := range p.queue {
--- a/internal/backend/connpool/pool_test.go
+++ b/internal/backend/connpool/pool_test.go
@@ -119,9 +119,9 @@
 	}
 }
 
-// TestGrants checks that whatever callers do, each request gets at most one grant, none waits while there is
-// capacity, and a connection is granted only for its own compute node, after minIdle, and to one request at
-// a time.
+// TestGrants checks that for random calls each request gets at most one grant, no request waits while there
+// is capacity, and a connection is granted only for its own compute node, after minIdle, and to one request
+// at a time.
 func TestGrants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newPoolHarness(t, Limits{Capacity: rapid.IntRange(1, 6).Draw(t, "capacity"), UrgentReserve: 1})
