--- a/internal/backend/duplicateresponse/detector.go
+++ b/internal/backend/duplicateresponse/detector.go
@@ -1,7 +1,8 @@
 // Package duplicateresponse detects duplicate responses on connections to compute nodes. A response does not
-// name the request that it belongs to. If a compute node sends a response a second time, and it arrives after
-// the connection was idle and is used again, it would be read as the response to the next query's call. The
-// package keeps a history of responses; it does no I/O, reads no clock and repeats no call itself.
+// name the request that it belongs to. If a compute node sends a response a second time, and the duplicate
+// arrives after the connection was idle and is used again, the duplicate would be read as the response to the
+// next query's call. The package keeps a history of responses; it does no I/O, reads no clock and repeats no
+// call itself.
 package duplicateresponse
 
 import (
@@ -15,10 +16,10 @@
 
 const (
 	// minLongPoll is the least time after which a compute node answers that a query still runs: 250 ms by the
-	// protocol, less a margin for the difference between its clock and ours.
+	// protocol, less a margin for the difference between its clock and the dispatcher's.
 	minLongPoll = 200 * time.Millisecond
-	// suspicionPeriod is how long after a duplicate response the responses that often repeat without being
-	// duplicates are suspected too.
+	// suspicionPeriod is the time after a duplicate response in which responses that often repeat without
+	// being duplicates are suspected too.
 	suspicionPeriod = 30 * time.Second
 	// historySize is the number of responses remembered for a connection: the largest number of pages in a
 	// result.
@@ -90,15 +91,15 @@
 	case resp.Status == http.StatusAccepted:
 		return took < minLongPoll && resp.Header[nodehttp.HeaderProgressKind] == ""
 	case resp.Status == http.StatusNoContent:
-		return false // a Delete that another call's response confirms takes effect within moments anyway
+		return false // if a duplicate confirms a Delete, the Delete itself takes effect within moments
 	}
-	// Rejections and errors are mostly identical. If each one were suspected, a query that could go to
-	// another compute node would need a second call here first.
+	// Rejections and errors are mostly identical. If each of them were suspected, a query that could go to
+	// another compute node would first need a second call to this compute node.
 	return duplicateRecent
 }
 
 // Recheck handles the response on a new connection to a call whose first response was suspected. If the two
-// differ, the first was a duplicate; otherwise the compute node is known to repeat that response.
+// responses differ, the first was a duplicate; otherwise the compute node is known to repeat that response.
 func (d *Detector) Recheck(now time.Duration, suspected Fingerprint, resp *nodehttp.Response) {
 	if d.fingerprint(resp) != suspected {
 		d.RecordDuplicate(now)
