--- a/internal/protocol/nodehttp/response.go
+++ b/internal/protocol/nodehttp/response.go
@@ -53,7 +53,7 @@
 }
 
 // ReadResponse reads one final response and discards the 1xx responses before it. An error of the reader is
-// returned as it is: io.EOF before the first byte; an io.EOF inside a response becomes io.ErrUnexpectedEOF.
+// returned unchanged: io.EOF if no byte arrived. An io.EOF inside a response becomes io.ErrUnexpectedEOF.
 // Errors about the bytes of the response wrap ErrMalformed.
 func ReadResponse(r *bufio.Reader) (*Response, error) {
 	if _, err := r.Peek(1); err != nil {
