--- a/internal/protocol/thrift/reply.go
+++ b/internal/protocol/thrift/reply.go
@@ -27,7 +27,7 @@
 	return endFrame(append(b, typeStop, typeStop), start)
 }
 
-// DispatchExceptionType tells the exceptions of MethodDispatch apart. Its value is the id of the exception's
+// DispatchExceptionType identifies an exception of MethodDispatch. Its value is the id of the exception's
 // field in the result struct.
 type DispatchExceptionType uint16
 
--- a/internal/protocol/thrift/request.go
+++ b/internal/protocol/thrift/request.go
@@ -39,7 +39,8 @@
 	return req, nil
 }
 
-// decodeField reads an argument of the method in the header, and skips those of other methods.
+// decodeField reads an argument of a MethodDispatch or MethodCancelRequest message, and skips an argument of
+// any other method.
 func (r *Request) decodeField(d *decoder, fieldType byte, id uint16) error {
 	switch r.Name {
 	case MethodDispatch:
