--- a/internal/discovery/sse/follower.go
+++ b/internal/discovery/sse/follower.go
@@ -18,7 +18,7 @@
 const (
 	Applied   ApplyResult = iota
 	Duplicate             // the event was applied before
-	Gap                   // events before it are missing: request the stream again from LastRevision
+	Gap                   // earlier events are missing: request the stream again from LastRevision
 )
 
 // Follower holds the endpoint list of a dispatcher: the last revision that was applied, and what was last
@@ -64,21 +64,24 @@
 // Draining reports whether a compute node is on the list and draining.
 func (f *Follower) Draining(id cresspass.EngineID) bool { return f.addrs[id] != "" && !f.accepting[id] }
 
-// TakeRemoved returns the compute nodes that were removed since the last call. They have no address any more.
+// TakeRemoved returns the compute nodes that were removed since the last call. They have no address, unless
+// they were listed again.
 func (f *Follower) TakeRemoved() []cresspass.EngineID {
 	removed := f.removed
 	f.removed = nil
 	return removed
 }
 
-// Apply applies an event that was received as it was sent. If the result is Applied, the returned list is for
-// the module. An event that cannot be decoded is an error and changes nothing.
+// Apply applies an event that was received without delay after it was sent. If the result is Applied, the
+// returned list is for the module. For an event that cannot be decoded or is invalid it returns an error, and
+// the endpoint list and LastRevision stay as they are.
 func (f *Follower) Apply(ev Event) (cresspass.Event, ApplyResult, error) {
 	return f.applyEvent(ev, true)
 }
 
 // ApplyDelayed is like Apply for an event that may have been sent some time ago, such as while the discovery
-// service was unreachable. Its start times then do not show how far the wall clock is ahead.
+// service was unreachable. A start time that is some seconds old is then no evidence that the wall clock is
+// ahead.
 func (f *Follower) ApplyDelayed(ev Event) (cresspass.Event, ApplyResult, error) {
 	return f.applyEvent(ev, false)
 }
--- a/internal/discovery/sse/follower_test.go
+++ b/internal/discovery/sse/follower_test.go
@@ -20,7 +20,7 @@
 		`"started_ms":%d}`, id, state, started)
 }
 
-// newFollower returns a Follower whose clock is at 50 ms, when the wall clock was at 50 ms of Unix time.
+// newFollower returns a Follower whose clock is at 50 ms, with the wall clock 50 ms after the Unix epoch.
 func newFollower() *Follower {
 	const now = 50 * time.Millisecond
 	clock := starttime.New(starttime.RecentStarts, time.UnixMilli(50), now)
@@ -28,7 +28,7 @@
 }
 
 // TestClockSecondsAhead checks that a wall clock that is seconds ahead when the dispatcher starts does not
-// make a compute node look older if its start is reported as it happens.
+// make a compute node look older if its start is reported soon after it happens.
 func TestClockSecondsAhead(t *testing.T) {
 	const ahead, zero, delay = 5 * time.Second, time.Hour, 300 * time.Millisecond
 	truth := time.UnixMilli(1_000_000_000)
--- a/internal/discovery/sse/parser.go
+++ b/internal/discovery/sse/parser.go
@@ -15,7 +15,7 @@
 // ErrEventTooLong is returned for an event of more than MaxEventBytes.
 var ErrEventTooLong = errors.New("discovery: event is too long")
 
-// Event is a complete server-sent event. HasID is false if it has no valid id.
+// Event is a complete server-sent event. HasID is false if the event has no valid id.
 type Event struct {
 	ID    uint64
 	HasID bool
