--- a/internal/discovery/eds/client.go
+++ b/internal/discovery/eds/client.go
@@ -39,13 +39,13 @@
 	pingTimeout  time.Duration // time to wait for the answer to a ping before the connection has failed
 }
 
-// A service that has vanished or hangs sends nothing, and neither does one whose list does not change. Pings
-// tell the two apart.
+// A service whose list does not change sends nothing, like a service that has vanished or hangs. Only pings
+// show the difference.
 const (
 	defaultPingInterval = 30 * time.Second
 	defaultPingTimeout  = 5 * time.Second
-	// tooManyPings is in the error when a service closes the connection because it gets pings too often (the
-	// debug data of a GOAWAY frame in gRPC's keepalive).
+	// tooManyPings is part of the error when a service closes the connection because pings come too often
+	// (the debug data of a GOAWAY frame in gRPC's keepalive).
 	tooManyPings = "too_many_pings"
 )
 
@@ -83,8 +83,9 @@
 // errRefresh is the error of a subscription that Refresh has ended.
 var errRefresh = errors.New("eds: subscription ended to request the complete list again")
 
-// Run subscribes, and subscribes again after each failure, until the context ends. It calls onList and
-// onFailure one at a time.
+// Run subscribes, and subscribes again after each failure, until the context ends. If a service closes the
+// connection because of too many pings, Run doubles the ping interval. It calls onList and onFailure one at a
+// time.
 func (c *Client) Run(ctx context.Context, onList func(*List), onFailure func(error)) {
 	backoff := minBackoff
 	for ctx.Err() == nil {
@@ -111,7 +112,7 @@
 // endpointStream is one subscription.
 type endpointStream = endpointservice.EndpointDiscoveryService_StreamEndpointsClient
 
-// subscribe runs one subscription until it ends and returns the reason. accepted tells whether a list was
+// subscribe runs one subscription until it ends and returns the reason. accepted reports whether a list was
 // accepted.
 func (c *Client) subscribe(ctx context.Context, onList func(*List)) (accepted bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
@@ -170,8 +171,8 @@
 	return stream.Send(r)
 }
 
-// receive reads responses from a stream in a goroutine that ends with the stream or the context. The reason
-// is then sent on the second channel.
+// receive reads responses from a stream in a goroutine that ends with the stream or the context. The
+// goroutine then sends the reason on the second channel.
 func receive(ctx context.Context,
 	stream endpointStream) (<-chan *discoveryv3.DiscoveryResponse, <-chan error) {
 	responses := make(chan *discoveryv3.DiscoveryResponse)
--- a/internal/discovery/eds/eds_test.go
+++ b/internal/discovery/eds/eds_test.go
@@ -24,8 +24,8 @@
 		{Address: "127.0.0.1:7003", State: StateRemoved}}}
 }
 
-// TestCachedListIsCompleteOrRejected checks that a cached list is read back completely, and that one that is
-// truncated at any byte, or has a bit flipped in any byte, is rejected and renamed.
+// TestCachedListIsCompleteOrRejected checks that a cached list is read back completely, and that a cache file
+// that is truncated at any byte, or has a bit flipped in any byte, is rejected and renamed.
 func TestCachedListIsCompleteOrRejected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
 	if err := SaveCache(path, sampleList()); err != nil {
