--- a/internal/discovery/starttime/converter.go
+++ b/internal/discovery/starttime/converter.go
@@ -1,6 +1,7 @@
 // Package starttime converts the start times that compute nodes report, which are wall-clock times, to the
-// dispatcher's monotonic time. It does not rely on the dispatcher's own wall clock, which may be wrong from
-// the beginning and may step while the process runs. It does no I/O and reads no clock.
+// dispatcher's monotonic time. The dispatcher's own wall clock may be wrong from the beginning and may step
+// while the process runs, so the package uses a single reading of it and estimates the error of that reading.
+// It does no I/O and reads no clock.
 package starttime
 
 import (
@@ -13,11 +14,12 @@
 //
 // The caller reads the wall clock once, for New. From then on only monotonic time counts, so a step of the
 // wall clock changes nothing. If the clock was already wrong at that moment, the ages that follow from it
-// show the error. No start is reported before it happens, so a start time in the future shows by how much, at
-// least, the clock is behind. If only recent starts are reported (RecentStarts), a start time that is very
-// old when it is first reported shows that the clock is ahead, and so does one that is some seconds old in a
-// report that was received as it was sent (ObserveFresh). The least such age is then used as the error of the
-// clock. A node may look younger than it is as a result, never older: reports that are delayed by that much
+// show the error. No start is reported before it happens, so a start time in the future shows that the clock
+// is behind by at least as much. If only recent starts are reported (RecentStarts), a start time that is more
+// than maxRecentAge old when it is first reported shows that the clock is ahead, and so does a start time
+// that is more than maxFreshAge old in a report that was received without delay after it was sent
+// (ObserveFresh). The least age of all nodes at their first reports is then used as the error of the clock.
+// This correction may make a node look younger than it is, never older: reports that are delayed by that much
 // look the same as a clock that is ahead.
 type Converter struct {
 	source Source
@@ -27,13 +29,13 @@
 
 	minAge         time.Duration // least age of a node when its start was first reported
 	hasMinAge      bool
-	minFreshAge    time.Duration // the same, for reports that were received as they were sent
+	minFreshAge    time.Duration // the same, for reports that were received without delay
 	hasMinFreshAge bool
 
 	starts map[cresspass.EngineID]conversion
 }
 
-// Source tells which nodes' start times are reported.
+// Source is the set of nodes whose start times are reported.
 type Source int
 
 // The sources of start times.
@@ -46,10 +48,10 @@
 	// maxRecentAge is the largest plausible age of a start that is reported as recent. A greater age shows
 	// that the clock is wrong: no report takes so long.
 	maxRecentAge = 10 * time.Minute
-	// maxFreshAge is the same for a report that was received as it was sent.
+	// maxFreshAge is the same for a report that was received without delay after it was sent.
 	maxFreshAge = 1500 * time.Millisecond
 	// maxFutureStart is how far in the future a start time may be to count as evidence about the clock. A
-	// clock is not wrong by more; such a start time is converted to now.
+	// clock is not wrong by more than that; a start time further ahead is converted to now.
 	maxFutureStart = 24 * time.Hour
 )
 
@@ -77,7 +79,7 @@
 	}
 }
 
-// ObserveFresh is like Observe for a report that was received as it was sent.
+// ObserveFresh is like Observe for a report that was received without delay after it was sent.
 func (c *Converter) ObserveFresh(now time.Duration, id cresspass.EngineID, started time.Time) {
 	if c.converted(id, started) {
 		return
--- a/internal/discovery/starttime/converter_test.go
+++ b/internal/discovery/starttime/converter_test.go
@@ -11,9 +11,8 @@
 )
 
 // TestNeverOlder checks that no node is converted to be older than it is, whether the wall clock was right,
-// behind or far ahead when it was read, and in whatever order nodes are reported. Once a node was reported
-// without delay, and always if the clock was right, nodes that are reported for the first time get their true
-// age.
+// behind or far ahead when it was read, and in any order of reports. Once a node was reported without delay,
+// and always if the clock was right, nodes that are reported for the first time get their true age.
 func TestNeverOlder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		truth := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -47,8 +46,8 @@
 }
 
 // TestFreshObservations checks that with a wall clock that is seconds or minutes ahead, no node is converted
-// to be older than it is if its report was received as it was sent, and that a node that is young by this
-// clock shows that the clock is right.
+// to be older than it is if its report was received within a second of its start, and that a node that is
+// young by this clock shows that the clock is right.
 func TestFreshObservations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		truth := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
