--- a/internal/invariant/guard.go
+++ b/internal/invariant/guard.go
@@ -48,8 +48,8 @@
 	return g.Record(result, requestID)
 }
 
-// Complete records the end of a request; served tells whether it is answered with its result. If Complete
-// returns false, no answer may be sent.
+// Complete records the end of a request; served means that the request is answered with its result. If
+// Complete returns false, no answer may be sent.
 func (g *Guard) Complete(id cresspass.QueryID, served bool, requestID string) bool {
 	g.mu.Lock()
 	result := g.ledger.Complete(id, served)
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -2,9 +2,9 @@
 // made earlier, and a wait for a file descriptor, a dial or a write to disk may lie between the two.
 //
 // A Ledger records what has really happened to requests, without I/O and without a clock; every code path
-// asks it before it sends, retries, answers or closes. A Counter counts and logs actions that the Ledger did
-// not allow. A Guard combines both for concurrent use. The package makes no decisions of its own: it only
-// prevents actions.
+// asks the Ledger before it sends, retries, answers or closes. A Counter counts and logs actions that the
+// Ledger did not allow. A Guard combines both for concurrent use. The package makes no decisions of its own:
+// it only prevents actions.
 package invariant
 
 import "fmt"
@@ -54,7 +54,7 @@
 	AcceptedWhileNotServing Name = "taken_outside_life"
 )
 
-// Kind tells whether an action is allowed, and if not, whether it was allowed when it was decided on.
+// Kind is whether an action is allowed, and if not, whether it was allowed when it was decided on.
 type Kind int
 
 // The kinds of Result.
--- a/internal/invariant/ledger.go
+++ b/internal/invariant/ledger.go
@@ -20,7 +20,7 @@
 	Engine    cresspass.EngineID
 	Kind      string
 	Zone      string
-	Accepting bool // the engine is active and has the address to which the attempt is sent
+	Accepting bool // the engine is active at the attempt's address, or has the query's sticky session
 }
 
 // requestState is the recorded state of a request.
@@ -28,7 +28,7 @@
 	Request
 	class         *cresspass.Class
 	acceptedAt    time.Time
-	ended         bool // its final answer was recorded, or nobody waits for it any more
+	ended         bool // its final answer was recorded, or no client waits for it any more
 	attemptsBegun int
 	begunAt       map[int]time.Time // start times of the attempts in flight, by attempt number
 	inFlight      int               // attempts that have begun and not ended
@@ -83,8 +83,8 @@
 	return Result{}
 }
 
-// Complete records the final answer to a request, or that nobody waits for one any more, and checks that it
-// is the only one. served tells whether the request was answered with its result.
+// Complete records the end of a request, by its final answer or because no client waits for an answer any
+// more, and checks that it is the only end. served means that the request was answered with its result.
 func (l *Ledger) Complete(id cresspass.QueryID, served bool) Result {
 	r := l.requests[id]
 	if r == nil || r.ended {
@@ -112,7 +112,7 @@
 		return result
 	}
 	if _, again := r.begunAt[attempt]; again {
-		return Result{} // no byte of it was written the first time
+		return Result{} // no byte of the attempt was written the first time
 	}
 	if result := l.checkRetry(now, r); !result.OK() {
 		return result
@@ -167,7 +167,7 @@
 	return Result{}
 }
 
-// EndAttempt records that an attempt has ended. neverRan tells whether it is certain that it did not run. An
+// EndAttempt records that an attempt has ended. neverRan means that the attempt certainly did not run. An
 // attempt that was not allowed to begin is ignored.
 func (l *Ledger) EndAttempt(id cresspass.QueryID, attempt int, neverRan bool) {
 	r := l.requests[id]
@@ -176,7 +176,7 @@
 	}
 	begunAt, ok := r.begunAt[attempt]
 	if !ok {
-		return // it was not allowed to begin
+		return // the attempt was not allowed to begin
 	}
 	delete(r.begunAt, attempt)
 	r.inFlight--
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -17,9 +17,9 @@
 // the number of requests served.
 //
 // A request counts at the time it was accepted, but only once it was served: the platform does not count the
-// requests of unknown clients, and with these a dispatcher would allow itself more retries than the platform
-// does. Requests are counted over a window that is shorter by ClockSkew, and retries over one that is longer
-// by ClockSkew, so that the limit also holds by a clock that differs by that much.
+// requests of unknown clients. If a dispatcher counted these, it would allow itself more retries than the
+// platform does. Requests are counted over a window that is shorter by ClockSkew, and retries over one that
+// is longer by ClockSkew, so that the limit also holds by a clock that differs by that much.
 type RetryBudget struct {
 	Enabled   bool
 	Free      float64
@@ -28,8 +28,8 @@
 	ClockSkew time.Duration
 }
 
-// clockSkewTicks is the largest difference between our clock and the platform's clocks that count retries, in
-// ticks of the decision module.
+// clockSkewTicks is the largest difference between the dispatcher's clock and the platform's clocks that
+// count retries, in ticks. A tick is the decision module's batch interval, but no less than 1 ms.
 const clockSkewTicks = 4
 
 // RulesFromConfig returns the rules in the settings of a decision module.
