--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -23,11 +23,11 @@
 	AttemptWithheld    Kind = "attempt withheld"  // the attempt was not sent: its decision is out of date
 	AttemptSent        Kind = "attempt sent"      // the attempt's bytes were passed to the operating system
 	ResponseUnreadable Kind = "response unreadable"
-	AttemptStopped     Kind = "attempt stopped" // the attempt was told to end; "attempt ended" follows
+	AttemptStopped     Kind = "attempt stopped" // the attempt was asked to end; "attempt ended" follows
 	AttemptEnded       Kind = "attempt ended"
 	RequestAnswered    Kind = "request answered"  // with its result
-	RequestRejected    Kind = "request rejected"  // the client was told that a retry is harmless
-	RequestFailed      Kind = "request failed"    // the client was told that the outcome is unknown
+	RequestRejected    Kind = "request rejected"  // the answer to the client: a retry is harmless
+	RequestFailed      Kind = "request failed"    // the answer to the client: the outcome is unknown
 	ClientGone         Kind = "client gone"       // the client cancelled the request or lost its connection
 	ConnectionClosed   Kind = "connection closed" // the dispatcher closed a client connection
 	ConnectionLost     Kind = "connection lost"   // the client or the network ended a client connection
