--- a/internal/netlisten/listen.go
+++ b/internal/netlisten/listen.go
@@ -15,9 +15,9 @@
 
 const (
 	openRetryInterval   = 50 * time.Millisecond
-	openRetryLimit      = 2 * time.Second       // then the last error is returned
+	openRetryLimit      = 2 * time.Second       // after this, the last error is returned
 	acceptRetryInterval = 10 * time.Millisecond // after an error of the local machine
-	maxImmediateRetries = 16                    // failures in a row; then errors of connections wait too
+	maxImmediateRetries = 16                    // failures in a row; after them, Accept waits after any error
 )
 
 // Open listens on a TCP address. It retries for openRetryLimit after a temporary error of the local machine,
