--- a/internal/oserr/oserr.go
+++ b/internal/oserr/oserr.go
@@ -25,7 +25,8 @@
 // accept should be retried at once (accept(2), "Error handling").
 func IsPerConnection(err error) bool { return isAny(err, perConnectionErrors) }
 
-// IsTransient reports whether a non-blocking call failed in a way that says nothing about its connection.
+// IsTransient reports whether a non-blocking call failed for a temporary reason that has nothing to do with
+// its connection.
 func IsTransient(err error) bool { return isAny(err, transientErrors) }
 
 func isAny(err error, errnos []syscall.Errno) bool {
