--- a/internal/soak/calltap.go
+++ b/internal/soak/calltap.go
@@ -11,9 +11,9 @@
 type call struct {
 	method, ticket, class string
 	page                  string        // the result page that a poll asks for
-	limit                 time.Duration // the time that the compute node is given
-	firstByteAt           time.Time     // when it left the dispatcher
-	lastByteAt            time.Time
+	limit                 time.Duration // time limit for the compute node, from the header X-Max-Ms
+	firstByteAt           time.Time     // when the tap saw the first byte
+	lastByteAt            time.Time     // when the tap saw the last byte
 }
 
 // callParser splits the bytes that a dispatcher writes on one connection into calls. It parses HTTP without
--- a/internal/soak/class.go
+++ b/internal/soak/class.go
@@ -8,7 +8,7 @@
 // The kinds of idempotency, with their values in the dispatcher's settings.
 const (
 	idempotent        idempotency = "safe"
-	idempotentWithKey idempotency = "keyed" // with the same idempotency key, within the deduplication window
+	idempotentWithKey idempotency = "keyed" // only with the same key, within the deduplication window
 	notIdempotent     idempotency = "unsafe"
 )
 
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -11,8 +11,9 @@
 )
 
 const (
-	// crossingTime is the greatest age of a request that may have crossed the close of its connection on the
-	// way. Such a request is sent again once.
+	// crossingTime is the greatest age at which a request may still have been on its way when the dispatcher
+	// closed the connection. The longest delay of the clients' link is added to it. Such a request is sent
+	// again once.
 	crossingTime = 50 * time.Millisecond
 
 	dialTimeout   = time.Second
@@ -179,8 +180,8 @@
 	c.conn.Close()
 }
 
-// markClientGone records that the client no longer waits. The time is when the dispatcher can know: after the
-// delay of the client's link.
+// markClientGone records that the client no longer waits for a request. The recorded time is when the
+// dispatcher must know it: now plus the longest delay of the clients' link.
 func (c *clientConn) markClientGone(ticket string) {
 	at := time.Now().Add(c.dispatcher.linkDelay())
 	c.dispatcher.fleet.oracle.updateRequest(ticket, func(r *observedRequest) {
@@ -221,7 +222,8 @@
 	return frame, err
 }
 
-// handleAnswer records an answer, including a second one to the same request.
+// handleAnswer records an answer, including a second one to the same request. It passes an answer to
+// methodAlive to the poll that waits for it.
 func (c *clientConn) handleAnswer(a answer) {
 	if a.method == methodAlive {
 		c.dispatcher.deliverAlive(a.alive)
@@ -237,7 +239,7 @@
 	}
 	c.mu.Unlock()
 	if !ok {
-		return // the client cancelled the request
+		return // the client cancelled the request or disconnected
 	}
 	c.dispatcher.fleet.oracle.updateRequest(ticket, func(r *observedRequest) {
 		r.answers = append(r.answers, receivedAnswer{a.kind, a.body, time.Now()})
@@ -245,7 +247,8 @@
 }
 
 // connectionEnded handles the end of a connection; by is the error of the last read. If the dispatcher closed
-// it and all open requests may have crossed the close, each is sent again once, on a new connection.
+// the connection and all open requests may have crossed the close, each is sent again once, on a new
+// connection. For a request that is not sent again, the end of the connection is recorded.
 func (c *clientConn) connectionEnded(by error) {
 	now := time.Now()
 	c.mu.Lock()
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -38,7 +38,7 @@
 // Timing of the discovery server.
 const (
 	slowAnswerDelay     = 2200 * time.Millisecond // before a watch starts, while discovery is slow
-	oldAddressServesFor = 1500 * time.Millisecond // open watches, after a move to the other address
+	oldAddressServesFor = 1500 * time.Millisecond // after a move, until watches at the old address are reset
 	keepaliveInterval   = time.Second             // between comments sent on a watch
 	watchCheckInterval  = 100 * time.Millisecond
 )
@@ -145,7 +145,8 @@
 		s.redirectedAt.After(since)
 }
 
-// serveWatch serves a watch at the address of the given index.
+// serveWatch serves a watch at the address of the given index. It resets the connection while discovery is
+// down, and at the address that is not the current one.
 func (s *discoveryServer) serveWatch(address int, w http.ResponseWriter, q *http.Request) {
 	s.mu.Lock()
 	refuses, slow := s.down || address != s.currentAddress, s.slow
@@ -161,7 +162,7 @@
 			return
 		}
 	}
-	delivered, _ := strconv.Atoi(q.Header.Get("Last-Event-ID")) // 0 for a first watch, without one
+	delivered, _ := strconv.Atoi(q.Header.Get("Last-Event-ID")) // 0 without the header, as on a first watch
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	stream := &watch{w: w, flush: w.(http.Flusher).Flush, delivered: delivered}
@@ -186,13 +187,13 @@
 	}
 }
 
-// watchState tells a watch at one of the addresses what to do now.
+// watchState is what a watch at one of the addresses must do now.
 type watchState struct {
-	ended      bool
-	delivers   bool
-	truncating bool
-	events     []watchEvent
-	changed    <-chan struct{}
+	ended      bool            // the watch is reset
+	delivers   bool            // events and keepalives are written
+	truncating bool            // the watch breaks off in the middle of its next event
+	events     []watchEvent    // all events so far
+	changed    <-chan struct{} // closed at the next change of the server
 }
 
 func (s *discoveryServer) watchState(address int) watchState {
@@ -224,7 +225,7 @@
 	for ; w.delivered < len(state.events); w.delivered++ {
 		data, err := json.Marshal(state.events[w.delivered])
 		if err != nil {
-			panic(fmt.Sprintf("soak: encoding a watch event: %v", err)) // all its values have a JSON form
+			panic(fmt.Sprintf("soak: encoding a watch event: %v", err)) // an event always has a JSON form
 		}
 		event := fmt.Sprintf("id: %d\ndata: %s\n\n", w.delivered+1, data)
 		if state.truncating {
--- a/internal/soak/dispatcher.go
+++ b/internal/soak/dispatcher.go
@@ -86,8 +86,8 @@
 }
 
 // listenAddress returns the address of a dispatcher. Its port is below the system's ephemeral ports. The
-// loopback address follows from this process's id and the port from the run, so that runs at the same time do
-// not collide.
+// loopback address follows from this process's id and the dispatcher's index, and the port from the run, so
+// that runs at the same time do not collide.
 func listenAddress(run, dispatcher int) string {
 	const firstPort = 15000
 	pid := os.Getpid()
@@ -229,7 +229,8 @@
 	return r, ok
 }
 
-// violations returns the violated invariants and the panics that the dispatcher logged.
+// violations returns the violated invariants and the panics that the dispatcher logged. If the log can't be
+// read, the error is the last element.
 func (d *dispatcher) violations() []string {
 	lines, err := invariant.ReadViolations(filepath.Join(d.dir, logFile))
 	if err != nil {
@@ -263,7 +264,8 @@
 	return lines
 }
 
-// close closes the links and the discovery server. The process must have exited before.
+// close closes the links and the discovery server. Before that, the process must have exited or been sent
+// SIGKILL.
 func (d *dispatcher) close() {
 	d.clients.close()
 	for _, link := range d.nodes {
--- a/internal/soak/endpoints.go
+++ b/internal/soak/endpoints.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// discoveryCatchUp is how long after a discovery fault a dispatcher counts as notified of the changes
-	// during the fault.
+	// discoveryCatchUp is the time after the end of a discovery fault, or after a move of discovery, at which
+	// a dispatcher counts as notified of all earlier changes.
 	discoveryCatchUp = 4 * time.Second
 
 	catchUpCheckInterval = 20 * time.Millisecond
 
-	drainExtra         = time.Second            // from the end of drainGrace to the node's exit
+	drainExtra         = time.Second            // before the exit, on top of drainGrace and the fault
 	restartPause       = 100 * time.Millisecond // from a compute node's exit to its successor's start
 	listenAttempts     = 100                    // to listen at a compute node's former address
 	listenRetryBackoff = 20 * time.Millisecond
@@ -52,8 +52,8 @@
 	}
 }
 
-// recordDrain records when a dispatcher counts as notified of a drain: now, or discoveryCatchUp after the
-// discovery fault that is in force.
+// recordDrain records when a dispatcher counts as notified of a drain: now, if its discovery had no fault and
+// did not move within the last discoveryCatchUp, or else as soon as that holds.
 func (f *fleet) recordDrain(d *dispatcher, generation string) {
 	now, incarnation := time.Now(), d.currentIncarnation()
 	if !d.discovery.faulty(now.Add(-discoveryCatchUp)) {
@@ -68,7 +68,7 @@
 	})
 }
 
-// mayDrain reports whether a compute node is up and more than half of all nodes are.
+// mayDrain reports whether a compute node is up, and whether more than half of all nodes are up.
 func (f *fleet) mayDrain(n *computeNode) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -81,8 +81,8 @@
 	return f.endpoints[n.index].State == stateUp && up >= len(f.nodes)/2+1
 }
 
-// drainNode drains and ends a compute node's process and starts the next one at its address. The caller has
-// called beginChange on the node.
+// drainNode drains and ends a compute node's process and starts the next one at its address. It does nothing
+// if mayDrain is false. The caller has called beginChange on the node.
 func (f *fleet) drainNode(fault Fault, n *computeNode) {
 	if !f.mayDrain(n) {
 		return
--- a/internal/soak/faultkind.go
+++ b/internal/soak/faultkind.go
@@ -9,12 +9,12 @@
 	Kill        FaultKind = "kill"         // SIGKILL, and a new process
 	Reload      FaultKind = "reload"       // discovery moves to its other address, and SIGHUP follows
 	ReloadBurst FaultKind = "reload-burst" // several reloads in quick succession
-	Pause       FaultKind = "pause"        // the process is stopped for a moment, as on a busy core
+	Pause       FaultKind = "pause"        // the process does not run for at most maxPause, as on a busy core
 
 	ReloadsIntoTerminate FaultKind = "reloads-terminate"  // SIGHUPs before, at and after SIGTERM
 	TerminateTwice       FaultKind = "terminate-twice"    // SIGTERM again during the shutdown
-	KillAtStart          FaultKind = "kill-at-start"      // SIGKILL, and again while the next one starts
-	TerminateAtStart     FaultKind = "terminate-at-start" // SIGKILL, and SIGTERM while the next one starts
+	KillAtStart          FaultKind = "kill-at-start"      // SIGKILL, again while the next process starts
+	TerminateAtStart     FaultKind = "terminate-at-start" // SIGKILL, SIGTERM while the next process starts
 )
 
 // Faults of the discovery service as one dispatcher sees it.
@@ -28,7 +28,7 @@
 // Faults of the links between one dispatcher and all compute nodes.
 const (
 	LinkDelay       FaultKind = "link-delay"  // every piece of data arrives late
-	LinkCut         FaultKind = "link-cut"    // no data arrives and no connection is closed
+	LinkCut         FaultKind = "link-cut"    // no data and no close by a node arrives; at the end, a reset
 	LinkBytes       FaultKind = "link-bytes"  // data is written one byte at a time
 	LinkReset       FaultKind = "link-reset"  // connections are reset after half of a write
 	LinkSilenceIdle FaultKind = "link-forget" // connections that are idle at the start discard all data
@@ -43,24 +43,24 @@
 	ClientsCancel        FaultKind = "clients-cancel" // all open requests are cancelled
 	ClientsIdle          FaultKind = "clients-idle"   // many connections that send nothing
 	ClientsCrowd         FaultKind = "clients-crowd"  // idle connections keep the descriptors filled
-	ClientsSendAndCancel FaultKind = "strangers"      // cancel all they send; raise no retry budget
+	ClientsSendAndCancel FaultKind = "strangers"      // cancel all they send, which raises no retry budget
 )
 
 // Faults of compute nodes.
 const (
-	NodeDrain        FaultKind = "node-drain"  // drains and exits, and another starts at its address
-	NodeCrash        FaultKind = "node-crash"  // and restarts in slow start
+	NodeDrain        FaultKind = "node-drain"  // the process drains and exits; another starts at its address
+	NodeCrash        FaultKind = "node-crash"  // the process ends, and the next one starts in slow start
 	NodeHang         FaultKind = "node-hang"   // answers nothing for a while
-	NodesHang        FaultKind = "nodes-hang"  // all of them, for longer than a shutdown takes
+	NodesHang        FaultKind = "nodes-hang"  // all nodes answer nothing, for longer than a shutdown takes
 	NodeFull         FaultKind = "node-full"   // sheds every query
 	NodeErrors       FaultKind = "node-errors" // fails every query
-	NodeAnswersTwice FaultKind = "node-twice"  // the second copy of an answer comes up to 120 ms later
+	NodeAnswersTwice FaultKind = "node-twice"  // sends a copy of each result page up to 120 ms after it
 )
 
 // Faults inside the dispatcher's process. They need a program that was built with the tag faults.
 const (
 	ClockStep FaultKind = "clock-step" // the wall clock of every dispatcher steps by seconds or an hour
-	CallsFail FaultKind = "calls-fail" // accept, connect and socket inspection fail now and then
+	CallsFail FaultKind = "calls-fail" // some calls of accept, connect and socket inspection fail
 	DialsLate FaultKind = "dials-late" // connections are established late
 )
 
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -42,7 +42,7 @@
 
 	mu           sync.Mutex
 	endpoints    []endpoint // by node; addresses are missing, as they differ for each dispatcher
-	ending       bool       // the dispatchers are being terminated for good
+	ending       bool       // the dispatchers' last processes are being terminated
 	sendingUntil time.Time  // when clients send their last requests
 	background   sync.WaitGroup
 }
@@ -150,7 +150,7 @@
 	return time.Until(f.sendingUntil)
 }
 
-// closing reports whether the dispatchers are being terminated for good.
+// closing reports whether the dispatchers' last processes are being terminated.
 func (f *fleet) closing() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -83,7 +83,7 @@
 }
 
 // injectFaults starts the plan's faults at their times. It returns at the end of the plan's duration or when
-// ctx is cancelled; faults may still be in force then.
+// ctx is cancelled; faults may still be active then.
 func (f *fleet) injectFaults(ctx context.Context) {
 	begin := time.Now()
 	f.mu.Lock()
@@ -171,8 +171,8 @@
 	}
 }
 
-// injectLinkCut cuts the links for the fault's duration, then resets their connections: bytes are missing, so
-// they can't be used any more.
+// injectLinkCut cuts the links for the fault's duration, then resets their connections, which can't be used
+// any more because bytes are missing.
 func injectLinkCut(f *fleet, fault Fault, d *dispatcher) {
 	nodeLinkFault(linkCut, 0)(f, fault, d)
 	for _, link := range d.nodes {
@@ -195,7 +195,8 @@
 }
 
 // clientLinkFault returns an injector that sets the mode of the link between a dispatcher and its clients for
-// the fault's duration. Bytes may still be in flight afterwards, so the link counts as slow for longer.
+// the fault's duration. Bytes may still be in flight afterwards, so the link counts as slow for two more
+// clientFaultDelay.
 func clientLinkFault(mode linkMode, delay time.Duration) func(*fleet, Fault, *dispatcher) {
 	return func(_ *fleet, fault Fault, d *dispatcher) {
 		d.setLinkDelay(2 * clientFaultDelay)
@@ -281,7 +282,8 @@
 	}
 }
 
-// injectClockStep steps the wall clocks of all dispatchers alike, as they would share the machine's clock.
+// injectClockStep steps the wall clocks of all dispatchers alike, as if the dispatchers shared the clock of
+// one machine. The step lasts until a later process fault of the dispatcher overwrites it.
 func injectClockStep(f *fleet, fault Fault, _ *dispatcher) {
 	f.forEachDispatcher(func(d *dispatcher) {
 		d.setProcessFault(processFaultConfig{ClockStepMS: fault.Step.Milliseconds()})
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// judgePosts finds queries that were started too late or with too long a time limit. The time of a start is
-// that of its first byte.
+// judgePosts finds queries that were started after their client was gone, after their answer or after the
+// grace period of a drain, or with too long a time limit. The time of a start is that of its first byte.
 func (o *oracle) judgePosts(r *observedRequest) {
 	for _, post := range r.posts {
 		if !r.clientGoneAt.IsZero() {
@@ -107,7 +107,7 @@
 // judgeRetries finds attempts that the request's class does not allow.
 func (o *oracle) judgeRetries(r *observedRequest) {
 	class := classNamed(r.class)
-	// The rules forbid concurrent attempts only to these classes.
+	// Only requests of these classes must not have concurrent attempts.
 	oneAtATime := class.idempotency != idempotent || class.inOrder
 	sort.Slice(r.intervals, func(i, j int) bool { return r.intervals[i].start.Before(r.intervals[j].start) })
 	for i := 1; i < len(r.intervals); i++ {
@@ -147,8 +147,8 @@
 	}
 }
 
-// overlap returns when two requests to the same process of a dispatcher began to run at the same time; ok is
-// false if they never did.
+// overlap returns since when two requests to the same process of a dispatcher ran at the same time; ok is
+// false if they never did, or if their processes differ.
 func overlap(a, b *observedRequest) (since time.Time, ok bool) {
 	if a.dispatcher != b.dispatcher || a.incarnation != b.incarnation {
 		return time.Time{}, false
--- a/internal/soak/judge_load.go
+++ b/internal/soak/judge_load.go
@@ -41,8 +41,9 @@
 }
 
 // overRetryBudget reports whether a retry exceeded the budget of its process, given all retries and arrivals
-// there. Recorded times are inexact, so the retry must exceed the budget with the window's start moved by
-// measurementSlack either way, too, and arrivals up to measurementSlack after the retry count.
+// there. Recorded times are inexact. Therefore the retry must exceed the budget for three starts of the
+// window: the exact one, and those measurementSlack earlier and later. Arrivals up to measurementSlack after
+// the retry count too.
 func overRetryBudget(retry postedQuery, retries []postedQuery, arrivals []time.Time) bool {
 	for _, edge := range []time.Duration{-measurementSlack, 0, measurementSlack} {
 		from := retry.firstByteAt.Add(edge - retryBudgetWindow)
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -87,7 +87,7 @@
 func serve(server *http.Server, ln net.Listener) { _ = server.Serve(ln) } // http.ErrServerClosed, always
 
 // closeServer closes a server and all its connections. It ignores the only possible error, that of closing
-// the listener: the next process would find the port taken.
+// the listener: the next process would then find the port taken.
 func closeServer(server *http.Server) { _ = server.Close() }
 
 // crash ends the process: its connections are closed and its queries are lost.
@@ -103,7 +103,8 @@
 	}
 }
 
-// hang makes the node delay its answers to new calls until the duration has passed.
+// hang makes the node delay its answers to new calls until the duration has passed. It has no effect on a
+// node that hangs already, but returns only after the duration.
 func (n *computeNode) hang(duration time.Duration) {
 	hung := make(chan struct{})
 	n.update(func(n *computeNode) {
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -52,8 +52,8 @@
 	excuseUnwritten = "it could not be written"
 	excuseKilled    = "its dispatcher was killed"
 
-	// excuseCrossedClose holds only for a request that was not forwarded. It arrived while the dispatcher
-	// closed the connection, because of its shutdown or because idle clients used all descriptors.
+	// excuseCrossedClose holds only for a request that was not forwarded. The request arrived while the
+	// dispatcher closed the connection, because of its shutdown or because idle clients used all descriptors.
 	excuseCrossedClose = "it crossed the close of a dispatcher that ends or is crowded"
 )
 
@@ -96,7 +96,7 @@
 	answers                    []receivedAnswer
 	clientGoneAt               time.Time // when its client cancelled it or disconnected; zero if neither
 	connectionEndedAt          time.Time // when its connection ended without an answer
-	connectionEndedBy          string    // the error that ended it
+	connectionEndedBy          string    // the error that ended the connection
 	excused                    string    // why no answer is owed; "" if one is
 	cancelledAtOnce            bool      // by its client, so that it does not raise the retry budget
 	posts                      []postedQuery
--- a/internal/soak/pause.go
+++ b/internal/soak/pause.go
@@ -29,7 +29,7 @@
 	return due
 }
 
-// pause stops the process by SIGSTOP for a while. It does nothing if the process is not ready.
+// pause stops the process by SIGSTOP for the given duration. It does nothing if the process is not ready.
 func (d *dispatcher) pause(duration time.Duration) {
 	d.mu.Lock()
 	process, ready := d.process, d.ready
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -183,8 +183,9 @@
 	return time.Duration(r.ExpFloat64() * float64(mean))
 }
 
-// drawFault draws a fault that begins at a given time. Of ten faults with process faults enabled, one is in
-// the process, six are of a dispatcher and three of a compute node; otherwise seven are of a dispatcher.
+// drawFault draws a fault that begins at a given time. With process faults enabled, of ten faults on average
+// one is in the process, six are of a dispatcher and three of a compute node. Otherwise, seven are of a
+// dispatcher and three of a compute node.
 func drawFault(r *rand.Rand, p *Plan, withProcessFaults bool, at time.Duration) Fault {
 	f := Fault{At: at}
 	f.Duration = minFaultDuration + exponential(r, meanExtraDuration)
@@ -212,8 +213,9 @@
 	return f
 }
 
-// drawOverlapping draws a fault that begins while the first is in force, mostly with the same target. A fault
-// during NodesHang is always Terminate, and one during Pause disconnects or cancels clients.
+// drawOverlapping draws a fault that begins while the first one lasts, mostly with the same target. During
+// NodesHang the fault is always Terminate. During Pause it is ClientsDisconnect or ClientsCancel, at the same
+// dispatcher.
 func drawOverlapping(r *rand.Rand, p *Plan, withProcessFaults bool, first Fault) Fault {
 	delay := min(first.Duration, exponential(r, meanOverlapDelay))
 	f := drawFault(r, p, withProcessFaults, first.At+delay)
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -76,8 +76,8 @@
 	return exited, nil
 }
 
-// awaitExit waits for the exit of a process, and closes its log and exited. It records an unexpected exit as
-// a finding.
+// awaitExit waits for the exit of a process, and closes its log and the channel exited. It records an
+// unexpected exit as a finding.
 func (d *dispatcher) awaitExit(process *exec.Cmd, incarnation int, log *os.File, exited chan<- struct{}) {
 	err := process.Wait()
 	_ = log.Close() // nothing was written through this descriptor; the process has its own
@@ -160,8 +160,8 @@
 	d.changing = false
 }
 
-// terminate ends the process by SIGTERM, and by SIGKILL if it does not exit within exitTimeout. It starts the
-// next process unless last is set.
+// terminate ends the process by SIGTERM, and by SIGKILL if it does not exit within exitTimeout, not counting
+// pauses. It starts the next process unless last is set.
 func (d *dispatcher) terminate(last bool) {
 	if !d.beginChange() {
 		return
@@ -267,7 +267,7 @@
 	sendSignal(process, syscall.SIGHUP)
 }
 
-// sendSignal sends a signal to a process. It ignores the error: it fails only if the process has exited,
+// sendSignal sends a signal to a process. It ignores the error: sending fails only if the process has exited,
 // which awaitExit handles.
 func sendSignal(process *exec.Cmd, signal syscall.Signal) { _ = process.Process.Signal(signal) }
 
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -21,7 +21,7 @@
 // Broken reports whether the run has a finding or a dispatcher logged a violation.
 func (r *Report) Broken() bool { return len(r.Findings) > 0 || len(r.Violations) > 0 }
 
-// Write writes the text of String. An error is that of w.
+// Write writes the text of String. An error wraps that of w.
 func (r *Report) Write(w io.Writer) error {
 	if _, err := io.WriteString(w, r.String()); err != nil {
 		return fmt.Errorf("soak: writing the report: %w", err)
--- a/internal/soak/sender.go
+++ b/internal/soak/sender.go
@@ -8,7 +8,7 @@
 
 // Parameters of the clients' traffic.
 const (
-	maxConns          = 6   // of a sender; above, a new one is opened only if the drawn one is full
+	maxConns          = 6   // of a sender; from then on, a new one is opened only if the drawn one is full
 	maxOpenRequests   = 8   // on each connection
 	newConnShare      = 0.2 // of requests sent on a new connection, below maxConns
 	keysPerDispatcher = 3   // ordering keys
@@ -24,9 +24,9 @@
 
 	splitShare      = 0.03                   // of requests that are written in two halves
 	maxSplitDelay   = 250 * time.Millisecond // between the two halves, below this
-	cancelShare     = 0.05
-	disconnectShare = 0.02
-	giveUpRangeMS   = 300 // milliseconds from sending, below which a client cancels or disconnects
+	cancelShare     = 0.05                   // of requests that the client cancels
+	disconnectShare = 0.02                   // of requests after which the client disconnects
+	giveUpRangeMS   = 300                    // milliseconds; upper bound from sending to cancel or disconnect
 
 	// idleTimeout is the time after which a dispatcher closes an idle connection. Idle clients send within
 	// idleTimeoutJitter before or after it.
@@ -70,7 +70,7 @@
 	}
 }
 
-// sendOne sends a request. Some are cancelled or disconnected later.
+// sendOne sends a request. Some requests are cancelled later; after some, the client disconnects.
 func (s *sender) sendOne() {
 	c := s.pickConn()
 	if c == nil {
@@ -112,8 +112,8 @@
 	return r
 }
 
-// drawLimit draws the time limit of a request. Long limits are drawn only while clients send for longer than
-// that.
+// drawLimit draws the time limit of a request. Long limits are drawn only while clients go on sending for
+// longer than longLimit.
 func (s *sender) drawLimit() time.Duration {
 	limit := minLimit + s.drawMilliseconds(limitRangeMS)
 	switch x := s.random.Float64(); {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -17,7 +17,7 @@
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	const busyRate = 40 // requests a second to each dispatcher: enough that some of one key arrive together
+	const busyRate = 40 // requests a second to each dispatcher; some of one ordering key then overlap
 	for mutant, want := range map[string]string{"": "", "second-answer": "second_answer",
 		"full-deadline": "told_deadline", "no-order": "out_of_order"} {
 		t.Run("mutant "+mutant, func(t *testing.T) {
