--- a/internal/frontend/flightsql/arrowbatch/append.go
+++ b/internal/frontend/flightsql/arrowbatch/append.go
@@ -75,7 +75,7 @@
 	return func([]byte) error { return fmt.Errorf("type %d is not read", oid) }
 }
 
-// numberAppender returns the appender for booleans and numbers of fixed size; nil: f is for neither.
+// numberAppender returns the appender for booleans and numbers of fixed size; nil: f holds neither.
 func numberAppender(f array.Builder) appender {
 	u64, u32, u16 := binary.BigEndian.Uint64, binary.BigEndian.Uint32, binary.BigEndian.Uint16
 	switch f := f.(type) {
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// timeAppender returns the appender for dates, times and intervals; nil: f is for none.
+// timeAppender returns the appender for dates, times and intervals; nil: f holds none of them.
 func timeAppender(f array.Builder) appender {
 	u64, u32 := binary.BigEndian.Uint64, binary.BigEndian.Uint32
 	switch f := f.(type) {
--- a/internal/frontend/flightsql/arrowbatch/bind.go
+++ b/internal/frontend/flightsql/arrowbatch/bind.go
@@ -51,7 +51,8 @@
 
 const uuidSize = 16
 
-// PostgresText returns the value at index i of an array in PostgreSQL's text form; null: it is null.
+// PostgresText returns the value at index i of an array in PostgreSQL's text form. null reports whether the
+// value is null.
 func PostgresText(a arrow.Array, i int) (v string, null bool, err error) {
 	if a.IsNull(i) {
 		return "", true, nil
@@ -173,8 +174,8 @@
 
 var elementEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`)
 
-// arrayText returns the elements from (included) to to (excluded) of an array in PostgreSQL's text form. Each
-// is quoted, so that none is taken for a delimiter or a null.
+// arrayText returns the elements of an array from the index from, inclusive, to the index to, exclusive, in
+// PostgreSQL's text form. Each value is quoted, so that it is not taken for a delimiter or a null.
 func arrayText(a arrow.Array, from, to int) (v string, null bool, err error) {
 	var b strings.Builder
 	b.WriteByte('{')
--- a/internal/frontend/flightsql/arrowbatch/builder.go
+++ b/internal/frontend/flightsql/arrowbatch/builder.go
@@ -14,8 +14,8 @@
 	schema    *Schema
 	record    *array.RecordBuilder
 	appenders []appender // one for each column
-	rows      int        // since the last batch, as bytes
-	bytes     int
+	rows      int        // since the last batch
+	bytes     int        // of these rows, as the engine sent them
 
 	// Sizes of the previous batch, by which memory for the next is reserved.
 
--- a/internal/frontend/flightsql/arrowbatch/numeric.go
+++ b/internal/frontend/flightsql/arrowbatch/numeric.go
@@ -143,7 +143,8 @@
 const smallFractionDigits = 2 * baseDigits
 
 // smallDecimal is decimal without arbitrary-precision arithmetic, for numbers of up to 16 decimal digits
-// before the decimal point and 8 after it. ok is false for any other.
+// before the decimal point and 8 after it, and a scale of at most 8. ok is false for any other number or
+// scale, and if the result may not fit an int64.
 func (n *numeric) smallDecimal(precision, scale int32) (d decimal128.Num, ok bool, err error) {
 	count := len(n.digits) / 2
 	if n.weight >= 4 || n.weight < -1 || scale > smallFractionDigits || count > n.weight+3 {
--- a/internal/frontend/flightsql/arrowbatch/schema.go
+++ b/internal/frontend/flightsql/arrowbatch/schema.go
@@ -27,7 +27,8 @@
 	1028: oidOID, 1115: oidTimestamp, 1182: oidDate, 1183: oidTime, 1185: oidTimestampTZ, 1187: oidInterval,
 	1231: oidNumeric, 2951: oidUUID}
 
-// arrowTypes maps the OIDs of types whose modifier does not matter to Arrow types.
+// arrowTypes maps the OID of a type to its Arrow type, for types whose Arrow type does not depend on the
+// modifier.
 var arrowTypes = map[uint32]arrow.DataType{oidBool: arrow.FixedWidthTypes.Boolean,
 	oidBytea: arrow.BinaryTypes.Binary, oidInt8: arrow.PrimitiveTypes.Int64,
 	oidInt2: arrow.PrimitiveTypes.Int16, oidInt4: arrow.PrimitiveTypes.Int32,
@@ -82,8 +83,9 @@
 	return arrowTypes[oid]
 }
 
-// numericType returns the Arrow type of a numeric. Without a modifier it may hold any number, and Arrow's
-// decimals have no scale below zero or above the precision. Such numerics are strings, with all their digits.
+// numericType returns the Arrow type of a numeric. A numeric without a modifier may hold any number. Arrow's
+// Decimal128 has at most maxDecimalDigits digits, and no scale below zero or above the precision. Numerics
+// that it cannot hold are strings, with all their digits.
 func numericType(modifier int32) arrow.DataType {
 	precision := (modifier - numericModifierOffset) >> numericPrecisionShift & numericPrecisionMask
 	scale := (modifier - numericModifierOffset) & numericScaleMask
@@ -93,9 +95,9 @@
 	return arrow.BinaryTypes.String
 }
 
-// NewSchema decodes the body of a RowDescription. assumeBinary: the columns have the formats that
-// AppendFormats asks for, whatever the message says, as an engine that describes a statement does not know
-// them yet.
+// NewSchema decodes the body of a RowDescription. If assumeBinary is set, the formats in the message are
+// ignored, and the columns have those that AppendFormats asks for: an engine that describes a statement does
+// not know the formats yet.
 func NewSchema(b []byte, assumeBinary bool) (*Schema, error) {
 	if len(b) < 2 {
 		return nil, errTruncated
@@ -151,7 +153,7 @@
 		c.Binary = c.Type != nil
 	}
 	switch {
-	case !c.Binary: // text form, whatever the type
+	case !c.Binary: // text form, for any type
 		c.Type, c.Element = arrow.BinaryTypes.String, 0
 	case c.Type == nil:
 		c.Type = arrow.BinaryTypes.Binary
--- a/internal/frontend/flightsql/batches.go
+++ b/internal/frontend/flightsql/batches.go
@@ -13,7 +13,7 @@
 )
 
 // Limits of a batch: it is sent when its rows have batchBytes in the engine's messages, when it has batchRows
-// rows, or when no row arrived for batchIdleFlush.
+// rows, or when no message arrived for batchIdleFlush.
 const (
 	batchBytes     = 512 << 10
 	batchRows      = 64 << 10
@@ -28,7 +28,7 @@
 	schema       *arrowbatch.Schema  // nil: not known yet
 	builder      *arrowbatch.Builder // nil: no row description has arrived
 	responseRead bool                // the response has been read to its end
-	responseErr  error               // the response ended with it, after rows that are not sent yet
+	responseErr  error               // ended the response, after rows that are not sent yet; nil: none
 	batches      []arrow.RecordBatch // to be sent
 }
 
@@ -101,7 +101,7 @@
 }
 
 // deliver sends batches as the client takes them. While the client takes none, no messages are taken from the
-// call, its buffer fills, and the engine is no longer read.
+// call, the call's buffer fills, and the engine is no longer read.
 func (r *batchReader) deliver(ctx context.Context, spare []byte, ended func(error)) {
 	defer close(r.chunks)
 	err := r.sendAll(ctx, spare)
--- a/internal/frontend/flightsql/bearertoken/store.go
+++ b/internal/frontend/flightsql/bearertoken/store.go
@@ -37,7 +37,7 @@
 	return &Store{limits: l, sessions: map[string]*Session{}, sessionsByUser: map[string]int{}}
 }
 
-// Open opens a session under a new token. If it may not be opened, ok is false and reason says why.
+// Open opens a session under a new token. If it may not be opened, ok is false and reason explains why.
 func (s *Store) Open(now time.Duration, token, user string, connectionScoped bool) (reason string, ok bool) {
 	count, limit := s.sessionsByUser[user], s.limits.MaxPerUser
 	switch {
--- a/internal/frontend/flightsql/call.go
+++ b/internal/frontend/flightsql/call.go
@@ -141,8 +141,9 @@
 	notify(c.dataReady)
 }
 
-// WriteVerdict ends the response with a verdict. Before a failure the client receives what the engine sent
-// until then. Any other verdict it receives at once, and messages that it has not taken are dropped.
+// WriteVerdict ends the response with a verdict. If the kind is Failed, the client first receives what the
+// engine has sent. A verdict of any other kind reaches the client at once, and messages that the client has
+// not taken are dropped.
 func (c *call) WriteVerdict(v *verdict.Verdict) {
 	c.scope.onResponseEnded(c)
 	c.mu.Lock()
@@ -180,8 +181,10 @@
 	}
 }
 
-// receive waits for more of the response and returns it; spare becomes the buffer of what follows. It waits
-// no longer than within, then returns an empty b; 0: it waits without limit. more is false at the end.
+// receive waits for more of the response and returns it; spare becomes the buffer of what follows. If nothing
+// arrives within the given time, b is empty and more is true; a time of 0 means no limit. more is false at
+// the end of the response. If ctx ends first, receive abandons the call and returns ctx's error as a gRPC
+// status.
 func (c *call) receive(ctx context.Context, spare []byte, within time.Duration) (b []byte, more bool,
 	err error) {
 	var timeout <-chan time.Time
@@ -231,7 +234,7 @@
 func (c *call) abandon() {
 	abandoned := c.query.Response.Abandon()
 	c.mu.Lock()
-	// Otherwise a complete response that nobody takes would count as pending forever.
+	// The buffer of a complete response is dropped too: it would count as pending forever.
 	c.server.pendingBytes.Add(-int64(len(c.buf)))
 	c.buf = nil
 	c.mu.Unlock()
--- a/internal/frontend/flightsql/catalog.go
+++ b/internal/frontend/flightsql/catalog.go
@@ -15,7 +15,7 @@
 )
 
 // Catalog calls, which drivers make when they connect. Only an engine knows its databases, schemas, tables
-// and keys, so each call runs an ordinary query. The comment in its text lets class rules match it.
+// and keys, so each call runs an ordinary query. The comment in the query's text lets class rules match it.
 // GetFlightInfo returns the command itself as the ticket for DoGet.
 
 // Queries of the catalog calls. A null parameter does not filter.
--- a/internal/frontend/flightsql/grpcstatus/status.go
+++ b/internal/frontend/flightsql/grpcstatus/status.go
@@ -1,7 +1,7 @@
 // Package grpcstatus converts a verdict of the dispatcher or an error of an engine into a gRPC status: a code
-// with details that say whether a client may retry. It does no I/O.
+// with details about whether a client may retry. It does no I/O.
 //
-// Retry policies of clients retry UNAVAILABLE. It is never the code of a statement that may have run.
+// Retry policies of clients retry UNAVAILABLE. A statement that may have run never gets this code.
 package grpcstatus
 
 import (
@@ -27,7 +27,7 @@
 	ReasonRejected  = "REFUSED"   // the statement was rejected; a retry is harmless
 	ReasonFailed    = "FAILED"    // the outcome is unknown
 	ReasonInvalid   = "FAULTY"    // the call is invalid; nothing ran
-	ReasonCancelled = "CANCELLED" // by the client
+	ReasonCancelled = "CANCELLED" // by the client, or because the session or transaction ended
 	ReasonEngine    = "ENGINE"    // the engine's own error
 )
 
--- a/internal/frontend/flightsql/interceptor.go
+++ b/internal/frontend/flightsql/interceptor.go
@@ -72,8 +72,8 @@
 	return resp, s.setTrailers(err, setTrailer, sess)
 }
 
-// recoverCall ends a call that panicked with an error. Without it, a message that the Flight library does not
-// expect, such as a DoPut without a descriptor, would end the whole process.
+// recoverCall turns a call's panic into an error of the call. Without it, a message that the Flight library
+// does not expect, such as a DoPut without a descriptor, would end the whole process.
 func (s *Server) recoverCall(method string, err *error) {
 	if r := recover(); r != nil {
 		s.log.Error("call panicked", "method", method, "reason", fmt.Sprint(r),
--- a/internal/frontend/flightsql/prepared.go
+++ b/internal/frontend/flightsql/prepared.go
@@ -19,7 +19,7 @@
 	scope       *scope
 	text        string
 	description *description
-	boundBody   []byte // Bind message body of the parameters bound last; nil: none were
+	boundBody   []byte // body of the Bind message of the parameters bound last; nil: none are bound
 }
 
 // CreatePreparedStatement describes a statement and returns a handle for it.
@@ -117,7 +117,7 @@
 }
 
 // DoGetPreparedStatement rejects a ticket that is the handle itself. Such a ticket has no nonce, so a second
-// fetch of the same run could not be told from the first fetch of a second run.
+// fetch of the same run could not be distinguished from the first fetch of a second run.
 func (s *Server) DoGetPreparedStatement(context.Context,
 	flightsql.PreparedStatementQuery) (*arrow.Schema, <-chan flight.StreamChunk, error) {
 	return nil, nil, invalidCall(codes.InvalidArgument,
@@ -199,8 +199,9 @@
 		bindBody: bindBody}
 }
 
-// partialUpdateError returns the error of a call whose row failed after others had run. Reported as a
-// rejection, it would tell the client that a retry of the whole call is harmless.
+// partialUpdateError returns the error of a call in which a row of parameters failed after the given number
+// of rows had run. If any had run, the error is a failure: a rejection would mean to the client that a retry
+// of the whole call is harmless.
 func partialUpdateError(err error, runs int) error {
 	if runs == 0 {
 		return err
--- a/internal/frontend/flightsql/query.go
+++ b/internal/frontend/flightsql/query.go
@@ -316,7 +316,7 @@
 }
 
 // cancelTicket cancels the calls that run for a ticket. A single-use ticket that was not fetched yet counts
-// as fetched from then on. It reports whether anything was cancelled.
+// as fetched and cancelled from then on. cancelTicket reports whether anything was cancelled.
 func (s *Server) cancelTicket(t *ticket.Ticket, sess *session) (cancelled bool) {
 	s.mu.Lock()
 	var calls []*call
--- a/internal/frontend/flightsql/scope.go
+++ b/internal/frontend/flightsql/scope.go
@@ -154,7 +154,7 @@
 	sc.mu.Lock()
 	if sc.exclusiveCall != c || sc.endVerdict != nil {
 		sc.mu.Unlock()
-		return pgbackend.Disposition{} // it or its scope was ended elsewhere, or it has a lease of its own
+		return pgbackend.Disposition{} // the call or the scope has ended, or the call has its own lease
 	}
 	a := sc.affinity
 	a.Params.ConnectionHad(end.Settings)
@@ -172,7 +172,7 @@
 	d := pgbackend.Disposition{Known: true, Keep: keep, Settings: a.Params.OnConnection()}
 	transactionEnded := sc.transactionBegan && end.TransactionStatus == enginequery.StatusIdle
 	if sc.transactionID != "" && transactionEnded {
-		// State that outlives the transaction belongs to no session, so the connection is closed.
+		// A connection with state that outlives the transaction is closed: the state belongs to no session.
 		sc.endVerdict = verdict.Invalid(sqlstate.InvalidTransactionState, "it was committed or rolled back")
 		d.Keep, d.Known = false, !keep
 		changed, keep = true, false
@@ -194,8 +194,8 @@
 		if sc.connectionLost {
 			t = sc.affinity.ConnectionLost(false)
 		} else if sc.lease.Engine() == "" {
-			// A statement that was rejected before an engine saw it has left nothing. Without this, it would
-			// bind the scope to an engine connection that does not exist.
+			// A statement that was rejected before an engine ran it has left no state. Without this reset, it
+			// would bind the scope to an engine connection that does not exist.
 			sc.affinity.Reset()
 			sc.queue.SetSticky(false)
 		}
@@ -206,8 +206,8 @@
 	}
 }
 
-// onConnectionLost ends the scope after its engine connection was lost under a statement. sent: the statement
-// had been sent to the engine.
+// onConnectionLost ends the scope after its engine connection was lost while a statement ran or waited to be
+// sent. sent reports whether the statement had been sent to the engine.
 func (sc *scope) onConnectionLost(c *call, sent bool) {
 	sc.mu.Lock()
 	t := sc.affinity.ConnectionLost(sent)
@@ -241,7 +241,7 @@
 }
 
 // onEngineDraining notifies the client that the scope's engine drains. within is how long the scope may stay
-// on it.
+// on that engine.
 func (sc *scope) onEngineDraining(within time.Duration) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
--- a/internal/frontend/flightsql/server.go
+++ b/internal/frontend/flightsql/server.go
@@ -1,8 +1,8 @@
-// Package flightsql serves Arrow Flight SQL over gRPC, beside the PostgreSQL frontend and with the same
-// dispatcher. It owns the connections, sessions and transactions of its clients. It combines the decisions of
-// other packages: whether a fetch of a ticket runs its statement (ticket), which statement of a session runs
-// now (statementqueue), which session a token belongs to (bearertoken) and which gRPC status a response gets
-// (grpcstatus). It must not know where or when a query runs.
+// Package flightsql serves Arrow Flight SQL over gRPC. Its queries go to the same dispatcher as those of the
+// PostgreSQL frontend. The package owns the connections, sessions and transactions of its clients. It
+// combines the decisions of other packages: whether a fetch of a ticket runs its statement (ticket), which
+// statement of a session runs now (statementqueue), which session a token belongs to (bearertoken) and which
+// gRPC status a response gets (grpcstatus). It must not know where or when a query runs.
 // Quoted section names refer to Arrow's pages "Flight SQL" and "Flight RPC".
 package flightsql
 
@@ -77,7 +77,7 @@
 	MaxPrepared     int // prepared statements of a session; 0: no limit
 	MaxWaiting      int // statements that wait for their turn in a session or transaction; 0: no limit
 
-	KeepAlive        time.Duration // an idle connection is pinged after it; 0: gRPC's default of 2 hours
+	KeepAlive        time.Duration // idle time before a connection is pinged; 0: gRPC's default of 2 hours
 	MaxConnectionAge time.Duration // an older connection is asked to reconnect (GOAWAY)
 
 	// AcquireConnection reserves capacity for one more connection and reports whether there was any;
@@ -106,7 +106,7 @@
 	grpc       *grpc.Server
 	health     *health.Server
 	ticketKey  []byte
-	startTime  time.Time // when now, the clock of tickets and sessions, was 0
+	startTime  time.Time // when the clock of tickets and sessions (now) was 0
 	mem        memory.Allocator
 
 	holdBack     atomic.Int64 // bytes; from Config or SetBuffers, as is clientBuffer
--- a/internal/frontend/flightsql/session.go
+++ b/internal/frontend/flightsql/session.go
@@ -21,7 +21,7 @@
 	statementPrefix   = "ps-"
 )
 
-// maxEndReasons is the number of ended sessions whose reason is remembered.
+// maxEndReasons is the number of ended sessions for which the reason of the end is remembered.
 const maxEndReasons = 1000
 
 // session is the state behind a bearer token, or behind a connection whose calls bring no token.
--- a/internal/frontend/flightsql/statementqueue/queue.go
+++ b/internal/frontend/flightsql/statementqueue/queue.go
@@ -1,8 +1,9 @@
 // Package statementqueue decides which statement of a session runs now. A Flight client may send many
 // statements of one session at once, but an engine connection runs them one after another. Statements that
 // leave no session state run concurrently. A statement that may leave state, or needs state that was left,
-// runs exclusively. Statements start in the order of their arrival: one that waits to run exclusively holds
-// later ones back, so that a flood of others cannot starve it. The package does no I/O and has no clock.
+// runs exclusively. Statements start in the order of their arrival: a statement that waits to run exclusively
+// holds later statements back, so that a flood of them cannot starve it. The package does no I/O and has no
+// clock.
 package statementqueue
 
 // StatementID identifies a statement.
@@ -47,8 +48,9 @@
 // Waiting returns the number of statements that wait.
 func (q *Queue) Waiting() int { return len(q.waiting) }
 
-// Enqueue adds a statement and returns the statements that start now, which may include it. exclusive: it may
-// leave session state. A closed queue starts none.
+// Enqueue adds a statement and returns the statements that start now, which may include the new one.
+// exclusive means that the statement may leave session state or needs state that was left, so it must run
+// exclusively. A closed queue starts none.
 func (q *Queue) Enqueue(id StatementID, exclusive bool) (started []StatementID) {
 	if q.closed {
 		return nil
--- a/internal/frontend/flightsql/statementqueue/queue_test.go
+++ b/internal/frontend/flightsql/statementqueue/queue_test.go
@@ -8,8 +8,8 @@
 )
 
 // TestStatementsRunInOrder adds and removes statements at random and checks that a statement that runs
-// exclusively runs beside no other, that a sticky session runs one statement at a time, that statements start
-// in the order of arrival, that none waits while nothing runs, and that all run in the end.
+// exclusively runs alone, that a sticky session runs one statement at a time, that statements start in the
+// order of arrival, that none waits while nothing runs, and that all run in the end.
 func TestStatementsRunInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue
--- a/internal/frontend/flightsql/ticket/ticket.go
+++ b/internal/frontend/flightsql/ticket/ticket.go
@@ -21,8 +21,8 @@
 	Text           string        // of the statement
 	ParameterTypes string        // OIDs, 4 bytes each
 	BindBody       []byte        // body of PostgreSQL's Bind message, without its two names
-	ExpiresAt      time.Duration // on the server's clock, the one of FetchLedger.BeginFetch
-	SingleUse      bool          // the statement may change data: one fetch runs it
+	ExpiresAt      time.Duration // on the server's clock, as is now in FetchLedger.BeginFetch
+	SingleUse      bool          // the statement may change data: at most one fetch runs it
 }
 
 // Errors of Open and FetchLedger.BeginFetch. Clients receive their texts.
--- a/internal/frontend/flightsql/transaction.go
+++ b/internal/frontend/flightsql/transaction.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// maxEndedTransactions limits how many transactions a session remembers to tell why they ended. Open
-	// transactions count, but are never forgotten.
+	// maxEndedTransactions limits how many transactions a session remembers, so that later calls get the
+	// reason why a transaction ended. Open transactions count, but are never forgotten.
 	maxEndedTransactions = 100
 	maxSavepoints        = 10000 // remembered by a session; at the limit it forgets all
 )
