--- a/internal/soak/endpoints.go
+++ b/internal/soak/endpoints.go
@@ -16,7 +16,7 @@
 
 	catchUpCheckInterval = 20 * time.Millisecond
 
-	drainExtra         = time.Second            // before the exit, on top of drainGrace and the fault
+	drainExtra         = time.Second            // added to drainGrace and the fault's duration
 	restartPause       = 100 * time.Millisecond // from a compute node's exit to its successor's start
 	listenAttempts     = 100                    // to listen at a compute node's former address
 	listenRetryBackoff = 20 * time.Millisecond
@@ -68,7 +68,7 @@
 	})
 }
 
-// mayDrain reports whether a compute node is up, and whether more than half of all nodes are up.
+// mayDrain reports whether a compute node is up and more than half of all nodes are up too.
 func (f *fleet) mayDrain(n *computeNode) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -195,8 +195,8 @@
 }
 
 // clientLinkFault returns an injector that sets the mode of the link between a dispatcher and its clients for
-// the fault's duration. Bytes may still be in flight afterwards, so the link counts as slow for two more
-// clientFaultDelay.
+// the fault's duration. Bytes may still be in flight afterwards, so the link counts as slow for another
+// 2*clientFaultDelay.
 func clientLinkFault(mode linkMode, delay time.Duration) func(*fleet, Fault, *dispatcher) {
 	return func(_ *fleet, fault Fault, d *dispatcher) {
 		d.setLinkDelay(2 * clientFaultDelay)
--- a/internal/soak/sender.go
+++ b/internal/soak/sender.go
@@ -8,7 +8,7 @@
 
 // Parameters of the clients' traffic.
 const (
-	maxConns          = 6   // of a sender; from then on, a new one is opened only if the drawn one is full
+	maxConns          = 6   // of a sender; at this number, a new one is opened only if the drawn one is full
 	maxOpenRequests   = 8   // on each connection
 	newConnShare      = 0.2 // of requests sent on a new connection, below maxConns
 	keysPerDispatcher = 3   // ordering keys
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -4,7 +4,7 @@
 
 // Values of the dispatchers' settings. The oracle judges by all of them but orderSettleDelay.
 const (
-	drainGrace        = 2 * time.Second        // after notice of a drain, in which queries may still start
+	drainGrace        = 2 * time.Second        // how long queries may still start after notice of a drain
 	orderSettleDelay  = 100 * time.Millisecond // between requests of an ordering key after an uncertain end
 	retryBudgetFree   = 1.0                    // retries in a window that are allowed without any request
 	retryBudgetRatio  = 0.04                   // further retries allowed for each request in the window
