--- a/internal/protocol/pgwire/doc.go
+++ b/internal/protocol/pgwire/doc.go
@@ -7,5 +7,5 @@
 // meaning of messages belong to the packages that use this one.
 //
 // Reading is incremental: the messages do not depend on how the stream is split. Nothing is allocated for a
-// message; its body is a view of the reader's bytes, valid until the next call.
+// message; its body is a view of the reader's bytes, valid until the next call of Rest.
 package pgwire
