--- a/internal/protocol/sqlscan/fingerprint.go
+++ b/internal/protocol/sqlscan/fingerprint.go
@@ -29,10 +29,10 @@
 // anyLiteral is the token in a shape for a literal, a parameter, or a list of them.
 const anyLiteral = 1
 
-// punctuationBase is added to punctuation in a shape, to tell it from anyLiteral.
+// punctuationBase is added to punctuation in a shape, to distinguish it from anyLiteral.
 const punctuationBase = 256
 
-// nameBit is set in words and names in a shape, to tell them from punctuation.
+// nameBit is set in words and names in a shape, to distinguish them from punctuation.
 const nameBit = 1 << 63
 
 var trueWord, falseWord = word("true"), word("false")
@@ -48,7 +48,7 @@
 	return s[len(s)-back]
 }
 
-// add appends a token, as far as it counts for the fingerprint.
+// add appends a token if it counts for the fingerprint, and combines lists of literals and rows of values.
 func (s shape) add(kind token, text string) shape {
 	switch c := text[0]; {
 	case kind == tokenComment:
@@ -123,7 +123,7 @@
 // word returns the token for a word outside quotes, regardless of its case.
 func word(s string) uint64 { return hash(s, true) }
 
-// hash returns the token for a word or name. fold says that its ASCII letters are hashed in lower case.
+// hash returns the token for a word or name. If fold is set, its ASCII letters are hashed in lower case.
 func hash(s string, fold bool) uint64 {
 	sum := uint64(fnvOffset)
 	for i := range len(s) {
--- a/internal/protocol/sqlscan/functions.go
+++ b/internal/protocol/sqlscan/functions.go
@@ -67,9 +67,9 @@
 	return all
 }()
 
-// recordCall records a name before an opening parenthesis as a function call, unless it leaves no state in
-// the session. before is the word in front of the name: after some words, a name with a list behind it is no
-// call.
+// recordCall records a name before an opening parenthesis as a function call, if the function may leave state
+// in the session. Only a statement's first such call is recorded. before is the word in front of the name:
+// after some words, a name with a list behind it is no call.
 func (st *Statement) recordCall(name, before string) {
 	if st.Function != "" || statelessNames[strings.ToUpper(name)] {
 		return
--- a/internal/protocol/sqlscan/statement.go
+++ b/internal/protocol/sqlscan/statement.go
@@ -10,8 +10,8 @@
 	Writes  bool // it may change data: it does not only read
 	Session bool // it names a function whose effect belongs to a session
 	Temp    bool // it is a SELECT INTO that creates a temporary table
-	// Function is the first function it calls that is not known to leave no state in the session. It is
-	// written as in the text, without its schema; "": none.
+	// Function is the first function in the text that may leave state in the session: any function except
+	// those that are known to leave none. It is written as in the text, without its schema; "": none.
 	Function string
 }
 
@@ -72,7 +72,7 @@
 	from, to   int
 	wordCount  int    // number of words in statement.Words
 	lastWord   string // the last word
-	wordBefore string // the word before last, or before the schema that qualifies last
+	wordBefore string // the word before lastWord, or before the schema that qualifies lastWord
 	function   string // the previous token, if it can be a function's name
 }
 
