--- a/internal/backend/pgbackend/attempt.go
+++ b/internal/backend/pgbackend/attempt.go
@@ -35,8 +35,8 @@
 	// Throttle blocks until the client has capacity for more rows, or until the response ends.
 	Throttle func()
 
-	// StartCopyIn is given the pipe for the data of a COPY that the engine asks for. It returns false if no
-	// data will come.
+	// StartCopyIn is called with the pipe for the data of a COPY that the engine asks for. It returns false
+	// if no data will come.
 	StartCopyIn func(*copyin.Pipe) bool
 	// OnCopyCapacity is called when a full copy pipe has capacity again.
 	OnCopyCapacity func()
@@ -63,7 +63,7 @@
 	Outcome          cresspass.Outcome
 	ServiceTime      time.Duration // for the estimator; 0: no measure of the engine's speed
 	ResponseFinished bool          // this attempt ended the client's response
-	LoadReport       []float64     // the engine's latest since the previous query, or nil
+	LoadReport       []float64     // the engine's latest report since the previous query, or nil
 	SQLState         string        // of an engine's error
 	Message          string
 }
--- a/internal/backend/pgbackend/message.go
+++ b/internal/backend/pgbackend/message.go
@@ -225,9 +225,10 @@
 	return c.endQuery(a, m.Body[0])
 }
 
-// sendGatedQuery sends the query that waited for the session's settings, unless it may no longer start. It
-// returns false if the query must end without having been sent, because the engine rejected the settings or
-// the attempt was withdrawn. The active settings of the connection are then unknown.
+// sendGatedQuery sends the query that waited for the session's settings. If the query may no longer start,
+// sendGatedQuery ends the attempt instead. It returns false if the query must end without having been sent,
+// because the engine rejected the settings or the attempt was withdrawn. The active settings of the
+// connection are then unknown.
 func (c *conn) sendGatedQuery(a *Attempt) bool {
 	q := c.gatedQuery
 	c.gatedQuery = nil
--- a/internal/backend/pgbackend/request.go
+++ b/internal/backend/pgbackend/request.go
@@ -18,7 +18,7 @@
 
 // buildRequest returns the bytes to send to the engine: the settings that differ, then the query. If replayed
 // settings of the session differ, the query waits in gatedQuery until the engine has accepted them: without
-// them it would silently give different results.
+// them the query would silently give different results.
 func (c *conn) buildRequest(a *Attempt) []byte {
 	if a.Response == nil { // a health check
 		return pgwire.AppendText(nil, 'Q', "")
--- a/internal/backend/pgbackend/terminate.go
+++ b/internal/backend/pgbackend/terminate.go
@@ -13,8 +13,9 @@
 
 // TerminateSessions ends sessions that the connections of a former dispatcher left at an engine. It first
 // sends cancel requests with their secrets. Then it terminates those with the recorded PIDs, and any that are
-// idle in a transaction, if their application name matches: a PID alone may belong to another session by now.
-// It returns the number of terminated sessions ("Server Signaling Functions", "pg_stat_activity").
+// idle in a transaction, if their application name is one of IncarnationNames: a PID alone may belong to
+// another session by now. TerminateSessions returns the number of terminated sessions ("Server Signaling
+// Functions", "pg_stat_activity").
 func (p *Pool) TerminateSessions(r orphanedsession.Request) (ended int, err error) {
 	deadline := time.Now().Add(p.cfg.CancelTimeout + p.cfg.ConnectTimeout)
 	for _, s := range r.Sessions {
