--- a/internal/backend/copyin/pipe.go
+++ b/internal/backend/copyin/pipe.go
@@ -6,7 +6,7 @@
 
 import "sync"
 
-// End says how a copy's data ended.
+// End is whether and how a copy's data has ended.
 type End int
 
 // The ends of a copy's data.
@@ -30,14 +30,14 @@
 }
 
 // New returns a pipe that is full at limit bytes. onCapacity is called, without the pipe's lock held, when a
-// full pipe has drained to half of that or was abandoned.
+// full pipe has drained to half of limit or was abandoned.
 func New(limit int, onCapacity func()) *Pipe {
 	return &Pipe{limit: limit, onCapacity: onCapacity, ready: make(chan struct{}, 1)}
 }
 
-// Put queues a copy of b and records whether the data ends with it. It neither blocks nor refuses bytes
-// because of the limit, since they have already been read. It returns true if the client must not be read
-// until the pipe has capacity. After the end of the data, Put drops b.
+// Put queues a copy of b and records whether the data ends with b. Put does not block, and it accepts bytes
+// beyond the limit, since they have already been read. It returns true if the client must not be read until
+// the pipe has capacity. After the end of the data, Put drops b.
 func (p *Pipe) Put(b []byte, end End) (full bool) {
 	p.mu.Lock()
 	if p.end == Open {
@@ -58,8 +58,9 @@
 	return p.full
 }
 
-// Abandon ends the pipe and drops the queued data. A full pipe has capacity again then: what the client sends
-// now belongs to no copy and has to be read.
+// Abandon ends the pipe and drops the queued data. If the data had ended before, that end stays unless the
+// pipe was full. A full pipe then has capacity again: what the client sends now belongs to no copy and has to
+// be read.
 func (p *Pipe) Abandon() {
 	p.mu.Lock()
 	p.data = nil
@@ -85,7 +86,8 @@
 // Ready returns a channel that receives a value when Take may return something new.
 func (p *Pipe) Ready() <-chan struct{} { return p.ready }
 
-// Take returns the queued bytes and how the data ended after them. The pipe reuses spare as its next buffer.
+// Take returns the queued bytes, and whether and how the data ended after them. The pipe reuses spare as its
+// next buffer.
 func (p *Pipe) Take(spare []byte) ([]byte, End) {
 	p.mu.Lock()
 	b, end := p.data, p.end
