--- a/internal/frontend/pgfrontend/client.go
+++ b/internal/frontend/pgfrontend/client.go
@@ -84,7 +84,9 @@
 	}
 }
 
-// drain terminates the client: at once if it is idle, otherwise after its response.
+// drain terminates the client at once if it runs no query and its session is not sticky. Otherwise the client
+// is terminated after the first response that leaves it in this state. A client that has not completed its
+// startup is terminated after newClientGrace.
 func (c *client) drain() {
 	c.mu.Lock()
 	c.closeWhenIdle = true
--- a/internal/frontend/pgfrontend/query.go
+++ b/internal/frontend/pgfrontend/query.go
@@ -96,7 +96,8 @@
 	return pgbackend.Disposition{Known: true, Keep: keep, Settings: a.Params.OnConnection()}
 }
 
-// onConnectionLost ends the session after its engine connection was lost while its query ran.
+// onConnectionLost ends the session after its engine connection was lost while its query ran or waited to be
+// sent. sent reports whether the query had been sent to the engine.
 func (c *client) onConnectionLost(q *frontend.Query, sent bool) {
 	if !q.Response.Abandon() {
 		return
--- a/internal/frontend/pgfrontend/server.go
+++ b/internal/frontend/pgfrontend/server.go
@@ -156,8 +156,8 @@
 }
 
 // Drain stops listening and terminates idle clients with SQLSTATE 57P01; busy clients are terminated after
-// their response. A sticky session stays until it is no longer sticky, or until TerminateAll. One that is
-// sticky because of more than a transaction is sent a notice.
+// their response. A sticky session stays until it is no longer sticky, or until TerminateAll. A session that
+// runs no query and is in no transaction, but sticky for another reason, is sent a notice.
 func (s *Server) Drain() {
 	s.StopListening()
 	s.mu.Lock()
@@ -222,7 +222,7 @@
 	c.lease.OnLost, c.lease.OnDrain = c.onIdleConnectionLost, c.onEngineDraining
 	c.registration.Expire = c.terminateIfDue
 	nc.SetSession(c)
-	_ = nc.SetNoDelay(true) // on failure responses are slower, or the connection has closed
+	_ = nc.SetNoDelay(true) // if it fails, responses are slower or the connection has closed
 	if rejected {
 		time.AfterFunc(closeDelay, c.closeConn)
 		return
