--- a/internal/soak/class.go
+++ b/internal/soak/class.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// idempotency says whether a request of a class may be executed again.
+// idempotency is whether a request of a class may be executed again, and under which condition.
 type idempotency string
 
 // The kinds of idempotency, with their values in the dispatcher's settings.
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -114,8 +114,8 @@
 	s.notifyLocked()
 }
 
-// redirect switches watches to the other address. Open watches at the old address deliver nothing more and are
-// reset after oldAddressServesFor.
+// redirect switches watches to the other address. Open watches at the old address deliver nothing more and
+// are reset after oldAddressServesFor.
 func (s *discoveryServer) redirect() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/soak/faultkind.go
+++ b/internal/soak/faultkind.go
@@ -50,8 +50,8 @@
 const (
 	NodeDrain        FaultKind = "node-drain"  // the process drains and exits; another starts at its address
 	NodeCrash        FaultKind = "node-crash"  // the process ends, and the next one starts in slow start
-	NodeHang         FaultKind = "node-hang"   // answers nothing for a while
-	NodesHang        FaultKind = "nodes-hang"  // all nodes answer nothing, for longer than a shutdown takes
+	NodeHang         FaultKind = "node-hang"   // answers new calls only when the fault has ended
+	NodesHang        FaultKind = "nodes-hang"  // all nodes hang, for longer than a shutdown takes
 	NodeFull         FaultKind = "node-full"   // sheds every query
 	NodeErrors       FaultKind = "node-errors" // fails every query
 	NodeAnswersTwice FaultKind = "node-twice"  // sends a copy of each result page up to 120 ms after it
@@ -60,8 +60,8 @@
 // Faults inside the dispatcher's process. They need a program that was built with the tag faults.
 const (
 	ClockStep FaultKind = "clock-step" // the wall clock of every dispatcher steps by seconds or an hour
-	CallsFail FaultKind = "calls-fail" // some calls of accept, connect and socket inspection fail
-	DialsLate FaultKind = "dials-late" // connections are established late
+	CallsFail FaultKind = "calls-fail" // some calls of listen, accept, connect and socket inspection fail
+	DialsLate FaultKind = "dials-late" // some connections are established late
 )
 
 // The kinds that a plan draws from. A repeated kind is drawn more often. Changing the order or the
