--- a/internal/backend/pgbackend/conn.go
+++ b/internal/backend/pgbackend/conn.go
@@ -121,7 +121,7 @@
 }
 
 // recheckMayStart checks again whether an attempt whose query was held back may start. If not, the attempt
-// ends and the connection, on which nothing of the query was sent, is free again.
+// ends. Nothing of the query was sent on the connection, which is free again or stays with its session.
 func (c *conn) recheckMayStart(a *Attempt) bool {
 	outcome, ok := a.mayStart()
 	if ok {
