--- a/internal/frontend/pgfrontend/server.go
+++ b/internal/frontend/pgfrontend/server.go
@@ -27,7 +27,7 @@
 	"cresspass/internal/protocol/sqlstate"
 )
 
-// Name is the front's name in the quota settings.
+// Name is this frontend's name in the quota settings.
 const Name = "postgresql"
 
 const (
@@ -46,7 +46,7 @@
 // shutdownMessage is the error message for clients of a dispatcher that shuts down.
 const shutdownMessage = "terminating connection: the dispatcher is shutting down"
 
-// Config holds the settings of the front.
+// Config holds the settings of the frontend.
 type Config struct {
 	Session        pgsession.Config
 	MaxClients     int // further ones are rejected with SQLSTATE 53300
@@ -179,7 +179,7 @@
 	}
 }
 
-// Close terminates all clients with SQLSTATE 57P01 and waits until the front has stopped.
+// Close terminates all clients with SQLSTATE 57P01 and waits until the frontend has stopped.
 func (s *Server) Close() {
 	s.StopListening()
 	s.mu.Lock()
