--- a/internal/frontend/flightsql/ticket/ticket.go
+++ b/internal/frontend/flightsql/ticket/ticket.go
@@ -1,6 +1,6 @@
 // Package ticket encodes and signs Flight tickets, and decides whether a fetch of a ticket may run the
-// ticket's statement. A ticket carries its statement, so a ticket that is never fetched takes no memory here. A
-// FetchLedger remembers only the fetches of statements that may change data, until their tickets have
+// ticket's statement. A ticket carries its statement, so a ticket that is never fetched takes no memory here.
+// A FetchLedger remembers only the fetches of statements that may change data, until their tickets have
 // expired. The package does no I/O and reads no clock.
 package ticket
 
