--- a/internal/frontend/flightsql/ticket/ticket.go
+++ b/internal/frontend/flightsql/ticket/ticket.go
@@ -1,7 +1,7 @@
-// Package ticket encodes and signs Flight tickets, and decides whether a fetch of one may run its statement.
-// A ticket carries its statement, so a ticket that is never fetched takes no memory here. A FetchLedger
-// remembers only the fetches of statements that may change data, until their tickets have expired. The
-// package does no I/O and reads no clock.
+// Package ticket encodes and signs Flight tickets, and decides whether a fetch of a ticket may run the
+// ticket's statement. A ticket carries its statement, so a ticket that is never fetched takes no memory here.
+// A FetchLedger remembers only the fetches of statements that may change data, until their tickets have
+// expired. The package does no I/O and reads no clock.
 package ticket
 
 import (
@@ -21,8 +21,8 @@
 	Text           string        // of the statement
 	ParameterTypes string        // OIDs, 4 bytes each
 	BindBody       []byte        // body of PostgreSQL's Bind message, without its two names
-	ExpiresAt      time.Duration // on the server's clock, the one of FetchLedger.BeginFetch
-	SingleUse      bool          // the statement may change data: one fetch runs it
+	ExpiresAt      time.Duration // on the server's clock, as is now in FetchLedger.BeginFetch
+	SingleUse      bool          // the statement may change data: at most one fetch runs it
 }
 
 // Errors of Open and FetchLedger.BeginFetch. Clients receive their texts.
--- a/internal/soak/class.go
+++ b/internal/soak/class.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// idempotency says whether a request of a class may be executed again.
+// idempotency is whether a request of a class may be executed again, and under which condition.
 type idempotency string
 
 // The kinds of idempotency, with their values in the dispatcher's settings.
 const (
 	idempotent        idempotency = "safe"
-	idempotentWithKey idempotency = "keyed" // with the same idempotency key, within the deduplication window
+	idempotentWithKey idempotency = "keyed" // only with the same key, within the deduplication window
 	notIdempotent     idempotency = "unsafe"
 )
 
