--- a/internal/rehearsal/client.go
+++ b/internal/rehearsal/client.go
@@ -28,9 +28,10 @@
 // client is one connection of a client library.
 type client interface {
 	// do runs a statement, and cancels it when the context ends. simple selects PostgreSQL's simple protocol;
-	// parameter is the only parameter of a prepared statement.
+	// parameter is the only parameter of a prepared statement. Clients of Flight SQL ignore both.
 	do(ctx context.Context, simple bool, text, parameter string) error
-	// close closes the connection. With force it closes the socket at once, even during a query.
+	// close closes the connection. With force it closes the socket at once, even during a query;
+	// flightSQLClient ignores force.
 	close(force bool)
 	// broken reports whether the connection can no longer be used.
 	broken() bool
--- a/internal/rehearsal/day.go
+++ b/internal/rehearsal/day.go
@@ -21,8 +21,8 @@
 	Rate       float64 // queries per second, to all dispatchers together
 	Work       float64 // mean work of a query, in thread seconds
 	Spread     float64 // sigma of the work's log-normal distribution
-	Threads    float64
-	Rows       int
+	Threads    float64 // of a query
+	Rows       int     // of an answer
 	Keys       int     // number of keys, one of which each query has; 0: queries have no key
 	Tables     int     // number of table groups, one of which each query names; 0: none
 	Loads      bool    // queries are loads
@@ -46,20 +46,20 @@
 type Day struct {
 	Name, Title string
 	Length      time.Duration
-	Short       float64 // factor by which --short scales the length
+	Short       float64 // factor by which --short scales the length and the times of the faults
 	Flight      float64 // share of the queries that are sent by Flight SQL
 	Gossip      string  // as Options.Gossip
 	Engines     int
 	Dispatchers int
-	MemoryMB    float64
+	MemoryMB    float64            // of each engine
 	Kinds       []string           // of the engines, in turn
 	Random      int                // the number of faults that are drawn from the seed
 	Expects     map[string]float64 // share of each class's requests that is to be served
-	Zones       int
+	Zones       int                // number of zones
 	Traffic     []Traffic
 	Faults      []Fault
-	Settings    string // of the dispatchers, in HCL
-	Module      cresspass.Config
+	Settings    string           // of the dispatchers, in HCL
+	Module      cresspass.Config // the decision module's part of Settings
 }
 
 // cores returns the number of cores of an engine.
@@ -76,7 +76,7 @@
 // drawnFaultStream is the random stream from which Drawn draws faults.
 const drawnFaultStream = 23
 
-// Drawn returns a copy of the day to whose faults Random ones, drawn from the seed, are added.
+// Drawn returns a copy of the day with Random more faults, which are drawn from the seed.
 func (d *Day) Drawn(seed uint64) *Day {
 	out := *d
 	r := rand.New(rand.NewPCG(seed, drawnFaultStream))
--- a/internal/rehearsal/evaluate.go
+++ b/internal/rehearsal/evaluate.go
@@ -80,8 +80,8 @@
 	return log
 }
 
-// ranTwice returns the number of loads that ran, and the ids of those that ran again within a window of the
-// run before. ran holds the times at which each load ran, by its id.
+// ranTwice returns the number of loads that ran, and the ids of the loads that ran again less than window
+// after their previous run. ran holds the times at which each load ran, by the load's id.
 func ranTwice(ran map[string][]time.Time, window time.Duration) (n int, again []string) {
 	for id, times := range ran {
 		n++
--- a/internal/rehearsal/fault.go
+++ b/internal/rehearsal/fault.go
@@ -21,7 +21,8 @@
 // faultReturn is the kind of fault on which CompareReturns compares the ways of gossip.
 const faultReturn = "return"
 
-// faultKinds holds the kinds of faults by name.
+// faultKinds holds the kinds of faults by name. Where a comment names a share, that share is the fault's
+// size.
 var faultKinds = map[string]faultKind{
 	// Engines are slower by the factor size: those that the fault names, or all engines.
 	"slow":   {true, 3, onEngines(setSlow)},
@@ -44,7 +45,7 @@
 	"slow-cancel": {true, 0.3, onEngines(func(f *standin.Faults, _ bool, size float64) {
 		f.SlowCancel = seconds(size)
 	})},
-	// Load reports are size seconds old.
+	// The interval of load reports is size seconds longer.
 	"reports-late": {true, 5, onEngines(func(f *standin.Faults, _ bool, size float64) {
 		f.LateReports = seconds(size)
 	})},
@@ -60,14 +61,16 @@
 	"deploy": {true, 0, drainInTurn},
 	// Engines drain, crash 2 s later (preemptionNotice), and come back after the fault's time.
 	"preemption": {true, 0, preemptEngines},
-	// Engines and dispatchers of zone a (lostZone) crash, and come back after the fault's time.
+	// Engines and dispatchers of zone a (lostZone) crash, except the first dispatcher, and come back after
+	// the fault's time.
 	"zone-loss": {false, 0, loseZone},
 	// Discovery is unavailable, or sends changes size seconds late.
 	"roster-away": {false, 0, discoveryUnavailable},
 	"roster-late": {false, 3, discoveryLate},
 	// A dispatcher is killed, and comes back with its cached list after the fault's time.
 	"kill": {false, 0, killDispatcher},
-	// Every second dispatcher is killed, and comes back without the model that it has learnt.
+	// Every second dispatcher is killed, and comes back after the fault's time without its stored model
+	// state.
 	faultReturn: {false, 0, killEverySecondDispatcher},
 	// Dispatchers are shut down and started again, one after another.
 	"roll": {false, 0, restartDispatchersInTurn},
@@ -91,8 +94,8 @@
 	drainRestartDelay = 500 * time.Millisecond // from the end of a drained engine to its restart
 	preemptionNotice  = 2 * time.Second        // from the notice to the crash
 	crashPollInterval = 5 * time.Millisecond   // between checks whether an engine has crashed
-	neighbourPhases   = 8                      // of a fault's time: slow and normal in turn
-	ageingPhases      = 14                     // of a fault's time: ageingSteps up, ageingDownPhases down
+	neighbourPhases   = 8                      // parts of a fault's time: slow and normal in turn
+	ageingPhases      = 14                     // parts of a fault's time: ageingSteps and ageingDownPhases
 	ageingSteps       = 10                     // phases in which the engine becomes slower
 	ageingDownPhases  = 4                      // phases for which the crashed engine is down
 	lostZone          = "a"
--- a/internal/rehearsal/fault_engines.go
+++ b/internal/rehearsal/fault_engines.go
@@ -22,7 +22,7 @@
 	wg.Wait()
 }
 
-// setEngineFault changes the faults in force on an engine. Faults of different kinds can be in force at once.
+// setEngineFault changes the current faults of an engine. An engine can have faults of several kinds at once.
 // An engine that is down gets the change with the next call after its restart.
 func (r *run) setEngineFault(i int, change func(*standin.Faults)) {
 	r.mu.Lock()
@@ -96,8 +96,8 @@
 	})
 }
 
-// crashDuringAnswer has engines crash once an answer has reached the fault's size in rows, and restarts them
-// after the fault's time.
+// crashDuringAnswer makes engines crash once an answer has reached the fault's size in rows, and restarts
+// them the fault's time after the crash.
 func crashDuringAnswer(ctx context.Context, r *run, f Fault) {
 	forEachEngine(f.Engines, func(i int) {
 		r.setEngineFault(i, func(faults *standin.Faults) { faults.DieAfterRows = int(f.Size) })
@@ -149,8 +149,8 @@
 }
 
 // restartEngine starts a crashed engine again after a time. Discovery lists the engine as removed with a
-// delay, since discovery only observes from outside whether an engine runs. restartEngine does nothing more
-// once another fault has restarted the engine.
+// delay, since discovery only observes from outside whether an engine runs. restartEngine does not start an
+// engine that another fault has restarted meanwhile.
 func (r *run) restartEngine(ctx context.Context, i int, after time.Duration) {
 	e := r.testbed.Engines[i]
 	if up, _ := e.Up(); up {
--- a/internal/rehearsal/fault_services.go
+++ b/internal/rehearsal/fault_services.go
@@ -10,8 +10,9 @@
 	"cresspass/internal/storage"
 )
 
-// restartDispatcherAfter starts a killed dispatcher again after a time, or at once if the day ends before:
-// its connections are judged like all others.
+// restartDispatcherAfter starts a killed dispatcher again after a time, or at once if the day ends before
+// that. The dispatcher is started even then, because the rules are checked on its connections as on all
+// others.
 func (r *run) restartDispatcherAfter(ctx context.Context, d *dispatcher, after time.Duration) {
 	sleep(ctx, after)
 	r.fail(d.startAgain(context.Background()))
@@ -55,7 +56,7 @@
 }
 
 // loseZone crashes the engines and dispatchers of lostZone, and restarts them after the fault's time. The
-// first dispatcher stays up, so that it can serve the clients of those that are down.
+// first dispatcher stays up even if it is in lostZone, so that at least one dispatcher can serve clients.
 func loseZone(ctx context.Context, r *run, f Fault) {
 	for i := range r.testbed.Engines {
 		if r.day.zone(i) == lostZone {
@@ -103,7 +104,7 @@
 	}
 }
 
-// hotDispatcher sends the share size of all arrivals to one dispatcher.
+// hotDispatcher sends a share of all arrivals, the fault's size, to one dispatcher.
 func hotDispatcher(ctx context.Context, r *run, f Fault) {
 	r.load.hotShare.Store(math.Float64bits(f.Size))
 	r.load.hotDispatcher.Store(int64(f.Dispatcher))
--- a/internal/rehearsal/flight.go
+++ b/internal/rehearsal/flight.go
@@ -54,8 +54,8 @@
 	return f, nil
 }
 
-// do runs a statement until the caller's context ends. Flight SQL has no statements that begin or end a
-// transaction: they become calls.
+// do runs a statement until the caller's context ends. Statements that begin or end a transaction become
+// calls, because Flight SQL has no such statements.
 func (f *flightClient) do(ctx context.Context, _ bool, text, _ string) error {
 	f.busy.Lock()
 	defer f.busy.Unlock()
@@ -72,7 +72,7 @@
 	return err
 }
 
-// run runs a statement, every second query as a prepared statement.
+// run runs a statement. A query outside a transaction is prepared if its number on the connection is even.
 func (f *flightClient) run(ctx context.Context, text string) (err error) {
 	f.statements++
 	switch {
@@ -184,6 +184,7 @@
 	return rows.Err()
 }
 
+// close closes the connection; it ignores force.
 func (p *flightSQLClient) close(bool) {
 	p.closed.Store(true)
 	_ = p.conn.Close() // the connection is given up in any case
@@ -194,8 +195,8 @@
 
 func (p *flightSQLClient) driver() driver { return driverFlightSQL }
 
-// flightSQLState returns the SQLSTATE in the details of a gRPC status, or else the status code; "": err is no
-// status.
+// flightSQLState returns the SQLSTATE in the details of a gRPC status, or else "gRPC " and the status code;
+// "": err is no gRPC status.
 func flightSQLState(err error) string {
 	s, ok := status.FromError(err)
 	if !ok {
--- a/internal/rehearsal/golden_test.go
+++ b/internal/rehearsal/golden_test.go
@@ -14,8 +14,8 @@
 	"cresspass/internal/rehearsal/rulecheck"
 )
 
-// fillNonZero sets every field of a value, and of the values that it contains, to a non-zero value. next
-// numbers them, so that they differ.
+// fillNonZero sets every field of a value, and of the values that it contains, to a non-zero value. Numbers
+// and times follow from next, which counts the calls, so that they differ.
 func fillNonZero(t *testing.T, v reflect.Value, next *int) {
 	t.Helper()
 	*next++
--- a/internal/rehearsal/load.go
+++ b/internal/rehearsal/load.go
@@ -46,9 +46,9 @@
 	addrs  []string // of the relay before each dispatcher
 	flight []string // the same for Flight SQL
 	random *rand.Rand
-	idle   []*pool // for each dispatcher
-	start  time.Time
-	work   sync.WaitGroup
+	idle   []*pool        // for each dispatcher
+	start  time.Time      // of the day
+	work   sync.WaitGroup // arrivals that are not finished
 
 	// Parameters that faults change. Those of type Uint64 hold math.Float64bits.
 	burstFactor     atomic.Uint64         // multiplies the rate of all arrivals
@@ -57,7 +57,7 @@
 	hotKeyShare     atomic.Uint64         // share of the keyed queries that get the first key
 	hotShare        atomic.Uint64         // share of the arrivals that go to hotDispatcher
 	hotDispatcher   atomic.Int64          // index, or noDispatcher
-	shift           atomic.Pointer[Fault] // the fault of kind "shift" in force; nil: none
+	shift           atomic.Pointer[Fault] // the current fault of kind "shift"; nil: none
 
 	mu          sync.Mutex
 	counts      map[string]*Count // by the class under which traffic is counted
@@ -99,9 +99,9 @@
 // arrival is one query, or one session, that a client sends.
 type arrival struct {
 	traffic     *Traffic
-	at          time.Duration
+	at          time.Duration // intended start, since the day's start
 	dispatcher  int
-	work        float64
+	work        float64 // thread seconds
 	key         string
 	tables      string
 	simple      bool // by PostgreSQL's simple protocol
@@ -151,7 +151,7 @@
 	}
 }
 
-// nextGap draws the time until a class's next arrival.
+// nextGap draws the time until the next arrival of a traffic; without a rate it is the day's length.
 func (l *workload) nextGap(t *Traffic) time.Duration {
 	if t.Rate <= 0 {
 		return l.day.Length
@@ -201,7 +201,8 @@
 }
 
 // sendWithRetries sends a query, and sends it again after a rejection as often as the class's clients retry.
-// It stops early if the deadline would pass before the retry.
+// It stops early if the deadline is nearer than retryDelay. The retry itself waits for the delay that a
+// rejection by Flight SQL names, or else for retryDelay.
 func (l *workload) sendWithRetries(ctx context.Context, start time.Time, a arrival) {
 	intended := start.Add(a.at)
 	deadline := intended.Add(l.classDeadline(a.traffic.Class))
@@ -236,8 +237,8 @@
 	return deadline
 }
 
-// retryDelay returns the delay that a rejection by PostgreSQL's protocol names in its hint, or
-// defaultRetryDelay.
+// retryDelay returns the delay that a rejection received by pgx names in its hint. It returns
+// defaultRetryDelay if there is none, and for the errors of all other drivers.
 func retryDelay(err error) time.Duration {
 	var e *pgconn.PgError
 	if !errors.As(err, &e) || e.Hint == "" {
--- a/internal/rehearsal/parse.go
+++ b/internal/rehearsal/parse.go
@@ -78,7 +78,8 @@
 	Settings string        `hcl:"settings"`
 }
 
-// defaultShort is the factor by which --short scales a day that names none.
+// defaultShort is the factor by which --short scales a day that names none, or one that is not above 0 and at
+// most 1.
 const defaultShort = 0.2
 
 // decode decodes HCL. Its errors name the position in the source.
--- a/internal/rehearsal/run.go
+++ b/internal/rehearsal/run.go
@@ -26,15 +26,15 @@
 	return slices.Contains([]string{"", gossipOff, gossipCold, gossipAsk}, v)
 }
 
-// Options says how a day is played.
+// Options configures how a day is played.
 type Options struct {
 	Seed    uint64
 	Program []string // the command of a dispatcher, to which a sub-command and flags are added
 	Policy  string   // a baseline policy that replaces the decision module; "": the module
 	NoState bool     // dispatchers store nothing but their cached engine lists
-	// Gossip replaces the day's value. "no": dispatchers do not gossip. "cold": they gossip, but one that
-	// starts does not wait for what the others have learnt. "ask": one that starts asks the others for what
-	// they have learnt. "": as the day says, which is "no" if the day says nothing.
+	// Gossip replaces the day's value. "no": dispatchers do not gossip. "cold": they gossip, but a dispatcher
+	// that starts does not wait for what the others have learnt. "ask": a dispatcher that starts asks the
+	// others for what they have learnt. "": the day's value, which defaults to "no".
 	Gossip  string
 	Mutate  int          // the rule whose guard is removed from the decision module; 0: none
 	Dir     string       // for settings, cached lists, stored state and the dispatchers' logs
@@ -49,7 +49,7 @@
 	Engines []EngineStatus
 	Up      []bool                       // of each dispatcher
 	Counts  map[string][outcomeCount]int // requests by class and outcome
-	Faults  []Fault                      // in force
+	Faults  []Fault                      // those that are active
 }
 
 // EngineStatus is the state of an engine while a day is played.
@@ -68,12 +68,12 @@
 	relays        []*rulecheck.Relay // before the engines
 	dispatchers   []*dispatcher
 	load          *workload
-	faultsWork    sync.WaitGroup // faults that are scheduled or in force
+	faultsWork    sync.WaitGroup // faults that are scheduled or active
 	engineSamples []EngineSample
 	dedupWindow   time.Duration // the longest of any class
 
 	mu           sync.Mutex
-	engineFaults []standin.Faults // in force, for each engine
+	engineFaults []standin.Faults // the current faults of each engine
 	failures     []error          // errors that make the result unusable
 }
 
@@ -82,8 +82,8 @@
 	startTimeout   = 10 * time.Second // for a dispatcher to listen, and for its first engine list
 )
 
-// Play plays a day and checks the rules. A broken rule is no error: the result says so. An error means that
-// the day could not be played to its end.
+// Play plays a day and checks the rules. A broken rule is no error: the result reports it. An error means
+// that the day could not be played to its end.
 func Play(ctx context.Context, d *Day, o Options) (*Result, error) {
 	if o.Log == nil {
 		o.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
--- a/internal/rehearsal/setup.go
+++ b/internal/rehearsal/setup.go
@@ -17,7 +17,7 @@
 
 // Parameters of the stand-in engines.
 const (
-	engineSpillCost      = 2.5
+	engineSpillCost      = 2.5 // extra work, as a multiple, of a query that gets no memory
 	engineCachedDataSets = 4   // data sets in an engine's cache
 	engineCacheSaving    = 0.3 // share of the work that a cached data set saves
 	jobsPerCore          = 8   // limit of an engine's jobs
--- a/internal/rehearsal/testbed/testbed.go
+++ b/internal/rehearsal/testbed/testbed.go
@@ -23,7 +23,7 @@
 // listTimeout limits the wait for a dispatcher's first engine list.
 const listTimeout = 10 * time.Second
 
-// FreePort takes ports of this range, and tries so many of them.
+// FreePort draws ports from this range, at most portAttempts of them.
 const (
 	firstPort    = 15000
 	portCount    = 15000
@@ -71,8 +71,9 @@
 	mu sync.Mutex // guards Entry of all engines
 }
 
-// New starts one engine for each configuration, and a discovery service that lists them. An engine without
-// a listen address gets a free port of 127.0.0.1, and one without a deduplication group the testbed's.
+// New starts one engine for each configuration, and a discovery service that lists them. An engine without a
+// listen address gets a free port of 127.0.0.1, and an engine without a deduplication group gets the
+// testbed's group. The index of each engine is added to its seed.
 func New(engines ...standin.EngineConfig) (*Testbed, error) {
 	t := &Testbed{Group: standin.NewDeduplicationGroup()}
 	var err error
