--- a/internal/rehearsal/rulecheck/arrival.go
+++ b/internal/rehearsal/rulecheck/arrival.go
@@ -15,15 +15,15 @@
 // timespecSize is the size in bytes of the kernel's arrival time: seconds and nanoseconds of 8 bytes each.
 const timespecSize = 16
 
-// arrivalReader reads a TCP connection and returns when the kernel received the bytes. A time taken by the
-// reading goroutine would be later, by as long as the goroutine had to wait for a processor.
+// arrivalReader reads a TCP connection and returns the times at which the kernel received the bytes. A time
+// taken by the reading goroutine would be later, by as long as the goroutine had to wait for a processor.
 type arrivalReader struct {
 	raw     syscall.RawConn
 	control []byte // buffer for the control message with the time
 }
 
-// newArrivalReader has the kernel record from now on when it receives the bytes of a connection
-// (SO_TIMESTAMPNS).
+// newArrivalReader makes the kernel record, from now on, the times at which it receives the bytes of a
+// connection (SO_TIMESTAMPNS).
 func newArrivalReader(conn *net.TCPConn) (*arrivalReader, error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -39,7 +39,8 @@
 	return &arrivalReader{raw: raw, control: make([]byte, unix.CmsgSpace(timespecSize))}, nil
 }
 
-// Read reads bytes as a net.Conn does, and returns when the kernel received the last of them.
+// Read reads bytes as a net.Conn does. arrived is the time at which the kernel received the last of them, or
+// the current time if the kernel recorded none.
 func (r *arrivalReader) Read(b []byte) (n int, arrived time.Time, err error) {
 	var controlSize int
 	var readErr error
--- a/internal/rehearsal/rulecheck/checker.go
+++ b/internal/rehearsal/rulecheck/checker.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Effect says whether a query of a class may run again without a second effect.
+// Effect is whether a query of a class may run again without a second effect.
 type Effect string
 
 // The effects of classes, as stored evidence spells them.
@@ -61,7 +61,7 @@
 	Rule       int
 	Name       string
 	Kept       bool
-	Judged     bool     // false: the log is incomplete, and Kept says nothing
+	Judged     bool     // false: the log is incomplete, and Kept has no meaning
 	Checked    int      // the number of items to which the rule was applied
 	Violations int      `json:"Broken"`
 	Evidence   []string // the first maxEvidence violations, and why the rule cannot be judged
--- a/internal/rehearsal/rulecheck/flightsql.go
+++ b/internal/rehearsal/rulecheck/flightsql.go
@@ -43,12 +43,12 @@
 // rpc is one gRPC call: one HTTP/2 stream of a connection.
 type rpc struct {
 	method   string
-	up       []byte // bytes of messages that are not complete yet
-	down     []byte
+	up       []byte   // bytes of the client's first message, which is not complete yet
+	down     []byte   // bytes of the answer's first message, if it is to have a ticket or a handle
 	received bool     // the client's first message was read
 	text     string   // the statement whose ticket or handle the answer will contain
 	request  *Request // the query that the call runs; nil: none that has tags
-	finished bool
+	finished bool     // its end was recorded
 }
 
 // grpcConn decodes one gRPC connection. Two goroutines decode its two directions.
@@ -276,7 +276,7 @@
 }
 
 // awaitCall waits until the request of a call was read, as the decoder of the requests may lag. It returns
-// nil for frames that belong to the connection, and for a call whose request has not arrived. The caller
+// nil for frames that belong to the connection, and for a call whose headers have not arrived. The caller
 // holds c.mu.
 func (c *grpcConn) awaitCall(id uint32) *rpc {
 	if id == 0 {
@@ -293,7 +293,8 @@
 	}
 }
 
-// handleData records the bytes of an answer: rows of a query, or the ticket or handle of a statement.
+// handleData records the bytes of an answer: rows of a query, or the ticket or handle of a statement. Each
+// data frame of a query counts as one row.
 func (c *grpcConn) handleData(call *rpc, data []byte) {
 	rec := c.recorder
 	if r := call.request; r != nil {
--- a/internal/rehearsal/rulecheck/log.go
+++ b/internal/rehearsal/rulecheck/log.go
@@ -1,10 +1,11 @@
 // Package rulecheck checks the safety rules of dispatchers from the bytes on the sockets. Relays on both
-// sides of each dispatcher record the bytes, which are decoded with pgproto3, a decoder that the dispatcher
-// does not use. The checker knows the rules' parameters and which engine list each dispatcher received; it
-// must not use what the dispatchers say about themselves.
+// sides of each dispatcher record the bytes. PostgreSQL's protocol is decoded with pgproto3, a decoder that
+// the dispatcher does not use; Flight SQL is decoded on the clients' side only. The checker knows the rules'
+// parameters and which engine list each dispatcher received; it must not use what the dispatchers report
+// about themselves.
 //
-// Statements identify themselves by tags: id is unique for each time that a client sends a query, and class,
-// key and work_ms describe the query.
+// Statements identify themselves by tags: id differs each time that a client sends a query, and class, key
+// and work_ms describe the query.
 package rulecheck
 
 import (
@@ -21,7 +22,7 @@
 	FinalCount         int       `json:"Finals"` // final answers; rule 1 requires exactly one
 	FinalAt            time.Time `json:"Final"`  // of the first final answer
 	Code               string    // SQLSTATE of the first final answer; "": served
-	Rows               int
+	Rows               int       // of Flight SQL: the data frames of the answer
 	MessagesAfterFinal int       `json:"After"` // also counts a ReadyForQuery without a final answer
 	Skipped            bool      // sent after a failed message and before Sync, so that it must not run
 	ConnectionEnded    time.Time `json:"Gone"`       // when the connection ended without an answer
@@ -62,8 +63,8 @@
 }
 
 // Notification is an engine list that was sent to a dispatcher at Sent and acknowledged by it at At. Between
-// the two times the dispatcher may or may not know the list: it may use an engine that is new on the list
-// from Sent, and must not use one that is no longer on it from At.
+// the two times the dispatcher may or may not know the list: from Sent on it may use an engine that is new on
+// the list, and from At on it must not use an engine that is no longer on the list.
 type Notification struct {
 	Sent       time.Time // zero: the same as At
 	At         time.Time
--- a/internal/rehearsal/rulecheck/postgres.go
+++ b/internal/rehearsal/rulecheck/postgres.go
@@ -35,9 +35,9 @@
 type postgresConn struct {
 	recorder   *Recorder
 	side       Side
-	name, user string
+	name, user string // name: as Relay.name; user: on the engines' side the dispatcher's name
 	pid        uint32
-	statements map[string]string
+	statements map[string]string // texts of prepared statements by name
 
 	mu          sync.Mutex
 	decoded     *sync.Cond // signalled when a request is decoded, and when all that arrived are
@@ -159,9 +159,9 @@
 	}
 }
 
-// awaitRequest waits until a request is pending, as the decoder of the requests may lag. A request is
-// recorded before its answer: once that decoder has handled all bytes that arrived, no request will come for
-// this answer. The caller holds s.mu.
+// awaitRequest waits until a request is pending, as the decoder of the requests may lag. The relay records a
+// request before its answer. So once the decoder of the requests has handled all bytes that arrived, no
+// request for this answer will come. The caller holds s.mu.
 func (s *postgresConn) awaitRequest(up *tap) {
 	for len(s.pending) == 0 && !s.stopWaiting && !up.drained() {
 		s.decoded.Wait()
--- a/internal/rehearsal/rulecheck/recorder.go
+++ b/internal/rehearsal/rulecheck/recorder.go
@@ -45,8 +45,8 @@
 }
 
 // Stop waits until all recorded bytes are decoded, and returns the log. The relays must have been closed.
-// If decoding does not end within the limit, or lagged by more than maxDecodingLag, the log says that it
-// cannot be judged: a rule must not count as kept on traffic that was not read.
+// If decoding does not end within the limit, lagged by more than maxDecodingLag, or failed on a stream, the
+// log's Unjudged lists the reasons: a rule must not count as kept on traffic that was not read.
 func (rec *Recorder) Stop(limit time.Duration) *Log {
 	done := make(chan struct{})
 	go func() {
@@ -98,7 +98,8 @@
 	rec.log.Attempts = append(rec.log.Attempts, a)
 }
 
-// recordCancel records a cancel request on the engines' side against the attempt that runs on its connection.
+// recordCancel records a cancel request on the engines' side for the attempt that runs on the connection with
+// the process id pid. A cancel request on the clients' side is ignored.
 func (rec *Recorder) recordCancel(side Side, name string, pid uint32, at time.Time) {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
@@ -123,7 +124,7 @@
 }
 
 // recordConnectionEnd records when a request without an answer lost its connection, and whether the
-// dispatcher ended it: down, the direction to the client, then ended before up.
+// dispatcher ended the connection. The dispatcher did if down, the direction to the client, ended before up.
 func (r *Request) recordConnectionEnd(down, up *tap) {
 	r.ConnectionEnded = up.ended
 	if down.ended.Before(up.ended) {
--- a/internal/rehearsal/rulecheck/relay.go
+++ b/internal/rehearsal/rulecheck/relay.go
@@ -29,7 +29,8 @@
 }
 
 // NewRelay starts a relay that forwards to target, on a free port of 127.0.0.1. name is the dispatcher's
-// name, or "" for an engine: its name is then the relay's own address, which stands in the engine list.
+// name, or "" for an engine. The relay of an engine uses its own address as the name, because the engine list
+// contains that address.
 func (rec *Recorder) NewRelay(side Side, name, target string) (*Relay, error) {
 	return rec.newRelay(side, name, target, false)
 }
@@ -142,8 +143,8 @@
 
 // pipe forwards the bytes of one direction until it ends, and then ends the other connection in the same
 // way: closed for writing, or reset. Bytes from the dispatcher are recorded with the time at which they
-// arrived, bytes to the dispatcher with the time at which they are forwarded: it cannot have read them
-// before.
+// arrived, bytes to the dispatcher with the time at which they are forwarded: the dispatcher cannot have read
+// them before.
 func pipe(to, from *net.TCPConn, t *tap, fromDispatcher bool) {
 	reader, err := newArrivalReader(from)
 	buf := make([]byte, relayBufferSize)
@@ -154,7 +155,8 @@
 			if !fromDispatcher {
 				arrived = time.Now()
 			}
-			// Recorded before they are forwarded, so that a request is recorded before its answer.
+			// The bytes are recorded before they are forwarded, so that a request is recorded before its
+			// answer.
 			t.add(arrived, buf[:n])
 			_, err = to.Write(buf[:n])
 		}
--- a/internal/rehearsal/rulecheck/rule_answers.go
+++ b/internal/rehearsal/rulecheck/rule_answers.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// checkFinalAnswer checks that a request got one final answer in time, and returns when the request ended.
-// ok is false if it did not end, or if a dispatcher that was running closed its connection without an
+// checkFinalAnswer checks that a request got one final answer in time, and returns when the request ended. ok
+// is false if the request did not end, or if a dispatcher that was running closed the connection without an
 // answer.
 func (c *checker) checkFinalAnswer(v *Verdict, r *Request) (end time.Time, ok bool) {
 	latest := c.deadline(r)
--- a/internal/rehearsal/rulecheck/rule_slow_start.go
+++ b/internal/rehearsal/rulecheck/rule_slow_start.go
@@ -7,7 +7,7 @@
 
 // checkSlowStart checks rule 4: the work that all dispatchers together send an engine within any
 // SlowStartWindow of its slow start does not exceed SlowStartOverloadFactor times what the engine can do in
-// that window.
+// that window. Each engine that fell over from overload is a violation as well.
 func (c *checker) checkSlowStart(v *Verdict) {
 	for _, e := range c.log.OverloadedEngines {
 		v.addViolation("engine %s was pushed over", e)
--- a/internal/rehearsal/rulecheck/statement_cache.go
+++ b/internal/rehearsal/rulecheck/statement_cache.go
@@ -28,9 +28,9 @@
 	t.mu.Unlock()
 }
 
-// get returns the statement of a ticket or a handle. It waits for it: the answer that issued the ticket came
-// before the request that uses it, but may not be decoded yet. It returns "" if the statement is still
-// unknown after statementWait.
+// get returns the statement of a ticket or a handle. The answer that issued the ticket came before the
+// request that uses it, but may not be decoded yet, so get waits for the statement. It returns "" if the
+// statement is still unknown after statementWait.
 func (t *statementCache) get(key []byte) string {
 	timeout := time.After(statementWait)
 	for {
