--- a/internal/rehearsal/client.go
+++ b/internal/rehearsal/client.go
@@ -68,7 +68,7 @@
 	return &pgxClient{c}, nil
 }
 
-// take removes and returns the client of a driver that was returned most recently; nil: there is none.
+// take removes and returns the client of driver d that was put back most recently; nil: there is none.
 func (p *pool) take(d driver) client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/rehearsal/load.go
+++ b/internal/rehearsal/load.go
@@ -34,7 +34,7 @@
 	arrivalStream     = 11          // the random stream of arrivals
 	maxServedMicros   = 120_000_000 // upper end of the latency histograms, in microseconds
 	histogramDigits   = 3           // significant digits of the latency histograms
-	heavyTailOneIn    = 20          // one of so many queries has its work multiplied by heavyTailFactor
+	heavyTailOneIn    = 20          // on average, one query in this number gets heavyTailFactor
 	popularTableSkew  = 2           // exponent by which the first table groups are queried more often
 	defaultRetryDelay = 200 * time.Millisecond
 	abandonGrace      = 2 * time.Second // after the deadline; ends a request that the dispatcher has lost
--- a/internal/rehearsal/rulecheck/flightsql.go
+++ b/internal/rehearsal/rulecheck/flightsql.go
@@ -21,7 +21,7 @@
 
 // Flight SQL is decoded on the clients' side only: HTTP/2 frames, the gRPC messages in them, and the Flight
 // SQL commands in those. A query begins with the message that runs it (DoGet with a statement's ticket, DoPut
-// of an update) and ends with the trailers of its call. A ticket or a handle stands for the statement for
+// of an update) and ends with the trailers of its call. A ticket or a handle refers to the statement for
 // which the dispatcher issued it.
 
 const (
--- a/internal/rehearsal/rulecheck/tap.go
+++ b/internal/rehearsal/rulecheck/tap.go
@@ -97,7 +97,7 @@
 // discard reads a tap to its end.
 func (t *tap) discard() { _, _ = io.Copy(io.Discard, t) } // neither Read nor Write fails
 
-// isEndOfStream reports whether an error says that a direction ended, between or within messages.
+// isEndOfStream reports whether an error means that a direction ended, between or within messages.
 func isEndOfStream(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
