--- a/cmd/cresspass/check.go
+++ b/cmd/cresspass/check.go
@@ -11,7 +11,7 @@
 	Config string `short:"c" required:"" help:"Settings file."`
 }
 
-// Run prints that the settings are good; the error says what is wrong with them, and where.
+// Run prints that the settings are good, or returns an error that describes what is wrong and where.
 func (c checkCmd) Run() error {
 	if _, err := config.Load(c.Config); err != nil {
 		return err
--- a/cmd/cresspass/demo.go
+++ b/cmd/cresspass/demo.go
@@ -32,8 +32,8 @@
 // demoEngines is the number of stand-in engines.
 const demoEngines = 4
 
-// Run starts the stand-ins and the dispatcher and prints how to connect. It ends on a signal, or after For
-// where that is not 0, and then prints how the queries ended.
+// Run starts the stand-ins and the dispatcher and prints how to connect. It ends on a signal, or after c.For
+// if that is not 0, and then prints how many queries had each outcome.
 func (c demoCmd) Run(ctx context.Context) error {
 	cfg, err := c.settings()
 	if err != nil {
--- a/cmd/cresspass/main.go
+++ b/cmd/cresspass/main.go
@@ -51,9 +51,10 @@
 		kong.BindSingletonProvider(signalContext)}
 }
 
-// signalContext returns the context that kong passes to a Run that takes one; SIGINT and SIGTERM cancel it.
-// The commands that run a dispatcher must not take it: the context catches those signals, and one that
-// arrives before the dispatcher itself listens for them would be lost.
+// signalContext returns the context that kong passes to each Run method with a context parameter; SIGINT and
+// SIGTERM cancel it. The commands serve, node and rehearse dispatcher must not have the parameter: the
+// context catches those signals, and a signal that arrives before the dispatcher itself listens for them
+// would be lost.
 func signalContext() (context.Context, error) {
 	// The process ends with the command, so nothing needs to stop the notification.
 	ctx, _ := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
--- a/cmd/cresspass/model.go
+++ b/cmd/cresspass/model.go
@@ -56,7 +56,8 @@
 }
 
 // modelNewcomersCmd compares, in simulated time, ways in which half of the dispatchers return: without
-// gossip, cold with gossip, or as newcomers that learn from their peers, also where one member in five lies.
+// gossip, cold with gossip, or as newcomers that learn from their peers. The ways with gossip are also
+// simulated with one member in five that sends forged reports.
 type modelNewcomersCmd struct {
 	Seeds  int     `default:"12" help:"Independent days for each way."`
 	Told   float64 `default:"0.33" help:"Costs are told as so many times the truth; 0: not at all."`
--- a/cmd/cresspass/record.go
+++ b/cmd/cresspass/record.go
@@ -19,8 +19,8 @@
 	Scale recordScaleCmd `cmd:"" help:"More or less traffic over other dispatchers, its unevenness kept."`
 }
 
-// loadRecording reads a recording. Of a truncated or damaged one it returns the entries that can be read, and
-// reports the rest on standard error.
+// loadRecording reads a recording. Of a truncated or damaged recording it returns the entries that can be
+// read, and reports the rest on standard error.
 func loadRecording(path string) (recording.Header, []recording.Entry, error) {
 	h, all, skipped, err := recording.Load(path)
 	if errors.Is(err, recording.ErrTruncated) || errors.Is(err, recording.ErrDamaged) {
@@ -36,7 +36,8 @@
 	return h, all, err
 }
 
-// loadMerged reads recordings and merges them. Times count from the start of the earliest, by wall clock.
+// loadMerged reads recordings and merges them. Times count from the start of the earliest recording by wall
+// clock.
 func loadMerged(paths []string) (recording.Header, []recording.Entry, error) {
 	var headers []recording.Header
 	var recordings [][]recording.Entry
@@ -202,8 +203,8 @@
 	Seed        uint64        `default:"1" help:"Of what is left to chance."`
 }
 
-// Run writes each entry as often as Times says, over so many dispatchers. The fraction of Times is the chance
-// of one more copy.
+// Run writes c.Times copies of each entry, over c.Dispatchers dispatchers or, if that is 0, over those of the
+// recording. The fraction of c.Times is the chance of one more copy.
 func (c recordScaleCmd) Run() error {
 	h, all, err := loadRecording(c.File)
 	if err != nil {
--- a/cmd/cresspass/rehearse.go
+++ b/cmd/cresspass/rehearse.go
@@ -86,7 +86,7 @@
 	File string `arg:"" help:"A day's file."`
 }
 
-// Run prints that the file is good; the error says what is wrong with it.
+// Run prints that the file is good, or returns an error that describes what is wrong with it.
 func (c rehearseCheckCmd) Run() error {
 	if _, err := loadDay(c.File); err != nil {
 		return err
@@ -149,8 +149,8 @@
 }
 
 // rehearseDispatcherCmd runs a dispatcher as serve does, with another policy in place of the module or with
-// the module's guard of one rule removed. rehearse run starts its dispatchers with it where it is given
-// --policy or --mutate.
+// the module's guard of one rule removed. If rehearse run is given --policy or --mutate, it starts its
+// dispatchers by this command.
 type rehearseDispatcherCmd struct {
 	serveCmd
 	Policy string `help:"Policy in the module's place."`
--- a/cmd/cresspass/rehearse_compare.go
+++ b/cmd/cresspass/rehearse_compare.go
@@ -41,8 +41,8 @@
 // coldArm is the index of the arm "cold" in the comparisons of rehearse newcomers and model newcomers.
 const coldArm = 1
 
-// printComparison prints each figure of each arm with its error bar, and its difference from that of the arm
-// with the index against.
+// printComparison prints each figure of each arm with its error bar, and the difference from the same figure
+// of the arm with the index against.
 func printComparison(n *simulation.Comparison, against int) {
 	for f := range simulation.Figures {
 		fmt.Println(simulation.Figures[f].Name)
--- a/cmd/cresspass/rehearse_run.go
+++ b/cmd/cresspass/rehearse_run.go
@@ -32,7 +32,8 @@
 // allDays is the argument that stands for all days that ship with the program.
 const allDays = "all"
 
-// Values of --view that the code tells apart; any other shows the day as log lines.
+// Values of --view that the code distinguishes. viewTerminal shows the day in the terminal. viewAuto does so
+// if standard output is a terminal and Jobs is at most 1. Otherwise the day is shown as log lines.
 const (
 	viewAuto     = "auto"
 	viewTerminal = "terminal"
--- a/cmd/cresspass/serve.go
+++ b/cmd/cresspass/serve.go
@@ -31,7 +31,7 @@
 
 // Run serves until a signal or a hand-over ends the dispatcher.
 func (c serveCmd) Run() error {
-	received, stop := signals.Notify() // first: an earlier signal would be lost
+	received, stop := signals.Notify() // first: before this, a signal ends the process at once
 	defer stop()
 	options, err := c.options()
 	if err != nil {
--- a/cmd/cresspass/view.go
+++ b/cmd/cresspass/view.go
@@ -22,7 +22,7 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// statusLogInterval is the time of the day, at least, between two log lines.
+// statusLogInterval is the shortest time between two log lines.
 const statusLogInterval = 5 * time.Second
 
 // statusLogger returns an observer that logs the progress of a day.
@@ -89,7 +89,7 @@
 	downStyle    = lipgloss.NewStyle().Foreground(lipgloss.Color("1"))
 )
 
-// An engine's load bar is loadBarWidth characters wide; it is full at fullLoadThreads per core.
+// An engine's load bar is loadBarWidth characters wide; the bar is full at fullLoadThreads threads per core.
 const (
 	loadBarWidth    = 30
 	fullLoadThreads = 2
--- a/experiments/experiments.go
+++ b/experiments/experiments.go
@@ -3,7 +3,7 @@
 
 import "embed"
 
-// Files holds the experiments as HCL files, and in the folder days the days that only experiments play.
+// Files holds the experiments as HCL files. Its folder days holds the days that only experiments play.
 //
 //go:embed *.hcl days/*.hcl
 var Files embed.FS
