--- a/internal/standin/answer.go
+++ b/internal/standin/answer.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	flushBytes     = 8 << 10               // buffered bytes of rows, about, at which they are flushed
-	rowOverhead    = 20                    // bytes of a row besides its value, about
+	flushBytes     = 8 << 10               // approximate number of buffered bytes at which rows are flushed
+	rowOverhead    = 20                    // approximate number of bytes that a row adds to its value
 	crashDelay     = 20 * time.Millisecond // lets the rows leave before a crash resets the connection
 	garbageMessage = "\x00\xff!!! this is no protocol \x00\x01\x02\x03"
 )
@@ -26,8 +26,8 @@
 	copyOut   bool
 }
 
-// sendAnswer sends the rows and the end of a statement, or what the faults in force demand instead. An error
-// ends the connection.
+// sendAnswer sends the rows and the end of a statement, or what the engine's current faults require instead.
+// An error ends the connection.
 func (c *engineConn) sendAnswer(x *execution, outcome Outcome) error {
 	faults := c.engine.currentFaults()
 	if faults.Garbage {
@@ -103,8 +103,8 @@
 	return a, nil
 }
 
-// prepareTableRows sends a RowDescription where one is due, and encodes the rows of a statement that asks for
-// a table (see tableFor).
+// prepareTableRows sends a RowDescription if x.describe is set and the answer has rows, and encodes the rows
+// of a statement that asks for a table (see tableFor).
 func (c *engineConn) prepareTableRows(x *execution, a *answer) error {
 	table := tableFor(x.text)
 	var formats []int16
--- a/internal/standin/conn.go
+++ b/internal/standin/conn.go
@@ -74,7 +74,7 @@
 // enginePortal is a portal and, once it is suspended, what remains of its answer.
 type enginePortal struct {
 	text, firstParameter string
-	executed             bool   // it was executed
+	executed             bool   // the portal was executed
 	remaining            int    // rows that were not sent yet
 	value                string // the value column of these rows
 	formats              []int16
@@ -187,7 +187,7 @@
 	return c.backend.Flush()
 }
 
-// handleCancel carries out a cancel request, after the delay that the faults in force set.
+// handleCancel carries out a cancel request, after the delay of the engine's current faults.
 func (e *Engine) handleCancel(m *pgproto3.CancelRequest) {
 	if f := e.currentFaults(); f.SlowCancel > 0 {
 		time.Sleep(f.SlowCancel)
@@ -215,8 +215,8 @@
 	}
 }
 
-// sendReady sends ReadyForQuery, which ends the answer to a query or a Sync. Before it goes the load report,
-// if that has changed.
+// sendReady sends ReadyForQuery, which ends the answer to a query or a Sync. If the load report has changed,
+// sendReady sends the report first.
 func (c *engineConn) sendReady() error {
 	if load := c.engine.loadReport(); load != "" && load != c.reportedLoad {
 		c.reportedLoad = load
--- a/internal/standin/dedup.go
+++ b/internal/standin/dedup.go
@@ -18,8 +18,8 @@
 	return &DeduplicationGroup{lastRun: map[string]time.Time{}, runs: map[string][]time.Time{}}
 }
 
-// recordFirst reports whether a load did not run within the window before now, and if so records that it runs
-// now.
+// recordFirst reports whether a load runs for the first time within the window before now, and if so records
+// the run.
 func (g *DeduplicationGroup) recordFirst(id string, now time.Time, window time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -86,8 +86,8 @@
 	r.changed = make(chan struct{})
 }
 
-// SetDelay delays later changes by so much before they are sent to subscribers. A subscriber's first list is
-// not delayed.
+// SetDelay sets the delay with which later changes are sent to subscribers. A subscriber's first list is not
+// delayed.
 func (r *DiscoveryServer) SetDelay(delay time.Duration) {
 	r.mu.Lock()
 	r.delay = delay
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -24,7 +24,7 @@
 type EngineConfig struct {
 	Listen        string
 	Kind          enginemodel.Kind
-	Cold          bool                // it starts with cold caches
+	Cold          bool                // the engine warms up after its first start; else it starts warm
 	Seed          uint64              // of the engine's random choices
 	ProgressEvery time.Duration       // interval of progress notices; 0: none are sent
 	ReportEvery   time.Duration       // interval of load reports; 0: none are sent
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// Restart starts a crashed engine again on the same address, as a new process with cold caches and no faults.
-// It returns an error where the engine is up.
+// Restart starts a crashed engine again on the same address, as a new process: with empty caches, a warm-up
+// and no faults. It returns an error if the engine is up.
 func (e *Engine) Restart() error {
 	e.mu.Lock()
 	up := e.up
@@ -116,7 +116,7 @@
 	e.mu.Unlock()
 }
 
-// crash does what Crash says. The caller holds e.mu.
+// crash implements Crash. The caller holds e.mu.
 func (e *Engine) crash() {
 	if !e.up {
 		return
@@ -222,7 +222,8 @@
 }
 
 // loadReport returns the load report, "RUNNING,GRANTED": the number of jobs, and the share of memory granted.
-// It is refreshed at its interval. "" means that none is sent.
+// The report is refreshed when it is older than the configured interval plus the fault LateReports. "" means
+// that no report is sent.
 func (e *Engine) loadReport() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Faults says which faults an engine has. The zero value is an engine without faults; shares are from 0 to 1.
+// Faults holds the faults of an engine. The zero value has no faults; shares are from 0 to 1.
 type Faults struct {
 	Slow         float64       // factor of service times; 0 means 1
 	Hang         bool          // the engine accepts queries and answers none
@@ -18,7 +18,7 @@
 	LateReports  time.Duration // added to the interval of load reports
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the engine's faults.
 func (e *Engine) SetFaults(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/run.go
+++ b/internal/standin/run.go
@@ -6,7 +6,7 @@
 	"cresspass/internal/protocol/sqlscan"
 )
 
-// Outcome says how a run ended; it is empty while the run lasts.
+// Outcome is how a run ended; it is empty while the run lasts.
 type Outcome string
 
 // The outcomes of a run.
--- a/internal/standin/session.go
+++ b/internal/standin/session.go
@@ -24,7 +24,7 @@
 	return savepoint{maps.Clone(c.settings), maps.Clone(c.temporaryTables)}
 }
 
-// sessionResult says how far a statement that may be about the session has been handled.
+// sessionResult is how far a statement that may be about the session has been handled.
 type sessionResult int
 
 const (
@@ -130,6 +130,7 @@
 	}
 }
 
+// rollBackToSavepoint restores the state of the last savepoint; it ignores the savepoint's name.
 func (c *engineConn) rollBackToSavepoint() (tag string, result sessionResult) {
 	if c.txStatus == txIdle {
 		c.fail(codeNoActiveTransaction, "ROLLBACK TO SAVEPOINT can only be used in transaction blocks")
@@ -145,8 +146,8 @@
 	return "ROLLBACK", completed
 }
 
-// setSavepoint carries out SAVEPOINT and RELEASE. RELEASE keeps the savepoint: nothing observes that it
-// stays.
+// setSavepoint carries out SAVEPOINT and RELEASE. RELEASE does not remove the savepoint, because nothing
+// depends on its removal.
 func (c *engineConn) setSavepoint(word string) (tag string, result sessionResult) {
 	if c.txStatus == txIdle {
 		c.fail(codeNoActiveTransaction, word+" can only be used in transaction blocks")
--- a/internal/standin/session_functions.go
+++ b/internal/standin/session_functions.go
@@ -17,7 +17,7 @@
 )
 
 // executeSessionFunctions carries out function calls in a query that change or read the session. The result
-// is answered where that has answered the query, and notAboutSession where the query still has to be run.
+// is answered if the calls have answered the query, and notAboutSession if the query still has to be run.
 func (c *engineConn) executeSessionFunctions(st *sqlscan.Statement) (tag string, result sessionResult) {
 	if c.applyLockFunctions(st.Text) || c.terminateBackends(st.Text) || !c.applySetConfig(st.Text) {
 		return "", answered
@@ -110,7 +110,7 @@
 }
 
 // missingTemporaryTable returns the temporary table that a query reads and its session does not have; "":
-// none.
+// none. A table whose name begins with tmp_ counts as temporary.
 func (c *engineConn) missingTemporaryTable(words [4]string) string {
 	for i, word := range words {
 		if word != "FROM" || i+1 == len(words) {
--- a/internal/standin/statement.go
+++ b/internal/standin/statement.go
@@ -25,7 +25,8 @@
 	noticeWaiting  = "CP003"
 )
 
-// waitingForMemory is the value of a noticeWaiting: the query waits for memory.
+// waitingForMemory is the value of a noticeWaiting. Despite its name, 2 means that the query
+// waits for a bulk load (cresspass.NoteBlocked).
 const waitingForMemory = 2
 
 // execution holds the state of one execution of a statement.
@@ -108,8 +109,9 @@
 	return defaultValue
 }
 
-// runStatement runs a statement through the engine model and answers it. The tags in its comment say what it
-// needs: work_ms, threads, need_mb, rows, row_bytes, tables, loads. An error ends the connection.
+// runStatement runs a statement through the engine model and answers it. The tags in its comment or its first
+// parameter describe what it needs: work_ms, threads, need_mb, rows, row_bytes, tables, loads. An error ends
+// the connection.
 func (c *engineConn) runStatement(text, firstParameter string, describe bool) error {
 	x := c.newExecution(text, firstParameter, describe)
 	faults := c.engine.currentFaults()
@@ -154,7 +156,7 @@
 	return c.sendAnswer(x, outcome)
 }
 
-// jobAdmission says what the engine does with a job.
+// jobAdmission is what the engine does with a job.
 type jobAdmission int
 
 const (
