--- a/internal/simulation/baseline/mutant.go
+++ b/internal/simulation/baseline/mutant.go
@@ -86,8 +86,8 @@
 	return engines
 }
 
-// LoosenRule removes the dispatcher's own guard of a rule, which would otherwise cover for the module's
-// removed guard. It affects rule 1 only.
+// LoosenRule removes the dispatcher's own guard of a rule, which would otherwise hide that the module's guard
+// is removed. It affects rule 1 only.
 func LoosenRule(rule int, cfg *cresspass.Config) {
 	if rule == ignoreDeadline {
 		// The dispatcher answers a query itself if the module has not answered it within the answer grace.
--- a/internal/simulation/baseline/plain.go
+++ b/internal/simulation/baseline/plain.go
@@ -11,8 +11,8 @@
 const answerMargin = 20 * time.Millisecond
 
 // plainDecider admits every query and sends it immediately. It follows the engine list, retries idempotent
-// queries on other engines, and answers before the deadline. It knows nothing of query mixes, slow start,
-// ordering, placement constraints or retry budgets.
+// queries on other engines, and answers before the deadline. It ignores query mixes, slow start, ordering,
+// placement constraints and retry budgets.
 type plainDecider struct {
 	cfg              cresspass.Config
 	leastConnections bool // otherwise round robin
--- a/internal/simulation/comparison.go
+++ b/internal/simulation/comparison.go
@@ -6,7 +6,7 @@
 type Arm struct {
 	Name      string
 	Gossip    GossipMode
-	Byzantine int
+	Byzantine int // as Config.Byzantine
 }
 
 // Comparison holds how clients of restarted dispatchers were served, by arm, seed and window of time.
--- a/internal/simulation/config.go
+++ b/internal/simulation/config.go
@@ -14,8 +14,8 @@
 // The gossip modes.
 const (
 	NoGossip           GossipMode = iota // no gossip; ordinal and dispatcher count are configured
-	GossipOnly                           // they gossip; a starting dispatcher gets no model state of others
-	GossipAndBootstrap                   // they gossip; a starting one asks for the model state of others
+	GossipOnly                           // dispatchers gossip; a starting one gets no model state of others
+	GossipAndBootstrap                   // dispatchers gossip; a starting one asks the others for model state
 )
 
 func (m GossipMode) String() string { return [...]string{"silent", "talking", "newcomers"}[m] }
@@ -26,7 +26,7 @@
 	Rate    float64 // queries per second, to all dispatchers together
 	Work    float64 // mean thread seconds
 	Spread  float64 // sigma of the logarithm of the work
-	Threads float64
+	Threads float64 // of a query
 	Retries int     // how often a client retries a rejected query
 	Keys    int     // number of different keys of queries; 0: they have none
 	Tables  int     // number of different table groups of queries; 0: none
@@ -86,17 +86,17 @@
 	Traffic     []Traffic
 	Length      time.Duration
 	Gossip      GossipMode
-	Byzantine   int // number of dispatchers, the first ones, that send forged reports besides their own
+	Byzantine   int // number of dispatchers, the first ones, that also send forged reports
 	Network     NetworkConditions
 	Restarts    []Restart
 	Faults      []Fault
 	TransitTime time.Duration // from a dispatcher to an engine, one way
-	ListDelay   time.Duration // until dispatchers receive a change in the engine list
-	ReportDelay time.Duration // age of the engines' load reports
+	ListDelay   time.Duration // beyond minListDelay, until dispatchers receive a change in the engine list
+	ReportDelay time.Duration // minimum age of the engines' load reports
 	Imbalance   float64       // share of all clients at the busiest tenth of dispatchers; 0: even
 	OmitLoads   bool          // leave out Result.Loads
 	Workers     int           // see Queue.Workers
-	Replay      []Replay      // recorded queries, besides those of Traffic
+	Replay      []Replay      // recorded queries, in addition to those of Traffic
 }
 
 // class returns the class with the given name; nil if there is none.
--- a/internal/simulation/converge.go
+++ b/internal/simulation/converge.go
@@ -42,7 +42,7 @@
 	return latest-earliest < tolerance
 }
 
-// Propagated returns the share of the members that are up that know a value that one member observed.
+// Propagated returns how large a share of the members that are up knows a value that one member observed.
 func (f *Members) Propagated(k observation.Key, value float64) float64 {
 	up, known := 0.0, 0.0
 	for _, m := range f.All {
--- a/internal/simulation/enginemodel/model.go
+++ b/internal/simulation/enginemodel/model.go
@@ -62,7 +62,8 @@
 // WorkDone returns the work of all jobs done so far, in thread seconds.
 func (m *Model) WorkDone() float64 { return m.workDone }
 
-// Collapsed reports whether the engine collapsed under load while it was warming up. It stays down.
+// Collapsed reports whether the engine collapsed under load while it was warming up. A collapsed model stays
+// collapsed.
 func (m *Model) Collapsed() bool { return m.collapsed }
 
 // Threads returns the number of threads of all jobs that are not blocked.
--- a/internal/simulation/enginemodel/model_test.go
+++ b/internal/simulation/enginemodel/model_test.go
@@ -10,8 +10,8 @@
 
 const ms = time.Millisecond
 
-// Whatever the steps in which time advances, the same number of jobs finish, the same work is done, and it
-// never exceeds what the cores can do.
+// The number of jobs that finish and the work that is done do not depend on the steps in which time advances.
+// The work never exceeds what the cores can do.
 func TestResultIndependentOfStepSize(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kind := Kind{Cores: 4, MemoryMB: 100, SpillCost: 2, CachedDataSets: 2, CacheSaving: 0.3}
--- a/internal/simulation/experiment/calibrate.go
+++ b/internal/simulation/experiment/calibrate.go
@@ -74,7 +74,7 @@
 }
 
 // Calibrate plays a day with real processes, up to jobs runs at once, and in the simulation, each with the
-// seeds 1 to seeds, and returns the figures of each class. It returns the first error of a run.
+// seeds 1 to seeds, and returns the figures of each class. If runs fail, it returns the error of one of them.
 func Calibrate(ctx context.Context, d *rehearsal.Day, program []string, seeds, jobs int) ([]Row, error) {
 	measuredRuns, err := playWithProcesses(ctx, d, program, seeds, jobs)
 	if err != nil {
--- a/internal/simulation/experiment/day.go
+++ b/internal/simulation/experiment/day.go
@@ -10,8 +10,8 @@
 	"cresspass/internal/simulation/enginemodel"
 )
 
-// Parameters of the simulated engines of a day. They are those of a rehearsal, plus a bound on the number of
-// jobs.
+// Parameters of the simulation of a day. Those of the engines are equal to the parameters of a rehearsal's
+// stand-in engines.
 const (
 	spillCost       = 2.5 // see enginemodel.Kind
 	cachedSets      = 4
@@ -29,8 +29,9 @@
 	"ask":  simulation.GossipAndBootstrap,
 }
 
-// FromDay returns the simulation of a rehearsal's day. Sessions of several statements, Flight SQL, clients
-// that give up and faults of bytes on the wire are not modeled; they are left out.
+// FromDay returns the simulation of a rehearsal's day. Sessions of several statements, Flight SQL, and the
+// faults of the kinds that OmittedFaults returns (clients that give up, bytes on the wire, and others) are
+// not modeled; they are left out.
 func FromDay(d *rehearsal.Day, seed uint64) simulation.Config {
 	c := simulation.Config{
 		Seed:        seed,
--- a/internal/simulation/experiment/parse.go
+++ b/internal/simulation/experiment/parse.go
@@ -19,7 +19,7 @@
 const (
 	defaultSeeds  = 20
 	minSeeds      = 2
-	maxWarmUp     = 10 * time.Second // of the default warm-up
+	maxWarmUp     = 10 * time.Second // upper bound of the default warm-up
 	warmUpDivisor = 6                // the default warm-up is at most the length divided by this
 )
 
@@ -76,8 +76,8 @@
 	errs []error
 }
 
-// Parse reads and checks an experiment. Unless the file can't be read or decoded, the error joins everything
-// that is wrong with it.
+// Parse reads and checks an experiment. If the file can't be decoded, or its day can't be read, Parse returns
+// that error alone; otherwise the error joins everything that is wrong with the experiment.
 func Parse(name string, src []byte, from Sources) (*Experiment, error) {
 	p := &parser{name: name, from: from}
 	parsed, diags := hclparse.NewParser().ParseHCL(src, name)
--- a/internal/simulation/experiment/recording.go
+++ b/internal/simulation/experiment/recording.go
@@ -10,7 +10,8 @@
 )
 
 // maxSlowdown bounds the response time from which the work of a recorded query is derived, as a multiple of
-// the mean of the quickest tenth of its shape. Queries that took longer have waited.
+// the mean of the quickest tenth of its shape, which is all queries with its fingerprint. Queries that took
+// longer have waited.
 const maxSlowdown = 40
 
 // applyRecording replaces the random arrivals by recorded queries. The work of a query is derived from its
--- a/internal/simulation/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -170,7 +170,8 @@
 }
 
 // summarize returns the figures of a run. Requests that arrived so late that they may still be open at the
-// end are left out.
+// end are left out: those that arrived within the longest deadline of a class before the end, or within the
+// last quarter of the run if that is shorter.
 func (e *Experiment) summarize(cfg *simulation.Config, result *simulation.Result) (r seedResult) {
 	last := cfg.Length
 	for _, c := range cfg.Module.Classes {
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -20,7 +20,7 @@
 // disturbance holds the current effects of faults on clients and delays.
 type disturbance struct {
 	burstFactor   float64 // on the rate of all traffic
-	tailFactor    float64 // on the work of the longest queries
+	tailFactor    float64 // on the work of heavyTailShare of the queries
 	hotShare      float64 // of clients that connect to hotDispatcher
 	hotDispatcher int     // -1: none
 	shift         *Fault  // the fault that shifts traffic to its class; nil: none
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -26,8 +26,8 @@
 	return c
 }
 
-// A seed gives the same result whatever else runs and on any number of cores, and each client gets one answer
-// within its deadline.
+// A seed gives the same result on any number of cores and while other simulations run, and each client gets
+// one answer within its deadline.
 func TestFleetIsDeterministic(t *testing.T) {
 	run := func(i int) (*Result, error) {
 		c := smallFleet(uint64(1+i/2), GossipAndBootstrap, 1)
--- a/internal/simulation/members_test.go
+++ b/internal/simulation/members_test.go
@@ -75,8 +75,8 @@
 	})
 }
 
-// Simultaneous events of different owners are executed in the same order, whatever order they were scheduled
-// in.
+// The order in which simultaneous events of different owners are executed does not depend on the order in
+// which they were scheduled.
 func TestSimultaneousEventsHaveOneOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "events")
--- a/internal/simulation/parallel.go
+++ b/internal/simulation/parallel.go
@@ -11,7 +11,7 @@
 // time, and most of the work of a large fleet is in these ticks. The apply parts run one after another in the
 // queue's order, so a run has the same result on any number of cores.
 type parallelRunner struct {
-	workers int // goroutines that run local parts, the queue's own included; 0: GOMAXPROCS
+	workers int // goroutines that run local parts, including the caller of Run; 0: GOMAXPROCS
 	batch   []event
 	starts  []int // index in batch of each owner's first event
 	next    atomic.Int64
--- a/internal/simulation/statistics.go
+++ b/internal/simulation/statistics.go
@@ -42,7 +42,8 @@
 }
 
 // Bootstrap estimates the q-quantile of the samples of independent runs. It resamples whole runs with
-// replacement, times times; the interval covers the middle 95% of the resampled quantiles.
+// replacement; times is the number of resamples. The interval covers the middle 95% of the resampled
+// quantiles.
 func Bootstrap(runs [][]float64, times int, seed uint64, q float64) Estimate {
 	r := rand.New(rand.NewPCG(seed, bootstrapStream))
 	type sample struct {
--- a/internal/simulation/violations.go
+++ b/internal/simulation/violations.go
@@ -11,9 +11,9 @@
 type RuleViolations struct {
 	LateAnswers         int // after the client's deadline (rule 1)
 	SendsToDrained      int // to a draining or removed engine, after the drain grace (rule 3)
-	InformedCollapses   int // of engines that warm up, by dispatchers that knew of their start (rule 4)
+	InformedCollapses   int // of engines that warm up, by dispatchers that knew of the start (rule 4)
 	RetriesOverBudget   int // rule 7
-	UninformedCollapses int // mostly by dispatchers that did not know: no violation
+	UninformedCollapses int // over a third of the work by dispatchers that did not know: no violation
 }
 
 // Total returns the number of violations.
@@ -50,7 +50,8 @@
 	informed bool // its dispatcher knew of the engine's start
 }
 
-// recordArrival records work that reaches an engine during its warm-up, and keeps the overload window's part.
+// recordArrival records work that reaches an engine during its warm-up, and drops work that is older than the
+// overload window.
 func (f *Fleet) recordArrival(e *engine, work float64, informed bool) {
 	now := f.queue.Now()
 	if e.startedAt == 0 || now-e.startedAt > e.Machine.SlowStartDuration {
