--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -16,7 +16,7 @@
 type entry struct {
 	test    string // the name of a test function, or soakName
 	command string // the command that fails, with its seed
-	seen    string // what was seen
+	seen    string // the failure that was seen
 	issue   string // as "issue 7"
 }
 
