--- a/internal/rehearsal/newcomers.go
+++ b/internal/rehearsal/newcomers.go
@@ -88,8 +88,9 @@
 	Abandoned: simulation.Abandoned,
 }
 
-// AllRequests returns a day's requests in the simulation's form. Their classes are numbered in the order of
-// the settings; sessions, which are counted under no class of the settings, have -1.
+// AllRequests returns a day's requests in the simulation's form, each retry as a request of its own. The
+// classes of the requests are numbered in the order of the settings; sessions, which are counted under no class of the
+// settings, have -1.
 func (r *Result) AllRequests() (out []simulation.Request) {
 	numbers, objectives := map[string]int{}, map[string]time.Duration{}
 	for i, c := range r.Day.Module.Classes {
--- a/internal/rehearsal/report.go
+++ b/internal/rehearsal/report.go
@@ -17,7 +17,8 @@
 	"cresspass/internal/rehearsal/rulecheck"
 )
 
-// Sample is the outcome of one request.
+// Sample is the outcome of one request. A client's retry is a request of its own, with the same intended
+// start.
 type Sample struct {
 	At      time.Duration `json:"at"` // of the outcome, since the day's start
 	Class   string        `json:"class"`
