--- a/internal/simulation/wirehost/host.go
+++ b/internal/simulation/wirehost/host.go
@@ -19,7 +19,7 @@
 // exitTimeout is how long the program may take to exit after the end of its input.
 const exitTimeout = 5 * time.Second
 
-// Host is a running program. Except for Close, it must not be used by several goroutines at once.
+// Host is a running program. It must not be used by several goroutines at once.
 type Host struct {
 	command      string
 	cmd          *exec.Cmd
