--- a/internal/rehearsal/newcomers.go
+++ b/internal/rehearsal/newcomers.go
@@ -89,8 +89,8 @@
 }
 
 // AllRequests returns a day's requests in the simulation's form, each retry as a request of its own. The
-// classes of the requests are numbered in the order of the settings; sessions, which are counted under no class of the
-// settings, have -1.
+// classes of the requests are numbered in the order of the settings; sessions, which are counted under no
+// class of the settings, have -1.
 func (r *Result) AllRequests() (out []simulation.Request) {
 	numbers, objectives := map[string]int{}, map[string]time.Duration{}
 	for i, c := range r.Day.Module.Classes {
