--- a/internal/storage/doc.go
+++ b/internal/storage/doc.go
@@ -8,5 +8,5 @@
 // and read no clock. The package makes no decisions about engines, and a failing disk must never delay a
 // query.
 //
-// A file that cannot be read is set aside, and the dispatcher starts without state.
+// A file of another format is set aside, and the dispatcher starts without state.
 package storage
--- a/internal/storage/instant.go
+++ b/internal/storage/instant.go
@@ -31,9 +31,9 @@
 	return now
 }
 
-// Sub returns the time from then to now, at least zero. If the machine was rebooted in between, or if then is
-// in the future by the clock, the time is not known and counts as zero: what is kept for a window is then
-// kept for a whole window from now on.
+// Sub returns the time from then to now, at least zero. The time counts as zero if it is not known: if the
+// machine was rebooted in between, if only one of the boot IDs is known, or if then is in the future by the
+// clock. A record that is kept for a window is then kept for a whole window from now on.
 func (now Instant) Sub(then Instant) time.Duration {
 	switch {
 	case now.BootID != then.BootID:
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -18,8 +18,8 @@
 //	record: length(4) checksum(4) kind(1) payload
 //
 // The checksum is CRC-32C over kind and payload, and the length counts both, in bytes. A record that is
-// truncated or does not match its checksum ends the log: what follows it was never acknowledged, or cannot be
-// distinguished from garbage.
+// truncated, has an impossible length or does not match its checksum ends the log: the bytes after it were
+// never acknowledged, or cannot be distinguished from garbage.
 const (
 	headerMagic      = "cresspass state"
 	formatVersion    = 1
@@ -65,7 +65,8 @@
 
 func encodeHeader() []byte { return append([]byte(headerMagic), formatVersion, '\n') }
 
-// decodeLog returns the records before the first damaged one, and the size in bytes of the valid part.
+// decodeLog returns the records before the first damaged one, and the size in bytes of the valid part. The
+// error is ErrFormat if the header is wrong.
 func decodeLog(b []byte) (records []Record, validSize int, err error) {
 	header := encodeHeader()
 	if len(b) < len(header) || string(b[:len(header)]) != string(header) {
@@ -100,9 +101,9 @@
 	path          string
 	file          File  // nil until a rewrite has created it
 	unsyncedName  bool  // the directory has not been synced since the file was renamed
-	durableSize   int64 // bytes that are durable
+	durableSize   int64 // size of the durable part, in bytes
 	tornTail      bool  // bytes of a failed append may follow the durable ones
-	compactedSize int64 // size after it was last rewritten
+	compactedSize int64 // size after the last rewrite, in bytes
 	lockFile      *os.File
 	createFile    func(path string) (File, error)
 	syncDirectory func(dir string) error
@@ -110,8 +111,8 @@
 
 // Open locks a directory, opens its log and returns the records of the log. It creates the directory if it
 // does not exist. Damage is logged; a file of another format is renamed with the suffix .damaged. The log is
-// opened even if the disk cannot be written: see NeedsRewrite. The error is ErrLocked if another process has
-// locked the directory.
+// opened even if the disk cannot be written: see NeedsRewrite. The error wraps ErrLocked if another process
+// has locked the directory.
 func Open(dir string, logger *slog.Logger) (*Log, []Record, error) {
 	if err := makeDirectory(dir); err != nil {
 		return nil, nil, err
@@ -145,7 +146,8 @@
 	return lockFile, nil
 }
 
-// readFile returns the records of the file, or none if there is no file. It renames a file of another format.
+// readFile returns the records of the file, or none if there is no file or the file has another format. It
+// renames a file of another format.
 func (l *Log) readFile(logger *slog.Logger) ([]Record, error) {
 	b, err := os.ReadFile(l.path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -187,9 +189,9 @@
 	return os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, fileMode)
 }
 
-// Append appends records and makes them durable. After an error the log holds the same records as before, and
-// the next call first truncates what the failed one may have left. Append fails while NeedsRewrite reports
-// true.
+// Append appends records and makes them durable. After an error none of these records counts as appended, and
+// the next call first removes the bytes that the failed call may have left. Append fails while NeedsRewrite
+// reports true.
 func (l *Log) Append(records []Record) error {
 	if l.NeedsRewrite() {
 		return errNotRewritten
@@ -208,7 +210,7 @@
 	}
 	l.tornTail = true
 	if _, err := l.file.Write(out); err != nil {
-		// Truncating frees space on a full disk; if it fails, the next call does it first.
+		// Truncating frees space on a full disk. If Truncate fails, the next call of Append tries it first.
 		l.tornTail = l.file.Truncate(l.durableSize) != nil
 		return fmt.Errorf("storage: append to state log: %w", err)
 	}
@@ -248,7 +250,7 @@
 			os.Remove(temporary))
 	}
 	if l.file != nil {
-		_ = l.file.Close() // this file has been replaced
+		_ = l.file.Close() // the rename has replaced this file
 	}
 	l.file, l.durableSize, l.compactedSize, l.tornTail = file, int64(len(out)), int64(len(out)), false
 	l.unsyncedName = true
@@ -278,7 +280,7 @@
 		return err
 	}
 	err = d.Sync()
-	_ = d.Close() // it was only opened for reading
+	_ = d.Close() // the directory was only opened for reading
 	return err
 }
 
@@ -290,6 +292,6 @@
 	return errors.Join(l.file.Close(), l.lockFile.Close())
 }
 
-// NeedsRewrite reports whether the log could not be written since it was opened, or whether a power cut may
-// still bring back the log that it replaced. In both cases appended records could be lost.
+// NeedsRewrite reports whether no rewrite has succeeded since the log was opened, or whether a power cut may
+// still bring back the log that the last rewrite replaced. In both cases appended records could be lost.
 func (l *Log) NeedsRewrite() bool { return l.file == nil || l.unsyncedName }
--- a/internal/storage/recovery.go
+++ b/internal/storage/recovery.go
@@ -11,8 +11,8 @@
 	Allow Decision = iota
 	// Delay holds the query back for a while: an earlier write with its ordering key may still be running.
 	Delay
-	// Reject rejects the query and says when to retry: it may have run on one group of engines, and another
-	// group would run it again.
+	// Reject rejects the query with a time after which to retry: the same write may have run on one group of
+	// engines, and another group would run it again.
 	Reject
 )
 
@@ -43,8 +43,8 @@
 	windowLeft time.Duration
 }
 
-// NewRecoveryGuard returns the guard of a dispatcher that restarted with a state. settleDelay is how long an
-// ordering key stays unused after a write with an unknown outcome.
+// NewRecoveryGuard returns the guard of a dispatcher that restarted with a state. settleDelay is how long,
+// counted from the restart, the ordering key of a write with an unknown outcome stays unused.
 func NewRecoveryGuard(s *State, restartedAt Instant, settleDelay time.Duration) *RecoveryGuard {
 	g := &RecoveryGuard{settleDelay: settleDelay}
 	for _, w := range s.PendingWrites(restartedAt) {
@@ -62,9 +62,10 @@
 //
 // When the dispatcher crashes, the outcome of a write in flight is unknown, so its key is not used until
 // settleDelay after the restart. A repeat of the same query is harmless only as long as engines drop it.
-// Where only one group of engines drops it, the decision module cannot be told which group, and the repeat is
-// rejected until the window is over. A rejection promises that a later retry is harmless. It is: by then that
-// group has run the write or never will, and the client's next attempt is a new query by its own decision.
+// If only one group of engines drops the repeat, the repeat is rejected until the window is over, because the
+// decision module has no input that names the group. A rejection promises that a later retry is harmless.
+// That holds: by then the group has run the write or never will, and the client's next attempt is a new query
+// by the client's own decision.
 func (g *RecoveryGuard) Check(sinceRestart time.Duration, class, key string, hash uint64) (Decision,
 	time.Duration) {
 	decision, wait := Allow, time.Duration(0)
--- a/internal/storage/recovery_test.go
+++ b/internal/storage/recovery_test.go
@@ -26,8 +26,8 @@
 		{0, "k1", 9, Delay, 500 * time.Millisecond},                         // another write with the key
 		{0, "k9", 9, Allow, 0},                                              // another key
 		{600 * time.Millisecond, "k2", 2, Allow, 0},                         // the key may be used again
-		{600 * time.Millisecond, "k1", 1, Reject, 13400 * time.Millisecond}, // still in its window
-		{15 * time.Second, "k1", 1, Allow, 0},                               // its window is over
+		{600 * time.Millisecond, "k1", 1, Reject, 13400 * time.Millisecond}, // the write's window is not over
+		{15 * time.Second, "k1", 1, Allow, 0},                               // the write's window is over
 	} {
 		if got, wait := guard.Check(c.after, "load", c.key, c.hash); got != c.want || wait != c.wait {
 			t.Errorf("after %v key %s: %v for %v; want %v for %v", c.after, c.key, got, wait, c.want, c.wait)
--- a/internal/storage/state.go
+++ b/internal/storage/state.go
@@ -14,8 +14,8 @@
 	// MaxPendingWrites bounds the remembered writes; beyond it the oldest is forgotten. It bounds the
 	// remembered sticky sessions as well; beyond it a new session is not added.
 	MaxPendingWrites = 10000
-	// unknownAge stands for the age of a model state from the future, which is left when the clock is set
-	// back.
+	// unknownAge is the age that counts for a model state whose time is in the future, because the clock was
+	// set back.
 	unknownAge = time.Hour
 )
 
@@ -27,7 +27,7 @@
 	modelStateAt     time.Time
 	lastIncarnation  uint64
 	cleanShutdown    bool
-	incarnationNames []string // whose sessions may still be open on engines
+	incarnationNames []string // of incarnations whose sessions may still be open on engines
 	stickySessions   map[uint64]orphanedsession.Session
 }
 
@@ -132,7 +132,8 @@
 	return true
 }
 
-// Compacted returns the fewest records that produce this state. It leaves out writes whose window is over.
+// Compacted returns the fewest records that produce this state. It leaves out clean shutdowns, and writes
+// whose window is over.
 func (s *State) Compacted(now Instant) (records []Record) {
 	if s.modelState != nil {
 		records = append(records, ModelStateRecord(s.modelStateAt, s.modelState))
@@ -167,8 +168,9 @@
 }
 
 // PendingWrites returns the writes whose outcome is unknown and whose deduplication window is not over, the
-// earliest first. The wall clock may have jumped since they were sent: a write from the future counts as sent
-// now, so that it is forgotten one window later and not only when the clock has caught up.
+// earliest first. A write whose age counts as zero, because the wall clock was set back or the machine was
+// rebooted since it was sent, counts as sent now. So it is forgotten one window later, and not only when the
+// clock has caught up.
 func (s *State) PendingWrites(now Instant) (writes []WriteAttempt) {
 	for _, w := range s.pendingWrites {
 		age := now.Sub(w.sentInstant())
@@ -185,8 +187,9 @@
 	return writes
 }
 
-// ModelState returns what the decision module had learned and how old that is; nil: nothing. If the state is
-// from the future, because the clock jumped back, its age is not known and counts as unknownAge.
+// ModelState returns what the decision module had learned, and its age; nil: nothing was learned. If the time
+// of the state is in the future, because the clock was set back, the age is not known and counts as
+// unknownAge.
 func (s *State) ModelState(now time.Time) (data []byte, age time.Duration) {
 	if age = now.Sub(s.modelStateAt); age < 0 {
 		age = unknownAge
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -12,7 +12,7 @@
 
 const (
 	// queueCapacity is how many records may wait for the writer. maxPending is how many records the writer
-	// keeps while the disk fails.
+	// keeps while the disk fails; if there are more, it drops them all and rewrites the log from its state.
 	queueCapacity = 1 << 16
 	maxPending    = 1 << 14
 	// batchInterval is how long records are collected before they are made durable together.
@@ -34,20 +34,22 @@
 	failedWrites atomic.Uint64
 
 	// Used by the writer's goroutine, and by Close after that has ended.
-	log          *Log
-	state        *State         // with all records taken from the queue, durable or not
-	pending      []queuedRecord // not durable yet, in order
-	needsRewrite bool           // the log lacks records that are no longer in pending
+	log     *Log
+	state   *State         // with all records taken from the queue, durable or not
+	pending []queuedRecord // not durable yet, in order
+	// needsRewrite says that the next flush must rewrite the log from state: the log lacks records that are
+	// no longer in pending, or its last rewrite failed.
+	needsRewrite bool
 }
 
 // queuedRecord is a record on its way to the disk.
 type queuedRecord struct {
 	record  Record
-	durable chan struct{} // closed once the record is durable; nil: nobody waits
+	durable chan struct{} // closed once the record is durable; nil: no caller waits
 }
 
 // OpenStore opens a state directory, and returns its store and the state that the last incarnation left. The
-// error is ErrLocked if another process has the directory open.
+// error wraps ErrLocked if another process has the directory open.
 func OpenStore(dir string, logger *slog.Logger) (*Store, *State, error) {
 	log, records, err := Open(dir, logger)
 	if err != nil {
@@ -80,7 +82,8 @@
 func (s *Store) Put(r Record) bool { return s.enqueue(queuedRecord{record: r}) }
 
 // PutDurable queues a record to be written, and returns a channel that is closed once the record is durable;
-// nil: the record was dropped.
+// nil: the record was dropped. The channel is never closed if Close cannot write the record, or if the writer
+// drops it from the pending records because there are more than maxPending.
 func (s *Store) PutDurable(r Record) <-chan struct{} {
 	q := queuedRecord{r, make(chan struct{})}
 	if !s.enqueue(q) {
@@ -108,8 +111,8 @@
 // Counts returns how many records were dropped, and how many attempts to write to the log failed.
 func (s *Store) Counts() (dropped, failed uint64) { return s.dropped.Load(), s.failedWrites.Load() }
 
-// Close writes what is queued and closes the directory. Records that are put later are dropped. The error
-// says how many records could not be written.
+// Close writes the queued records and closes the directory. Records that are put later are dropped. If
+// records could not be written, the error has the number of those that are still pending.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	if !s.closed {
@@ -166,7 +169,7 @@
 	return batch
 }
 
-// hasBacklog reports whether the log lacks records that were taken from the queue.
+// hasBacklog reports whether records are pending or the log must be rewritten.
 func (s *Store) hasBacklog() bool { return len(s.pending) > 0 || s.needsRewrite }
 
 // writeBatch makes a batch durable, together with the pending records.
@@ -174,7 +177,7 @@
 	s.state.Apply(recordsOf(batch))
 	s.pending = append(s.pending, batch...)
 	if err := s.flush(); err != nil {
-		// While the disk is full, a restart would lose the latest records, but no query fails.
+		// While the log cannot be written, a restart would lose the latest records, but no query fails.
 		if s.failedWrites.Add(1) == 1 {
 			s.logger.Error("state log not written", "error", err)
 		}
@@ -191,7 +194,8 @@
 	s.pending = nil
 }
 
-// flush appends the pending records, or rewrites the log if that is needed or if the log has grown enough.
+// flush appends the pending records, and compacts the log if it has grown enough. If needsRewrite is set,
+// flush rewrites the whole log instead.
 func (s *Store) flush() error {
 	if s.needsRewrite {
 		if err := s.log.Rewrite(s.state.Compacted(Now())); err != nil {
