--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,6 @@
 // Package daemon runs a dispatcher as a service: signals, readiness, health checks, reloads, the PID file,
 // and the handover of its listening sockets to a successor process. It owns the process's sockets and files.
-// Package lifecycle decides what is done when, and package server handles the queries.
+// Package lifecycle decides which actions follow an event, and package server handles the queries.
 package daemon
 
 import (
@@ -56,10 +56,11 @@
 	startedAt time.Time
 	state     atomic.Int32    // the machine's state, for health checks
 	handover  *handoverServer // nil: the settings name no takeover socket
-	stopped   bool            // ends the event loop
+	stopped   bool            // set by Exit; ends the event loop
 }
 
-// Run runs a dispatcher until it is stopped or has handed over. The error says why it could not start.
+// Run runs a dispatcher until it is stopped or has handed over. It returns an error only if the dispatcher
+// could not start.
 func Run(ctx context.Context, o Options) error {
 	d := &daemon{options: o, logger: o.Logger, machine: lifecycle.New(lifecycle.Config{
 		DrainTimeout: o.Config.DrainTimeout, HandoverTimeout: handoverTimeout}),
--- a/internal/daemon/env_test.go
+++ b/internal/daemon/env_test.go
@@ -138,8 +138,7 @@
 }
 
 // waitForCachedList waits for the engine list in the state directory and returns its path. A dispatcher
-// caches its first list only after it has become ready, so a test that reads the file at once may not find
-// it.
+// caches its first list only after it has become ready, so a test that reads the file at once may find none.
 func (env *testEnv) waitForCachedList(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(env.dir, "state", "list")
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -8,8 +8,9 @@
 // with its listening sockets in a control message (SCM_RIGHTS, unix(7)), PostgreSQL's first and then Flight
 // SQL's if it is served. Or it answers "no" and a reason. After "here" both processes accept connections. The
 // successor sends "serving" once it serves. The predecessor then releases the Unix socket, sends "draining",
-// drains, and releases its state directory; the successor takes over both. If the connection ends before
-// "serving", the successor has died, and the predecessor continues alone.
+// drains, and releases its state directory. The successor takes over the Unix socket and the state directory.
+// If the connection ends before "serving", the successor has died or given up, and the predecessor continues
+// alone.
 const (
 	messageRequest   = "socket"
 	messageListeners = "here"
@@ -31,7 +32,7 @@
 	successorWriteTimeout = time.Second
 	// predecessorTimeout bounds the wait for the listening sockets of a predecessor that may hang.
 	predecessorTimeout = 10 * time.Second
-	// endpointListTimeout is how long a successor waits for its endpoint list before it gives up.
+	// endpointListTimeout is how long a successor waits for its first endpoint list before it gives up.
 	endpointListTimeout = 10 * time.Second
 	// socketTimeout is how long listenUnix waits for another process to release the Unix socket, and
 	// socketInterval is the time between two attempts.
--- a/internal/daemon/handover_client.go
+++ b/internal/daemon/handover_client.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return nil, nil, errors.Join(err, c.Close())
 	}
-	_ = c.SetDeadline(time.Time{}) // if the connection is lost, the next write fails
+	_ = c.SetDeadline(time.Time{}) // an error means a lost connection, and then the next write fails
 	return listeners, &predecessorConn{conn: c, lines: bufio.NewScanner(c)}, nil
 }
 
@@ -109,7 +109,7 @@
 	if err != nil {
 		return nil, err
 	}
-	select { // without an endpoint list it would accept connections and serve none of them
+	select { // without an endpoint list this process would accept connections and serve none of them
 	case <-s.ListReady():
 	case <-time.After(endpointListTimeout):
 		s.Close()
@@ -128,11 +128,11 @@
 			return nil, rejectedError(answer)
 		}
 	}
-	// The predecessor died at this point of the handover, so only this process has the sockets. If it gave
-	// up, no process would serve them.
+	// The predecessor died at this point of the handover, so only this process has the sockets. If this
+	// process gave up too, no process would serve them.
 	o.Logger.Warn("predecessor ended before it announced its drain")
 	return s, nil
 }
 
-// close closes the connection. The errors do not matter: the last answer has been read.
+// close closes the connection. An error does not matter: the last answer has been read.
 func (p *predecessorConn) close() { _ = p.conn.Close() }
--- a/internal/daemon/handover_server.go
+++ b/internal/daemon/handover_server.go
@@ -29,7 +29,8 @@
 	handlers sync.WaitGroup
 }
 
-// listenForSuccessors listens on the Unix socket at path and passes what successors do to events.
+// listenForSuccessors listens on the Unix socket at path, and sends an event to events for each message of a
+// successor and for the end of its connection.
 func listenForSuccessors(path string, events chan<- lifecycle.Event, logger *slog.Logger) (*handoverServer,
 	error) {
 	ln, err := listenUnix(path)
@@ -139,7 +140,7 @@
 		if f, err = ln.File(); err != nil {
 			break
 		}
-		defer func() { _ = f.Close() }() // a duplicate, which stays open until it is sent
+		defer func() { _ = f.Close() }() // a duplicate, needed until the message is sent
 		fds = append(fds, int(f.Fd()))
 	}
 	if err == nil {
@@ -147,7 +148,7 @@
 	}
 	if err != nil {
 		h.logger.Warn("listening sockets not handed over", "successor", successorID, "error", err)
-		_ = c.Close() // after an error
+		_ = c.Close() // the error has been logged
 	}
 }
 
@@ -159,7 +160,7 @@
 	}
 }
 
-// announceDrain releases the Unix socket and tells all successors that this dispatcher drains.
+// announceDrain releases the Unix socket and notifies all connected successors that this dispatcher drains.
 func (h *handoverServer) announceDrain() {
 	h.listener.SetUnlinkOnClose(true)
 	_ = h.listener.Close() // no more successors are accepted, and the process ends soon
@@ -170,8 +171,8 @@
 	}
 }
 
-// writeLine sends a line to a successor, which has successorWriteTimeout to take it. Errors are ignored:
-// serve sees when the connection is gone.
+// writeLine sends a line to a successor, and waits at most successorWriteTimeout. Errors are ignored: serve
+// notices when the connection has ended.
 func writeLine(c *net.UnixConn, line string) {
 	if err := c.SetWriteDeadline(time.Now().Add(successorWriteTimeout)); err == nil {
 		_, _ = c.Write([]byte(line + "\n"))
--- a/internal/daemon/health.go
+++ b/internal/daemon/health.go
@@ -37,15 +37,15 @@
 	Served      uint64 `json:"served"`
 	Rejected    uint64 `json:"refused"`
 	Failed      uint64 `json:"failed"`
-	Abandoned   uint64 `json:"gone"` // by their clients
+	Abandoned   uint64 `json:"gone"` // queries that their clients have abandoned
 	// UnrecordedWrites counts write attempts that were sent before their record was durable. After a crash
 	// such a write may be sent twice.
 	UnrecordedWrites uint64 `json:"unrecorded_writes,omitempty"`
 
 	// Violations counts the violations of each invariant. Any violation is a defect.
 	Violations map[invariant.Name]uint64 `json:"violations"`
-	// Withheld counts, for each invariant, the actions that it stopped: they were allowed when they were
-	// decided, and not any more when they were due.
+	// Withheld counts, for each invariant, the actions that the invariant stopped: they were allowed when
+	// they were decided, but no longer when they were due.
 	Withheld map[invariant.Name]uint64 `json:"withheld"`
 }
 
@@ -73,8 +73,8 @@
 	}
 }
 
-// healthHandler answers /live (200 while the process runs), /ready (200 while it takes clients) and /health
-// (JSON). Errors of writing an answer are ignored: its client is gone.
+// healthHandler answers /live (200 while the process runs), /ready (200 while Health.Ready is true, otherwise
+// 503) and /health (Health as JSON). Errors of writing an answer are ignored: its client is gone.
 func (d *daemon) healthHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(livePath, func(w http.ResponseWriter, r *http.Request) {
--- a/internal/daemon/health_test.go
+++ b/internal/daemon/health_test.go
@@ -12,7 +12,8 @@
 	"cresspass/internal/rehearsal/testbed"
 )
 
-// Health checks and the service manager see that a daemon has no list yet, is ready, and stops.
+// Health checks report that a daemon without an endpoint list is live and not ready, and later that it is
+// ready. The service manager is notified when the daemon is ready and when it stops.
 func TestHealth(t *testing.T) {
 	env := newTestEnv(t)
 	addr, err := testbed.FreePort()
@@ -26,7 +27,7 @@
 	}
 	defer serviceManager.Close()
 	t.Setenv("NOTIFY_SOCKET", filepath.Join(env.dir, "notify"))
-	env.testbed.Discovery.SetUnavailable(true) // no list yet: it listens, and is not ready
+	env.testbed.Discovery.SetUnavailable(true) // no list yet: the daemon listens, and is not ready
 	o, log := env.options(t, fmt.Sprintf("health = %q\n", addr), false)
 	s := &runningDaemon{stop: make(chan struct{}), done: make(chan error, 1), log: log}
 	o.Stop = s.stop
--- a/internal/daemon/lifecycle/machine.go
+++ b/internal/daemon/lifecycle/machine.go
@@ -10,11 +10,11 @@
 
 // The states of a daemon, in the order in which it passes through them. Only a failed handover leads back.
 const (
-	Starting    State = iota // it listens, but has no endpoint list yet
-	Ready                    // it serves
-	HandingOver              // it serves, while a successor takes over its sockets
-	Draining                 // it accepts no connections; running queries may finish
-	Stopped                  // it must exit
+	Starting    State = iota // the daemon listens, but has no endpoint list yet
+	Ready                    // the daemon serves
+	HandingOver              // a successor takes over the sockets; the daemon goes on as before
+	Draining                 // the daemon accepts no connections; running queries may finish
+	Stopped                  // the daemon must exit
 )
 
 // String returns the name of the state, as health checks report it.
@@ -27,20 +27,20 @@
 
 // The types of events.
 const (
-	EndpointsKnown     EventType = iota // an endpoint list is in force, received or cached
+	EndpointsKnown     EventType = iota // the first endpoint list is known, received or cached
 	Terminate                           // a request to stop: SIGTERM or SIGINT
 	Reload                              // a request to read the settings again: SIGHUP
 	Drained                             // no client and no query is left
 	Tick                                // time has passed; a deadline may have been reached
 	SuccessorConnected                  // a process asks for the listening sockets
 	SuccessorServing                    // a successor reports that it serves
-	SuccessorLost                       // a successor's connection has ended; ignored in a drain
+	SuccessorLost                       // a successor's connection has ended; ignored outside of its handover
 )
 
 // Event is one thing that happened.
 type Event struct {
 	Type        EventType
-	SuccessorID uint64 // set for the three Successor events
+	SuccessorID uint64 // set for SuccessorConnected, SuccessorServing and SuccessorLost
 }
 
 // ActionType is the type of an Action.
@@ -48,13 +48,13 @@
 
 // The types of actions.
 const (
-	NotifyReady     ActionType = iota // tell the service manager that the daemon is ready
-	NotifyStopping                    // tell the service manager that the daemon stops
+	NotifyReady     ActionType = iota // notify the service manager that the daemon is ready
+	NotifyStopping                    // notify the service manager that the daemon stops
 	ReloadConfig                      // read the settings again, and apply all or none of them
 	SendListeners                     // send the listening sockets to a successor; both accept from then on
 	RejectSuccessor                   // reject a successor
 	StartDrain                        // accept no connections; close idle clients; let running queries finish
-	ForceClose                        // end all that is left, each query with its one final answer
+	ForceClose                        // end all clients and queries; each query gets its one final answer
 	Exit
 )
 
@@ -143,8 +143,8 @@
 	case Starting, Ready:
 		m.startDrain(now)
 	case HandingOver:
-		// If the handover went on, the successor could drain at the same time, and no process would serve. It
-		// is rejected, and starts on its own or not at all.
+		// If the handover went on, the successor could drain at the same time, and no process would serve. So
+		// the successor is rejected: it starts without a handover or not at all.
 		m.emit(RejectSuccessor, m.successorID)
 		m.startDrain(now)
 	case Draining:
@@ -153,7 +153,7 @@
 }
 
 // beginHandover starts a handover to a successor. The successor is rejected if another handover is under way,
-// or if the daemon drains and has nothing left to hand over.
+// or if the daemon drains or has stopped and has nothing left to hand over.
 func (m *Machine) beginHandover(now time.Duration, successorID uint64) {
 	if m.state != Ready && m.state != Starting {
 		m.emit(RejectSuccessor, successorID)
@@ -190,7 +190,8 @@
 	m.emit(StartDrain, 0)
 }
 
-// forceClose emits ForceClose, but only once. Drained follows, as nothing is left then.
+// forceClose emits ForceClose, but only once. The caller then sends Drained, as no client and no query is
+// left.
 func (m *Machine) forceClose() {
 	if !m.forceClosed {
 		m.forceClosed = true
--- a/internal/daemon/load_test.go
+++ b/internal/daemon/load_test.go
@@ -54,9 +54,9 @@
 				switch {
 				case err == nil:
 					s.served.Add(1)
-				case sqlState(err) == "53000": // an answer: on a busy machine engines look slow
+				case sqlState(err) == "53000": // counts as an answer: on a busy machine engines look slow
 					s.rejected.Add(1)
-				case sqlState(err) == "57P01": // not run, as the dispatcher drains; reconnect
+				case sqlState(err) == "57P01": // the statement did not run: the dispatcher drains; reconnect
 					s.disconnected.Add(1)
 				default:
 					s.lost.Add(1)
--- a/internal/daemon/restart_test.go
+++ b/internal/daemon/restart_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// After a dispatcher died with a write whose outcome is unknown, the write's ordering key is not used for
-// order_rest. The same write is rejected until its deduplication window is over, where only one group of
-// engines would drop the repeat.
+// After a dispatcher died with a write whose outcome is unknown, the write's ordering key stays unused for
+// the time of the setting order_rest. If only one group of engines would drop a repeat of the write, the same
+// write is rejected until its deduplication window is over.
 func TestRestartHonorsPendingWrites(t *testing.T) {
 	env := newTestEnv(t)
 	s := env.start(t, "", false)
 	c := env.connect(t)
 	go func() {
-		_, _ = c.Exec(context.Background(), // it ends with its dispatcher; the error does not matter
+		_, _ = c.Exec(context.Background(), // the query ends with its dispatcher; the error does not matter
 			"insert into t values (7) /*class='load',key='k',work_ms='60000',id='l'*/")
 	}()
 	for begin := time.Now(); ; time.Sleep(5 * time.Millisecond) {
--- a/internal/daemon/signals/signals.go
+++ b/internal/daemon/signals/signals.go
@@ -9,10 +9,10 @@
 	"syscall"
 )
 
-// Notify returns a channel that delivers SIGHUP, SIGTERM and SIGINT. Signals that arrive before earlier ones
-// of their kind, reload or stop, are received may be merged with them, and a stop may overtake a reload. Call
-// Notify before anything else: the default action of SIGHUP ends the process. stop ends the delivery and must
-// be called exactly once.
+// Notify returns a channel that delivers SIGHUP, SIGTERM and SIGINT. SIGHUP requests a reload, the other two
+// request a stop. Several requests of one kind may be delivered as one if the first has not been received
+// yet, and a stop may overtake a reload. Call Notify before anything else: the default action of SIGHUP ends
+// the process. stop ends the delivery and must be called exactly once.
 func Notify() (received <-chan os.Signal, stop func()) {
 	// Package os/signal drops signals that do not fit the channel. A capacity of one each is enough: a second
 	// pending reload, or a second pending request to stop, adds nothing.
