--- a/internal/affinity/limiter.go
+++ b/internal/affinity/limiter.go
@@ -9,8 +9,8 @@
 type Limits struct {
 	// IdleInTransaction is how long a transaction may be idle before its session is ended.
 	IdleInTransaction time.Duration
-	// MaxAge is how long a session may be sticky before it is ended. It is ended between statements and
-	// outside of transactions only.
+	// MaxAge is how long a session may be sticky before it is ended. The session is ended only between
+	// statements and outside of transactions.
 	MaxAge     time.Duration
 	MaxTotal   int // sticky sessions of all users at a time
 	MaxPerUser int // sticky sessions of one user at a time
@@ -40,7 +40,7 @@
 	return "", true
 }
 
-// Add counts a session that has become sticky. Remove must be called when it no longer is.
+// Add counts a session that has become sticky. Remove must be called when the session is no longer sticky.
 func (l *Limiter) Add(user string) {
 	l.total++
 	l.users[user]++
--- a/internal/affinity/orphanedsession/cleanup.go
+++ b/internal/affinity/orphanedsession/cleanup.go
@@ -1,11 +1,11 @@
 // Package orphanedsession decides how a restarted dispatcher ends the sessions that its killed previous
-// incarnations left open on engines. The clients of these sessions are gone, and nobody else would end their
-// transactions or release their locks. The package does no I/O, reads no clock and takes no lock: its input
-// is the engines and the results of requests, its output is the requests to send.
+// incarnations left open on engines. The clients of these sessions are gone, and no other process would end
+// their transactions or release their locks. The package does no I/O, reads no clock and takes no lock: its
+// input is the engines and the results of requests, its output is the requests to send.
 //
 // The operating system usually closes the connections of a killed dispatcher, and the engine then ends their
-// sessions by itself. But if it is running a statement, or if the dispatcher's machine was lost, the engine
-// does not notice for a long time.
+// sessions by itself. But if the engine is running a statement of the session, or if the dispatcher's machine
+// was lost, the engine does not notice the end of the connection for a long time.
 package orphanedsession
 
 import (
@@ -62,7 +62,7 @@
 }
 
 // New starts a cleanup at a time. incarnationNames are the application_name values of the previous
-// incarnations' connections: they find sessions that were not recorded.
+// incarnations' connections: by these names an engine finds sessions that were not recorded.
 func New(now time.Duration, incarnationNames []string, sessions []Session) *Cleanup {
 	c := &Cleanup{incarnationNames: incarnationNames, engines: map[string]*engineState{}, startedAt: now}
 	for _, s := range sessions {
@@ -85,8 +85,9 @@
 }
 
 // EnginesListed adds the engines of an endpoint list. Requests are sent to each engine until one succeeds, as
-// a session that was young when the dispatcher died may have no record. An engine that is not listed any more
-// gets requests if a recorded session names it.
+// a session that had become sticky shortly before the dispatcher died may have no record. An engine that is
+// no longer listed gets requests if a recorded session names it. EnginesListed does nothing if there are no
+// previous incarnations or the list is empty.
 func (c *Cleanup) EnginesListed(addresses []string) {
 	if len(c.incarnationNames) == 0 || len(addresses) == 0 {
 		return
@@ -138,6 +139,7 @@
 }
 
 // Finished reports whether nothing is left to do: each engine has had a successful request or was given up.
+// If there are previous incarnations, an endpoint list must have been received, too.
 func (c *Cleanup) Finished() bool {
 	if len(c.incarnationNames) > 0 && !c.listed && len(c.engines) == 0 {
 		return false // no endpoint list has been received yet
--- a/internal/affinity/orphanedsession/cleanup_test.go
+++ b/internal/affinity/orphanedsession/cleanup_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// Whichever requests fail, no engine has two requests in flight or gets one after a success, and no more
-// requests are in flight than the limit. Each reachable engine gets one that succeeds, and the cleanup
-// finishes.
+// Whichever requests fail, no engine has two requests in flight or gets a request after a success, and no
+// more requests are in flight than the limit. Each reachable engine gets a request that succeeds, and the
+// cleanup finishes.
 func TestCleanup(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"}
--- a/internal/affinity/registry/registry.go
+++ b/internal/affinity/registry/registry.go
@@ -16,7 +16,8 @@
 // the registry's lock and must not block.
 type Config struct {
 	Limits affinity.Limits
-	// Changed is called when a session has become sticky on an engine, and when it no longer is.
+	// Changed is called when a session has become sticky on an engine, and when the session is no longer
+	// sticky.
 	Changed func(engine cresspass.EngineID, sticky bool)
 	// Persist records a sticky session for the next incarnation of the dispatcher and sets its ID. If sticky
 	// is false, it removes the record.
@@ -28,8 +29,8 @@
 type Entry struct {
 	User string
 	// Expire is called every sweepInterval while the session is sticky, to end the session if it has reached
-	// a limit. It is called without the registry's lock, and possibly once more after the Update that says
-	// that the session is no longer sticky.
+	// a limit. It is called without the registry's lock, and possibly once more after the Update that removes
+	// the session.
 	Expire func(now time.Duration, l affinity.Limits)
 
 	// Guarded by the registry's lock.
@@ -55,7 +56,7 @@
 const sweepInterval = 50 * time.Millisecond
 
 // persistAfter is how long a session is sticky before it is recorded for the next incarnation. Sessions that
-// were sticky for less are found by the application_name of their connection.
+// were sticky for a shorter time are found by the application_name of their connection.
 const persistAfter = 50 * time.Millisecond
 
 // New returns an empty registry and starts its periodic sweeps.
@@ -81,7 +82,8 @@
 	<-r.done
 }
 
-// sweep persists and expires the sessions that are due, until Close.
+// sweep, every sweepInterval until Close, persists the sessions that are due and calls Expire for all
+// sessions.
 func (r *Registry) sweep() {
 	defer close(r.done)
 	tick := time.NewTicker(sweepInterval)
--- a/internal/affinity/session.go
+++ b/internal/affinity/session.go
@@ -2,11 +2,12 @@
 // and bounds the number of such sticky sessions. It owns the state machine of one session and the counts of
 // sticky sessions. It does no I/O, reads no clock and takes no lock. Its input is what was sent to the engine
 // and what the engine responded. Its output is whether the next statement must use the same engine
-// connection, and what the client is told when the engine drains or is lost.
+// connection, and the notice or error for the client when the engine drains or is lost.
 //
-// The engine's own messages decide: the status of ReadyForQuery and the tag of CommandComplete. The text of a
-// statement is used only for what a tag does not say: that a table is temporary, or that a cursor is WITH
-// HOLD. In doubt a session is sticky.
+// The engine's own messages decide whether the session is in a transaction (the status of ReadyForQuery) and
+// whether state was released (the tag of CommandComplete). The state that a statement may leave is derived
+// from the statement's text: a tag may not arrive, and does not show that a table is temporary or that a
+// cursor is WITH HOLD. In doubt a session is sticky.
 package affinity
 
 import (
@@ -26,7 +27,7 @@
 	pendingRelease reasonSet // reasons released by statements whose transaction has not been committed
 	sent           []sqlscan.Statement
 	completed      int  // number of statements in sent whose tag has arrived
-	commitSent     bool // a COMMIT is in flight
+	commitSent     bool // the query in flight contains a COMMIT
 	ended          bool
 
 	draining      bool
@@ -87,7 +88,7 @@
 		case "COMMIT", "END":
 			s.commitSent = true
 		}
-		// The reason holds from now on, not from the tag: if the response is cut off, no tag arrives,
+		// The reason holds from now on, not from the tag on: if the response is cut off, no tag arrives,
 		// although the statement may have left its state.
 		if reason := reasonLeftBy(&statements[i]); reason != reasonNone {
 			s.reasons[reason] = true
@@ -96,8 +97,8 @@
 }
 
 // UnexpectedParameterStatus records that the engine reported a changed setting while a query ran. If no
-// statement of the query changes settings, a function did. Without this the next client on the connection
-// would run under a setting that no statement's text shows.
+// statement of the query changes settings, a function did, and the session becomes sticky: if it did not, the
+// next client on the connection would run under a setting that no statement's text shows.
 func (s *Session) UnexpectedParameterStatus() {
 	for i := range s.sent {
 		switch s.sent[i].Words[0] {
@@ -118,7 +119,7 @@
 	s.completed++
 	s.Params.CommandComplete(tag)
 	if st != nil {
-		// The statement may follow one of the same query that releases the same reason.
+		// An earlier statement of the same query may have released the same reason.
 		if reason := reasonLeftBy(st); reason != reasonNone {
 			s.reasons[reason], s.pendingRelease[reason] = true, false
 		}
@@ -128,8 +129,8 @@
 	case tag == "COMMIT":
 		s.releasePending()
 	case tag == "ROLLBACK":
-		// What a statement of the transaction released exists again. Without this the next client on the
-		// connection would find it.
+		// The state that statements of the transaction released exists again. If its reasons were cleared,
+		// the next client on the connection would find that state.
 		s.pendingRelease = reasonSet{}
 	case tag == "DISCARD ALL":
 		s.reasons, s.pendingRelease = reasonSet{}, reasonSet{}
@@ -152,8 +153,8 @@
 	s.pendingRelease = reasonSet{}
 }
 
-// Reset records that the session has no engine connection: what was sent did not run, or the state that it
-// left is gone.
+// Reset records that the session has no engine connection: the statements that were sent did not run, or the
+// state that they left is gone.
 func (s *Session) Reset() {
 	s.reasons, s.pendingRelease = reasonSet{}, reasonSet{}
 	s.txStatus, s.wasBound, s.draining = statusIdle, false, false
@@ -164,7 +165,7 @@
 // reports whether the session has just become bound or has just become free.
 func (s *Session) ReadyForQuery(now time.Duration, status byte) (changed bool) {
 	if status == statusIdle {
-		if s.completed < len(s.sent) { // an error rolled back the releases
+		if s.completed < len(s.sent) { // an error ended the query and rolled back its releases
 			s.pendingRelease = reasonSet{}
 		}
 		s.releasePending()
@@ -174,7 +175,7 @@
 		s.reasons[ReasonSetting] = true
 	}
 	if s.draining && !s.Bound() {
-		s.draining = false // free before the deadline: the next statement goes to another engine
+		s.draining = false // the session is free in time: its next statement goes to another engine
 	}
 	before := s.wasBound
 	s.wasBound = s.Bound()
--- a/internal/affinity/session_test.go
+++ b/internal/affinity/session_test.go
@@ -29,7 +29,7 @@
 		{"begin", "BEGIN", 'T', StateInTransaction, ""},
 		{"begin; select bad", "", 'E', StateFailedTransaction, ""},
 		{"set my.x = 1", "SET", 'I', StateSticky, "RESET ALL"},
-		{"set search_path = x", "SET", 'I', StateFree, ""}, // it is replayed
+		{"set search_path = x", "SET", 'I', StateFree, ""}, // the setting is replayed
 		{"set role x", "SET", 'I', StateSticky, "DISCARD ALL"},
 		{"select make_tables(1)", "SELECT 1", 'I', StateSticky, "DISCARD ALL"},
 		{"select count(*) from t", "SELECT 1", 'I', StateFree, ""},
--- a/internal/affinity/state.go
+++ b/internal/affinity/state.go
@@ -9,8 +9,8 @@
 	StateInTransaction                  // in a transaction
 	StateFailedTransaction              // in a failed transaction: only its end is accepted
 	StateSticky                         // not in a transaction, but a Reason binds it to its connection
-	StateDraining                       // its engine drains: it becomes free, or ends at the deadline
-	StateEnded                          // it was ended, or its engine connection was lost
+	StateDraining                       // its engine drains; the session becomes free or ends at the deadline
+	StateEnded                          // the session was ended, or its engine connection was lost
 )
 
 // String returns the name of the state.
--- a/internal/affinity/statement.go
+++ b/internal/affinity/statement.go
@@ -61,7 +61,7 @@
 }
 
 // releasedBy returns the reason that a completed statement releases once its transaction commits, or
-// reasonNone. It goes by the command tag and the statement (nil: not known).
+// reasonNone. It uses the command tag and the statement (nil: not known).
 func releasedBy(tag string, st *sqlscan.Statement) Reason {
 	word, _, _ := strings.Cut(tag, " ")
 	switch {
--- a/internal/affinity/termination.go
+++ b/internal/affinity/termination.go
@@ -6,7 +6,7 @@
 	"cresspass/internal/protocol/sqlstate"
 )
 
-// Termination says why a session ended, as the error for its client. Code is a SQLSTATE.
+// Termination is the error that the client receives when its session has ended. Code is a SQLSTATE.
 type Termination struct{ Code, Message, Detail string }
 
 // Texts for Termination.Detail.
@@ -15,9 +15,10 @@
 	detailStateLost  = "What was kept there is gone."
 )
 
-// Expire ends a session that has reached a time limit, and returns why: its engine drains and the deadline
-// has passed, its transaction was idle for too long, or it was sticky for too long. busy says that one of its
-// statements is running. Expire returns false and changes nothing if no limit has been reached.
+// Expire ends a session that has reached a time limit, and returns the error for its client. The limits are
+// the deadline of a drain, Limits.IdleInTransaction and Limits.MaxAge; the last two do not apply while busy.
+// busy reports whether one of the session's statements is running. Expire returns false and changes nothing
+// if no limit has been reached.
 func (s *Session) Expire(now time.Duration, busy bool, l Limits) (Termination, bool) {
 	switch {
 	case s.ended || !s.Bound():
@@ -42,8 +43,9 @@
 	return Termination{}, false
 }
 
-// ConnectionLost ends the session because its engine connection was lost. busy says that a statement was in
-// flight. The returned error tells the client whether its last statement or commit may have taken effect.
+// ConnectionLost ends the session because its engine connection was lost. busy reports whether a statement
+// was in flight. The returned error informs the client whether its last statement or commit may have taken
+// effect.
 func (s *Session) ConnectionLost(busy bool) Termination {
 	s.ended = true
 	switch {
