--- a/internal/config/compare.go
+++ b/internal/config/compare.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// comparison says whether a setting is the same in two files, and whether a running dispatcher can apply a
-// changed value.
+// comparison holds whether a setting is the same in two files (same), and whether a running dispatcher can
+// apply a changed value (live).
 type comparison struct {
 	name string
 	same bool
@@ -29,7 +29,7 @@
 	return live, restart
 }
 
-// compareAll compares all settings. Operators see the names, in this order.
+// compareAll compares all settings. A reload reports the names of those that differ, in this order.
 func compareAll(old, updated *Config) []comparison {
 	return []comparison{
 		{"default_class", old.DefaultClass == updated.DefaultClass, true},
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
 // Package config reads the dispatcher's settings from HCL and checks them. Every error names its file, line
-// and column. The package opens no sockets and starts nothing. docs/operate.md says what each setting does.
+// and column. The package opens no sockets and starts nothing. docs/operate.md describes each setting.
 //
 // File is the structure of a settings file, with the keys in its tags. Config holds the checked settings.
 // Each block has a source file of its own with its structure, its checked values and its validation.
@@ -23,7 +23,7 @@
 
 // Config holds the settings of a checked settings file.
 type Config struct {
-	Path string // of the file
+	Path string // path of the file
 
 	// Clients of PostgreSQL's protocol.
 	Listen         string
@@ -31,9 +31,9 @@
 	StartupTimeout time.Duration
 	HoldBack       int   // bytes of an answer that are held back before the first is sent
 	HoldBackTotal  int64 // bytes held back over all answers
-	MaxMessage     int
-	MaxPending     int
-	ClientBuffer   int
+	MaxMessage     int   // largest body of a message, in bytes
+	MaxPending     int   // bytes that a client may send ahead while a query runs
+	ClientBuffer   int   // unsent bytes of one client above which its engine is no longer read
 
 	// The process. An empty path or address disables the feature.
 	StateDir         string
@@ -42,9 +42,10 @@
 	HealthAddr       string
 	TakeoverSocket   string
 	DrainTimeout     time.Duration
-	// TakingOver says that a predecessor may still own the state directory. It is not read from the file.
+	// TakingOver is set if a predecessor may still own the state directory. It is not read from the file.
 	TakingOver bool
-	// FlightListener was taken over from a predecessor; nil: one is opened. It is not read from the file.
+	// FlightListener is the listener that was taken over from a predecessor; nil: a new one is opened. It is
+	// not read from the file.
 	FlightListener net.Listener
 	// AllowViolations lets actions that violate an invariant go through; the violations are only counted. It
 	// is for rehearsals, whose checker must see the violations of a policy. It is not read from the file.
@@ -61,15 +62,15 @@
 	DefaultClass, WriteClass, DescribeClass string
 	Matches                                 []MatchRule
 
-	Module            cresspass.Config // of the decision module
+	Module            cresspass.Config // settings of the decision module
 	SessionLimits     affinity.Limits
 	HarmlessFunctions []string // functions that leave no session state, as patterns in lower case
 
 	LogLevel, LogFormat string
 
-	DiscoveryAddr     string // of the endpoint discovery service
+	DiscoveryAddr     string // address of the endpoint discovery service
 	DiscoveryService  string
-	EndpointCacheFile string // keeps the last endpoint list; "": it is not kept
+	EndpointCacheFile string // file that keeps the last endpoint list; "": the list is not kept
 
 	EngineUser, EngineDatabase                 string
 	MaxConnections, MaxPrepared                int // per engine; prepared statements per connection
--- a/internal/config/engines.go
+++ b/internal/config/engines.go
@@ -7,7 +7,8 @@
 	"cresspass"
 )
 
-// EnginesBlock is the block on how engines are reached, and what they support and report.
+// EnginesBlock is the block of the settings for connections to engines, and of what engines support and
+// report.
 type EnginesBlock struct {
 	User                string   `hcl:"user,optional"`
 	Database            string   `hcl:"database,optional"`
--- a/internal/config/flight.go
+++ b/internal/config/flight.go
@@ -16,16 +16,16 @@
 	MaxWaiting         int    `hcl:"max_waiting,optional"`
 }
 
-// FlightSettings holds the settings of the Flight SQL frontend. If Listen is empty, it is not served.
+// FlightSettings holds the settings of the Flight SQL frontend. If Listen is empty, Flight SQL is not served.
 type FlightSettings struct {
 	Listen             string
 	TicketLifetime     time.Duration
 	SessionIdleTimeout time.Duration
-	KeepAlive          time.Duration
+	KeepAlive          time.Duration // an idle connection is pinged after this time
 	MaxAge             time.Duration // of a connection; 0: no limit
 	MaxTickets         int
 	MaxStreams         int // concurrent calls on a connection
-	MaxTransactions    int // open transactions of a session; the next two are also per session
+	MaxTransactions    int // open transactions of a session; the next two limits are also per session
 	MaxPrepared        int
 	MaxWaiting         int
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -200,7 +200,7 @@
 	}
 }
 
-// A file with every key and a file with the fewest keys are read to the same values as in earlier builds.
+// A file with every key and a file with the fewest keys yield the same values as in earlier builds.
 func TestGoldenValues(t *testing.T) {
 	for _, name := range []string{"all-keys", "least"} {
 		cfg, err := Load(filepath.Join("testdata", name+".hcl"))
@@ -232,13 +232,13 @@
 	return out
 }
 
-// The keys do not change, nor which of them are optional, nor their types.
+// The keys, their types, and which of them are optional do not change.
 func TestGoldenKeys(t *testing.T) {
 	current := strings.Join(keys(reflect.TypeFor[File](), ""), "\n") + "\n"
 	goldentest.Compare(t, "keys.txt", []byte(current))
 }
 
-// all-keys.hcl names every key.
+// The file all-keys.hcl names every key of the settings.
 func TestGoldenFileNamesEveryKey(t *testing.T) {
 	src, err := os.ReadFile(filepath.Join("testdata", "all-keys.hcl"))
 	if err != nil {
@@ -275,7 +275,7 @@
 	}
 }
 
-// The names of changed settings, which a reload logs, do not change, nor which of them need a restart.
+// A reload logs the names of changed settings. These names, and which of them need a restart, do not change.
 func TestGoldenCompare(t *testing.T) {
 	var files []*Config
 	for _, name := range []string{"all-keys.hcl", "least.hcl"} {
--- a/internal/config/matches.go
+++ b/internal/config/matches.go
@@ -7,8 +7,9 @@
 	"cresspass"
 )
 
-// MatchBlock gives a class, a tenant, or both to statements that fit all of its conditions. The first block
-// that fits counts.
+// MatchBlock gives a class, a tenant, or both to statements that fit all of its conditions. A statement gets
+// its class from the first fitting block that names a class, and its tenant from the first that names a
+// tenant.
 type MatchBlock struct {
 	Class       string `hcl:"class,optional"`
 	User        string `hcl:"user,optional"`
@@ -21,7 +22,7 @@
 // MatchRule is a checked MatchBlock. An empty condition fits every statement.
 type MatchRule struct {
 	Class, User, Database, Application, Tenant string
-	Pattern                                    *regexp.Regexp // of the statement's text; nil: fits any
+	Pattern                                    *regexp.Regexp // of the statement's text; nil: any text fits
 }
 
 // applyClassNames checks the classes of statements that no match block fits. It must run after applyClasses.
--- a/internal/config/overrides.go
+++ b/internal/config/overrides.go
@@ -5,7 +5,8 @@
 	"fmt"
 )
 
-// Overrides holds settings from the command line, which replace those of a file. Zero values change nothing.
+// Overrides holds settings from the command line, which replace those of a file. Zero values change nothing,
+// except that an Ordinal of 0 replaces the file's value.
 type Overrides struct {
 	Listen            string
 	FlightListen      string
@@ -19,8 +20,8 @@
 	Gateways          int
 }
 
-// Apply applies the overrides to a checked file's settings, and checks the result. After an error cfg
-// is partly changed.
+// Apply applies the overrides to a checked file's settings. It then checks the ordinal, and that the
+// addresses are on the loopback interface. After an error cfg may be partly changed.
 func (o *Overrides) Apply(cfg *Config) error {
 	cfg.Listen = orDefault(o.Listen, cfg.Listen)
 	cfg.Flight.Listen = orDefault(o.FlightListen, cfg.Flight.Listen)
@@ -30,7 +31,8 @@
 	cfg.HealthAddr = orDefault(o.HealthAddr, cfg.HealthAddr)
 	cfg.TakeoverSocket = orDefault(o.TakeoverSocket, cfg.TakeoverSocket)
 	if o.StateDir != "" {
-		// The cached endpoint list moves with the state directory, unless it is kept elsewhere.
+		// The path of the cached endpoint list follows the state directory, unless the file names another
+		// path.
 		if cfg.EndpointCacheFile == "" || cfg.EndpointCacheFile == cacheFileIn(cfg.StateDir) {
 			cfg.EndpointCacheFile = cacheFileIn(o.StateDir)
 		}
--- a/internal/config/overrides_test.go
+++ b/internal/config/overrides_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Guards against an override that opens a listener to other machines, or reaches discovery on one.
+// Guards against an override that opens a listener to other machines, or that connects to a discovery service
+// on another machine.
 func TestOverridesAreLoopbackAddresses(t *testing.T) {
 	const elsewhere = "192.168.0.1:5"
 	for name, overrides := range map[string]Overrides{
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -13,7 +13,7 @@
 	Seeds  []string `hcl:"seeds,optional"`
 	Keys   []string `hcl:"keys"` // hexadecimal; all are accepted, the first one is used to send
 	Rate   int      `hcl:"rate,optional"`
-	Wait   string   `hcl:"wait,optional"` // at start, for what other dispatchers have learned
+	Wait   string   `hcl:"wait,optional"` // at start, for the model state of other dispatchers
 }
 
 // PeerSettings holds the settings of the gossip among dispatchers. If Listen is empty, there is no gossip.
--- a/internal/config/process.go
+++ b/internal/config/process.go
@@ -62,8 +62,8 @@
 	cfg.StartupTimeout = v.duration(fileScope, "startup_timeout", f.StartupTimeout, defaultStartupTimeout)
 }
 
-// applyDispatcher checks what the decision module gets to know about this dispatcher and its place among
-// others.
+// applyDispatcher checks the settings that describe this dispatcher, and its ordinal among the others, to the
+// decision module.
 func (v *validator) applyDispatcher(m *cresspass.Config, f *File) {
 	m.Seed, m.Ordinal, m.Zone = uint64(f.Seed), f.Ordinal, f.Zone
 	m.GatewayCount = orDefault(f.GatewayCount, 1)
--- a/internal/config/sessions.go
+++ b/internal/config/sessions.go
@@ -15,7 +15,7 @@
 	MaxPerUser        int    `hcl:"max_per_user,optional"`
 
 	MaxPerEngine      int      `hcl:"max_per_engine,optional"`
-	HarmlessFunctions []string `hcl:"harmless,optional"` // functions that leave no state: "geo_*"
+	HarmlessFunctions []string `hcl:"harmless,optional"` // patterns of functions that leave no state: "geo_*"
 }
 
 // applySessions checks the block. Without the block there are no limits.
--- a/internal/config/validator.go
+++ b/internal/config/validator.go
@@ -19,8 +19,8 @@
 	errs []error
 }
 
-// scope says where a setting is: in a block, given by its type and its index among the blocks of that type,
-// or outside of blocks.
+// scope is the place of a setting: a block, identified by its type and its index among the blocks of that
+// type, or the file outside of blocks.
 type scope struct {
 	block string // type of the block; "": outside of blocks
 	index int
@@ -31,7 +31,8 @@
 // inBlock returns the scope of a block that may be given once.
 func inBlock(name string) scope { return scope{block: name} }
 
-// position returns file:line:column of the value of a setting or, if it is not given, of its block.
+// position returns file:line:column of the value of a setting or, if the setting is missing, of its block or
+// of the file.
 func (v *validator) position(in scope, attribute string) string {
 	location, body := v.body.SrcRange, v.body
 	if in.block != "" {
@@ -53,13 +54,13 @@
 	return fmt.Sprintf("%s:%d:%d", v.path, location.Start.Line, location.Start.Column)
 }
 
-// errorf records an error of a setting, with its position.
+// errorf records an error of a setting, with the setting's position.
 func (v *validator) errorf(in scope, attribute, format string, args ...any) {
 	v.errs = append(v.errs, fmt.Errorf("%s: %s: %s", v.position(in, attribute), attribute,
 		fmt.Sprintf(format, args...)))
 }
 
-// duration parses a duration. An empty or invalid value yields the default.
+// duration parses a duration, which must not be negative. An empty or invalid value yields the default.
 func (v *validator) duration(in scope, attribute, value string, defaultValue time.Duration) time.Duration {
 	if value == "" {
 		return defaultValue
@@ -72,8 +73,8 @@
 	return d
 }
 
-// nonNegative checks a number and returns it, or the default if it is zero. An error is reported at the
-// setting outside of blocks.
+// nonNegative checks a number and returns it, or the default if the number is zero. An error has the position
+// of the setting outside of blocks; for a setting of a block it has the position of the file.
 func (v *validator) nonNegative(attribute string, value, defaultValue int) int {
 	if value < 0 {
 		v.errorf(fileScope, attribute, "%d is negative", value)
@@ -88,7 +89,8 @@
 	}
 }
 
-// oneOf returns the choice that a value names. The error lists all names but the empty one.
+// oneOf returns the choice that a value names. If there is none, the recorded error lists all names but the
+// empty one.
 func oneOf[T any](v *validator, in scope, attribute, value string, choices map[string]T) (choice T) {
 	choice, ok := choices[value]
 	if !ok {
