--- a/internal/recording/format.go
+++ b/internal/recording/format.go
@@ -53,7 +53,7 @@
 
 // Header is the header of a file.
 type Header struct {
-	Start time.Time // by the wall clock; entries' times count from it
+	Start time.Time // by the wall clock; entries' times count from this time
 }
 
 var magic = [4]byte{'c', 'r', 'p', 'r'}
@@ -128,7 +128,8 @@
 	return b
 }
 
-// appendEntry appends an entry. Its arrival is stored relative to last, that of the entry before.
+// appendEntry appends an entry. Its arrival is stored relative to last, the arrival of the entry before.
+// Durations are stored in microseconds.
 func appendEntry(b []byte, e *Entry, last time.Duration, table *nameTable) []byte {
 	b = binary.AppendVarint(b, (e.ArrivedAt - last).Microseconds())
 	b = binary.AppendUvarint(b, uint64(max(e.Elapsed, 0).Microseconds()))
--- a/internal/recording/format_test.go
+++ b/internal/recording/format_test.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// What was written is read. A file that is truncated anywhere yields all of its complete blocks and an error
-// that it is truncated. A changed byte loses the block that it is in, and in a block's length also the blocks
-// after it; no other entries are read in their place.
+// Written entries are read back. A file that is truncated anywhere yields all of its complete blocks, and
+// ErrTruncated unless it ends between two blocks. If a byte is changed, its block is lost; if the byte is in
+// a block's length, the blocks after it are lost, too. No other entries are read in their place.
 func TestTruncatedAndDamagedFiles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.UnixMicro(1764600000123456)
@@ -168,8 +168,8 @@
 	}
 }
 
-// Whatever is written, all files together stay within the total, a file exceeds its limit by one block at
-// most, the open file is kept, and files of others are not removed.
+// For any sequence of blocks, all files together stay within the total, a file exceeds its limit by one block
+// at most, and the open file is kept. IsRecording does not accept the names of other files.
 func TestRotate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{FileBytes: int64(rapid.IntRange(20, 2000).Draw(t, "file")),
--- a/internal/recording/recorder.go
+++ b/internal/recording/recorder.go
@@ -34,7 +34,7 @@
 	// Used by the writer's goroutine alone.
 	file  *os.File // nil: none is open
 	name  string
-	start time.Time // times in the open file count from it
+	start time.Time // times in the open file count from this time
 }
 
 // timedEntry is an entry with its arrival by the wall clock. In a file, arrivals count from the file's start.
@@ -106,8 +106,8 @@
 	}
 }
 
-// flush writes entries as a block and counts them. While the disk is full, entries are lost, but no query
-// fails.
+// flush writes entries as a block and counts them. While the disk cannot be written, entries are lost, but no
+// query fails.
 func (r *Recorder) flush(entries []timedEntry) {
 	if len(entries) == 0 {
 		return
@@ -157,9 +157,10 @@
 		if err := r.startFile(all[0].at); err != nil {
 			return err
 		}
-		block = r.encodeBlock(all) // its times count from the new file's start
+		block = r.encodeBlock(all) // the block's times count from the new file's start
 	}
-	// A full disk may leave a partial block, and no block after it could be read. So an error ends the file.
+	// A full disk may leave a partial block, and no block after it could be read. So flush closes the file
+	// after an error.
 	_, err = r.file.Write(block)
 	return err
 }
@@ -178,7 +179,7 @@
 	return files, nil
 }
 
-// removeFiles removes recordings. If the open one is among them, it is closed.
+// removeFiles removes recordings. If the open one is among them, removeFiles closes it first.
 func (r *Recorder) removeFiles(names []string) (err error) {
 	for _, name := range names {
 		if name == r.name {
@@ -203,14 +204,15 @@
 	return err
 }
 
-// Load reads a recording. If its end is truncated or damaged, Load returns the entries before that and an
-// error. skipped is the number of damaged blocks that were left out.
+// Load reads a recording. If its end is truncated or a block's length is impossible, Load returns the entries
+// before that place and an error. skipped is the number of damaged blocks that were left out without an
+// error.
 func Load(path string) (h Header, all []Entry, skipped int, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return h, nil, 0, err
 	}
-	defer func() { _ = f.Close() }() // it was only opened for reading
+	defer func() { _ = f.Close() }() // the file was only opened for reading
 	r, err := NewReader(f)
 	if err != nil {
 		return h, nil, 0, err
--- a/internal/recording/rotate.go
+++ b/internal/recording/rotate.go
@@ -9,7 +9,7 @@
 
 // Limits bounds what a recorder keeps on disk.
 type Limits struct {
-	FileBytes  int64 // bytes of a file, after which a new one is started
+	FileBytes  int64 // bytes of a file; a block that would exceed them starts a new file
 	TotalBytes int64 // bytes of all files together; the oldest are removed first
 }
 
@@ -40,9 +40,9 @@
 }
 
 // Rotate decides what to do before a block, whose size is given in bytes, is written to the open file. open
-// is the name of that file; "": none is open. startNew says whether a new file must be started first, and
-// obsolete names the old files to remove so that all files stay within the limits. Rotate sorts files by
-// name.
+// is the name of that file; "": none is open. startNew reports whether a new file must be started first, and
+// obsolete names the oldest files, which must be removed so that all files together stay within TotalBytes.
+// The open file is among them only if startNew is true. Rotate sorts files by name.
 func (l Limits) Rotate(files []File, open string, block int64) (startNew bool, obsolete []string) {
 	sort.Slice(files, func(i, j int) bool { return files[i].Name < files[j].Name })
 	total := block
--- a/internal/recording/transform.go
+++ b/internal/recording/transform.go
@@ -45,7 +45,8 @@
 const (
 	// scaleStream is the PCG stream for Scale, so that its draws depend on the seed alone.
 	scaleStream = 19
-	// goldenRatio64 is 2^64 divided by the golden ratio. Its multiples give copies hashes of their own.
+	// goldenRatio64 is 2^64 divided by the golden ratio. The hashes of copies are XORed with its multiples,
+	// so that they differ.
 	goldenRatio64 = 0x9e3779b97f4a7c15
 )
 
