--- a/internal/membership/clocksync/clock.go
+++ b/internal/membership/clocksync/clock.go
@@ -1,7 +1,7 @@
 // Package clocksync lets the members of a fleet agree on one clock, by which they take turns as aggregators.
-// Each process's own clock begins when it starts, and wall clocks may be an hour off, so no single member's
-// clock is the reference. The fleet's clock is one near the median of the clocks that members send, on which
-// most of them agree. The package does no I/O and reads no clock.
+// Each process's own clock begins when the process starts, and wall clocks may be an hour off, so no single
+// member's clock is the reference. The fleet's clock is a clock near the median of the clocks that members
+// send: the one with which most of them agree. The package does no I/O and reads no clock.
 package clocksync
 
 import (
@@ -16,8 +16,8 @@
 	tolerance = 250 * time.Millisecond
 	// maxClock bounds the clocks that are accepted, so that differences cannot overflow.
 	maxClock = 1 << 62
-	// candidateDivisor sets which samples may be followed in place of the median: on each side of it,
-	// 1/candidateDivisor of all samples.
+	// candidateDivisor sets how many samples may be followed in place of the median: on each side of the
+	// median, 1/candidateDivisor of all samples.
 	candidateDivisor = 16
 )
 
@@ -48,10 +48,11 @@
 // Forget drops a member's sample.
 func (c *Clock) Forget(name string) { delete(c.samples, name) }
 
-// Sync moves the clock to the one, near the median of all samples and its own, on which most of them agree,
-// and reports whether it was moved. The median alone is not enough: a single Byzantine member may have sent
-// it. Of several clocks on which as many agree, the nearest to the median counts, and of two as near the
-// later one, so that two halves of a healed split, or a fleet of two, choose the same.
+// Sync moves the clock to a sample near the median of all samples and its own clock: the sample with which
+// most of them agree. It reports whether the clock was moved. The median alone is not enough: a single
+// Byzantine member may have sent it. If equally many agree with several samples, the sample nearest to the
+// median counts, and of two that are equally near the later one, so that two halves of a healed split, or a
+// fleet of two, choose the same.
 //
 // A clock that agrees with most samples is not moved: if it followed the median at each step, it would fall
 // behind by the samples' network delay each time, and the fleet's clock would run slow.
@@ -70,7 +71,7 @@
 		}
 	}
 	c.scratch = offsets
-	if 2*agreeing > len(offsets) { // the median is then among those that agree
+	if 2*agreeing > len(offsets) { // the median is then among the offsets that agree
 		return false
 	}
 	slices.Sort(offsets)
@@ -82,9 +83,10 @@
 	return true
 }
 
-// mostSupported returns, of the sorted offsets near the median, the one with which most of all offsets
-// agree. Of several it is the nearest to the median, and of two as near the later. So members that agree on
-// a false clock are followed only if their offsets are at the median or near it.
+// mostSupported returns, of the sorted offsets near the median, the offset with which most of all offsets
+// agree. If there are several, it returns the nearest to the median, and of two that are equally near the
+// later one. So members that agree on a false clock are followed only if their offsets are at the median or
+// near it.
 func mostSupported(offsets []time.Duration) time.Duration {
 	middle := len(offsets) / 2
 	best, bestAgreeing := offsets[middle], 0
--- a/internal/membership/clocksync/clock_test.go
+++ b/internal/membership/clocksync/clock_test.go
@@ -84,7 +84,7 @@
 		}
 		before := f.fleetClock(n-1) - f.now
 		if n > 12 {
-			f.clocks[n-2], f.started[n-2] = New(), f.now // one restarts
+			f.clocks[n-2], f.started[n-2] = New(), f.now // one member restarts
 			for range 40 {
 				f.round()
 			}
@@ -123,8 +123,8 @@
 	}
 }
 
-// Two halves of a healed split, each with its own clock, come to agree, as the later clock counts; so do the
-// members of a fleet of two.
+// Two halves of a healed split, each with its own clock, come to agree, because the later clock counts. So do
+// the members of a fleet of two.
 func TestHealedSplit(t *testing.T) {
 	for _, n := range []int{2, 10} {
 		f := &testFleet{now: 100 * time.Hour, random: rand.New(rand.NewPCG(1, 1))}
--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -85,7 +85,7 @@
 	s.node.MemberLost(s.clock(), n.Name, n.State == memberlist.StateLeft)
 }
 
-// NotifyConflict records that two processes claim one name.
+// NotifyConflict records that two processes claim the same name.
 func (s *Service) NotifyConflict(existing, other *memberlist.Node) {
 	s.log.Warn("duplicate dispatcher name",
 		"name", existing.Name, "address", existing.Address(), "other_address", other.Address())
--- a/internal/membership/gossip/action.go
+++ b/internal/membership/gossip/action.go
@@ -11,7 +11,7 @@
 // AllPeers addresses a message to every peer that has an ordinal.
 const AllPeers = -1
 
-// ActionType tells which fields of an Action are set.
+// ActionType is the type of an Action and determines which of its fields are set.
 type ActionType int
 
 // The actions, with the fields that each sets.
@@ -21,11 +21,11 @@
 	UpdateView                          // View, Clock: the fleet's state for the decision module
 	BroadcastMetadata                   // this dispatcher's metadata has changed, see Node.Self
 	CompleteBootstrap                   // ReportingPeers: the wait for the peers' model state is over
-	ReportEngineDown                    // Engine: peers agree that it is down; no local evidence differs
+	ReportEngineDown                    // Engine: peers agree that it is down, without local evidence
 	YieldName                           // a later process has this dispatcher's name: stop gossiping
 )
 
-// Action is one thing for the caller to do. Its type tells which fields are set.
+// Action is something that the caller must do. Its type determines which fields are set.
 type Action struct {
 	Type           ActionType
 	To             string // name of a member
@@ -44,7 +44,7 @@
 	PacketsRateLimited uint64 // not sent, as they exceed Config.BytesPerSecond
 
 	PacketsAccepted    uint64
-	PacketsReplayed    uint64 // seen before, too old, or of an earlier incarnation
+	PacketsReplayed    uint64 // received before, too old, or of an earlier incarnation
 	PacketsFromUnknown uint64 // the sender is not a member
 	PacketsMalformed   uint64
 
@@ -52,7 +52,7 @@
 	ObservationsRejected observation.Rejected
 	DigestsSent          uint64
 	BootstrapsAnswered   uint64 // starting peers that were sent the model state
-	BootstrapsDeclined   uint64 // starting peers that were not: none was learnt, or too many peers asked
+	BootstrapsDeclined   uint64 // starting peers that got none: none was learnt, or too many peers asked
 
 	Members     int
 	Ordinal     int
--- a/internal/membership/gossip/bootstrap.go
+++ b/internal/membership/gossip/bootstrap.go
@@ -7,19 +7,19 @@
 )
 
 // A starting node requests the model state that its peers have learnt, so that it need not learn it again.
-// Peers answer with numbered packets, or with one that says that they have none.
+// Peers answer with numbered packets, or with a packet of kindBootstrapEmpty if they send none.
 
 const (
-	// maxBootstrapPeers is the most peers that have answered completely or may still answer.
+	// maxBootstrapPeers bounds the number of peers that have answered completely or may still answer.
 	maxBootstrapPeers = 9
-	// enoughReportingPeers complete answers end the bootstrap once no further one has come for
-	// bootstrapSettleTime.
+	// enoughReportingPeers is the number of complete answers that end the bootstrap once no further complete
+	// answer has arrived for bootstrapSettleTime.
 	enoughReportingPeers = 5
 	bootstrapSettleTime  = 100 * time.Millisecond
 	// bootstrapReplyTimeout is how long after its request a peer that has not answered is replaced by
 	// another.
 	bootstrapReplyTimeout = 300 * time.Millisecond
-	// discoveryTime is how long after the start the membership should have found the peers.
+	// discoveryTime is how long after the start the node assumes that the membership has found all peers.
 	discoveryTime = 300 * time.Millisecond
 
 	// bootstrapReplyBurst and bootstrapRepliesPerSecond limit the rate of answers to starting peers.
@@ -30,8 +30,8 @@
 // bootstrapRequest is the state of the request to one peer.
 type bootstrapRequest struct {
 	sentAt   time.Duration
-	parts    map[byte]bool // numbers of the answer's packets that have come
-	complete bool          // all packets have come
+	parts    map[byte]bool // numbers of the answer's packets that have arrived
+	complete bool          // all packets have arrived
 	empty    bool          // the peer has no model state
 }
 
@@ -61,9 +61,9 @@
 	}
 }
 
-// acceptReply records one packet of a peer's answer and reports whether its content is to be used. Answers of
-// peers that were not asked are ignored: otherwise one Byzantine member could answer under five names and
-// outvote the honest peers.
+// acceptReply records one packet of a peer's answer and reports whether the packet's content is to be used.
+// Answers of peers that were not asked are ignored: otherwise one Byzantine member could answer under five
+// names and outvote the honest peers.
 func (b *bootstrap) acceptReply(name string, part, parts byte) bool {
 	request := b.requests[name]
 	if b.done || request == nil || request.empty {
@@ -149,8 +149,9 @@
 	}
 }
 
-// answerBootstrap sends a starting peer the model state that was learnt here, or that there is none. The rate
-// limit keeps a flood of joins, as after a power cut, from taking all of a running node's time.
+// answerBootstrap sends a starting peer the model state that was learnt here. If there is none, or if too
+// many peers ask, it sends a kindBootstrapEmpty. The rate limit keeps a flood of joins, as after a power cut,
+// from taking all of a running node's time. Model state of more than maxReplyParts packets is not sent.
 func (n *Node) answerBootstrap(now time.Duration, to string) {
 	parameters := n.store.OwnModelParameters(now)
 	if len(parameters) == 0 || !n.bootstrapLimiter.AllowN(limiterTime(now), 1) {
@@ -169,7 +170,8 @@
 }
 
 // handleBootstrapReply records a peer's model state; false: the packet is malformed. Answers that were not
-// requested, or that come too late, are ignored: what was learnt here since then stands.
+// requested, or that arrive after the bootstrap, are ignored: the values that were learnt here since then are
+// kept.
 func (n *Node) handleBootstrapReply(now time.Duration, from string, data []byte) bool {
 	part, parts, data, ok := readReplyPart(data)
 	if !ok {
--- a/internal/membership/gossip/golden_test.go
+++ b/internal/membership/gossip/golden_test.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// What a dispatcher has learnt, as pieces of packet size that are concatenated: the form in which it is
-// stored in the state folder and passed on in a hand-over.
+// The model state that a dispatcher has learnt, as concatenated pieces of packet size: the form in which it
+// is stored in the state folder and passed on in a handover.
 func TestGoldenStoredObservations(t *testing.T) {
 	var all []observation.Observation
 	for i := range 60 {
--- a/internal/membership/gossip/member.go
+++ b/internal/membership/gossip/member.go
@@ -18,7 +18,7 @@
 	conflictQuorum = 3
 )
 
-// conflictTracker records which names two processes claim, and who reported it.
+// conflictTracker records which names two processes claim, and which members reported that for our own name.
 type conflictTracker struct {
 	notices map[string]time.Duration // last notice sent, by the member whose name is claimed twice
 	reports map[string]time.Duration // last report that our own name is claimed twice, by its sender
@@ -28,7 +28,7 @@
 	return conflictTracker{notices: map[string]time.Duration{}, reports: map[string]time.Duration{}}
 }
 
-// shouldNotify reports whether a member is to be notified now, and if so records the notice as sent.
+// shouldNotify reports whether to notify a member now, and if so records the notice as sent.
 func (c *conflictTracker) shouldNotify(now time.Duration, name string) bool {
 	if now-c.notices[name] < conflictNoticeInterval {
 		return false
@@ -37,9 +37,9 @@
 	return true
 }
 
-// report records a report that our own name is claimed twice, and tells whether a quorum of members has sent
-// one: three, or half of the other members, rounded up, if that is fewer. Without a quorum a single Byzantine
-// member could stop the gossip of every other.
+// report records a report that our own name is claimed twice, and reports whether a quorum of members has
+// sent such a report: three, or half of the other members, rounded up, if that is fewer. Without a quorum a
+// single Byzantine member could stop the gossip of every other member.
 func (c *conflictTracker) report(now time.Duration, from string, members map[string]ordinal.Member) bool {
 	c.reports[from] = now
 	reporting := 0
@@ -72,7 +72,7 @@
 	n.ordinals.MemberAlive(now, m)
 }
 
-// MemberLost records the loss of a member. left tells whether it announced its leave.
+// MemberLost records the loss of a member. left reports whether the member announced its leave.
 func (n *Node) MemberLost(now time.Duration, name string, left bool) {
 	if _, known := n.members[name]; known {
 		delete(n.members, name)
@@ -105,9 +105,9 @@
 	}
 }
 
-// yieldName stops this node's gossip for good: a later process has its name, and was started on purpose. If
-// both went on, everything that peers record by name would alternate between the two, and peers could not
-// tell the messages of one from replayed messages of the other.
+// yieldName stops this node's gossip permanently: a later process has its name, and was started on purpose.
+// If both processes went on, everything that peers record by name would alternate between the two, and peers
+// could not distinguish the messages of one from replayed messages of the other.
 func (n *Node) yieldName() {
 	if !n.stats.NameYielded {
 		n.stats.NameYielded = true
--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -27,7 +27,7 @@
 	Name string
 	// Incarnation is greater than that of every earlier process with this name.
 	Incarnation uint64
-	// OrdinalClaim is the ordinal that the dispatcher would like to have; ordinal.Unassigned: none.
+	// OrdinalClaim is the ordinal that the dispatcher claims at the start; ordinal.Unassigned: none.
 	OrdinalClaim int
 	// RandomSeed seeds the choice of peers.
 	RandomSeed uint64
@@ -35,8 +35,8 @@
 	BytesPerSecond int
 	Ordinals       ordinal.Limits
 	Validation     validation.Limits
-	// BootstrapTimeout bounds how long a starting node waits for the model state of its peers; 0: it does
-	// not request it.
+	// BootstrapTimeout bounds how long a starting node waits for the model state of its peers; 0: the node
+	// does not request the model state.
 	BootstrapTimeout time.Duration
 }
 
@@ -49,7 +49,7 @@
 	maxDigestReply = 200
 	// maxReplaySenders is the number of senders whose packet numbers are remembered.
 	maxReplaySenders = 4096
-	// minBurstPackets is the least number of full packets that may be sent at once, whatever the rate.
+	// minBurstPackets is the least number of full packets that may be sent at once, however low the rate is.
 	minBurstPackets = 4
 )
 
@@ -66,8 +66,8 @@
 
 	members     map[string]ordinal.Member // the peers, without this node
 	memberNames []string                  // names of members, sorted so that random choices are reproducible
-	seq         uint64                    // of the last packet sent
-	actions     []Action                  // since the last call of Ready
+	seq         uint64                    // sequence number of the last packet
+	actions     []Action                  // emitted since the last call of Ready
 
 	view            ordinal.View
 	viewReported    bool // an UpdateView was emitted
@@ -132,8 +132,8 @@
 	n.validator.SetEngines(engines)
 }
 
-// RecordAttempt records whether an attempt at an engine was answered. threads is what the engine reports to
-// run in total; negative: it reported nothing. It counts only if the attempt was answered.
+// RecordAttempt records whether an attempt at an engine was answered. threads is the number of threads that
+// the engine reports to run in total; negative: no report. threads counts only if the attempt was answered.
 func (n *Node) RecordAttempt(now time.Duration, id cresspass.EngineID, answered bool, threads float64) {
 	health := observation.Unhealthy
 	if answered {
@@ -152,7 +152,7 @@
 }
 
 // SendMessage sends a message of the decision module to the peer with an ordinal; AllPeers: to all peers that
-// have one. Packets that exceed the rate are not sent.
+// have an ordinal. Packets that exceed the rate are not sent.
 func (n *Node) SendMessage(now time.Duration, to int, data []byte) {
 	for _, name := range n.memberNames {
 		if claim := n.members[name].Claim; claim >= 0 && (to < 0 || claim == to) {
@@ -161,7 +161,7 @@
 	}
 }
 
-// sendPacket emits one packet, if the rate allows it and the node still has its name.
+// sendPacket emits one packet, if the rate allows it and the node has not yielded its name.
 func (n *Node) sendPacket(now time.Duration, to string, kind packetKind, data []byte) {
 	if n.stats.NameYielded {
 		return
@@ -186,7 +186,7 @@
 // limiterTime converts the caller's clock for the rate limiters.
 func limiterTime(now time.Duration) time.Time { return time.Unix(0, int64(now)) }
 
-// Tick advances time and does what has become due. The caller calls it about twenty times a second.
+// Tick advances time and does the work that has become due. The caller calls it about twenty times a second.
 func (n *Node) Tick(now time.Duration) {
 	if n.stats.NameYielded {
 		return
@@ -218,8 +218,8 @@
 	n.emit(Action{Type: UpdateView, View: view, Clock: n.clock.At(now)})
 }
 
-// sendDigest sends a digest to a random peer, once per digestInterval. The peer answers with what this node
-// lacks.
+// sendDigest sends a digest to a random peer, once per digestInterval. The peer answers with the observations
+// that this node lacks.
 func (n *Node) sendDigest(now time.Duration) {
 	if len(n.memberNames) == 0 || now-n.lastDigest < digestInterval {
 		return
--- a/internal/membership/gossip/node_test.go
+++ b/internal/membership/gossip/node_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// Nothing is sent beyond the rate.
+// Packets that exceed the rate are not sent.
 func TestSendRate(t *testing.T) {
 	now := pairReadyAt
 	a, _ := newTestPair()
@@ -121,8 +121,8 @@
 	}
 }
 
-// Reports of a name conflict by two of six members do not stop a node's gossip. A later process with its name
-// does, once and for good.
+// Reports of a name conflict by two of six members do not stop a node's gossip. A later process with the
+// node's name stops it permanently, and the node yields its name only once.
 func TestYieldName(t *testing.T) {
 	now := pairReadyAt
 	a, _ := newTestPair()
@@ -189,7 +189,7 @@
 }
 
 // One peer that is wrong about an engine, or whose report is minutes old, has no effect. When three peers
-// agree that it is down, that is reported once. A response to this node outweighs them.
+// agree that the engine is down, the node reports it once. A response to this node outweighs the peers.
 func TestReportEngineDown(t *testing.T) {
 	now := start
 	n := newTestNode("a", 1, 0)
@@ -275,15 +275,17 @@
 	return map[string]float64{"c/x/scale": value, "c/x/work": value}
 }
 
-// silentPeer stands, in TestBootstrap, in place of what a peer has learnt: the peer does not answer.
+// silentPeer takes, in TestBootstrap, the place of the value that a peer has learnt: the peer does not
+// answer.
 const silentPeer = -1
 
-// A starting node takes the median of five peers, whatever value one Byzantine peer sends. It does not wait
-// for peers that have no model state, nor for ever, and ignores answers that come too late.
+// A starting node takes the median of five peers, for any value that one Byzantine peer sends. It does not
+// wait for peers that have no model state, waits at most its BootstrapTimeout, and ignores answers that
+// arrive later.
 func TestBootstrap(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		learnt    []float64 // by each peer; 0: nothing; NaN: forged on the way, as no honest node sends it
+		learnt    []float64 // by each peer; 0: nothing; NaN: forged on the way, as no honest node sends NaN
 		want      float64
 		within    time.Duration
 		reporting int
@@ -308,7 +310,7 @@
 			math.Abs(p.Value-c.want) > 1e-9 {
 			t.Errorf("%s: done after %v with %d peers, %+v, %v", c.name, took, reporting, p, known)
 		}
-		if len(peers) > 0 { // too late: the value that was taken over stands
+		if len(peers) > 0 { // a late answer does not change the value that was taken over
 			before := p
 			peers[0].RecordModelState(now, parametersOf(77))
 			peers[0].answerBootstrap(now, "new")
@@ -338,7 +340,7 @@
 }
 
 // runBootstrap carries packets between a starting node and its peers until it completes its bootstrap, or
-// for 5 s. took is 0 where it did not.
+// for 5 s. took is 0 if the bootstrap did not complete.
 func runBootstrap(n *Node, peers []*Node, learnt []float64) (now, took time.Duration, reporting int) {
 	reporting = -1
 	for now = start; took == 0 && now < start+5*time.Second; now += 50 * time.Millisecond {
--- a/internal/membership/gossip/observations.go
+++ b/internal/membership/gossip/observations.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// observationSize is the size of an encoded observation without its strings: property, hops, age in
-	// milliseconds, sequence number and value.
+	// observationSize is the size in bytes of an encoded observation without its strings: property, hops, age
+	// in milliseconds, sequence number and value.
 	observationSize = 1 + 1 + 4 + 8 + 8
-	// pieceSize is the most bytes of encoded observations in a packet. It leaves 64 bytes for the sender's
-	// name in the header.
+	// pieceSize is the greatest size in bytes of the encoded observations in a packet. It leaves 64 bytes for
+	// the sender's name in the header.
 	pieceSize = MaxPacketSize - fixedHeaderSize - 64
 )
 
--- a/internal/membership/gossip/packet.go
+++ b/internal/membership/gossip/packet.go
@@ -13,9 +13,9 @@
 
 const (
 	kindMessage          packetKind = 1 // a message of the decision module
-	kindDigest           packetKind = 2 // a digest: its sender wants the observations that it lacks
+	kindDigest           packetKind = 2 // a digest: the sender requests the observations that it lacks
 	kindObservations     packetKind = 3 // observations
-	kindBootstrapRequest packetKind = 4 // its sender starts, and wants the model state
+	kindBootstrapRequest packetKind = 4 // the sender starts, and requests the model state
 	kindBootstrapReply   packetKind = 5 // part number, number of parts, then model parameters as observations
 	kindBootstrapEmpty   packetKind = 6 // no model state: nothing was learnt, or too many peers ask
 	kindNameConflict     packetKind = 7 // incarnation of another process that has the receiver's name
@@ -23,21 +23,21 @@
 
 const (
 	packetVersion = 2
-	// MaxPacketSize is the most bytes of a packet; networks may fragment larger ones.
+	// MaxPacketSize is the greatest size of a packet in bytes; networks may fragment larger packets.
 	MaxPacketSize = 1200
-	// fixedHeaderSize is the size of a header without its name.
+	// fixedHeaderSize is the size in bytes of a header without its name.
 	fixedHeaderSize = 27
-	// maxNameSize is the most bytes of a string whose length is encoded in one byte.
+	// maxNameSize is the greatest size in bytes of a string whose length is encoded in one byte.
 	maxNameSize = math.MaxUint8
-	// incarnationSize is the size of an incarnation in the payload of kindNameConflict.
+	// incarnationSize is the size in bytes of an incarnation in the payload of kindNameConflict.
 	incarnationSize = 8
-	// replyPartSize is the size of the part number and the number of parts of kindBootstrapReply.
+	// replyPartSize is the size in bytes of the part number and the number of parts of kindBootstrapReply.
 	replyPartSize = 2
 	maxReplyParts = math.MaxUint8
 )
 
-// header begins each packet: version, kind, the sender's incarnation, sequence number, clock in milliseconds
-// and name, the last with its length in one byte. Integers are big-endian.
+// header begins each packet: version, kind, and the sender's incarnation, sequence number, clock in
+// milliseconds and name. The length of the name precedes it in one byte. Integers are big-endian.
 type header struct {
 	kind        packetKind
 	incarnation uint64
--- a/internal/membership/gossip/receive.go
+++ b/internal/membership/gossip/receive.go
@@ -74,7 +74,8 @@
 	}
 }
 
-// handleDigest answers a peer's digest with the observations that the peer lacks; false: it is malformed.
+// handleDigest answers a peer's digest with the observations that the peer lacks; false: the digest is
+// malformed.
 func (n *Node) handleDigest(now time.Duration, from string, data []byte) bool {
 	digest, ok := readDigest(data)
 	if !ok {
--- a/internal/membership/keyring.go
+++ b/internal/membership/keyring.go
@@ -10,7 +10,7 @@
 
 // SetKeys replaces the keys in use: all are accepted for received traffic, the first is used to send. A fleet
 // changes its key in three steps, each of them at all members before the next: add the new key after the old
-// one, move it before the old one, remove the old one. If a key is invalid, nothing is changed.
+// key, move the new key before the old key, remove the old key. If a key is invalid, nothing is changed.
 func (s *Service) SetKeys(keys [][]byte) error {
 	if len(keys) == 0 {
 		return ErrNoKeys
--- a/internal/membership/modelstate/modelstate.go
+++ b/internal/membership/modelstate/modelstate.go
@@ -34,7 +34,7 @@
 const (
 	classPrefix = "c/" // begins the names of a class's parameters
 	kindPrefix  = "k/" // begins the names of the weights on an engine kind
-	// otherDispatchers stands in a weight's name, in place of a class, for the load of other dispatchers.
+	// otherDispatchers takes the place of a class in the name of the weight of other dispatchers' load.
 	otherDispatchers = "*"
 	// CompletionsSuffix ends the names of parameters that count completed queries.
 	CompletionsSuffix = "/seen"
@@ -43,7 +43,7 @@
 )
 
 // classParameters are the parameters of a class and their bounds. A snapshot from a peer is restored as a
-// whole: without bounds a scale of 1e30 would have a class rejected for ever.
+// whole: without bounds a scale of 1e30 would make the module reject a class permanently.
 var classParameters = []struct {
 	suffix   string
 	min, max float64
@@ -95,7 +95,8 @@
 	return kindPrefix + kind + "/" + strconv.Quote(classes[i].Name) + "/" + other
 }
 
-// Valid reports whether a value is within the bounds of a parameter. It is false for unknown names.
+// Valid reports whether a value is within the bounds of a parameter. Valid is false for NaN, and for names
+// that neither begin like the weights of an engine kind nor end with the suffix of a class parameter.
 func Valid(name string, value float64) bool {
 	if math.IsNaN(value) || len(name) <= len(classPrefix) {
 		return false
@@ -113,7 +114,7 @@
 
 // Assemble returns a snapshot of the settings' classes and kinds, with the parameters that get returns. A
 // class with a parameter that is unknown or invalid is left out, and so is a kind with such a weight. Kinds
-// are included only if no class is left out. nil: there is nothing to restore.
+// are included only if no class is left out. nil: no class can be restored.
 func Assemble(classes, kinds []string, get func(name string) (float64, bool)) []byte {
 	known := func(name string) (float64, bool) {
 		value, ok := get(name)
--- a/internal/membership/modelstate/modelstate_test.go
+++ b/internal/membership/modelstate/modelstate_test.go
@@ -26,7 +26,7 @@
 }
 
 // A snapshot that is flattened and assembled again is unchanged. With any parameters missing or invalid,
-// what is assembled is either a snapshot that a module restores, or nothing.
+// Assemble returns either a snapshot that a module restores, or nothing.
 func TestFlattenAndAssemble(t *testing.T) {
 	config := testConfig()
 	g, err := cresspass.New(config)
--- a/internal/membership/observation/assessment.go
+++ b/internal/membership/observation/assessment.go
@@ -12,7 +12,7 @@
 // Assessment is what a store concludes about a key.
 type Assessment struct {
 	Value float64
-	// Local tells whether the value was observed here.
+	// Local reports whether the value was observed here.
 	Local bool
 	// Confidence is from 0 to 1. For reports it depends on how many agree, and on how fresh they are.
 	Confidence float64
@@ -25,9 +25,9 @@
 	reportedBy    string
 }
 
-// Assess weighs the evidence about a key. An observation made here counts alone until it expires. Of
-// reports the weighted median counts: to shift it takes more than half of the weight, however far off a
-// value is.
+// Assess weighs the evidence about a key. An observation made here counts alone until it expires. Otherwise
+// the value is the weighted median of the reports: false reports determine it only with half of the weight or
+// more, however far off their values are.
 func (s *Store) Assess(now time.Duration, key Key) Assessment {
 	spec := &propertySpecs[key.Property]
 	votes := make([]vote, 0, 8)
@@ -98,14 +98,14 @@
 	return weight
 }
 
-// minAvoidConfidence is the confidence in reports that is needed to avoid an engine. It takes at least two
-// peers that agree.
+// minAvoidConfidence is the confidence in reports that is needed to avoid an engine. At least two peers that
+// agree are needed to reach it.
 const minAvoidConfidence = 0.6
 
 // EnginesToAvoid returns the engines to avoid because of reports: those that several peers agree to be
-// unhealthy and that have no evidence here. If they are more than half of all engines, none is returned: a
-// Byzantine peer, or a group of peers that is cut off from the engines, could otherwise have all engines
-// avoided.
+// unhealthy and about which there is no evidence here. If they are more than half of all engines, none is
+// returned: a Byzantine peer, or a group of peers that is cut off from the engines, could otherwise have all
+// engines avoided.
 func (s *Store) EnginesToAvoid(now time.Duration) (avoid []string) {
 	for engine := range s.engines {
 		if engine == "" {
--- a/internal/membership/observation/digest.go
+++ b/internal/membership/observation/digest.go
@@ -9,9 +9,9 @@
 // DigestBuckets is the number of buckets of a Digest.
 const DigestBuckets = 64
 
-// Digest is a fingerprint of a store's conclusions, by which a peer finds what the store lacks. Dispatchers
-// of different versions send and compare digests: the same records must have the same digest in all
-// versions.
+// Digest is a fingerprint of a store's conclusions, by which a peer finds the observations that the store
+// lacks. Dispatchers of different versions send and compare digests: the same records must have the same
+// digest in all versions.
 type Digest [DigestBuckets]uint64
 
 // digestBucket returns the bucket that a key falls into.
@@ -20,13 +20,14 @@
 	return int(hash32(hash, key.Parameter) % DigestBuckets)
 }
 
-// maxDigestVotes is the number of observers from which on a digest does not distinguish how many there are.
+// maxDigestVotes is the number of observers up to which a digest distinguishes their number.
 const maxDigestVotes = 3
 
-// Digest returns the fingerprint of the conclusions: for each key the quantized median, and whether one,
-// two or more observers support it. It does not cover the records: in a large fleet all dispatchers observe
-// all engines all the time, so records differ everywhere, and new conclusions would be lost among those
-// that every member knows. It does not cover times, which differ between dispatchers.
+// Digest returns the fingerprint of the conclusions: for each key the quantized median, and whether one, two,
+// or three or more observers have records of the key. It does not cover the records themselves: in a large
+// fleet all dispatchers observe all engines all the time, so records differ everywhere, and new conclusions
+// would be lost among those that every member knows. It does not cover times, which differ between
+// dispatchers. It does not cover model parameters.
 func (s *Store) Digest(now time.Duration) (digest Digest) {
 	var values []float64
 	for _, records := range s.engines {
@@ -60,14 +61,14 @@
 	hash = (hash ^ uint64(min(len(sorted), maxDigestVotes))) * fnvPrime64
 	hash = hash64(hash, key.Parameter)
 	median := quantize(sorted[len(sorted)/2], propertySpecs[key.Property].tolerance)
-	for i := range 4 { // its low 32 bits
+	for i := range 4 { // the low 32 bits of the median
 		hash = (hash ^ uint64(byte(median>>(8*i)))) * fnvPrime64
 	}
 	return hash
 }
 
-// quantize returns the number of the step that a value falls into. From 1 on the steps grow with the value,
-// each by the tolerance.
+// quantize returns the number of the step that a value falls into. Below 1, and for a tolerance of 0, a step
+// is one half. From 1 on each step is 1+tolerance times the one before.
 func quantize(value, tolerance float64) int {
 	if tolerance <= 0 || value < 1 {
 		return int(math.Round(2 * value))
--- a/internal/membership/observation/initial.go
+++ b/internal/membership/observation/initial.go
@@ -17,14 +17,15 @@
 // PreviousIncarnation is the peer name under which a dispatcher records what its previous incarnation learnt.
 const PreviousIncarnation = "(former)"
 
-// maxReportedCompletions bounds the number of completed queries on which parameters learnt by peers count
-// as based, so that a few completions of our own weigh as much: a parameter that is based on many changes
-// slowly, and a wrong value would stay.
+// maxReportedCompletions bounds the number of completed queries (CompletionsSuffix) that is taken over from
+// peers, so that a few completions of our own weigh as much: a parameter that is based on many completions
+// changes slowly, and a wrong value would stay.
 const maxReportedCompletions = 8
 
 // InitialParameter weighs the evidence about a model parameter for a starting dispatcher: its value is the
-// weighted median, its age the median of the ages. What a single peer reports counts as one half-life older,
-// which halves its weight. false: nothing is known of the parameter.
+// weighted median (see Assess), its age the median of the ages. A single report counts as one half-life
+// older, which halves its weight. A count of completions with a report of a peer is at most
+// maxReportedCompletions. false: nothing is known about the parameter.
 func (s *Store) InitialParameter(now time.Duration, name string) (p InitialParameter, ok bool) {
 	key := Key{Property: ModelParameter, Parameter: name}
 	assessment := s.Assess(now, key)
--- a/internal/membership/observation/record.go
+++ b/internal/membership/observation/record.go
@@ -19,14 +19,14 @@
 type Record struct {
 	Observer   string
 	ObservedAt time.Duration // by the holder's clock
-	Seq        uint64        // of the observer's records
+	Seq        uint64        // sequence number of the observer's observation
 	Value      float64
-	Hops       uint8  // dispatchers that it came through; 0: observed here
-	ReportedBy string // the peer that sent it; "": observed here
-	rank       uint32 // of Observer
+	Hops       uint8  // dispatchers that the record came through; 0: observed here
+	ReportedBy string // the peer that sent the record; "": observed here
+	rank       uint32 // observerRank of Observer
 }
 
-// supersedes reports whether r replaces other. It is a total order of the records of one property: by the
+// supersedes reports whether r replaces other. The order is total for the records of one property: by the
 // time of the evidence, then by the fields that differ. Merging is independent of the order of reports only
 // because the order is total.
 func (r *Record) supersedes(other *Record) bool {
@@ -84,7 +84,7 @@
 	return records[:min(len(records), max(limit+first, limit))] // without a limit the sum overflows
 }
 
-// dropExpired removes records whose evidence no longer counts, as they would take the place of others.
+// dropExpired removes records whose evidence has expired, as they would take the place of other records.
 func dropExpired(now time.Duration, property Property, records []Record) []Record {
 	ttl := propertySpecs[property].ttl
 	return slices.DeleteFunc(records, func(r Record) bool { return now-r.ObservedAt > ttl })
--- a/internal/membership/observation/store.go
+++ b/internal/membership/observation/store.go
@@ -10,9 +10,9 @@
 
 // Limits bound what a store keeps and passes on.
 type Limits struct {
-	Observers       int // records of one property, without our own
+	Observers       int // records of one property of an engine, without our own
 	ModelParameters int
-	Hops            uint8 // reports that came through so many dispatchers are not passed on
+	Hops            uint8 // reports that came through this many dispatchers are rejected, and not passed on
 }
 
 // DefaultLimits returns limits that suit a fleet of some hundred engines.
@@ -22,24 +22,24 @@
 type Rejected struct {
 	InvalidValue   int
 	UnknownEngine  int // not in the engine list
-	OwnObservation int // names us as the observer
+	OwnObservation int // names this dispatcher as the observer
 	Expired        int // too old, or with an impossible age
 	TooManyHops    int
-	NoCapacity     int // there are Limits.ModelParameters already
+	NoCapacity     int // the store has Limits.ModelParameters parameters already
 }
 
 // Store holds the records of one dispatcher. Make one with New. It is not safe for concurrent use.
 type Store struct {
 	self        string
 	limits      Limits
-	seq         uint64                      // of the last observation of our own
-	engines     map[string]map[Key][]Record // by engine; "": model parameters
-	lastFailure map[string]time.Duration    // failed attempts of our own, by engine
+	seq         uint64                      // sequence number of our last observation
+	engines     map[string]map[Key][]Record // records by engine; "": model parameters
+	lastFailure map[string]time.Duration    // time of our last failed attempt, by engine
 	rejected    Rejected
 }
 
 // New returns the empty store of a dispatcher with the name self. No other process may ever have the name: a
-// dispatcher that restarts takes another.
+// dispatcher that restarts takes another name.
 func New(self string, limits Limits) *Store {
 	return &Store{
 		self:        self,
@@ -86,8 +86,8 @@
 	records[key] = append([]Record{own}, reports...)
 }
 
-// Receive records the reports of a peer. Each record names the peer that sent it, and all that one peer
-// reports of a property counts once: a Byzantine peer can name many observers, real or invented.
+// Receive records the reports of a peer. Each record names the peer that sent it, and all reports of one peer
+// about a property count once: a Byzantine peer can name many observers, real or invented.
 func (s *Store) Receive(now time.Duration, from string, reports []Observation) {
 	for i := range reports {
 		report := &reports[i]
@@ -123,7 +123,8 @@
 	case records == nil:
 		return &s.rejected.UnknownEngine
 	case report.Observer == s.self:
-		// Reports that a peer echoes or invents in our name would otherwise count as observed here.
+		// If reports that a peer echoes or invents in our name were accepted, they would count as observed
+		// here.
 		return &s.rejected.OwnObservation
 	case report.Age < 0 || report.Age > propertySpecs[report.Property].ttl || report.Age > now:
 		return &s.rejected.Expired
@@ -156,8 +157,8 @@
 	return known || key.Property != ModelParameter || len(records) < s.limits.ModelParameters
 }
 
-// OwnModelParameters returns the model parameters that this dispatcher has learnt itself. They are in no
-// digest: a starting peer requests them once.
+// OwnModelParameters returns the model parameters that this dispatcher has learnt itself. Model parameters
+// are in no digest: a starting peer requests them once.
 func (s *Store) OwnModelParameters(now time.Duration) (own []Observation) {
 	parameters := s.collect(now, func(key Key) bool { return key.Property == ModelParameter })
 	for _, o := range parameters {
@@ -169,7 +170,7 @@
 }
 
 // collect returns the current observations of the selected keys, the freshest first: by the number of hops,
-// then by the fraction of their TTL that has passed. Our own, without hops, come before reports.
+// then by the fraction of their TTL that has passed. Our own observations, without hops, come before reports.
 func (s *Store) collect(now time.Duration, selected func(Key) bool) []Observation {
 	var collected []Observation
 	for _, records := range s.engines {
--- a/internal/membership/observation/store_test.go
+++ b/internal/membership/observation/store_test.go
@@ -59,7 +59,7 @@
 	if a := s.Assess(now, healthKey("e1")); !a.Local || a.Value != 0 {
 		t.Errorf("a dead engine reported as healthy: %+v", a)
 	}
-	now += 20 * time.Second // our evidence has expired; what peers observed before it stays discarded
+	now += 20 * time.Second // our evidence has expired; older observations of peers stay discarded
 	receive("e1", Health, Healthy, 21*time.Second, 5)
 	if a := s.Assess(now, healthKey("e1")); a.Known {
 		t.Errorf("disproved reports count: %+v", a)
@@ -74,7 +74,7 @@
 	if engines := s.EnginesToAvoid(now); engines != nil {
 		t.Errorf("avoided against evidence here, or for one peer: %v", engines)
 	}
-	for i := range 5 { // one peer that reports what five others are said to have observed counts once
+	for i := range 5 { // one peer that names five other observers counts once
 		s.Receive(now, "liar", []Observation{{Key: healthKey("e3"), Observer: fmt.Sprint("p", i), Seq: 9}})
 	}
 	if engines := s.EnginesToAvoid(now); engines != nil {
@@ -110,8 +110,8 @@
 	}
 }
 
-// One peer in five is Byzantine: whatever it reports, the assessment lies within what the honest ones
-// report.
+// One peer in five is Byzantine. For any values that it reports, the assessment lies within the values that
+// the honest peers report.
 func TestAssessBoundsOneByzantineOfFive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New("me", DefaultLimits())
@@ -153,7 +153,7 @@
 			}
 			stores = append(stores, s)
 		}
-		for range members { // rounds: each with the next around, and some at random
+		for range members { // rounds: each member with its next neighbor, and some at random
 			for i, s := range stores {
 				for _, peer := range []*Store{stores[(i+1)%members],
 					stores[rapid.IntRange(0, members-1).Draw(t, "with")]} {
--- a/internal/membership/ordinal/assigner.go
+++ b/internal/membership/ordinal/assigner.go
@@ -1,6 +1,6 @@
 // Package ordinal assigns ordinals to the dispatchers that send to the same engines, and counts them, from a
-// member list that networks deliver early, late or wrong. All assigners that see the same members assign the
-// same. It does no I/O and reads no clock.
+// member list that networks deliver early, late or wrong. All assigners that know the same members and claims
+// assign the same ordinals. The package does no I/O and reads no clock.
 package ordinal
 
 import (
@@ -17,7 +17,7 @@
 	Name string // unique in the fleet
 	// Incarnation counts the processes with this name: a later process has a greater one.
 	Incarnation uint64
-	// Claim is the ordinal that the member says it has; Unassigned: none yet.
+	// Claim is the ordinal that the member announces as its own; Unassigned: none yet.
 	Claim int
 }
 
@@ -26,11 +26,11 @@
 	// SettleTime is how long the members must have been unchanged before the view follows them: each change
 	// of the view makes the decision module drop its peers' reports and adapt its shares.
 	SettleTime time.Duration
-	// LossGrace is how long a member that was lost still counts. Without it both sides of a network split
-	// would at once take over the other's share of the engines and together send twice as much.
+	// LossGrace is how long a member that was lost still counts. Without LossGrace both sides of a network
+	// split would at once take over the other's share of the engines and together send twice as much.
 	LossGrace time.Duration
-	// LeaveGrace is how long a member that announced its leave still counts. Without it the others would
-	// take over its share at once, while the queries that it last sent to an engine in slow start still
+	// LeaveGrace is how long a member that announced its leave still counts. Without LeaveGrace the others
+	// would take over its share at once, while the queries that it last sent to an engine in slow start still
 	// count there.
 	LeaveGrace time.Duration
 	// MinCount is a lower bound of the count, from the settings.
@@ -39,7 +39,7 @@
 
 // View is a dispatcher's ordinal and the number of dispatchers, for its decision module.
 type View struct {
-	Ordinal int // Unassigned: none is claimed, and the members have not settled yet
+	Ordinal int // Unassigned: no ordinal is claimed, and the members have not settled yet
 	Count   int
 }
 
@@ -49,7 +49,7 @@
 	self      Member
 	limits    Limits
 	members   map[string]Member
-	expiry    map[string]time.Duration // until when members that were lost still count
+	expiry    map[string]time.Duration // time until which a lost member still counts
 	changedAt time.Duration            // when the members last changed
 	view      View
 	upToDate  bool // the view was computed from the current members
@@ -70,7 +70,7 @@
 // Self returns this dispatcher's metadata, with the ordinal that it has.
 func (a *Assigner) Self() Member { return a.self }
 
-// MemberCount is the number of members that count, lost ones within their grace among them.
+// MemberCount returns the number of members that count, including lost members whose grace is not over.
 func (a *Assigner) MemberCount() int { return len(a.members) }
 
 // MemberAlive records that a member is present, or that its metadata has changed.
@@ -78,9 +78,9 @@
 	old, known := a.members[m.Name]
 	switch {
 	case m.Name == a.self.Name:
-		return // a duplicate name, or an echo of our metadata: ours stands, see SupersededBy
+		return // a duplicate name, or an echo of our metadata, which stays as it is: see SupersededBy
 	case known && m.Incarnation < old.Incarnation:
-		return // an earlier incarnation's, delivered late
+		return // metadata of an earlier incarnation, delivered late
 	}
 	delete(a.expiry, m.Name)
 	// A claim does not restart the settle time: of many dispatchers that start at once each would otherwise
@@ -100,7 +100,7 @@
 	return m.Name == a.self.Name && m.Incarnation > a.self.Incarnation
 }
 
-// MemberLost records the loss of a member; left: it announced that it leaves.
+// MemberLost records the loss of a member. left reports whether the member announced its leave.
 func (a *Assigner) MemberLost(now time.Duration, name string, left bool) {
 	if _, known := a.members[name]; !known || name == a.self.Name {
 		return
@@ -146,8 +146,8 @@
 	}
 }
 
-// highestOrdinal is the greatest ordinal assigned. The count has to be above it: otherwise two decision
-// modules would take the same share of the fleet.
+// highestOrdinal returns the greatest ordinal that is assigned. The count must be greater: otherwise two
+// decision modules would take the same share of the fleet.
 func highestOrdinal(ordinals map[string]int) int {
 	highest := 0
 	for _, ordinal := range ordinals {
@@ -156,8 +156,9 @@
 	return highest
 }
 
-// assign gives each member an ordinal. A claim that only one member has stands: a member that returns gets
-// its ordinal back, and the others keep theirs. Of two members with one claim the first by name keeps it.
+// assign gives each member an ordinal. A claim that only one member has is granted: a member that returns
+// gets its ordinal back, and the others keep theirs. Of two members with the same claim the first by name
+// gets the ordinal.
 // Members without an ordinal get the lowest free ones, in the order of their names, so all assigners that see
 // the same members and claims assign the same. Claims not below the number of members are dropped, so that
 // the count can fall again.
--- a/internal/membership/ordinal/assigner_test.go
+++ b/internal/membership/ordinal/assigner_test.go
@@ -78,7 +78,7 @@
 			seen[v.Ordinal] = a.self.Name
 		}
 		before := f.assigners[0].view
-		f.start(n-1, claim()) // returns with any claim
+		f.start(n-1, claim()) // the member returns with any claim
 		for range 40 {
 			f.round()
 		}
--- a/internal/membership/replayguard/guard.go
+++ b/internal/membership/replayguard/guard.go
@@ -1,7 +1,7 @@
 package replayguard
 
-// Guard holds the windows of a bounded number of senders. When there are too many, the oldest window is
-// dropped. It is not safe for concurrent use.
+// Guard holds the windows of a bounded number of senders. When there are too many, the window that was
+// created first is dropped. A Guard is not safe for concurrent use.
 type Guard struct {
 	maxSenders int
 	windows    map[string]*Window
@@ -13,8 +13,8 @@
 	return &Guard{maxSenders: maxSenders, windows: map[string]*Window{}}
 }
 
-// Accept reports whether a message of a sender is new, see Window.Accept. known tells whether the sender is a
-// member: messages of others are not accepted, and nothing is recorded of them.
+// Accept reports whether a message of a sender is new, see Window.Accept. known reports whether the sender is
+// a member: messages of other senders are not accepted, and nothing is recorded about them.
 func (g *Guard) Accept(sender string, known bool, incarnation, seq uint64) bool {
 	if !known {
 		return false
--- a/internal/membership/replayguard/window.go
+++ b/internal/membership/replayguard/window.go
@@ -1,15 +1,15 @@
 // Package replayguard decides whether a message of a peer is new, by the sender's incarnation and the
-// message's sequence number. Messages arrive late, twice and out of order, and an eavesdropper may replay
-// one. It owns the record of what was accepted, does no I/O and reads no clock.
+// message's sequence number. Messages arrive late, twice and out of order, and an eavesdropper may replay a
+// message. The package owns the record of the accepted messages, does no I/O and reads no clock.
 package replayguard
 
-// windowSize is the number of sequence numbers, up to the highest accepted one, of which a message may still
-// be accepted: networks reorder messages.
+// windowSize is the number of sequence numbers, counted down from the highest accepted one, whose messages
+// may still be accepted: networks reorder messages.
 const windowSize = 1024
 
 const wordBits = 64
 
-// Window is the record of one sender's messages. The zero value has accepted none.
+// Window is the record of one sender's messages. The zero value has accepted no message.
 type Window struct {
 	incarnation uint64
 	highest     uint64                        // greatest sequence number accepted
--- a/internal/membership/replayguard/window_test.go
+++ b/internal/membership/replayguard/window_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// The window accepts the same messages as a model that records all: none twice, none of an earlier
+// The window accepts the same messages as a model that records all messages: none twice, none of an earlier
 // incarnation, none too far behind, and all others.
 func TestWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -39,7 +39,7 @@
 	})
 }
 
-// A guard accepts no message of unknown senders and records nothing of them. It keeps a bounded number of
+// A guard accepts no message of unknown senders and records nothing about them. It keeps a bounded number of
 // windows, and drops the oldest.
 func TestGuard(t *testing.T) {
 	g := NewGuard(2)
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -28,13 +28,13 @@
 	gossip.Config
 	Listen string   // address, for UDP and TCP
 	Seeds  []string // addresses of members to join
-	// Keys authenticate and encrypt all traffic: 16, 24 or 32 bytes each. All are accepted, the first is
-	// used.
+	// Keys authenticate and encrypt all traffic: 16, 24 or 32 bytes each. All are accepted for received
+	// traffic, the first is used to send.
 	Keys          [][]byte
 	ProbeInterval time.Duration // between probes of members; 0: memberlist's default, one second
 	// Transport replaces the sockets at Listen; nil: sockets.
 	Transport memberlist.Transport
-	// Clock is the dispatcher's clock; nil: one that reads one day at the start.
+	// Clock is the dispatcher's clock; nil: a clock that reads 24 hours at the start.
 	Clock dispatch.Clock
 	// HandleAction carries out the actions that concern the decision module: DeliverMessage, UpdateView and
 	// ReportEngineDown. It must not block.
@@ -49,11 +49,11 @@
 	leaveTimeout     = 500 * time.Millisecond
 	updateTimeout    = time.Second
 	joinTimeout      = 2 * time.Second
-	// packetOverhead is the room in a UDP packet, in bytes, for memberlist's headers and encryption.
+	// packetOverhead is the space in a UDP packet, in bytes, for memberlist's headers and encryption.
 	packetOverhead = 200
 )
 
-// ErrNoKeys is returned by New and SetKeys if there is no key: without one anybody could forge traffic.
+// ErrNoKeys is returned by New and SetKeys if there is no key: without a key any process could forge traffic.
 var ErrNoKeys = errors.New("membership: no keys")
 
 // Service is a dispatcher's membership in its fleet. Make one with New; end it with Close or Abort. It is
@@ -83,8 +83,8 @@
 }
 
 // New starts a service and joins the fleet through the seeds. A dispatcher that reaches no seed is alone
-// until others find it. It returns an error if the address or a key is invalid, if there is no key, or if
-// the address can't be listened on.
+// until other dispatchers join it. New returns an error if the address or a key is invalid, if there is no
+// key, or if it cannot listen on the address.
 func New(config Config, store *observation.Store, logger *slog.Logger) (*Service, error) {
 	host, port, err := parseListenAddress(config.Listen)
 	if err != nil {
@@ -193,9 +193,9 @@
 		close(s.stop)
 		s.background.Wait()
 		if leave {
-			_ = s.members.Leave(leaveTimeout) // if it is not delivered in time, the others detect the loss
+			_ = s.members.Leave(leaveTimeout) // if the others do not receive it in time, they detect the loss
 		}
-		_ = s.members.Shutdown() // it never fails: memberlist logs what its transport returns
+		_ = s.members.Shutdown() // Shutdown never fails: memberlist logs the errors of its transport
 	})
 }
 
@@ -219,9 +219,9 @@
 	}
 }
 
-// announce joins the seeds and broadcasts the metadata once more. While the others do not yet know that this
-// name's previous process has ended, they ignore the metadata of this one, and memberlist does not repeat it.
-// It runs in a goroutine of its own, so that seeds that do not answer do not delay the ticks.
+// announce joins the seeds and broadcasts the metadata once more. Until the others know that the previous
+// process with this name has ended, they ignore the metadata of this process, and memberlist does not repeat
+// it. announce works in a goroutine of its own, so that seeds that do not answer do not delay the ticks.
 func (s *Service) announce() {
 	if !s.announcing.CompareAndSwap(false, true) {
 		return
@@ -237,12 +237,12 @@
 
 // broadcastMetadata has memberlist fetch this dispatcher's metadata and broadcast it.
 func (s *Service) broadcastMetadata() {
-	_ = s.members.UpdateNode(updateTimeout) // it fails if the broadcast is late; memberlist continues it
+	_ = s.members.UpdateNode(updateTimeout) // error: the broadcast is late; memberlist continues it
 }
 
 // withNode calls f with the node and carries out the actions that follow. While the member list is being
-// created, the actions are left to a later call. It must not be called from memberlist's notifications of
-// members, which hold memberlist's locks.
+// created, the actions are left to a later call. withNode must not be called from memberlist's notifications
+// of members, which hold memberlist's locks.
 func (s *Service) withNode(f func(now time.Duration, n *gossip.Node)) {
 	s.mu.Lock()
 	f(s.clock(), s.node)
@@ -286,7 +286,7 @@
 }
 
 // SendMessage sends a message of the decision module to the dispatcher with an ordinal; gossip.AllPeers: to
-// all. It may be lost, and is not sent if it exceeds the rate.
+// all. The message may be lost, and is not sent if it exceeds the rate.
 func (s *Service) SendMessage(to int, data []byte) {
 	s.withNode(func(now time.Duration, n *gossip.Node) { n.SendMessage(now, to, data) })
 }
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -110,7 +110,7 @@
 	}
 	f.eventually("converged", func() bool { return converged(all) })
 	wrongKey := f.start("x", [][]byte{testKey(9)}, first.Addr())
-	f.eventually("messages", func() bool { // they may be lost, and claims arrive a moment late
+	f.eventually("messages", func() bool { // messages may be lost, and claims arrive a moment late
 		first.SendMessage(gossip.AllPeers, sentMessage(0))
 		first.SendMessage(all[2].Stats().Ordinal, sentMessage(1))
 		f.mu.Lock()
@@ -147,11 +147,11 @@
 		t.Errorf("the rate does not hold, %d bytes at the most: %+v", mostBytes, st)
 	}
 
-	changeKey(t, all[:4]) // the last is left behind
+	changeKey(t, all[:4]) // the last service keeps the old key
 	f.eventually("the one left behind is lost, the others go on", func() bool { return converged(all[:4]) })
 	all[4].Abort()
 	before := all[0].Stats().Ordinal
-	all[3].Close() // leaves
+	all[3].Close() // announces its leave
 	f.eventually("one left", func() bool { return converged(all[:3]) })
 	all[2].Abort()
 	f.eventually("one crashed", func() bool { return converged(all[:2]) })
--- a/internal/membership/validation/aggregate.go
+++ b/internal/membership/validation/aggregate.go
@@ -6,8 +6,8 @@
 	"cresspass"
 )
 
-// Two members are aggregators at a time, and others were before them. Their sums are compared for
-// comparableTTLs times EvidenceTTL, and kept for retainedTTLs times EvidenceTTL.
+// Two members are aggregators at a time, and others were aggregators before them. The sums of all of them are
+// compared for comparableTTLs times EvidenceTTL, and kept for retainedTTLs times EvidenceTTL.
 const (
 	comparableTTLs = 3
 	retainedTTLs   = 10
@@ -22,8 +22,8 @@
 	confirming, contradicting := v.compareAggregates(now, from, own)
 	// To miss a load costs less than to reject clients for a load that does not exist. So sums are rejected
 	// if at least as many aggregators contradict as confirm them, and high sums also if there is no
-	// aggregator to compare them with. Rejected sums are kept all the same: a load that does exist is
-	// accepted once a second aggregator reports it.
+	// aggregator to compare them with. Rejected sums are still stored: a load that does exist is accepted
+	// once a second aggregator reports it.
 	if contradicting > 0 && contradicting >= confirming {
 		return Contradicted
 	}
@@ -34,7 +34,7 @@
 	return Accepted
 }
 
-// checkAgainstEngines compares sums with what engines have answered and reported to this dispatcher.
+// checkAgainstEngines compares sums with the engines' responses and reports to this dispatcher.
 func (v *Validator) checkAgainstEngines(now time.Duration, loads []cresspass.PeerLoad) Result {
 	known, ejected, ejectedButResponding := 0, 0, 0
 	checked, contradicted := 0, 0
@@ -70,12 +70,13 @@
 	return Accepted
 }
 
-// isFresh reports whether evidence from a time still counts; 0: there is no evidence.
+// isFresh reports whether evidence from the time at still counts; at 0: there is no evidence.
 func (v *Validator) isFresh(now, at time.Duration) bool {
 	return at > 0 && now-at <= v.limits.EvidenceTTL
 }
 
-// compareAggregates counts the other aggregators whose sums confirm and contradict those of one.
+// compareAggregates counts the other aggregators whose sums confirm own, the sums of the sender from, and
+// those whose sums own contradicts.
 func (v *Validator) compareAggregates(
 	now time.Duration, from int, own *peerLoads,
 ) (confirming, contradicting int) {
@@ -107,8 +108,8 @@
 	sumsContradict
 )
 
-// compare tells whether an aggregator's sums far exceed another's, on the engines known here that are in
-// both.
+// compare compares an aggregator's sums with another's, on the engines known here that are in both. Sums that
+// far exceed the other's contradict them; all other sums confirm them.
 func (v *Validator) compare(own, other *peerLoads) comparison {
 	ours, theirs, cores := 0.0, 0.0, 0.0
 	for tag, threads := range own.threads {
--- a/internal/membership/validation/enginegroup.go
+++ b/internal/membership/validation/enginegroup.go
@@ -6,17 +6,17 @@
 	"cresspass"
 )
 
-// knownEngine is what an engine has shown to this dispatcher.
+// knownEngine is the evidence that this dispatcher has about an engine.
 type knownEngine struct {
-	lastResponse    time.Duration // to this dispatcher; 0: never
-	reportedThreads float64       // threads that it reported to run in total
-	reportedAt      time.Duration // 0: never
+	lastResponse    time.Duration // time of its last response to this dispatcher; 0: never
+	reportedThreads float64       // threads that the engine reported to run in total
+	reportedAt      time.Duration // time of that report; 0: never
 }
 
-// engineGroup holds the engines that have one tag: nearly always a single one. Messages do not tell them
-// apart, so their loads are compared with what is known of all of them.
+// engineGroup holds the engines that share a tag: nearly always a single engine. Messages do not distinguish
+// these engines, so their loads are compared with the evidence about all of them together.
 type engineGroup struct {
-	cores   float64 // of all
+	cores   float64 // of all engines in the group
 	engines map[cresspass.EngineID]*knownEngine
 }
 
@@ -24,7 +24,7 @@
 	return &engineGroup{engines: map[cresspass.EngineID]*knownEngine{}}
 }
 
-// add adds an engine, and takes over what a former group, which may be nil, knows of it.
+// add adds an engine, and takes over the evidence about it from a former group, which may be nil.
 func (g *engineGroup) add(id cresspass.EngineID, cores float64, former *engineGroup) {
 	g.cores += cores
 	g.engines[id] = &knownEngine{}
@@ -48,7 +48,7 @@
 	}
 }
 
-// lastResponse returns the earliest of the engines' last responses; 0: one never responded.
+// lastResponse returns the earliest of the engines' last responses; 0: an engine has never responded.
 func (g *engineGroup) lastResponse() time.Duration {
 	first := true
 	var earliest time.Duration
@@ -60,8 +60,8 @@
 	return earliest
 }
 
-// reported returns the threads that all engines reported together, and the time of the oldest report; 0: one
-// never reported.
+// reported returns the threads that all engines reported together, and the time of the oldest report; 0: an
+// engine has never reported.
 func (g *engineGroup) reported() (threads float64, at time.Duration) {
 	first := true
 	for _, e := range g.engines {
--- a/internal/membership/validation/peerloads.go
+++ b/internal/membership/validation/peerloads.go
@@ -13,7 +13,7 @@
 // peerLoads holds the loads that a member has last reported.
 type peerLoads struct {
 	receivedAt time.Duration
-	threads    map[uint16]float64 // by the engines' tag
+	threads    map[uint16]float64 // loads by the engines' tag
 	knownTotal float64            // threads on engines known here
 }
 
@@ -23,9 +23,9 @@
 	known, unknown float64 // threads on engines that are known here, and on others
 }
 
-// recordLoads stores the loads of a message by its sender, and returns those of all parts of the message so
-// far. Engines that share a tag have one entry each in a message, which add up. A later message replaces
-// the loads that an earlier one has for a tag.
+// recordLoads stores the loads of a message by its sender, and returns the loads of all parts of the message
+// so far. Engines that share a tag have one entry each in a message; these entries add up. A later part
+// replaces the loads that an earlier part has for a tag.
 func (v *Validator) recordLoads(
 	peers map[int]*peerLoads, from int, now time.Duration, loads []cresspass.PeerLoad,
 ) *peerLoads {
--- a/internal/membership/validation/unknown_engines_test.go
+++ b/internal/membership/validation/unknown_engines_test.go
@@ -154,7 +154,7 @@
 	})
 }
 
-// Guards against a load that counts twice because its report comes twice, as it does if one peer is the
+// Guards against a load that counts twice because its report arrives twice, as happens if one peer is the
 // aggregator in two consecutive terms.
 func TestRepeatedReportCountsOnce(t *testing.T) {
 	clock, _, _, _ := aggregators(t)
--- a/internal/membership/validation/validator.go
+++ b/internal/membership/validation/validator.go
@@ -1,7 +1,7 @@
 // Package validation checks the messages that decision modules send each other before a module receives
-// them: whether the sender may send such a message now, whether its loads are plausible, and whether
-// evidence here or another aggregator's message contradicts it. A message is accepted or rejected as a
-// whole; a rejected one costs no more than one that the network lost. The package does no I/O and reads no
+// them: whether the sender may send such a message now, whether its loads are plausible, and whether evidence
+// here or another aggregator's message contradicts it. A message is accepted or rejected as a whole; a
+// rejected message costs no more than a message that the network lost. The package does no I/O and reads no
 // clock.
 package validation
 
@@ -48,7 +48,7 @@
 	}
 }
 
-// maxTrackedPeers bounds the number of members about which anything is kept.
+// maxTrackedPeers bounds the number of members in each of the maps by ordinal.
 const maxTrackedPeers = 1024
 
 // presumedCores is the least number of cores that is assumed in total for the engines that a peer knows and
@@ -62,8 +62,8 @@
 
 	// By the sender's ordinal:
 	aggregates   map[int]*peerLoads    // last sums over all dispatchers
-	reports      map[int]*peerLoads    // last report of its own load
-	sentLoads    map[int]*sentThreads  // loads of queries that it has just sent
+	reports      map[int]*peerLoads    // last report of the sender's own load
+	sentLoads    map[int]*sentThreads  // loads of queries that the sender has just sent
 	blockedUntil map[int]time.Duration // senders of messages that were out of range
 
 	counts [ResultCount]uint64
@@ -121,8 +121,9 @@
 // Counts returns how many messages had each result.
 func (v *Validator) Counts() [ResultCount]uint64 { return v.counts }
 
-// Validate checks a message from the member with the ordinal from, in a fleet of so many members, and
-// counts the result. now is this dispatcher's clock, fleetClock the one that the fleet agrees on.
+// Validate checks a message from the member with the ordinal from, and counts the result. members is the
+// number of members in the fleet. now is this dispatcher's clock, fleetClock the clock that the fleet agrees
+// on.
 func (v *Validator) Validate(now, fleetClock time.Duration, from, members int, data []byte) Result {
 	result := v.validate(now, fleetClock, from, members, data)
 	v.counts[result]++
@@ -152,9 +153,9 @@
 	default:
 		result = v.validateSent(now, from, loads)
 	}
-	// An aggregator forwards what Byzantine members have sent to it, so a sender is blocked only for loads of
-	// its own. A disproportionate report may be true, if the dispatcher has nearly all clients: it is
-	// rejected, and its sender is not blocked.
+	// An aggregator forwards the loads that Byzantine members have sent to it, so a sender is blocked only
+	// for loads of its own. A disproportionate report may be true, if the dispatcher has nearly all clients:
+	// the report is rejected, and its sender is not blocked.
 	if result == OutOfRange && !fromAggregator && len(v.blockedUntil) < maxTrackedPeers {
 		v.blockedUntil[from] = now + v.limits.BlockFor
 	}
@@ -169,7 +170,8 @@
 	return sum
 }
 
-// exceeds reports whether a load contradicts another on engines with so many cores.
+// exceeds reports whether a load far exceeds another, and so contradicts it, on engines with this number of
+// cores.
 func (v *Validator) exceeds(load, other, cores float64) bool {
 	return load > v.limits.DisagreementFactor*other+v.limits.DisagreementSlack*cores
 }
@@ -212,16 +214,16 @@
 	return Accepted
 }
 
-// maxPeerThreads returns the most threads that one dispatcher may run on so many cores.
+// maxPeerThreads returns the most threads that one dispatcher may run on this number of cores.
 func (v *Validator) maxPeerThreads(cores float64) float64 {
 	return v.limits.MaxPeerThreadsPerCore*cores + v.limits.MaxQueryThreads
 }
 
 // validateSent checks a dispatcher's message about the queries that it has just sent. Small false loads add
-// up, so their sum is bounded: within EvidenceTTL, the time in which such messages fade, nobody sends more
-// than would fill all cores. A peer may know engines that are not known here, so the loads on those are
-// summed separately: more than is plausible is rejected, but does not prove that the sender is Byzantine,
-// and it is not blocked.
+// up, so their sum is bounded by maxPeerThreads of all cores: within EvidenceTTL, the time in which such
+// messages fade, no honest dispatcher sends more than would fill all cores. A peer may know engines that are
+// not known here, so the loads on those engines are summed separately: a sum that is not plausible is
+// rejected, but does not prove that the sender is Byzantine, and the sender is not blocked.
 func (v *Validator) validateSent(now time.Duration, from int, loads []cresspass.PeerLoad) Result {
 	if result := v.validateQueries(loads); result != Accepted {
 		return result
