--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -14,13 +14,13 @@
 	"cresspass/internal/wire"
 )
 
-// instance is one gateway and the buffers that it reuses from batch to batch.
+// instance is one gateway with the buffers that are reused from batch to batch.
 type instance struct {
 	gateway *cresspass.Gateway
 	events  []cresspass.Event
 	actions []cresspass.Action
-	failure string // why the gateway was not created, or has panicked; "": neither
-	queued  bool   // already listed for the current batch
+	failure string // error of creating the gateway, or the value of its panic; "": neither
+	queued  bool   // already in the pending list of the current batch
 }
 
 func main() {
@@ -60,8 +60,8 @@
 	}
 }
 
-// enqueue adds one message to its instance, and the instance to pending, the list of those to run in this
-// batch. It returns the list. Events for an instance that was never started are ignored.
+// enqueue adds one message to its instance, and the instance to pending, the list of the instances to run in
+// this batch. It returns the list. Events for an instance that was never started are ignored.
 func enqueue(instances map[int]*instance, pending []int, m *wire.Message) []int {
 	inst := instances[m.Instance]
 	switch m.Type {
@@ -92,8 +92,8 @@
 	return pending
 }
 
-// process passes the batch's events to the gateway and writes its actions, and the error of a gateway that
-// has failed. After an error the instance has no gateway until it is started again.
+// process passes the batch's events to the gateway and writes the gateway's actions, and the error of a
+// gateway that has failed. After an error the instance has no gateway until the instance is started again.
 func (inst *instance) process(w *bufio.Writer, id int, now time.Duration) {
 	inst.queued = false
 	if inst.gateway != nil {
--- a/internal/wire/action.go
+++ b/internal/wire/action.go
@@ -10,7 +10,8 @@
 	"cresspass"
 )
 
-// WriteAction writes one action of an instance. Actions that the protocol does not have are left out.
+// WriteAction writes one action of an instance. It writes nothing for an action that the protocol does not
+// have.
 func WriteAction(w *bufio.Writer, instance int, a *cresspass.Action) {
 	switch a.Type {
 	case cresspass.Send:
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -19,15 +19,16 @@
 	optionWrite   = 4
 )
 
-// The field note of an ended attempt: its memory in the lowest bits, its cost in milliseconds above them.
+// The field note of an ended attempt holds the attempt's memory, in units of noteMemoryUnit, in the lowest
+// noteMemoryBits bits, and its cost in milliseconds above them.
 const (
 	noteMemoryBits = 12
 	noteMemoryUnit = 4 // megabytes
 	noteMemoryMax  = 1<<noteMemoryBits - 1
 )
 
-// eventNames are the protocol's names of events. It has none for the events of sessions, of membership and
-// of a shutdown.
+// eventNames are the protocol's names of events. The protocol has no names for the events of sessions, of
+// membership and of a shutdown.
 var eventNames = map[cresspass.EventType]string{
 	cresspass.EngineListReceived:  "sync",
 	cresspass.QueryArrived:        "ask",
@@ -40,7 +41,7 @@
 	cresspass.QueryAbandoned:      "gone",
 }
 
-// eventParsers read an event's fields, by the protocol's name of the event.
+// eventParsers are the functions that read an event's fields, by the protocol's name of the event.
 var eventParsers = map[string]func(*Reader, *parser, *cresspass.Event){
 	"sync":           (*Reader).parseEngineList,
 	"ask":            (*Reader).parseQuery,
@@ -149,7 +150,7 @@
 	return &BatchWriter{w: bufio.NewWriterSize(w, 1<<16)}
 }
 
-// Begin begins a batch at a time of the simulator's clock.
+// Begin begins a batch at a time of the simulator's clock. The time is written in microseconds.
 func (b *BatchWriter) Begin(now time.Duration) {
 	fmt.Fprintf(b.w, "clock now-us=%d\n", now.Microseconds())
 }
@@ -279,8 +280,8 @@
 	}
 }
 
-// attemptNote packs the cost and the memory of an ended attempt. Memory is rounded up to whole units and
-// limited to noteMemoryMax.
+// attemptNote packs the cost and the memory of an ended attempt. Memory is rounded up to whole units of
+// noteMemoryUnit and limited to noteMemoryMax units.
 func attemptNote(e *cresspass.Event) uint64 {
 	memory := uint64(math.Ceil(max(e.ActualMemoryMB, 0) / noteMemoryUnit))
 	return uint64(e.ActualCost.Milliseconds())<<noteMemoryBits | min(memory, noteMemoryMax)
@@ -302,5 +303,6 @@
 	}
 }
 
-// escapeWord replaces spaces and commas by underscores: on the wire they separate fields and list items.
+// escapeWord replaces spaces and commas by underscores: on the wire, spaces separate fields and commas
+// separate list items.
 func escapeWord(s string) string { return strings.NewReplacer(" ", "_", ",", "_").Replace(s) }
--- a/internal/wire/parser.go
+++ b/internal/wire/parser.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// unsigned reads a whole number of at most 63 bits. A missing field is 0, unless it is required.
+// unsigned reads a whole number of at most 63 bits. A missing field is 0, or an error if the field is
+// required.
 func (p *parser) unsigned(name string, required bool) uint64 {
 	v, ok := p.find(name)
 	if !ok && !required {
@@ -65,7 +66,7 @@
 	return n
 }
 
-// duration reads a number of microseconds. A missing field is 0, unless it is required.
+// duration reads a whole number of microseconds. A missing field is 0, or an error if the field is required.
 func (p *parser) duration(name string, required bool) time.Duration {
 	v, ok := p.find(name)
 	if !ok && !required {
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -1,4 +1,4 @@
-// Package wire reads and writes the simulator's text protocol: it parses and formats, nothing else.
+// Package wire reads and writes the simulator's text protocol. It only parses and formats.
 package wire
 
 import (
@@ -15,17 +15,17 @@
 // listCount is the number of engine lists that the protocol can refer to: their numbers are 0 to 15.
 const listCount = 16
 
-// MessageType tells what a Message carries.
+// MessageType is the type of a Message and determines which of its fields are set.
 type MessageType int
 
 // The types of message.
 const (
-	StartInstance MessageType = iota // a new instance, with Config
+	StartInstance MessageType = iota // an instance starts with the settings in Config
 	StopInstance                     // the instance was killed
-	EventMessage                     // Event
+	EventMessage                     // an event for the instance, in Event
 )
 
-// Message is one line addressed to an instance. Its type tells which of Config and Event is set.
+// Message is one line addressed to an instance. Its type determines whether Config, Event or neither is set.
 type Message struct {
 	Type     MessageType
 	Instance int
@@ -56,7 +56,7 @@
 }
 
 // Next returns the next batch, valid until the following call, or io.EOF at the end of the input.
-// Any other error names the line and what is wrong with it.
+// Any other error names the line and the fault, unless it is a read error of the input.
 func (r *Reader) Next() (*Batch, error) {
 	name, p, err := r.readLine()
 	if err != nil {
--- a/internal/wire/reader_test.go
+++ b/internal/wire/reader_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// A later list replaces an earlier one with the same number within one batch; messages refer to the list that
-// precedes them.
+// A later list replaces an earlier list with the same number within one batch; messages refer to the list
+// that precedes them.
 func TestListsResolveInOrder(t *testing.T) {
 	b, err := NewReader(strings.NewReader(header +
 		"roster sheet=0 elements=1\nentry state=on node=a:1 flavor=k area=z block=2 start-time-us=5\n" +
--- a/internal/wire/reply_reader.go
+++ b/internal/wire/reply_reader.go
@@ -19,7 +19,8 @@
 }
 
 // Next appends the actions of one reply, all of one instance, to actions. It returns an error if the
-// instance's code has failed, if a line is malformed, or if a line is of another instance.
+// instance's code has failed, if a line is malformed, if a line is of another instance, or if the input ends
+// before the reply does.
 func (rr *ReplyReader) Next(instance int, actions []cresspass.Action) ([]cresspass.Action, error) {
 	for {
 		line, err := rr.reader.nextLine()
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,7 +7,7 @@
 	"cresspass"
 )
 
-// config reads the settings of a new instance. Unknown settings are ignored.
+// config reads the settings of a new instance from the fields. Unknown settings are ignored.
 func (p *parser) config() cresspass.Config {
 	cols := p.stringList("feedback.columns")
 	c := cresspass.Config{
--- a/internal/wire/settings_writer.go
+++ b/internal/wire/settings_writer.go
@@ -60,8 +60,8 @@
 }
 
 // SettingsFromConfig returns the settings of a dispatcher with the simulator's names and units;
-// ConfigFromSettings reads them back. Zero values are left out if a missing setting is read as zero, and so
-// is MaxSessionsPerEngine, for which the protocol has no setting.
+// ConfigFromSettings reads them back. Zero values are left out if a missing setting is read as zero.
+// MaxSessionsPerEngine is left out, too: the protocol has no setting for it.
 func SettingsFromConfig(c *cresspass.Config) []Setting {
 	b := &settingsBuilder{}
 	b.dispatcher(c)
@@ -82,8 +82,8 @@
 }
 
 func (b *settingsBuilder) dispatcher(c *cresspass.Config) {
-	// The wire's numbers have 63 bits, so the seed loses its highest bit. If it lost the lowest instead, two
-	// dispatchers with consecutive seeds would draw the same random numbers.
+	// The wire's numbers have 63 bits, so the seed loses its highest bit. If the seed lost its lowest bit
+	// instead, two dispatchers with consecutive seeds would draw the same random numbers.
 	b.always("rng-seed", strconv.FormatUint(c.Seed&math.MaxInt64, 10))
 	b.integer("ordinal", c.Ordinal)
 	b.integer("peers-total", c.GatewayCount)
