--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -37,8 +37,8 @@
 }
 
 // BenchmarkFleet starts the members of a fleet one after another, with encryption, over loopback sockets.
-// It reports how long it takes to start them, and until all agree on ordinals and count, in seconds, and
-// how many bytes a second each member then sends, membership and digests together.
+// It reports the seconds until all members are started, the seconds until all agree on ordinals and count,
+// and how many bytes a second each member then sends, for membership and digests together.
 func BenchmarkFleet(b *testing.B) {
 	for _, n := range []int{10, 50, 200, 500} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/membership/clocksync/clock_test.go
+++ b/internal/membership/clocksync/clock_test.go
@@ -19,7 +19,7 @@
 	falseClock time.Duration // the clock that all Byzantine members send; 0: a random one each time
 }
 
-// newTestFleet returns members that started at times drawn from a seed. Of ten or more a fifth are
+// newTestFleet returns members that started at times drawn from a seed. Of ten or more members a fifth are
 // Byzantine.
 func newTestFleet(members int, seed uint64) *testFleet {
 	f := &testFleet{now: 100 * time.Hour, random: rand.New(rand.NewPCG(seed, 1))}
--- a/internal/membership/gossip/node_test.go
+++ b/internal/membership/gossip/node_test.go
@@ -39,7 +39,7 @@
 	return n
 }
 
-// deliver hands the packets of one node to another, and returns the sender's other actions.
+// deliver passes the packets of one node to another, and returns the sender's other actions.
 func deliver(now time.Duration, from, to *Node) (others []Action) {
 	for _, a := range from.Ready() {
 		if a.Type == SendPacket && a.To == to.config.Name {
@@ -96,7 +96,7 @@
 		t.Errorf("a packet received twice: %+v", got)
 	}
 	earlier := append([]byte(nil), packet...)
-	earlier[9]-- // its incarnation
+	earlier[9]-- // the last byte of the packet's incarnation
 	b.HandlePacket(now, earlier)
 	b.HandlePacket(now, packet[:9])
 	newTestNode("x", 1, 0).HandlePacket(now, packet)
--- a/internal/membership/observation/golden_test.go
+++ b/internal/membership/observation/golden_test.go
@@ -11,8 +11,8 @@
 )
 
 // Two versions in one fleet have the same digest for the same evidence: otherwise each would conclude that
-// the other lacks everything, and answer with all it has, once a second. The numbers of properties are
-// sent. Only a change of the packet version may change the file.
+// the other lacks everything, and answer with all its observations, once a second. The numbers of properties
+// are sent to peers. Only a change of the packet version may change the file.
 func TestGoldenDigest(t *testing.T) {
 	if Health != 0 || Load != 1 || Uptime != 2 || ModelParameter != 3 {
 		t.Errorf("properties are sent as %d, %d, %d, %d", Health, Load, Uptime, ModelParameter)
@@ -45,7 +45,7 @@
 	goldentest.Compare(t, "digest.bin", written)
 }
 
-// Which observers are kept depends on their names alone, so that it is the same at all members.
+// Which observers are kept depends on their names alone, so that all members keep the same observers.
 func TestGoldenRanks(t *testing.T) {
 	ranks := map[string]uint32{}
 	for _, name := range []string{"", "a", "hall-a-1", "hall-b-2", "(former)", "d000", "d499"} {
--- a/internal/membership/observation/record.go
+++ b/internal/membership/observation/record.go
@@ -57,7 +57,7 @@
 func observerRank(observer string) uint32 { return hash32(fnvOffset32, observer) * knuthMultiplier }
 
 // mergeRecord merges a report into the sorted records of a property. It keeps the newest record of each
-// observer, for at most limit observers: those with the lowest ranks. self's record comes first, whatever its
+// observer, for at most limit observers: those with the lowest ranks. self's record comes first at any
 // rank, and does not count towards the limit. Merging is commutative, associative and idempotent, so that
 // loss, order and repetition of reports do not matter.
 //
--- a/internal/membership/observation/store_test.go
+++ b/internal/membership/observation/store_test.go
@@ -133,8 +133,8 @@
 	})
 }
 
-// By digests and answers alone all stores reach the same conclusions, in whatever order they exchange them,
-// and then have nothing more to send.
+// By digests and answers alone, exchanged in any order, all stores reach the same conclusions, and then have
+// no more observations to send.
 func TestAntiEntropy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const members, engineCount = 8, 6
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -21,7 +21,7 @@
 // testKey returns a key of 32 equal bytes.
 func testKey(b byte) []byte { return bytes.Repeat([]byte{b}, 32) }
 
-// bytesPerSecond bounds what a dispatcher of these tests sends.
+// bytesPerSecond is the rate limit of a dispatcher in these tests.
 const bytesPerSecond = 20000
 
 // testFleet starts dispatchers over real sockets and collects the messages that they receive.
--- a/internal/storage/record.go
+++ b/internal/storage/record.go
@@ -8,7 +8,8 @@
 	"cresspass/internal/affinity/orphanedsession"
 )
 
-// Kind says what a record holds. The numbers are stored in logs, so their meaning must not change.
+// Kind is the kind of a record and determines its payload. The numbers are stored in logs, so their meaning
+// must not change.
 type Kind byte
 
 // The kinds of record.
@@ -48,7 +49,7 @@
 	SentSinceBoot time.Duration `json:"up,omitempty"`
 	// Window is how long engines drop repeats of the write.
 	Window time.Duration `json:"window"`
-	// AllEngines says that every engine drops repeats of the write, not only one group of engines.
+	// AllEngines is set if every engine drops repeats of the write, not only one group of engines.
 	AllEngines bool `json:"all"`
 }
 
--- a/internal/storage/recovery.go
+++ b/internal/storage/recovery.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Decision says what a restarted dispatcher may do with a query.
+// Decision is what a restarted dispatcher may do with a query.
 type Decision int
 
 // The decisions.
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -37,7 +37,7 @@
 	log     *Log
 	state   *State         // with all records taken from the queue, durable or not
 	pending []queuedRecord // not durable yet, in order
-	// needsRewrite says that the next flush must rewrite the log from state: the log lacks records that are
+	// needsRewrite is set if the next flush must rewrite the log from state: the log lacks records that are
 	// no longer in pending, or its last rewrite failed.
 	needsRewrite bool
 }
